--- a/crates/flaxstand-gateway/src/core/config.rs
+++ b/crates/flaxstand-gateway/src/core/config.rs
@@ -80,7 +80,7 @@
             links: 1024,
             partial_bytes: 32 << 20,
             answer_bytes: 64 << 20,
-            nodes: 4096,
+            nodes: flaxstand_proto::MAX_ENTRIES,
             volumes: 1 << 20,
             arrivals: ArrivalRules::default(),
         }
--- a/crates/flaxstand-gateway/src/core/list.rs
+++ b/crates/flaxstand-gateway/src/core/list.rs
@@ -9,8 +9,8 @@
 use crate::machine::{Address, ConnId, Micros};
 use flaxstand::api::{Event, ListScope, NodeEntry, NodeId, Readiness};
 use flaxstand_proto::{
-    Entry, Extent, Frame, FrameError, Inbox, List, Parting, Role, State, VERSION, VERSION_OLDEST, Welcome,
-    decode, encode,
+    BodyLimit, Entry, Extent, Frame, FrameError, Inbox, List, Parting, Role, State, VERSION, VERSION_OLDEST,
+    Welcome, decode_within, encode,
 };
 use thiserror::Error;
 use tracing::{debug, info, warn};
@@ -37,7 +37,7 @@
 /// # Errors
 /// It is none: see [`SavedListError`].
 pub fn check_saved_list(bytes: &[u8]) -> Result<List<'_>, SavedListError> {
-    match decode(bytes)? {
+    match decode_within(bytes, BodyLimit::NodeList)? {
         Some((Frame::List(list), len)) if len == bytes.len() && list.extent == Extent::Full => Ok(list),
         Some((_, len)) if len == bytes.len() => Err(SavedListError::NoList),
         _ => Err(SavedListError::NotWhole),
@@ -121,7 +121,7 @@
     pub(super) fn call_list(&mut self, now: Micros) {
         if self.list.conn.is_none() {
             let inlet = match self.config.wire {
-                Wire::Frames => Inlet::Frames(Inbox::default()),
+                Wire::Frames => Inlet::Frames(Inbox::of_list_service()),
                 Wire::Platform => Inlet::Link(Link::of_list(now)),
             };
             // Not the settings' time of targets, which may be longer than a change may stay unheard.
--- a/crates/flaxstand-gateway/src/core/pool.rs
+++ b/crates/flaxstand-gateway/src/core/pool.rs
@@ -25,6 +25,9 @@
 /// A node that is gone is remembered for so long: lists may flap.
 const REMEMBERED: Micros = Micros(30_000_000);
 
+/// Longest answer of the list service, bytes: 32,768 nodes of some 500 bytes each.
+const LIST_ANSWER_MOST: usize = 16 << 20;
+
 /// What a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Carried {
@@ -71,8 +74,10 @@
         self.reader.len()
     }
 
+    /// A connection to the list service.
     pub(super) fn of_list(now: Micros) -> Self {
-        Link::new(Carried::ListCall, now)
+        let reader = Answers::with_body_limit(LIST_ANSWER_MOST);
+        Link { reader, ..Link::new(Carried::ListCall, now) }
     }
 }
 
--- a/crates/flaxstand-gateway/src/settings/mod.rs
+++ b/crates/flaxstand-gateway/src/settings/mod.rs
@@ -182,7 +182,8 @@
         client_bytes: whole("client-bytes", d.client_bytes),
         client_bytes_most: whole("client-bytes-most", d.client_bytes_most),
         node_bytes: whole("node-bytes", d.node_bytes),
-        nodes: whole("nodes", d.nodes),
+        // More than a list can tell could not be saved whole for the next start.
+        nodes: b.whole("nodes", 1..=flaxstand_proto::MAX_ENTRIES as u64, Some(d.nodes as u64)) as usize,
         volumes: whole("volumes", d.volumes),
         arrivals: ArrivalRules {
             rate: b.number("arrivals-a-second", 0.1..=1e6, Some(d.arrivals.rate)),
--- /dev/null
+++ b/crates/flaxstand-gateway/tests/long_lists.rs
@@ -0,0 +1,71 @@
+//! Lists as long as `docs/CAPACITY.md` plans for: taken whole on both wires, saved whole, and refused from other peers.
+
+mod harness;
+
+use flaxstand_gateway::core::{Config, Core, Wire};
+use flaxstand_proto::State;
+use harness::{World, bytes_of, config, entry, ms};
+
+const NODES: u64 = 25_000;
+
+fn address(node: u64) -> String {
+    format!("10.{}.{}.{}:7000", node >> 16, (node >> 8) & 255, node & 255)
+}
+
+/// A list service's whole list, as one frame.
+fn whole_list() -> Vec<u8> {
+    let addresses: Vec<String> = (0..NODES).map(address).collect();
+    let entries =
+        addresses.iter().zip(0..).map(|(address, node)| entry(node, State::Serving, node as u32, address));
+    bytes_of(&flaxstand_proto::Frame::List(flaxstand_proto::List {
+        extent: flaxstand_proto::Extent::Full,
+        since: 7,
+        revision: 7,
+        entries: entries.collect(),
+    }))
+}
+
+/// The same in the platform's words.
+fn whole_listing() -> String {
+    let targets: Vec<String> = (0..NODES)
+        .map(|node| {
+            let address = address(node);
+            format!(r#"{{"uid":"storage-node-{node}","endpoint":"{address}","az":"a","pod_group":{node},"state":"up"}}"#)
+        })
+        .collect();
+    format!(r#"{{"rev":7,"all":true,"targets":[{}]}}"#, targets.join(","))
+}
+
+#[test]
+fn a_list_of_25_000_nodes_is_taken_and_saved_whole_on_frames() {
+    let mut world = World::new(config(), 1);
+    let list = world.list_conn();
+    for piece in whole_list().chunks(65_536) {
+        world.says(list, piece);
+    }
+    world.run(5);
+    assert!(!world.closed.contains(&list));
+    assert!(world.core.footprint().nodes as u64 >= NODES);
+    let saved = world.saved.clone().expect("a list that was told is saved");
+    let restarted = Core::new(config(), Some(&saved), ms(1)).expect("a long saved list is read");
+    assert_eq!(restarted.footprint().nodes as u64, NODES);
+}
+
+#[test]
+fn a_list_of_25_000_nodes_is_taken_whole_on_the_platform() {
+    let mut world = World::new(Config { wire: Wire::Platform, ..config() }, 1);
+    let list = world.list_conn();
+    world.answer(list, "200 OK", &whole_listing());
+    world.run(5);
+    assert!(!world.closed.contains(&list));
+    assert!(world.core.footprint().nodes as u64 >= NODES);
+}
+
+#[test]
+fn a_client_that_states_so_long_a_body_is_closed_before_it_is_read() {
+    let mut world = World::new(config(), 1);
+    let client = world.client();
+    world.says(client, &whole_list()[..64]);
+    world.run(5);
+    assert!(world.closed.contains(&client));
+}
--- a/crates/flaxstand-gateway/tests/settings.rs
+++ b/crates/flaxstand-gateway/tests/settings.rs
@@ -80,6 +80,12 @@
         15,
         "at most client-bytes-most",
     );
+    told(
+        "plan \"basic\"",
+        "plan \"basic\"\nbounds nodes=32769",
+        15,
+        "nodes in bounds is 32769, expected a whole number from 1 to 32768",
+    );
 }
 
 #[test]
--- a/crates/flaxstand-http/src/message.rs
+++ b/crates/flaxstand-http/src/message.rs
@@ -57,7 +57,7 @@
     pub status: u16,
     /// Its fields.
     pub fields: Fields,
-    /// Its body; at most [`crate::ANSWER_MOST`] bytes.
+    /// Its body; at most [`crate::ANSWER_MOST`] bytes unless its reader was told another limit.
     pub body: Vec<u8>,
     /// The connection may be used again: the peer keeps it, the end of the body is told, nothing is behind it.
     pub keeps: bool,
--- a/crates/flaxstand-http/src/read.rs
+++ b/crates/flaxstand-http/src/read.rs
@@ -115,15 +115,34 @@
 }
 
 /// Reads the answers to the requests of one connection, of which one is open at a time.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub struct Answers {
     bytes: Vec<u8>,
+    /// Most bytes of a body.
+    body_most: usize,
     in_body: bool,
     /// The head of an answer whose body ends with the connection, and where the body begins.
     ends: Option<(u16, Fields, usize)>,
 }
 
+impl Default for Answers {
+    /// Takes bodies up to [`ANSWER_MOST`] bytes.
+    fn default() -> Self {
+        Answers::with_body_limit(ANSWER_MOST)
+    }
+}
+
 impl Answers {
+    /// A reader that takes bodies up to `body_most` bytes.
+    pub fn with_body_limit(body_most: usize) -> Self {
+        Answers { bytes: Vec::new(), body_most, in_body: false, ends: None }
+    }
+
+    /// Forgets what came of the answer that was read last.
+    fn reset(&mut self) {
+        *self = Answers::with_body_limit(self.body_most);
+    }
+
     /// Bytes came.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
@@ -156,7 +175,8 @@
     /// It is none.
     pub fn take(&mut self) -> Result<Option<Answer>, Fault> {
         if let Some((.., at)) = self.ends {
-            return if self.bytes.len() - at > ANSWER_MOST { Err(Fault::BodyTooLong) } else { Ok(None) };
+            let too_long = self.bytes.len() - at > self.body_most;
+            return if too_long { Err(Fault::BodyTooLong) } else { Ok(None) };
         }
         loop {
             let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
@@ -176,14 +196,14 @@
             }
             let fields = Fields::new(head.headers);
             let keeps = lasts(head.version, &fields);
-            let framing = framing(status, keeps, &fields)?;
+            let framing = framing(status, keeps, &fields, self.body_most)?;
             let Some((body, end)) = self.body(body_at, framing)? else {
                 self.in_body = true;
                 self.ends = matches!(framing, Framing::End).then_some((status, fields, body_at));
                 return Ok(None);
             };
             let keeps = keeps && end == self.bytes.len();
-            *self = Answers::default();
+            self.reset();
             return Ok(Some(Answer { status, fields, body, keeps }));
         }
     }
@@ -192,22 +212,22 @@
     pub fn end(&mut self) -> Option<Answer> {
         let (status, fields, at) = self.ends.take()?;
         let body = self.bytes.split_off(at);
-        *self = Answers::default();
+        self.reset();
         Some(Answer { status, fields, body, keeps: false })
     }
 
     fn body(&self, at: usize, framing: Framing) -> Result<Option<(Vec<u8>, usize)>, Fault> {
         match framing {
             Framing::Length(length) => Ok(self.bytes.get(at..at + length).map(|b| (b.to_vec(), at + length))),
-            Framing::Chunked => dechunk(&self.bytes, at),
+            Framing::Chunked => dechunk(&self.bytes, at, self.body_most),
             Framing::End => Ok(None),
         }
     }
 }
 
 /// How an answer's body ends.
-fn framing(status: u16, keeps: bool, fields: &Fields) -> Result<Framing, Fault> {
-    match (length(fields, ANSWER_MOST)?, fields.has("transfer-encoding")) {
+fn framing(status: u16, keeps: bool, fields: &Fields, body_most: usize) -> Result<Framing, Fault> {
+    match (length(fields, body_most)?, fields.has("transfer-encoding")) {
         // Two ways to say where it ends: one of them is wrong.
         (Some(_), true) => Err(Fault::Encoding),
         (Some(length), false) => Ok(Framing::Length(length)),
@@ -225,7 +245,7 @@
 }
 
 /// The whole of a chunked body that begins there, and where it ends.
-fn dechunk(bytes: &[u8], mut at: usize) -> Result<Option<(Vec<u8>, usize)>, Fault> {
+fn dechunk(bytes: &[u8], mut at: usize, body_most: usize) -> Result<Option<(Vec<u8>, usize)>, Fault> {
     let mut body = Vec::new();
     loop {
         let (line, size) = match httparse::parse_chunk_size(&bytes[at..]) {
@@ -242,7 +262,7 @@
                 httparse::Status::Partial => Err(Fault::HeadTooLong),
             };
         }
-        if size > (ANSWER_MOST - body.len()) as u64 {
+        if size > (body_most - body.len()) as u64 {
             return Err(Fault::BodyTooLong);
         }
         let end = at + size as usize;
--- a/crates/flaxstand-http/tests/codec.rs
+++ b/crates/flaxstand-http/tests/codec.rs
@@ -88,6 +88,41 @@
     assert_eq!(body("HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\na"), Some(("a".into(), false)));
 }
 
+#[test]
+fn a_reader_with_another_limit_takes_bodies_up_to_it_in_every_framing() {
+    let read = |limit: usize, head: &str, body: &str| {
+        let mut reader = Answers::with_body_limit(limit);
+        reader.push(format!("HTTP/1.1 200 OK\r\n{head}\r\n{body}").as_bytes());
+        let taken = reader.take()?;
+        Ok::<_, Fault>(taken.or_else(|| reader.end()).map(|answer| answer.body.len()))
+    };
+    let ten = "0123456789";
+    for (head, body) in [
+        ("Content-Length: 10\r\n", ten.to_owned()),
+        ("Transfer-Encoding: chunked\r\n", format!("a\r\n{ten}\r\n0\r\n\r\n")),
+        ("Connection: close\r\n", ten.to_owned()),
+    ] {
+        assert_eq!(read(10, head, &body), Ok(Some(10)), "{head}");
+    }
+    assert_eq!(read(9, "Content-Length: 10\r\n", ten), Err(Fault::BodyTooLong));
+    assert_eq!(read(9, "Transfer-Encoding: chunked\r\n", "a\r\n"), Err(Fault::BodyTooLong));
+    let mut reader = Answers::with_body_limit(9);
+    reader.push(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
+    assert_eq!(reader.take(), Ok(None));
+    reader.push(ten.as_bytes());
+    assert_eq!(reader.take(), Err(Fault::BodyTooLong));
+}
+
+#[test]
+fn the_limit_of_a_reader_holds_for_its_second_answer_too() {
+    let mut reader = Answers::with_body_limit(2 << 20);
+    let body = "x".repeat(1_500_000);
+    for _ in 0..2 {
+        reader.push(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
+        assert_eq!(reader.take().unwrap().map(|answer| answer.body.len()), Some(body.len()));
+    }
+}
+
 proptest! {
     #[test]
     fn garbage_is_read_to_a_fault_or_waits_within_its_bound(
--- a/crates/flaxstand-proto/src/codec.rs
+++ b/crates/flaxstand-proto/src/codec.rs
@@ -17,14 +17,46 @@
 pub const MAX_BODY: usize = (1 << 20) + 4096;
 /// Longest text, bytes.
 const MAX_TEXT: usize = 255;
-/// Entries that a list may hold: 255 bytes of address each would still fit the longest body.
-pub const MAX_ENTRIES: usize = 3500;
+/// Entries that a node list may hold: room for the 25,000 nodes of `docs/CAPACITY.md` and a fifth more.
+pub const MAX_ENTRIES: usize = 32_768;
+/// Bytes of a list's extent, revisions and count of entries.
+const LIST_HEAD: usize = 1 + 8 + 8 + 2;
+/// Most bytes of one entry: its numbers and the longest address.
+const MAX_ENTRY: usize = 8 + 8 + 1 + 9 + 4 + 4 + 4 + 5 + 1 + MAX_TEXT;
+/// Longest body of a node list, bytes. Only a peer that may tell the list may send one beyond [`MAX_BODY`].
+pub const MAX_LIST_BODY: usize = LIST_HEAD + MAX_ENTRIES * MAX_ENTRY;
+/// The byte of the header that tells the kind of frame.
+const KIND_AT: usize = 9;
+/// The kind of a node list.
+const KIND_LIST: u8 = 50;
+
+/// Which bodies a reader takes.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum BodyLimit {
+    /// Up to [`MAX_BODY`], whatever the frame.
+    #[default]
+    Message,
+    /// Up to [`MAX_LIST_BODY`] for a node list, [`MAX_BODY`] for all else: connections to the list service, saved lists.
+    NodeList,
+}
+
+impl BodyLimit {
+    /// The longest body of a frame of this kind, bytes.
+    fn longest(self, kind: u8) -> usize {
+        match (self, kind) {
+            (BodyLimit::NodeList, KIND_LIST) => MAX_LIST_BODY,
+            _ => MAX_BODY,
+        }
+    }
+}
 
 /// Why bytes are no frame. The connection that brought them is closed; nothing else is touched.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
     /// The header states a longer body than is taken.
-    #[error("frame of {0} bytes, at most {MAX_BODY} are taken")]
+    #[error(
+        "frame of {0} bytes, at most {MAX_BODY} are taken ({MAX_LIST_BODY} of a node list from its service)"
+    )]
     TooLong(usize),
     /// The checksum differs.
     #[error("checksum {found:#010x}, expected {expected:#010x}")]
@@ -211,7 +243,7 @@
         Frame::Probed { .. } => 37,
         Frame::GetList => 48,
         Frame::Watch => 49,
-        Frame::List(_) => 50,
+        Frame::List(_) => KIND_LIST,
         Frame::ListFailed => 51,
         Frame::Agreement { .. } => 64,
     }
@@ -222,7 +254,7 @@
 }
 
 /// Adds the frame's bytes to `out`. A payload above 1 MiB makes a frame that no peer takes: whoever lets
-/// payloads in bounds them.
+/// payloads in bounds them. So does whoever takes nodes into a list: entries beyond [`MAX_ENTRIES`] are left out.
 pub fn encode(frame: &Frame<'_>, out: &mut Vec<u8>) {
     let start = out.len();
     out.extend_from_slice(&[0; 8]);
@@ -367,12 +399,20 @@
 /// The frame at the start of `bytes` and how many bytes it takes; none while it is not all there.
 ///
 /// # Errors
-/// What the bytes cannot be: see [`FrameError`]. A length beyond the bound is told from the header alone.
+/// What the bytes cannot be: see [`FrameError`]. A length beyond [`MAX_BODY`] is told from the header alone.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Frame<'_>, usize)>, FrameError> {
+    decode_within(bytes, BodyLimit::Message)
+}
+
+/// The same, with bodies up to `limit`.
+///
+/// # Errors
+/// As [`decode`].
+pub fn decode_within(bytes: &[u8], limit: BodyLimit) -> Result<Option<(Frame<'_>, usize)>, FrameError> {
     let Some((header, rest)) = bytes.split_first_chunk::<HEADER>() else { return Ok(None) };
     let len_bytes = [header[0], header[1], header[2], header[3]];
     let len = u32::from_le_bytes(len_bytes) as usize;
-    if len > MAX_BODY {
+    if len > limit.longest(header[KIND_AT]) {
         return Err(FrameError::TooLong(len));
     }
     let Some(body) = rest.get(..len) else { return Ok(None) };
@@ -476,7 +516,7 @@
         37 => Frame::Probed { token: r.u64("token")?, report: r.report()? },
         48 => Frame::GetList,
         49 => Frame::Watch,
-        50 => Frame::List(list(r)?),
+        KIND_LIST => Frame::List(list(r)?),
         51 => Frame::ListFailed,
         64 => Frame::Agreement { bytes: r.bytes("bytes")? },
         other => return Err(FrameError::Kind(other)),
--- a/crates/flaxstand-proto/src/lib.rs
+++ b/crates/flaxstand-proto/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod link;
 pub mod time;
 
-pub use codec::{FrameError, MAX_BODY, decode, encode};
+pub use codec::{BodyLimit, FrameError, MAX_BODY, MAX_ENTRIES, MAX_LIST_BODY, decode, decode_within, encode};
 pub use frame::*;
 pub use link::{Inbox, Outbox};
 pub use time::Micros;
--- a/crates/flaxstand-proto/src/link.rs
+++ b/crates/flaxstand-proto/src/link.rs
@@ -1,15 +1,21 @@
 //! The two ends of a connection's bytes: what came in part, and what waits to be written.
 
-use crate::codec::{FrameError, HEADER, MAX_BODY, decode, encode};
+use crate::codec::{BodyLimit, FrameError, HEADER, MAX_LIST_BODY, decode_within, encode};
 use crate::frame::Frame;
 
 /// Bytes received that are not yet a whole frame. Never holds more than one frame and one read.
 #[derive(Debug, Default)]
 pub struct Inbox {
     partial: Vec<u8>,
+    limit: BodyLimit,
 }
 
 impl Inbox {
+    /// An inbox for a connection to the list service, which may tell long lists.
+    pub fn of_list_service() -> Self {
+        Inbox { partial: Vec::new(), limit: BodyLimit::NodeList }
+    }
+
     /// Hands every whole frame among what was kept and `bytes` to `each`, in order, until it says to stop;
     /// keeps the rest.
     ///
@@ -25,14 +31,19 @@
             &joined
         };
         let mut at = 0;
-        while let Some((frame, len)) = decode(&source[at..])? {
+        while let Some((frame, len)) = decode_within(&source[at..], self.limit)? {
             at += len;
             if !each(frame) {
                 return Ok(());
             }
         }
-        self.partial = source[at..].to_vec();
-        debug_assert!(self.partial.len() <= HEADER + MAX_BODY);
+        self.partial = if joined.is_empty() {
+            bytes[at..].to_vec()
+        } else {
+            joined.drain(..at);
+            joined
+        };
+        debug_assert!(self.partial.len() <= HEADER + MAX_LIST_BODY);
         Ok(())
     }
 }
--- a/crates/flaxstand-proto/tests/frames.rs
+++ b/crates/flaxstand-proto/tests/frames.rs
@@ -138,6 +138,61 @@
     assert!(matches!(decode(&crc), Err(FrameError::Checksum { .. })));
 }
 
+fn long_list(entries: usize, address: &str) -> Vec<u8> {
+    let entry = |node: usize| Entry {
+        node: node as u64,
+        incarnation: 1,
+        state: State::Serving,
+        age: Some(1),
+        shard: node as u32,
+        zone: 1,
+        size: 100,
+        pace: Some(1),
+        address,
+    };
+    let entries = (0..entries).map(entry).collect();
+    bytes_of(&Frame::List(List { extent: Extent::Full, since: 1, revision: 1, entries }))
+}
+
+#[test]
+fn the_longest_list_is_read_from_the_list_service_and_from_nobody_else() {
+    let bytes = long_list(MAX_ENTRIES, &"a".repeat(255));
+    assert_eq!(bytes.len(), HEADER + MAX_LIST_BODY);
+    let Ok(Some((Frame::List(list), len))) = decode_within(&bytes, BodyLimit::NodeList) else {
+        panic!("the longest list is not read");
+    };
+    assert_eq!((list.entries.len(), len), (MAX_ENTRIES, bytes.len()));
+    assert_eq!(decode(&bytes), Err(FrameError::TooLong(MAX_LIST_BODY)));
+    let mut attempt = bytes[..HEADER].to_vec();
+    attempt[9] = 32;
+    assert_eq!(
+        decode_within(&attempt, BodyLimit::NodeList),
+        Err(FrameError::TooLong(MAX_LIST_BODY)),
+        "only a list may be that long"
+    );
+}
+
+#[test]
+fn a_long_list_comes_in_pieces_and_the_frame_behind_it_is_kept() {
+    let mut stream = long_list(25_000, "10.1.2.3:7001");
+    encode(&Frame::ListFailed, &mut stream);
+    let mut inbox = Inbox::of_list_service();
+    let (mut entries, mut failed) = (0, 0);
+    for piece in stream.chunks(65_536) {
+        let fed = inbox.feed(piece, |frame| {
+            match frame {
+                Frame::List(list) => entries += list.entries.len(),
+                Frame::ListFailed => failed += 1,
+                other => panic!("{other:?}"),
+            }
+            true
+        });
+        assert_eq!(fed, Ok(()));
+    }
+    assert_eq!((entries, failed), (25_000, 1));
+    assert!(Inbox::default().feed(&stream[..65_536], |_| true).is_err(), "not from a client or a node");
+}
+
 #[test]
 fn an_outbox_knows_which_frames_left_in_full() {
     let mut outbox = Outbox::default();
