--- /dev/null
+++ b/crates/flaxstand-index/tests/samples.rs
@@ -0,0 +1,143 @@
+//! Sorted samples and exact sums against a plain sorted list, over drawn operations.
+
+use flaxstand_index::{ExactSum, SortedSamples};
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+const SEEDS: u64 = 40;
+const STEPS: usize = 3000;
+
+/// The plain version: a sorted list.
+#[derive(Default)]
+struct SortedList(Vec<f64>);
+
+impl SortedList {
+    fn insert(&mut self, value: f64) {
+        self.0.push(value);
+        self.0.sort_by(f64::total_cmp);
+    }
+
+    fn remove(&mut self, value: f64) -> bool {
+        let found = self.0.iter().position(|v| v.total_cmp(&value).is_eq());
+        found.map(|at| self.0.remove(at)).is_some()
+    }
+
+    fn capped_mean(&self, cap: f64) -> Option<f64> {
+        let sum: f64 = self.0.iter().map(|v| v.min(cap)).sum();
+        (!self.0.is_empty()).then(|| sum / self.0.len() as f64)
+    }
+}
+
+fn uniform(rng: &mut Pcg64Mcg) -> f64 {
+    (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+}
+
+/// A value that is often equal to another, sometimes at an edge, and otherwise spread over some powers of two.
+fn draw_value(rng: &mut Pcg64Mcg) -> f64 {
+    match rng.next_u32() % 8 {
+        0 => 0.0,
+        1 | 2 => f64::from(rng.next_u32() % 5),
+        3 => 1e6 * uniform(rng),
+        _ => 40.0 * uniform(rng),
+    }
+}
+
+fn assert_same(samples: &SortedSamples, list: &SortedList, rng: &mut Pcg64Mcg, seed: u64) {
+    assert_eq!(samples.len(), list.0.len(), "seed {seed}");
+    assert_eq!(samples.is_empty(), list.0.is_empty(), "seed {seed}");
+    let place = rng.next_u64() as usize % (list.0.len() + 2);
+    assert_eq!(samples.nth(place), list.0.get(place).copied(), "seed {seed}, place {place}");
+    let cap = draw_value(rng);
+    match (samples.capped_mean(cap), list.capped_mean(cap)) {
+        (Some(got), Some(want)) => {
+            assert!((got - want).abs() <= 1e-12 * want.max(1.0), "seed {seed}, cap {cap}: {got}, not {want}");
+        }
+        (got, want) => assert_eq!(got, want, "seed {seed}"),
+    }
+}
+
+#[test]
+fn drawn_changes_give_what_a_sorted_list_gives() {
+    for seed in 0..SEEDS {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let (mut samples, mut list) = (SortedSamples::default(), SortedList::default());
+        for step in 0..STEPS {
+            // Grows for a while, shrinks to nothing, grows again.
+            let shrinks = (step / 1000) % 2 == 1;
+            let removes = rng.next_u32() % 10 < if shrinks { 9 } else { 2 };
+            let held = list.0.get(rng.next_u64() as usize % list.0.len().max(1)).copied();
+            match held.filter(|_| removes) {
+                Some(value) => {
+                    assert!(list.remove(value));
+                    assert!(samples.remove(value), "seed {seed}: {value} is there");
+                }
+                None => {
+                    let value = draw_value(&mut rng);
+                    list.insert(value);
+                    samples.insert(value);
+                }
+            }
+            if step % 16 == 0 {
+                assert_same(&samples, &list, &mut rng, seed);
+            }
+        }
+    }
+}
+
+#[test]
+fn every_sample_is_found_at_its_place_after_many_equal_ones() {
+    let mut samples = SortedSamples::default();
+    for value in [2.0; 2000].into_iter().chain([1.0; 1000]).chain([3.0; 1000]) {
+        samples.insert(value);
+    }
+    let held: Vec<f64> = (0..samples.len()).filter_map(|place| samples.nth(place)).collect();
+    assert_eq!(held, [[1.0; 1000].as_slice(), &[2.0; 2000], &[3.0; 1000]].concat());
+    for _ in 0..2000 {
+        assert!(samples.remove(2.0));
+    }
+    assert!(!samples.remove(2.0), "the last one is gone");
+    assert_eq!(samples.nth(1000), Some(3.0));
+}
+
+#[test]
+fn a_sample_that_is_not_held_is_not_removed() {
+    let mut samples = SortedSamples::default();
+    assert!(!samples.remove(1.0));
+    assert_eq!(samples.capped_mean(1.0), None);
+    samples.insert(1.0);
+    assert!(!samples.remove(0.5) && !samples.remove(1.5));
+    assert_eq!(samples.len(), 1);
+}
+
+#[test]
+fn sums_do_not_depend_on_the_order_of_changes() {
+    let mut rng = Pcg64Mcg::seed_from_u64(1);
+    let values: Vec<f64> = (0..1000).map(|_| draw_value(&mut rng)).collect();
+    let (mut forwards, mut backwards) = (ExactSum::default(), ExactSum::default());
+    values.iter().for_each(|value| forwards.add(*value));
+    values.iter().rev().for_each(|value| backwards.add(*value));
+    assert_eq!(forwards, backwards);
+    values.iter().for_each(|value| forwards.remove(*value));
+    assert_eq!(forwards, ExactSum::default());
+}
+
+#[test]
+fn a_sum_is_rounded_once() {
+    let mut sum = ExactSum::default();
+    (0..10).for_each(|_| sum.add(0.1));
+    assert_eq!(sum.value(), 1.0);
+    sum.add(1e15);
+    sum.remove(1e15);
+    assert_eq!(sum.value(), 1.0);
+}
+
+#[test]
+fn numbers_that_are_not_finite_do_no_lasting_harm() {
+    let mut sum = ExactSum::default();
+    sum.add(1.5);
+    for value in [f64::INFINITY, f64::NEG_INFINITY, f64::NAN, f64::MAX] {
+        sum.add(value);
+        sum.remove(value);
+    }
+    assert_eq!(sum.value(), 1.5);
+}
