--- a/crates/flaxstand-index/src/table.rs
+++ b/crates/flaxstand-index/src/table.rs
@@ -171,6 +171,22 @@
         Some(result)
     }
 
+    /// Changes a record, or one made anew where there is none. It becomes active.
+    pub fn update_or_insert_with(&mut self, key: K, make: impl FnOnce() -> V, change: impl FnOnce(&mut V)) {
+        if !self.contains(key) {
+            self.insert(key, make());
+        }
+        self.update(key, change);
+    }
+
+    /// Changes all records, in the order of keys; all become active.
+    pub fn update_all(&mut self, mut change: impl FnMut(&mut V)) {
+        let keys: Vec<K> = self.slots.keys().copied().collect();
+        for key in keys {
+            self.update(key, &mut change);
+        }
+    }
+
     /// All records in the order of keys.
     pub fn iter(&self) -> impl Iterator<Item = (K, &V)> {
         self.count_visits(self.slots.len());
@@ -190,6 +206,14 @@
         self.active.retain(|_, slot| records[*slot].as_ref().is_some_and(&mut stays));
     }
 
+    /// Removes those active records of which `removes` says yes.
+    pub fn remove_active(&mut self, mut removes: impl FnMut(&V) -> bool) {
+        let keys: Vec<K> = self.active().filter(|(_, record)| removes(record)).map(|(key, _)| key).collect();
+        for key in keys {
+            self.remove(key);
+        }
+    }
+
     /// The leader of a group: its member of the highest rank, and of equals the one with the lowest key.
     pub fn leader(&self, group: V::Group) -> Option<K> {
         let start = (group, Reverse(Rank::HIGHEST), None);
--- a/crates/flaxstand-index/tests/table.rs
+++ b/crates/flaxstand-index/tests/table.rs
@@ -85,11 +85,27 @@
                     table.retain_active(stays);
                     active.retain(|key| stays(&items[key]));
                 }
-                2 | 3 => {
+                2 if rng.next_u32() % 4 == 0 => {
+                    let removes = |item: &Item| item.sample.is_none();
+                    table.remove_active(removes);
+                    items.retain(|key, item| !(active.contains(key) && removes(item)));
+                    active.retain(|key| items.contains_key(key));
+                }
+                3 if rng.next_u32() % 8 == 0 => {
+                    table.update_all(|record| record.weight += 0.25);
+                    items.values_mut().for_each(|record| record.weight += 0.25);
+                    active.extend(items.keys());
+                }
+                2 => {
                     table.insert(key, item.clone());
                     items.insert(key, item);
                     active.insert(key);
                 }
+                3 => {
+                    table.update_or_insert_with(key, Item::default, |record| record.rank = item.rank);
+                    items.entry(key).or_default().rank = item.rank;
+                    active.insert(key);
+                }
                 _ => {
                     let updated = table.update(key, |record| *record = item.clone());
                     assert_eq!(updated.is_some(), items.contains_key(&key), "seed {seed}");
--- a/src/api.rs
+++ b/src/api.rs
@@ -152,6 +152,19 @@
     pub tick: Ms,
 }
 
+impl Settings {
+    /// The tightest aim of a class, ms; infinite without a class.
+    pub fn tightest_aim(&self) -> Ms {
+        self.classes.iter().map(|class| class.aim).fold(Ms::INFINITY, Ms::min)
+    }
+
+    /// The most worth that a request may have, for its class and plan.
+    pub fn most_worth(&self) -> f64 {
+        let price = self.plans.iter().map(|plan| plan.price).fold(0.0, f64::max);
+        self.classes.iter().map(|class| class.worth * price).fold(0.0, f64::max)
+    }
+}
+
 /// A node's state in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -5,6 +5,7 @@
 //! exception and the condition under which it acts.
 
 use crate::api::*;
+use flaxstand_index::{FadingSum, Membership, Record, Table, lower_median, place_by_weight};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
@@ -29,8 +30,7 @@
 const CUT: f64 = 0.75;
 /// Weight of the newest answer in running means.
 const NEWEST: f64 = 0.2;
-/// Word of a node's queue fades with this time constant, ms: a host of many hears of a node seldom, and
-/// a queue that nobody feeds is gone within a second or so.
+/// What was heard of a node's queue fades with this time constant, ms: one that nobody feeds is soon gone.
 const WORD_FADES: Ms = 1000.0;
 /// An attempt out for so many usual lags, and the tightest aim, makes a node suspect; pauses stay below.
 const SUSPECT_LAGS: f64 = 4.0;
@@ -58,34 +58,14 @@
 /// First and longest wait before a failed call of the list is made again, ms.
 const ASK_AGAIN: (Ms, Ms) = (200.0, 1000.0);
 
-/// A sum that fades with time constant `LATELY`.
-#[derive(Clone, Copy, Default)]
-struct Fading {
-    value: f64,
-    at: Ms,
-}
-
-impl Fading {
-    fn get(&self, now: Ms) -> f64 {
-        self.value * (-(now - self.at) / LATELY).exp()
-    }
-    fn add(&mut self, amount: f64, now: Ms) {
-        *self = Fading { value: self.get(now) + amount, at: now };
-    }
-}
+/// A sum of what happened lately.
+type Lately = FadingSum<{ LATELY as u64 }>;
 
 /// Mean work of a request, in units: what it counts is its size rounded up to whole units.
 fn work(units: f64) -> f64 {
     (units - 0.5).max(0.5)
 }
 
-/// The tightest aim, ms, and the most worth of a request, for its class and plan.
-fn scales(s: &Settings) -> (Ms, f64) {
-    let aim = s.classes.iter().map(|c| c.aim).fold(Ms::INFINITY, Ms::min);
-    let price = s.plans.iter().map(|p| p.price).fold(0.0, f64::max);
-    (aim, s.classes.iter().map(|c| c.worth * price).fold(0.0, f64::max))
-}
-
 fn random(rng: &mut Pcg64Mcg) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
@@ -125,11 +105,23 @@
     probe: Option<Ms>,
     next_probe: Ms,
     /// Units sent lately, for the usage term.
-    sent: Fading,
+    sent: Lately,
     /// Sends while cold: when, units.
     cold_sends: VecDeque<(Ms, f64)>,
 }
 
+impl Record for Node {
+    type Group = ShardId;
+    /// A shard is served by the ready node that holds it; of several by the one that started last.
+    fn membership(&self) -> Option<Membership<ShardId>> {
+        let NodeEntry { shard: group, booted_at, size: weight, .. } = self.entry;
+        self.serves().then_some(Membership { group, rank: booted_at.unwrap_or(0.0), weight })
+    }
+    fn sample(&self) -> Option<Ms> {
+        self.unit_time
+    }
+}
+
 impl Node {
     fn new(entry: &NodeEntry, now: Ms) -> Self {
         let (depth, unit_time) = (DEPTH_MOST / 2.0, entry.pace);
@@ -145,6 +137,17 @@
         self.entry = entry.clone();
     }
 
+    fn serves(&self) -> bool {
+        self.entry.readiness == Readiness::Serving
+    }
+
+    /// Whether no look depends on it until it changes: nothing is out, nothing was sent lately, the host does
+    /// not count it as used, and it need not be dropped.
+    fn at_rest(&self, now: Ms) -> bool {
+        let sent_lately = now - self.last_sent < 2.0 * LATELY || self.sent.get(now) > USED / 2.0;
+        self.entry.readiness != Readiness::Gone && self.out.is_empty() && !sent_lately
+    }
+
     /// Its nominal size against the mean of those listed.
     fn relative_size(&self, usual: &Usual) -> f64 {
         if self.entry.size > 0.0 && usual.size > 0.0 { self.entry.size / usual.size } else { 1.0 }
@@ -160,9 +163,8 @@
         }
     }
 
-    /// Guards the rule on cold nodes: each window, this host's part, at one core's pace of a usual node.
-    /// A request larger than the part waits as many windows as it fills parts; the first wait begins at
-    /// a `phase` of its own, or hundreds of hosts would send their first together.
+    /// Guards the rule on cold nodes: each window, this host's part, at one core's pace of a usual node. A
+    /// larger request waits as many windows as it fills parts, the first time from a phase of the host's own.
     fn cold_allows(&self, units: f64, usual: &Usual, s: &Settings, now: Ms) -> bool {
         let warmth = self.warmth(s, now);
         if warmth >= 1.0 || s.fall_time <= 0.0 {
@@ -181,8 +183,7 @@
             || now >= self.last_sent + wait && now >= self.told_at + usual.phase * wait && recent == 0.0
     }
 
-    /// Whether an attempt not overtaken has been out far longer than usual: the node hangs, died unheard,
-    /// lost its power to something else, or an answer was lost.
+    /// Whether an attempt not overtaken is out far longer than usual: the node hangs or is gone unheard.
     fn silent(&self, usual: &Usual, now: Ms) -> bool {
         let queue = self.queued.max(usual.queue);
         self.out.iter().any(|o| now - o.sent > self.patience(queue, o, usual) && o.passed.is_none())
@@ -214,8 +215,7 @@
     fn probe_due(&self, usual: &Usual, now: Ms) -> bool {
         let heard = self.heard(usual, now);
         let overdue = |o: &Out| o.passed.is_none() && now - o.sent > self.own(o, usual) + heard;
-        let serves = self.entry.readiness == Readiness::Serving;
-        serves && self.probe.is_none() && now >= self.next_probe && self.out.iter().any(overdue)
+        self.serves() && self.probe.is_none() && now >= self.next_probe && self.out.iter().any(overdue)
     }
 
     fn suspect(&self, usual: &Usual, now: Ms) -> bool {
@@ -237,17 +237,15 @@
     }
 
     /// Wait in the node's queue, ms, as last heard and as the attempts that are out show it. Guards against
-    /// queues that others make: old word fades to what is heard of all nodes. An attempt out far longer
-    /// than that shows a sick node or a lost answer, no queue.
+    /// queues that others make. An attempt out far longer shows a sick node or a lost answer, no queue.
     fn queue(&self, usual: &Usual, now: Ms) -> Ms {
         let queued = |o: &&Out| now - o.sent < SUSPECT_LAGS * (self.own(o, usual) + usual.queue);
         let heard = self.heard(usual, now);
         self.out.iter().filter(queued).map(|o| self.shown_by(o, usual, now)).fold(heard, f64::max)
     }
 
-    /// Word of the queue from the last attempt sent, if it was sent lately and says anything yet. One word
-    /// a node: what long stays out without an answer must not outvote what was answered, nor does it count
-    /// once it is out for far longer than the queue that was heard here.
+    /// Wait that the last attempt sent tells of, ms, if it was sent lately and says anything yet. One figure
+    /// a node, and none of an attempt that is out for far longer than the queue that was heard here.
     fn word(&self, usual: &Usual, now: Ms) -> Option<Ms> {
         let lately = now - self.last_sent < 2.0 * LATELY;
         let Some(last) = self.out.iter().find(|o| o.sent == self.last_sent) else {
@@ -278,8 +276,7 @@
         (1.0 + NOISE) * self.cost(out.units, usual)
     }
 
-    /// The wait that an attempt without an answer shows; none where one sent later was answered, since
-    /// nodes take work in turn: that one is lost or long, not queued.
+    /// The wait that an attempt without an answer shows; none once overtaken: it is lost or long, not queued.
     fn shown_by(&self, out: &Out, usual: &Usual, now: Ms) -> Ms {
         if out.passed.is_some() { 0.0 } else { now - out.sent - self.own(out, usual) }
     }
@@ -369,12 +366,12 @@
     limit: f64,
     filled_at: Ms,
     /// Units sent beyond the reserve lately.
-    beyond: Fading,
+    beyond: Lately,
 }
 
 impl Volume {
-    /// The reserve and the limit count over all hosts: an even part of each is ours. The limit's is empty
-    /// at our start, since what this host sent before a restart is unknown.
+    /// An even part of the reserve and of the limit is this host's. The limit's is empty at its start, since
+    /// what it sent before a restart is unknown.
     fn fill(&mut self, s: &Settings, now: Ms) {
         let rate = s.plans[self.plan.0].reserve_rate / self.writers;
         self.reserve = (self.reserve + rate * (now - self.filled_at) / 1000.0).min(rate + s.unit_most);
@@ -382,8 +379,7 @@
         self.filled_at = now;
     }
 
-    /// Guards the rule on limits: units that this host may send at a moment from the last filling on, if it
-    /// sends none until then.
+    /// Guards the rule on limits: units that may be sent at a moment, if none is sent since the last filling.
     fn limit_at(&self, s: &Settings, at: Ms) -> f64 {
         let plan = &s.plans[self.plan.0];
         if plan.limit_rate <= 0.0 {
@@ -394,8 +390,7 @@
     }
 
     /// Worth of a unit that would be `ahead` units beyond the reserve: the share's as long as the volume
-    /// takes no more than it is sized for, then falling to the least as it takes more. How much the
-    /// node's queue lets pass of that ends up as the level of the shares.
+    /// takes no more than it is sized for, then falling to the least as it takes more.
     fn beyond_worth(&self, ahead: f64, s: &Settings, now: Ms) -> f64 {
         let sized = s.plans[self.plan.0].base_rate * LATELY / 1000.0;
         let part = (sized / (self.beyond.get(now) + ahead).max(sized)).min(1.0);
@@ -493,7 +488,31 @@
     joins: Ms,
 }
 
+/// A ready node as the draw sees it.
+struct Candidate {
+    node: NodeId,
+    suspect: bool,
+    heard: bool,
+    /// Requests of this host out there and held for it, and others' that its queue tells of.
+    requests: f64,
+    others: f64,
+    /// Its percent share of the units sent lately, by its size.
+    usage: f64,
+    size: f64,
+    warmth: f64,
+}
+
+impl Candidate {
+    /// Queue term times usage term.
+    fn fitness(&self) -> f64 {
+        let queue = (self.requests + self.others) / self.size / DEPTH_MOST;
+        let usage = if self.usage > 0.0 { AGGRESSION.powf(self.usage) } else { 1.0 };
+        (self.size * (1.0 - queue).max(0.0) / usage).max(FITNESS_FLOOR)
+    }
+}
+
 /// What holds of a usual node, pooled over those heard from: a host of many hears of each seldom.
+#[derive(Default)]
 struct Usual {
     /// The tightest aim, ms.
     aim: Ms,
@@ -502,16 +521,14 @@
     /// Unloaded time of a unit, ms.
     unit_time: Ms,
     /// Answers lost lately: of what was overtaken long ago none came, or a copy's came first.
-    losses: Fading,
+    losses: Lately,
     /// Its nominal size: the mean of those that are ready.
     size: f64,
-    /// By how much lags pass what was expected of them, as a part of it, a running mean: grows where nodes
-    /// are slowed unseen, and fades, or a host that refuses all would never learn better.
-    excess: Fading,
-    /// Hosts that send to it, and this host's place among them in time, 0 to 1.
+    /// By how much lags pass what was expected of them, as a part of it: a running mean that fades to none.
+    excess: Lately,
+    /// Hosts that send to it, this host's place among them in time, 0 to 1, and when this host started.
     hosts: f64,
     phase: f64,
-    /// When this host started.
     started: Ms,
 }
 
@@ -539,7 +556,7 @@
     s: Settings,
     rng: Pcg64Mcg,
     usual: Usual,
-    nodes: BTreeMap<NodeId, Node>,
+    nodes: Table<NodeId, Node>,
     volumes: BTreeMap<VolumeId, Volume>,
     requests: BTreeMap<RequestId, Request>,
     lines: BTreeMap<Key, Line>,
@@ -548,8 +565,6 @@
     /// For the budget: when requests were taken, and when attempts beyond a first were sent.
     taken: VecDeque<Ms>,
     further: VecDeque<(Ms, RequestId, AttemptNo)>,
-    /// Most worth of a request, for its class and plan.
-    most_worth: f64,
     wake_at: Option<Ms>,
     ask_at: Option<Ms>,
     asks_failed: u32,
@@ -558,14 +573,12 @@
 impl Brain {
     /// A brain that has just started and knows nothing.
     pub fn new(settings: Settings, seed: u64, now: Ms) -> Self {
-        let (aim, most_worth) = scales(&settings);
+        let aim = settings.tightest_aim();
         let (nodes, volumes, requests, lines, given_up, taken, further) = Default::default();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let unit_time = aim / settings.unit_mean.max(1.0) / 4.0;
         let (hosts, phase) = (f64::from(settings.initiators), random(&mut rng));
-        let (losses, excess) = Default::default();
-        let (queue, size, started) = (0.0, 0.0, now);
-        let usual = Usual { aim, queue, unit_time, losses, size, excess, hosts, phase, started };
+        let usual = Usual { aim, unit_time, hosts, phase, started: now, ..Usual::default() };
         Brain {
             rng,
             usual,
@@ -576,7 +589,6 @@
             given_up,
             taken,
             further,
-            most_worth,
             wake_at: None,
             ask_at: settings.list_on_request.then_some(now),
             asks_failed: 0,
@@ -594,20 +606,22 @@
             }
             Event::Ended(ended) => self.ended(&ended, now, actions),
             Event::Probed(id, outcome) => {
-                self.nodes.entry(id).and_modify(|n| n.note_probed(outcome, now));
+                self.nodes.update(id, |n| n.note_probed(outcome, now));
             }
             Event::ClientGone(id) => self.over(id),
-            Event::Rules(s) => {
-                (self.usual.aim, self.most_worth) = scales(&s);
-                self.s = *s;
-            }
+            Event::Rules(s) => (self.usual.aim, self.s) = (s.tightest_aim(), *s),
             Event::Decide => self.decide(now, actions),
         }
     }
 
     /// What was learnt of a node's pace, for a later life: unloaded time of a unit, ms.
     pub fn pace_of(&self, node: NodeId) -> Option<Ms> {
-        self.nodes.get(&node)?.unit_time
+        self.nodes.get(node)?.unit_time
+    }
+
+    /// How often a node was looked at since the start, by its id or in a walk: a measure of work.
+    pub fn nodes_looked_at(&self) -> u64 {
+        self.nodes.visited()
     }
 
     fn listed(&mut self, scope: ListScope, entries: &[NodeEntry], now: Ms) {
@@ -620,12 +634,12 @@
         }
         self.asks_failed = 0;
         if scope != ListScope::Changes {
-            self.nodes.values_mut().for_each(|n| n.entry.readiness = Readiness::Gone);
+            self.nodes.update_all(|n| n.entry.readiness = Readiness::Gone);
         }
         for entry in entries {
-            self.nodes.entry(entry.node).or_insert_with(|| Node::new(entry, now)).told(entry, now);
+            self.nodes.update_or_insert_with(entry.node, || Node::new(entry, now), |n| n.told(entry, now));
         }
-        self.nodes.retain(|_, n| n.entry.readiness != Readiness::Gone || !n.out.is_empty());
+        self.nodes.remove_active(|n| n.entry.readiness == Readiness::Gone && n.out.is_empty());
     }
 
     fn arrived(&mut self, a: Arrival, now: Ms) {
@@ -638,7 +652,7 @@
             self.lines.entry(key).or_default().waiting.push_back(a.id);
         }
         let (plan, reserve, filled_at) = (a.plan, self.s.unit_most, self.usual.started);
-        let new = || Volume { plan, writers: 1.0, reserve, limit: 0.0, filled_at, beyond: Fading::default() };
+        let new = || Volume { plan, writers: 1.0, reserve, limit: 0.0, filled_at, beyond: Lately::default() };
         let volume = self.volumes.entry(a.volume).or_insert_with(new);
         volume.writers = volume.writers.max(f64::from(a.writers));
         let hold_until = now + HOLD * (a.valid_until - now);
@@ -658,13 +672,12 @@
         };
         let (class, id) = (&self.s.classes[r.a.class.0], ended.request);
         let this = |o: &Out| o.request == id && o.attempt == ended.attempt;
-        if let Some(node) = self.nodes.get_mut(&attempt.node)
-            && let Some(index) = node.out.iter().position(this)
-        {
+        self.nodes.update(attempt.node, |node| {
+            let Some(index) = node.out.iter().position(this) else { return };
             let lost = node.lost(&node.out[index], &self.usual, now);
             self.usual.learn(&node.out[index], lost, ended, now);
             node.note_ended(index, ended, &self.usual, now);
-        }
+        });
         if ended.outcome == Outcome::Moot {
             self.further.retain(|(_, request, no)| (*request, *no) != (id, ended.attempt));
         }
@@ -756,7 +769,7 @@
             let last = if first { r.hold_until } else { r.a.valid_until } - margin;
             let cold = |n: &Node| !n.cold_allows(r.a.units, &self.usual, &self.s, last);
             let full = || self.volumes[&r.a.volume].limit_at(&self.s, last) < r.a.units;
-            let never = || first && (full() || r.node.and_then(|id| self.nodes.get(&id)).is_some_and(cold));
+            let never = || first && (full() || r.node.and_then(|id| self.nodes.get(id)).is_some_and(cold));
             r.held() && (now >= last || never())
         };
         let ids: Vec<_> = self.requests.values().filter(|r| ending(r)).map(|r| r.a.id).collect();
@@ -766,96 +779,89 @@
     /// What the nodes show together. A host that sends to a part of the nodes takes it that so large a
     /// part of the others sends to each too: over all hosts these guesses add up. At its start it counts all.
     fn look_at_all(&mut self, now: Ms) {
-        let mut words: Vec<Ms> = self.nodes.values().filter_map(|n| n.word(&self.usual, now)).collect();
-        words.sort_by(f64::total_cmp);
-        self.usual.queue = words.get(words.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
-        let mut known: Vec<Ms> = self.nodes.values().filter_map(|n| n.unit_time).collect();
-        known.sort_by(f64::total_cmp);
-        if let Some(middle) = known.get(known.len() / 2).copied() {
+        self.nodes.retain_active(|n| !n.at_rest(now));
+        let reported = self.nodes.active().filter_map(|(_, n)| n.word(&self.usual, now));
+        self.usual.queue = lower_median(reported).unwrap_or(0.0);
+        let paces = self.nodes.samples();
+        if let Some(middle) = paces.nth(paces.len() / 2) {
             // A first answer that came late says little of the pace.
-            self.usual.unit_time = known.iter().map(|t| t.min(2.0 * middle)).sum::<Ms>() / known.len() as f64;
-        }
-        let ready = self.nodes.values().filter(|n| n.entry.readiness == Readiness::Serving);
-        self.usual.size =
-            ready.clone().map(|n| n.entry.size).sum::<f64>() / ready.clone().count().max(1) as f64;
-        let used = ready.clone().filter(|n| n.sent.get(now) > USED).count().max(1) as f64;
-        let share =
-            if now < self.usual.started + 2.0 * LATELY { 1.0 } else { used / ready.count().max(1) as f64 };
+            self.usual.unit_time = paces.capped_mean(2.0 * middle).unwrap_or(middle);
+        }
+        let ready = self.nodes.members().max(1) as f64;
+        self.usual.size = self.nodes.weight() / ready;
+        let used = self.nodes.active().filter(|(_, n)| n.serves() && n.sent.get(now) > USED).count().max(1);
+        let share = if now < self.usual.started + 2.0 * LATELY { 1.0 } else { used as f64 / ready };
         self.usual.hosts = 1.0 + share * f64::from(self.s.initiators.saturating_sub(1));
     }
 
     /// Gives every held request the node it waits for: its shard's, or one drawn by fitness.
     fn place(&mut self, now: Ms) {
-        let mut by_shard: BTreeMap<ShardId, NodeId> = BTreeMap::new();
-        for (id, node) in self.nodes.iter().filter(|(_, n)| n.entry.readiness == Readiness::Serving) {
-            let newest = by_shard.entry(node.entry.shard).or_insert(*id);
-            if self.nodes[newest].entry.booted_at.unwrap_or(0.0) < node.entry.booted_at.unwrap_or(0.0) {
-                *newest = *id;
-            }
-        }
         let mut waiting: BTreeMap<NodeId, f64> = BTreeMap::new();
         let mut fresh = Vec::new();
         for (id, r) in self.requests.iter_mut().filter(|(_, r)| r.held()) {
             let kept = r.may_have_run().filter(|_| self.s.classes[r.a.class.0].effect != Effect::Repeatable);
             match r.a.shard.or(kept.map(|t| t.shard)) {
                 Some(shard) => {
-                    r.node = by_shard.get(&shard).copied();
-                    if let Some(node) = r.node {
-                        *waiting.entry(node).or_default() += 1.0;
-                    }
+                    r.node = self.nodes.leader(shard);
+                    r.node.into_iter().for_each(|node| *waiting.entry(node).or_default() += 1.0);
                 }
                 None => fresh.push((r.due, *id)),
             }
         }
         fresh.sort_by(|x, y| x.0.total_cmp(&y.0).then(x.1.cmp(&y.1)));
+        let mut candidates = if fresh.is_empty() { Vec::new() } else { self.candidates(&waiting, now) };
         for (_, id) in fresh {
-            let Some(node) = self.draw(&waiting, now) else { break };
-            *waiting.entry(node).or_default() += 1.0;
-            self.requests.entry(id).and_modify(|r| r.node = Some(node));
-        }
-    }
-
-    /// The design's draw over ready nodes; suspects only if all are, a cold node by what it surely can do.
-    fn draw(&mut self, waiting: &BTreeMap<NodeId, f64>, now: Ms) -> Option<NodeId> {
-        let ready: Vec<_> =
-            self.nodes.iter().filter(|(_, n)| n.entry.readiness == Readiness::Serving).collect();
-        let well: Vec<_> = ready.iter().filter(|(_, n)| !n.suspect(&self.usual, now)).copied().collect();
-        let allowed = if well.is_empty() { ready } else { well };
-        let total: f64 = self.nodes.values().map(|n| n.sent.get(now)).sum();
-        let fitness = |id: &NodeId, n: &Node| {
-            let size = n.relative_size(&self.usual);
-            let others = n.queue(&self.usual, now) / n.pace(&self.usual) / self.s.unit_mean.max(1.0);
-            let q = n.out.len() as f64 + waiting.get(id).copied().unwrap_or(0.0) + others;
-            let usage = if total > 0.0 { 100.0 * n.sent.get(now) / total / size } else { 0.0 };
-            (size * (1.0 - q / size / DEPTH_MOST).max(0.0) / AGGRESSION.powf(usage)).max(FITNESS_FLOOR)
-        };
-        let heard: Vec<f64> =
-            allowed.iter().filter(|(_, n)| n.unit_time.is_some()).map(|(id, n)| fitness(id, n)).collect();
+            let Some(drawn) = self.draw(&candidates).map(|index| &mut candidates[index]) else { break };
+            drawn.requests += 1.0;
+            self.requests.entry(id).and_modify(|r| r.node = Some(drawn.node));
+        }
+    }
+
+    /// Ready nodes for the draw; suspects only if all are. The one walk over all listed nodes.
+    fn candidates(&self, waiting: &BTreeMap<NodeId, f64>, now: Ms) -> Vec<Candidate> {
+        let mut total = 0.0;
+        let mut candidates = Vec::with_capacity(self.nodes.members());
+        for (node, n) in self.nodes.iter() {
+            let sent = n.sent.get(now);
+            total += sent;
+            if n.serves() {
+                let requests = n.out.len() as f64 + waiting.get(&node).copied().unwrap_or(0.0);
+                let others = n.queue(&self.usual, now) / n.pace(&self.usual) / self.s.unit_mean.max(1.0);
+                let (size, usage, warmth) =
+                    (n.relative_size(&self.usual), 100.0 * sent, n.warmth(&self.s, now));
+                let (suspect, heard) = (n.suspect(&self.usual, now), n.unit_time.is_some());
+                candidates.push(Candidate { node, suspect, heard, requests, others, usage, size, warmth });
+            }
+        }
+        if candidates.iter().any(|c| !c.suspect) {
+            candidates.retain(|c| !c.suspect);
+        }
+        candidates.iter_mut().filter(|c| c.usage > 0.0).for_each(|c| c.usage = c.usage / total / c.size);
+        candidates
+    }
+
+    /// The design's draw, a cold node by what it surely can do; gives the candidate's index.
+    fn draw(&mut self, candidates: &[Candidate]) -> Option<usize> {
+        let fitness: Vec<f64> = candidates.iter().map(Candidate::fitness).collect();
+        let with_fitness = || candidates.iter().zip(&fitness);
+        let heard: Vec<f64> = with_fitness().filter(|(c, _)| c.heard).map(|(_, f)| *f).collect();
         let average = heard.iter().sum::<f64>() / heard.len().max(1) as f64;
-        let weigh = |(id, n): &(&NodeId, &Node)| {
-            let unheard = n.unit_time.is_none() && !heard.is_empty();
-            let plain = if unheard { average.min(fitness(id, n)) } else { fitness(id, n) };
-            (**id, plain * n.warmth(&self.s, now))
-        };
-        let weights: Vec<(NodeId, f64)> = allowed.iter().map(weigh).collect();
-        let mut point = random(&mut self.rng) * weights.iter().map(|(_, w)| w).sum::<f64>();
-        let passes = |(_, weight): &&(NodeId, f64)| {
-            point -= weight;
-            point < 0.0
-        };
-        weights.iter().find(passes).or(weights.last()).map(|(id, _)| *id)
+        let most = |c: &Candidate| if c.heard || heard.is_empty() { f64::INFINITY } else { average };
+        let weigh = |(c, f): (&Candidate, &f64)| c.warmth * f.min(most(c));
+        let weights: Vec<f64> = with_fitness().map(weigh).collect();
+        place_by_weight(&weights, random(&mut self.rng) * weights.iter().sum::<f64>())
     }
 
     fn release(&mut self, now: Ms, actions: &mut Vec<Action>) {
         let mut held: BTreeMap<NodeId, Vec<RequestId>> = BTreeMap::new();
         for (id, r) in self.requests.iter().filter(|(_, r)| r.held()) {
-            if let Some(node) = r.node.filter(|id| self.nodes.contains_key(id)) {
+            if let Some(node) = r.node.filter(|id| self.nodes.contains(*id)) {
                 held.entry(node).or_default().push(*id);
             }
         }
         for (node, mut ids) in held {
             // Nothing passes the gate without room: asked first, so that a full node costs no walk.
-            while self.nodes[&node].room(&self.usual, now) {
+            while self.nodes[node].room(&self.usual, now) {
                 ids.retain(|id| {
                     self.requests.get(id).is_some_and(Request::held) && self.may_send(*id, node, now)
                 });
@@ -877,17 +883,20 @@
         if !self.seeks_lost(now) {
             return;
         }
-        let mut lost = Vec::new();
-        for (id, node) in &mut self.nodes {
+        let (mut probed, mut lost) = (Vec::new(), Vec::new());
+        for (id, node) in self.nodes.active() {
             if self.s.may_probe && self.s.most_out > 1 && node.probe_due(&self.usual, now) {
-                node.probe = Some(now);
-                actions.push(Action::Probe { node: *id });
+                probed.push(id);
             }
-            lost.extend(node.out.iter().filter(|o| node.lost(o, &self.usual, now)).map(|o| (o.request, *id)));
+            lost.extend(node.out.iter().filter(|o| node.lost(o, &self.usual, now)).map(|o| (o.request, id)));
+        }
+        for node in probed {
+            self.nodes.update(node, |n| n.probe = Some(now));
+            actions.push(Action::Probe { node });
         }
         for (id, node) in lost {
             let makes = |r: &&Request| {
-                let cost = self.nodes[&node].cost(r.a.units, &self.usual);
+                let cost = self.nodes[node].cost(r.a.units, &self.usual);
                 r.out().count() == 1 && !r.over && !r.streaming && now + cost <= r.due
             };
             let Some(r) = self.requests.get(&id).filter(makes) else { continue };
@@ -901,10 +910,9 @@
         }
     }
 
-    /// The gate that every send passes: drain, depth and health, cold, attempts, order, limit, effect,
-    /// budget.
+    /// The gate that every send passes: drain, depth, health, cold, attempts, order, limit, effect, budget.
     fn may_send(&self, id: RequestId, at: NodeId, now: Ms) -> bool {
-        let (Some(r), Some(node)) = (self.requests.get(&id), self.nodes.get(&at)) else { return false };
+        let (Some(r), Some(node)) = (self.requests.get(&id), self.nodes.get(at)) else { return false };
         let class = &self.s.classes[r.a.class.0];
         let first = r.attempts.is_empty();
         let turn = match r.a.key.filter(|_| class.in_order).and_then(|k| self.lines.get(&k)) {
@@ -912,7 +920,7 @@
             None => true,
         };
         let volume = &self.volumes[&r.a.volume];
-        node.entry.readiness == Readiness::Serving
+        node.serves()
             && !r.over
             && r.out().count() < self.s.most_out as usize
             && now < r.a.valid_until
@@ -940,7 +948,7 @@
         let (timely, mut late): (Vec<_>, Vec<_>) =
             self.rank(of, at, now).into_iter().partition(|w| now + w.lag <= w.due);
         late.sort_by(|x, y| y.joins.total_cmp(&x.joins));
-        let node = &self.nodes[&at];
+        let node = &self.nodes[at];
         let queue = node.queue(&self.usual, now);
         let fills = |w: &&Waiting| now + w.lag <= w.valid_until && node.out.is_empty() && queue <= w.joins;
         let next = timely.iter().find(|w| queue <= w.joins).or(late.iter().find(fills)).map(|w| w.id);
@@ -957,9 +965,9 @@
 
     /// Earliest due first, with the queue that each may join by its volume's tier.
     fn rank(&self, ids: &[RequestId], at: NodeId, now: Ms) -> Vec<Waiting> {
-        let node = &self.nodes[&at];
+        let node = &self.nodes[at];
         let queue = node.queue(&self.usual, now);
-        let mut left: BTreeMap<VolumeId, f64> = BTreeMap::new();
+        let (mut left, most_worth) = (BTreeMap::new(), self.s.most_worth());
         let mut order: Vec<&Request> = ids.iter().filter_map(|id| self.requests.get(id)).collect();
         order.sort_by(|x, y| x.due.total_cmp(&y.due).then(x.a.id.cmp(&y.a.id)));
         let waiting = |r: &Request| {
@@ -974,7 +982,7 @@
             let class = &self.s.classes[r.a.class.0];
             let late = if now + lag > r.due { class.late_value } else { 1.0 };
             let repeat = if r.repeats { REPEAT } else { 1.0 };
-            let worth = repeat * class.worth * self.s.plans[volume.plan.0].price / self.most_worth;
+            let worth = repeat * class.worth * self.s.plans[volume.plan.0].price / most_worth;
             let joins = (QUEUE_SHARE + QUEUE_JOINED * tier * worth) * late * self.usual.aim;
             Waiting { id: r.a.id, due: r.due, valid_until: r.a.valid_until, cost, lag, joins }
         };
@@ -982,9 +990,7 @@
     }
 
     fn send(&mut self, id: RequestId, at: NodeId, now: Ms, actions: &mut Vec<Action>) {
-        let (Some(r), Some(node)) = (self.requests.get_mut(&id), self.nodes.get_mut(&at)) else {
-            return;
-        };
+        let (Some(r), Some(node)) = (self.requests.get_mut(&id), self.nodes.get(at)) else { return };
         let attempt = AttemptNo(r.attempts.len() as u32);
         if attempt.0 > 0 {
             self.further.push_back((now, id, attempt));
@@ -997,12 +1003,12 @@
             }
         }
         let span = self.s.budget.map_or(0.0, |b| b.span) + self.s.tick;
-        self.taken.retain(|at| now - at <= span);
-        self.further.retain(|(at, ..)| now - at <= span);
+        while self.taken.pop_front_if(|at| now - *at > span).is_some() {}
+        while self.further.pop_front_if(|(at, ..)| now - *at > span).is_some() {}
         let (shard, zone) = (node.entry.shard, node.entry.zone);
         let until = r.until(self.s.classes[r.a.class.0].effect, self.s.tick);
         r.attempts.push(Attempt { node: at, shard, zone, sent: now, ran: Ran::Out });
-        node.note_sent((id, attempt), r.a.units, &self.usual, self.s.fall_time, now);
+        self.nodes.update(at, |n| n.note_sent((id, attempt), r.a.units, &self.usual, self.s.fall_time, now));
         actions.push(Action::Send { request: id, node: at, until });
     }
 }
--- /dev/null
+++ b/tests/cost.rs
@@ -0,0 +1,168 @@
+//! What events cost against the number of listed nodes, for the module and its plain version. Times are only
+//! printed, by tests that run when asked for:
+//!
+//!     cargo test --release -p flaxstand --test cost -- --ignored --nocapture --test-threads=1
+
+mod common;
+#[path = "common/module.rs"]
+mod module;
+mod plain;
+
+use common::{arrival, entry, settings};
+use flaxstand::api;
+use flaxstand::api::*;
+use flaxstand::brain::Brain;
+use module::Module;
+use std::time::{Duration, Instant};
+
+/// Listed nodes, and how many of them are in use.
+const SIZES: [(u32, u32); 7] =
+    [(30, 30), (100, 100), (300, 100), (1000, 100), (3000, 100), (25_000, 100), (25_000, 0)];
+/// Each figure is the least mean of so many rounds.
+const ROUNDS: u32 = 7;
+/// How long one round goes on, at least.
+const ROUND: Duration = Duration::from_millis(30);
+/// Lag of each served request, ms, and the time between two of them.
+const LAG: Ms = 3.0;
+/// Time from one look to the next, ms: short, so that what is in use stays so.
+const STEP: Ms = 0.01;
+/// Start of the clock, ms.
+const START: Ms = 100_000.0;
+
+/// A module that knows `listed` nodes with known paces, `used` of which were sent to lately.
+struct Bench<M> {
+    module: M,
+    now: Ms,
+    next: u64,
+    listed: u32,
+    used: u32,
+    actions: Vec<Action>,
+}
+
+impl<M: Module> Bench<M> {
+    fn new(listed: u32, used: u32) -> Self {
+        let module = M::start(settings(), 7, START);
+        let mut bench = Bench { module, now: START, next: 0, listed, used, actions: Vec::new() };
+        let entries = (0..listed).map(|node| bench.entry(node)).collect();
+        bench.tell(Event::List(ListScope::Full, entries));
+        bench.tell(Event::Decide);
+        for _ in 0..2 * used {
+            bench.request_to_shard();
+        }
+        bench
+    }
+
+    fn entry(&self, node: u32) -> NodeEntry {
+        let pace = Some(2.0 + f64::from(node % 101) / 100.0);
+        NodeEntry { size: 1.0 + f64::from(node % 3), pace, ..entry(node, Readiness::Serving, None) }
+    }
+
+    fn tell(&mut self, event: Event) {
+        self.actions.clear();
+        self.module.tell(event, self.now, &mut self.actions);
+    }
+
+    fn look(&mut self) {
+        self.now += STEP;
+        self.tell(Event::Decide);
+    }
+
+    /// Arrival, look, end, look; the shards of the nodes in use take turns.
+    fn request_to_shard(&mut self) {
+        let shard = self.next % u64::from(self.used.max(1));
+        self.request(Some(shard as i64));
+    }
+
+    fn new_object(&mut self) {
+        self.request(None);
+    }
+
+    fn request(&mut self, shard: Option<i64>) {
+        let id = self.next;
+        self.next += 1;
+        self.now += LAG;
+        self.tell(Event::Arrived(arrival(id, shard, self.now + 1500.0)));
+        self.tell(Event::Decide);
+        assert!(self.actions.iter().any(|a| matches!(a, Action::Send { .. })), "{:?}", self.actions);
+        let (request, attempt) = (RequestId(id), AttemptNo(0));
+        let outcome = Outcome::Served;
+        self.now += LAG;
+        self.tell(Event::Ended(Ended { request, attempt, outcome, lag: LAG, complete: true }));
+        self.tell(Event::Decide);
+    }
+
+    /// The last listed node starts anew: one changed entry, then a look.
+    fn changed_entry(&mut self) {
+        self.now += STEP;
+        let booted_at = Some(self.now);
+        let changed = NodeEntry { booted_at, ..self.entry(self.listed - 1) };
+        self.tell(Event::List(ListScope::Changes, vec![changed]));
+        self.tell(Event::Decide);
+    }
+
+    /// Time of one call, in microseconds.
+    fn time(&mut self, call: impl Fn(&mut Self)) -> f64 {
+        let mut least = f64::INFINITY;
+        for _ in 0..ROUNDS {
+            let (begun, mut calls) = (Instant::now(), 0);
+            while begun.elapsed() < ROUND {
+                call(self);
+                calls += 1;
+            }
+            least = least.min(begun.elapsed().as_secs_f64() * 1e6 / f64::from(calls));
+        }
+        least
+    }
+}
+
+fn print_costs<M: Module>() {
+    println!("{}: us per call; listed, in use: look, request to a shard, changed entry, new object", M::NAME);
+    for (listed, used) in SIZES {
+        let look = Bench::<M>::new(listed, used).time(Bench::look);
+        let request = Bench::<M>::new(listed, used).time(Bench::request_to_shard);
+        let changed = Bench::<M>::new(listed, used).time(Bench::changed_entry);
+        let object = Bench::<M>::new(listed, used).time(Bench::new_object);
+        println!("| {listed} | {used} | {look:.2} | {request:.2} | {changed:.2} | {object:.2} |");
+    }
+}
+
+#[test]
+#[ignore = "a measurement"]
+fn cost_of_the_plain_version() {
+    print_costs::<plain::brain::Brain>();
+}
+
+#[test]
+#[ignore = "a measurement"]
+fn cost_of_the_module() {
+    print_costs::<Brain>();
+}
+
+/// Resident memory of this process, bytes.
+fn resident() -> u64 {
+    let statm = std::fs::read_to_string("/proc/self/statm").expect("Linux tells a process its memory");
+    let pages = statm.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok());
+    pages.expect("the second figure is a number") * 4096
+}
+
+fn print_memory<M: Module>() {
+    let (listed, modules) = (25_000, 8);
+    let before = resident();
+    let kept: Vec<_> = (0..modules).map(|_| Bench::<M>::new(listed, 0)).collect();
+    let each = (resident() - before) / (kept.len() as u64 * u64::from(listed));
+    println!("{}: {each} bytes of resident memory for each listed node", M::NAME);
+}
+
+/// Run alone, so that no freed memory is taken again.
+#[test]
+#[ignore = "a measurement"]
+fn memory_of_the_plain_version() {
+    print_memory::<plain::brain::Brain>();
+}
+
+/// Run alone, so that no freed memory is taken again.
+#[test]
+#[ignore = "a measurement"]
+fn memory_of_the_module() {
+    print_memory::<Brain>();
+}
--- /dev/null
+++ b/tests/equivalence.rs
@@ -0,0 +1,105 @@
+//! The module decides what its plain version decides: equal actions, in order, wakes included, over drawn sequences
+//! of events. A seed that fails is printed and plays the same sequence again.
+
+mod common;
+#[path = "common/module.rs"]
+mod module;
+mod plain;
+#[path = "common/script.rs"]
+mod script;
+
+use flaxstand::api;
+use flaxstand::api::*;
+use flaxstand::brain::Brain;
+use module::Module;
+use script::Script;
+use std::collections::BTreeMap;
+
+const SEEDS: u64 = 400;
+const EVENTS: usize = 900;
+/// Each kind of action must come up so often over all sequences.
+const LEAST_OF_A_KIND: u64 = 50;
+/// Paces of all nodes are compared after so many events.
+const PACES_EVERY: usize = 50;
+
+/// One kind of action, for the count of what the sequences made the module do.
+fn kind(action: &Action) -> &'static str {
+    match action {
+        Action::Send { .. } => "send",
+        Action::Cancel { .. } => "cancel",
+        Action::Probe { .. } => "probe",
+        Action::Refuse { .. } => "refuse",
+        Action::Fail { .. } => "fail",
+        Action::Wake { .. } => "wake",
+        Action::Subscribe => "subscribe",
+    }
+}
+
+/// Both versions, told the same.
+struct Pair {
+    seed: u64,
+    indexed: Brain,
+    plain: plain::brain::Brain,
+    counts: BTreeMap<&'static str, u64>,
+}
+
+impl Pair {
+    /// Tells both one event and gives back the actions, which are equal.
+    fn tell(&mut self, step: usize, event: Event, now: Ms) -> Vec<Action> {
+        let (mut got, mut want) = (Vec::new(), Vec::new());
+        let told = format!("{event:?}");
+        self.indexed.tell(event.clone(), now, &mut got);
+        self.plain.tell(event, now, &mut want);
+        assert_eq!(got, want, "seed {}, step {step}, at {now}: {told}", self.seed);
+        got.iter().for_each(|action| *self.counts.entry(kind(action)).or_default() += 1);
+        got
+    }
+
+    fn compare_paces(&self, step: usize, nodes: u32) {
+        for node in (0..nodes + 2).map(NodeId) {
+            let (got, want) = (self.indexed.pace(node), self.plain.pace(node));
+            assert_eq!(got, want, "seed {}, step {step}: pace of {node:?}", self.seed);
+        }
+    }
+}
+
+/// Plays one seed's sequence and counts actions by kind, and two more kinds of sends.
+fn play(seed: u64) -> BTreeMap<&'static str, u64> {
+    let mut script = Script::new(seed);
+    let indexed = Brain::start(script.settings(), seed, script.now);
+    let plain = plain::brain::Brain::start(script.settings(), seed, script.now);
+    let mut pair = Pair { seed, indexed, plain, counts: BTreeMap::new() };
+    for step in 0..EVENTS {
+        let event = script.next_event();
+        let actions = pair.tell(step, event, script.now);
+        script.take(&actions);
+        // Some events of one moment are told before the module decides.
+        if step % 5 != 0 {
+            let actions = pair.tell(step, Event::Decide, script.now);
+            script.take(&actions);
+        }
+        if step % PACES_EVERY == 0 {
+            pair.compare_paces(step, script.nodes);
+        }
+    }
+    pair.counts.insert("further attempt", script.further_attempts);
+    pair.counts.insert("new object", script.new_objects);
+    pair.counts
+}
+
+#[test]
+fn drawn_sequences_give_equal_actions() {
+    let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
+    for seed in 0..SEEDS {
+        for (kind, count) in play(seed) {
+            *counts.entry(kind).or_default() += count;
+        }
+    }
+    println!("{counts:?}");
+    let kinds =
+        ["send", "cancel", "probe", "refuse", "fail", "wake", "subscribe", "further attempt", "new object"];
+    for kind in kinds {
+        let count = counts.get(kind).copied().unwrap_or(0);
+        assert!(count >= LEAST_OF_A_KIND, "the sequences hardly ever reach {kind}: {count}");
+    }
+}
--- /dev/null
+++ b/tests/plain/brain.rs
@@ -0,0 +1,1008 @@
+//! Every decision of one initiator. The interface (settings, events, actions, ids) is in `src/api.rs`.
+//!
+//! Ordinary path: a new object is placed by a draw proportional to fitness, all else follows its fixed
+//! node, and held requests leave earliest due first under a per-node bound. `docs/design.md` names each
+//! exception and the condition under which it acts.
+
+use crate::api::*;
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::collections::{BTreeMap, VecDeque};
+
+/// Requests out at one node, most (design page: q_ceil and the starting bound).
+const DEPTH_MOST: f64 = 8.0;
+/// Queue that a unit of the most worth may join, in tightest aims; what earns less joins shorter ones.
+const QUEUE_JOINED: f64 = 2.5;
+/// Aggression factor of the usage term (design page).
+const AGGRESSION: f64 = 1.05;
+/// Units sent lately that make a node one this host uses: a unit counts for about five seconds.
+const USED: f64 = 0.1;
+/// Least fitness of a node that may be drawn (design page).
+const FITNESS_FLOOR: f64 = 0.01;
+/// How far back "lately" reaches for the usage term, ms: many requests, yet shorter than a trouble.
+const LATELY: Ms = 2000.0;
+/// Wait in a node's queue that is let be, in tightest aims: waiting belongs here, where order is chosen.
+const QUEUE_SHARE: f64 = 0.06;
+/// Part of its own work by which an attempt may last longer unqueued: works differ by themselves.
+const NOISE: f64 = 0.5;
+/// What a node's bound keeps of itself when its queue was longer than that.
+const CUT: f64 = 0.75;
+/// Weight of the newest answer in running means.
+const NEWEST: f64 = 0.2;
+/// Word of a node's queue fades with this time constant, ms: a host of many hears of a node seldom, and
+/// a queue that nobody feeds is gone within a second or so.
+const WORD_FADES: Ms = 1000.0;
+/// An attempt out for so many usual lags, and the tightest aim, makes a node suspect; pauses stay below.
+const SUSPECT_LAGS: f64 = 4.0;
+/// Part of the expected lag within which a request may well be answered.
+const HOPE: f64 = 0.7;
+/// Most that one lag counts against what was expected of it.
+const MOST_STRETCH: f64 = 10.0;
+/// Lost answers seen lately from which a host looks for more: one is enough for about six seconds.
+const LOSSES: f64 = 0.05;
+/// Failures in a row after which a node gets single canaries only.
+const TRIP: u32 = 2;
+/// First and longest wait between canaries, ms; it doubles up to about the time in which a list notices.
+const CANARY: (Ms, Ms) = (50.0, 400.0);
+/// Share used of the cold rule's allowance; the rest is for handshakes and what a restarted host forgot.
+const COLD_SHARE: f64 = 0.7;
+/// Longest wait between two looks at what is held, ms.
+const LOOK: Ms = 10.0;
+/// A held request is ended this long before its client leaves, ms, beyond one look and one tick.
+const END_MARGIN: Ms = 4.0;
+/// Part of its client's time for which a request is held without an attempt.
+const HOLD: f64 = 0.5;
+/// How long a client that was given up is expected back, ms, and the part of its worth that a repeat has.
+const PATIENCE: Ms = 2000.0;
+const REPEAT: f64 = 0.3;
+/// First and longest wait before a failed call of the list is made again, ms.
+const ASK_AGAIN: (Ms, Ms) = (200.0, 1000.0);
+
+/// A sum that fades with time constant `LATELY`.
+#[derive(Clone, Copy, Default)]
+struct Fading {
+    value: f64,
+    at: Ms,
+}
+
+impl Fading {
+    fn get(&self, now: Ms) -> f64 {
+        self.value * (-(now - self.at) / LATELY).exp()
+    }
+    fn add(&mut self, amount: f64, now: Ms) {
+        *self = Fading { value: self.get(now) + amount, at: now };
+    }
+}
+
+/// Mean work of a request, in units: what it counts is its size rounded up to whole units.
+fn work(units: f64) -> f64 {
+    (units - 0.5).max(0.5)
+}
+
+/// The tightest aim, ms, and the most worth of a request, for its class and plan.
+fn scales(s: &Settings) -> (Ms, f64) {
+    let aim = s.classes.iter().map(|c| c.aim).fold(Ms::INFINITY, Ms::min);
+    let price = s.plans.iter().map(|p| p.price).fold(0.0, f64::max);
+    (aim, s.classes.iter().map(|c| c.worth * price).fold(0.0, f64::max))
+}
+
+fn random(rng: &mut Pcg64Mcg) -> f64 {
+    (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+}
+
+/// An attempt that is out.
+struct Out {
+    request: RequestId,
+    attempt: AttemptNo,
+    sent: Ms,
+    units: f64,
+    /// Lag that was expected, ms.
+    expected: Ms,
+    /// When an answer or a probe sent later came: nodes take work in turn, so it had begun by then.
+    passed: Option<Ms>,
+}
+
+/// One storage node: readiness, warmth, health, requests out, pace.
+#[derive(Default)]
+struct Node {
+    entry: NodeEntry,
+    out: Vec<Out>,
+    depth: f64,
+    last_cut: Ms,
+    last_sent: Ms,
+    /// When the list first named the process that runs now, or it seemed to have started.
+    told_at: Ms,
+    /// When it seemed to have started, unheard by the list, and until when that is believed.
+    seems: (Ms, Ms),
+    /// Unloaded time of a unit, ms: falls fast, rises slowly.
+    unit_time: Option<f64>,
+    /// Part of the lag that was wait in the node's queue, ms, and when that was heard.
+    queued: Ms,
+    queued_at: Ms,
+    fails: u32,
+    next_canary: Ms,
+    /// When the probe that is out was sent, and from when on another may be.
+    probe: Option<Ms>,
+    next_probe: Ms,
+    /// Units sent lately, for the usage term.
+    sent: Fading,
+    /// Sends while cold: when, units.
+    cold_sends: VecDeque<(Ms, f64)>,
+}
+
+impl Node {
+    fn new(entry: &NodeEntry, now: Ms) -> Self {
+        let (depth, unit_time) = (DEPTH_MOST / 2.0, entry.pace);
+        Node { entry: entry.clone(), depth, told_at: now, unit_time, ..Node::default() }
+    }
+
+    /// The list speaks; a fresh start makes all that was learned of the old process void.
+    fn told(&mut self, entry: &NodeEntry, now: Ms) {
+        if entry.booted_at.is_some() && entry.booted_at != self.entry.booted_at {
+            let out = std::mem::take(&mut self.out);
+            *self = Node { out, depth: 1.0, ..Node::new(entry, now) };
+        }
+        self.entry = entry.clone();
+    }
+
+    /// Its nominal size against the mean of those listed.
+    fn relative_size(&self, usual: &Usual) -> f64 {
+        if self.entry.size > 0.0 && usual.size > 0.0 { self.entry.size / usual.size } else { 1.0 }
+    }
+
+    /// Share of its capacity that the node surely has; 1 once warm.
+    fn warmth(&self, s: &Settings, now: Ms) -> f64 {
+        match (now < self.seems.1).then_some(self.seems.0).or(self.entry.booted_at) {
+            Some(at) if now < at + s.cold_time => {
+                s.cold_from + (1.0 - s.cold_from) * ((now - at).max(0.0) / s.cold_time)
+            }
+            _ => 1.0,
+        }
+    }
+
+    /// Guards the rule on cold nodes: each window, this host's part, at one core's pace of a usual node.
+    /// A request larger than the part waits as many windows as it fills parts; the first wait begins at
+    /// a `phase` of its own, or hundreds of hosts would send their first together.
+    fn cold_allows(&self, units: f64, usual: &Usual, s: &Settings, now: Ms) -> bool {
+        let warmth = self.warmth(s, now);
+        if warmth >= 1.0 || s.fall_time <= 0.0 {
+            return true;
+        }
+        let since = self.cold_sends.iter().filter(|(at, _)| now - at < s.fall_time);
+        let recent: f64 = since.map(|(_, u)| work(*u)).sum();
+        let units = work(units);
+        let borne = (s.fall_multiple * warmth * s.fall_time / usual.unit_time).max(s.cold_bears * work(1.0));
+        // What a former life of this host sent here is not known: its part grows over the first window.
+        let anew = self.entry.booted_at.is_some_and(|at| at < usual.started);
+        let known = if anew { ((now - usual.started) / s.fall_time).min(1.0) } else { 1.0 };
+        let part = known * COLD_SHARE * borne * self.relative_size(usual) / usual.hosts;
+        let wait = s.fall_time * units / part;
+        recent + units <= part
+            || now >= self.last_sent + wait && now >= self.told_at + usual.phase * wait && recent == 0.0
+    }
+
+    /// Whether an attempt not overtaken has been out far longer than usual: the node hangs, died unheard,
+    /// lost its power to something else, or an answer was lost.
+    fn silent(&self, usual: &Usual, now: Ms) -> bool {
+        let queue = self.queued.max(usual.queue);
+        self.out.iter().any(|o| now - o.sent > self.patience(queue, o, usual) && o.passed.is_none())
+    }
+
+    /// A silent node gets canaries, ever more rarely.
+    fn canary_due(&self, now: Ms) -> bool {
+        let oldest = self.out.iter().map(|o| o.sent).fold(now, Ms::min);
+        now - self.last_sent >= (self.last_sent - oldest).max(CANARY.1)
+    }
+
+    /// How long an attempt may be out behind such a queue before more is wrong than the queue.
+    fn patience(&self, queue: Ms, out: &Out, usual: &Usual) -> Ms {
+        (SUSPECT_LAGS * (self.own(out, usual) + queue)).max(usual.aim)
+    }
+
+    /// Something sent at `sent` was answered: what was sent before and is still out was overtaken.
+    fn pass(&mut self, sent: Ms, now: Ms) {
+        let older = self.out.iter_mut().filter(|o| o.sent < sent && o.passed.is_none());
+        older.for_each(|o| o.passed = Some(now));
+    }
+
+    /// Whether an attempt was overtaken so long ago that its own work should be done: its answer is lost.
+    fn lost(&self, out: &Out, usual: &Usual, now: Ms) -> bool {
+        out.passed.is_some_and(|at| now - at > self.own(out, usual))
+    }
+
+    /// Whether a probe would tell a lost answer from a queue: one attempt is out for longer than it should.
+    fn probe_due(&self, usual: &Usual, now: Ms) -> bool {
+        let heard = self.heard(usual, now);
+        let overdue = |o: &Out| o.passed.is_none() && now - o.sent > self.own(o, usual) + heard;
+        let serves = self.entry.readiness == Readiness::Serving;
+        serves && self.probe.is_none() && now >= self.next_probe && self.out.iter().any(overdue)
+    }
+
+    fn suspect(&self, usual: &Usual, now: Ms) -> bool {
+        self.fails >= TRIP || self.silent(usual, now)
+    }
+
+    /// Depth bound and health: room for one more attempt. What is lost keeps no place.
+    fn room(&self, usual: &Usual, now: Ms) -> bool {
+        if self.fails >= TRIP {
+            return self.out.is_empty() && now >= self.next_canary;
+        }
+        let out = self.out.iter().filter(|o| !self.lost(o, usual, now)).count();
+        (out as f64) < self.depth.floor() && (!self.silent(usual, now) || self.canary_due(now))
+    }
+
+    /// Wait in the node's queue, ms, as last heard: old word fades to what is heard of all nodes.
+    fn heard(&self, usual: &Usual, now: Ms) -> Ms {
+        usual.queue + (self.queued - usual.queue) * self.fresh(now)
+    }
+
+    /// Wait in the node's queue, ms, as last heard and as the attempts that are out show it. Guards against
+    /// queues that others make: old word fades to what is heard of all nodes. An attempt out far longer
+    /// than that shows a sick node or a lost answer, no queue.
+    fn queue(&self, usual: &Usual, now: Ms) -> Ms {
+        let queued = |o: &&Out| now - o.sent < SUSPECT_LAGS * (self.own(o, usual) + usual.queue);
+        let heard = self.heard(usual, now);
+        self.out.iter().filter(queued).map(|o| self.shown_by(o, usual, now)).fold(heard, f64::max)
+    }
+
+    /// Word of the queue from the last attempt sent, if it was sent lately and says anything yet. One word
+    /// a node: what long stays out without an answer must not outvote what was answered, nor does it count
+    /// once it is out for far longer than the queue that was heard here.
+    fn word(&self, usual: &Usual, now: Ms) -> Option<Ms> {
+        let lately = now - self.last_sent < 2.0 * LATELY;
+        let Some(last) = self.out.iter().find(|o| o.sent == self.last_sent) else {
+            return lately.then_some(self.queued);
+        };
+        let word = self.shown_by(last, usual, now);
+        let says = now - last.sent < self.patience(self.queued, last, usual);
+        (lately && word > 0.0 && says).then_some(word)
+    }
+
+    /// How much the last word of the queue still says.
+    fn fresh(&self, now: Ms) -> f64 {
+        (-(now - self.queued_at) / WORD_FADES).exp()
+    }
+
+    /// Unloaded time of a unit here, ms; a usual node's as long as none was served.
+    fn pace(&self, usual: &Usual) -> Ms {
+        self.unit_time.map_or(usual.unit_time, |t| t.max(usual.unit_time))
+    }
+
+    /// Time that a request's own work takes here without a queue, ms.
+    fn cost(&self, units: f64, usual: &Usual) -> Ms {
+        work(units) * self.pace(usual)
+    }
+
+    /// The most of its own work that an attempt may take without a queue.
+    fn own(&self, out: &Out, usual: &Usual) -> Ms {
+        (1.0 + NOISE) * self.cost(out.units, usual)
+    }
+
+    /// The wait that an attempt without an answer shows; none where one sent later was answered, since
+    /// nodes take work in turn: that one is lost or long, not queued.
+    fn shown_by(&self, out: &Out, usual: &Usual, now: Ms) -> Ms {
+        if out.passed.is_some() { 0.0 } else { now - out.sent - self.own(out, usual) }
+    }
+
+    /// Word of a wait in the node's queue; the older the last word, the more the new one counts.
+    fn heard_queue(&mut self, wait: Ms, now: Ms) {
+        let weight = (1.0 - self.fresh(now)).max(NEWEST);
+        self.queued += weight * (wait - self.queued);
+        self.queued_at = now;
+    }
+
+    fn note_sent(&mut self, of: (RequestId, AttemptNo), units: f64, usual: &Usual, fall_time: Ms, now: Ms) {
+        let (request, attempt) = of;
+        let expected = self.queue(usual, now) + self.cost(units, usual);
+        self.out.push(Out { request, attempt, sent: now, units, expected, passed: None });
+        self.sent.add(units, now);
+        self.last_sent = now;
+        self.cold_sends.push_back((now, units));
+        self.cold_sends.retain(|(at, _)| now - at < fall_time);
+    }
+
+    /// A probe's lag is the wait in the queue, and what was sent before it has begun by its end.
+    fn note_probed(&mut self, outcome: Outcome, now: Ms) {
+        let Some(sent) = self.probe.take() else { return };
+        if outcome == Outcome::Served {
+            self.pass(sent, now);
+            self.heard_queue(now - sent, now);
+        } else {
+            self.next_probe = now + CANARY.1;
+        }
+    }
+
+    /// Learns from an attempt's end: health from failures, pace and depth from the lag.
+    fn note_ended(&mut self, index: usize, ended: &Ended, usual: &Usual, now: Ms) {
+        let filled = self.out.len() as f64 + 1.0 > self.depth;
+        let shown = self.queue(usual, now);
+        let patience = self.patience(self.queued.max(usual.queue), &self.out[index], usual);
+        let out = self.out.swap_remove(index);
+        // Guards against pushing over what went silent and comes back cold before the list tells: all hosts
+        // hold requests for it, and their connections break at one moment.
+        if ended.outcome == Outcome::Reset && ended.lag > patience && now >= self.seems.1 {
+            (self.seems, self.told_at) = ((now, now + LATELY * (0.5 + usual.phase)), now);
+        }
+        match ended.outcome {
+            Outcome::Served => {
+                self.fails = 0;
+                self.pass(out.sent, now);
+                let pace = ended.lag / work(out.units);
+                let weight = if self.unit_time.is_none_or(|t| pace < t) { NEWEST } else { NEWEST / 100.0 };
+                self.unit_time = Some(self.unit_time.map_or(pace, |t| t + weight * (pace - t)));
+                let queued = ended.lag - self.cost(out.units, usual);
+                self.heard_queue((queued - NOISE * (ended.lag - queued)).max(0.0), now);
+                if queued <= QUEUE_SHARE * usual.aim + NOISE * (ended.lag - queued) {
+                    if filled {
+                        self.depth = (self.depth + 1.0 / self.depth).min(DEPTH_MOST);
+                    }
+                } else if now - self.last_cut > ended.lag {
+                    self.depth = (self.depth * CUT).max(1.0);
+                    self.last_cut = now;
+                }
+            }
+            // Its queue holds more than any aim allows.
+            Outcome::Full => {
+                self.depth = (self.depth * CUT).max(1.0);
+                (self.queued, self.queued_at) = (shown.max(usual.aim), now);
+            }
+            Outcome::Moot => {}
+            // An impatient client says nothing about the node's health, nor does an answer lost.
+            Outcome::TimedOut if ended.lag < patience => (self.queued, self.queued_at) = (shown, now),
+            Outcome::TimedOut | Outcome::Cancelled if out.passed.is_some() => {}
+            _ => {
+                self.fails = (self.fails + 1).min(16);
+                let wait = CANARY.0 * f64::from(1 << self.fails.saturating_sub(TRIP).min(8));
+                self.next_canary = now + wait.min(CANARY.1);
+            }
+        }
+    }
+}
+
+/// One volume: this host's part of its reserve and of its limit.
+struct Volume {
+    plan: PlanId,
+    writers: f64,
+    /// Reserve units that still earn full worth.
+    reserve: f64,
+    /// Limit units that may still be sent.
+    limit: f64,
+    filled_at: Ms,
+    /// Units sent beyond the reserve lately.
+    beyond: Fading,
+}
+
+impl Volume {
+    /// The reserve and the limit count over all hosts: an even part of each is ours. The limit's is empty
+    /// at our start, since what this host sent before a restart is unknown.
+    fn fill(&mut self, s: &Settings, now: Ms) {
+        let rate = s.plans[self.plan.0].reserve_rate / self.writers;
+        self.reserve = (self.reserve + rate * (now - self.filled_at) / 1000.0).min(rate + s.unit_most);
+        self.limit = self.limit_at(s, now);
+        self.filled_at = now;
+    }
+
+    /// Guards the rule on limits: units that this host may send at a moment from the last filling on, if it
+    /// sends none until then.
+    fn limit_at(&self, s: &Settings, at: Ms) -> f64 {
+        let plan = &s.plans[self.plan.0];
+        if plan.limit_rate <= 0.0 {
+            return f64::INFINITY;
+        }
+        let filled = self.limit + plan.limit_rate / self.writers * (at - self.filled_at).max(0.0) / 1000.0;
+        filled.min(plan.limit_burst / self.writers)
+    }
+
+    /// Worth of a unit that would be `ahead` units beyond the reserve: the share's as long as the volume
+    /// takes no more than it is sized for, then falling to the least as it takes more. How much the
+    /// node's queue lets pass of that ends up as the level of the shares.
+    fn beyond_worth(&self, ahead: f64, s: &Settings, now: Ms) -> f64 {
+        let sized = s.plans[self.plan.0].base_rate * LATELY / 1000.0;
+        let part = (sized / (self.beyond.get(now) + ahead).max(sized)).min(1.0);
+        s.spare_worth + (s.share_worth - s.spare_worth) * part
+    }
+}
+
+/// What is known of an attempt's effect.
+#[derive(Clone, Copy, PartialEq)]
+enum Ran {
+    Out,
+    Never,
+    Maybe,
+}
+
+struct Attempt {
+    node: NodeId,
+    shard: ShardId,
+    zone: ZoneId,
+    sent: Ms,
+    ran: Ran,
+}
+
+/// One request: attempts, due time, what may have run.
+struct Request {
+    a: Arrival,
+    due: Ms,
+    /// Until when it may be held without an attempt.
+    hold_until: Ms,
+    attempts: Vec<Attempt>,
+    /// Where it waits: its fixed node, or for a new object the one drawn.
+    node: Option<NodeId>,
+    over: bool,
+    streaming: bool,
+    /// It asks for an item that was given up here lately.
+    repeats: bool,
+}
+
+impl Request {
+    fn out(&self) -> impl Iterator<Item = AttemptNo> {
+        let numbered = self.attempts.iter().enumerate();
+        numbered.filter(|(_, t)| t.ran == Ran::Out).map(|(no, _)| AttemptNo(no as u32))
+    }
+    fn held(&self) -> bool {
+        !self.over && self.out().next().is_none()
+    }
+    fn may_have_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|t| t.ran != Ran::Never)
+    }
+    /// Until when another attempt may leave: its client waits, and a group of nodes drops repeats.
+    fn until(&self, effect: Effect, tick: Ms) -> Ms {
+        let Effect::Keyed { window, .. } = effect else { return self.a.valid_until };
+        let ends = self.may_have_run().map_or(Ms::INFINITY, |first| first.sent + window - tick);
+        ends.min(self.a.valid_until)
+    }
+    /// Guards the rule on effects: whether another attempt at this node is harmless.
+    fn effect_allows(&self, node: &Node, effect: Effect, tick: Ms, now: Ms) -> bool {
+        let Some(first) = self.may_have_run() else { return true };
+        match effect {
+            Effect::Repeatable => true,
+            Effect::Once => false,
+            Effect::Keyed { group, .. } => {
+                let inside = match group {
+                    RepeatGroup::All => true,
+                    RepeatGroup::Zone => first.zone == node.entry.zone,
+                    RepeatGroup::Cell => first.shard == node.entry.shard,
+                };
+                inside && now < self.until(effect, tick)
+            }
+        }
+    }
+    /// Whether it may be told that trying again is harmless.
+    fn may_refuse(&self, effect: Effect) -> bool {
+        let all = matches!(effect, Effect::Repeatable | Effect::Keyed { group: RepeatGroup::All, .. });
+        all || self.may_have_run().is_none()
+    }
+}
+
+/// Requests of one key that take turns.
+#[derive(Default)]
+struct Line {
+    waiting: VecDeque<RequestId>,
+    rest_until: Ms,
+}
+
+/// A held request as the release sees it.
+struct Waiting {
+    id: RequestId,
+    due: Ms,
+    valid_until: Ms,
+    /// Time that it takes the node, and time from its sending to its answer.
+    cost: Ms,
+    lag: Ms,
+    /// Longest queue at the node that it may join, ms: by its part of full worth, in time or late.
+    joins: Ms,
+}
+
+/// What holds of a usual node, pooled over those heard from: a host of many hears of each seldom.
+struct Usual {
+    /// The tightest aim, ms.
+    aim: Ms,
+    /// Wait in its queue, ms.
+    queue: Ms,
+    /// Unloaded time of a unit, ms.
+    unit_time: Ms,
+    /// Answers lost lately: of what was overtaken long ago none came, or a copy's came first.
+    losses: Fading,
+    /// Its nominal size: the mean of those that are ready.
+    size: f64,
+    /// By how much lags pass what was expected of them, as a part of it, a running mean: grows where nodes
+    /// are slowed unseen, and fades, or a host that refuses all would never learn better.
+    excess: Fading,
+    /// Hosts that send to it, and this host's place among them in time, 0 to 1.
+    hosts: f64,
+    phase: f64,
+    /// When this host started.
+    started: Ms,
+}
+
+impl Usual {
+    /// What an attempt's end tells of all nodes: answers get lost, lags come out longer than expected.
+    fn learn(&mut self, out: &Out, lost: bool, ended: &Ended, now: Ms) {
+        let timed_out = ended.outcome == Outcome::TimedOut;
+        if lost && ended.attempt.0 == 0 && (timed_out || ended.outcome == Outcome::Cancelled) {
+            self.losses.add(1.0, now);
+        }
+        let late = timed_out && out.passed.is_none() && self.losses.get(now) < LOSSES;
+        if late || ended.outcome == Outcome::Served {
+            let ratio = (ended.lag / out.expected.max(1.0)).min(MOST_STRETCH);
+            self.excess.add(NEWEST * (ratio - self.stretch(now)), now);
+        }
+    }
+    /// Lags against what was expected of them.
+    fn stretch(&self, now: Ms) -> f64 {
+        1.0 + self.excess.get(now)
+    }
+}
+
+/// The decisions of one initiator.
+pub struct Brain {
+    s: Settings,
+    rng: Pcg64Mcg,
+    usual: Usual,
+    nodes: BTreeMap<NodeId, Node>,
+    volumes: BTreeMap<VolumeId, Volume>,
+    requests: BTreeMap<RequestId, Request>,
+    lines: BTreeMap<Key, Line>,
+    /// Items whose request was given up, by when its client left: whoever asks again repeats.
+    given_up: BTreeMap<(VolumeId, Key), Ms>,
+    /// For the budget: when requests were taken, and when attempts beyond a first were sent.
+    taken: VecDeque<Ms>,
+    further: VecDeque<(Ms, RequestId, AttemptNo)>,
+    /// Most worth of a request, for its class and plan.
+    most_worth: f64,
+    wake_at: Option<Ms>,
+    ask_at: Option<Ms>,
+    asks_failed: u32,
+}
+
+impl Brain {
+    /// A brain that has just started and knows nothing.
+    pub fn new(settings: Settings, seed: u64, now: Ms) -> Self {
+        let (aim, most_worth) = scales(&settings);
+        let (nodes, volumes, requests, lines, given_up, taken, further) = Default::default();
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let unit_time = aim / settings.unit_mean.max(1.0) / 4.0;
+        let (hosts, phase) = (f64::from(settings.initiators), random(&mut rng));
+        let (losses, excess) = Default::default();
+        let (queue, size, started) = (0.0, 0.0, now);
+        let usual = Usual { aim, queue, unit_time, losses, size, excess, hosts, phase, started };
+        Brain {
+            rng,
+            usual,
+            nodes,
+            volumes,
+            requests,
+            lines,
+            given_up,
+            taken,
+            further,
+            most_worth,
+            wake_at: None,
+            ask_at: settings.list_on_request.then_some(now),
+            asks_failed: 0,
+            s: settings,
+        }
+    }
+
+    /// Takes one event; what is to be done is added to `actions`.
+    pub fn handle(&mut self, event: Event, now: Ms, actions: &mut Vec<Action>) {
+        match event {
+            Event::List(scope, entries) => self.listed(scope, &entries, now),
+            Event::Arrived(arrival) => self.arrived(arrival, now),
+            Event::AnswerStarted(id) => {
+                self.requests.entry(id).and_modify(|r| r.streaming = true);
+            }
+            Event::Ended(ended) => self.ended(&ended, now, actions),
+            Event::Probed(id, outcome) => {
+                self.nodes.entry(id).and_modify(|n| n.note_probed(outcome, now));
+            }
+            Event::ClientGone(id) => self.over(id),
+            Event::Rules(s) => {
+                (self.usual.aim, self.most_worth) = scales(&s);
+                self.s = *s;
+            }
+            Event::Decide => self.decide(now, actions),
+        }
+    }
+
+    /// What was learnt of a node's pace, for a later life: unloaded time of a unit, ms.
+    pub fn pace_of(&self, node: NodeId) -> Option<Ms> {
+        self.nodes.get(&node)?.unit_time
+    }
+
+    fn listed(&mut self, scope: ListScope, entries: &[NodeEntry], now: Ms) {
+        if scope == ListScope::Failed {
+            // Ask again, more rarely at first: the list service may be what is overloaded.
+            let wait = (ASK_AGAIN.0 * f64::from(1 << self.asks_failed.min(5))).min(ASK_AGAIN.1);
+            self.asks_failed += 1;
+            self.ask_at = Some(now + wait * (0.5 + 0.5 * random(&mut self.rng)));
+            return;
+        }
+        self.asks_failed = 0;
+        if scope != ListScope::Changes {
+            self.nodes.values_mut().for_each(|n| n.entry.readiness = Readiness::Gone);
+        }
+        for entry in entries {
+            self.nodes.entry(entry.node).or_insert_with(|| Node::new(entry, now)).told(entry, now);
+        }
+        self.nodes.retain(|_, n| n.entry.readiness != Readiness::Gone || !n.out.is_empty());
+    }
+
+    fn arrived(&mut self, a: Arrival, now: Ms) {
+        self.taken.push_back(now);
+        let class = &self.s.classes[a.class.0];
+        let stretch = class.aim_stretch * a.units * self.usual.unit_time;
+        // A client that leaves before the aim has passed must be answered before it leaves.
+        let due = (now + (class.aim + stretch).min(class.deadline)).min(a.valid_until);
+        if let (true, Some(key)) = (class.in_order, a.key) {
+            self.lines.entry(key).or_default().waiting.push_back(a.id);
+        }
+        let (plan, reserve, filled_at) = (a.plan, self.s.unit_most, self.usual.started);
+        let new = || Volume { plan, writers: 1.0, reserve, limit: 0.0, filled_at, beyond: Fading::default() };
+        let volume = self.volumes.entry(a.volume).or_insert_with(new);
+        volume.writers = volume.writers.max(f64::from(a.writers));
+        let hold_until = now + HOLD * (a.valid_until - now);
+        let given_up = a.key.and_then(|key| self.given_up.remove(&(a.volume, key)));
+        let repeats = given_up.is_some_and(|at| now < at + PATIENCE);
+        let (attempts, node, over, streaming) = (Vec::new(), None, false, false);
+        let r = Request { a, due, hold_until, attempts, node, over, streaming, repeats };
+        self.requests.insert(r.a.id, r);
+    }
+
+    fn ended(&mut self, ended: &Ended, now: Ms, actions: &mut Vec<Action>) {
+        let Some(r) = self.requests.get_mut(&ended.request) else { return };
+        let Some(attempt) = r.attempts.get_mut(ended.attempt.0 as usize) else { return };
+        attempt.ran = match ended.outcome {
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot => Ran::Never,
+            _ => Ran::Maybe,
+        };
+        let (class, id) = (&self.s.classes[r.a.class.0], ended.request);
+        let this = |o: &Out| o.request == id && o.attempt == ended.attempt;
+        if let Some(node) = self.nodes.get_mut(&attempt.node)
+            && let Some(index) = node.out.iter().position(this)
+        {
+            let lost = node.lost(&node.out[index], &self.usual, now);
+            self.usual.learn(&node.out[index], lost, ended, now);
+            node.note_ended(index, ended, &self.usual, now);
+        }
+        if ended.outcome == Outcome::Moot {
+            self.further.retain(|(_, request, no)| (*request, *no) != (id, ended.attempt));
+        }
+        let unsure = matches!(ended.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+        if let (true, Some(key)) = (class.in_order && unsure, r.a.key) {
+            self.lines.entry(key).or_default().rest_until = now + self.s.key_rest;
+        }
+        let spent = r.attempts.len() >= self.s.max_attempts as usize;
+        let (over, streaming, expired) = (r.over, r.streaming, now >= r.a.valid_until);
+        let repeat = class.effect != Effect::Once || r.may_have_run().is_none();
+        // A new object that failed is drawn again.
+        r.node = None;
+        if ended.complete || over {
+            // What is still out of it would keep its key's turn, and a place under the bound.
+            if self.s.may_cancel && !over {
+                actions.extend(r.out().map(|attempt| Action::Cancel { request: id, attempt }));
+            }
+            self.over(id);
+        } else if !streaming && (expired || r.held() && (spent || !repeat)) {
+            self.finish(id, expired, actions);
+        }
+    }
+
+    fn over(&mut self, id: RequestId) {
+        self.requests.entry(id).and_modify(|r| r.over = true);
+        self.forget(id);
+    }
+
+    /// Drops a request that is over once nothing of it is out; only then its key's turn passes on.
+    fn forget(&mut self, id: RequestId) {
+        let Some(r) = self.requests.get(&id) else { return };
+        if !r.over || r.out().next().is_some() {
+            return;
+        }
+        if let (true, Some(key)) = (self.s.classes[r.a.class.0].in_order, r.a.key)
+            && let Some(line) = self.lines.get_mut(&key)
+        {
+            line.waiting.retain(|w| *w != id);
+        }
+        self.requests.remove(&id);
+    }
+
+    /// The one place that gives final answers: refused where that promise holds, else failed.
+    fn finish(&mut self, id: RequestId, expired: bool, actions: &mut Vec<Action>) {
+        let Some(r) = self.requests.get(&id) else { return };
+        if r.over || r.streaming {
+            return;
+        }
+        if let Some(key) = r.a.key {
+            self.given_up.insert((r.a.volume, key), r.a.valid_until);
+        }
+        if !expired && r.may_refuse(self.s.classes[r.a.class.0].effect) {
+            actions.push(Action::Refuse { request: id, retry_after: self.s.max_retry_after });
+        } else {
+            actions.push(Action::Fail { request: id });
+        }
+        self.over(id);
+    }
+
+    fn decide(&mut self, now: Ms, actions: &mut Vec<Action>) {
+        if self.ask_at.take_if(|at| now >= *at).is_some() {
+            actions.push(Action::Subscribe);
+        }
+        self.look_at_all(now);
+        self.volumes.values_mut().for_each(|v| v.fill(&self.s, now));
+        self.lines.retain(|_, line| !line.waiting.is_empty() || now < line.rest_until);
+        self.given_up.retain(|_, at| now < *at + PATIENCE);
+        self.expire(now, actions);
+        self.place(now);
+        self.release(now, actions);
+        if !self.requests.is_empty() || self.ask_at.is_some() {
+            let copies = self.s.most_out > 1 && self.seeks_lost(now);
+            let waits = copies || self.requests.values().any(Request::held);
+            let look = now + if waits { LOOK } else { self.usual.aim / 4.0 };
+            let at = look.min(self.ask_at.unwrap_or(look));
+            if self.wake_at.is_none_or(|w| w <= now || w > at) {
+                self.wake_at = Some(at);
+                actions.push(Action::Wake { after: at - now });
+            }
+        }
+    }
+
+    /// Held requests get their final answer before the client leaves, one never sent while it can still ask
+    /// again; at once where by then a cold node's part or the volume's limit would still not let them go.
+    fn expire(&mut self, now: Ms, actions: &mut Vec<Action>) {
+        let margin = LOOK + self.s.tick + END_MARGIN;
+        let ending = |r: &Request| {
+            let first = r.attempts.is_empty();
+            let last = if first { r.hold_until } else { r.a.valid_until } - margin;
+            let cold = |n: &Node| !n.cold_allows(r.a.units, &self.usual, &self.s, last);
+            let full = || self.volumes[&r.a.volume].limit_at(&self.s, last) < r.a.units;
+            let never = || first && (full() || r.node.and_then(|id| self.nodes.get(&id)).is_some_and(cold));
+            r.held() && (now >= last || never())
+        };
+        let ids: Vec<_> = self.requests.values().filter(|r| ending(r)).map(|r| r.a.id).collect();
+        ids.into_iter().for_each(|id| self.finish(id, false, actions));
+    }
+
+    /// What the nodes show together. A host that sends to a part of the nodes takes it that so large a
+    /// part of the others sends to each too: over all hosts these guesses add up. At its start it counts all.
+    fn look_at_all(&mut self, now: Ms) {
+        let mut words: Vec<Ms> = self.nodes.values().filter_map(|n| n.word(&self.usual, now)).collect();
+        words.sort_by(f64::total_cmp);
+        self.usual.queue = words.get(words.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
+        let mut known: Vec<Ms> = self.nodes.values().filter_map(|n| n.unit_time).collect();
+        known.sort_by(f64::total_cmp);
+        if let Some(middle) = known.get(known.len() / 2).copied() {
+            // A first answer that came late says little of the pace.
+            self.usual.unit_time = known.iter().map(|t| t.min(2.0 * middle)).sum::<Ms>() / known.len() as f64;
+        }
+        let ready = self.nodes.values().filter(|n| n.entry.readiness == Readiness::Serving);
+        self.usual.size =
+            ready.clone().map(|n| n.entry.size).sum::<f64>() / ready.clone().count().max(1) as f64;
+        let used = ready.clone().filter(|n| n.sent.get(now) > USED).count().max(1) as f64;
+        let share =
+            if now < self.usual.started + 2.0 * LATELY { 1.0 } else { used / ready.count().max(1) as f64 };
+        self.usual.hosts = 1.0 + share * f64::from(self.s.initiators.saturating_sub(1));
+    }
+
+    /// Gives every held request the node it waits for: its shard's, or one drawn by fitness.
+    fn place(&mut self, now: Ms) {
+        let mut by_shard: BTreeMap<ShardId, NodeId> = BTreeMap::new();
+        for (id, node) in self.nodes.iter().filter(|(_, n)| n.entry.readiness == Readiness::Serving) {
+            let newest = by_shard.entry(node.entry.shard).or_insert(*id);
+            if self.nodes[newest].entry.booted_at.unwrap_or(0.0) < node.entry.booted_at.unwrap_or(0.0) {
+                *newest = *id;
+            }
+        }
+        let mut waiting: BTreeMap<NodeId, f64> = BTreeMap::new();
+        let mut fresh = Vec::new();
+        for (id, r) in self.requests.iter_mut().filter(|(_, r)| r.held()) {
+            let kept = r.may_have_run().filter(|_| self.s.classes[r.a.class.0].effect != Effect::Repeatable);
+            match r.a.shard.or(kept.map(|t| t.shard)) {
+                Some(shard) => {
+                    r.node = by_shard.get(&shard).copied();
+                    if let Some(node) = r.node {
+                        *waiting.entry(node).or_default() += 1.0;
+                    }
+                }
+                None => fresh.push((r.due, *id)),
+            }
+        }
+        fresh.sort_by(|x, y| x.0.total_cmp(&y.0).then(x.1.cmp(&y.1)));
+        for (_, id) in fresh {
+            let Some(node) = self.draw(&waiting, now) else { break };
+            *waiting.entry(node).or_default() += 1.0;
+            self.requests.entry(id).and_modify(|r| r.node = Some(node));
+        }
+    }
+
+    /// The design's draw over ready nodes; suspects only if all are, a cold node by what it surely can do.
+    fn draw(&mut self, waiting: &BTreeMap<NodeId, f64>, now: Ms) -> Option<NodeId> {
+        let ready: Vec<_> =
+            self.nodes.iter().filter(|(_, n)| n.entry.readiness == Readiness::Serving).collect();
+        let well: Vec<_> = ready.iter().filter(|(_, n)| !n.suspect(&self.usual, now)).copied().collect();
+        let allowed = if well.is_empty() { ready } else { well };
+        let total: f64 = self.nodes.values().map(|n| n.sent.get(now)).sum();
+        let fitness = |id: &NodeId, n: &Node| {
+            let size = n.relative_size(&self.usual);
+            let others = n.queue(&self.usual, now) / n.pace(&self.usual) / self.s.unit_mean.max(1.0);
+            let q = n.out.len() as f64 + waiting.get(id).copied().unwrap_or(0.0) + others;
+            let usage = if total > 0.0 { 100.0 * n.sent.get(now) / total / size } else { 0.0 };
+            (size * (1.0 - q / size / DEPTH_MOST).max(0.0) / AGGRESSION.powf(usage)).max(FITNESS_FLOOR)
+        };
+        let heard: Vec<f64> =
+            allowed.iter().filter(|(_, n)| n.unit_time.is_some()).map(|(id, n)| fitness(id, n)).collect();
+        let average = heard.iter().sum::<f64>() / heard.len().max(1) as f64;
+        let weigh = |(id, n): &(&NodeId, &Node)| {
+            let unheard = n.unit_time.is_none() && !heard.is_empty();
+            let plain = if unheard { average.min(fitness(id, n)) } else { fitness(id, n) };
+            (**id, plain * n.warmth(&self.s, now))
+        };
+        let weights: Vec<(NodeId, f64)> = allowed.iter().map(weigh).collect();
+        let mut point = random(&mut self.rng) * weights.iter().map(|(_, w)| w).sum::<f64>();
+        let passes = |(_, weight): &&(NodeId, f64)| {
+            point -= weight;
+            point < 0.0
+        };
+        weights.iter().find(passes).or(weights.last()).map(|(id, _)| *id)
+    }
+
+    fn release(&mut self, now: Ms, actions: &mut Vec<Action>) {
+        let mut held: BTreeMap<NodeId, Vec<RequestId>> = BTreeMap::new();
+        for (id, r) in self.requests.iter().filter(|(_, r)| r.held()) {
+            if let Some(node) = r.node.filter(|id| self.nodes.contains_key(id)) {
+                held.entry(node).or_default().push(*id);
+            }
+        }
+        for (node, mut ids) in held {
+            // Nothing passes the gate without room: asked first, so that a full node costs no walk.
+            while self.nodes[&node].room(&self.usual, now) {
+                ids.retain(|id| {
+                    self.requests.get(id).is_some_and(Request::held) && self.may_send(*id, node, now)
+                });
+                let Some(next) = self.choose(&ids, node, now, actions) else { break };
+                self.send(next, node, now, actions);
+            }
+        }
+        self.copy(now, actions);
+    }
+
+    /// Whether an answer was lost lately, and what is lost may be asked for again while it is out.
+    fn seeks_lost(&self, now: Ms) -> bool {
+        (self.s.most_out > 1 || self.s.may_cancel) && self.usual.losses.get(now) >= LOSSES
+    }
+
+    /// Guards against lost answers: what is out for longer than it should be is probed for, and what the
+    /// probe or a later answer overtook is sent again, where it can still make its aim.
+    fn copy(&mut self, now: Ms, actions: &mut Vec<Action>) {
+        if !self.seeks_lost(now) {
+            return;
+        }
+        let mut lost = Vec::new();
+        for (id, node) in &mut self.nodes {
+            if self.s.may_probe && self.s.most_out > 1 && node.probe_due(&self.usual, now) {
+                node.probe = Some(now);
+                actions.push(Action::Probe { node: *id });
+            }
+            lost.extend(node.out.iter().filter(|o| node.lost(o, &self.usual, now)).map(|o| (o.request, *id)));
+        }
+        for (id, node) in lost {
+            let makes = |r: &&Request| {
+                let cost = self.nodes[&node].cost(r.a.units, &self.usual);
+                r.out().count() == 1 && !r.over && !r.streaming && now + cost <= r.due
+            };
+            let Some(r) = self.requests.get(&id).filter(makes) else { continue };
+            let class = &self.s.classes[r.a.class.0];
+            let again = class.effect == Effect::Repeatable && r.attempts.len() < self.s.max_attempts as usize;
+            if self.s.most_out > 1 && self.may_send(id, node, now) {
+                self.send(id, node, now, actions);
+            } else if self.s.most_out < 2 && again {
+                actions.extend(r.out().map(|attempt| Action::Cancel { request: id, attempt }));
+            }
+        }
+    }
+
+    /// The gate that every send passes: drain, depth and health, cold, attempts, order, limit, effect,
+    /// budget.
+    fn may_send(&self, id: RequestId, at: NodeId, now: Ms) -> bool {
+        let (Some(r), Some(node)) = (self.requests.get(&id), self.nodes.get(&at)) else { return false };
+        let class = &self.s.classes[r.a.class.0];
+        let first = r.attempts.is_empty();
+        let turn = match r.a.key.filter(|_| class.in_order).and_then(|k| self.lines.get(&k)) {
+            Some(line) => line.waiting.front() == Some(&id) && (!first || now >= line.rest_until),
+            None => true,
+        };
+        let volume = &self.volumes[&r.a.volume];
+        node.entry.readiness == Readiness::Serving
+            && !r.over
+            && r.out().count() < self.s.most_out as usize
+            && now < r.a.valid_until
+            && node.room(&self.usual, now)
+            && node.cold_allows(r.a.units, &self.usual, &self.s, now)
+            && r.attempts.len() < self.s.max_attempts as usize
+            && turn
+            && (!first || volume.limit_at(&self.s, now) >= r.a.units)
+            && r.effect_allows(node, class.effect, self.s.tick, now)
+            && (first || self.budget_allows(now))
+    }
+
+    fn budget_allows(&self, now: Ms) -> bool {
+        let Some(b) = self.s.budget else { return true };
+        // Counted to the safe side of the window's edge by one tick.
+        let taken = self.taken.iter().filter(|at| now - **at < b.span - self.s.tick).count() as f64;
+        let further = self.further.iter().filter(|(at, ..)| now - at <= b.span + self.s.tick).count() as f64;
+        further + 1.0 <= b.floor + b.ratio * taken
+    }
+
+    /// Earliest due first, of what can make its aim. The exception: a request that earns less joins only
+    /// shorter queues at the node, and a late one only if nothing of this host is out there. What can no
+    /// more be answered in its client's time is refused at once.
+    fn choose(&mut self, of: &[RequestId], at: NodeId, now: Ms, acts: &mut Vec<Action>) -> Option<RequestId> {
+        let (timely, mut late): (Vec<_>, Vec<_>) =
+            self.rank(of, at, now).into_iter().partition(|w| now + w.lag <= w.due);
+        late.sort_by(|x, y| y.joins.total_cmp(&x.joins));
+        let node = &self.nodes[&at];
+        let queue = node.queue(&self.usual, now);
+        let fills = |w: &&Waiting| now + w.lag <= w.valid_until && node.out.is_empty() && queue <= w.joins;
+        let next = timely.iter().find(|w| queue <= w.joins).or(late.iter().find(fills)).map(|w| w.id);
+        let mut wait = 0.0;
+        for w in timely.iter().chain(&late) {
+            if now + wait + w.lag > w.valid_until {
+                self.finish(w.id, false, acts);
+            } else {
+                wait += w.cost;
+            }
+        }
+        next
+    }
+
+    /// Earliest due first, with the queue that each may join by its volume's tier.
+    fn rank(&self, ids: &[RequestId], at: NodeId, now: Ms) -> Vec<Waiting> {
+        let node = &self.nodes[&at];
+        let queue = node.queue(&self.usual, now);
+        let mut left: BTreeMap<VolumeId, f64> = BTreeMap::new();
+        let mut order: Vec<&Request> = ids.iter().filter_map(|id| self.requests.get(id)).collect();
+        order.sort_by(|x, y| x.due.total_cmp(&y.due).then(x.a.id.cmp(&y.a.id)));
+        let waiting = |r: &Request| {
+            let volume = &self.volumes[&r.a.volume];
+            let reserve = left.entry(r.a.volume).or_insert(volume.reserve);
+            *reserve -= r.a.units;
+            let tier = if *reserve >= 0.0 { 1.0 } else { volume.beyond_worth(-*reserve, &self.s, now) };
+            let cost = node.cost(r.a.units, &self.usual);
+            // One that came with less time than its aim has only this chance.
+            let hope = if r.due >= r.a.valid_until { HOPE } else { 1.0 };
+            let lag = hope * self.usual.stretch(now).max(HOPE) * (queue + cost);
+            let class = &self.s.classes[r.a.class.0];
+            let late = if now + lag > r.due { class.late_value } else { 1.0 };
+            let repeat = if r.repeats { REPEAT } else { 1.0 };
+            let worth = repeat * class.worth * self.s.plans[volume.plan.0].price / self.most_worth;
+            let joins = (QUEUE_SHARE + QUEUE_JOINED * tier * worth) * late * self.usual.aim;
+            Waiting { id: r.a.id, due: r.due, valid_until: r.a.valid_until, cost, lag, joins }
+        };
+        order.into_iter().map(waiting).collect()
+    }
+
+    fn send(&mut self, id: RequestId, at: NodeId, now: Ms, actions: &mut Vec<Action>) {
+        let (Some(r), Some(node)) = (self.requests.get_mut(&id), self.nodes.get_mut(&at)) else {
+            return;
+        };
+        let attempt = AttemptNo(r.attempts.len() as u32);
+        if attempt.0 > 0 {
+            self.further.push_back((now, id, attempt));
+        } else if let Some(volume) = self.volumes.get_mut(&r.a.volume) {
+            volume.limit -= r.a.units;
+            if volume.reserve >= r.a.units {
+                volume.reserve -= r.a.units;
+            } else {
+                volume.beyond.add(r.a.units, now);
+            }
+        }
+        let span = self.s.budget.map_or(0.0, |b| b.span) + self.s.tick;
+        self.taken.retain(|at| now - at <= span);
+        self.further.retain(|(at, ..)| now - at <= span);
+        let (shard, zone) = (node.entry.shard, node.entry.zone);
+        let until = r.until(self.s.classes[r.a.class.0].effect, self.s.tick);
+        r.attempts.push(Attempt { node: at, shard, zone, sent: now, ran: Ran::Out });
+        node.note_sent((id, attempt), r.a.units, &self.usual, self.s.fall_time, now);
+        actions.push(Action::Send { request: id, node: at, until });
+    }
+}
