--- a/tests/common/script.rs
+++ b/tests/common/script.rs
@@ -64,6 +64,8 @@
     pub now: Ms,
     /// Highest node id plus one; ids beyond those first listed join later.
     pub nodes: u32,
+    /// Chance that the pace of a listed node is known from an earlier life, percent.
+    known_paces: u64,
     /// Entries as last told.
     listed: BTreeMap<NodeId, NodeEntry>,
     out: Vec<Attempt>,
@@ -97,7 +99,9 @@
         class(100.0, 2000.0, 0.5, keyed(RepeatGroup::Zone)),
         class(300.0, 1500.0, 1.0, keyed(RepeatGroup::Cell)),
     ];
+    let scale = draw.pick(&[1.0, 1.0, 0.4]);
     for class in &mut classes {
+        class.aim *= scale;
         class.in_order = draw.chance(30);
         class.aim_stretch = draw.pick(&[0.0, 0.0, 1.5]);
     }
@@ -127,7 +131,8 @@
         let settings = draw_settings(&mut draw);
         Script {
             now: draw.pick(&[0.0, 0.0, 100_000.0]),
-            nodes: draw.pick(&[1, 2, 3, 5, 8, 20, 60, 300]),
+            nodes: draw.pick(&[1, 2, 3, 5, 8, 20, 60, 300, 600]),
+            known_paces: draw.pick(&[30, 30, 100]),
             listed: BTreeMap::new(),
             out: Vec::new(),
             attempts: BTreeMap::new(),
@@ -316,7 +321,7 @@
             readiness: self.draw.pick(&[Readiness::Serving, Readiness::Serving, Readiness::Draining]),
             booted_at: self.draw.chance(20).then(|| self.now - self.draw.pick(&[0.0, 300.0, 50_000.0])),
             size: self.draw.pick(&[0.0, 1.0, 1.0, 2.5, 0.3]),
-            pace: self.draw.chance(30).then(|| self.draw.between(0.2, 30.0)),
+            pace: self.draw.chance(self.known_paces).then(|| self.draw.between(0.2, 30.0)),
             zone: ZoneId(node % 3),
             shard: ShardId(i64::from(node)),
         }
