--- a/crates/flaxstand-gateway/src/core/pipe.rs
+++ b/crates/flaxstand-gateway/src/core/pipe.rs
@@ -4,7 +4,7 @@
 use flaxstand::api::{Action, Event, ListScope, NodeEntry, NodeId, Outcome, Readiness, RequestId, ShardId};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Where new objects go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,9 @@
     out: BTreeMap<NodeId, u64>,
     at: BTreeMap<RequestId, NodeId>,
     nodes: BTreeMap<NodeId, NodeEntry>,
-    by_shard: BTreeMap<ShardId, NodeId>,
+    /// Nodes that serve, by shard.
+    by_shard: BTreeMap<ShardId, BTreeSet<NodeId>>,
+    /// Nodes that serve, by their numbers.
     serving: Vec<NodeId>,
     turn: usize,
 }
@@ -44,7 +46,7 @@
             Event::List(scope, entries) => self.listed(scope, entries),
             Event::Arrived(a) => {
                 let node = match a.shard {
-                    Some(shard) => self.by_shard.get(&shard).copied(),
+                    Some(shard) => self.node_of(shard),
                     None => self.next(),
                 };
                 if let Some(node) = node {
@@ -96,12 +98,42 @@
     fn listed(&mut self, scope: ListScope, entries: Vec<NodeEntry>) {
         if scope != ListScope::Changes {
             self.nodes.clear();
+            self.by_shard.clear();
+            self.serving.clear();
         }
-        self.nodes.extend(entries.into_iter().map(|e| (e.node, e)));
-        let serving = || self.nodes.values().filter(|e| e.readiness == Readiness::Serving);
-        self.serving = serving().map(|e| e.node).collect();
-        let mut newest: Vec<&NodeEntry> = serving().collect();
-        newest.sort_by(|x, y| x.booted_at.unwrap_or(0.0).total_cmp(&y.booted_at.unwrap_or(0.0)));
-        self.by_shard = newest.into_iter().map(|e| (e.shard, e.node)).collect();
+        entries.into_iter().for_each(|entry| self.listed_node(entry));
+    }
+
+    fn listed_node(&mut self, entry: NodeEntry) {
+        if let Some(before) = self.nodes.remove(&entry.node) {
+            self.remove_serving(&before);
+        }
+        if entry.readiness == Readiness::Serving {
+            self.add_serving(&entry);
+        }
+        self.nodes.insert(entry.node, entry);
+    }
+
+    fn add_serving(&mut self, entry: &NodeEntry) {
+        if let Err(place) = self.serving.binary_search(&entry.node) {
+            self.serving.insert(place, entry.node);
+        }
+        self.by_shard.entry(entry.shard).or_default().insert(entry.node);
+    }
+
+    fn remove_serving(&mut self, entry: &NodeEntry) {
+        if let Ok(place) = self.serving.binary_search(&entry.node) {
+            self.serving.remove(place);
+        }
+        if let Some(nodes) = self.by_shard.get_mut(&entry.shard) {
+            nodes.remove(&entry.node);
+        }
+    }
+
+    /// The node of a shard that serves; where there are several, the one that started last.
+    fn node_of(&self, shard: ShardId) -> Option<NodeId> {
+        let started = |node: &NodeId| self.nodes.get(node).and_then(|entry| entry.booted_at).unwrap_or(0.0);
+        let nodes = self.by_shard.get(&shard)?.iter().copied();
+        nodes.max_by(|x, y| started(x).total_cmp(&started(y)))
     }
 }
