--- a/crates/flaxstand-gateway/examples/list_costs.rs
+++ b/crates/flaxstand-gateway/examples/list_costs.rs
@@ -63,9 +63,13 @@
         tell_entries(&mut core, list, Extent::Changes, &mut revision, &[node], state, now);
         core.settle(now);
         for command in core.take_commands() {
-            if let Command::Save(bytes) = command {
-                whole += 1;
-                saved += bytes.len() as u64;
+            match command {
+                Command::Save(bytes) => {
+                    whole += 1;
+                    saved += bytes.len() as u64;
+                }
+                Command::AppendSaved(bytes) => saved += bytes.len() as u64,
+                _ => {}
             }
         }
     }
--- a/crates/flaxstand-gateway/src/core/door.rs
+++ b/crates/flaxstand-gateway/src/core/door.rs
@@ -9,7 +9,6 @@
 use super::plumbing::{Conn, Inlet, Peer, Stage, Timer};
 use super::{Core, Phase};
 use crate::machine::{Command, ConnId, Micros};
-use flaxstand::api::Readiness;
 use flaxstand_http::{BODY_MOST, Request, Requests, write_answer};
 use flaxstand_platform::{ClientRequest, READY, Terms};
 use flaxstand_proto::{Frame, Submit};
@@ -182,8 +181,7 @@
     /// A whole request came.
     fn asked(&mut self, conn: ConnId, request: Request, now: Micros) {
         if request.target == READY {
-            let ready = self.phase == Phase::Running
-                && self.nodes.values().any(|n| n.readiness == Readiness::Serving);
+            let ready = self.phase == Phase::Running && self.nodes.any_serves();
             return self.say(conn, if ready { 200 } else { 503 }, &[], b"", now);
         }
         let settings = &self.config.site.settings;
--- a/crates/flaxstand-gateway/src/core/figures.rs
+++ b/crates/flaxstand-gateway/src/core/figures.rs
@@ -27,6 +27,14 @@
     pub late_outcomes: u64,
     /// Connections closed for what their peer sent.
     pub protocol_faults: u64,
+    /// Nodes looked at: for requests, probes, changes of the list, saves and sweeps.
+    pub nodes_visited: u64,
+    /// Connections looked at where several were gone through, one by one.
+    pub connections_walked: u64,
+    /// Bytes of the node list that were saved.
+    pub saved_bytes: u64,
+    /// How often all of the list was saved; the other saves hold what changed.
+    pub whole_saves: u64,
     /// Requests that the module had not ended at their deadline. More than 0 is a fault of the module.
     pub overdue: u64,
 }
--- a/crates/flaxstand-gateway/src/core/list.rs
+++ b/crates/flaxstand-gateway/src/core/list.rs
@@ -1,49 +1,22 @@
 //! The node list: one connection to its service, called again after breaks; changes applied in the order
-//! of their revisions; the whole list asked for after a gap; a copy saved for the next start.
+//! of their revisions; the whole list asked for after a gap.
 
 use super::clients::Fault;
-use super::nodes::{NodeName, NodePeer};
+use super::node_table::NodeName;
 use super::plumbing::{Inlet, Peer, Stage, Timer};
 use super::pool::Link;
-use super::{Backoff, Core, Decider, Waits, Wire};
+use super::saved_list::{SavePlan, SavedList, SavedListError};
+use super::{Backoff, Core, Waits, Wire};
 use crate::machine::{Address, ConnId, Micros};
-use flaxstand::api::{Event, ListScope, NodeEntry, NodeId, Readiness};
+use flaxstand::api::{Event, ListScope, NodeEntry, Readiness};
 use flaxstand_proto::{
-    Entry, Extent, Frame, FrameError, Inbox, List, Parting, Role, State, VERSION, VERSION_OLDEST, Welcome,
-    decode, encode,
+    Entry, Extent, Frame, Inbox, List, Parting, Role, State, VERSION, VERSION_OLDEST, Welcome,
 };
-use thiserror::Error;
 use tracing::{debug, info, warn};
 
 /// On the platform a call of the list service that does not stand within this has failed.
 const LIST_DIAL: Micros = Micros(250_000);
 
-/// Why a saved list can't be used.
-#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum SavedListError {
-    /// The bytes are no frame.
-    #[error("it is damaged: {0}")]
-    Damaged(#[from] FrameError),
-    /// They end too early, or go on too long.
-    #[error("it is not whole")]
-    NotWhole,
-    /// They are a frame, but no full list.
-    #[error("it holds no full list")]
-    NoList,
-}
-
-/// The list in a saved copy.
-///
-/// # Errors
-/// It is none: see [`SavedListError`].
-pub fn check_saved_list(bytes: &[u8]) -> Result<List<'_>, SavedListError> {
-    match decode(bytes)? {
-        Some((Frame::List(list), len)) if len == bytes.len() && list.extent == Extent::Full => Ok(list),
-        Some((_, len)) if len == bytes.len() => Err(SavedListError::NoList),
-        _ => Err(SavedListError::NotWhole),
-    }
-}
-
 /// The list service.
 #[derive(Debug)]
 pub(super) struct ListPeer {
@@ -55,16 +28,25 @@
     pub(super) answers: bool,
     /// The whole list has been asked for and has not come.
     asked: bool,
-    /// It has changed; saved once the module has heard, or a pace would be saved with the wrong start.
-    pub(super) unsaved: bool,
+    pub(super) save: SavePlan,
+    /// When its silence is looked at next.
+    silence_at: Option<Micros>,
     pub(super) backoff: Backoff,
 }
 
 impl ListPeer {
     pub(super) fn new(waits: &Waits) -> Self {
         let backoff = Backoff::new(waits.list_retry.0, waits.list_retry.1);
-        let (conn, revision, heard_at) = (None, None, Micros(0));
-        ListPeer { conn, revision, heard_at, answers: false, asked: false, unsaved: false, backoff }
+        ListPeer {
+            conn: None,
+            revision: None,
+            heard_at: Micros(0),
+            answers: false,
+            asked: false,
+            save: SavePlan::default(),
+            silence_at: None,
+            backoff,
+        }
     }
 }
 
@@ -137,7 +119,7 @@
         }
         self.plumbing.is_at(conn, Stage::Open);
         (self.list.heard_at, self.list.asked) = (now, false);
-        self.plumbing.at(now.after(self.config.site.waits.list_silence), Timer::ListSilence);
+        self.look_for_silence(now.after(self.config.site.waits.list_silence));
         self.plumbing.push(conn, &Frame::Watch);
         Ok(())
     }
@@ -146,7 +128,7 @@
     pub(super) fn list_lost(&mut self, stage: Stage, cause: &str, now: Micros) {
         (self.list.conn, self.list.answers) = (None, false);
         warn!(cause, ?stage, "no connection to the list service; the list held stays in use");
-        self.plumbing.cancel_all(Timer::ListSilence);
+        self.stop_looking_for_silence();
         if self.config.site.settings.list_on_request {
             // The module asked for it, and asks again when it sees fit.
             self.events.push_back(Event::List(ListScope::Failed, Vec::new()));
@@ -162,7 +144,21 @@
         }
     }
 
+    /// Looks at that moment whether the list service has been silent for too long, and at no other.
+    pub(super) fn look_for_silence(&mut self, at: Micros) {
+        self.stop_looking_for_silence();
+        self.list.silence_at = Some(at);
+        self.plumbing.at(at, Timer::ListSilence);
+    }
+
+    pub(super) fn stop_looking_for_silence(&mut self) {
+        if let Some(at) = self.list.silence_at.take() {
+            self.plumbing.cancel(at, Timer::ListSilence);
+        }
+    }
+
     pub(super) fn list_silent(&mut self, now: Micros) {
+        self.list.silence_at = None;
         let Some(conn) = self.list.conn else { return };
         if self.on_platform() {
             return self.lost(conn, "the list service is silent", true, now);
@@ -170,13 +166,13 @@
         let silence = self.config.site.waits.list_silence;
         let due = self.list.heard_at.after(silence);
         if now < due {
-            self.plumbing.at(due, Timer::ListSilence);
+            self.look_for_silence(due);
         } else if self.list.asked {
             self.hang_up(conn, Parting::Protocol, "the list service is silent", now);
         } else {
             self.list.asked = true;
             self.plumbing.push(conn, &Frame::GetList);
-            self.plumbing.at(now.after(silence), Timer::ListSilence);
+            self.look_for_silence(now.after(silence));
         }
     }
 
@@ -199,39 +195,49 @@
         };
         self.list.backoff.worked();
         self.list.revision = Some(list.revision);
-        self.take_list(scope, list, now);
-        self.list.unsaved = true;
+        let told: Vec<Told> = list.entries.iter().map(|e| Told::of(e, now)).collect();
+        self.take_told(scope, list.revision, told, now);
     }
 
     pub(super) fn take_saved_list(&mut self, bytes: &[u8], now: Micros) -> Result<(), SavedListError> {
-        let list = check_saved_list(bytes)?;
-        self.take_list(ListScope::Saved, &list, now);
+        let saved = SavedList::read(bytes)?;
+        if saved.torn > 0 {
+            warn!(bytes = saved.torn, "the end of the saved list is torn: the changes in it are left out");
+        }
+        let told = saved.entries.iter().map(|entry| Told::of(entry, now)).collect();
+        self.take_told(ListScope::Saved, saved.revision, told, now);
         Ok(())
     }
 
-    fn take_list(&mut self, scope: ListScope, list: &List<'_>, now: Micros) {
-        let told: Vec<Told> = list.entries.iter().map(|e| Told::of(e, now)).collect();
-        self.take_told(scope, list.revision, told, now);
-    }
-
     pub(super) fn take_told(&mut self, scope: ListScope, revision: u64, told: Vec<Told>, now: Micros) {
-        if scope != ListScope::Changes {
-            self.nodes.values_mut().for_each(|n| n.is_now(Readiness::Gone, now));
+        let whole = scope != ListScope::Changes;
+        if whole {
+            let all = self.nodes.ids();
+            all.into_iter().for_each(|id| self.nodes.set_readiness(id, Readiness::Gone, now));
         }
         let told: Vec<NodeEntry> = told.into_iter().filter_map(|e| self.take_entry(e, now)).collect();
         info!(?scope, revision, entries = told.len(), "node list");
+        let touched = if whole { self.nodes.ids() } else { told.iter().map(|entry| entry.node).collect() };
         self.events.push_back(Event::List(scope, told));
-        self.call_back_from_drained(now);
-        let ids: Vec<NodeId> = self.nodes.keys().copied().collect();
-        ids.into_iter().for_each(|at| self.close_if_gone(at, now));
+        self.call_back_from_drained(&touched, now);
+        for id in &touched {
+            self.close_if_gone(*id, now);
+        }
+        match scope {
+            // Only lists on frames are saved.
+            _ if self.on_platform() => {}
+            ListScope::Full => self.list.save.all_changed(),
+            ListScope::Changes => self.list.save.changed(touched),
+            ListScope::Saved | ListScope::Failed => {}
+        }
     }
 
     fn take_entry(&mut self, e: Told, now: Micros) -> Option<NodeEntry> {
-        let known = self.node_ids.get(&e.name).copied();
+        let known = self.nodes.id_of(&e.name);
         let address: Address = match (e.address.parse(), known) {
             (Ok(address), _) => address,
             // What is gone needs no address any more.
-            (Err(_), Some(id)) if e.readiness == Readiness::Gone => self.nodes.get(&id)?.address.clone(),
+            (Err(_), Some(id)) if e.readiness == Readiness::Gone => self.nodes.get(id)?.address.clone(),
             (Err(cause), _) => {
                 warn!(node = %e.name, %cause, "a listed node is left out");
                 return None;
@@ -244,22 +250,16 @@
                 warn!(node = %e.name, bound, "a listed node beyond the bound is left out");
                 return None;
             }
-            None => {
-                let id = NodeId(self.next_node);
-                self.next_node += 1;
-                self.nodes.insert(id, NodePeer::new(e.name.clone(), address.clone()));
-                self.node_ids.insert(e.name.clone(), id);
-                id
-            }
+            None => self.nodes.insert(e.name.clone(), address.clone()),
         };
-        let node = self.nodes.get_mut(&id)?;
+        self.nodes.set_readiness(id, e.readiness, now);
+        let node = self.nodes.get_mut(id)?;
         if e.incarnation > node.incarnation {
             // Fixed at first word of this start, by the list or by the node: a staler age that comes later
             // must not make it look like another.
             node.incarnation = e.incarnation;
             node.booted_at = e.booted_at;
         }
-        node.is_now(e.readiness, now);
         let moved = node.address != address;
         (node.shard, node.zone, node.size, node.address) = (e.shard, e.zone, e.size, address);
         // Told with the entry that tells it and not kept: it holds for that start of the node alone.
@@ -270,29 +270,4 @@
         }
         Some(entry)
     }
-
-    pub(super) fn saved_list(&self, now: Micros) -> Vec<u8> {
-        let listed = self.nodes.iter().filter(|(_, n)| n.readiness != Readiness::Gone);
-        let addresses: Vec<String> = listed.clone().map(|(_, n)| n.address.to_string()).collect();
-        let pace = |at: NodeId| match &self.decider {
-            Decider::Module(brain) => brain.pace_of(at),
-            Decider::Pipe(_) => None,
-        };
-        let entries = listed.zip(&addresses).map(|((at, n), address)| Entry {
-            node: if let NodeName::Number(number) = n.name { number } else { 0 },
-            incarnation: n.incarnation,
-            state: if n.readiness == Readiness::Serving { State::Serving } else { State::Draining },
-            age: n.booted_at.map(|at| Micros::from_ms(now.ms() - at).0),
-            shard: n.shard,
-            zone: n.zone,
-            size: n.size,
-            pace: pace(*at).and_then(|ms| u32::try_from(Micros::from_ms(ms).0).ok()),
-            address,
-        });
-        let revision = self.list.revision.unwrap_or(0);
-        let list = List { extent: Extent::Full, since: revision, revision, entries: entries.collect() };
-        let mut bytes = Vec::new();
-        encode(&Frame::List(list), &mut bytes);
-        bytes
-    }
 }
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -5,12 +5,12 @@
 //! - [`plumbing`]: connections, moments, commands; [`dispatch`]: what comes on a connection goes to whom
 //! - [`clients`]: who submits, and the bounds on them
 //! - [`requests`]: a request's life from its arrival to its one answer
-//! - [`nodes`]: connections to storage nodes, attempts on them
+//! - [`node_table`]: what is listed; [`nodes`]: connections to storage nodes, attempts on them
 //! - [`storms`]: repeats told from first tries, and damped
 //! - [`agreement`]: words between initiators, and the rules that hold now
 //! - [`writeback`]: the write-back buffer's place between clients and the module
 //! - [`figures`]: what is counted and held
-//! - [`list`]: the node list, its breaks, the saved copy
+//! - [`list`]: the node list and its breaks; [`saved_list`]: its copy for the next start
 //!
 //! Peers speak frames, or the platform's HTTP/1.1 ([`Wire`]). A request's life is the same for both; three
 //! places differ:
@@ -27,11 +27,13 @@
 mod door;
 mod figures;
 mod list;
+mod node_table;
 mod nodes;
 mod pipe;
 mod plumbing;
 mod pool;
 mod requests;
+mod saved_list;
 mod storms;
 mod watch;
 mod writeback;
@@ -39,16 +41,16 @@
 pub use backoff::Backoff;
 pub use config::{Agreeing, Bounds, ClassInfo, Config, Policy, Site, Waits, Wire, WriteBack};
 pub use figures::{Counts, Footprint};
-pub use list::{SavedListError, check_saved_list};
+pub use saved_list::{SavedList, SavedListError};
 
 use crate::machine::{Command, ConnId, Control, Machine, Micros};
 use agreement::Agreed;
-use flaxstand::api::{Action, Class, Event, NodeId, Outcome, Readiness, RequestId, Settings, VolumeId};
+use flaxstand::api::{Action, Class, Event, RequestId, Settings, VolumeId};
 use flaxstand::brain::Brain;
 use flaxstand_proto::Parting;
 use flaxstand_storm::Arrivals;
 use list::ListPeer;
-use nodes::{NodeName, NodePeer};
+use node_table::NodeTable;
 use pipe::{Pipe, Placement};
 use plumbing::{Conn, Inlet, Peer, Plumbing, Stage, Timer};
 use rand_core::SeedableRng;
@@ -96,11 +98,11 @@
     requests: BTreeMap<RequestId, Held>,
     next_request: u64,
     next_probe: u64,
-    nodes: BTreeMap<NodeId, NodePeer>,
-    node_ids: BTreeMap<NodeName, NodeId>,
-    next_node: u32,
+    nodes: NodeTable,
     /// Connections to nodes that carry one request each.
     links: usize,
+    /// Those of them that carry nothing, by since when.
+    idle_links: BTreeSet<(Micros, ConnId)>,
     /// Ids under which clients of the platform have requests here.
     open_ids: BTreeSet<String>,
     /// Names of zones, in the order of the module's.
@@ -174,10 +176,9 @@
             requests: BTreeMap::new(),
             next_request: 0,
             next_probe: 0,
-            nodes: BTreeMap::new(),
-            node_ids: BTreeMap::new(),
-            next_node: 0,
+            nodes: NodeTable::default(),
             links: 0,
+            idle_links: BTreeSet::new(),
             open_ids: BTreeSet::new(),
             zones: Vec::new(),
             class_names,
@@ -204,7 +205,11 @@
 
     /// Counts since the start.
     pub fn counts(&self) -> Counts {
-        self.counts
+        Counts {
+            nodes_visited: self.nodes.visited(),
+            connections_walked: self.plumbing.walked(),
+            ..self.counts
+        }
     }
 
     /// How much is held now.
@@ -273,12 +278,7 @@
             Timer::Sweep => self.sweep(now),
             Timer::GraceEnds => self.close_doors(now),
             Timer::Idle(conn) => self.idle(conn, now),
-            Timer::Probe(node, token) => {
-                self.probed(node, token, Outcome::TimedOut);
-                if self.on_platform() {
-                    self.hang_up_probe(node, token, now);
-                }
-            }
+            Timer::Probe(node, token) => self.probe_times_out(node, token, now),
             Timer::ListCall => self.call_list(now),
             Timer::ListSilence => self.list_silent(now),
             // Looked at in every turn.
@@ -338,13 +338,12 @@
             let conns: Vec<ConnId> = self.plumbing.iter().map(|(conn, _)| conn).collect();
             conns.into_iter().for_each(|conn| self.hang_up(conn, Parting::Stopping, "stopping", now));
             // What was learnt of the nodes since the list last changed is kept for the next start.
-            let listed = self.nodes.values().any(|n| n.readiness != Readiness::Gone);
-            if listed && !self.on_platform() {
-                self.plumbing.say(Command::Save(self.saved_list(now)));
+            if self.nodes.listed() > 0 && !self.on_platform() {
+                self.save_whole(now);
             }
             self.plumbing.say(Command::Exit);
             let (buffer, repeats) = (self.buffer_status(now), self.repeats_judged());
-            info!(counts = ?self.counts, ?buffer, ?repeats, "stopped");
+            info!(counts = ?self.counts(), ?buffer, ?repeats, "stopped");
         }
     }
 }
@@ -434,6 +433,10 @@
         self.batch_kept(well, now);
     }
 
+    fn save_failed(&mut self, now: Micros) {
+        self.list.save.failed(now);
+    }
+
     fn control(&mut self, control: Control, now: Micros) {
         match control {
             Control::Stop => self.stop(now),
@@ -459,8 +462,8 @@
         self.look_at_weather(now);
         self.settle_buffer(now);
         self.tell(now);
-        if std::mem::take(&mut self.list.unsaved) {
-            self.plumbing.say(Command::Save(self.saved_list(now)));
+        if !self.on_platform() {
+            self.save_list(now);
         }
         let woken = self.wakes.first().is_some_and(|at| *at <= now);
         // Many requests share one look at all that is held: decisions come at most once a tick.
--- a/crates/flaxstand-gateway/src/core/nodes.rs
+++ b/crates/flaxstand-gateway/src/core/nodes.rs
@@ -3,108 +3,18 @@
 
 use super::Core;
 use super::clients::Fault;
+use super::node_table::{NodeName, NodePeer};
 use super::plumbing::{Conn, Inlet, Peer, Stage, Timer};
 use super::pool::Carried;
 use super::requests::Owner;
-use crate::machine::{Address, ConnId, Micros};
-use flaxstand::api::{
-    AttemptNo, Event, ListScope, NodeEntry, NodeId, Outcome, Readiness, RequestId, ShardId, ZoneId,
-};
+use crate::machine::{ConnId, Micros};
+use flaxstand::api::{AttemptNo, Event, ListScope, NodeId, Outcome, Readiness, RequestId};
 use flaxstand_proto::{Attempt, Code, Done, Frame, Inbox, Parting, Role, VERSION, VERSION_OLDEST, Welcome};
-use std::collections::BTreeSet;
-use std::fmt;
 use tracing::{debug, info};
 
-/// What a list calls a node.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum NodeName {
-    Number(u64),
-    Uid(String),
-}
-
-impl fmt::Display for NodeName {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            NodeName::Number(number) => write!(f, "{number}"),
-            NodeName::Uid(uid) => f.write_str(uid),
-        }
-    }
-}
-
-/// A node that is listed, or lately was.
-#[derive(Debug)]
-pub(super) struct NodePeer {
-    /// Its name in the list.
-    pub(super) name: NodeName,
-    pub(super) incarnation: u64,
-    /// Milliseconds on our clock; fixed for an incarnation from when it was first heard of.
-    pub(super) booted_at: Option<f64>,
-    pub(super) readiness: Readiness,
-    pub(super) shard: u32,
-    pub(super) zone: u32,
-    /// Hundredths; 0: not told.
-    pub(super) size: u32,
-    pub(super) address: Address,
-    conn: Option<ConnId>,
-    /// Pooled connections that wait for a request, the longest idle first.
-    pub(super) idle: Vec<ConnId>,
-    /// When the list took it out.
-    pub(super) gone_at: Micros,
-    /// Attempts that wait for the connection, in the order of sending.
-    waiting: Vec<(RequestId, AttemptNo)>,
-    /// Attempts without an end, those that wait included.
-    pub(super) out: BTreeSet<(RequestId, AttemptNo)>,
-    /// The probe that is out, by its token, and when it ends unanswered.
-    pub(super) probe: Option<(u64, Micros)>,
-    pub(super) idle_since: Micros,
-}
-
-impl NodePeer {
-    /// The list speaks of it.
-    pub(super) fn is_now(&mut self, readiness: Readiness, now: Micros) {
-        if readiness == Readiness::Gone && self.readiness != Readiness::Gone {
-            self.gone_at = now;
-        }
-        self.readiness = readiness;
-    }
-
-    pub(super) fn new(name: NodeName, address: Address) -> Self {
-        NodePeer {
-            name,
-            incarnation: 0,
-            booted_at: None,
-            readiness: Readiness::Gone,
-            shard: 0,
-            zone: 0,
-            size: 0,
-            address,
-            conn: None,
-            idle: Vec::new(),
-            gone_at: Micros(0),
-            waiting: Vec::new(),
-            out: BTreeSet::new(),
-            probe: None,
-            idle_since: Micros(0),
-        }
-    }
-
-    /// What the module is told of it.
-    pub(super) fn entry(&self, node: NodeId) -> NodeEntry {
-        NodeEntry {
-            node,
-            readiness: self.readiness,
-            booted_at: self.booted_at,
-            size: f64::from(self.size) / 100.0,
-            pace: None,
-            zone: ZoneId(self.zone),
-            shard: ShardId(self.shard.into()),
-        }
-    }
-}
-
 impl Core {
     pub(super) fn node(&mut self, node: NodeId) -> Option<&mut NodePeer> {
-        self.nodes.get_mut(&node)
+        self.nodes.get_mut(node)
     }
 
     pub(super) fn send_attempt(&mut self, id: RequestId, attempt: AttemptNo, at: NodeId, now: Micros) {
@@ -148,9 +58,19 @@
         }
     }
 
+    /// A probe has been out for long enough.
+    pub(super) fn probe_times_out(&mut self, at: NodeId, token: u64, now: Micros) {
+        let link = self.node(at).and_then(|node| node.probe_links.remove(&token));
+        self.probed(at, token, Outcome::TimedOut);
+        if let Some(conn) = link {
+            self.hang_up_probe(conn, at, token, now);
+        }
+    }
+
     /// The probe that is out ended.
     pub(super) fn probed(&mut self, at: NodeId, token: u64, outcome: Outcome) {
         let Some(node) = self.node(at) else { return };
+        node.probe_links.remove(&token);
         if let Some((_, ends)) = node.probe.take_if(|(out, _)| *out == token) {
             self.plumbing.cancel(ends, Timer::Probe(at, token));
             self.events.push_back(Event::Probed(at, outcome));
@@ -158,7 +78,7 @@
     }
 
     fn dial(&mut self, at: NodeId, now: Micros) {
-        let Some(address) = self.nodes.get(&at).map(|n| n.address.clone()) else { return };
+        let Some(address) = self.nodes.get(at).map(|n| n.address.clone()) else { return };
         let by = now.after(self.config.site.waits.dial);
         let conn = self.plumbing.dial(Peer::Node(at), Inlet::Frames(Inbox::default()), address, by);
         if let Some(node) = self.node(at) {
@@ -229,6 +149,7 @@
             info!(node = %node.name, incarnation = w.epoch, "met a start that the list has not told yet");
             (node.incarnation, node.booted_at) = (w.epoch, Some(now.ms()));
             let entry = node.entry(at);
+            self.list.save.learnt(at);
             self.events.push_back(Event::List(ListScope::Changes, vec![entry]));
         }
         self.plumbing.is_at(conn, Stage::Open);
@@ -285,7 +206,7 @@
         match d.code {
             Code::Served => {
                 let Some(Conn { peer: Peer::Node(at), .. }) = self.plumbing.get(conn) else { return };
-                let shard = self.nodes.get(at).map_or(0, |n| n.shard);
+                let shard = self.nodes.get(*at).map_or(0, |n| n.shard);
                 self.served(id, attempt, shard, d.payload, now);
             }
             Code::Error => self.end_attempt(id, attempt, Outcome::Error, now),
@@ -326,7 +247,7 @@
     /// A node that is gone from the list and has nothing of ours out needs no connection.
     pub(super) fn close_if_gone(&mut self, at: NodeId, now: Micros) {
         let Some(node) = self.node(at) else { return };
-        if let (Some(conn), Readiness::Gone, true) = (node.conn, node.readiness, node.out.is_empty()) {
+        if let (Some(conn), Readiness::Gone, true) = (node.conn, node.readiness(), node.out.is_empty()) {
             node.conn = None;
             self.lost(conn, "node is gone", true, now);
         }
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/plumbing.rs
@@ -9,6 +9,7 @@
 use crate::machine::{Address, Command, ConnId, Micros};
 use flaxstand::api::{NodeId, RequestId};
 use flaxstand_proto::{Frame, Inbox, Outbox, encode};
+use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Whose connection it is.
@@ -84,6 +85,7 @@
 pub(super) struct Plumbing {
     conns: BTreeMap<ConnId, Conn>,
     next_conn: u64,
+    walked: Cell<u64>,
     timers: BTreeSet<(Micros, Timer)>,
     commands: Vec<Command>,
     /// Bytes of requests that are not yet whole.
@@ -117,8 +119,17 @@
         self.conns.get_mut(&conn)
     }
 
+    /// All of them. For what concerns every connection; each counts as walked.
     pub(super) fn iter(&self) -> impl Iterator<Item = (ConnId, &Conn)> {
-        self.conns.iter().map(|(id, conn)| (*id, conn))
+        self.conns.iter().map(|(id, conn)| {
+            self.walked.set(self.walked.get() + 1);
+            (*id, conn)
+        })
+    }
+
+    /// How many connections were gone through since the start.
+    pub(super) fn walked(&self) -> u64 {
+        self.walked.get()
     }
 
     pub(super) fn len(&self) -> usize {
@@ -182,11 +193,6 @@
         self.timers.remove(&(moment, timer));
     }
 
-    /// The same, whenever it was to be.
-    pub(super) fn cancel_all(&mut self, timer: Timer) {
-        self.timers.retain(|(_, t)| *t != timer);
-    }
-
     /// What is due by now, one after the other.
     pub(super) fn due(&mut self, now: Micros) -> Option<Timer> {
         let first = self.timers.first().copied().filter(|(at, _)| *at <= now)?;
--- a/crates/flaxstand-gateway/src/core/pool.rs
+++ b/crates/flaxstand-gateway/src/core/pool.rs
@@ -3,7 +3,7 @@
 //! spoilt, or brings more than belongs to it, is not used again. Giving up an attempt closes its connection.
 
 use super::Core;
-use super::nodes::NodePeer;
+use super::node_table::NodePeer;
 use super::plumbing::{Conn, Inlet, Peer, Stage, Timer};
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{AttemptNo, NodeId, Outcome, Readiness, RequestId};
@@ -93,7 +93,7 @@
 
     /// Sends by the newest idle connection to the node, by one that has rested if there is one, or by a new one.
     pub(super) fn carry(&mut self, at: NodeId, what: Carried, now: Micros) {
-        let Some(NodePeer { address, idle, .. }) = self.nodes.get(&at) else { return };
+        let Some(NodePeer { address, idle, .. }) = self.nodes.get(at) else { return };
         let address = address.clone();
         let rested = |conn: &ConnId| match self.plumbing.get(*conn).map(|c| &c.inlet) {
             Some(Inlet::Link(link)) => now.since(link.since) >= REST,
@@ -103,9 +103,7 @@
         if let Some(index) = idle.iter().rposition(rested).or(newest)
             && let Some(conn) = self.node(at).map(|node| node.idle.remove(index))
         {
-            if let Some(link) = self.link(conn) {
-                (link.carries, link.rested) = (Some(what), true);
-            }
+            self.use_again(conn, at, what);
             return self.write_carried(conn, now);
         }
         if self.links >= self.config.bounds.links && !self.close_longest_idle(now) {
@@ -115,8 +113,27 @@
         self.links += 1;
         let (inlet, by) = (Inlet::Link(Link::new(what, now)), now.after(self.config.site.waits.dial));
         let conn = self.plumbing.dial(Peer::Node(at), inlet, address, by);
-        if let Carried::Attempt(id, attempt) = what {
-            self.note_handed(id, attempt, conn, u64::MAX);
+        match what {
+            Carried::Attempt(id, attempt) => self.note_handed(id, attempt, conn, u64::MAX),
+            Carried::Probe(..) | Carried::ListCall => self.note_probe(at, what, conn),
+        }
+    }
+
+    /// An idle connection has something to carry.
+    fn use_again(&mut self, conn: ConnId, at: NodeId, what: Carried) {
+        let Some(link) = self.link(conn) else { return };
+        let idle_since = link.since;
+        (link.carries, link.rested) = (Some(what), true);
+        self.idle_links.remove(&(idle_since, conn));
+        self.note_probe(at, what, conn);
+    }
+
+    /// Which connection carries a probe.
+    fn note_probe(&mut self, at: NodeId, what: Carried, conn: ConnId) {
+        if let Carried::Probe(_, token) = what
+            && let Some(node) = self.node(at)
+        {
+            node.probe_links.insert(token, conn);
         }
     }
 
@@ -138,7 +155,7 @@
         let Some(carried) = link.carries else { return };
         let may = match carried {
             Carried::Attempt(id, attempt) => self.may_begin(id, attempt, now),
-            _ => self.nodes.get(&at).is_some_and(|n| n.readiness == Readiness::Serving),
+            _ => self.nodes.serves(at),
         };
         if may {
             return self.write_carried(conn, now);
@@ -153,7 +170,7 @@
         }
         let Some(Conn { peer, inlet: Inlet::Link(link), .. }) = self.plumbing.get(conn) else { return };
         let host = match peer {
-            Peer::Node(at) => self.nodes.get(at).map(|n| n.address.to_string()).unwrap_or_default(),
+            Peer::Node(at) => self.nodes.get(*at).map(|n| n.address.to_string()).unwrap_or_default(),
             _ => self.config.list.to_string(),
         };
         let host: (&str, &dyn Display) = ("Host", &host);
@@ -289,8 +306,11 @@
         };
         (link.carries, link.since) = (None, now);
         let at = *at;
-        match self.node(at).filter(|n| n.readiness != Readiness::Gone) {
-            Some(node) => node.idle.push(conn),
+        match self.node(at).filter(|n| n.readiness() != Readiness::Gone) {
+            Some(node) => {
+                node.idle.push(conn);
+                self.idle_links.insert((now, conn));
+            }
             None => self.lost(conn, "node is gone", true, now),
         }
     }
@@ -306,6 +326,7 @@
         now: Micros,
     ) {
         self.links -= 1;
+        self.idle_links.remove(&(link.since, conn));
         if let Some(node) = self.node(at) {
             node.idle.retain(|idle| *idle != conn);
         }
@@ -348,20 +369,35 @@
         }
     }
 
-    /// What has been handed to connections of nodes that take nothing new, and of which no byte has left, does not begin.
-    pub(super) fn call_back_from_drained(&mut self, now: Micros) {
-        let serves = |at: &NodeId| self.nodes.get(at).is_some_and(|n| n.readiness == Readiness::Serving);
-        let waits = |(conn, c): (ConnId, &Conn)| match (&c.peer, &c.inlet) {
-            (Peer::Node(at), Inlet::Link(link)) if c.stage == Stage::Open && !link.begun && !serves(at) => {
-                Some((conn, link.carries?))
-            }
-            _ => None,
-        };
-        for (conn, carried) in self.plumbing.iter().filter_map(waits).collect::<Vec<_>>() {
+    /// What has been handed to connections of these nodes, those of them that take nothing new, and of which no byte
+    /// has left, does not begin.
+    pub(super) fn call_back_from_drained(&mut self, nodes: &[NodeId], now: Micros) {
+        let drained = nodes.iter().filter(|at| !self.nodes.serves(**at));
+        let mut waiting: Vec<(ConnId, Carried)> = drained.flat_map(|at| self.not_begun(*at)).collect();
+        waiting.sort_by_key(|(conn, _)| *conn);
+        for (conn, carried) in waiting {
             self.close_under(conn, carried, "its node takes nothing new", Outcome::Moot, now);
         }
     }
 
+    /// Pooled connections to a node that stand, and of which nothing has been written of what they carry.
+    fn not_begun(&self, at: NodeId) -> Vec<(ConnId, Carried)> {
+        let Some(node) = self.nodes.get(at) else { return Vec::new() };
+        let handed = |(id, attempt): &(RequestId, AttemptNo)| {
+            let (conn, _) = self.flight(*id, *attempt)?.handed?;
+            Some((conn, Carried::Attempt(*id, *attempt)))
+        };
+        let attempts = node.out.iter().filter_map(handed);
+        let probes = node.probe_links.iter().map(|(token, conn)| (*conn, Carried::Probe(at, *token)));
+        let waits = |(conn, carried): &(ConnId, Carried)| match self.plumbing.get(*conn) {
+            Some(Conn { stage: Stage::Open, inlet: Inlet::Link(link), .. }) => {
+                !link.begun && link.carries == Some(*carried)
+            }
+            _ => false,
+        };
+        attempts.chain(probes).filter(waits).collect()
+    }
+
     /// A repeat that has waited to be written until its window was over does not begin.
     pub(super) fn begin_ends(&mut self, conn: ConnId, now: Micros) {
         let carried = self.link(conn).filter(|link| !link.begun).and_then(|link| link.carries);
@@ -383,11 +419,9 @@
     }
 
     /// A probe is not waited for any longer.
-    pub(super) fn hang_up_probe(&mut self, at: NodeId, token: u64, now: Micros) {
+    pub(super) fn hang_up_probe(&mut self, conn: ConnId, at: NodeId, token: u64, now: Micros) {
         let probe = Some(Carried::Probe(at, token));
-        let carries = |c: &Conn| matches!(&c.inlet, Inlet::Link(l) if l.carries == probe);
-        let found = self.plumbing.iter().find(|(_, c)| carries(c)).map(|(conn, _)| conn);
-        if let Some(conn) = found {
+        if self.link(conn).is_some_and(|link| link.carries == probe) {
             self.lost(conn, "a probe took too long", true, now);
         }
     }
@@ -411,12 +445,7 @@
     }
 
     fn close_longest_idle(&mut self, now: Micros) -> bool {
-        let first = |n: &NodePeer| n.idle.first().copied();
-        let since = |conn: &ConnId| match self.plumbing.get(*conn).map(|c| &c.inlet) {
-            Some(Inlet::Link(link)) => link.since,
-            _ => now,
-        };
-        let longest = self.nodes.values().filter_map(first).min_by_key(since);
+        let longest = self.idle_links.first().map(|(_, conn)| *conn);
         if let Some(conn) = longest {
             self.lost(conn, "its place is needed", true, now);
         }
@@ -425,22 +454,30 @@
 
     /// Closes what has idled for long, before its node does, and forgets nodes long gone.
     pub(super) fn sweep(&mut self, now: Micros) {
+        self.close_long_idle(now);
+        self.forget_long_gone(now);
+        self.plumbing.at(now.after(SWEEP), Timer::Sweep);
+    }
+
+    fn close_long_idle(&mut self, now: Micros) {
         let idle = self.config.site.waits.idle;
-        let old = |c: &Conn| matches!(&c.inlet, Inlet::Link(l) if l.carries.is_none() && now.since(l.since) >= idle);
-        let old: Vec<ConnId> = self.plumbing.iter().filter(|(_, c)| old(c)).map(|(conn, _)| conn).collect();
-        old.into_iter().for_each(|conn| self.lost(conn, "idle", true, now));
-        let forgotten = |n: &NodePeer| {
-            n.readiness == Readiness::Gone && n.out.is_empty() && now.since(n.gone_at) >= REMEMBERED
-        };
-        let gone: Vec<NodeId> = self.nodes.iter().filter(|(_, n)| forgotten(n)).map(|(id, _)| *id).collect();
-        for id in gone {
+        let long = |(since, _): &&(Micros, ConnId)| now.since(*since) >= idle;
+        let long: Vec<ConnId> = self.idle_links.iter().take_while(long).map(|(_, conn)| *conn).collect();
+        for conn in long {
+            self.lost(conn, "idle", true, now);
+        }
+    }
+
+    fn forget_long_gone(&mut self, now: Micros) {
+        for id in self.nodes.gone_for(REMEMBERED, now) {
+            if self.nodes.get(id).is_none_or(|node| !node.out.is_empty()) {
+                continue;
+            }
             self.drop_idle(id, now);
-            if let Some(node) = self.nodes.remove(&id) {
+            if let Some(node) = self.nodes.remove(id) {
                 info!(node = %node.name, "forgotten");
-                self.node_ids.remove(&node.name);
             }
         }
-        self.plumbing.at(now.after(SWEEP), Timer::Sweep);
     }
 
     /// Closes a node's idle connections: its address is no longer what they lead to.
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -5,7 +5,7 @@
 use super::door::Origin;
 use super::plumbing::{Peer, Timer};
 use crate::machine::{ConnId, Micros};
-use flaxstand::api::{Action, AttemptNo, Ended, Event, NodeId, Outcome, Readiness, RequestId};
+use flaxstand::api::{Action, AttemptNo, Ended, Event, NodeId, Outcome, RequestId};
 use flaxstand_buffer::{Place, TryId, Write};
 use flaxstand_proto::{Frame, Refusal, Scope, Submit};
 use tracing::{debug, error};
@@ -248,7 +248,7 @@
     pub(super) fn may_begin(&self, id: RequestId, attempt: AttemptNo, now: Micros) -> bool {
         let Some(held) = self.requests.get(&id) else { return false };
         let Some(flight) = self.flight(id, attempt) else { return false };
-        let serves = self.nodes.get(&flight.node).is_some_and(|n| n.readiness == Readiness::Serving);
+        let serves = self.nodes.serves(flight.node);
         held.owner.is_some() && now < flight.until && now < held.valid_until && serves
     }
 
@@ -262,7 +262,7 @@
         held.attempts += 1;
         held.flights.push(Flight { attempt, node, sent: now, until, handed: None });
         debug!(request = request.0, attempt = attempt.0, node = node.0, "sent");
-        let listed = self.nodes.get(&node);
+        let listed = self.nodes.get(node);
         let holds = listed.is_some_and(|n| held.shard.is_none_or(|shard| shard == n.shard));
         if !self.may_begin(request, attempt, now) || !holds {
             self.end_attempt(request, attempt, Outcome::Moot, now);
@@ -314,6 +314,9 @@
             self.counts.served += u64::from(self.of_client(id));
             self.answer(id, Verdict::Served, now, |id| Frame::Served { id, shard, payload });
         }
+        if !self.on_platform() {
+            self.list.save.used(flight.node);
+        }
         let outcome = Outcome::Served;
         self.events.push_back(Event::Ended(Ended { request: id, attempt, outcome, lag, complete: true }));
         self.node_flight_ended(flight.node, id, attempt, now);
--- a/crates/flaxstand-gateway/src/core/watch.rs
+++ b/crates/flaxstand-gateway/src/core/watch.rs
@@ -8,8 +8,7 @@
 
 use super::Core;
 use super::list::Told;
-use super::nodes::NodeName;
-use super::plumbing::Timer;
+use super::node_table::NodeName;
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{ListScope, Readiness};
 use flaxstand_http::Answer;
@@ -35,8 +34,7 @@
             }
             _ => Micros(0),
         };
-        self.plumbing.cancel_all(Timer::ListSilence);
-        self.plumbing.at(now.after(wait).after(OVERDUE), Timer::ListSilence);
+        self.look_for_silence(now.after(wait).after(OVERDUE));
         list_call(self.list.revision.map(|revision| (revision, wait.0 / 1000)))
     }
 
@@ -118,7 +116,7 @@
         if let Some(conn) = self.list.conn.take() {
             self.plumbing.drop_quietly(conn);
         }
-        self.plumbing.cancel_all(Timer::ListSilence);
+        self.stop_looking_for_silence();
         (self.list.revision, self.list.answers) = (None, false);
         self.call_list(now);
     }
--- a/crates/flaxstand-gateway/src/driver.rs
+++ b/crates/flaxstand-gateway/src/driver.rs
@@ -109,7 +109,7 @@
 /// What a driver does beside running its machine.
 #[derive(Default)]
 pub struct Options {
-    /// Where `Save` puts the machine's state. It is replaced as a whole.
+    /// Where the machine's state is: `Save` replaces it as a whole, `AppendSaved` adds to it.
     pub saved: Option<PathBuf>,
     /// Where `Append` puts records.
     pub record: Option<File>,
@@ -473,12 +473,9 @@
                 }
             }
             Command::Save(bytes) => {
-                if let Some(path) = &self.options.saved
-                    && let Err(error) = replace(path, &bytes)
-                {
-                    warn!(%error, path = %path.display(), "cannot save");
-                }
+                self.save(|path| replace(path, &bytes));
             }
+            Command::AppendSaved(bytes) => self.save(|path| append(path, &bytes)),
             Command::Append(sink, bytes) => {
                 let file = match sink {
                     Sink::Record => &mut self.options.record,
@@ -527,6 +524,15 @@
         }
     }
 
+    /// Changes the saved state, if there is a place for it.
+    fn save(&mut self, change: impl FnOnce(&Path) -> io::Result<()>) {
+        let Some(path) = &self.options.saved else { return };
+        if let Err(error) = change(path) {
+            warn!(%error, path = %path.display(), "cannot save");
+            self.machine.save_failed(self.now);
+        }
+    }
+
     fn connect(&mut self, conn: ConnId, address: &Address) {
         let opened = (|| {
             let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -672,7 +678,12 @@
     std::fs::rename(&next, path)
 }
 
-/// The same, and it is there after a loss of power.
+/// Adds bytes to a file that is there.
+fn append(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    File::options().append(true).open(path)?.write_all(bytes)
+}
+
+/// Puts bytes in a file's place, and they are there after a loss of power.
 fn replace_durably(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let next = path.with_extension("next");
     let mut file = File::create(&next)?;
--- a/crates/flaxstand-gateway/src/machine.rs
+++ b/crates/flaxstand-gateway/src/machine.rs
@@ -80,6 +80,8 @@
     Shut(ConnId),
     /// Put these bytes into the machine's saved state, in place of what is there.
     Save(Vec<u8>),
+    /// Add these bytes to the machine's saved state, behind what is there. A crash may leave a part of them.
+    AppendSaved(Vec<u8>),
     /// Add these bytes to one of the machine's files. A stand-in's records, written before its answers.
     Append(Sink, Vec<u8>),
     /// Carry this batch out on the machine's log; `stored` follows. One at a time.
@@ -154,6 +156,8 @@
     fn stored(&mut self, _well: bool, _now: Micros) {}
     /// How the batch went that was to be kept.
     fn kept(&mut self, _well: bool, _now: Micros) {}
+    /// The saved state could not be replaced or added to: what it holds now is not known.
+    fn save_failed(&mut self, _now: Micros) {}
     /// Word from outside the connections.
     fn control(&mut self, control: Control, now: Micros);
     /// Everything of this moment has been told. Returns when to call again at the latest.
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -2,7 +2,7 @@
 
 mod harness;
 
-use flaxstand_gateway::core::{Agreeing, Core};
+use flaxstand_gateway::core::{Agreeing, Core, SavedList};
 use flaxstand_gateway::machine::{ConnId, Control, Machine};
 use flaxstand_proto::*;
 use harness::*;
@@ -787,10 +787,9 @@
 
 /// Pace in a saved list, microseconds a unit.
 fn saved_pace(w: &World) -> Option<u32> {
-    match decode(w.saved.as_ref().unwrap()).unwrap() {
-        Some((Frame::List(list), _)) => list.entries[0].pace,
-        other => panic!("no list: {other:?}"),
-    }
+    let list = SavedList::read(w.saved.as_ref().unwrap()).expect("a saved list");
+    assert_eq!((list.entries.len(), list.torn), (1, 0));
+    list.entries[0].pace
 }
 
 #[test]
--- a/crates/flaxstand-gateway/tests/driver.rs
+++ b/crates/flaxstand-gateway/tests/driver.rs
@@ -152,3 +152,76 @@
     assert_eq!(machine.failed.len(), 2, "{:?}", machine.failed);
     assert!(machine.failed.iter().any(|c| c.contains("refused")), "{:?}", machine.failed);
 }
+
+/// Saves and appends step by step, and counts what failed.
+struct Saver {
+    steps: std::vec::IntoIter<(Command, Option<PathBuf>)>,
+    failures: Vec<usize>,
+    step: usize,
+    commands: Vec<Command>,
+}
+
+impl Machine for Saver {
+    fn accepted(&mut self, _listener: usize, _now: Micros) -> Result<ConnId, Vec<u8>> {
+        Err(Vec::new())
+    }
+    fn connected(&mut self, _conn: ConnId, _now: Micros) {}
+    fn connect_failed(&mut self, _conn: ConnId, _cause: &str, _now: Micros) {}
+    fn received(&mut self, _conn: ConnId, _bytes: &[u8], _now: Micros) {}
+    fn finished(&mut self, _conn: ConnId, _now: Micros) -> bool {
+        false
+    }
+    fn closed(&mut self, _conn: ConnId, _cause: &str, _now: Micros) {}
+    fn outgoing(&self, _conn: ConnId) -> &[u8] {
+        &[]
+    }
+    fn wrote(&mut self, _conn: ConnId, _count: usize, _now: Micros) {}
+    fn wants_read(&self, _conn: ConnId) -> bool {
+        false
+    }
+    fn save_failed(&mut self, _now: Micros) {
+        self.failures.push(self.step);
+    }
+    fn control(&mut self, _control: Control, _now: Micros) {}
+    fn settle(&mut self, _now: Micros) -> Option<Micros> {
+        match self.steps.next() {
+            Some((command, removed)) => {
+                self.step += 1;
+                if let Some(path) = removed {
+                    std::fs::remove_file(path).unwrap();
+                }
+                self.commands.push(command);
+            }
+            None => self.commands.push(Command::Exit),
+        }
+        None
+    }
+    fn take_commands(&mut self) -> Vec<Command> {
+        std::mem::take(&mut self.commands)
+    }
+}
+
+#[test]
+fn a_saved_state_is_replaced_or_added_to_and_the_machine_hears_of_what_failed() {
+    let path = socket("state");
+    let _ = std::fs::remove_file(&path);
+    let (save, more) = (|b: &[u8]| Command::Save(b.to_vec()), |b: &[u8]| Command::AppendSaved(b.to_vec()));
+    let steps = vec![
+        // Nothing is there to add to: bytes without a beginning would be no state.
+        (more(b"lost"), None),
+        (save(b"old"), None),
+        (save(b"one "), None),
+        (more(b"two "), None),
+        (more(b"three"), None),
+        // Somebody took the file away.
+        (more(b"lost"), Some(path.clone())),
+        (save(b"four "), None),
+        (more(b"five"), None),
+    ];
+    let machine = Saver { steps: steps.into_iter(), failures: Vec::new(), step: 0, commands: Vec::new() };
+    let options = Options { saved: Some(path.clone()), ..Options::default() };
+    let machine = Driver::new(machine, options).unwrap().run().unwrap();
+    assert_eq!(machine.failures, [1, 6]);
+    assert_eq!(std::fs::read(&path).unwrap(), b"four five");
+    std::fs::remove_file(&path).unwrap();
+}
--- a/crates/flaxstand-gateway/tests/harness/mod.rs
+++ b/crates/flaxstand-gateway/tests/harness/mod.rs
@@ -326,6 +326,7 @@
                 self.called.remove(&conn);
             }
             Command::Save(bytes) => self.saved = Some(bytes),
+            Command::AppendSaved(bytes) => self.saved.get_or_insert_default().extend(bytes),
             Command::Exit => self.exited = true,
             Command::Store(batch) => self.batches.push_back(batch),
             // A disk that is done at once.
--- a/crates/flaxstand-lab/src/world.rs
+++ b/crates/flaxstand-lab/src/world.rs
@@ -514,6 +514,7 @@
                 self.pipes.remove(&(host, conn));
             }
             Command::Save(bytes) => self.hosts[host].disk = bytes,
+            Command::AppendSaved(mut bytes) => self.hosts[host].disk.append(&mut bytes),
             Command::Append(Sink::Data, mut bytes) => self.hosts[host].disk.append(&mut bytes),
             Command::Append(Sink::Record, _) => {}
             Command::Store(batch) => {
