--- a/crates/flaxstand-gateway/src/core/agreement.rs
+++ b/crates/flaxstand-gateway/src/core/agreement.rs
@@ -254,10 +254,9 @@
     /// What was decided on under the rules before and has not left yet, since its node does not read, never leaves:
     /// the connections that it waits on are closed, and the module hears that it never ran.
     fn cut_what_waits(&mut self, now: Micros) {
-        let waits = |c: &Conn| matches!(c.peer, Peer::Node(_)) && !c.outbox.is_empty();
-        let conns: Vec<ConnId> =
-            self.plumbing.iter().filter(|(_, c)| waits(c)).map(|(conn, _)| conn).collect();
-        for conn in conns {
+        let waiting = self.plumbing.to_nodes().filter(|(_, c)| !c.outbox.is_empty());
+        let waiting: Vec<ConnId> = waiting.map(|(conn, _)| conn).collect();
+        for conn in waiting {
             self.lost_unsaid(conn, "the rules changed while requests waited to leave", now);
         }
     }
--- a/crates/flaxstand-gateway/src/core/door.rs
+++ b/crates/flaxstand-gateway/src/core/door.rs
@@ -261,10 +261,7 @@
     /// Guards the memory against clients that read large answers slowly, or not at all: what waits for all of them
     /// has a bound. An answer beyond it fails.
     fn has_room(&self, bytes: usize) -> bool {
-        let waits = |c: &Conn| if let Inlet::Door(_) = c.inlet { c.outbox.len() } else { 0 };
-        bytes <= BODY_MOST
-            || bytes + self.plumbing.iter().map(|(_, c)| waits(c)).sum::<usize>()
-                <= self.config.bounds.answer_bytes
+        bytes <= BODY_MOST || bytes + self.plumbing.unread_bytes() <= self.config.bounds.answer_bytes
     }
 
     /// Answers the request that a client has open.
--- a/crates/flaxstand-gateway/src/core/list.rs
+++ b/crates/flaxstand-gateway/src/core/list.rs
@@ -8,10 +8,11 @@
 use super::saved_list::{SavePlan, SavedList, SavedListError};
 use super::{Backoff, Core, Waits, Wire};
 use crate::machine::{Address, ConnId, Micros};
-use flaxstand::api::{Event, ListScope, NodeEntry, Readiness};
+use flaxstand::api::{Event, ListScope, NodeEntry, NodeId, Readiness};
 use flaxstand_proto::{
     Entry, Extent, Frame, Inbox, List, Parting, Role, State, VERSION, VERSION_OLDEST, Welcome,
 };
+use std::collections::BTreeSet;
 use tracing::{debug, info, warn};
 
 /// On the platform a call of the list service that does not stand within this has failed.
@@ -210,14 +211,12 @@
     }
 
     pub(super) fn take_told(&mut self, scope: ListScope, revision: u64, told: Vec<Told>, now: Micros) {
-        let whole = scope != ListScope::Changes;
-        if whole {
-            let all = self.nodes.ids();
-            all.into_iter().for_each(|id| self.nodes.set_readiness(id, Readiness::Gone, now));
-        }
         let told: Vec<NodeEntry> = told.into_iter().filter_map(|e| self.take_entry(e, now)).collect();
         info!(?scope, revision, entries = told.len(), "node list");
-        let touched = if whole { self.nodes.ids() } else { told.iter().map(|entry| entry.node).collect() };
+        let mut touched: BTreeSet<NodeId> = told.iter().map(|entry| entry.node).collect();
+        if scope != ListScope::Changes {
+            touched.append(&mut self.take_out_all_but(&touched, now));
+        }
         self.events.push_back(Event::List(scope, told));
         self.call_back_from_drained(&touched, now);
         for id in &touched {
@@ -232,28 +231,25 @@
         }
     }
 
+    /// What a whole list does not tell is gone. Returns those that were listed until now.
+    fn take_out_all_but(&mut self, told: &BTreeSet<NodeId>, now: Micros) -> BTreeSet<NodeId> {
+        let listed = self.nodes.iter().filter(|(_, node)| node.readiness() != Readiness::Gone);
+        let absent: BTreeSet<NodeId> = listed.map(|(id, _)| id).filter(|id| !told.contains(id)).collect();
+        for id in &absent {
+            self.nodes.set_readiness(*id, Readiness::Gone, now);
+        }
+        absent
+    }
+
     fn take_entry(&mut self, e: Told, now: Micros) -> Option<NodeEntry> {
         let known = self.nodes.id_of(&e.name);
-        let address: Address = match (e.address.parse(), known) {
-            (Ok(address), _) => address,
-            // What is gone needs no address any more.
-            (Err(_), Some(id)) if e.readiness == Readiness::Gone => self.nodes.get(id)?.address.clone(),
-            (Err(cause), _) => {
-                warn!(node = %e.name, %cause, "a listed node is left out");
-                return None;
-            }
-        };
+        let address = self.told_address(&e, known)?;
         let id = match known {
             Some(id) => id,
-            None if self.nodes.len() >= self.config.bounds.nodes => {
-                let bound = self.config.bounds.nodes;
-                warn!(node = %e.name, bound, "a listed node beyond the bound is left out");
-                return None;
-            }
-            None => self.nodes.insert(e.name.clone(), address.clone()),
+            None => self.insert_node(&e, &address)?,
         };
-        self.nodes.set_readiness(id, e.readiness, now);
         let node = self.nodes.get_mut(id)?;
+        let before = (node.readiness(), node.incarnation);
         if e.incarnation > node.incarnation {
             // Fixed at first word of this start, by the list or by the node: a staler age that comes later
             // must not make it look like another.
@@ -261,13 +257,39 @@
             node.booted_at = e.booted_at;
         }
         let moved = node.address != address;
+        // A whole list tells mostly what is known.
+        let news = moved || before != (e.readiness, node.incarnation);
         (node.shard, node.zone, node.size, node.address) = (e.shard, e.zone, e.size, address);
-        // Told with the entry that tells it and not kept: it holds for that start of the node alone.
-        let entry = NodeEntry { pace: e.pace, ..node.entry(id) };
-        info!(node = %e.name, state = ?e.readiness, shard = e.shard, address = e.address, "listed");
+        self.nodes.set_readiness(id, e.readiness, now);
+        if news {
+            info!(node = %e.name, state = ?e.readiness, shard = e.shard, address = e.address, "listed");
+        }
         if moved {
             self.drop_idle(id, now);
         }
-        Some(entry)
+        // Told with the entry that tells it and not kept: it holds for that start of the node alone.
+        let entry = self.nodes.get(id)?.entry(id);
+        Some(NodeEntry { pace: e.pace, ..entry })
+    }
+
+    /// Where an entry says that its node listens. What is gone needs no address any more.
+    fn told_address(&self, e: &Told, known: Option<NodeId>) -> Option<Address> {
+        match (e.address.parse(), known) {
+            (Ok(address), _) => Some(address),
+            (Err(_), Some(id)) if e.readiness == Readiness::Gone => Some(self.nodes.get(id)?.address.clone()),
+            (Err(cause), _) => {
+                warn!(node = %e.name, %cause, "a listed node is left out");
+                None
+            }
+        }
+    }
+
+    fn insert_node(&mut self, e: &Told, address: &Address) -> Option<NodeId> {
+        let bound = self.config.bounds.nodes;
+        if self.nodes.len() >= bound {
+            warn!(node = %e.name, bound, "a listed node beyond the bound is left out");
+            return None;
+        }
+        Some(self.nodes.insert(e.name.clone(), address.clone()))
     }
 }
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -399,13 +399,11 @@
     }
 
     fn wrote(&mut self, conn: ConnId, count: usize, now: Micros) {
-        if let Some(c) = self.plumbing.get_mut(conn) {
-            c.outbox.wrote(count);
-            if let Inlet::Link(link) = &mut c.inlet {
-                (link.rested, link.begun) = (false, true);
-            }
-            self.client_read(conn, now);
+        self.plumbing.wrote(conn, count);
+        if let Some(link) = self.link(conn) {
+            (link.rested, link.begun) = (false, true);
         }
+        self.client_read(conn, now);
     }
 
     fn wants_read(&self, conn: ConnId) -> bool {
--- a/crates/flaxstand-gateway/src/core/node_table.rs
+++ b/crates/flaxstand-gateway/src/core/node_table.rs
@@ -192,11 +192,6 @@
         })
     }
 
-    /// The ids of all of them.
-    pub(super) fn ids(&self) -> Vec<NodeId> {
-        self.iter().map(|(id, _)| id).collect()
-    }
-
     /// Nodes that the list took out so long ago or longer, the longest gone first.
     pub(super) fn gone_for(&self, age: Micros, now: Micros) -> Vec<NodeId> {
         let old = |(gone_at, _): &&(Micros, NodeId)| now.since(*gone_at) >= age;
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/plumbing.rs
@@ -86,12 +86,16 @@
     conns: BTreeMap<ConnId, Conn>,
     next_conn: u64,
     walked: Cell<u64>,
+    /// Those of them that lead to nodes.
+    node_conns: BTreeSet<ConnId>,
     timers: BTreeSet<(Micros, Timer)>,
     commands: Vec<Command>,
     /// Bytes of requests that are not yet whole.
     pub(super) partial_bytes: usize,
     /// Bytes of nodes' answers that are not yet whole.
     pub(super) answer_bytes: usize,
+    /// Bytes of answers that clients who speak HTTP have not read.
+    unread_bytes: usize,
 }
 
 impl Plumbing {
@@ -99,6 +103,9 @@
     pub(super) fn open(&mut self, peer: Peer, stage: Stage, inlet: Inlet) -> ConnId {
         self.next_conn += 1;
         let id = ConnId(self.next_conn);
+        if let Peer::Node(_) = peer {
+            self.node_conns.insert(id);
+        }
         self.conns.insert(id, Conn { peer, stage, inlet, outbox: Outbox::default() });
         id
     }
@@ -127,6 +134,14 @@
         })
     }
 
+    /// Those that lead to nodes; each counts as walked.
+    pub(super) fn to_nodes(&self) -> impl Iterator<Item = (ConnId, &Conn)> {
+        self.node_conns.iter().filter_map(|id| {
+            self.walked.set(self.walked.get() + 1);
+            Some((*id, self.conns.get(id)?))
+        })
+    }
+
     /// How many connections were gone through since the start.
     pub(super) fn walked(&self) -> u64 {
         self.walked.get()
@@ -163,7 +178,27 @@
         if c.outbox.is_empty() {
             self.commands.push(Command::Flush(conn));
         }
-        c.outbox.write(add)
+        let before = c.outbox.len();
+        let ends = c.outbox.write(add);
+        if let Inlet::Door(_) = c.inlet {
+            self.unread_bytes += c.outbox.len() - before;
+        }
+        ends
+    }
+
+    /// So many bytes of what waits on a connection were written.
+    pub(super) fn wrote(&mut self, conn: ConnId, count: usize) {
+        let Some(c) = self.conns.get_mut(&conn) else { return };
+        let before = c.outbox.len();
+        c.outbox.wrote(count);
+        if let Inlet::Door(_) = c.inlet {
+            self.unread_bytes -= before - c.outbox.len();
+        }
+    }
+
+    /// Bytes that wait for clients who speak HTTP to read them.
+    pub(super) fn unread_bytes(&self) -> usize {
+        self.unread_bytes
     }
 
     /// Closes a connection from here that nothing hangs on any more.
@@ -176,8 +211,12 @@
     /// Takes a connection out; what it held of a message is held no more.
     pub(super) fn take(&mut self, conn: ConnId) -> Option<Conn> {
         let gone = self.conns.remove(&conn)?;
+        self.node_conns.remove(&conn);
         match &gone.inlet {
-            Inlet::Door(door) => self.partial_bytes -= door.held(),
+            Inlet::Door(door) => {
+                self.partial_bytes -= door.held();
+                self.unread_bytes -= gone.outbox.len();
+            }
             Inlet::Link(link) => self.answer_bytes -= link.held(),
             Inlet::Frames(_) => {}
         }
--- a/crates/flaxstand-gateway/src/core/pool.rs
+++ b/crates/flaxstand-gateway/src/core/pool.rs
@@ -9,6 +9,7 @@
 use flaxstand::api::{AttemptNo, NodeId, Outcome, Readiness, RequestId};
 use flaxstand_http::{Answer, Answers, write_request};
 use flaxstand_platform::{HEALTH, field, outcome_of};
+use std::collections::BTreeSet;
 use std::fmt::Display;
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 use tracing::{debug, info};
@@ -371,7 +372,7 @@
 
     /// What has been handed to connections of these nodes, those of them that take nothing new, and of which no byte
     /// has left, does not begin.
-    pub(super) fn call_back_from_drained(&mut self, nodes: &[NodeId], now: Micros) {
+    pub(super) fn call_back_from_drained(&mut self, nodes: &BTreeSet<NodeId>, now: Micros) {
         let drained = nodes.iter().filter(|at| !self.nodes.serves(**at));
         let mut waiting: Vec<(ConnId, Carried)> = drained.flat_map(|at| self.not_begun(*at)).collect();
         waiting.sort_by_key(|(conn, _)| *conn);
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -910,6 +910,15 @@
     w.submit(client, 2, READ, Some(0));
     w.run(2);
     assert!(!w.core.outgoing(node).is_empty(), "it waits to leave");
+    for _ in 0..30 {
+        w.client();
+    }
+    let walked = w.core.counts().connections_walked;
     propose(&mut w, 1, 1.0);
     assert!(w.closed.contains(&node) && w.core.outgoing(node).is_empty());
+    assert_eq!(
+        w.core.counts().connections_walked - walked,
+        1,
+        "only connections to nodes are looked through"
+    );
 }
--- a/crates/flaxstand-gateway/tests/list_growth.rs
+++ b/crates/flaxstand-gateway/tests/list_growth.rs
@@ -209,6 +209,42 @@
     assert!(small.0 < 30 && small.1 == 0, "{small:?}");
 }
 
+#[test]
+fn whether_a_large_answer_has_room_is_known_without_a_walk_over_the_clients() {
+    const LARGE_ANSWER: usize = 70_000;
+    let mut c = baseline(on_platform(2500), 1);
+    c.bounds.answer_bytes = 2 * LARGE_ANSWER;
+    let mut w = World::new(c, 0);
+    w.dials.insert("127.0.0.1:10000".parse().unwrap(), Dial::Greets(0));
+    tell_targets(&mut w, 0..1, TargetState::Up);
+    let served = |w: &mut World, id: &str| {
+        let client = w.http_client();
+        w.says(client, ask_as(id, "read", 0, "1.000").as_bytes());
+        w.run(5);
+        w.blocked.insert(client);
+        let link = w.dialled.last().unwrap().0;
+        w.answer(link, "200 OK", &"x".repeat(LARGE_ANSWER));
+        w.run(30);
+        client
+    };
+    for _ in 0..50 {
+        w.http_client();
+    }
+    let before = work(&w);
+    let clients = ["1", "2", "3"].map(|id| served(&mut w, id));
+    assert_eq!(since(&w, before).1, 0);
+    let sizes = clients.map(|client| w.core.outgoing(client).len() / LARGE_ANSWER);
+    assert_eq!(sizes, [1, 0, 0], "head and body of two are more than may wait");
+    // What was read, or will never be, waits no longer.
+    w.blocked.clear();
+    w.drain(clients[0]);
+    let fourth = served(&mut w, "4");
+    assert_eq!(w.core.outgoing(fourth).len() / LARGE_ANSWER, 1);
+    w.core.closed(fourth, "gone", w.now);
+    let fifth = served(&mut w, "5");
+    assert_eq!(w.core.outgoing(fifth).len() / LARGE_ANSWER, 1);
+}
+
 #[test]
 fn a_probe_that_is_not_answered_is_hung_up_on_without_a_walk() {
     let mut c = on_platform(2500);
