--- a/crates/flaxstand-gateway/src/core/door.rs
+++ b/crates/flaxstand-gateway/src/core/door.rs
@@ -9,7 +9,6 @@
 use super::plumbing::{Conn, Inlet, Peer, Stage, Timer};
 use super::{Core, Phase};
 use crate::machine::{Command, ConnId, Micros};
-use flaxstand::api::Readiness;
 use flaxstand_http::{BODY_MOST, Request, Requests, write_answer};
 use flaxstand_platform::{ClientRequest, READY, Terms};
 use flaxstand_proto::{Frame, Submit};
@@ -182,8 +181,7 @@
     /// A whole request came.
     fn asked(&mut self, conn: ConnId, request: Request, now: Micros) {
         if request.target == READY {
-            let ready = self.phase == Phase::Running
-                && self.nodes.values().any(|n| n.readiness == Readiness::Serving);
+            let ready = self.phase == Phase::Running && self.nodes.any_serves();
             return self.say(conn, if ready { 200 } else { 503 }, &[], b"", now);
         }
         let settings = &self.config.site.settings;
@@ -263,10 +261,7 @@
     /// Guards the memory against clients that read large answers slowly, or not at all: what waits for all of them
     /// has a bound. An answer beyond it fails.
     fn has_room(&self, bytes: usize) -> bool {
-        let waits = |c: &Conn| if let Inlet::Door(_) = c.inlet { c.outbox.len() } else { 0 };
-        bytes <= BODY_MOST
-            || bytes + self.plumbing.iter().map(|(_, c)| waits(c)).sum::<usize>()
-                <= self.config.bounds.answer_bytes
+        bytes <= BODY_MOST || bytes + self.plumbing.unread_bytes() <= self.config.bounds.answer_bytes
     }
 
     /// Answers the request that a client has open.
