--- a/crates/flaxstand-agree/src/agreement.rs
+++ b/crates/flaxstand-agree/src/agreement.rs
@@ -379,6 +379,12 @@
         self.member.book()
     }
 
+    /// See [`Warden::members_examined`]; 0 where this initiator does not lead.
+    #[doc(hidden)]
+    pub fn members_examined(&self) -> u64 {
+        self.warden.as_ref().map_or(0, Warden::members_examined)
+    }
+
     fn leads(&self, now: Micros) -> Option<Micros> {
         self.keeper.as_ref()?.leads_until(now)
     }
--- a/crates/flaxstand-agree/src/warden.rs
+++ b/crates/flaxstand-agree/src/warden.rs
@@ -82,6 +82,8 @@
     counted: Micros,
     stage: u64,
     tenants: BTreeMap<String, Tenant>,
+    /// See `Warden::members_examined`.
+    members_examined: u64,
     planted: Planted,
 }
 
@@ -90,7 +92,7 @@
     pub fn new(span: Micros, error: f64, planted: Planted, now: Micros) -> Warden {
         let counted = Micros((span.0 as f64 * (1.0 + 2.0 * error)).ceil() as u64);
         let strangers = if planted == Planted::StrangersIgnored { now } else { now.after(counted) };
-        Warden { strangers, span, counted, stage: 0, tenants: BTreeMap::new(), planted }
+        Warden { strangers, span, counted, stage: 0, tenants: BTreeMap::new(), members_examined: 0, planted }
     }
 
     /// The book is at another stage: leases so far were for an older one.
@@ -186,8 +188,9 @@
     }
 
     /// The passage that may begin now, if a version is under way.
-    pub fn passage(&self, book: &Book, calendar: u64, now: Micros) -> Option<Change> {
+    pub fn passage(&mut self, book: &Book, calendar: u64, now: Micros) -> Option<Change> {
         let next = book.next.as_ref()?;
+        self.members_examined += book.members.len() as u64;
         if !self.holds(book, now).is_empty() {
             return None;
         }
@@ -204,6 +207,13 @@
         Some(Change::InForce { number: next.number, why, at: calendar })
     }
 
+    /// How many members were looked at so far to decide whether a version may come into force: for tests of how
+    /// the work of a change grows with the members.
+    #[doc(hidden)]
+    pub fn members_examined(&self) -> u64 {
+        self.members_examined
+    }
+
     /// Members with a lease, those that confirmed the present stage, and when each was last heard, ms ago.
     pub fn tenants(&self, now: Micros) -> Vec<(String, bool, bool, u64)> {
         let of = |(name, t): (&String, &Tenant)| {
--- /dev/null
+++ b/crates/flaxstand-agree/tests/capacity/fleet.rs
@@ -0,0 +1,489 @@
+//! A fleet without faults on virtual time: keepers and plain members with exact clocks, a network that only delays,
+//! and counters of what each host sends, receives and looks at. One seed gives the same counts in every run.
+
+use flaxstand_agree::agreement::{Agreement, Config, Found, Reply, To, Wish, Word};
+use flaxstand_agree::book::Version;
+use flaxstand_agree::member::Acting;
+use flaxstand_agree::rules::{Rules, Value};
+use flaxstand_agree::{Micros, Planted};
+use flaxstand_proto::Frame;
+use flaxstand_store::faulty::Faulty;
+use flaxstand_store::{Batch, perform};
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeMap;
+use std::ops::AddAssign;
+use std::time::{Duration, Instant};
+
+/// Keepers of each fleet.
+pub const KEEPERS: usize = 5;
+/// The settings' defaults (docs/agreement.md).
+pub const LEASE: Micros = Micros(3_000_000);
+const ELECTION: Micros = Micros(500_000);
+const CLOCK_ERROR: f64 = 0.001;
+/// Members ask four times in a lease.
+pub const ASK_PERIOD: Micros = Micros(LEASE.0 / 4);
+/// Bytes of a version's text, about those of a site with a dozen classes.
+pub const TEXT_BYTES: usize = 2_000;
+/// Bytes of each host's name.
+pub const NAME_BYTES: usize = 14;
+/// Delay of a message: the least, and by how much it varies.
+const DELAY: (u64, u64) = (200, 4_000);
+/// Time of a durable write: the least, and by how much it varies.
+const WRITE: (u64, u64) = (100, 2_000);
+/// The operator's connection; those of hosts are their numbers.
+const OPERATOR: u64 = 1 << 40;
+/// How often an operator proposes anew what was refused.
+const OPERATOR_RETRY: Micros = Micros(50_000);
+/// Nothing that is waited for takes longer on virtual time.
+const PATIENCE: Micros = Micros(120_000_000);
+
+/// Messages and their bytes as frames on the wire, without TCP and IP.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Count {
+    pub messages: u64,
+    pub bytes: u64,
+}
+
+impl AddAssign for Count {
+    fn add_assign(&mut self, other: Count) {
+        self.messages += other.messages;
+        self.bytes += other.bytes;
+    }
+}
+
+/// What passed one host.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Traffic {
+    pub sent: Count,
+    pub received: Count,
+    /// Answers that brought this host the whole replicated state.
+    pub states_received: u64,
+    /// Members looked at to decide whether a change may come into force.
+    pub members_examined: u64,
+}
+
+/// What a host is in the agreement.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HostRole {
+    Leader,
+    Keeper,
+    Member,
+}
+
+struct Host {
+    agreement: Option<Agreement>,
+    disk: Faulty,
+    storing: Option<Batch>,
+    /// The moment for which its timer is set.
+    timer: Option<Micros>,
+    acting: Acting,
+    acting_since: Micros,
+    traffic: Traffic,
+    /// Members examined before the counters were last set back.
+    examined_before: u64,
+    /// Processor time, measured on the machine that plays the fleet. Never asserted.
+    busy: Duration,
+}
+
+enum Event {
+    Deliver { from: usize, to: usize, word: Word },
+    Timer(usize),
+    Stored(usize),
+}
+
+pub struct Fleet {
+    pub now: Micros,
+    hosts: Vec<Host>,
+    rng: Pcg64Mcg,
+    events: BTreeMap<(Micros, u64), Event>,
+    next_event: u64,
+    /// By version: hosts that act on it alone.
+    acting_alone: BTreeMap<u64, usize>,
+    /// How often a host that had a lease lost it.
+    pub lost_leases: u64,
+    pub replies: Vec<Reply>,
+    frame_overhead: u64,
+}
+
+pub fn host_name(host: usize) -> String {
+    let name = format!("initiator-{host:04}");
+    assert_eq!(name.len(), NAME_BYTES);
+    name
+}
+
+fn host_number(name: &str) -> usize {
+    name.rsplit_once('-').and_then(|(_, digits)| digits.parse().ok()).expect("a host's name")
+}
+
+fn rules(limit: f64) -> Rules {
+    let mut rules = Rules::default();
+    let mut put = |key: &str, value| drop(rules.values.insert(key.to_owned(), value));
+    put("class.read", Value::Number(0.0));
+    put("class.read.effect", Value::Word("repeatable".into()));
+    put("plan.gold", Value::Number(0.0));
+    put("plan.gold.limit-rate", Value::Number(limit));
+    put("plan.gold.limit-burst", Value::Number(limit));
+    rules.floor.insert("plan.gold.limit-rate".into(), Value::Number(1.0));
+    rules.floor.insert("plan.gold.limit-burst".into(), Value::Number(1.0));
+    rules
+}
+
+/// The version that follows `base`; each has another limit.
+pub fn version_after(base: u64) -> Version {
+    Version {
+        rules: rules(100.0 + (base % 50) as f64),
+        text: "x".repeat(TEXT_BYTES),
+        by: "operator".into(),
+        ..Version::default()
+    }
+}
+
+impl Fleet {
+    /// A fleet of `count` hosts, keepers included, of which all that may act on the first version.
+    pub fn at_rest(count: usize, seed: u64) -> Fleet {
+        let mut fleet = Fleet::started(count, seed);
+        fleet.run_until("all act on the first version", |f| f.acting_alone(1) == count);
+        fleet.run_for(LEASE);
+        fleet
+    }
+
+    /// The same fleet, where members have just been started.
+    pub fn started(count: usize, seed: u64) -> Fleet {
+        let frame_overhead = {
+            let mut frame = Vec::new();
+            flaxstand_proto::encode(&Frame::Agreement { bytes: &[] }, &mut frame);
+            frame.len() as u64
+        };
+        let hosts = (0..count)
+            .map(|host| Host {
+                agreement: None,
+                disk: Faulty::new(seed ^ (host as u64) << 32),
+                storing: None,
+                timer: None,
+                acting: Acting::Floor,
+                acting_since: Micros(0),
+                traffic: Traffic::default(),
+                examined_before: 0,
+                busy: Duration::ZERO,
+            })
+            .collect();
+        let mut fleet = Fleet {
+            now: Micros(1_000),
+            hosts,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            events: BTreeMap::new(),
+            next_event: 0,
+            acting_alone: BTreeMap::new(),
+            lost_leases: 0,
+            replies: Vec::new(),
+            frame_overhead,
+        };
+        (0..KEEPERS).for_each(|host| fleet.start(host));
+        fleet.run_until("a leader that may take proposals", |f| {
+            f.leader().is_some_and(|leader| f.takes_proposals(leader))
+        });
+        fleet.propose();
+        fleet.run_until("keepers act on the first version", |f| f.acting_alone(1) == KEEPERS);
+        // Spread evenly over the time between two asks of one member.
+        for host in KEEPERS..count {
+            let next = fleet.now.after(Micros(ASK_PERIOD.0 / count as u64));
+            fleet.run_to(next);
+            fleet.start(host);
+        }
+        fleet
+    }
+
+    fn start(&mut self, host: usize) {
+        let config = Config {
+            name: host_name(host),
+            incarnation: 1,
+            keepers: (0..KEEPERS).map(host_name).collect(),
+            neighbours: Vec::new(),
+            lease: LEASE,
+            clock_error: CLOCK_ERROR,
+            election: ELECTION,
+            seed: self.rng.next_u64(),
+            started_with: rules(100.0),
+            planted: Planted::None,
+        };
+        let found = (host < KEEPERS).then(Found::default);
+        self.hosts[host].agreement = Some(Agreement::new(config, found, None, 0, self.now));
+        self.settle(host);
+    }
+
+    /// Its process ends for good.
+    pub fn kill(&mut self, host: usize) {
+        self.count_acting(host, Acting::Floor);
+        let host = &mut self.hosts[host];
+        (host.agreement, host.storing, host.timer) = (None, None, None);
+    }
+
+    /// An operator proposes the next version to the leader. Returns its number.
+    pub fn propose(&mut self) -> u64 {
+        let leader = self.leader().expect("there is a leader");
+        let base = self.newest();
+        self.operator_asks(leader, Wish::Propose(base, version_after(base)));
+        base + 1
+    }
+
+    /// An operator proposes again and again, until the change is agreed on.
+    pub fn propose_until_taken(&mut self) {
+        let end = self.now.after(PATIENCE);
+        self.replies.clear();
+        while !self.replies.iter().any(|reply| matches!(reply, Reply::Agreed(_))) {
+            assert!(self.now < end, "no proposal is taken: {:?}", self.replies.last());
+            self.propose();
+            self.run_for(OPERATOR_RETRY);
+        }
+    }
+
+    /// An operator proposes a version that was made from none, which is refused once it is agreed on.
+    pub fn propose_from_older_version(&mut self) {
+        let leader = self.leader().expect("there is a leader");
+        self.operator_asks(leader, Wish::Propose(0, version_after(0)));
+    }
+
+    /// An operator's message to one host.
+    pub fn operator_asks(&mut self, host: usize, wish: Wish) {
+        let now = self.now;
+        let agreement = self.hosts[host].agreement.as_mut().expect("it is up");
+        agreement.heard(OPERATOR, None, Word::Wish(wish), now);
+        self.settle(host);
+    }
+
+    /// The newest version in force that the leader, or else any host, knows of.
+    pub fn newest(&self) -> u64 {
+        let states = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.book());
+        states.map(|(_, state)| state.acting.number).max().unwrap_or(0)
+    }
+
+    /// The keeper that leads.
+    pub fn leader(&self) -> Option<usize> {
+        let status = |host: &usize| self.hosts[*host].agreement.as_ref()?.keeper(self.now);
+        let leaders = (0..KEEPERS)
+            .filter(|host| status(host).is_some_and(|s| s.standing == flaxstand_agree::Standing::Leader));
+        leaders.max_by_key(|host| status(host).map(|s| s.term))
+    }
+
+    /// Index of the newest entry of any keeper's log.
+    pub fn last_entry(&self) -> u64 {
+        let keepers = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.keeper(self.now));
+        keepers.map(|status| status.last).max().unwrap_or(0)
+    }
+
+    /// Whether a leader has committed all that it knows of.
+    pub fn takes_proposals(&self, leader: usize) -> bool {
+        let keeper = self.hosts[leader].agreement.as_ref().and_then(|a| a.keeper(self.now));
+        keeper.is_some_and(|status| status.committed == status.last)
+    }
+
+    /// Hosts that act on this version alone.
+    pub fn acting_alone(&self, version: u64) -> usize {
+        self.acting_alone.get(&version).copied().unwrap_or(0)
+    }
+
+    /// Hosts that have no lease.
+    pub fn on_floor(&self) -> usize {
+        self.hosts.iter().filter(|h| h.agreement.is_some() && h.acting == Acting::Floor).count()
+    }
+
+    /// Since when each host that acts on this version alone does so, in order.
+    pub fn acting_alone_since(&self, version: u64) -> Vec<Micros> {
+        let of_version = self.hosts.iter().filter(|h| h.acting == Acting::Alone(version));
+        let mut since: Vec<Micros> = of_version.map(|h| h.acting_since).collect();
+        since.sort_unstable();
+        since
+    }
+
+    /// Bytes of the replicated state as a host has it.
+    pub fn state_bytes(&self, host: usize) -> u64 {
+        let agreement = self.hosts[host].agreement.as_ref();
+        agreement.and_then(Agreement::book).map_or(0, |(_, state)| state.bytes().len() as u64)
+    }
+
+    /// Members that a host's replicated state lists.
+    pub fn members_listed(&self, host: usize) -> usize {
+        let agreement = self.hosts[host].agreement.as_ref();
+        agreement.and_then(Agreement::book).map_or(0, |(_, state)| state.members.len())
+    }
+
+    /// What passed each host since the counters were set back, with its role now.
+    pub fn traffic(&self) -> Vec<(HostRole, Traffic)> {
+        let leader = self.leader();
+        let with_role = |(number, host): (usize, &Host)| {
+            let role = match number {
+                number if Some(number) == leader => HostRole::Leader,
+                number if number < KEEPERS => HostRole::Keeper,
+                _ => HostRole::Member,
+            };
+            let examined = self.examined(number).saturating_sub(host.examined_before);
+            (role, Traffic { members_examined: examined, ..host.traffic })
+        };
+        self.hosts.iter().enumerate().map(with_role).collect()
+    }
+
+    /// Processor time of a host since the counters were set back, as measured here and now.
+    pub fn busy(&self, host: usize) -> Duration {
+        self.hosts[host].busy
+    }
+
+    pub fn reset_counters(&mut self) {
+        for number in 0..self.hosts.len() {
+            let examined = self.examined(number);
+            let host = &mut self.hosts[number];
+            (host.traffic, host.busy, host.examined_before) = (Traffic::default(), Duration::ZERO, examined);
+        }
+        self.lost_leases = 0;
+    }
+
+    fn examined(&self, host: usize) -> u64 {
+        self.hosts[host].agreement.as_ref().map_or(0, Agreement::members_examined)
+    }
+
+    pub fn run_for(&mut self, time: Micros) {
+        self.run_to(self.now.after(time));
+    }
+
+    /// Goes on until something is true, in steps of one event.
+    pub fn run_until(&mut self, what: &str, reached: impl Fn(&Fleet) -> bool) {
+        let end = self.now.after(PATIENCE);
+        while !reached(self) {
+            assert!(self.now < end && self.step(end), "not within {} s: {what}", PATIENCE.0 / 1_000_000);
+        }
+    }
+
+    fn run_to(&mut self, end: Micros) {
+        while self.step(end) {}
+        self.now = self.now.max(end);
+    }
+
+    /// The next event up to a moment, if there is one.
+    fn step(&mut self, end: Micros) -> bool {
+        let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= end) else {
+            return false;
+        };
+        self.now = entry.key().0;
+        match entry.remove() {
+            Event::Deliver { from, to, word } => self.deliver(from, to, word),
+            Event::Timer(host) if self.hosts[host].timer == Some(self.now) => {
+                self.hosts[host].timer = None;
+                self.settle(host);
+            }
+            Event::Timer(_) => {}
+            Event::Stored(host) => self.store(host),
+        }
+        true
+    }
+
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.next_event += 1;
+        self.events.insert((at, self.next_event), event);
+    }
+
+    fn drawn(&mut self, (least, varies): (u64, u64)) -> Micros {
+        Micros(least + self.rng.next_u64() % varies)
+    }
+
+    fn deliver(&mut self, from: usize, to: usize, word: Word) {
+        let size = self.size(&word);
+        let now = self.now;
+        let host = &mut self.hosts[to];
+        let Some(agreement) = &mut host.agreement else { return };
+        host.traffic.received += size;
+        if let Word::Answer(answer) = &word
+            && answer.book.is_some()
+            && host_number(&answer.name) == to
+        {
+            host.traffic.states_received += 1;
+        }
+        let began = Instant::now();
+        agreement.heard(from as u64, Some(&host_name(from)), word, now);
+        host.busy += began.elapsed();
+        self.settle(to);
+    }
+
+    fn store(&mut self, host: usize) {
+        let now = self.now;
+        let host_state = &mut self.hosts[host];
+        if let Some(batch) = host_state.storing.take()
+            && let Some(agreement) = &mut host_state.agreement
+        {
+            let well = perform(&mut host_state.disk, &batch).is_ok();
+            agreement.stored(well, now);
+        }
+        self.settle(host);
+    }
+
+    fn size(&self, word: &Word) -> Count {
+        let bytes = postcard::to_stdvec(word).expect("plain values can be written").len() as u64;
+        Count { messages: 1, bytes: bytes + self.frame_overhead }
+    }
+
+    /// One turn of a host, as the gateway's core has it.
+    fn settle(&mut self, number: usize) {
+        let now = self.now;
+        let began = Instant::now();
+        let host = &mut self.hosts[number];
+        let Some(agreement) = &mut host.agreement else { return };
+        if agreement.wake(now) <= now {
+            agreement.tick(now);
+        }
+        let _rules = agreement.passage(now);
+        let acting = agreement.acting(now);
+        let batch = if host.storing.is_none() { agreement.batch(now) } else { None };
+        let _saved = agreement.take_unsaved();
+        let words = agreement.take_words();
+        let wake = agreement.wake(now).max(Micros(now.0 + 1));
+        self.count_acting(number, acting);
+        if let Some(batch) = batch {
+            self.hosts[number].storing = Some(batch);
+            let done = now.after(self.drawn(WRITE));
+            self.schedule(done, Event::Stored(number));
+        }
+        for (to, word) in words {
+            self.send(number, to, word);
+        }
+        if self.hosts[number].timer != Some(wake) {
+            self.hosts[number].timer = Some(wake);
+            self.schedule(wake, Event::Timer(number));
+        }
+        self.hosts[number].busy += began.elapsed();
+    }
+
+    fn send(&mut self, from: usize, to: To, word: Word) {
+        let to = match to {
+            To::Peer(name) => host_number(&name),
+            To::Back(OPERATOR) => {
+                if let Word::Reply(reply) = word {
+                    self.replies.push(reply);
+                }
+                return;
+            }
+            To::Back(connection) => connection as usize,
+        };
+        let size = self.size(&word);
+        self.hosts[from].traffic.sent += size;
+        let arrives = self.now.after(self.drawn(DELAY));
+        self.schedule(arrives, Event::Deliver { from, to, word });
+    }
+
+    fn count_acting(&mut self, number: usize, acting: Acting) {
+        let now = self.now;
+        let host = &mut self.hosts[number];
+        let before = std::mem::replace(&mut host.acting, acting);
+        if before == acting {
+            return;
+        }
+        host.acting_since = now;
+        if let Acting::Alone(version) = before {
+            *self.acting_alone.entry(version).or_default() -= 1;
+        }
+        if let Acting::Alone(version) = acting {
+            *self.acting_alone.entry(version).or_default() += 1;
+        }
+        if acting == Acting::Floor {
+            self.lost_leases += 1;
+        }
+    }
+}
--- /dev/null
+++ b/crates/flaxstand-agree/tests/capacity/measurements.rs
@@ -0,0 +1,87 @@
+//! Measurements of large fleets, and of what bounds hold: printed for `docs/CAPACITY.md`, no checks.
+
+use crate::fleet::{Fleet, HostRole};
+use crate::scenarios::{SEED, change_after, costs_at_rest, leader_loss, state_after};
+use crate::{scenarios, tables};
+use flaxstand_agree::Micros;
+use flaxstand_agree::book::MEMBERS_MOST;
+use flaxstand_agree::keeper::STATE_MOST;
+
+/// Changes before the one that is measured, in large fleets: each takes its time to play.
+const FEW_CHANGES: usize = 1;
+
+fn measure(size: usize) {
+    let mut fleet = Fleet::started(size, SEED);
+    let since = fleet.now;
+    fleet.run_until("all act on the first version", |f| f.acting_alone(1) == size);
+    println!("{size} members started within one ask's time act on the first version {:.0} ms later", {
+        fleet.now.since(since).ms()
+    });
+    for (role, traffic) in fleet.traffic() {
+        if role == HostRole::Leader {
+            println!("    the leader sent {:?} until then", traffic.sent);
+        }
+    }
+    let rest = costs_at_rest(&mut fleet);
+    tables::print_rest(size, &rest);
+    let change = change_after(&mut fleet, size, FEW_CHANGES);
+    tables::print_change(size, &change);
+    println!("    the leader's turns took {:.1} ms here", change.leader_busy.as_secs_f64() * 1e3);
+}
+
+#[test]
+#[ignore = "a measurement, no check"]
+fn measurement_processor_time_of_a_change() {
+    for size in crate::SIZES {
+        let change = scenarios::change(size);
+        println!("{size} members: the leader's turns took {:.1} ms", change.leader_busy.as_secs_f64() * 1e3);
+    }
+}
+
+#[test]
+#[ignore = "a measurement, no check"]
+fn measurement_1000_members() {
+    measure(1_000);
+    tables::print_leader_loss(1_000, &leader_loss(1_000));
+}
+
+#[test]
+#[ignore = "a measurement, no check: a minute and 2 GB"]
+fn measurement_4000_members() {
+    measure(4_000);
+}
+
+/// More than the replicated state lists: those beyond are refused, and ask again.
+#[test]
+#[ignore = "a measurement, no check: a minute and 3 GB"]
+fn measurement_4600_members_of_which_some_are_beyond_members_most() {
+    let size = 4_600;
+    let mut fleet = Fleet::started(size, SEED);
+    fleet.run_until("as many as are listed act on the first version", |f| f.acting_alone(1) >= MEMBERS_MOST);
+    fleet.reset_counters();
+    let (since, log_before) = (fleet.now, fleet.last_entry());
+    fleet.run_for(Micros(750_000));
+    println!(
+        "{size} members: {} on a version, {} on the floor, {} listed",
+        fleet.acting_alone(1),
+        fleet.on_floor(),
+        fleet.members_listed(0)
+    );
+    println!(
+        "    {} entries were written in {:.0} ms",
+        fleet.last_entry() - log_before,
+        fleet.now.since(since).ms()
+    );
+    tables::print_rest(size, &scenarios::Costs::of(&fleet, since));
+}
+
+#[test]
+#[ignore = "a measurement, no check"]
+fn measurement_bytes_of_the_replicated_state() {
+    for changes in [1, 6, 200] {
+        for members in [0, 1_000, MEMBERS_MOST] {
+            let bytes = state_after(changes, members).bytes().len();
+            println!("{members} members after {changes} changes: {bytes} bytes of {STATE_MOST}");
+        }
+    }
+}
