--- a/crates/flaxstand-agree/tests/capacity/measurements.rs
+++ b/crates/flaxstand-agree/tests/capacity/measurements.rs
@@ -4,8 +4,9 @@
 use crate::scenarios::{CHANGES_BEFORE, SEED, change_after, costs_at_rest, leader_loss, state_after};
 use crate::{scenarios, tables};
 use flaxstand_agree::Micros;
-use flaxstand_agree::book::MEMBERS_MOST;
+use flaxstand_agree::book::{Book, Change, MEMBERS_MOST, RULES_MOST, TEXT_MOST, Version};
 use flaxstand_agree::keeper::STATE_MOST;
+use flaxstand_agree::rules::{Rules, Value};
 
 /// Changes before the one that is measured, in large fleets: each takes its time to play.
 const FEW_CHANGES: usize = 1;
@@ -87,3 +88,33 @@
         }
     }
 }
+
+/// Names as long as the settings let them be, and files and rules as large as a proposal may have them: a state
+/// beyond `STATE_MOST` ends every keeper at `Keeper::compact`.
+#[test]
+#[ignore = "a measurement, no check"]
+fn measurement_bytes_of_the_replicated_state_at_its_bounds() {
+    /// Of the settings (`initiator "NAME"`).
+    const LONGEST_NAME: usize = 100;
+    for (name_bytes, rules_bytes) in
+        [(14, 0), (LONGEST_NAME, 0), (14, RULES_MOST), (LONGEST_NAME, RULES_MOST)]
+    {
+        let mut state = Book::default();
+        for base in 0..6 {
+            let mut rules = Rules::default();
+            let large = "x".repeat(rules_bytes.saturating_sub(64));
+            rules.values.insert("class.read.effect".into(), Value::Word(large));
+            let version = Version { rules, text: "x".repeat(TEXT_MOST), ..Version::default() };
+            let number = state.apply(Change::Propose { base, version }).expect("it follows");
+            let _first_is_in_force = state.apply(Change::InForce { number, why: String::new(), at: 0 });
+        }
+        for member in 0..MEMBERS_MOST {
+            state.apply(Change::Join(format!("{member:0name_bytes$}"))).expect("there is room");
+        }
+        let bytes = state.bytes().len();
+        println!(
+            "{MEMBERS_MOST} names of {name_bytes} bytes, texts of {TEXT_MOST}, rules of {rules_bytes}: \
+             {bytes} bytes of {STATE_MOST}"
+        );
+    }
+}
--- a/crates/flaxstand-agree/tests/capacity/scenarios.rs
+++ b/crates/flaxstand-agree/tests/capacity/scenarios.rs
@@ -84,6 +84,8 @@
 pub struct ChangeCosts {
     pub costs: Costs,
     pub in_force: InForce,
+    /// From the proposal until the next one is taken.
+    pub next_taken_after: Micros,
     /// Of a member, once it is in force.
     pub state_bytes: u64,
     /// The leader's, on the machine that played it. Never asserted.
@@ -92,8 +94,8 @@
 
 impl ChangeCosts {
     /// All but what depends on the machine.
-    pub fn counts(&self) -> (Costs, InForce, u64) {
-        (self.costs, self.in_force, self.state_bytes)
+    pub fn counts(&self) -> (Costs, InForce, Micros, u64) {
+        (self.costs, self.in_force, self.next_taken_after, self.state_bytes)
     }
 }
 
@@ -144,12 +146,12 @@
     let since = fleet.now;
     let version = change_in_force(fleet, count);
     let leader = fleet.leader().expect("there is a leader");
-    ChangeCosts {
-        costs: Costs::of(fleet, since),
-        in_force: InForce::of(&fleet.acting_alone_since(version), since),
-        state_bytes: fleet.state_bytes(leader),
-        leader_busy: fleet.busy(leader),
-    }
+    let (costs, leader_busy) = (Costs::of(fleet, since), fleet.busy(leader));
+    let in_force = InForce::of(&fleet.acting_alone_since(version), since);
+    let state_bytes = fleet.state_bytes(leader);
+    fleet.propose_until_taken();
+    let next_taken_after = fleet.now.since(since);
+    ChangeCosts { costs, in_force, next_taken_after, state_bytes, leader_busy }
 }
 
 fn change_in_force(fleet: &mut Fleet, count: usize) -> u64 {
--- a/crates/flaxstand-agree/tests/capacity/tables.rs
+++ b/crates/flaxstand-agree/tests/capacity/tables.rs
@@ -40,11 +40,12 @@
 pub fn print_change(size: usize, change: &ChangeCosts) {
     let in_force = &change.in_force;
     println!(
-        "one change, {size} members: in force after {:.0} ms (median), {:.0} ms (99 %), {:.0} ms (last); \
-         state {} bytes; leader examines {} members",
+        "one change, {size} members: in force after {:.0} ms (median), {:.0} ms (99 %), {:.0} ms (last), next taken after \
+         {:.0} ms; state {} bytes; leader examines {} members",
         in_force.median.ms(),
         in_force.percentile_99.ms(),
         in_force.last.ms(),
+        change.next_taken_after.ms(),
         change.state_bytes,
         change.costs.leader.members_examined,
     );
