--- a/crates/flaxstand-agree/src/agreement.rs
+++ b/crates/flaxstand-agree/src/agreement.rs
@@ -7,8 +7,8 @@
 use crate::book::{Book, Change, RULES_MOST, TEXT_MOST, Version};
 use crate::journal::State;
 use crate::keeper::{Agreed, Config as KeeperConfig, Keeper, Planted, ProposeError, Status};
-use crate::letter::Letter;
 use crate::member::{Acting, Member};
+use crate::message::Message;
 use crate::rules::Rules;
 use crate::warden::{Answer, Ask, Holds, Warden};
 use flaxstand_proto::Micros;
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Word {
     /// Between keepers.
-    Letter(Letter),
+    Keeper(Message),
     /// A member's ask, and how many times it was passed on.
     Ask(u8, Ask),
     /// Its answer.
@@ -254,9 +254,9 @@
     /// operator.
     pub fn heard(&mut self, conn: u64, from: Option<&str>, word: Word, now: Micros) {
         match (word, from) {
-            (Word::Letter(letter), Some(name)) if letter.from.name == name => {
+            (Word::Keeper(message), Some(name)) if message.from.name == name => {
                 if let Some(keeper) = &mut self.keeper {
-                    keeper.receive(letter, now);
+                    keeper.receive(message, now);
                 }
             }
             (Word::Ask(hops, ask), Some(_)) if hops <= HOPS_MOST => self.asked(Some(conn), hops, ask, now),
@@ -325,8 +325,10 @@
     pub fn take_words(&mut self) -> Vec<(To, Word)> {
         let mut words: Vec<(To, Word)> = self.words.drain(..).collect();
         if let Some(keeper) = &mut self.keeper {
-            let letters = keeper.take_letters();
-            words.extend(letters.into_iter().map(|l| (To::Peer(l.to.clone()), Word::Letter(l))));
+            let messages = keeper.take_messages();
+            words.extend(
+                messages.into_iter().map(|message| (To::Peer(message.to.clone()), Word::Keeper(message))),
+            );
         }
         words
     }
--- a/crates/flaxstand-agree/src/election.rs
+++ b/crates/flaxstand-agree/src/election.rs
@@ -3,8 +3,8 @@
 use crate::journal::Record;
 use crate::keeper::{Keeper, Planted, Role};
 use crate::leading::Leading;
-use crate::letter::{Body, Member};
 use crate::log::What;
+use crate::message::{Body, Member};
 use flaxstand_proto::Micros;
 use std::collections::BTreeSet;
 use tracing::info;
--- a/crates/flaxstand-agree/src/following.rs
+++ b/crates/flaxstand-agree/src/following.rs
@@ -2,8 +2,8 @@
 
 use crate::journal::Record;
 use crate::keeper::{Keeper, Planted};
-use crate::letter::{Body, Member};
 use crate::log::{Entry, Snapshot};
+use crate::message::{Body, Member};
 use flaxstand_proto::Micros;
 use tracing::info;
 
@@ -16,7 +16,7 @@
 }
 
 impl Keeper {
-    /// Whether the letter comes from this term's leader, who is followed from now on.
+    /// Whether the message comes from this term's leader, who is followed from now on.
     fn led_by(&mut self, from: &Member, term: u64, now: Micros) -> bool {
         if term < self.state.term {
             return false;
@@ -52,7 +52,7 @@
             return Heard::Missing(self.committed);
         }
         let upto = before + entries.len() as u64;
-        // What is here already stays: a late letter must not take back what a newer one brought.
+        // What is here already stays: a late message must not take back what a newer one brought.
         let known =
             |(index, e): &(u64, Entry)| *index <= log.snapshot.index || log.term(*index) == Some(e.term);
         let new: Vec<(u64, Entry)> = (before + 1..).zip(entries).skip_while(known).collect();
--- a/crates/flaxstand-agree/src/identity.rs
+++ b/crates/flaxstand-agree/src/identity.rs
@@ -6,8 +6,8 @@
 //! - **A lost disk.** A keeper whose folder is empty or damaged draws a new incarnation. No electorate knows it, so
 //!   it has no vote; the leader takes it in, by two changes of the electorate, once the one of that name before it
 //!   has been silent for long.
-//! - **An old copy.** Each start is a life, durable before anything is said, and each letter tells how many promises
-//!   (terms, votes, entries) its sender has written down. Whoever acts on a letter has noted both, durably. A life
+//! - **An old copy.** Each start is a life, durable before anything is said, and each message tells how many promises
+//!   (terms, votes, entries) its sender has written down. Whoever acts on a message has noted both, durably. A life
 //!   that begins with fewer promises than were heard of is that of an old copy, and renounces itself: it comes back
 //!   as new. After a start a keeper neither votes nor confirms until one of these holds: *all* others have said that
 //!   they heard of no more than it knows, or that they lost their disks (some alone would not do: a promise is known
@@ -18,8 +18,8 @@
 
 use crate::journal::State;
 use crate::keeper::{Keeper, Planted, Role};
-use crate::letter::{Body, Letter, Life, Member, Seen};
 use crate::log::Snapshot;
+use crate::message::{Body, Life, Member, Message, Seen};
 use flaxstand_proto::Micros;
 use rand_core::RngCore;
 use std::collections::BTreeSet;
@@ -111,20 +111,20 @@
         }
     }
 
-    /// Whether the letter comes from its sender's newest life. An older one, or one that begins with less than was
-    /// heard of it before, is told so, and its letter dropped.
-    pub(crate) fn newest_life(&mut self, letter: &Letter) -> bool {
-        let heard = Seen { life: letter.life, written: letter.written };
-        match self.state.seen.get(&letter.from) {
+    /// Whether the message comes from its sender's newest life. An older one, or one that begins with less than was
+    /// heard of it before, is told so, and its message dropped.
+    pub(crate) fn newest_life(&mut self, message: &Message) -> bool {
+        let heard = Seen { life: message.life, written: message.written };
+        match self.state.seen.get(&message.from) {
             // What comes late in one life says less.
-            Some(newest) if letter.life == newest.life && heard.written <= newest.written => true,
-            Some(newest) if letter.life.superseded_by(*newest) => {
+            Some(newest) if message.life == newest.life && heard.written <= newest.written => true,
+            Some(newest) if message.life.superseded_by(*newest) => {
                 let newest = *newest;
-                self.tell(&letter.from, Body::Superseded(newest));
+                self.tell(&message.from, Body::Superseded(newest));
                 false
             }
             _ => {
-                self.note_seen(letter.from.clone(), heard);
+                self.note_seen(message.from.clone(), heard);
                 true
             }
         }
@@ -132,7 +132,7 @@
 
     /// Guards against an old copy of the folder: what this keeper promised beyond it, it does not know.
     pub(crate) fn superseded(&mut self, newest: Seen) {
-        // A letter of an earlier life that came late is answered so too.
+        // A message of an earlier life that came late is answered so too.
         if self.state.life.superseded_by(newest) {
             warn!(own = ?self.state.life, ?newest, "more was heard of this keeper than it knows");
             self.renounce("its folder is an old copy");
--- a/crates/flaxstand-agree/src/journal.rs
+++ b/crates/flaxstand-agree/src/journal.rs
@@ -6,8 +6,8 @@
 //! segment, and only then the older ones go. A frame at the end that does not check out was never told; one with
 //! an intact later frame behind it was, so what is there can't be trusted and the keeper has lost its disk.
 
-use crate::letter::{Life, Member, Seen};
 use crate::log::{Entry, Log};
+use crate::message::{Life, Member, Seen};
 use flaxstand_proto::Micros;
 use flaxstand_store::{Batch, Storage, StoreOp};
 use serde::{Deserialize, Serialize};
--- a/crates/flaxstand-agree/src/keeper.rs
+++ b/crates/flaxstand-agree/src/keeper.rs
@@ -1,9 +1,9 @@
-//! One keeper: letters, moments and word of the disk in; letters, batches and what is agreed on out.
+//! One keeper: messages, moments and word of the disk in; messages, batches and what is agreed on out.
 
 use crate::journal::{Journal, Record, State};
 use crate::leading::Leading;
-use crate::letter::{Body, Letter, Life, Member, Seen};
 use crate::log::{Entry, What};
+use crate::message::{Body, Life, Member, Message, Seen};
 use flaxstand_proto::Micros;
 use flaxstand_store::Batch;
 use rand_core::{RngCore, SeedableRng};
@@ -16,11 +16,11 @@
 pub const CHANGE_MOST: usize = 128 << 10;
 /// Most bytes of what the owner makes of all changes.
 pub const STATE_MOST: usize = 768 << 10;
-/// Most bytes of entries in one letter, where one entry alone is not larger.
-pub const LETTER_MOST: usize = 256 << 10;
+/// Most bytes of entries in one message, where one entry alone is not larger.
+pub const MESSAGE_MOST: usize = 256 << 10;
 /// Most entries that are not agreed on yet. A change beyond them has to wait.
 pub const OPEN_MOST: u64 = 16;
-/// Letters that wait for the disk, most. The oldest is dropped then: all that matters is said again.
+/// Messages that wait for the disk, most. The oldest is dropped then: all that matters is said again.
 const HELD_MOST: usize = 256;
 /// Lives of others that are remembered, most; beyond that those that are not in the electorate go.
 const SEEN_MOST: usize = 64;
@@ -34,7 +34,7 @@
     None,
     /// An entry of an earlier term counts as committed by the number of its holders.
     EarlierTermCommitted,
-    /// Letters do not wait for the disk.
+    /// Messages do not wait for the disk.
     ToldBeforeDurable,
     /// Votes are not written down.
     VoteNotWritten,
@@ -178,7 +178,7 @@
     /// A new founder heard that there is an agreement already.
     pub(crate) founded_elsewhere: bool,
     pub(crate) call_at: Micros,
-    held: VecDeque<(u64, Letter)>,
+    held: VecDeque<(u64, Message)>,
     agreed: VecDeque<Agreed>,
 }
 
@@ -224,16 +224,16 @@
         keeper
     }
 
-    /// A letter came.
-    pub fn receive(&mut self, letter: Letter, now: Micros) {
-        let known = letter.from.name != self.config.name && self.config.names.contains(&letter.from.name);
-        let to_me = letter.to == self.config.name
-            && letter.incarnation.is_none_or(|i| i == self.state.me.incarnation);
-        if !known || !to_me || !self.same_agreement(&letter) || !self.newest_life(&letter) {
-            debug!(?letter, known, to_me, "a letter is left unread");
+    /// A message came.
+    pub fn receive(&mut self, message: Message, now: Micros) {
+        let known = message.from.name != self.config.name && self.config.names.contains(&message.from.name);
+        let to_me = message.to == self.config.name
+            && message.incarnation.is_none_or(|i| i == self.state.me.incarnation);
+        if !known || !to_me || !self.same_agreement(&message) || !self.newest_life(&message) {
+            debug!(?message, known, to_me, "a message is left unread");
             return;
         }
-        let Letter { from, term, body, life, .. } = letter;
+        let Message { from, term, body, life, .. } = message;
         match body {
             Body::AskFresh => self.asked_fresh(&from),
             Body::Fresh => self.heard_fresh(from),
@@ -265,18 +265,20 @@
         }
     }
 
-    /// A letter may belong to this agreement; one that is new enters the agreement that calls it by its
+    /// A message may belong to this agreement; one that is new enters the agreement that calls it by its
     /// incarnation.
-    fn same_agreement(&mut self, letter: &Letter) -> bool {
-        if letter.cluster == 0 || letter.cluster == self.state.cluster {
+    fn same_agreement(&mut self, message: &Message) -> bool {
+        if message.cluster == 0 || message.cluster == self.state.cluster {
             return true;
         }
-        let calls =
-            matches!(letter.body, Body::Append { .. } | Body::Install(..) | Body::PreVote(_) | Body::Vote(_));
+        let calls = matches!(
+            message.body,
+            Body::Append { .. } | Body::Install(..) | Body::PreVote(_) | Body::Vote(_)
+        );
         if self.state.cluster == 0 {
-            if calls && letter.incarnation == Some(self.state.me.incarnation) {
-                info!(cluster = letter.cluster, from = letter.from.name, "entering the agreement");
-                self.state.cluster = letter.cluster;
+            if calls && message.incarnation == Some(self.state.me.incarnation) {
+                info!(cluster = message.cluster, from = message.from.name, "entering the agreement");
+                self.state.cluster = message.cluster;
                 self.state.written += 1;
                 self.fresh.clear();
                 self.journal.renew(self.state.log.last());
@@ -284,9 +286,9 @@
             return true;
         }
         warn!(
-            theirs = letter.cluster,
+            theirs = message.cluster,
             ours = self.state.cluster,
-            from = letter.from.name,
+            from = message.from.name,
             "another agreement"
         );
         false
@@ -361,12 +363,12 @@
         self.settle_commit();
     }
 
-    /// Letters to send: those that say nothing that is not durable yet.
-    pub fn take_letters(&mut self) -> Vec<Letter> {
+    /// Messages to send: those that say nothing that is not durable yet.
+    pub fn take_messages(&mut self) -> Vec<Message> {
         let all = self.config.planted == Planted::ToldBeforeDurable;
         let durable = self.journal.durable();
         let ready = self.held.iter().take_while(|(after, _)| all || *after <= durable).count();
-        self.held.drain(..ready).map(|(_, letter)| letter).collect()
+        self.held.drain(..ready).map(|(_, message)| message).collect()
     }
 
     /// What was agreed on since the last call, in order.
@@ -432,7 +434,7 @@
             Role::Candidate { pre, granted } => format!("{pre} {granted:?}"),
             Role::Leader(leading) => leading.essence(),
         };
-        let held: Vec<&Body> = self.held.iter().map(|(_, l)| &l.body).collect();
+        let held: Vec<&Body> = self.held.iter().map(|(_, message)| &message.body).collect();
         format!("{s:?} {role} {} {heard} {:?} {held:?}", self.committed, self.unsure)
     }
 
@@ -464,7 +466,7 @@
         self.state.log.electorate().1.contains(&self.state.me)
     }
 
-    /// Queues a letter; it leaves once all that was noted so far is durable.
+    /// Queues a message; it leaves once all that was noted so far is durable.
     pub(crate) fn tell(&mut self, to: &Member, body: Body) {
         self.put(to.name.clone(), Some(to.incarnation), body);
     }
@@ -481,7 +483,7 @@
             self.held.pop_front();
         }
         let s = &self.state;
-        let letter = Letter {
+        let message = Message {
             cluster: s.cluster,
             from: s.me.clone(),
             life: s.life,
@@ -491,7 +493,7 @@
             term: s.term,
             body,
         };
-        self.held.push_back((self.journal.queued(), letter));
+        self.held.push_back((self.journal.queued(), message));
     }
 
     /// Notes a promise: what may not be forgotten once it was told.
--- a/crates/flaxstand-agree/src/leading.rs
+++ b/crates/flaxstand-agree/src/leading.rs
@@ -2,9 +2,9 @@
 //! keepers in.
 
 use crate::journal::Record;
-use crate::keeper::{Keeper, LETTER_MOST, Planted, Role};
-use crate::letter::{Body, Life, Member};
+use crate::keeper::{Keeper, MESSAGE_MOST, Planted, Role};
 use crate::log::{Entry, What};
+use crate::message::{Body, Life, Member};
 use flaxstand_proto::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{info, warn};
@@ -26,7 +26,7 @@
     /// The entry to send next.
     next: u64,
     heard: Micros,
-    /// When the newest of the letters was written that it answered.
+    /// When the newest of the messages was written that it answered.
     stamped: Micros,
     /// It started in this life, and asked at that moment for word of it; and what it has since.
     unsure: Option<(Life, Micros, u64)>,
@@ -114,7 +114,7 @@
     }
 
     /// Until when nobody else can lead, as far as a majority's answers prove: nobody who heard this leader helps
-    /// another to lead for an election's time, counted from when it heard, which is after the letter was written.
+    /// another to lead for an election's time, counted from when it heard, which is after the message was written.
     /// A tenth is left for clocks. None: it does not lead, or may not yet know all that was agreed on.
     pub fn leads_until(&self, now: Micros) -> Option<Micros> {
         let Role::Leader(leading) = &self.role else { return None };
@@ -158,7 +158,7 @@
         let before = peer.next - 1;
         let body = match log.term(before) {
             Some(term) => {
-                let entries = log.after(before, LETTER_MOST);
+                let entries = log.after(before, MESSAGE_MOST);
                 Body::Append { prev: (before, term), entries, commit: self.committed, stamp: now.0 }
             }
             // What it needs is here no more.
@@ -238,7 +238,7 @@
         }
         for (member, life) in ready {
             self.tell(&member, Body::UpToDate(life));
-            // Told again if it asks again: the letter may be lost.
+            // Told again if it asks again: the message may be lost.
             if let Role::Leader(leading) = &mut self.role
                 && let Some(peer) = leading.peers.get_mut(&member)
             {
--- a/crates/flaxstand-agree/src/log.rs
+++ b/crates/flaxstand-agree/src/log.rs
@@ -1,6 +1,6 @@
 //! Entries, and the snapshot in place of those before them.
 
-use crate::letter::Member;
+use crate::message::Member;
 use serde::{Deserialize, Serialize};
 
 /// What an entry says.
--- a/crates/flaxstand-agree/src/letter.rs
+++ b/crates/flaxstand-agree/src/message.rs
@@ -1,4 +1,4 @@
-//! What keepers say to each other. Letters may be lost, doubled, late and out of order.
+//! What keepers say to each other. Messages may be lost, doubled, late and out of order.
 
 use crate::log::{Entry, Snapshot};
 use serde::{Deserialize, Serialize};
@@ -44,9 +44,9 @@
     }
 }
 
-/// A letter.
+/// A message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Letter {
+pub struct Message {
     /// Which agreement it belongs to; 0: its sender has none yet.
     pub cluster: u64,
     /// Its sender.
@@ -65,7 +65,7 @@
     pub body: Body,
 }
 
-/// What a letter says.
+/// What a message says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
     /// The founder asks whether the other is as new as itself.
--- a/crates/flaxstand-agree/tests/keepers/main.rs
+++ b/crates/flaxstand-agree/tests/keepers/main.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use flaxstand_agree::{
-    Body, Config, Entry, Keeper, Letter, Life, Member, Planted, Snapshot, Standing, State, What,
+    Body, Config, Entry, Keeper, Life, Member, Message, Planted, Snapshot, Standing, State, What,
 };
 use rig::{World, ms};
 
@@ -124,7 +124,7 @@
     w.run(ms(200));
     let term = w.nodes[leader].keeper.as_ref().expect("up").state().term;
     let deaf = (leader + 1) % 3;
-    // The leader's letters do not reach it; its own reach everyone.
+    // The leader's messages do not reach it; its own reach everyone.
     w.cut.insert((leader, deaf));
     w.run(ms(3000));
     assert_eq!(w.leader(), Some(leader));
@@ -290,7 +290,7 @@
     let mut k = Keeper::start(config, Some(state), Vec::new(), ms(1));
     let (life, me) = (k.state().life, k.state().me.clone());
     let says = |k: &mut Keeper, from: u64, term: u64, body: Body| {
-        let letter = Letter {
+        let message = Message {
             cluster: 7,
             from: member(from),
             life: Life { count: 1, nonce: from, began: 0 },
@@ -300,7 +300,7 @@
             term,
             body,
         };
-        k.receive(letter, ms(400));
+        k.receive(message, ms(400));
         while k.batch(ms(400)).is_some() {
             k.stored(true, ms(400));
         }
--- a/crates/flaxstand-agree/tests/keepers/rig.rs
+++ b/crates/flaxstand-agree/tests/keepers/rig.rs
@@ -1,7 +1,7 @@
 //! Keepers on virtual time, each with a disk that does its worst, between links that lose, double, delay and cut.
 //! Everything they tell is checked from outside: who was voted for, who led, what was agreed on.
 
-use flaxstand_agree::{Agreed, Body, Config, Keeper, Letter, Member, Micros, Planted, Recovered, recover};
+use flaxstand_agree::{Agreed, Body, Config, Keeper, Member, Message, Micros, Planted, Recovered, recover};
 use flaxstand_store::faulty::{Faults, Faulty};
 use flaxstand_store::{Batch, Storage as _, perform};
 use rand_core::{RngCore, SeedableRng};
@@ -31,12 +31,12 @@
     pub rng: Pcg64Mcg,
     planted: Planted,
     names: Vec<String>,
-    /// On their way: when they come, an order among them, where from, the letter.
-    letters: BTreeMap<(Micros, u64), Letter>,
-    next_letter: u64,
+    /// On their way: when they come, an order among them, where from, the message.
+    messages: BTreeMap<(Micros, u64), Message>,
+    next_message: u64,
     /// Directed links that pass nothing.
     pub cut: BTreeSet<(usize, usize)>,
-    /// Of a thousand letters so many are lost, and so many come twice.
+    /// Of a thousand messages so many are lost, and so many come twice.
     pub lossy: u32,
     pub slowest: u64,
     /// By incarnation and term: whom it was heard to vote for.
@@ -81,8 +81,8 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             planted,
             names,
-            letters: BTreeMap::new(),
-            next_letter: 0,
+            messages: BTreeMap::new(),
+            next_message: 0,
             cut: BTreeSet::new(),
             lossy: 0,
             slowest: 5,
@@ -189,37 +189,37 @@
         self.names.iter().position(|n| n == name).expect("a keeper's name")
     }
 
-    fn post(&mut self, letter: Letter) {
-        self.look(&letter);
-        let link = (self.index(&letter.from.name), self.index(&letter.to));
+    fn post(&mut self, message: Message) {
+        self.look(&message);
+        let link = (self.index(&message.from.name), self.index(&message.to));
         if self.cut.contains(&link) || self.below(1000) < u64::from(self.lossy) {
             return;
         }
         let copies = 1 + u64::from(self.below(1000) < u64::from(self.lossy));
         for _ in 0..copies {
             let wait = 200 + self.below(self.slowest * 1000);
-            self.next_letter += 1;
-            self.letters.insert((self.now.after(Micros(wait)), self.next_letter), letter.clone());
+            self.next_message += 1;
+            self.messages.insert((self.now.after(Micros(wait)), self.next_message), message.clone());
         }
     }
 
-    /// What a letter shows.
-    fn look(&mut self, letter: &Letter) {
-        match &letter.body {
+    /// What a message shows.
+    fn look(&mut self, message: &Message) {
+        match &message.body {
             Body::Voted(true) => {
-                let to = Member { name: letter.to.clone(), incarnation: letter.incarnation.unwrap_or(0) };
-                let key = (letter.from.clone(), letter.term);
+                let to = Member { name: message.to.clone(), incarnation: message.incarnation.unwrap_or(0) };
+                let key = (message.from.clone(), message.term);
                 match self.votes.insert(key, to.clone()) {
                     Some(before) if before != to => {
-                        self.broken.push(format!("{:?} voted twice in term {}", letter.from, letter.term));
+                        self.broken.push(format!("{:?} voted twice in term {}", message.from, message.term));
                     }
                     _ => {}
                 }
             }
             Body::Append { .. } | Body::Install(..) => {
-                match self.leaders.insert(letter.term, letter.from.clone()) {
-                    Some(before) if before != letter.from => {
-                        self.broken.push(format!("two leaders in term {}", letter.term));
+                match self.leaders.insert(message.term, message.from.clone()) {
+                    Some(before) if before != message.from => {
+                        self.broken.push(format!("two leaders in term {}", message.term));
                     }
                     _ => {}
                 }
@@ -269,8 +269,8 @@
         if keeper.compactable() > 8 {
             keeper.compact(node.owner.clone());
         }
-        let letters = keeper.take_letters();
-        letters.into_iter().for_each(|l| self.post(l));
+        let messages = keeper.take_messages();
+        messages.into_iter().for_each(|message| self.post(message));
     }
 
     /// Goes on for so long.
@@ -282,25 +282,25 @@
                 let stored = n.storing.as_ref().map_or(keeper.wake(), |(done, _)| (*done).min(keeper.wake()));
                 Some(stored.max(n.stopped_until))
             });
-            let comes = self.letters.first_key_value().map(|((at, _), _)| *at);
+            let comes = self.messages.first_key_value().map(|((at, _), _)| *at);
             let Some(next) = wakes.chain(comes).min() else { break };
             if next > end {
                 break;
             }
             self.now = next.max(Micros(self.now.0 + 1));
             let mut touched = BTreeSet::new();
-            while let Some(entry) = self.letters.first_entry().filter(|e| e.key().0 <= self.now) {
-                let letter = entry.remove();
-                let at = self.index(&letter.to);
+            while let Some(entry) = self.messages.first_entry().filter(|e| e.key().0 <= self.now) {
+                let message = entry.remove();
+                let at = self.index(&message.to);
                 touched.insert(at);
                 let node = &mut self.nodes[at];
                 if node.stopped_until > self.now {
                     // It lies in the socket until the process goes on.
-                    self.next_letter += 1;
+                    self.next_message += 1;
                     let then = Micros(node.stopped_until.0 + 1);
-                    self.letters.insert((then, self.next_letter), letter);
+                    self.messages.insert((then, self.next_message), message);
                 } else if let Some(keeper) = &mut node.keeper {
-                    keeper.receive(letter, self.now);
+                    keeper.receive(message, self.now);
                 }
             }
             (0..self.nodes.len()).for_each(|at| self.turn(at));
--- a/crates/flaxstand-agree/tests/search.rs
+++ b/crates/flaxstand-agree/tests/search.rs
@@ -1,8 +1,8 @@
-//! An exhaustive search of a small model: three keepers, two changes, bounded timeouts, crashes and letters in flight.
+//! An exhaustive search of a small model: three keepers, two changes, bounded timeouts, crashes and messages in flight.
 //! Every order of deliveries, losses, timeouts and crashes (before or after the disk took what they wait for) within
 //! the bounds is walked, on the keepers themselves; the states seen are counted.
 
-use flaxstand_agree::{Body, Config, Keeper, Letter, Member, Micros, Planted, Snapshot, State, What};
+use flaxstand_agree::{Body, Config, Keeper, Member, Message, Micros, Planted, Snapshot, State, What};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -14,8 +14,8 @@
     timeouts: u32,
     crashes: u32,
     changes: u32,
-    /// Letters in flight, most: one more is lost.
-    letters: usize,
+    /// Messages in flight, most: one more is lost.
+    messages: usize,
 }
 
 #[derive(Clone)]
@@ -23,7 +23,7 @@
     keepers: Vec<Keeper>,
     disks: Vec<State>,
     clocks: Vec<Micros>,
-    letters: Vec<Letter>,
+    messages: Vec<Message>,
     budget: Budget,
     /// By term: who led; by index: what was agreed on.
     leaders: BTreeMap<u64, String>,
@@ -55,7 +55,7 @@
             keepers: Vec::new(),
             disks: Vec::new(),
             clocks: vec![Micros(1_000_000); 3],
-            letters: Vec::new(),
+            messages: Vec::new(),
             budget,
             leaders: BTreeMap::new(),
             agreed: BTreeMap::new(),
@@ -74,14 +74,14 @@
             w.keepers[i].tick(w.clocks[i]);
             w.settle(i, false).expect("nothing is broken yet");
         }
-        while let Some(letter) = w.letters.pop() {
-            w.deliver(&letter, false).expect("nothing is broken yet");
-            w.letters.retain(|l| matches!(l.body, Body::AskLife | Body::LifeSeen(_)));
+        while let Some(message) = w.messages.pop() {
+            w.deliver(&message, false).expect("nothing is broken yet");
+            w.messages.retain(|l| matches!(l.body, Body::AskLife | Body::LifeSeen(_)));
         }
         w
     }
 
-    /// What a keeper leads to: batches stored, letters sent, what it shows; or it dies before its disk has it.
+    /// What a keeper leads to: batches stored, messages sent, what it shows; or it dies before its disk has it.
     fn settle(&mut self, i: usize, dies: bool) -> Result<(), String> {
         let now = self.clocks[i];
         if !dies {
@@ -90,22 +90,22 @@
                 self.keepers[i].stored(true, now);
             }
         }
-        for letter in self.keepers[i].take_letters() {
-            if let Body::Voted(true) = letter.body
+        for message in self.keepers[i].take_messages() {
+            if let Body::Voted(true) = message.body
                 && let Some(before) =
-                    self.votes.insert((letter.from.name.clone(), letter.term), letter.to.clone())
-                && before != letter.to
+                    self.votes.insert((message.from.name.clone(), message.term), message.to.clone())
+                && before != message.to
             {
-                return Err(format!("{} voted twice in term {}", letter.from.name, letter.term));
+                return Err(format!("{} voted twice in term {}", message.from.name, message.term));
             }
-            if let Body::Append { .. } = letter.body {
-                let led = self.leaders.entry(letter.term).or_insert_with(|| letter.from.name.clone());
-                if *led != letter.from.name {
-                    return Err(format!("two leaders in term {}", letter.term));
+            if let Body::Append { .. } = message.body {
+                let led = self.leaders.entry(message.term).or_insert_with(|| message.from.name.clone());
+                if *led != message.from.name {
+                    return Err(format!("two leaders in term {}", message.term));
                 }
             }
-            if self.letters.len() < self.budget.letters {
-                self.letters.push(letter);
+            if self.messages.len() < self.budget.messages {
+                self.messages.push(message);
             }
         }
         self.keepers[i].take_agreed();
@@ -121,9 +121,9 @@
         Ok(())
     }
 
-    fn deliver(&mut self, letter: &Letter, dies: bool) -> Result<(), String> {
-        let i: usize = letter.to[1..].parse().expect("a keeper's name");
-        self.keepers[i].receive(letter.clone(), self.clocks[i]);
+    fn deliver(&mut self, message: &Message, dies: bool) -> Result<(), String> {
+        let i: usize = message.to[1..].parse().expect("a keeper's name");
+        self.keepers[i].receive(message.clone(), self.clocks[i]);
         self.settle(i, dies)
     }
 
@@ -139,11 +139,11 @@
         let mut all = Vec::new();
         let ways: &[bool] = if self.budget.crashes > 0 { &[false, true] } else { &[false] };
         for dies in ways.iter().copied() {
-            for at in 0..self.letters.len() {
+            for at in 0..self.messages.len() {
                 let mut w = self.clone();
-                let letter = w.letters.swap_remove(at);
-                let to: usize = letter.to[1..].parse().expect("a keeper's name");
-                let done = w.deliver(&letter, dies);
+                let message = w.messages.swap_remove(at);
+                let to: usize = message.to[1..].parse().expect("a keeper's name");
+                let done = w.deliver(&message, dies);
                 if dies {
                     w.crash(to, planted);
                 }
@@ -184,8 +184,8 @@
             format!("{:?}", self.disks[i]).hash(&mut h);
         }
         // Stamps are moments.
-        let mut letters: Vec<String> = self
-            .letters
+        let mut messages: Vec<String> = self
+            .messages
             .iter()
             .map(|l| match &l.body {
                 Body::Append { prev, entries, commit, .. } => {
@@ -196,8 +196,8 @@
                 other => format!("{} {} {} {other:?}", l.from.name, l.to, l.term),
             })
             .collect();
-        letters.sort();
-        (letters, self.budget).hash(&mut h);
+        messages.sort();
+        (messages, self.budget).hash(&mut h);
         h.finish()
     }
 }
@@ -231,7 +231,7 @@
         timeouts: told("FLAXSTAND_TIMEOUTS", 2) as u32,
         crashes: told("FLAXSTAND_CRASHES", 1) as u32,
         changes: told("FLAXSTAND_CHANGES", 1) as u32,
-        letters: told("FLAXSTAND_LETTERS", 3) as usize,
+        messages: told("FLAXSTAND_LETTERS", 3) as usize,
     };
     let most = told("FLAXSTAND_STATES", 60_000) as usize;
     let (states, agreed) = search(budget, Planted::None, most).unwrap_or_else(|e| panic!("{e}"));
@@ -241,7 +241,7 @@
 
 #[test]
 fn a_planted_fault_is_found() {
-    let budget = Budget { timeouts: 3, crashes: 0, changes: 0, letters: 4 };
+    let budget = Budget { timeouts: 3, crashes: 0, changes: 0, messages: 4 };
     // An assertion of the keepers' own, or two entries at one index.
     let found = std::panic::catch_unwind(|| search(budget, Planted::OlderLogElected, 400_000));
     assert!(!matches!(found, Ok(Ok(_))), "{found:?}");
