--- a/crates/flaxstand-agree/src/election.rs
+++ b/crates/flaxstand-agree/src/election.rs
@@ -4,13 +4,14 @@
 use crate::keeper::{Keeper, Planted, Role};
 use crate::leading::Leading;
 use crate::log::What;
-use crate::message::{Body, Member};
+use crate::message::Body;
+use crate::replica::ReplicaId;
 use flaxstand_proto::Micros;
 use std::collections::BTreeSet;
 use tracing::info;
 
 impl Keeper {
-    pub(crate) fn majority(&self, of: &BTreeSet<Member>) -> bool {
+    pub(crate) fn majority(&self, of: &BTreeSet<ReplicaId>) -> bool {
         let electorate = self.state.log.electorate().1;
         electorate.iter().filter(|m| of.contains(m)).count() > electorate.len() / 2
     }
@@ -84,7 +85,7 @@
         newest >= self.state.log.newest() || self.config.planted == Planted::OlderLogElected
     }
 
-    pub(crate) fn asked_pre_vote(&mut self, from: &Member, term: u64, newest: (u64, u64), now: Micros) {
+    pub(crate) fn asked_pre_vote(&mut self, from: &ReplicaId, term: u64, newest: (u64, u64), now: Micros) {
         if self.unsure.is_some() {
             return;
         }
@@ -93,7 +94,7 @@
         self.tell(from, Body::PreVoted(asked, granted));
     }
 
-    pub(crate) fn pre_voted(&mut self, from: Member, term: u64, asked: u64, granted: bool, now: Micros) {
+    pub(crate) fn pre_voted(&mut self, from: ReplicaId, term: u64, asked: u64, granted: bool, now: Micros) {
         if term > self.state.term {
             return self.follow(term, now);
         }
@@ -106,7 +107,7 @@
         }
     }
 
-    pub(crate) fn asked_vote(&mut self, from: &Member, term: u64, newest: (u64, u64), now: Micros) {
+    pub(crate) fn asked_vote(&mut self, from: &ReplicaId, term: u64, newest: (u64, u64), now: Micros) {
         if self.unsure.is_some() || self.has_leader(now) && term > self.state.term {
             return;
         }
@@ -127,7 +128,7 @@
         self.tell(from, Body::Voted(granted));
     }
 
-    pub(crate) fn voted(&mut self, from: Member, term: u64, granted: bool, now: Micros) {
+    pub(crate) fn voted(&mut self, from: ReplicaId, term: u64, granted: bool, now: Micros) {
         if term > self.state.term {
             return self.follow(term, now);
         }
--- a/crates/flaxstand-agree/src/following.rs
+++ b/crates/flaxstand-agree/src/following.rs
@@ -3,7 +3,8 @@
 use crate::journal::Record;
 use crate::keeper::{Keeper, Planted};
 use crate::log::{Entry, Snapshot};
-use crate::message::{Body, Member};
+use crate::message::Body;
+use crate::replica::ReplicaId;
 use flaxstand_proto::Micros;
 use tracing::info;
 
@@ -17,7 +18,7 @@
 
 impl Keeper {
     /// Whether the message comes from this term's leader, who is followed from now on.
-    fn led_by(&mut self, from: &Member, term: u64, now: Micros) -> bool {
+    fn led_by(&mut self, from: &ReplicaId, term: u64, now: Micros) -> bool {
         if term < self.state.term {
             return false;
         }
@@ -33,7 +34,7 @@
 
     pub(crate) fn appended(
         &mut self,
-        from: &Member,
+        from: &ReplicaId,
         term: u64,
         prev: (u64, u64),
         entries: Vec<Entry>,
@@ -69,7 +70,7 @@
         Heard::Held(surely)
     }
 
-    pub(crate) fn install(&mut self, from: &Member, term: u64, snapshot: Snapshot, now: Micros) -> Heard {
+    pub(crate) fn install(&mut self, from: &ReplicaId, term: u64, snapshot: Snapshot, now: Micros) -> Heard {
         if !self.led_by(from, term, now) {
             return Heard::Missing(0);
         }
@@ -92,7 +93,7 @@
         Heard::Held(self.committed)
     }
 
-    pub(crate) fn answer_leader(&mut self, to: &Member, heard: Heard, stamp: u64) {
+    pub(crate) fn answer_leader(&mut self, to: &ReplicaId, heard: Heard, stamp: u64) {
         // An old copy must not confirm what its later life may have confirmed otherwise.
         let body = match heard {
             Heard::Held(upto) | Heard::Missing(upto) if self.unsure.is_some() => Body::Has(upto),
--- a/crates/flaxstand-agree/src/identity.rs
+++ b/crates/flaxstand-agree/src/identity.rs
@@ -19,7 +19,8 @@
 use crate::journal::State;
 use crate::keeper::{Keeper, Planted, Role};
 use crate::log::Snapshot;
-use crate::message::{Body, Life, Member, Message, Seen};
+use crate::message::{Body, Message};
+use crate::replica::{Life, ReplicaId, Seen};
 use flaxstand_proto::Micros;
 use rand_core::RngCore;
 use std::collections::BTreeSet;
@@ -37,7 +38,7 @@
     }
 
     fn found(&mut self, now: Micros) {
-        let mut electorate: Vec<Member> = std::mem::take(&mut self.fresh).into_iter().collect();
+        let mut electorate: Vec<ReplicaId> = std::mem::take(&mut self.fresh).into_iter().collect();
         electorate.push(self.state.me.clone());
         electorate.sort();
         info!(?electorate, "founding the agreement");
@@ -52,13 +53,13 @@
         self.put_off_election(now);
     }
 
-    pub(crate) fn asked_fresh(&mut self, founder: &Member) {
+    pub(crate) fn asked_fresh(&mut self, founder: &ReplicaId) {
         let body = if self.state.cluster == 0 { Body::Fresh } else { Body::Formed };
         self.tell(founder, body);
     }
 
     /// The last word of a name counts: it may have been started anew meanwhile.
-    pub(crate) fn heard_fresh(&mut self, from: Member) {
+    pub(crate) fn heard_fresh(&mut self, from: ReplicaId) {
         if self.state.cluster == 0 {
             self.fresh.retain(|m| m.name != from.name);
             self.fresh.insert(from);
@@ -81,7 +82,7 @@
     }
 
     /// One more says that it heard of no more than this keeper knows, or that it lost its own disk.
-    pub(crate) fn life_seen(&mut self, from: Member) {
+    pub(crate) fn life_seen(&mut self, from: ReplicaId) {
         let mut others: BTreeSet<String> = self.electorate().into_iter().map(|m| m.name).collect();
         if others.is_empty() {
             others.extend(self.config.names.iter().cloned());
@@ -96,7 +97,7 @@
     }
 
     /// A keeper that started asks for word of it. A leader notes that it has to be brought up to date.
-    pub(crate) fn asked_life(&mut self, from: &Member, life: Life, now: Micros) {
+    pub(crate) fn asked_life(&mut self, from: &ReplicaId, life: Life, now: Micros) {
         if let Role::Leader(leading) = &mut self.role {
             leading.unsure(from, life, now);
         }
@@ -142,7 +143,7 @@
     /// Comes back as another, that promised nothing yet.
     pub(crate) fn renounce(&mut self, why: &str) {
         warn!(why, "coming back as a new keeper");
-        let me = Member { name: self.config.name.clone(), incarnation: self.rng.next_u64() };
+        let me = ReplicaId { name: self.config.name.clone(), incarnation: self.rng.next_u64() };
         let life = Life { count: 1, nonce: self.rng.next_u64(), began: 0 };
         self.state = State::fresh(me, life);
         self.role = Role::Follower;
@@ -154,13 +155,13 @@
 
     /// Of a leader: whether one that wants votes has none itself any more, as all agreed. Guards against a folder put
     /// back from before its keeper was replaced: it would ask for ever.
-    pub(crate) fn replaced(&self, from: &Member) -> bool {
+    pub(crate) fn replaced(&self, from: &ReplicaId) -> bool {
         let (since, electorate) = self.state.log.electorate();
         self.leads() && since <= self.committed && !electorate.contains(from)
     }
 
     /// One that is new wants to be taken in.
-    pub(crate) fn newcomer(&mut self, from: Member, now: Micros) {
+    pub(crate) fn newcomer(&mut self, from: ReplicaId, now: Micros) {
         if let Role::Leader(leading) = &mut self.role {
             leading.learner(from, now);
         }
--- a/crates/flaxstand-agree/src/journal.rs
+++ b/crates/flaxstand-agree/src/journal.rs
@@ -7,7 +7,7 @@
 //! an intact later frame behind it was, so what is there can't be trusted and the keeper has lost its disk.
 
 use crate::log::{Entry, Log};
-use crate::message::{Life, Member, Seen};
+use crate::replica::{Life, ReplicaId, Seen};
 use flaxstand_proto::Micros;
 use flaxstand_store::{Batch, Storage, StoreOp};
 use serde::{Deserialize, Serialize};
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     /// Who it is.
-    pub me: Member,
+    pub me: ReplicaId,
     /// Its newest life.
     pub life: Life,
     /// The agreement it belongs to; 0: none yet.
@@ -34,13 +34,13 @@
     /// Its term.
     pub term: u64,
     /// Whom it voted for in that term.
-    pub voted: Option<Member>,
+    pub voted: Option<ReplicaId>,
     /// Its log.
     pub log: Log,
     /// How many promises it has written down, over all lives of this incarnation.
     pub written: u64,
     /// The newest of each other keeper that it acted on.
-    pub seen: BTreeMap<Member, Seen>,
+    pub seen: BTreeMap<ReplicaId, Seen>,
 }
 
 /// A change of that.
@@ -49,16 +49,16 @@
     /// All of it.
     State(Box<State>),
     /// Term and vote.
-    Term(u64, Option<Member>),
+    Term(u64, Option<ReplicaId>),
     /// The entries from an index on are these.
     Entries(u64, Vec<Entry>),
     /// The newest of another keeper.
-    Seen(Member, Seen),
+    Seen(ReplicaId, Seen),
 }
 
 impl State {
     /// A keeper with nothing behind it.
-    pub fn fresh(me: Member, life: Life) -> State {
+    pub fn fresh(me: ReplicaId, life: Life) -> State {
         State {
             me,
             life,
--- a/crates/flaxstand-agree/src/keeper.rs
+++ b/crates/flaxstand-agree/src/keeper.rs
@@ -3,7 +3,8 @@
 use crate::journal::{Journal, Record, State};
 use crate::leading::Leading;
 use crate::log::{Entry, What};
-use crate::message::{Body, Life, Member, Message, Seen};
+use crate::message::{Body, Message};
+use crate::replica::{Life, ReplicaId, Seen};
 use flaxstand_proto::Micros;
 use flaxstand_store::Batch;
 use rand_core::{RngCore, SeedableRng};
@@ -131,7 +132,7 @@
     /// What it is.
     pub standing: Standing,
     /// Who it is.
-    pub me: Member,
+    pub me: ReplicaId,
     /// How often it started.
     pub life: u64,
     /// Its term.
@@ -143,7 +144,7 @@
     /// The last entry here.
     pub last: u64,
     /// Who votes.
-    pub electorate: Vec<Member>,
+    pub electorate: Vec<ReplicaId>,
     /// Of a leader: members that it has not heard for an election's time.
     pub silent: Vec<String>,
     /// Its disk does not take what has to be durable.
@@ -153,7 +154,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Role {
     Follower,
-    Candidate { pre: bool, granted: BTreeSet<Member> },
+    Candidate { pre: bool, granted: BTreeSet<ReplicaId> },
     Leader(Leading),
 }
 
@@ -168,13 +169,13 @@
     pub(crate) committed: u64,
     /// Up to there the owner was told.
     told: u64,
-    pub(crate) leader: Option<Member>,
+    pub(crate) leader: Option<ReplicaId>,
     pub(crate) leader_heard: Option<Micros>,
     pub(crate) election_at: Micros,
     /// Others that said since the start that they heard of no more than it knows; none: it is sure of itself.
     pub(crate) unsure: Option<BTreeSet<String>>,
     /// Of a founder: others that are new too.
-    pub(crate) fresh: BTreeSet<Member>,
+    pub(crate) fresh: BTreeSet<ReplicaId>,
     /// A new founder heard that there is an agreement already.
     pub(crate) founded_elsewhere: bool,
     pub(crate) call_at: Micros,
@@ -189,7 +190,7 @@
         let nonce = rng.next_u64();
         // One that belongs to no agreement promised nothing under its incarnation, and may be an old copy.
         let mut state = found.filter(|s| s.cluster != 0).unwrap_or_else(|| {
-            let me = Member { name: config.name.clone(), incarnation: rng.next_u64() };
+            let me = ReplicaId { name: config.name.clone(), incarnation: rng.next_u64() };
             State::fresh(me, Life::default())
         });
         state.life = Life { count: state.life.count + 1, nonce, began: state.written };
@@ -458,7 +459,7 @@
         self.committed
     }
 
-    pub(crate) fn electorate(&self) -> Vec<Member> {
+    pub(crate) fn electorate(&self) -> Vec<ReplicaId> {
         self.state.log.electorate().1.to_vec()
     }
 
@@ -467,7 +468,7 @@
     }
 
     /// Queues a message; it leaves once all that was noted so far is durable.
-    pub(crate) fn tell(&mut self, to: &Member, body: Body) {
+    pub(crate) fn tell(&mut self, to: &ReplicaId, body: Body) {
         self.put(to.name.clone(), Some(to.incarnation), body);
     }
 
@@ -502,7 +503,7 @@
         self.journal.note(record);
     }
 
-    pub(crate) fn note_seen(&mut self, member: Member, newest: Seen) {
+    pub(crate) fn note_seen(&mut self, member: ReplicaId, newest: Seen) {
         let seen = &mut self.state.seen;
         if seen.len() >= SEEN_MOST && !seen.contains_key(&member) {
             let electorate = self.state.log.electorate().1;
--- a/crates/flaxstand-agree/src/leading.rs
+++ b/crates/flaxstand-agree/src/leading.rs
@@ -4,7 +4,8 @@
 use crate::journal::Record;
 use crate::keeper::{Keeper, MESSAGE_MOST, Planted, Role};
 use crate::log::{Entry, What};
-use crate::message::{Body, Life, Member};
+use crate::message::Body;
+use crate::replica::{Life, ReplicaId};
 use flaxstand_proto::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{info, warn};
@@ -41,26 +42,26 @@
 /// A leader's view of the others.
 #[derive(Clone, Debug)]
 pub(crate) struct Leading {
-    peers: BTreeMap<Member, Peer>,
+    peers: BTreeMap<ReplicaId, Peer>,
     pub(crate) speak_at: Micros,
 }
 
 impl Leading {
-    pub(crate) fn new(peers: impl Iterator<Item = Member>, last: u64, now: Micros) -> Leading {
+    pub(crate) fn new(peers: impl Iterator<Item = ReplicaId>, last: u64, now: Micros) -> Leading {
         let peers = peers.map(|m| (m, Peer::new(last + 1, now))).collect();
         Leading { peers, speak_at: now }
     }
 
     /// See `Keeper::essence`.
     pub(crate) fn essence(&self) -> String {
-        let of = |(m, p): (&Member, &Peer)| {
+        let of = |(m, p): (&ReplicaId, &Peer)| {
             format!("{} {} {} {:?}", m.name, p.counted, p.next, p.unsure.map(|u| u.2))
         };
         format!("leads {:?}", self.peers.iter().map(of).collect::<Vec<_>>())
     }
 
     /// A member started and is not sure of itself.
-    pub(crate) fn unsure(&mut self, member: &Member, life: Life, now: Micros) {
+    pub(crate) fn unsure(&mut self, member: &ReplicaId, life: Life, now: Micros) {
         if let Some(peer) = self.peers.get_mut(member)
             && peer.unsure.is_none_or(|(known, ..)| known != life)
         {
@@ -69,7 +70,7 @@
     }
 
     /// One that is in no electorate asks to be taken in.
-    pub(crate) fn learner(&mut self, member: Member, now: Micros) {
+    pub(crate) fn learner(&mut self, member: ReplicaId, now: Micros) {
         if let Some(peer) = self.peers.get_mut(&member) {
             peer.heard = now;
         } else if self.peers.len() < LEARNERS_MOST {
@@ -107,7 +108,7 @@
     fn hears_majority(&self, now: Micros) -> bool {
         let Role::Leader(leading) = &self.role else { return false };
         let lately = |p: &Peer| now.since(p.heard) < self.config.election;
-        let mut heard: BTreeSet<Member> =
+        let mut heard: BTreeSet<ReplicaId> =
             leading.peers.iter().filter(|(_, p)| lately(p)).map(|(m, _)| m.clone()).collect();
         heard.insert(self.state.me.clone());
         self.majority(&heard)
@@ -122,7 +123,7 @@
             return None;
         }
         let electorate = self.state.log.electorate().1;
-        let stamped = |m: &Member| match leading.peers.get(m) {
+        let stamped = |m: &ReplicaId| match leading.peers.get(m) {
             _ if *m == self.state.me => now,
             peer => peer.map_or(Micros(0), |p| p.stamped),
         };
@@ -135,7 +136,7 @@
     /// Of a leader: members that it has not heard for an election's time.
     pub(crate) fn silent(&self, now: Micros) -> Vec<String> {
         let Role::Leader(leading) = &self.role else { return Vec::new() };
-        let silent = |m: &&Member| {
+        let silent = |m: &&ReplicaId| {
             **m != self.state.me
                 && leading.peers.get(m).is_none_or(|p| now.since(p.heard) >= self.config.election)
         };
@@ -146,12 +147,12 @@
     pub(crate) fn spread(&mut self, now: Micros) {
         let Role::Leader(leading) = &mut self.role else { return };
         leading.speak_at = now.after(self.config.heartbeat);
-        let peers: Vec<Member> = leading.peers.keys().cloned().collect();
+        let peers: Vec<ReplicaId> = leading.peers.keys().cloned().collect();
         peers.iter().for_each(|peer| self.send_next(peer, now));
         self.settle_commit();
     }
 
-    fn send_next(&mut self, to: &Member, now: Micros) {
+    fn send_next(&mut self, to: &ReplicaId, now: Micros) {
         let Role::Leader(leading) = &self.role else { return };
         let Some(peer) = leading.peers.get(to) else { return };
         let log = &self.state.log;
@@ -170,7 +171,7 @@
     /// One says what it holds: surely all up to there, and if `fits` that was what was sent.
     pub(crate) fn held_by(
         &mut self,
-        from: &Member,
+        from: &ReplicaId,
         term: u64,
         (upto, fits): (u64, bool),
         stamp: Micros,
@@ -205,7 +206,7 @@
     }
 
     /// One that may not confirm yet says what it has.
-    pub(crate) fn has(&mut self, from: &Member, term: u64, upto: u64) {
+    pub(crate) fn has(&mut self, from: &ReplicaId, term: u64, upto: u64) {
         let last = self.state.log.last();
         let Role::Leader(leading) = &mut self.role else { return };
         if term == self.state.term
@@ -228,7 +229,7 @@
         let mut ready = Vec::new();
         for (member, peer) in &leading.peers {
             let Some((life, asked, has)) = peer.unsure else { continue };
-            let proves = |m: &&Member| {
+            let proves = |m: &&ReplicaId| {
                 *m != member
                     && (**m == self.state.me || leading.peers.get(m).is_some_and(|p| p.stamped > asked))
             };
@@ -254,7 +255,7 @@
         let durable = self.journal.durable();
         leading.peers.values_mut().filter(|p| p.after <= durable).for_each(|p| p.counted = p.held);
         let electorate = self.state.log.electorate().1;
-        let held = |m: &Member| match leading.peers.get(m) {
+        let held = |m: &ReplicaId| match leading.peers.get(m) {
             _ if *m == self.state.me => own,
             peer => peer.map_or(0, |p| p.counted),
         };
@@ -292,14 +293,14 @@
         if !settled {
             return;
         }
-        let silent = |m: &Member| leading.peers.get(m).is_some_and(|p| now.since(p.heard) >= lost_after);
+        let silent = |m: &ReplicaId| leading.peers.get(m).is_some_and(|p| now.since(p.heard) >= lost_after);
         let learners = leading.peers.iter().filter(|(m, _)| !electorate.contains(m));
         let mut next = None;
         for (learner, peer) in learners {
             match electorate.iter().find(|m| m.name == learner.name) {
                 // Not while the old one speaks: two processes under one name are a fault of the operator's.
                 Some(old) if silent(old) => {
-                    let rest: Vec<Member> = electorate.iter().filter(|m| *m != old).cloned().collect();
+                    let rest: Vec<ReplicaId> = electorate.iter().filter(|m| *m != old).cloned().collect();
                     info!(name = old.name, "a keeper that lost its disk gives up its vote");
                     next = Some(rest);
                 }
--- a/crates/flaxstand-agree/src/lib.rs
+++ b/crates/flaxstand-agree/src/lib.rs
@@ -9,6 +9,7 @@
 //! - [`identity`]: who a keeper is after a start: its lives, a lost disk, an old copy, the first electorate
 //! - [`election`]: terms and votes; [`leading`]: what a leader does; [`following`]: what the others do
 //! - [`log`]: entries and the snapshot before them
+//! - [`replica`]: what names a keeper, its starts
 //! - [`message`]: what keepers say to each other
 //! - [`journal`]: what must be durable before it is told, and reading it back
 #![forbid(unsafe_code)]
@@ -24,6 +25,7 @@
 pub mod log;
 pub mod member;
 pub mod message;
+pub mod replica;
 pub mod rules;
 pub mod warden;
 
@@ -31,4 +33,5 @@
 pub use journal::{Journal, Recovered, State, recover};
 pub use keeper::{Agreed, Config, Keeper, Planted, ProposeError, Standing, Status};
 pub use log::{Entry, Log, Snapshot, What};
-pub use message::{Body, Life, Member, Message};
+pub use message::{Body, Message};
+pub use replica::{Life, ReplicaId};
--- a/crates/flaxstand-agree/src/log.rs
+++ b/crates/flaxstand-agree/src/log.rs
@@ -1,6 +1,6 @@
 //! Entries, and the snapshot in place of those before them.
 
-use crate::message::Member;
+use crate::replica::ReplicaId;
 use serde::{Deserialize, Serialize};
 
 /// What an entry says.
@@ -9,7 +9,7 @@
     /// A leader's first.
     Begin,
     /// Who votes from this entry on, whether it is committed or not.
-    Electorate(Vec<Member>),
+    Electorate(Vec<ReplicaId>),
     /// A change of what the owner keeps.
     Change(Vec<u8>),
 }
@@ -31,7 +31,7 @@
     /// Its term.
     pub term: u64,
     /// Who votes.
-    pub electorate: Vec<Member>,
+    pub electorate: Vec<ReplicaId>,
     /// What the owner made of the entries.
     pub state: Vec<u8>,
 }
@@ -83,7 +83,7 @@
     }
 
     /// Who votes: the newest electorate in the log, and the index of its entry.
-    pub fn electorate(&self) -> (u64, &[Member]) {
+    pub fn electorate(&self) -> (u64, &[ReplicaId]) {
         for (at, entry) in self.entries.iter().enumerate().rev() {
             if let What::Electorate(members) = &entry.what {
                 return (self.snapshot.index + 1 + at as u64, members);
--- a/crates/flaxstand-agree/src/message.rs
+++ b/crates/flaxstand-agree/src/message.rs
@@ -1,56 +1,16 @@
 //! What keepers say to each other. Messages may be lost, doubled, late and out of order.
 
 use crate::log::{Entry, Snapshot};
+use crate::replica::{Life, ReplicaId, Seen};
 use serde::{Deserialize, Serialize};
 
-/// A keeper as the electorate knows it. Its incarnation is drawn when its folder is empty: one whose disk was
-/// lost is another member under the same name.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Member {
-    /// The initiator's name.
-    pub name: String,
-    /// Drawn at random with an empty folder.
-    pub incarnation: u64,
-}
-
-/// One start of a keeper: durable before anything is said in it. Counts grow; where two lives have one count, or
-/// one begins with less than was heard of the one before it, the folder was copied.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Life {
-    /// One more at each start.
-    pub count: u64,
-    /// Drawn at each start.
-    pub nonce: u64,
-    /// How many promises it began with.
-    pub began: u64,
-}
-
-/// The newest that was heard of a member.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
-    /// Its life.
-    pub life: Life,
-    /// How many promises it had written down: terms, votes, entries.
-    pub written: u64,
-}
-
-impl Life {
-    /// Whether one who is in this life was overtaken by, or copied from, one of whom that was heard.
-    pub fn superseded_by(self, seen: Seen) -> bool {
-        let other = seen.life;
-        other.count > self.count
-            || other.count == self.count && other.nonce != self.nonce
-            || other.count < self.count && seen.written > self.began
-    }
-}
-
 /// A message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// Which agreement it belongs to; 0: its sender has none yet.
     pub cluster: u64,
     /// Its sender.
-    pub from: Member,
+    pub from: ReplicaId,
     /// The sender's life.
     pub life: Life,
     /// How many promises it has written down.
--- a/crates/flaxstand-agree/tests/keepers/main.rs
+++ b/crates/flaxstand-agree/tests/keepers/main.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use flaxstand_agree::{
-    Body, Config, Entry, Keeper, Life, Member, Message, Planted, Snapshot, Standing, State, What,
+    Body, Config, Entry, Keeper, Life, Message, Planted, ReplicaId, Snapshot, Standing, State, What,
 };
 use rig::{World, ms};
 
@@ -271,7 +271,7 @@
 /// A keeper of five that comes to lead term 4 with an entry of term 2 that is not agreed on, and gets to hear that a
 /// majority holds that entry. Returns how far it takes the log for agreed on: before, and once they hold its own.
 fn leads_with_an_older_entry(planted: Planted) -> (u64, u64) {
-    let member = |i: u64| Member { name: format!("k{i}"), incarnation: 10 + i };
+    let member = |i: u64| ReplicaId { name: format!("k{i}"), incarnation: 10 + i };
     let names: Vec<String> = (0..5).map(|i| member(i).name).collect();
     let mut state = State::fresh(member(0), Life::default());
     (state.cluster, state.term) = (7, 3);
--- a/crates/flaxstand-agree/tests/keepers/rig.rs
+++ b/crates/flaxstand-agree/tests/keepers/rig.rs
@@ -1,7 +1,9 @@
 //! Keepers on virtual time, each with a disk that does its worst, between links that lose, double, delay and cut.
 //! Everything they tell is checked from outside: who was voted for, who led, what was agreed on.
 
-use flaxstand_agree::{Agreed, Body, Config, Keeper, Member, Message, Micros, Planted, Recovered, recover};
+use flaxstand_agree::{
+    Agreed, Body, Config, Keeper, Message, Micros, Planted, Recovered, ReplicaId, recover,
+};
 use flaxstand_store::faulty::{Faults, Faulty};
 use flaxstand_store::{Batch, Storage as _, perform};
 use rand_core::{RngCore, SeedableRng};
@@ -40,16 +42,16 @@
     pub lossy: u32,
     pub slowest: u64,
     /// By incarnation and term: whom it was heard to vote for.
-    votes: BTreeMap<(Member, u64), Member>,
+    votes: BTreeMap<(ReplicaId, u64), ReplicaId>,
     /// By term: who led.
-    leaders: BTreeMap<u64, Member>,
+    leaders: BTreeMap<u64, ReplicaId>,
     /// By index: what was agreed on.
     pub agreed: BTreeMap<u64, Vec<u8>>,
     /// What was seen that must not be.
     pub broken: Vec<String>,
     pub proposed: u64,
     /// Members whose promises are gone: their disk was lost, or put back.
-    pub lost: BTreeSet<Member>,
+    pub lost: BTreeSet<ReplicaId>,
 }
 
 /// What an owner makes of a change: state and change, folded.
@@ -207,7 +209,8 @@
     fn look(&mut self, message: &Message) {
         match &message.body {
             Body::Voted(true) => {
-                let to = Member { name: message.to.clone(), incarnation: message.incarnation.unwrap_or(0) };
+                let to =
+                    ReplicaId { name: message.to.clone(), incarnation: message.incarnation.unwrap_or(0) };
                 let key = (message.from.clone(), message.term);
                 match self.votes.insert(key, to.clone()) {
                     Some(before) if before != to => {
--- a/crates/flaxstand-agree/tests/search.rs
+++ b/crates/flaxstand-agree/tests/search.rs
@@ -2,7 +2,7 @@
 //! Every order of deliveries, losses, timeouts and crashes (before or after the disk took what they wait for) within
 //! the bounds is walked, on the keepers themselves; the states seen are counted.
 
-use flaxstand_agree::{Body, Config, Keeper, Member, Message, Micros, Planted, Snapshot, State, What};
+use flaxstand_agree::{Body, Config, Keeper, Message, Micros, Planted, ReplicaId, Snapshot, State, What};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -31,8 +31,8 @@
     votes: BTreeMap<(String, u64), String>,
 }
 
-fn member(i: usize) -> Member {
-    Member { name: format!("k{i}"), incarnation: 1 + i as u64 }
+fn member(i: usize) -> ReplicaId {
+    ReplicaId { name: format!("k{i}"), incarnation: 1 + i as u64 }
 }
 
 fn start(i: usize, state: State, seed: u64, planted: Planted, now: Micros) -> Keeper {
@@ -50,7 +50,7 @@
 
 impl World {
     fn new(budget: Budget, planted: Planted) -> World {
-        let electorate: Vec<Member> = (0..3).map(member).collect();
+        let electorate: Vec<ReplicaId> = (0..3).map(member).collect();
         let mut w = World {
             keepers: Vec::new(),
             disks: Vec::new(),
