--- a/crates/flaxstand-agree/src/agreement.rs
+++ b/crates/flaxstand-agree/src/agreement.rs
@@ -7,10 +7,10 @@
 use crate::book::{Book, Change, RULES_MOST, TEXT_MOST, Version};
 use crate::journal::State;
 use crate::keeper::{Agreed, Config as KeeperConfig, Keeper, Planted, ProposeError, Status};
+use crate::lease_manager::{Blocker, LeaseManager, LeaseRequest, LeaseResponse};
 use crate::member::{Acting, Member};
 use crate::message::Message;
 use crate::rules::Rules;
-use crate::warden::{Answer, Ask, Holds, Warden};
 use flaxstand_proto::Micros;
 use flaxstand_store::Batch;
 use serde::{Deserialize, Serialize};
@@ -87,9 +87,9 @@
     /// Between keepers.
     Keeper(Message),
     /// A member's ask, and how many times it was passed on.
-    Ask(u8, Ask),
+    LeaseRequest(u8, LeaseRequest),
     /// Its answer.
-    Answer(Box<Answer>),
+    LeaseResponse(Box<LeaseResponse>),
     /// What an operator wants.
     Wish(Wish),
     /// What he is told.
@@ -150,7 +150,7 @@
     /// The stage.
     pub stage: u64,
     /// Of a leader: who holds the passage up.
-    pub holds: Vec<Holds>,
+    pub holds: Vec<Blocker>,
     /// Of a leader: members; whether they have a lease, whether they confirmed, and when they were heard, ms ago.
     pub members: Vec<(String, bool, bool, u64)>,
 }
@@ -176,7 +176,7 @@
 pub struct Agreement {
     config: Config,
     keeper: Option<Keeper>,
-    warden: Option<Warden>,
+    leases: Option<LeaseManager>,
     member: Member,
     /// A keeper's book, made of what was agreed on, and its index.
     book: (u64, Book),
@@ -235,7 +235,7 @@
             Member::new(config.name.clone(), config.incarnation, saved, config.lease, config.planted, now);
         Agreement {
             keeper,
-            warden: None,
+            leases: None,
             member,
             book: (0, Book::default()),
             routes: BTreeMap::new(),
@@ -259,8 +259,10 @@
                     keeper.receive(message, now);
                 }
             }
-            (Word::Ask(hops, ask), Some(_)) if hops <= HOPS_MOST => self.asked(Some(conn), hops, ask, now),
-            (Word::Answer(answer), Some(_)) => self.answered(*answer, now),
+            (Word::LeaseRequest(hops, ask), Some(_)) if hops <= HOPS_MOST => {
+                self.asked(Some(conn), hops, ask, now)
+            }
+            (Word::LeaseResponse(answer), Some(_)) => self.answered(*answer, now),
             (Word::Wish(wish), None) => self.wished(conn, wish, now),
             (word, from) => warn!(?from, ?word, "a word that has no place here"),
         }
@@ -381,10 +383,10 @@
         self.member.book()
     }
 
-    /// See [`Warden::members_examined`]; 0 where this initiator does not lead.
+    /// See [`LeaseManager::members_examined`]; 0 where this initiator does not lead.
     #[doc(hidden)]
     pub fn members_examined(&self) -> u64 {
-        self.warden.as_ref().map_or(0, Warden::members_examined)
+        self.leases.as_ref().map_or(0, LeaseManager::members_examined)
     }
 
     fn leads(&self, now: Micros) -> Option<Micros> {
@@ -428,19 +430,19 @@
         }
         if keeper.leads() {
             let (span, error, planted) = (self.config.lease, self.config.clock_error, self.config.planted);
-            let warden = self.warden.get_or_insert_with(|| Warden::new(span, error, planted, now));
-            warden.at_stage(self.book.1.stage);
+            let leases = self.leases.get_or_insert_with(|| LeaseManager::new(span, error, planted, now));
+            leases.at_stage(self.book.1.stage);
             // Only while nobody else can lead: leases that another gave are not known here.
             let sure = keeper.leads_until(now).is_some_and(|until| now < until);
             let pending = keeper.last() > keeper.committed();
             if sure
                 && !pending
-                && let Some(change) = warden.passage(&self.book.1, self.calendar + now.0, now)
+                && let Some(change) = leases.change_in_force(&self.book.1, self.calendar + now.0, now)
             {
                 let _ = keeper.propose(change.bytes(), now);
             }
         } else {
-            self.warden = None;
+            self.leases = None;
             for conn in std::mem::take(&mut self.wishes).into_values() {
                 let why = "the leader was lost before it was agreed on: look at the history, and try again";
                 self.words.push_back((To::Back(conn), Word::Reply(Reply::Refused(why.into()))));
@@ -449,15 +451,16 @@
     }
 
     /// An ask, our own or another's: answered by the leader, passed on by all others.
-    fn asked(&mut self, conn: Option<u64>, hops: u8, ask: Ask, now: Micros) {
+    fn asked(&mut self, conn: Option<u64>, hops: u8, ask: LeaseRequest, now: Micros) {
         let until = self.leads(now);
-        if let (Some(warden), Some(until)) = (&mut self.warden, until) {
-            let (answer, new) = warden.asked(&ask, self.book.0, &self.book.1, until, now);
-            if new && self.book.1.stage > 0 {
+        if let (Some(leases), Some(until)) = (&mut self.leases, until) {
+            let decision = leases.decide(&ask, self.book.0, &self.book.1, until, now);
+            let answer = decision.response;
+            if decision.joins && self.book.1.stage > 0 {
                 self.take_in(ask.name.clone(), now);
             }
             match conn {
-                Some(conn) => self.words.push_back((To::Back(conn), Word::Answer(Box::new(answer)))),
+                Some(conn) => self.words.push_back((To::Back(conn), Word::LeaseResponse(Box::new(answer)))),
                 None => self.answered(answer, now),
             }
             return;
@@ -475,7 +478,7 @@
             }
             self.routes.insert((ask.name.clone(), ask.seq), Route { conn, since: now });
         }
-        self.words.push_back((To::Peer(to), Word::Ask(hops + 1, ask)));
+        self.words.push_back((To::Peer(to), Word::LeaseRequest(hops + 1, ask)));
     }
 
     fn take_in(&mut self, name: String, now: Micros) {
@@ -484,13 +487,13 @@
         }
     }
 
-    fn answered(&mut self, answer: Answer, now: Micros) {
+    fn answered(&mut self, answer: LeaseResponse, now: Micros) {
         if answer.name == self.config.name {
             self.answered_at = now;
             return self.member.answered(&answer, now);
         }
         if let Some(route) = self.routes.remove(&(answer.name.clone(), answer.seq)) {
-            self.words.push_back((To::Back(route.conn), Word::Answer(Box::new(answer))));
+            self.words.push_back((To::Back(route.conn), Word::LeaseResponse(Box::new(answer))));
         }
     }
 
@@ -527,7 +530,7 @@
 
     /// Whether a version may be proposed now.
     fn fit(&self, version: &Version, now: Micros) -> Result<(), Reply> {
-        let Some(warden) = &self.warden else { return Ok(()) };
+        let Some(leases) = &self.leases else { return Ok(()) };
         let refused = |why: String| Err(Reply::Refused(why));
         if version.text.len() > TEXT_MOST {
             return refused(format!("a file of {} bytes, at most {TEXT_MOST} are taken", version.text.len()));
@@ -537,9 +540,10 @@
             return refused(format!("rules of {size} bytes, at most {RULES_MOST} are taken"));
         }
         // No third stage before everyone has left the first.
-        let holds = warden.holds(&self.book.1, now);
-        if self.book.1.acting.number > 0 && self.book.1.next.is_none() && !holds.is_empty() {
-            let who: Vec<String> = holds.iter().take(4).map(|h| format!("{} ({})", h.who, h.why)).collect();
+        let blockers = leases.blockers(&self.book.1, now);
+        if self.book.1.acting.number > 0 && self.book.1.next.is_none() && !blockers.is_empty() {
+            let who: Vec<String> =
+                blockers.iter().take(4).map(|b| format!("{} ({})", b.who, b.why)).collect();
             return refused(format!("the passage before is not over: {}", who.join("; ")));
         }
         Ok(())
@@ -547,8 +551,8 @@
 
     /// Whether a member may be forgotten: not while it has a lease.
     fn gone(&self, name: &str, now: Micros) -> Result<(), Reply> {
-        let Some(warden) = &self.warden else { return Ok(()) };
-        match warden.tenants(now).iter().find(|(n, ..)| n == name) {
+        let Some(leases) = &self.leases else { return Ok(()) };
+        match leases.members(now).iter().find(|(n, ..)| n == name) {
             Some((_, true, ..)) => Err(Reply::Refused(format!("{name} has a lease: it is there"))),
             _ => Ok(()),
         }
@@ -577,11 +581,11 @@
             lease_ms: lease,
             versions: book.map_or((0, None), |b| (b.acting.number, b.next.as_ref().map(|n| n.number))),
             stage: book.map_or(0, |b| b.stage),
-            holds: match (&self.warden, book) {
-                (Some(warden), Some(_)) => warden.holds(&self.book.1, now),
+            holds: match (&self.leases, book) {
+                (Some(leases), Some(_)) => leases.blockers(&self.book.1, now),
                 _ => Vec::new(),
             },
-            members: self.warden.as_ref().map_or(Vec::new(), |w| w.tenants(now)),
+            members: self.leases.as_ref().map_or(Vec::new(), |leases| leases.members(now)),
         }
     }
 }
--- a/crates/flaxstand-agree/src/lib.rs
+++ b/crates/flaxstand-agree/src/lib.rs
@@ -22,12 +22,12 @@
 pub mod journal;
 pub mod keeper;
 pub mod leading;
+pub mod lease_manager;
 pub mod log;
 pub mod member;
 pub mod message;
 pub mod replica;
 pub mod rules;
-pub mod warden;
 
 pub use flaxstand_proto::Micros;
 pub use journal::{Journal, Recovered, State, recover};
--- a/crates/flaxstand-agree/src/member.rs
+++ b/crates/flaxstand-agree/src/member.rs
@@ -7,8 +7,8 @@
 
 use crate::book::Book;
 use crate::keeper::Planted;
+use crate::lease_manager::{LeaseRequest, LeaseResponse};
 use crate::rules::Rules;
-use crate::warden::{Answer, Ask};
 use flaxstand_proto::Micros;
 use std::collections::BTreeMap;
 
@@ -138,7 +138,7 @@
     }
 
     /// What to ask now, if it is time. To be sent at once.
-    pub fn ask(&mut self, now: Micros) -> Option<Ask> {
+    pub fn ask(&mut self, now: Micros) -> Option<LeaseRequest> {
         if now < self.ask_at || self.unsaved {
             return None;
         }
@@ -153,7 +153,7 @@
             let next = b.next.as_ref().unwrap_or(&b.acting);
             next.rules.unknown().join(", ")
         });
-        Some(Ask {
+        Some(LeaseRequest {
             name: self.name.clone(),
             incarnation: self.incarnation,
             seq,
@@ -173,7 +173,7 @@
     }
 
     /// An answer came: a lease for the stage that it names, if that is the book's here by now.
-    pub fn answered(&mut self, answer: &Answer, now: Micros) {
+    pub fn answered(&mut self, answer: &LeaseResponse, now: Micros) {
         let Some(asked) = self.asked.remove(&answer.seq) else { return };
         if answer.incarnation != self.incarnation || self.leaving {
             return;
--- a/crates/flaxstand-agree/tests/agreement/main.rs
+++ b/crates/flaxstand-agree/tests/agreement/main.rs
@@ -4,9 +4,9 @@
 
 use flaxstand_agree::agreement::Wish;
 use flaxstand_agree::book::{Book, Change, Version};
+use flaxstand_agree::lease_manager::{LeaseManager, LeaseRequest};
 use flaxstand_agree::member::Member;
 use flaxstand_agree::rules::{Rules, Safe, TABLE, Value, safe};
-use flaxstand_agree::warden::{Ask, Warden};
 use flaxstand_agree::{Micros, Planted};
 use proptest::prelude::*;
 use rig::{World, ms};
@@ -126,9 +126,9 @@
         |limit| Version { rules: rig::rules(limit, "once"), by: "a test".into(), ..Version::default() };
     assert_eq!(book.apply(Change::Propose { base: 0, version: version(50.0) }), Ok(1));
     assert_eq!(book.apply(Change::Propose { base: 1, version: version(20.0) }), Ok(2));
-    let mut warden = Warden::new(ms(600), 0.0, planted, ms(0));
+    let mut leases = LeaseManager::new(ms(600), 0.0, planted, ms(0));
     let (name, digest) = ("i1".to_owned(), book.digest() ^ 1);
-    let ask = Ask {
+    let ask = LeaseRequest {
         name,
         incarnation: 1,
         seq: 1,
@@ -138,9 +138,9 @@
         cannot: None,
         leaves: false,
     };
-    let (answer, _) = warden.asked(&ask, 9, &book, ms(5000), ms(1000));
-    let holds = warden.holds(&book, ms(1000));
-    let held = holds.iter().any(|h| h.who == "i1" && h.why.contains("another build"));
+    let answer = leases.decide(&ask, 9, &book, ms(5000), ms(1000)).response;
+    let blockers = leases.blockers(&book, ms(1000));
+    let held = blockers.iter().any(|h| h.who == "i1" && h.why.contains("another build"));
     (answer.lease.is_some(), !held)
 }
 
@@ -164,11 +164,11 @@
     low.rules.floor.insert("plan.gold.limit-rate".into(), Value::Number(0.5));
     book.apply(Change::Propose { base: 1, version: low }).expect("with its floor");
     assert!(book.needs_everyone());
-    let warden = Warden::new(ms(600), 0.0, Planted::None, ms(0));
-    let holds = warden.holds(&book, ms(60_000));
+    let leases = LeaseManager::new(ms(600), 0.0, Planted::None, ms(0));
+    let blockers = leases.blockers(&book, ms(60_000));
     assert!(
-        holds.iter().any(|h| h.why.contains("its own word is needed") && h.ends_ms.is_none()),
-        "{holds:?}"
+        blockers.iter().any(|h| h.why.contains("its own word is needed") && h.ends_ms.is_none()),
+        "{blockers:?}"
     );
     // Cut off, it acts on the narrower of both floors.
     let mut member = Member::new("i1".into(), 1, Some((9, book)), ms(600), Planted::None, ms(0));
--- a/crates/flaxstand-agree/tests/capacity/fleet.rs
+++ b/crates/flaxstand-agree/tests/capacity/fleet.rs
@@ -391,7 +391,7 @@
         let host = &mut self.hosts[to];
         let Some(agreement) = &mut host.agreement else { return };
         host.traffic.received += size;
-        if let Word::Answer(answer) = &word
+        if let Word::LeaseResponse(answer) = &word
             && answer.book.is_some()
             && host_number(&answer.name) == to
         {
