--- a/crates/flaxstand-agree/src/keeper.rs
+++ b/crates/flaxstand-agree/src/keeper.rs
@@ -1,12 +1,23 @@
 //! One keeper: messages, moments and word of the disk in; messages, batches and what is agreed on out.
+//!
+//! - `identity`: who a keeper is after a start: its lives, a lost disk, an old copy, the first electorate
+//! - `election`: terms and votes
+//! - `leading`: what a leader does, with `progress`: what it knows of the others
+//! - `following`: what the others do
+
+mod election;
+mod following;
+mod identity;
+mod leading;
+mod progress;
 
 use crate::journal::{Journal, Record, State};
-use crate::leading::Leading;
 use crate::log::{Entry, What};
 use crate::message::{Body, Message};
 use crate::replica::{Life, ReplicaId, Seen};
 use flaxstand_proto::Micros;
 use flaxstand_store::Batch;
+use progress::LeaderState;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeSet, VecDeque};
@@ -152,33 +163,33 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Role {
+enum Role {
     Follower,
     Candidate { pre: bool, granted: BTreeSet<ReplicaId> },
-    Leader(Leading),
+    Leader(LeaderState),
 }
 
 /// A keeper.
 #[derive(Clone, Debug)]
 pub struct Keeper {
-    pub(crate) config: Config,
-    pub(crate) rng: Pcg64Mcg,
-    pub(crate) state: State,
-    pub(crate) journal: Journal,
-    pub(crate) role: Role,
-    pub(crate) committed: u64,
+    config: Config,
+    rng: Pcg64Mcg,
+    state: State,
+    journal: Journal,
+    role: Role,
+    committed: u64,
     /// Up to there the owner was told.
     told: u64,
-    pub(crate) leader: Option<ReplicaId>,
-    pub(crate) leader_heard: Option<Micros>,
-    pub(crate) election_at: Micros,
+    leader: Option<ReplicaId>,
+    leader_heard: Option<Micros>,
+    election_at: Micros,
     /// Others that said since the start that they heard of no more than it knows; none: it is sure of itself.
-    pub(crate) unsure: Option<BTreeSet<String>>,
+    unsure: Option<BTreeSet<String>>,
     /// Of a founder: others that are new too.
-    pub(crate) fresh: BTreeSet<ReplicaId>,
+    fresh: BTreeSet<ReplicaId>,
     /// A new founder heard that there is an agreement already.
-    pub(crate) founded_elsewhere: bool,
-    pub(crate) call_at: Micros,
+    founded_elsewhere: bool,
+    call_at: Micros,
     held: VecDeque<(u64, Message)>,
     agreed: VecDeque<Agreed>,
 }
@@ -321,7 +332,7 @@
     /// When `tick` is to be called at the latest.
     pub fn wake(&self) -> Micros {
         let next = match &self.role {
-            Role::Leader(leading) => leading.speak_at,
+            Role::Leader(leading) => leading.heartbeat_at,
             _ if self.may_stand() => self.election_at.min(self.call_at),
             _ => self.call_at,
         };
@@ -459,21 +470,21 @@
         self.committed
     }
 
-    pub(crate) fn electorate(&self) -> Vec<ReplicaId> {
+    fn electorate(&self) -> Vec<ReplicaId> {
         self.state.log.electorate().1.to_vec()
     }
 
-    pub(crate) fn is_member(&self) -> bool {
+    fn is_member(&self) -> bool {
         self.state.log.electorate().1.contains(&self.state.me)
     }
 
     /// Queues a message; it leaves once all that was noted so far is durable.
-    pub(crate) fn tell(&mut self, to: &ReplicaId, body: Body) {
+    fn tell(&mut self, to: &ReplicaId, body: Body) {
         self.put(to.name.clone(), Some(to.incarnation), body);
     }
 
     /// To all keepers by name, whoever they are now.
-    pub(crate) fn call_all(&mut self, body: &Body) {
+    fn call_all(&mut self, body: &Body) {
         let others: Vec<String> =
             self.config.names.iter().filter(|n| **n != self.config.name).cloned().collect();
         others.into_iter().for_each(|name| self.put(name, None, body.clone()));
@@ -498,12 +509,12 @@
     }
 
     /// Notes a promise: what may not be forgotten once it was told.
-    pub(crate) fn promise(&mut self, record: Record) {
+    fn promise(&mut self, record: Record) {
         self.state.written += 1;
         self.journal.note(record);
     }
 
-    pub(crate) fn note_seen(&mut self, member: ReplicaId, newest: Seen) {
+    fn note_seen(&mut self, member: ReplicaId, newest: Seen) {
         let seen = &mut self.state.seen;
         if seen.len() >= SEEN_MOST && !seen.contains_key(&member) {
             let electorate = self.state.log.electorate().1;
@@ -514,20 +525,20 @@
     }
 
     /// A random wait before it wants to be elected, from now on.
-    pub(crate) fn put_off_election(&mut self, now: Micros) {
+    fn put_off_election(&mut self, now: Micros) {
         let election = self.config.election.0.max(1);
         self.election_at = now.after(Micros(election + self.rng.next_u64() % election));
     }
 
     /// Nothing that was held may leave, and what was agreed on is void: it is another now.
-    pub(crate) fn drop_all_held(&mut self) {
+    fn drop_all_held(&mut self) {
         self.held.clear();
         self.agreed.clear();
         (self.committed, self.told) = (0, 0);
     }
 
     /// The owner gets the snapshot in place of what it has.
-    pub(crate) fn tell_state(&mut self) {
+    fn tell_state(&mut self) {
         let snapshot = &self.state.log.snapshot;
         self.told = snapshot.index;
         self.agreed.push_back(Agreed::State(snapshot.index, snapshot.state.clone()));
--- a/crates/flaxstand-agree/src/election.rs
+++ b/crates/flaxstand-agree/src/keeper/election.rs
@@ -1,8 +1,8 @@
 //! Terms and votes.
 
+use super::progress::LeaderState;
+use super::{Keeper, Planted, Role};
 use crate::journal::Record;
-use crate::keeper::{Keeper, Planted, Role};
-use crate::leading::Leading;
 use crate::log::What;
 use crate::message::Body;
 use crate::replica::ReplicaId;
@@ -11,13 +11,13 @@
 use tracing::info;
 
 impl Keeper {
-    pub(crate) fn majority(&self, of: &BTreeSet<ReplicaId>) -> bool {
+    pub(super) fn majority(&self, of: &BTreeSet<ReplicaId>) -> bool {
         let electorate = self.state.log.electorate().1;
         electorate.iter().filter(|m| of.contains(m)).count() > electorate.len() / 2
     }
 
     /// Whether it may want to be elected.
-    pub(crate) fn may_stand(&self) -> bool {
+    pub(super) fn may_stand(&self) -> bool {
         self.state.cluster != 0 && self.unsure.is_none() && self.is_member() && !self.leads()
     }
 
@@ -28,7 +28,7 @@
     }
 
     /// Enters a term that somebody else began, or falls back in its own.
-    pub(crate) fn follow(&mut self, term: u64, now: Micros) {
+    pub(super) fn follow(&mut self, term: u64, now: Micros) {
         if term > self.state.term {
             (self.state.term, self.state.voted) = (term, None);
             self.promise(Record::Term(term, None));
@@ -46,7 +46,7 @@
 
     /// Wants to be elected: first asks whether it would be, so that one that was cut off does not push the others
     /// through terms when it comes back.
-    pub(crate) fn stand(&mut self, pre: bool, now: Micros) {
+    pub(super) fn stand(&mut self, pre: bool, now: Micros) {
         self.put_off_election(now);
         self.leader = None;
         if !pre {
@@ -74,7 +74,7 @@
     fn begin_to_lead(&mut self, now: Micros) {
         info!(term = self.state.term, "leading");
         let peers = self.electorate().into_iter().filter(|m| *m != self.state.me);
-        self.role = Role::Leader(Leading::new(peers, self.state.log.last(), now));
+        self.role = Role::Leader(LeaderState::new(peers, self.state.log.last(), now));
         self.leader = Some(self.state.me.clone());
         // Entries of earlier terms count as committed only behind one of this term.
         self.write(What::Begin);
@@ -85,7 +85,7 @@
         newest >= self.state.log.newest() || self.config.planted == Planted::OlderLogElected
     }
 
-    pub(crate) fn asked_pre_vote(&mut self, from: &ReplicaId, term: u64, newest: (u64, u64), now: Micros) {
+    pub(super) fn asked_pre_vote(&mut self, from: &ReplicaId, term: u64, newest: (u64, u64), now: Micros) {
         if self.unsure.is_some() {
             return;
         }
@@ -94,7 +94,7 @@
         self.tell(from, Body::PreVoted(asked, granted));
     }
 
-    pub(crate) fn pre_voted(&mut self, from: ReplicaId, term: u64, asked: u64, granted: bool, now: Micros) {
+    pub(super) fn pre_voted(&mut self, from: ReplicaId, term: u64, asked: u64, granted: bool, now: Micros) {
         if term > self.state.term {
             return self.follow(term, now);
         }
@@ -107,7 +107,7 @@
         }
     }
 
-    pub(crate) fn asked_vote(&mut self, from: &ReplicaId, term: u64, newest: (u64, u64), now: Micros) {
+    pub(super) fn asked_vote(&mut self, from: &ReplicaId, term: u64, newest: (u64, u64), now: Micros) {
         if self.unsure.is_some() || self.has_leader(now) && term > self.state.term {
             return;
         }
@@ -128,7 +128,7 @@
         self.tell(from, Body::Voted(granted));
     }
 
-    pub(crate) fn voted(&mut self, from: ReplicaId, term: u64, granted: bool, now: Micros) {
+    pub(super) fn voted(&mut self, from: ReplicaId, term: u64, granted: bool, now: Micros) {
         if term > self.state.term {
             return self.follow(term, now);
         }
--- a/crates/flaxstand-agree/src/following.rs
+++ b/crates/flaxstand-agree/src/keeper/following.rs
@@ -1,7 +1,7 @@
 //! What a keeper does that a leader speaks to.
 
+use super::{Keeper, Planted};
 use crate::journal::Record;
-use crate::keeper::{Keeper, Planted};
 use crate::log::{Entry, Snapshot};
 use crate::message::Body;
 use crate::replica::ReplicaId;
@@ -9,7 +9,7 @@
 use tracing::info;
 
 /// What a leader is answered.
-pub(crate) enum Heard {
+pub(super) enum Heard {
     /// All up to there is held as it has it.
     Held(u64),
     /// What came does not fit, or its sender leads no more; all up to there fits.
@@ -32,7 +32,7 @@
         true
     }
 
-    pub(crate) fn appended(
+    pub(super) fn appended(
         &mut self,
         from: &ReplicaId,
         term: u64,
@@ -70,7 +70,7 @@
         Heard::Held(surely)
     }
 
-    pub(crate) fn install(&mut self, from: &ReplicaId, term: u64, snapshot: Snapshot, now: Micros) -> Heard {
+    pub(super) fn install(&mut self, from: &ReplicaId, term: u64, snapshot: Snapshot, now: Micros) -> Heard {
         if !self.led_by(from, term, now) {
             return Heard::Missing(0);
         }
@@ -93,7 +93,7 @@
         Heard::Held(self.committed)
     }
 
-    pub(crate) fn answer_leader(&mut self, to: &ReplicaId, heard: Heard, stamp: u64) {
+    pub(super) fn answer_leader(&mut self, to: &ReplicaId, heard: Heard, stamp: u64) {
         // An old copy must not confirm what its later life may have confirmed otherwise.
         let body = match heard {
             Heard::Held(upto) | Heard::Missing(upto) if self.unsure.is_some() => Body::Has(upto),
--- a/crates/flaxstand-agree/src/identity.rs
+++ b/crates/flaxstand-agree/src/keeper/identity.rs
@@ -16,8 +16,8 @@
 //!   another machine was started under its name. One folder at a time may be an old copy, and not while another
 //!   keeper's disk is lost.
 
+use super::{Keeper, Planted, Role};
 use crate::journal::State;
-use crate::keeper::{Keeper, Planted, Role};
 use crate::log::Snapshot;
 use crate::message::{Body, Message};
 use crate::replica::{Life, ReplicaId, Seen};
@@ -28,7 +28,7 @@
 
 impl Keeper {
     /// One that is new calls: the founder to found, the others to be taken in.
-    pub(crate) fn call_as_new(&mut self, now: Micros) {
+    pub(super) fn call_as_new(&mut self, now: Micros) {
         if self.config.names.first() != Some(&self.config.name) || self.founded_elsewhere {
             return self.call_all(&Body::Newcomer);
         }
@@ -53,20 +53,20 @@
         self.put_off_election(now);
     }
 
-    pub(crate) fn asked_fresh(&mut self, founder: &ReplicaId) {
+    pub(super) fn asked_fresh(&mut self, founder: &ReplicaId) {
         let body = if self.state.cluster == 0 { Body::Fresh } else { Body::Formed };
         self.tell(founder, body);
     }
 
     /// The last word of a name counts: it may have been started anew meanwhile.
-    pub(crate) fn heard_fresh(&mut self, from: ReplicaId) {
+    pub(super) fn heard_fresh(&mut self, from: ReplicaId) {
         if self.state.cluster == 0 {
             self.fresh.retain(|m| m.name != from.name);
             self.fresh.insert(from);
         }
     }
 
-    pub(crate) fn heard_formed(&mut self) {
+    pub(super) fn heard_formed(&mut self) {
         if self.state.cluster == 0 && !self.founded_elsewhere {
             info!("there is an agreement already: asking to be taken in");
             self.founded_elsewhere = true;
@@ -74,7 +74,7 @@
     }
 
     /// After a start: the others are asked before anything is promised.
-    pub(crate) fn ask_after_later_lives(&mut self) {
+    pub(super) fn ask_after_later_lives(&mut self) {
         // Also where the folder knows of no vote: a later life may have had one.
         if self.config.names.len() > 1 && self.config.planted != Planted::OldCopyVotes {
             self.unsure = Some(BTreeSet::new());
@@ -82,7 +82,7 @@
     }
 
     /// One more says that it heard of no more than this keeper knows, or that it lost its own disk.
-    pub(crate) fn life_seen(&mut self, from: ReplicaId) {
+    pub(super) fn life_seen(&mut self, from: ReplicaId) {
         let mut others: BTreeSet<String> = self.electorate().into_iter().map(|m| m.name).collect();
         if others.is_empty() {
             others.extend(self.config.names.iter().cloned());
@@ -97,7 +97,7 @@
     }
 
     /// A keeper that started asks for word of it. A leader notes that it has to be brought up to date.
-    pub(crate) fn asked_life(&mut self, from: &ReplicaId, life: Life, now: Micros) {
+    pub(super) fn asked_life(&mut self, from: &ReplicaId, life: Life, now: Micros) {
         if let Role::Leader(leading) = &mut self.role {
             leading.unsure(from, life, now);
         }
@@ -106,7 +106,7 @@
 
     /// The leader proved, without this keeper, that it leads, and this keeper has all that was agreed on: whatever
     /// it promised in a life that it does not know, a majority without it has gone on from.
-    pub(crate) fn up_to_date(&mut self, term: u64, life: Life) {
+    pub(super) fn up_to_date(&mut self, term: u64, life: Life) {
         if term == self.state.term && life == self.state.life && self.unsure.take().is_some() {
             info!(life = life.count, "brought up to date by a leader: taking part");
         }
@@ -114,7 +114,7 @@
 
     /// Whether the message comes from its sender's newest life. An older one, or one that begins with less than was
     /// heard of it before, is told so, and its message dropped.
-    pub(crate) fn newest_life(&mut self, message: &Message) -> bool {
+    pub(super) fn newest_life(&mut self, message: &Message) -> bool {
         let heard = Seen { life: message.life, written: message.written };
         match self.state.seen.get(&message.from) {
             // What comes late in one life says less.
@@ -132,7 +132,7 @@
     }
 
     /// Guards against an old copy of the folder: what this keeper promised beyond it, it does not know.
-    pub(crate) fn superseded(&mut self, newest: Seen) {
+    pub(super) fn superseded(&mut self, newest: Seen) {
         // A message of an earlier life that came late is answered so too.
         if self.state.life.superseded_by(newest) {
             warn!(own = ?self.state.life, ?newest, "more was heard of this keeper than it knows");
@@ -141,7 +141,7 @@
     }
 
     /// Comes back as another, that promised nothing yet.
-    pub(crate) fn renounce(&mut self, why: &str) {
+    pub(super) fn renounce(&mut self, why: &str) {
         warn!(why, "coming back as a new keeper");
         let me = ReplicaId { name: self.config.name.clone(), incarnation: self.rng.next_u64() };
         let life = Life { count: 1, nonce: self.rng.next_u64(), began: 0 };
@@ -155,13 +155,13 @@
 
     /// Of a leader: whether one that wants votes has none itself any more, as all agreed. Guards against a folder put
     /// back from before its keeper was replaced: it would ask for ever.
-    pub(crate) fn replaced(&self, from: &ReplicaId) -> bool {
+    pub(super) fn replaced(&self, from: &ReplicaId) -> bool {
         let (since, electorate) = self.state.log.electorate();
         self.leads() && since <= self.committed && !electorate.contains(from)
     }
 
     /// One that is new wants to be taken in.
-    pub(crate) fn newcomer(&mut self, from: ReplicaId, now: Micros) {
+    pub(super) fn newcomer(&mut self, from: ReplicaId, now: Micros) {
         if let Role::Leader(leading) = &mut self.role {
             leading.learner(from, now);
         }
--- a/crates/flaxstand-agree/src/leading.rs
+++ b/crates/flaxstand-agree/src/keeper/leading.rs
@@ -1,88 +1,23 @@
 //! What a leader does: spreads entries, counts who holds them, steps down when no majority answers, takes new
 //! keepers in.
 
+use super::progress::{Progress, Unsure};
+use super::{Keeper, MESSAGE_MOST, Planted, Role};
 use crate::journal::Record;
-use crate::keeper::{Keeper, MESSAGE_MOST, Planted, Role};
 use crate::log::{Entry, What};
 use crate::message::Body;
-use crate::replica::{Life, ReplicaId};
+use crate::replica::ReplicaId;
 use flaxstand_proto::Micros;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use tracing::{info, warn};
 
 /// One of a name is taken for lost, and another incarnation of it may take its place, once it has been silent for
 /// so many elections' times.
 const LOST_AFTER: u64 = 4;
-/// Newcomers that a leader speaks to, most.
-const LEARNERS_MOST: usize = 8;
-
-#[derive(Clone, Debug)]
-struct Peer {
-    /// All up to there is durable there.
-    held: u64,
-    /// That counts once so many records are durable here: until then an old copy of its folder would not be known.
-    after: u64,
-    /// What counted last.
-    counted: u64,
-    /// The entry to send next.
-    next: u64,
-    heard: Micros,
-    /// When the newest of the messages was written that it answered.
-    stamped: Micros,
-    /// It started in this life, and asked at that moment for word of it; and what it has since.
-    unsure: Option<(Life, Micros, u64)>,
-}
-
-impl Peer {
-    fn new(next: u64, now: Micros) -> Peer {
-        Peer { held: 0, after: 0, counted: 0, next, heard: now, stamped: Micros(0), unsure: None }
-    }
-}
-
-/// A leader's view of the others.
-#[derive(Clone, Debug)]
-pub(crate) struct Leading {
-    peers: BTreeMap<ReplicaId, Peer>,
-    pub(crate) speak_at: Micros,
-}
-
-impl Leading {
-    pub(crate) fn new(peers: impl Iterator<Item = ReplicaId>, last: u64, now: Micros) -> Leading {
-        let peers = peers.map(|m| (m, Peer::new(last + 1, now))).collect();
-        Leading { peers, speak_at: now }
-    }
-
-    /// See `Keeper::essence`.
-    pub(crate) fn essence(&self) -> String {
-        let of = |(m, p): (&ReplicaId, &Peer)| {
-            format!("{} {} {} {:?}", m.name, p.counted, p.next, p.unsure.map(|u| u.2))
-        };
-        format!("leads {:?}", self.peers.iter().map(of).collect::<Vec<_>>())
-    }
-
-    /// A member started and is not sure of itself.
-    pub(crate) fn unsure(&mut self, member: &ReplicaId, life: Life, now: Micros) {
-        if let Some(peer) = self.peers.get_mut(member)
-            && peer.unsure.is_none_or(|(known, ..)| known != life)
-        {
-            peer.unsure = Some((life, now, 0));
-        }
-    }
-
-    /// One that is in no electorate asks to be taken in.
-    pub(crate) fn learner(&mut self, member: ReplicaId, now: Micros) {
-        if let Some(peer) = self.peers.get_mut(&member) {
-            peer.heard = now;
-        } else if self.peers.len() < LEARNERS_MOST {
-            info!(name = member.name, "a new keeper asks to be taken in");
-            self.peers.insert(member, Peer::new(1, now));
-        }
-    }
-}
 
 impl Keeper {
     /// Writes an entry of this term. Returns its index.
-    pub(crate) fn write(&mut self, what: What) -> u64 {
+    pub(super) fn write(&mut self, what: What) -> u64 {
         let entry = Entry { term: self.state.term, what };
         let index = self.state.log.last() + 1;
         self.state.log.entries.push(entry.clone());
@@ -91,13 +26,13 @@
     }
 
     /// Speaks to all, as often as a leader does.
-    pub(crate) fn lead(&mut self, now: Micros) {
+    pub(super) fn lead(&mut self, now: Micros) {
         if !self.hears_majority(now) && self.config.planted != Planted::LeaderStaysAlone {
             warn!(term = self.state.term, "no majority answers");
             return self.follow(self.state.term, now);
         }
         let Role::Leader(leading) = &self.role else { return };
-        if now >= leading.speak_at {
+        if now >= leading.heartbeat_at {
             self.tell_up_to_date(now);
             self.tend_electorate(now);
             self.spread(now);
@@ -107,7 +42,7 @@
     /// Check-quorum: a leader that a majority has not answered within an election's time may have been replaced.
     fn hears_majority(&self, now: Micros) -> bool {
         let Role::Leader(leading) = &self.role else { return false };
-        let lately = |p: &Peer| now.since(p.heard) < self.config.election;
+        let lately = |p: &Progress| now.since(p.heard_at) < self.config.election;
         let mut heard: BTreeSet<ReplicaId> =
             leading.peers.iter().filter(|(_, p)| lately(p)).map(|(m, _)| m.clone()).collect();
         heard.insert(self.state.me.clone());
@@ -125,7 +60,7 @@
         let electorate = self.state.log.electorate().1;
         let stamped = |m: &ReplicaId| match leading.peers.get(m) {
             _ if *m == self.state.me => now,
-            peer => peer.map_or(Micros(0), |p| p.stamped),
+            peer => peer.map_or(Micros(0), |p| p.newest_stamp),
         };
         let mut all: Vec<Micros> = electorate.iter().map(stamped).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
@@ -134,19 +69,19 @@
     }
 
     /// Of a leader: members that it has not heard for an election's time.
-    pub(crate) fn silent(&self, now: Micros) -> Vec<String> {
+    pub(super) fn silent(&self, now: Micros) -> Vec<String> {
         let Role::Leader(leading) = &self.role else { return Vec::new() };
         let silent = |m: &&ReplicaId| {
             **m != self.state.me
-                && leading.peers.get(m).is_none_or(|p| now.since(p.heard) >= self.config.election)
+                && leading.peers.get(m).is_none_or(|p| now.since(p.heard_at) >= self.config.election)
         };
         self.state.log.electorate().1.iter().filter(silent).map(|m| m.name.clone()).collect()
     }
 
     /// Sends everyone what it is missing, or nothing but word that the leader lives.
-    pub(crate) fn spread(&mut self, now: Micros) {
+    pub(super) fn spread(&mut self, now: Micros) {
         let Role::Leader(leading) = &mut self.role else { return };
-        leading.speak_at = now.after(self.config.heartbeat);
+        leading.heartbeat_at = now.after(self.config.heartbeat);
         let peers: Vec<ReplicaId> = leading.peers.keys().cloned().collect();
         peers.iter().for_each(|peer| self.send_next(peer, now));
         self.settle_commit();
@@ -156,7 +91,7 @@
         let Role::Leader(leading) = &self.role else { return };
         let Some(peer) = leading.peers.get(to) else { return };
         let log = &self.state.log;
-        let before = peer.next - 1;
+        let before = peer.next_index - 1;
         let body = match log.term(before) {
             Some(term) => {
                 let entries = log.after(before, MESSAGE_MOST);
@@ -169,7 +104,7 @@
     }
 
     /// One says what it holds: surely all up to there, and if `fits` that was what was sent.
-    pub(crate) fn held_by(
+    pub(super) fn held_by(
         &mut self,
         from: &ReplicaId,
         term: u64,
@@ -186,35 +121,37 @@
             return;
         }
         let Some(peer) = leading.peers.get_mut(from) else { return };
-        (peer.heard, peer.unsure) = (now, None);
-        peer.stamped = peer.stamped.max(stamp.min(now));
+        peer.heard_at = now;
+        peer.unsure = None;
+        peer.newest_stamp = peer.newest_stamp.max(stamp.min(now));
         if fits {
             // What comes late says less than what came before it.
-            let more = upto > peer.held;
+            let more = upto > peer.match_index;
             if more {
-                (peer.held, peer.after) = (upto, self.journal.queued());
+                peer.match_index = upto;
+                peer.counts_after = self.journal.queued();
             }
-            peer.next = peer.held + 1;
-            if more && peer.held < last {
+            peer.next_index = peer.match_index + 1;
+            if more && peer.match_index < last {
                 self.send_next(from, now);
             }
         } else {
-            peer.next = (upto.max(peer.held) + 1).min(last + 1);
+            peer.next_index = (upto.max(peer.match_index) + 1).min(last + 1);
             self.send_next(from, now);
         }
         self.settle_commit();
     }
 
     /// One that may not confirm yet says what it has.
-    pub(crate) fn has(&mut self, from: &ReplicaId, term: u64, upto: u64) {
+    pub(super) fn has(&mut self, from: &ReplicaId, term: u64, upto: u64) {
         let last = self.state.log.last();
         let Role::Leader(leading) = &mut self.role else { return };
         if term == self.state.term
             && let Some(peer) = leading.peers.get_mut(from)
-            && let Some((_, _, has)) = &mut peer.unsure
+            && let Some(unsure) = &mut peer.unsure
         {
-            *has = upto;
-            peer.next = upto.min(last) + 1;
+            unsure.has = upto;
+            peer.next_index = upto.min(last) + 1;
         }
     }
 
@@ -228,10 +165,11 @@
         }
         let mut ready = Vec::new();
         for (member, peer) in &leading.peers {
-            let Some((life, asked, has)) = peer.unsure else { continue };
+            let Some(Unsure { life, asked_at, has }) = peer.unsure else { continue };
             let proves = |m: &&ReplicaId| {
                 *m != member
-                    && (**m == self.state.me || leading.peers.get(m).is_some_and(|p| p.stamped > asked))
+                    && (**m == self.state.me
+                        || leading.peers.get(m).is_some_and(|p| p.newest_stamp > asked_at))
             };
             if has >= self.committed && electorate.iter().filter(proves).count() > electorate.len() / 2 {
                 ready.push((member.clone(), life));
@@ -243,21 +181,25 @@
             if let Role::Leader(leading) = &mut self.role
                 && let Some(peer) = leading.peers.get_mut(&member)
             {
-                peer.unsure = Some((life, now, 0));
+                peer.unsure = Some(Unsure { life, asked_at: now, has: 0 });
             }
         }
     }
 
     /// Counts who holds what: an entry of this term that a majority has durable is agreed on, and all before it.
-    pub(crate) fn settle_commit(&mut self) {
+    pub(super) fn settle_commit(&mut self) {
         let Role::Leader(leading) = &mut self.role else { return };
         let own = self.journal.durable_last();
         let durable = self.journal.durable();
-        leading.peers.values_mut().filter(|p| p.after <= durable).for_each(|p| p.counted = p.held);
+        leading
+            .peers
+            .values_mut()
+            .filter(|p| p.counts_after <= durable)
+            .for_each(|p| p.counted_index = p.match_index);
         let electorate = self.state.log.electorate().1;
         let held = |m: &ReplicaId| match leading.peers.get(m) {
             _ if *m == self.state.me => own,
-            peer => peer.map_or(0, |p| p.counted),
+            peer => peer.map_or(0, |p| p.counted_index),
         };
         let mut all: Vec<u64> = electorate.iter().map(held).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
@@ -265,7 +207,7 @@
         let of_term = self.state.log.term(upto) == Some(self.state.term);
         if upto > self.committed && (of_term || self.config.planted == Planted::EarlierTermCommitted) {
             self.committed = upto;
-            leading.speak_at = Micros(0);
+            leading.heartbeat_at = Micros(0);
             if !self.is_member() && self.state.log.electorate().0 <= upto {
                 info!("no longer in the electorate");
                 self.role = Role::Follower;
@@ -282,18 +224,19 @@
         let electorate = electorate.to_vec();
         let lost_after = Micros(self.config.election.0 * LOST_AFTER);
         // Newcomers that went away again.
-        leading.peers.retain(|m, p| electorate.contains(m) || now.since(p.heard) < lost_after);
+        leading.peers.retain(|m, p| electorate.contains(m) || now.since(p.heard_at) < lost_after);
         for member in &electorate {
             let next = self.state.log.last() + 1;
             if *member != self.state.me {
-                leading.peers.entry(member.clone()).or_insert(Peer::new(next, now));
+                leading.peers.entry(member.clone()).or_insert(Progress::new(next, now));
             }
         }
         let settled = since <= self.committed && self.state.log.term(self.committed) == Some(self.state.term);
         if !settled {
             return;
         }
-        let silent = |m: &ReplicaId| leading.peers.get(m).is_some_and(|p| now.since(p.heard) >= lost_after);
+        let silent =
+            |m: &ReplicaId| leading.peers.get(m).is_some_and(|p| now.since(p.heard_at) >= lost_after);
         let learners = leading.peers.iter().filter(|(m, _)| !electorate.contains(m));
         let mut next = None;
         for (learner, peer) in learners {
@@ -304,7 +247,7 @@
                     info!(name = old.name, "a keeper that lost its disk gives up its vote");
                     next = Some(rest);
                 }
-                None if peer.held >= self.committed => {
+                None if peer.match_index >= self.committed => {
                     let mut more = electorate.clone();
                     more.push(learner.clone());
                     more.sort();
--- a/crates/flaxstand-agree/src/lib.rs
+++ b/crates/flaxstand-agree/src/lib.rs
@@ -5,9 +5,10 @@
 //! Nothing here touches a socket, a file or a clock. The owner hands over messages, moments and word of what
 //! became durable, and takes messages to send, batches to store and what was agreed on.
 //!
-//! - [`keeper`]: ties the parts together; what the owner calls
-//! - [`identity`]: who a keeper is after a start: its lives, a lost disk, an old copy, the first electorate
-//! - [`election`]: terms and votes; [`leading`]: what a leader does; [`following`]: what the others do
+//! - [`agreement`]: one initiator: its keeper, if it is one, its membership, and the ways between; what the owner calls
+//! - [`member`]: leases as their holder sees them; [`lease_manager`]: as the leader does
+//! - [`book`]: the replicated state; [`rules`]: its rules, and which of two values is safe beside the other
+//! - [`keeper`]: one replica of the log: elections, replication, recovery
 //! - [`log`]: entries and the snapshot before them
 //! - [`replica`]: what names a keeper, its starts
 //! - [`message`]: what keepers say to each other
@@ -16,12 +17,8 @@
 
 pub mod agreement;
 pub mod book;
-pub mod election;
-pub mod following;
-pub mod identity;
 pub mod journal;
 pub mod keeper;
-pub mod leading;
 pub mod lease_manager;
 pub mod log;
 pub mod member;
