--- a/crates/flaxstand-agree/src/agreement/routing.rs
+++ b/crates/flaxstand-agree/src/agreement/routing.rs
@@ -56,7 +56,7 @@
 impl Agreement {
     /// Sends the member's own request, if one is due.
     pub(super) fn renew_lease(&mut self, now: Micros) {
-        let Some(request) = self.member.ask(now) else { return };
+        let Some(request) = self.member.lease_request(now) else { return };
         // An upstream that has not answered for half a lease is left.
         if now.since(self.answered_at) > Micros(self.config.lease.0 / 2) {
             self.upstreams.next();
@@ -101,7 +101,7 @@
     pub(super) fn lease_response(&mut self, response: LeaseResponse, now: Micros) {
         if response.name == self.config.name {
             self.answered_at = now;
-            return self.member.answered(&response, now);
+            return self.member.lease_response(&response, now);
         }
         let id = (response.name.clone(), response.seq);
         if let Some(route) = self.routes.remove(&id) {
--- a/crates/flaxstand-agree/src/member.rs
+++ b/crates/flaxstand-agree/src/member.rs
@@ -12,9 +12,9 @@
 use flaxstand_proto::Micros;
 use std::collections::BTreeMap;
 
-/// Asks whose answers may still come, most.
-const ASKED_MOST: usize = 16;
-/// A lease is asked for anew so many times in its span.
+/// Requests whose responses may still come, most. The oldest is forgotten then.
+const PENDING_MOST: usize = 16;
+/// A lease is renewed so many times in its span.
 const RENEWALS: u64 = 4;
 
 /// What a member acts on.
@@ -39,9 +39,10 @@
     /// Until when it acts on the book. A lease for an older stage holds for the newer one too: who acts on that
     /// contradicts nobody who may act on the older, and the older is no longer acted on here.
     lease: Option<Micros>,
-    asked: BTreeMap<u64, Micros>,
-    next_ask: u64,
-    ask_at: Micros,
+    /// By number: when each request was sent whose response may still come.
+    pending: BTreeMap<u64, Micros>,
+    next_request: u64,
+    request_at: Micros,
     span: Micros,
     leaving: bool,
     /// The book that has to be saved before its stage is confirmed.
@@ -67,9 +68,9 @@
             book,
             index,
             lease: None,
-            asked: BTreeMap::new(),
-            next_ask: 1,
-            ask_at: now,
+            pending: BTreeMap::new(),
+            next_request: 1,
+            request_at: now,
             span,
             leaving: false,
             unsaved: false,
@@ -130,24 +131,24 @@
         self.lease
     }
 
-    /// Gives the lease back at the next ask, and acts on the floor from now on.
+    /// Gives the lease back at the next request, and acts on the floor from now on.
     pub fn leave(&mut self, now: Micros) {
         self.leaving = true;
         self.lease = None;
-        self.ask_at = now;
+        self.request_at = now;
     }
 
-    /// What to ask now, if it is time. To be sent at once.
-    pub fn ask(&mut self, now: Micros) -> Option<LeaseRequest> {
-        if now < self.ask_at || self.unsaved {
+    /// The lease request that is due now, if one is. To be sent at once.
+    pub fn lease_request(&mut self, now: Micros) -> Option<LeaseRequest> {
+        if now < self.request_at || self.unsaved {
             return None;
         }
-        self.ask_at = now.after(Micros(self.span.0 / RENEWALS));
-        let seq = self.next_ask;
-        self.next_ask += 1;
-        self.asked.insert(seq, now);
-        while self.asked.len() > ASKED_MOST {
-            self.asked.pop_first();
+        self.request_at = now.after(Micros(self.span.0 / RENEWALS));
+        let seq = self.next_request;
+        self.next_request += 1;
+        self.pending.insert(seq, now);
+        while self.pending.len() > PENDING_MOST {
+            self.pending.pop_first();
         }
         let unknown = self.book.as_ref().map(|b| {
             let next = b.next.as_ref().unwrap_or(&b.acting);
@@ -165,26 +166,26 @@
         })
     }
 
-    /// When to ask again at the latest.
+    /// When the next request is due, or the lease ends.
     pub fn wake(&self, now: Micros) -> Micros {
         // One that ran out ends nothing any more.
         let ends = self.lease.filter(|until| now < *until);
-        ends.map_or(self.ask_at, |until| self.ask_at.min(until))
+        ends.map_or(self.request_at, |until| self.request_at.min(until))
     }
 
-    /// An answer came: a lease for the stage that it names, if that is the book's here by now.
-    pub fn answered(&mut self, answer: &LeaseResponse, now: Micros) {
-        let Some(asked) = self.asked.remove(&answer.seq) else { return };
-        if answer.incarnation != self.incarnation || self.leaving {
+    /// A response came: a lease for the stage that it names, if that is the book's here by now.
+    pub fn lease_response(&mut self, response: &LeaseResponse, now: Micros) {
+        let Some(requested_at) = self.pending.remove(&response.seq) else { return };
+        if response.incarnation != self.incarnation || self.leaving {
             return;
         }
-        if let Some((index, book)) = &answer.book {
+        if let Some((index, book)) = &response.book {
             self.learn(*index, book);
         }
         let stage = self.book.as_ref().map_or(0, |b| b.stage);
-        if let Some(span) = answer.lease.map(Micros).filter(|_| answer.stage == stage && stage > 0) {
+        if let Some(span) = response.lease.map(Micros).filter(|_| response.stage == stage && stage > 0) {
             self.span = span;
-            let from = if self.planted == Planted::LeaseFromAnswer { now } else { asked };
+            let from = if self.planted == Planted::LeaseFromAnswer { now } else { requested_at };
             self.lease = self.lease.max(Some(from.after(span)));
         }
     }
--- a/crates/flaxstand-agree/tests/agreement/main.rs
+++ b/crates/flaxstand-agree/tests/agreement/main.rs
@@ -176,7 +176,7 @@
     assert_eq!(rules.values.get("plan.gold.limit-rate"), Some(&Value::Number(0.5)));
     assert_eq!(rules.values.get("class.read.effect"), Some(&Value::Word("once".into())));
     assert!(
-        member.ask(ms(10)).is_some() && member.wake(ms(10)) > ms(10),
+        member.lease_request(ms(10)).is_some() && member.wake(ms(10)) > ms(10),
         "it does not wake for a lease long gone"
     );
 }
