--- a/crates/flaxstand-agree/src/keeper.rs
+++ b/crates/flaxstand-agree/src/keeper.rs
@@ -1,11 +1,23 @@
-//! One keeper: letters, moments and word of the disk in; letters, batches and what is agreed on out.
+//! One keeper: messages, moments and word of the disk in; messages, batches and what is agreed on out.
+//!
+//! - `identity`: who a keeper is after a start: its lives, a lost disk, an old copy, the first electorate
+//! - `election`: terms and votes
+//! - `leading`: what a leader does, with `progress`: what it knows of the others
+//! - `following`: what the others do
+
+mod election;
+mod following;
+mod identity;
+mod leading;
+mod progress;
 
 use crate::journal::{Journal, Record, State};
-use crate::leading::Leading;
-use crate::letter::{Body, Letter, Life, Member, Seen};
 use crate::log::{Entry, What};
+use crate::message::{Body, Message};
+use crate::replica::{Life, ReplicaId, Seen};
 use flaxstand_proto::Micros;
 use flaxstand_store::Batch;
+use progress::LeaderState;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeSet, VecDeque};
@@ -16,11 +28,11 @@
 pub const CHANGE_MOST: usize = 128 << 10;
 /// Most bytes of what the owner makes of all changes.
 pub const STATE_MOST: usize = 768 << 10;
-/// Most bytes of entries in one letter, where one entry alone is not larger.
-pub const LETTER_MOST: usize = 256 << 10;
+/// Most bytes of entries in one message, where one entry alone is not larger.
+pub const MESSAGE_MOST: usize = 256 << 10;
 /// Most entries that are not agreed on yet. A change beyond them has to wait.
 pub const OPEN_MOST: u64 = 16;
-/// Letters that wait for the disk, most. The oldest is dropped then: all that matters is said again.
+/// Messages that wait for the disk, most. The oldest is dropped then: all that matters is said again.
 const HELD_MOST: usize = 256;
 /// Lives of others that are remembered, most; beyond that those that are not in the electorate go.
 const SEEN_MOST: usize = 64;
@@ -34,7 +46,7 @@
     None,
     /// An entry of an earlier term counts as committed by the number of its holders.
     EarlierTermCommitted,
-    /// Letters do not wait for the disk.
+    /// Messages do not wait for the disk.
     ToldBeforeDurable,
     /// Votes are not written down.
     VoteNotWritten,
@@ -131,7 +143,7 @@
     /// What it is.
     pub standing: Standing,
     /// Who it is.
-    pub me: Member,
+    pub me: ReplicaId,
     /// How often it started.
     pub life: u64,
     /// Its term.
@@ -143,7 +155,7 @@
     /// The last entry here.
     pub last: u64,
     /// Who votes.
-    pub electorate: Vec<Member>,
+    pub electorate: Vec<ReplicaId>,
     /// Of a leader: members that it has not heard for an election's time.
     pub silent: Vec<String>,
     /// Its disk does not take what has to be durable.
@@ -151,34 +163,34 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Role {
+enum Role {
     Follower,
-    Candidate { pre: bool, granted: BTreeSet<Member> },
-    Leader(Leading),
+    Candidate { pre: bool, granted: BTreeSet<ReplicaId> },
+    Leader(LeaderState),
 }
 
 /// A keeper.
 #[derive(Clone, Debug)]
 pub struct Keeper {
-    pub(crate) config: Config,
-    pub(crate) rng: Pcg64Mcg,
-    pub(crate) state: State,
-    pub(crate) journal: Journal,
-    pub(crate) role: Role,
-    pub(crate) committed: u64,
+    config: Config,
+    rng: Pcg64Mcg,
+    state: State,
+    journal: Journal,
+    role: Role,
+    committed: u64,
     /// Up to there the owner was told.
     told: u64,
-    pub(crate) leader: Option<Member>,
-    pub(crate) leader_heard: Option<Micros>,
-    pub(crate) election_at: Micros,
+    leader: Option<ReplicaId>,
+    leader_heard: Option<Micros>,
+    election_at: Micros,
     /// Others that said since the start that they heard of no more than it knows; none: it is sure of itself.
-    pub(crate) unsure: Option<BTreeSet<String>>,
+    unsure: Option<BTreeSet<String>>,
     /// Of a founder: others that are new too.
-    pub(crate) fresh: BTreeSet<Member>,
+    fresh: BTreeSet<ReplicaId>,
     /// A new founder heard that there is an agreement already.
-    pub(crate) founded_elsewhere: bool,
-    pub(crate) call_at: Micros,
-    held: VecDeque<(u64, Letter)>,
+    founded_elsewhere: bool,
+    call_at: Micros,
+    held: VecDeque<(u64, Message)>,
     agreed: VecDeque<Agreed>,
 }
 
@@ -189,7 +201,7 @@
         let nonce = rng.next_u64();
         // One that belongs to no agreement promised nothing under its incarnation, and may be an old copy.
         let mut state = found.filter(|s| s.cluster != 0).unwrap_or_else(|| {
-            let me = Member { name: config.name.clone(), incarnation: rng.next_u64() };
+            let me = ReplicaId { name: config.name.clone(), incarnation: rng.next_u64() };
             State::fresh(me, Life::default())
         });
         state.life = Life { count: state.life.count + 1, nonce, began: state.written };
@@ -224,16 +236,16 @@
         keeper
     }
 
-    /// A letter came.
-    pub fn receive(&mut self, letter: Letter, now: Micros) {
-        let known = letter.from.name != self.config.name && self.config.names.contains(&letter.from.name);
-        let to_me = letter.to == self.config.name
-            && letter.incarnation.is_none_or(|i| i == self.state.me.incarnation);
-        if !known || !to_me || !self.same_agreement(&letter) || !self.newest_life(&letter) {
-            debug!(?letter, known, to_me, "a letter is left unread");
+    /// A message came.
+    pub fn receive(&mut self, message: Message, now: Micros) {
+        let known = message.from.name != self.config.name && self.config.names.contains(&message.from.name);
+        let to_me = message.to == self.config.name
+            && message.incarnation.is_none_or(|i| i == self.state.me.incarnation);
+        if !known || !to_me || !self.same_agreement(&message) || !self.newest_life(&message) {
+            debug!(?message, known, to_me, "a message is left unread");
             return;
         }
-        let Letter { from, term, body, life, .. } = letter;
+        let Message { from, term, body, life, .. } = message;
         match body {
             Body::AskFresh => self.asked_fresh(&from),
             Body::Fresh => self.heard_fresh(from),
@@ -265,18 +277,20 @@
         }
     }
 
-    /// A letter may belong to this agreement; one that is new enters the agreement that calls it by its
+    /// A message may belong to this agreement; one that is new enters the agreement that calls it by its
     /// incarnation.
-    fn same_agreement(&mut self, letter: &Letter) -> bool {
-        if letter.cluster == 0 || letter.cluster == self.state.cluster {
+    fn same_agreement(&mut self, message: &Message) -> bool {
+        if message.cluster == 0 || message.cluster == self.state.cluster {
             return true;
         }
-        let calls =
-            matches!(letter.body, Body::Append { .. } | Body::Install(..) | Body::PreVote(_) | Body::Vote(_));
+        let calls = matches!(
+            message.body,
+            Body::Append { .. } | Body::Install(..) | Body::PreVote(_) | Body::Vote(_)
+        );
         if self.state.cluster == 0 {
-            if calls && letter.incarnation == Some(self.state.me.incarnation) {
-                info!(cluster = letter.cluster, from = letter.from.name, "entering the agreement");
-                self.state.cluster = letter.cluster;
+            if calls && message.incarnation == Some(self.state.me.incarnation) {
+                info!(cluster = message.cluster, from = message.from.name, "entering the agreement");
+                self.state.cluster = message.cluster;
                 self.state.written += 1;
                 self.fresh.clear();
                 self.journal.renew(self.state.log.last());
@@ -284,9 +298,9 @@
             return true;
         }
         warn!(
-            theirs = letter.cluster,
+            theirs = message.cluster,
             ours = self.state.cluster,
-            from = letter.from.name,
+            from = message.from.name,
             "another agreement"
         );
         false
@@ -318,7 +332,7 @@
     /// When `tick` is to be called at the latest.
     pub fn wake(&self) -> Micros {
         let next = match &self.role {
-            Role::Leader(leading) => leading.speak_at,
+            Role::Leader(leading) => leading.heartbeat_at,
             _ if self.may_stand() => self.election_at.min(self.call_at),
             _ => self.call_at,
         };
@@ -361,12 +375,12 @@
         self.settle_commit();
     }
 
-    /// Letters to send: those that say nothing that is not durable yet.
-    pub fn take_letters(&mut self) -> Vec<Letter> {
+    /// Messages to send: those that say nothing that is not durable yet.
+    pub fn take_messages(&mut self) -> Vec<Message> {
         let all = self.config.planted == Planted::ToldBeforeDurable;
         let durable = self.journal.durable();
         let ready = self.held.iter().take_while(|(after, _)| all || *after <= durable).count();
-        self.held.drain(..ready).map(|(_, letter)| letter).collect()
+        self.held.drain(..ready).map(|(_, message)| message).collect()
     }
 
     /// What was agreed on since the last call, in order.
@@ -432,7 +446,7 @@
             Role::Candidate { pre, granted } => format!("{pre} {granted:?}"),
             Role::Leader(leading) => leading.essence(),
         };
-        let held: Vec<&Body> = self.held.iter().map(|(_, l)| &l.body).collect();
+        let held: Vec<&Body> = self.held.iter().map(|(_, message)| &message.body).collect();
         format!("{s:?} {role} {} {heard} {:?} {held:?}", self.committed, self.unsure)
     }
 
@@ -456,21 +470,21 @@
         self.committed
     }
 
-    pub(crate) fn electorate(&self) -> Vec<Member> {
+    fn electorate(&self) -> Vec<ReplicaId> {
         self.state.log.electorate().1.to_vec()
     }
 
-    pub(crate) fn is_member(&self) -> bool {
+    fn is_member(&self) -> bool {
         self.state.log.electorate().1.contains(&self.state.me)
     }
 
-    /// Queues a letter; it leaves once all that was noted so far is durable.
-    pub(crate) fn tell(&mut self, to: &Member, body: Body) {
+    /// Queues a message; it leaves once all that was noted so far is durable.
+    fn tell(&mut self, to: &ReplicaId, body: Body) {
         self.put(to.name.clone(), Some(to.incarnation), body);
     }
 
     /// To all keepers by name, whoever they are now.
-    pub(crate) fn call_all(&mut self, body: &Body) {
+    fn call_all(&mut self, body: &Body) {
         let others: Vec<String> =
             self.config.names.iter().filter(|n| **n != self.config.name).cloned().collect();
         others.into_iter().for_each(|name| self.put(name, None, body.clone()));
@@ -481,7 +495,7 @@
             self.held.pop_front();
         }
         let s = &self.state;
-        let letter = Letter {
+        let message = Message {
             cluster: s.cluster,
             from: s.me.clone(),
             life: s.life,
@@ -491,16 +505,16 @@
             term: s.term,
             body,
         };
-        self.held.push_back((self.journal.queued(), letter));
+        self.held.push_back((self.journal.queued(), message));
     }
 
     /// Notes a promise: what may not be forgotten once it was told.
-    pub(crate) fn promise(&mut self, record: Record) {
+    fn promise(&mut self, record: Record) {
         self.state.written += 1;
         self.journal.note(record);
     }
 
-    pub(crate) fn note_seen(&mut self, member: Member, newest: Seen) {
+    fn note_seen(&mut self, member: ReplicaId, newest: Seen) {
         let seen = &mut self.state.seen;
         if seen.len() >= SEEN_MOST && !seen.contains_key(&member) {
             let electorate = self.state.log.electorate().1;
@@ -511,20 +525,20 @@
     }
 
     /// A random wait before it wants to be elected, from now on.
-    pub(crate) fn put_off_election(&mut self, now: Micros) {
+    fn put_off_election(&mut self, now: Micros) {
         let election = self.config.election.0.max(1);
         self.election_at = now.after(Micros(election + self.rng.next_u64() % election));
     }
 
     /// Nothing that was held may leave, and what was agreed on is void: it is another now.
-    pub(crate) fn drop_all_held(&mut self) {
+    fn drop_all_held(&mut self) {
         self.held.clear();
         self.agreed.clear();
         (self.committed, self.told) = (0, 0);
     }
 
     /// The owner gets the snapshot in place of what it has.
-    pub(crate) fn tell_state(&mut self) {
+    fn tell_state(&mut self) {
         let snapshot = &self.state.log.snapshot;
         self.told = snapshot.index;
         self.agreed.push_back(Agreed::State(snapshot.index, snapshot.state.clone()));
--- a/crates/flaxstand-agree/src/following.rs
+++ b/crates/flaxstand-agree/src/keeper/following.rs
@@ -1,14 +1,15 @@
 //! What a keeper does that a leader speaks to.
 
+use super::{Keeper, Planted};
 use crate::journal::Record;
-use crate::keeper::{Keeper, Planted};
-use crate::letter::{Body, Member};
 use crate::log::{Entry, Snapshot};
+use crate::message::Body;
+use crate::replica::ReplicaId;
 use flaxstand_proto::Micros;
 use tracing::info;
 
 /// What a leader is answered.
-pub(crate) enum Heard {
+pub(super) enum Heard {
     /// All up to there is held as it has it.
     Held(u64),
     /// What came does not fit, or its sender leads no more; all up to there fits.
@@ -16,8 +17,8 @@
 }
 
 impl Keeper {
-    /// Whether the letter comes from this term's leader, who is followed from now on.
-    fn led_by(&mut self, from: &Member, term: u64, now: Micros) -> bool {
+    /// Whether the message comes from this term's leader, who is followed from now on.
+    fn led_by(&mut self, from: &ReplicaId, term: u64, now: Micros) -> bool {
         if term < self.state.term {
             return false;
         }
@@ -31,9 +32,9 @@
         true
     }
 
-    pub(crate) fn appended(
+    pub(super) fn appended(
         &mut self,
-        from: &Member,
+        from: &ReplicaId,
         term: u64,
         prev: (u64, u64),
         entries: Vec<Entry>,
@@ -52,7 +53,7 @@
             return Heard::Missing(self.committed);
         }
         let upto = before + entries.len() as u64;
-        // What is here already stays: a late letter must not take back what a newer one brought.
+        // What is here already stays: a late message must not take back what a newer one brought.
         let known =
             |(index, e): &(u64, Entry)| *index <= log.snapshot.index || log.term(*index) == Some(e.term);
         let new: Vec<(u64, Entry)> = (before + 1..).zip(entries).skip_while(known).collect();
@@ -69,7 +70,7 @@
         Heard::Held(surely)
     }
 
-    pub(crate) fn install(&mut self, from: &Member, term: u64, snapshot: Snapshot, now: Micros) -> Heard {
+    pub(super) fn install(&mut self, from: &ReplicaId, term: u64, snapshot: Snapshot, now: Micros) -> Heard {
         if !self.led_by(from, term, now) {
             return Heard::Missing(0);
         }
@@ -92,7 +93,7 @@
         Heard::Held(self.committed)
     }
 
-    pub(crate) fn answer_leader(&mut self, to: &Member, heard: Heard, stamp: u64) {
+    pub(super) fn answer_leader(&mut self, to: &ReplicaId, heard: Heard, stamp: u64) {
         // An old copy must not confirm what its later life may have confirmed otherwise.
         let body = match heard {
             Heard::Held(upto) | Heard::Missing(upto) if self.unsure.is_some() => Body::Has(upto),
