--- a/crates/flaxstand-agree/src/keeper.rs
+++ b/crates/flaxstand-agree/src/keeper.rs
@@ -4,12 +4,18 @@
 //! - `election`: terms and votes
 //! - `leading`: what a leader does, with `progress`: what it knows of the others
 //! - `following`: what the others do
+//! - `config`: what it is told at its start; `status`: what it tells its owner
 
+mod config;
 mod election;
 mod following;
 mod identity;
 mod leading;
 mod progress;
+mod status;
+
+pub use config::{Config, Planted};
+pub use status::{Agreed, ProposeError, Standing, Status};
 
 use crate::journal::{Journal, Record, State};
 use crate::log::{Entry, What};
@@ -21,7 +27,6 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeSet, VecDeque};
-use thiserror::Error;
 use tracing::{debug, info, warn};
 
 /// Most bytes of a change.
@@ -37,131 +42,6 @@
 /// Lives of others that are remembered, most; beyond that those that are not in the electorate go.
 const SEEN_MOST: usize = 64;
 
-/// Faults that tests plant to see that they would be caught. Never set in service.
-#[doc(hidden)]
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Planted {
-    /// None.
-    #[default]
-    None,
-    /// An entry of an earlier term counts as committed by the number of its holders.
-    EarlierTermCommitted,
-    /// Messages do not wait for the disk.
-    ToldBeforeDurable,
-    /// Votes are not written down.
-    VoteNotWritten,
-    /// After a start nobody is asked whether a later life was seen.
-    OldCopyVotes,
-    /// A vote is given to a candidate whose log is older.
-    OlderLogElected,
-    /// A leader that hears no majority stays.
-    LeaderStaysAlone,
-    /// An entry that does not fit what is here is taken all the same.
-    GapTaken,
-    /// A version that is under way is acted on alone at once.
-    OneStep,
-    /// A lease that ran out is acted on.
-    LeaseNotChecked,
-    /// A lease counts from its answer, not from when it was asked for.
-    LeaseFromAnswer,
-    /// A new leader does not wait for leases that others gave.
-    StrangersIgnored,
-    /// A member that has a lease and has not confirmed is not waited for.
-    LeasesNotAwaited,
-    /// An older book is taken in place of a newer.
-    OlderBookTaken,
-    /// What a member understood is not compared.
-    DigestNotCompared,
-}
-
-/// What a keeper is told of itself and the others.
-#[derive(Clone, Debug)]
-pub struct Config {
-    /// Its name.
-    pub name: String,
-    /// Names of all keepers. The first of them founds the agreement when all are new.
-    pub names: Vec<String>,
-    /// A keeper that hears no leader for this long, and up to twice as long by lot, wants to be elected.
-    pub election: Micros,
-    /// How often a leader speaks; a quarter of `election` or less.
-    pub heartbeat: Micros,
-    /// Seed of its random numbers; another one at each start.
-    pub seed: u64,
-    /// What a new agreement begins with.
-    pub begins_with: Vec<u8>,
-    /// A planted fault.
-    #[doc(hidden)]
-    pub planted: Planted,
-}
-
-/// What is agreed on, in order.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Agreed {
-    /// The change at this index.
-    Change(u64, Vec<u8>),
-    /// What the owner made of all changes up to this index, in place of what it has.
-    State(u64, Vec<u8>),
-}
-
-/// Why a change was not taken.
-#[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum ProposeError {
-    /// Only the leader takes changes.
-    #[error("not the leader; {}", leader.as_ref().map_or("none is known".to_owned(), |l| format!("{l} is")))]
-    NotLeader {
-        /// Its name, where one is known.
-        leader: Option<String>,
-    },
-    /// Too much is not agreed on yet.
-    #[error("{OPEN_MOST} changes are not agreed on yet: try again later")]
-    Busy,
-    /// It is too large.
-    #[error("a change of {0} bytes, at most {CHANGE_MOST} are taken")]
-    TooLarge(usize),
-}
-
-/// What a keeper is at the moment.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It belongs to no agreement yet, or lost its disk, and asks to be taken in.
-    New,
-    /// It waits for the others' word that its folder is no old copy. It neither votes nor confirms.
-    Unsure,
-    /// It is in no electorate.
-    Learner,
-    /// It follows.
-    Follower,
-    /// It wants to be elected.
-    Candidate,
-    /// It leads.
-    Leader,
-}
-
-/// A keeper's state, for operators.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Status {
-    /// What it is.
-    pub standing: Standing,
-    /// Who it is.
-    pub me: ReplicaId,
-    /// How often it started.
-    pub life: u64,
-    /// Its term.
-    pub term: u64,
-    /// The leader, where one is known.
-    pub leader: Option<String>,
-    /// All up to there is agreed on.
-    pub committed: u64,
-    /// The last entry here.
-    pub last: u64,
-    /// Who votes.
-    pub electorate: Vec<ReplicaId>,
-    /// Of a leader: members that it has not heard for an election's time.
-    pub silent: Vec<String>,
-    /// Its disk does not take what has to be durable.
-    pub disk_fails: bool,
-}
-
 #[derive(Clone, Debug)]
 enum Role {
     Follower,
