--- a/crates/flaxstand-gateway/tests/long_lists.rs
+++ b/crates/flaxstand-gateway/tests/long_lists.rs
@@ -3,8 +3,8 @@
 mod harness;
 
 use flaxstand_gateway::core::{Config, Core, Wire};
-use flaxstand_proto::State;
-use harness::{World, bytes_of, config, entry, ms};
+use flaxstand_proto::{Extent, Frame, List, State};
+use harness::{Said, World, bytes_of, config, entry, ms};
 
 const NODES: u64 = 25_000;
 
@@ -17,12 +17,7 @@
     let addresses: Vec<String> = (0..NODES).map(address).collect();
     let entries =
         addresses.iter().zip(0..).map(|(address, node)| entry(node, State::Serving, node as u32, address));
-    bytes_of(&flaxstand_proto::Frame::List(flaxstand_proto::List {
-        extent: flaxstand_proto::Extent::Full,
-        since: 7,
-        revision: 7,
-        entries: entries.collect(),
-    }))
+    bytes_of(&Frame::List(List { extent: Extent::Full, since: 7, revision: 7, entries: entries.collect() }))
 }
 
 /// The same in the platform's words.
@@ -69,3 +64,25 @@
     world.run(5);
     assert!(world.closed.contains(&client));
 }
+
+/// A quiet service says so in 31 bytes; an initiator that hears nothing asks for all of it.
+#[test]
+fn an_empty_list_of_changes_keeps_a_quiet_list_from_being_asked_for() {
+    let asked = |heartbeats: bool| {
+        let mut world = World::new(config(), 3);
+        let list = world.list_conn();
+        let silence_ms = config().site.waits.list_silence.0 / 1000;
+        for _ in 0..8 {
+            world.run(silence_ms / 2);
+            if heartbeats {
+                let (since, revision) = (world.revision, world.revision);
+                let unchanged = List { extent: Extent::Changes, since, revision, entries: Vec::new() };
+                world.tell(list, &Frame::List(unchanged));
+            }
+        }
+        assert!(!world.closed.contains(&list), "the service answers when it is asked");
+        world.said_on(list).iter().filter(|said| **said == Said::GetList).count()
+    };
+    assert_eq!(asked(true), 0);
+    assert!(asked(false) > 0);
+}
