--- a/crates/flaxstand-gateway/tests/list_growth.rs
+++ b/crates/flaxstand-gateway/tests/list_growth.rs
@@ -145,7 +145,7 @@
 #[test]
 fn a_sweep_looks_at_what_is_due_only() {
     let sweeps = |targets, gone: u64| {
-        let mut w = platform(targets, 0);
+        let mut w = platform(targets, 20);
         tell_targets(&mut w, 0..gone, TargetState::Removed);
         w.run(REMEMBERED_MS - 2_000);
         assert_eq!(w.core.footprint().nodes, targets as usize);
@@ -245,55 +245,75 @@
     assert_eq!(w.core.outgoing(fifth).len() / LARGE_ANSWER, 1);
 }
 
-#[test]
-fn a_probe_that_is_not_answered_is_hung_up_on_without_a_walk() {
+/// A core on the platform that may probe its one target, and has this many idle connections to it.
+fn probing(idle: u64) -> World {
     let mut c = on_platform(2500);
     (c.site.settings.most_out, c.site.settings.may_probe) = (2, true);
     let mut w = World::new(c, 0);
     w.dials.insert("127.0.0.1:10000".parse().unwrap(), Dial::Greets(0));
     tell_targets(&mut w, 0..1, TargetState::Up);
-    let ask = |w: &mut World, id: u64| {
-        let client = w.http_client();
-        w.says(client, ask_as(&format!("{id}"), "read", 0, "1.000").as_bytes());
-        w.run(10);
-        client
-    };
-    let newest = |w: &World, what: &str| {
-        let asked = |conn: &ConnId| {
-            !w.closed.contains(conn)
-                && w.heard_on(*conn).rsplit("\r\n\r\n").nth(1).is_some_and(|t| t.contains(what))
-        };
-        w.dialled.iter().rev().map(|(conn, _)| *conn).find(asked)
-    };
-    for id in 0..5 {
-        ask(&mut w, id);
-        let link = newest(&w, PATH).expect("it was sent");
-        w.answer(link, "200 OK", "");
+    for id in (0..5).map(|round| 10 * round) {
+        (id..id + idle).for_each(|id| ask(&mut w, id));
+        for id in id..id + idle {
+            answer_attempt(&mut w, id);
+        }
         w.run(30);
     }
-    // An answer is lost: a later request overtakes it.
-    ask(&mut w, 10);
-    ask(&mut w, 11);
-    let link = newest(&w, "X-Request-ID: 11").expect("it was sent");
+    w
+}
+
+/// A new client asks the first target for something.
+fn ask(w: &mut World, id: u64) {
+    let client = w.http_client();
+    w.says(client, ask_as(&format!("{id}"), "read", 0, "1.000").as_bytes());
+    w.run(10);
+}
+
+/// The newest open connection whose last message has these words.
+fn carrying(w: &World, words: &str) -> Option<ConnId> {
+    let last_message = |conn: &ConnId| w.heard_on(*conn).rsplit("\r\n\r\n").nth(1);
+    let open = w.dialled.iter().rev().map(|(conn, _)| *conn).filter(|conn| !w.closed.contains(conn));
+    let mut carrying = open.filter(|conn| last_message(conn).is_some_and(|text| text.contains(words)));
+    carrying.next()
+}
+
+fn answer_attempt(w: &mut World, id: u64) {
+    let link = carrying(w, &format!("X-Request-ID: {id}\r\n")).expect("it was sent");
     w.answer(link, "200 OK", "");
-    w.run(1_100);
-    for _ in 0..50 {
-        w.http_client();
-    }
-    ask(&mut w, 20);
-    let mut probe = None;
+}
+
+/// A probe goes out. Where, and whether it was on a connection that had been called before.
+fn probe_sent(w: &mut World) -> (ConnId, bool) {
+    let called = w.dialled.len();
     for _ in 0..400 {
+        if let Some(conn) = carrying(w, "/health") {
+            return (conn, w.dialled[..called].iter().any(|(before, _)| *before == conn));
+        }
         w.run(1);
-        probe = newest(&w, "/health");
-        if probe.is_some() {
-            break;
+    }
+    panic!("no probe for an attempt that is out for too long");
+}
+
+#[test]
+fn a_probe_that_is_not_answered_is_hung_up_on_without_a_walk() {
+    for (idle, again) in [(1, false), (3, true)] {
+        let mut w = probing(idle);
+        // An answer is lost: a later request overtakes it.
+        ask(&mut w, 100);
+        ask(&mut w, 101);
+        answer_attempt(&mut w, 101);
+        w.run(1_100);
+        for _ in 0..50 {
+            w.http_client();
         }
+        ask(&mut w, 200);
+        let (probe, on_old) = probe_sent(&mut w);
+        assert_eq!(on_old, again, "{idle} idle connections");
+        let before = work(&w);
+        w.run(255);
+        assert!(w.closed.contains(&probe), "it is not waited for any longer");
+        assert_eq!(since(&w, before).1, 0, "no connection was gone through for it");
     }
-    let probe = probe.expect("a probe goes out for an attempt that is out for too long");
-    let before = work(&w);
-    w.run(255);
-    assert!(w.closed.contains(&probe), "it is not waited for any longer");
-    assert_eq!(since(&w, before).1, 0, "no connection was gone through for it");
 }
 
 /// What waits for a save after one that failed is written once, whole, and not at every turn.
