--- a/crates/flaxstand-gateway/src/core/agreement.rs
+++ b/crates/flaxstand-gateway/src/core/agreement.rs
@@ -3,7 +3,7 @@
 //! again after a wait.
 
 use super::clients::Fault;
-use super::plumbing::{Conn, Inlet, Peer, Stage, Timer};
+use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
 use super::{Backoff, Core};
 use crate::machine::{Address, Command, ConnId, Micros};
 use crate::settings::settings_of;
@@ -106,7 +106,7 @@
         let conn = self.plumbing.open(
             Peer::Fellow(Fellow::Unknown),
             Stage::Greeting,
-            Inlet::Frames(Inbox::default()),
+            Protocol::Frames(Inbox::default()),
         );
         self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Dial(conn));
         Ok(conn)
@@ -280,8 +280,8 @@
                 call.waiting.push_back(bytes);
                 if call.conn.is_none() {
                     let peer = Peer::Fellow(Fellow::Called(name.to_owned()));
-                    let inlet = Inlet::Frames(Inbox::default());
-                    call.conn = Some(self.plumbing.dial(peer, inlet, call.address.clone(), by));
+                    let protocol = Protocol::Frames(Inbox::default());
+                    call.conn = Some(self.plumbing.dial(peer, protocol, call.address.clone(), by));
                     info!(name, address = %call.address, "calling an initiator");
                 }
             }
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: their greeting, their submissions, and the bounds that keep one from harming the others.
 
 use super::door::Origin;
-use super::plumbing::{Conn, Inlet, Peer, Stage, Timer};
+use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
 use super::requests::{Held, With};
 use super::{Core, Phase};
 use crate::machine::{Command, ConnId, Micros};
@@ -55,7 +55,7 @@
         let conn = self.plumbing.open(
             Peer::Client(Client::default()),
             Stage::Greeting,
-            Inlet::Frames(Inbox::default()),
+            Protocol::Frames(Inbox::default()),
         );
         self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Dial(conn));
         Ok(conn)
@@ -182,7 +182,7 @@
     pub(super) fn client_wrote(&mut self, conn: ConnId, now: Micros) {
         let bounds = self.config.bounds;
         let Some(c) = self.plumbing.get_mut(conn) else { return };
-        if let Inlet::Door(_) = c.inlet {
+        if let Protocol::Door(_) = c.protocol {
             return self.door_wrote(conn, now);
         }
         let Peer::Client(client) = &mut c.peer else { return };
@@ -214,7 +214,8 @@
         let Some(c) = self.plumbing.get_mut(conn) else { return false };
         match &mut c.peer {
             Peer::Client(client)
-                if matches!(c.inlet, Inlet::Frames(_)) && !client.owed.is_empty() || !c.outbox.is_empty() =>
+                if matches!(c.protocol, Protocol::Frames(_)) && !client.owed.is_empty()
+                    || !c.outbox.is_empty() =>
             {
                 client.finished = true;
                 true
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::Core;
 use super::agreement::Fellow;
-use super::plumbing::{Inlet, Peer, Stage};
+use super::plumbing::{Peer, Protocol, Stage};
 use super::writeback::Mark;
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::Outcome;
@@ -33,8 +33,8 @@
     pub(super) fn lost(&mut self, conn: ConnId, cause: &str, by_us: bool, now: Micros) {
         let Some(c) = self.plumbing.get(conn) else { return };
         // What is given up must not leave after all: with its last bytes it would run.
-        let last = match c.inlet {
-            Inlet::Frames(_) | Inlet::Door(_) if by_us => Some(c.outbox.pending().to_vec()),
+        let last = match c.protocol {
+            Protocol::Frames(_) | Protocol::Door(_) if by_us => Some(c.outbox.pending().to_vec()),
             _ => by_us.then(Vec::new),
         };
         self.gone(conn, cause, last, now);
@@ -51,9 +51,9 @@
         if let Some(last) = last {
             self.plumbing.say(Command::Close { conn, last });
         }
-        match (gone.peer, gone.inlet) {
+        match (gone.peer, gone.protocol) {
             (Peer::Client(client), _) => self.client_lost(conn, &client, cause, now),
-            (Peer::Node(node), Inlet::Link(link)) => {
+            (Peer::Node(node), Protocol::Link(link)) => {
                 self.link_lost(conn, node, &link, gone.outbox.written(), cause, now);
             }
             (Peer::Node(node), _) => {
--- a/crates/flaxstand-gateway/src/core/door.rs
+++ b/crates/flaxstand-gateway/src/core/door.rs
@@ -6,7 +6,7 @@
 //! reading holds up only itself.
 
 use super::clients::Client;
-use super::plumbing::{Conn, Inlet, Peer, Stage, Timer};
+use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
 use super::{Core, Phase};
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand_http::{BODY_MOST, Request, Requests, write_answer};
@@ -72,7 +72,7 @@
 impl Core {
     fn door(&mut self, conn: ConnId) -> Option<&mut Door> {
         match self.plumbing.get_mut(conn) {
-            Some(Conn { inlet: Inlet::Door(door), .. }) => Some(door),
+            Some(Conn { protocol: Protocol::Door(door), .. }) => Some(door),
             _ => None,
         }
     }
@@ -87,8 +87,8 @@
             return Err(bytes);
         }
         self.clients += 1;
-        let inlet = Inlet::Door(Door::new(now));
-        let conn = self.plumbing.open(Peer::Client(Client::default()), Stage::Open, inlet);
+        let protocol = Protocol::Door(Door::new(now));
+        let conn = self.plumbing.open(Peer::Client(Client::default()), Stage::Open, protocol);
         self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Quiet(conn));
         Ok(conn)
     }
@@ -97,7 +97,7 @@
     /// waited longest without a whole request is closed, those that had an error first.
     fn make_room(&mut self, now: Micros) -> bool {
         let waits = |(id, c): (ConnId, &Conn)| {
-            let (Peer::Client(client), Inlet::Door(door)) = (&c.peer, &c.inlet) else { return None };
+            let (Peer::Client(client), Protocol::Door(door)) = (&c.peer, &c.protocol) else { return None };
             let least = match (door.flow, door.asked) {
                 (Flow::Lingering(_), _) => Micros(0),
                 (_, 0) => MUTE,
@@ -142,7 +142,7 @@
     /// Reads the next request, unless one is open or its answer is not yet written.
     fn read_door(&mut self, conn: ConnId, now: Micros) {
         loop {
-            let Some(Conn { peer: Peer::Client(client), inlet: Inlet::Door(door), outbox, .. }) =
+            let Some(Conn { peer: Peer::Client(client), protocol: Protocol::Door(door), outbox, .. }) =
                 self.plumbing.get_mut(conn)
             else {
                 return;
@@ -300,7 +300,7 @@
 
     /// Something was written, or added: the next request can be read once all is written.
     pub(super) fn door_wrote(&mut self, conn: ConnId, now: Micros) {
-        let Some(Conn { peer: Peer::Client(client), inlet: Inlet::Door(door), outbox, .. }) =
+        let Some(Conn { peer: Peer::Client(client), protocol: Protocol::Door(door), outbox, .. }) =
             self.plumbing.get_mut(conn)
         else {
             return;
@@ -329,7 +329,8 @@
     /// requests and silent clients.
     pub(super) fn door_quiet(&mut self, conn: ConnId, now: Micros) {
         let most = self.config.site.waits.greeting;
-        let Some(Conn { peer: Peer::Client(client), inlet: Inlet::Door(door), .. }) = self.plumbing.get(conn)
+        let Some(Conn { peer: Peer::Client(client), protocol: Protocol::Door(door), .. }) =
+            self.plumbing.get(conn)
         else {
             return;
         };
@@ -348,8 +349,8 @@
     /// Nothing new is taken: connections that rest are shut, so that a request that crosses this is not read and its
     /// client asks elsewhere; the others after their answer. New ones are left until they have asked.
     pub(super) fn part_with_clients(&mut self, now: Micros) {
-        let rests = |c: &Conn| match (&c.peer, &c.inlet) {
-            (Peer::Client(client), Inlet::Door(door)) => {
+        let rests = |c: &Conn| match (&c.peer, &c.protocol) {
+            (Peer::Client(client), Protocol::Door(door)) => {
                 let old = door.asked > 0 || now.since(door.since) >= MUTE;
                 old && client.owed.is_empty()
                     && c.outbox.is_empty()
--- a/crates/flaxstand-gateway/src/core/list.rs
+++ b/crates/flaxstand-gateway/src/core/list.rs
@@ -3,7 +3,7 @@
 
 use super::clients::Fault;
 use super::node_table::NodeName;
-use super::plumbing::{Inlet, Peer, Stage, Timer};
+use super::plumbing::{Peer, Protocol, Stage, Timer};
 use super::pool::Link;
 use super::saved_list::{SavePlan, SavedList, SavedListError};
 use super::{Backoff, Core, Waits, Wire};
@@ -103,13 +103,13 @@
 
     pub(super) fn call_list(&mut self, now: Micros) {
         if self.list.conn.is_none() {
-            let inlet = match self.config.wire {
-                Wire::Frames => Inlet::Frames(Inbox::default()),
-                Wire::Platform => Inlet::Link(Link::of_list(now)),
+            let protocol = match self.config.wire {
+                Wire::Frames => Protocol::Frames(Inbox::default()),
+                Wire::Platform => Protocol::Link(Link::of_list(now)),
             };
             // Not the settings' time of targets, which may be longer than a change may stay unheard.
             let by = now.after(if self.on_platform() { LIST_DIAL } else { self.config.site.waits.dial });
-            self.list.conn = Some(self.plumbing.dial(Peer::List, inlet, self.config.list.clone(), by));
+            self.list.conn = Some(self.plumbing.dial(Peer::List, protocol, self.config.list.clone(), by));
         }
     }
 
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -52,7 +52,7 @@
 use list::ListPeer;
 use node_table::NodeTable;
 use pipe::{Pipe, Placement};
-use plumbing::{Conn, Inlet, Peer, Plumbing, Stage, Timer};
+use plumbing::{Conn, Peer, Plumbing, Protocol, Stage, Timer};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use requests::Held;
@@ -315,7 +315,8 @@
     /// its turn: over what it still sends, a close from here would take its answer with it.
     fn stopped(&self) -> bool {
         let owed = |(_, c): (ConnId, &Conn)| {
-            matches!(c.inlet, Inlet::Door(_)) || matches!(c.peer, Peer::Client(_)) && !c.outbox.is_empty()
+            matches!(c.protocol, Protocol::Door(_))
+                || matches!(c.peer, Peer::Client(_)) && !c.outbox.is_empty()
         };
         self.requests.values().all(|r| r.owner.is_none())
             && !self.plumbing.iter().any(owed)
@@ -355,7 +356,7 @@
 
     fn connected(&mut self, conn: ConnId, now: Micros) {
         let Some(c) = self.plumbing.get_mut(conn) else { return };
-        if let Inlet::Frames(_) = c.inlet {
+        if let Protocol::Frames(_) = c.protocol {
             c.stage = Stage::Greeting;
             self.greet(conn);
         } else {
@@ -370,15 +371,15 @@
 
     fn received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
         let Some(c) = self.plumbing.get_mut(conn) else { return };
-        let inbox = match &mut c.inlet {
-            Inlet::Frames(inbox) => inbox,
-            Inlet::Door(_) => return self.door_received(conn, bytes, now),
-            Inlet::Link(_) => return self.link_received(conn, bytes, now),
+        let inbox = match &mut c.protocol {
+            Protocol::Frames(inbox) => inbox,
+            Protocol::Door(_) => return self.door_received(conn, bytes, now),
+            Protocol::Link(_) => return self.link_received(conn, bytes, now),
         };
         let mut inbox = std::mem::take(inbox);
         let fed = inbox.feed(bytes, |frame| self.frame(conn, frame, now));
         if let Some(c) = self.plumbing.get_mut(conn) {
-            c.inlet = Inlet::Frames(inbox);
+            c.protocol = Protocol::Frames(inbox);
             if let Err(e) = fed {
                 self.protocol_fault(conn, Parting::Protocol, &e.to_string(), now);
             }
@@ -407,8 +408,8 @@
     }
 
     fn wants_read(&self, conn: ConnId) -> bool {
-        match self.plumbing.get(conn).map(|c| (&c.peer, &c.inlet)) {
-            Some((_, Inlet::Door(door))) => door.wants_read(),
+        match self.plumbing.get(conn).map(|c| (&c.peer, &c.protocol)) {
+            Some((_, Protocol::Door(door))) => door.wants_read(),
             Some((Peer::Client(client), _)) => !client.paused,
             Some(_) => true,
             None => false,
@@ -416,11 +417,11 @@
     }
 
     fn wants_end(&self, conn: ConnId) -> bool {
-        matches!(self.plumbing.get(conn).map(|c| &c.inlet), Some(Inlet::Door(_)))
+        matches!(self.plumbing.get(conn).map(|c| &c.protocol), Some(Protocol::Door(_)))
     }
 
     fn rested(&self, conn: ConnId) -> bool {
-        matches!(self.plumbing.get(conn).map(|c| &c.inlet), Some(Inlet::Link(link)) if link.rested)
+        matches!(self.plumbing.get(conn).map(|c| &c.protocol), Some(Protocol::Link(link)) if link.rested)
     }
 
     fn stored(&mut self, well: bool, now: Micros) {
--- a/crates/flaxstand-gateway/src/core/nodes.rs
+++ b/crates/flaxstand-gateway/src/core/nodes.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use super::clients::Fault;
 use super::node_table::{NodeName, NodePeer};
-use super::plumbing::{Conn, Inlet, Peer, Stage, Timer};
+use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
 use super::pool::Carried;
 use super::requests::Owner;
 use crate::machine::{ConnId, Micros};
@@ -80,7 +80,7 @@
     fn dial(&mut self, at: NodeId, now: Micros) {
         let Some(address) = self.nodes.get(at).map(|n| n.address.clone()) else { return };
         let by = now.after(self.config.site.waits.dial);
-        let conn = self.plumbing.dial(Peer::Node(at), Inlet::Frames(Inbox::default()), address, by);
+        let conn = self.plumbing.dial(Peer::Node(at), Protocol::Frames(Inbox::default()), address, by);
         if let Some(node) = self.node(at) {
             node.conn = Some(conn);
             debug!(node = %node.name, address = %node.address, conn = conn.0, "calling a node");
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/plumbing.rs
@@ -1,6 +1,6 @@
 //! The plumbing: connections and what reads and writes them, moments of the core's own, commands to the driver.
 //! It knows whose a connection is and nothing of what is done with what comes on it: clients, nodes, the list and
-//! later parts hang on here, each at its own variant of [`Peer`], [`Inlet`] and [`Timer`].
+//! later parts hang on here, each at its own variant of [`Peer`], [`Protocol`] and [`Timer`].
 
 use super::agreement::Fellow;
 use super::clients::Client;
@@ -33,9 +33,9 @@
     Open,
 }
 
-/// What reads a connection's bytes.
+/// What is spoken on a connection, and what has come of it in part.
 #[derive(Debug)]
-pub(super) enum Inlet {
+pub(super) enum Protocol {
     Frames(Inbox),
     /// A client's HTTP.
     Door(Door),
@@ -47,7 +47,7 @@
 pub(super) struct Conn {
     pub(super) peer: Peer,
     pub(super) stage: Stage,
-    pub(super) inlet: Inlet,
+    pub(super) protocol: Protocol,
     pub(super) outbox: Outbox,
 }
 
@@ -100,19 +100,19 @@
 
 impl Plumbing {
     /// A connection that the system has, or is at.
-    pub(super) fn open(&mut self, peer: Peer, stage: Stage, inlet: Inlet) -> ConnId {
+    pub(super) fn open(&mut self, peer: Peer, stage: Stage, protocol: Protocol) -> ConnId {
         self.next_conn += 1;
         let id = ConnId(self.next_conn);
         if let Peer::Node(_) = peer {
             self.node_conns.insert(id);
         }
-        self.conns.insert(id, Conn { peer, stage, inlet, outbox: Outbox::default() });
+        self.conns.insert(id, Conn { peer, stage, protocol, outbox: Outbox::default() });
         id
     }
 
     /// Calls a peer, which has until `by` to be open.
-    pub(super) fn dial(&mut self, peer: Peer, inlet: Inlet, address: Address, by: Micros) -> ConnId {
-        let conn = self.open(peer, Stage::Dialing, inlet);
+    pub(super) fn dial(&mut self, peer: Peer, protocol: Protocol, address: Address, by: Micros) -> ConnId {
+        let conn = self.open(peer, Stage::Dialing, protocol);
         self.at(by, Timer::Dial(conn));
         self.say(Command::Connect { conn, address });
         conn
@@ -164,7 +164,7 @@
     }
 
     pub(super) fn speaks_frames(&self, conn: ConnId) -> bool {
-        self.conns.get(&conn).is_some_and(|c| matches!(c.inlet, Inlet::Frames(_)))
+        self.conns.get(&conn).is_some_and(|c| matches!(c.protocol, Protocol::Frames(_)))
     }
 
     /// Puts a frame into a connection's outbox. Returns where it ends in the stream.
@@ -180,7 +180,7 @@
         }
         let before = c.outbox.len();
         let ends = c.outbox.write(add);
-        if let Inlet::Door(_) = c.inlet {
+        if let Protocol::Door(_) = c.protocol {
             self.unread_bytes += c.outbox.len() - before;
         }
         ends
@@ -191,7 +191,7 @@
         let Some(c) = self.conns.get_mut(&conn) else { return };
         let before = c.outbox.len();
         c.outbox.wrote(count);
-        if let Inlet::Door(_) = c.inlet {
+        if let Protocol::Door(_) = c.protocol {
             self.unread_bytes -= before - c.outbox.len();
         }
     }
@@ -212,13 +212,13 @@
     pub(super) fn take(&mut self, conn: ConnId) -> Option<Conn> {
         let gone = self.conns.remove(&conn)?;
         self.node_conns.remove(&conn);
-        match &gone.inlet {
-            Inlet::Door(door) => {
+        match &gone.protocol {
+            Protocol::Door(door) => {
                 self.partial_bytes -= door.held();
                 self.unread_bytes -= gone.outbox.len();
             }
-            Inlet::Link(link) => self.answer_bytes -= link.held(),
-            Inlet::Frames(_) => {}
+            Protocol::Link(link) => self.answer_bytes -= link.held(),
+            Protocol::Frames(_) => {}
         }
         Some(gone)
     }
--- a/crates/flaxstand-gateway/src/core/pool.rs
+++ b/crates/flaxstand-gateway/src/core/pool.rs
@@ -4,7 +4,7 @@
 
 use super::Core;
 use super::node_table::NodePeer;
-use super::plumbing::{Conn, Inlet, Peer, Stage, Timer};
+use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{AttemptNo, NodeId, Outcome, Readiness, RequestId};
 use flaxstand_http::{Answer, Answers, write_request};
@@ -87,7 +87,7 @@
 impl Core {
     pub(super) fn link(&mut self, conn: ConnId) -> Option<&mut Link> {
         match self.plumbing.get_mut(conn) {
-            Some(Conn { inlet: Inlet::Link(link), .. }) => Some(link),
+            Some(Conn { protocol: Protocol::Link(link), .. }) => Some(link),
             _ => None,
         }
     }
@@ -96,8 +96,8 @@
     pub(super) fn carry(&mut self, at: NodeId, what: Carried, now: Micros) {
         let Some(NodePeer { address, idle, .. }) = self.nodes.get(at) else { return };
         let address = address.clone();
-        let rested = |conn: &ConnId| match self.plumbing.get(*conn).map(|c| &c.inlet) {
-            Some(Inlet::Link(link)) => now.since(link.since) >= REST,
+        let rested = |conn: &ConnId| match self.plumbing.get(*conn).map(|c| &c.protocol) {
+            Some(Protocol::Link(link)) => now.since(link.since) >= REST,
             _ => false,
         };
         let newest = idle.len().checked_sub(1);
@@ -112,8 +112,8 @@
             return self.end_carried(what, Outcome::Moot, now);
         }
         self.links += 1;
-        let (inlet, by) = (Inlet::Link(Link::new(what, now)), now.after(self.config.site.waits.dial));
-        let conn = self.plumbing.dial(Peer::Node(at), inlet, address, by);
+        let (protocol, by) = (Protocol::Link(Link::new(what, now)), now.after(self.config.site.waits.dial));
+        let conn = self.plumbing.dial(Peer::Node(at), protocol, address, by);
         match what {
             Carried::Attempt(id, attempt) => self.note_handed(id, attempt, conn, u64::MAX),
             Carried::Probe(..) | Carried::ListCall => self.note_probe(at, what, conn),
@@ -150,7 +150,7 @@
 
     /// A new connection stands.
     pub(super) fn link_stands(&mut self, conn: ConnId, now: Micros) {
-        let Some(Conn { peer, inlet: Inlet::Link(link), .. }) = self.plumbing.get(conn) else { return };
+        let Some(Conn { peer, protocol: Protocol::Link(link), .. }) = self.plumbing.get(conn) else { return };
         let Peer::Node(at) = *peer else { return self.write_carried(conn, now) };
         // It may have come up late: what held when it was called may hold no longer.
         let Some(carried) = link.carries else { return };
@@ -169,7 +169,7 @@
         if let Some(link) = self.link(conn) {
             (link.asked, link.begun) = (now, false);
         }
-        let Some(Conn { peer, inlet: Inlet::Link(link), .. }) = self.plumbing.get(conn) else { return };
+        let Some(Conn { peer, protocol: Protocol::Link(link), .. }) = self.plumbing.get(conn) else { return };
         let host = match peer {
             Peer::Node(at) => self.nodes.get(*at).map(|n| n.address.to_string()).unwrap_or_default(),
             _ => self.config.list.to_string(),
@@ -301,7 +301,8 @@
 
     /// A connection has nothing to carry.
     fn free(&mut self, conn: ConnId, now: Micros) {
-        let Some(Conn { peer: Peer::Node(at), inlet: Inlet::Link(link), .. }) = self.plumbing.get_mut(conn)
+        let Some(Conn { peer: Peer::Node(at), protocol: Protocol::Link(link), .. }) =
+            self.plumbing.get_mut(conn)
         else {
             return;
         };
@@ -391,7 +392,7 @@
         let attempts = node.out.iter().filter_map(handed);
         let probes = node.probe_links.iter().map(|(token, conn)| (*conn, Carried::Probe(at, *token)));
         let waits = |(conn, carried): &(ConnId, Carried)| match self.plumbing.get(*conn) {
-            Some(Conn { stage: Stage::Open, inlet: Inlet::Link(link), .. }) => {
+            Some(Conn { stage: Stage::Open, protocol: Protocol::Link(link), .. }) => {
                 !link.begun && link.carries == Some(*carried)
             }
             _ => false,
@@ -430,7 +431,7 @@
     /// Looks whether a connection was at one thing for too long.
     pub(super) fn quiet(&mut self, conn: ConnId, now: Micros) {
         match self.plumbing.get_mut(conn) {
-            Some(Conn { inlet: Inlet::Link(link), .. }) => {
+            Some(Conn { protocol: Protocol::Link(link), .. }) => {
                 let due = link.since.after(ANSWER_STALLS);
                 match link.carries.is_some() && !link.reader.is_empty() {
                     true if due <= now => self.spoilt(conn, &"it does not end", now),
