--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: their greeting, their submissions, and the bounds that keep one from harming the others.
 
-use super::door::Origin;
+use super::http_server::Origin;
 use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
 use super::requests::{Held, With};
 use super::{Core, Phase};
@@ -31,7 +31,7 @@
     pub(super) fn client_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         // The cheapest refusal: nothing is kept of a client that is told to come back.
         let refusal = match self.phase {
-            _ if self.on_platform() => return self.door_accepted(now),
+            _ if self.on_platform() => return self.http_accepted(now),
             Phase::Running if self.clients >= self.config.bounds.clients => {
                 Some((Parting::Bound, Micros(0), "as many clients as may be"))
             }
@@ -182,8 +182,8 @@
     pub(super) fn client_wrote(&mut self, conn: ConnId, now: Micros) {
         let bounds = self.config.bounds;
         let Some(c) = self.plumbing.get_mut(conn) else { return };
-        if let Protocol::Door(_) = c.protocol {
-            return self.door_wrote(conn, now);
+        if let Protocol::HttpServer(_) = c.protocol {
+            return self.http_wrote(conn, now);
         }
         let Peer::Client(client) = &mut c.peer else { return };
         if c.outbox.len() > bounds.client_bytes_most {
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -34,7 +34,7 @@
         let Some(c) = self.plumbing.get(conn) else { return };
         // What is given up must not leave after all: with its last bytes it would run.
         let last = match c.protocol {
-            Protocol::Frames(_) | Protocol::Door(_) if by_us => Some(c.outbox.pending().to_vec()),
+            Protocol::Frames(_) | Protocol::HttpServer(_) if by_us => Some(c.outbox.pending().to_vec()),
             _ => by_us.then(Vec::new),
         };
         self.gone(conn, cause, last, now);
@@ -53,7 +53,7 @@
         }
         match (gone.peer, gone.protocol) {
             (Peer::Client(client), _) => self.client_lost(conn, &client, cause, now),
-            (Peer::Node(node), Protocol::Link(link)) => {
+            (Peer::Node(node), Protocol::HttpClient(link)) => {
                 self.link_lost(conn, node, &link, gone.outbox.written(), cause, now);
             }
             (Peer::Node(node), _) => {
--- a/crates/flaxstand-gateway/src/core/door.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -42,9 +42,9 @@
     Lingering(usize),
 }
 
-/// A client's HTTP.
+/// The server's side of one client's HTTP/1.1 connection.
 #[derive(Debug)]
-pub(super) struct Door {
+pub(super) struct HttpServer {
     reader: Requests,
     flow: Flow,
     /// Since when a request is on its way in, or the connection waits for one.
@@ -53,9 +53,9 @@
     asked: u64,
 }
 
-impl Door {
+impl HttpServer {
     fn new(now: Micros) -> Self {
-        Door { reader: Requests::default(), flow: Flow::Open, since: now, asked: 0 }
+        HttpServer { reader: Requests::default(), flow: Flow::Open, since: now, asked: 0 }
     }
 
     /// Bytes held.
@@ -70,14 +70,14 @@
 }
 
 impl Core {
-    fn door(&mut self, conn: ConnId) -> Option<&mut Door> {
+    fn http(&mut self, conn: ConnId) -> Option<&mut HttpServer> {
         match self.plumbing.get_mut(conn) {
-            Some(Conn { protocol: Protocol::Door(door), .. }) => Some(door),
+            Some(Conn { protocol: Protocol::HttpServer(http), .. }) => Some(http),
             _ => None,
         }
     }
 
-    pub(super) fn door_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
+    pub(super) fn http_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         // While the process stops it listens no more; who had connected before that is told so once it has asked.
         let open = self.phase != Phase::Stopped;
         if !open || self.clients >= self.config.bounds.clients && !self.make_room(now) {
@@ -87,7 +87,7 @@
             return Err(bytes);
         }
         self.clients += 1;
-        let protocol = Protocol::Door(Door::new(now));
+        let protocol = Protocol::HttpServer(HttpServer::new(now));
         let conn = self.plumbing.open(Peer::Client(Client::default()), Stage::Open, protocol);
         self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Quiet(conn));
         Ok(conn)
@@ -97,16 +97,18 @@
     /// waited longest without a whole request is closed, those that had an error first.
     fn make_room(&mut self, now: Micros) -> bool {
         let waits = |(id, c): (ConnId, &Conn)| {
-            let (Peer::Client(client), Protocol::Door(door)) = (&c.peer, &c.protocol) else { return None };
-            let least = match (door.flow, door.asked) {
+            let (Peer::Client(client), Protocol::HttpServer(http)) = (&c.peer, &c.protocol) else {
+                return None;
+            };
+            let least = match (http.flow, http.asked) {
                 (Flow::Lingering(_), _) => Micros(0),
                 (_, 0) => MUTE,
                 _ => RESTING,
             };
             let free = client.owed.is_empty() && c.outbox.is_empty();
-            let long = free && now.since(door.since) >= least && (door.asked == 0 || door.reader.is_empty());
-            let parted = matches!(door.flow, Flow::Lingering(_));
-            long.then_some((!parted, door.since, id))
+            let long = free && now.since(http.since) >= least && (http.asked == 0 || http.reader.is_empty());
+            let parted = matches!(http.flow, Flow::Lingering(_));
+            long.then_some((!parted, http.since, id))
         };
         let longest = self.plumbing.iter().filter_map(waits).min();
         if let Some((.., conn)) = longest {
@@ -115,22 +117,22 @@
         longest.is_some()
     }
 
-    pub(super) fn door_received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
-        let Some(door) = self.door(conn) else { return };
-        match &mut door.flow {
+    pub(super) fn http_received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
+        let Some(http) = self.http(conn) else { return };
+        match &mut http.flow {
             Flow::Lingering(left) if *left > bytes.len() => *left -= bytes.len(),
             Flow::Lingering(_) => self.lost(conn, "it goes on after an error", true, now),
             Flow::Open | Flow::LastAnswer => {
-                if door.reader.is_empty() && door.asked > 0 {
-                    door.since = now;
+                if http.reader.is_empty() && http.asked > 0 {
+                    http.since = now;
                 }
-                door.reader.push(bytes);
-                let full = !door.wants_read();
+                http.reader.push(bytes);
+                let full = !http.wants_read();
                 self.plumbing.partial_bytes += bytes.len();
                 if self.plumbing.partial_bytes > self.config.bounds.partial_bytes {
                     self.turn_away(conn, 503, "too much is on its way in", now);
                 } else {
-                    self.read_door(conn, now);
+                    self.read_http(conn, now);
                 }
                 if full {
                     self.plumbing.say(Command::Flush(conn));
@@ -140,35 +142,36 @@
     }
 
     /// Reads the next request, unless one is open or its answer is not yet written.
-    fn read_door(&mut self, conn: ConnId, now: Micros) {
+    fn read_http(&mut self, conn: ConnId, now: Micros) {
         loop {
-            let Some(Conn { peer: Peer::Client(client), protocol: Protocol::Door(door), outbox, .. }) =
-                self.plumbing.get_mut(conn)
+            let Some(Conn {
+                peer: Peer::Client(client), protocol: Protocol::HttpServer(http), outbox, ..
+            }) = self.plumbing.get_mut(conn)
             else {
                 return;
             };
-            if door.flow != Flow::Open
+            if http.flow != Flow::Open
                 || !client.owed.is_empty()
                 || !outbox.is_empty()
-                || door.reader.is_empty()
+                || http.reader.is_empty()
             {
                 return;
             }
-            let before = door.reader.len();
-            match door.reader.take() {
+            let before = http.reader.len();
+            match http.reader.take() {
                 Ok(Some(request)) => {
-                    let read = before - door.reader.len();
-                    (door.asked, door.since) = (door.asked + 1, now);
+                    let read = before - http.reader.len();
+                    (http.asked, http.since) = (http.asked + 1, now);
                     if !request.keeps {
-                        door.flow = Flow::LastAnswer;
+                        http.flow = Flow::LastAnswer;
                     }
                     self.plumbing.partial_bytes -= read;
                     self.asked(conn, request, now);
                 }
                 Ok(None) => {
                     // The first has its time from when the connection stood.
-                    if door.asked > 0 {
-                        let due = door.since.after(self.config.site.waits.greeting);
+                    if http.asked > 0 {
+                        let due = http.since.after(self.config.site.waits.greeting);
                         self.plumbing.at(due, Timer::Quiet(conn));
                     }
                     return;
@@ -182,7 +185,7 @@
     fn asked(&mut self, conn: ConnId, request: Request, now: Micros) {
         if request.target == READY {
             let ready = self.phase == Phase::Running && self.nodes.any_serves();
-            return self.say(conn, if ready { 200 } else { 503 }, &[], b"", now);
+            return self.respond(conn, if ready { 200 } else { 503 }, &[], b"", now);
         }
         let settings = &self.config.site.settings;
         let terms = Terms {
@@ -196,17 +199,17 @@
             Err(bad) => {
                 debug!(conn = conn.0, %bad, "a request that can't be served");
                 self.counts.protocol_faults += 1;
-                return self.say(conn, bad.status(), &[], format!("{bad}\n").as_bytes(), now);
+                return self.respond(conn, bad.status(), &[], format!("{bad}\n").as_bytes(), now);
             }
         };
         if self.open_ids.contains(r.id) {
             debug!(conn = conn.0, id = r.id, "an id that is open");
             self.counts.protocol_faults += 1;
-            return self.say(conn, 409, &[], b"a request with this id is open\n", now);
+            return self.respond(conn, 409, &[], b"a request with this id is open\n", now);
         }
         let deadline = Micros::from_ms(settings.classes[usize::from(r.class)].deadline).0;
         let submit = Submit {
-            id: self.door(conn).map_or(0, |door| door.asked),
+            id: self.http(conn).map_or(0, |http| http.asked),
             operation: 0,
             class: r.class,
             plan: r.plan,
@@ -229,7 +232,7 @@
             key: r.key.map(str::to_owned),
         };
         if let Err((_, text)) = self.submitted(conn, &submit, Some(origin), now) {
-            self.say(conn, 400, &[], text.as_bytes(), now);
+            self.respond(conn, 400, &[], text.as_bytes(), now);
         }
     }
 
@@ -246,15 +249,15 @@
                     bytes = payload.len(),
                     "clients do not read their answers: no room for one"
                 );
-                self.say(conn, 500, &[], b"no room for the answer\n", now);
+                self.respond(conn, 500, &[], b"no room for the answer\n", now);
             }
-            Frame::Served { payload, .. } => self.say(conn, 200, &[], payload, now),
-            Frame::Refused { wait: 0, .. } => self.say(conn, 503, &[], b"refused\n", now),
+            Frame::Served { payload, .. } => self.respond(conn, 200, &[], payload, now),
+            Frame::Refused { wait: 0, .. } => self.respond(conn, 503, &[], b"refused\n", now),
             Frame::Refused { wait, .. } => {
                 let seconds = f64::from(*wait) / 1e6;
-                self.say(conn, 503, &[("Retry-After", &format_args!("{seconds:.3}"))], b"refused\n", now);
+                self.respond(conn, 503, &[("Retry-After", &format_args!("{seconds:.3}"))], b"refused\n", now);
             }
-            _ => self.say(conn, 500, &[], b"failed\n", now),
+            _ => self.respond(conn, 500, &[], b"failed\n", now),
         }
     }
 
@@ -265,14 +268,21 @@
     }
 
     /// Answers the request that a client has open.
-    fn say(&mut self, conn: ConnId, status: u16, fields: &[(&str, &dyn Display)], body: &[u8], now: Micros) {
+    fn respond(
+        &mut self,
+        conn: ConnId,
+        status: u16,
+        fields: &[(&str, &dyn Display)],
+        body: &[u8],
+        now: Micros,
+    ) {
         let stays = self.phase != Phase::Stopping;
-        let Some(door) = self.door(conn) else { return };
-        if !stays && door.flow == Flow::Open {
-            door.flow = Flow::LastAnswer;
+        let Some(http) = self.http(conn) else { return };
+        if !stays && http.flow == Flow::Open {
+            http.flow = Flow::LastAnswer;
         }
-        door.since = now;
-        let keeps = door.flow == Flow::Open;
+        http.since = now;
+        let keeps = http.flow == Flow::Open;
         self.plumbing.put(conn, |bytes| write_answer(bytes, status, fields, body, keeps));
     }
 
@@ -288,10 +298,10 @@
 
     /// Nothing more is read of a client; what still comes is dropped for a while.
     fn linger(&mut self, conn: ConnId, now: Micros) {
-        let Some(door) = self.door(conn) else { return };
-        let held = door.held();
-        door.reader = Requests::default();
-        (door.flow, door.since) = (Flow::Lingering(LINGER_BYTES), now);
+        let Some(http) = self.http(conn) else { return };
+        let held = http.held();
+        http.reader = Requests::default();
+        (http.flow, http.since) = (Flow::Lingering(LINGER_BYTES), now);
         self.plumbing.partial_bytes -= held;
         // The client reads to the end of what it was sent and closes in its turn (RFC 9112, 9.6).
         self.plumbing.say(Command::Shut(conn));
@@ -299,8 +309,8 @@
     }
 
     /// Something was written, or added: the next request can be read once all is written.
-    pub(super) fn door_wrote(&mut self, conn: ConnId, now: Micros) {
-        let Some(Conn { peer: Peer::Client(client), protocol: Protocol::Door(door), outbox, .. }) =
+    pub(super) fn http_wrote(&mut self, conn: ConnId, now: Micros) {
+        let Some(Conn { peer: Peer::Client(client), protocol: Protocol::HttpServer(http), outbox, .. }) =
             self.plumbing.get_mut(conn)
         else {
             return;
@@ -312,9 +322,9 @@
             // What it sent behind its last request is not begun: it has gone.
             return self.lost(conn, "client has all it waits for", true, now);
         }
-        let full = !door.wants_read();
-        match door.flow {
-            Flow::Open => self.read_door(conn, now),
+        let full = !http.wants_read();
+        match http.flow {
+            Flow::Open => self.read_http(conn, now),
             // What it sent behind its last request is not read; a close now could take the answer with it.
             Flow::LastAnswer => self.linger(conn, now),
             Flow::Lingering(_) => {}
@@ -327,21 +337,21 @@
 
     /// Looks whether a connection was at one thing for too long. Guards against heads that never end, half
     /// requests and silent clients.
-    pub(super) fn door_quiet(&mut self, conn: ConnId, now: Micros) {
+    pub(super) fn http_quiet(&mut self, conn: ConnId, now: Micros) {
         let most = self.config.site.waits.greeting;
-        let Some(Conn { peer: Peer::Client(client), protocol: Protocol::Door(door), .. }) =
+        let Some(Conn { peer: Peer::Client(client), protocol: Protocol::HttpServer(http), .. }) =
             self.plumbing.get(conn)
         else {
             return;
         };
-        let waited = now.since(door.since);
-        match door.flow {
+        let waited = now.since(http.since);
+        match http.flow {
             Flow::Lingering(_) if waited >= LINGER => self.lost(conn, "parted", true, now),
             Flow::Lingering(_) => {}
             _ if !client.owed.is_empty() || waited < most => {}
             // Silent since it stood: nothing was asked that an answer could be for.
-            _ if door.asked == 0 && door.reader.is_empty() => self.lost(conn, "silent", true, now),
-            _ if !door.reader.is_empty() => self.turn_away(conn, 408, "the request does not end", now),
+            _ if http.asked == 0 && http.reader.is_empty() => self.lost(conn, "silent", true, now),
+            _ if !http.reader.is_empty() => self.turn_away(conn, 408, "the request does not end", now),
             _ => {}
         }
     }
@@ -350,12 +360,12 @@
     /// client asks elsewhere; the others after their answer. New ones are left until they have asked.
     pub(super) fn part_with_clients(&mut self, now: Micros) {
         let rests = |c: &Conn| match (&c.peer, &c.protocol) {
-            (Peer::Client(client), Protocol::Door(door)) => {
-                let old = door.asked > 0 || now.since(door.since) >= MUTE;
+            (Peer::Client(client), Protocol::HttpServer(http)) => {
+                let old = http.asked > 0 || now.since(http.since) >= MUTE;
                 old && client.owed.is_empty()
                     && c.outbox.is_empty()
-                    && door.reader.is_empty()
-                    && !matches!(door.flow, Flow::Lingering(_))
+                    && http.reader.is_empty()
+                    && !matches!(http.flow, Flow::Lingering(_))
             }
             _ => false,
         };
--- a/crates/flaxstand-gateway/src/core/list.rs
+++ b/crates/flaxstand-gateway/src/core/list.rs
@@ -105,7 +105,7 @@
         if self.list.conn.is_none() {
             let protocol = match self.config.wire {
                 Wire::Frames => Protocol::Frames(Inbox::default()),
-                Wire::Platform => Protocol::Link(Link::of_list(now)),
+                Wire::Platform => Protocol::HttpClient(Link::of_list(now)),
             };
             // Not the settings' time of targets, which may be longer than a change may stay unheard.
             let by = now.after(if self.on_platform() { LIST_DIAL } else { self.config.site.waits.dial });
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -15,7 +15,7 @@
 //! Peers speak frames, or the platform's HTTP/1.1 ([`Wire`]). A request's life is the same for both; three
 //! places differ:
 //!
-//! - [`door`]: clients that ask one request at a time of a connection
+//! - [`http_server`]: clients that ask one request at a time of a connection
 //! - [`pool`]: connections to a node that carry one request each
 //! - [`watch`]: the list, told by calls that wait
 
@@ -24,8 +24,8 @@
 mod clients;
 mod config;
 mod dispatch;
-mod door;
 mod figures;
+mod http_server;
 mod list;
 mod node_table;
 mod nodes;
@@ -276,7 +276,7 @@
             Timer::Quiet(conn) => self.quiet(conn, now),
             Timer::Begin(conn) => self.begin_ends(conn, now),
             Timer::Sweep => self.sweep(now),
-            Timer::GraceEnds => self.close_doors(now),
+            Timer::GraceEnds => self.stop_accepting(now),
             Timer::Idle(conn) => self.idle(conn, now),
             Timer::Probe(node, token) => self.probe_times_out(node, token, now),
             Timer::ListCall => self.call_list(now),
@@ -296,13 +296,13 @@
             self.phase = Phase::Leaving;
             self.answer_by = Some(now.after(waits.stop.since(STOP_MARGIN)));
             if waits.stop_grace == Micros(0) {
-                self.close_doors(now);
+                self.stop_accepting(now);
             }
         }
     }
 
     /// No new requests from now on; what is held is answered.
-    fn close_doors(&mut self, now: Micros) {
+    fn stop_accepting(&mut self, now: Micros) {
         if self.phase == Phase::Leaving {
             self.phase = Phase::Stopping;
             self.plumbing.say(Command::StopListening);
@@ -315,7 +315,7 @@
     /// its turn: over what it still sends, a close from here would take its answer with it.
     fn stopped(&self) -> bool {
         let owed = |(_, c): (ConnId, &Conn)| {
-            matches!(c.protocol, Protocol::Door(_))
+            matches!(c.protocol, Protocol::HttpServer(_))
                 || matches!(c.peer, Peer::Client(_)) && !c.outbox.is_empty()
         };
         self.requests.values().all(|r| r.owner.is_none())
@@ -373,8 +373,8 @@
         let Some(c) = self.plumbing.get_mut(conn) else { return };
         let inbox = match &mut c.protocol {
             Protocol::Frames(inbox) => inbox,
-            Protocol::Door(_) => return self.door_received(conn, bytes, now),
-            Protocol::Link(_) => return self.link_received(conn, bytes, now),
+            Protocol::HttpServer(_) => return self.http_received(conn, bytes, now),
+            Protocol::HttpClient(_) => return self.link_received(conn, bytes, now),
         };
         let mut inbox = std::mem::take(inbox);
         let fed = inbox.feed(bytes, |frame| self.frame(conn, frame, now));
@@ -409,7 +409,7 @@
 
     fn wants_read(&self, conn: ConnId) -> bool {
         match self.plumbing.get(conn).map(|c| (&c.peer, &c.protocol)) {
-            Some((_, Protocol::Door(door))) => door.wants_read(),
+            Some((_, Protocol::HttpServer(http))) => http.wants_read(),
             Some((Peer::Client(client), _)) => !client.paused,
             Some(_) => true,
             None => false,
@@ -417,11 +417,11 @@
     }
 
     fn wants_end(&self, conn: ConnId) -> bool {
-        matches!(self.plumbing.get(conn).map(|c| &c.protocol), Some(Protocol::Door(_)))
+        matches!(self.plumbing.get(conn).map(|c| &c.protocol), Some(Protocol::HttpServer(_)))
     }
 
     fn rested(&self, conn: ConnId) -> bool {
-        matches!(self.plumbing.get(conn).map(|c| &c.protocol), Some(Protocol::Link(link)) if link.rested)
+        matches!(self.plumbing.get(conn).map(|c| &c.protocol), Some(Protocol::HttpClient(link)) if link.rested)
     }
 
     fn stored(&mut self, well: bool, now: Micros) {
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/plumbing.rs
@@ -4,7 +4,7 @@
 
 use super::agreement::Fellow;
 use super::clients::Client;
-use super::door::Door;
+use super::http_server::HttpServer;
 use super::pool::Link;
 use crate::machine::{Address, Command, ConnId, Micros};
 use flaxstand::api::{NodeId, RequestId};
@@ -37,10 +37,10 @@
 #[derive(Debug)]
 pub(super) enum Protocol {
     Frames(Inbox),
-    /// A client's HTTP.
-    Door(Door),
+    /// HTTP that a client asks of us.
+    HttpServer(HttpServer),
     /// HTTP that we ask, of a node or of the list service.
-    Link(Link),
+    HttpClient(Link),
 }
 
 #[derive(Debug)]
@@ -180,7 +180,7 @@
         }
         let before = c.outbox.len();
         let ends = c.outbox.write(add);
-        if let Protocol::Door(_) = c.protocol {
+        if let Protocol::HttpServer(_) = c.protocol {
             self.unread_bytes += c.outbox.len() - before;
         }
         ends
@@ -191,7 +191,7 @@
         let Some(c) = self.conns.get_mut(&conn) else { return };
         let before = c.outbox.len();
         c.outbox.wrote(count);
-        if let Protocol::Door(_) = c.protocol {
+        if let Protocol::HttpServer(_) = c.protocol {
             self.unread_bytes -= before - c.outbox.len();
         }
     }
@@ -213,11 +213,11 @@
         let gone = self.conns.remove(&conn)?;
         self.node_conns.remove(&conn);
         match &gone.protocol {
-            Protocol::Door(door) => {
-                self.partial_bytes -= door.held();
+            Protocol::HttpServer(http) => {
+                self.partial_bytes -= http.held();
                 self.unread_bytes -= gone.outbox.len();
             }
-            Protocol::Link(link) => self.answer_bytes -= link.held(),
+            Protocol::HttpClient(link) => self.answer_bytes -= link.held(),
             Protocol::Frames(_) => {}
         }
         Some(gone)
--- a/crates/flaxstand-gateway/src/core/pool.rs
+++ b/crates/flaxstand-gateway/src/core/pool.rs
@@ -87,7 +87,7 @@
 impl Core {
     pub(super) fn link(&mut self, conn: ConnId) -> Option<&mut Link> {
         match self.plumbing.get_mut(conn) {
-            Some(Conn { protocol: Protocol::Link(link), .. }) => Some(link),
+            Some(Conn { protocol: Protocol::HttpClient(link), .. }) => Some(link),
             _ => None,
         }
     }
@@ -97,7 +97,7 @@
         let Some(NodePeer { address, idle, .. }) = self.nodes.get(at) else { return };
         let address = address.clone();
         let rested = |conn: &ConnId| match self.plumbing.get(*conn).map(|c| &c.protocol) {
-            Some(Protocol::Link(link)) => now.since(link.since) >= REST,
+            Some(Protocol::HttpClient(link)) => now.since(link.since) >= REST,
             _ => false,
         };
         let newest = idle.len().checked_sub(1);
@@ -112,7 +112,8 @@
             return self.end_carried(what, Outcome::Moot, now);
         }
         self.links += 1;
-        let (protocol, by) = (Protocol::Link(Link::new(what, now)), now.after(self.config.site.waits.dial));
+        let (protocol, by) =
+            (Protocol::HttpClient(Link::new(what, now)), now.after(self.config.site.waits.dial));
         let conn = self.plumbing.dial(Peer::Node(at), protocol, address, by);
         match what {
             Carried::Attempt(id, attempt) => self.note_handed(id, attempt, conn, u64::MAX),
@@ -150,7 +151,9 @@
 
     /// A new connection stands.
     pub(super) fn link_stands(&mut self, conn: ConnId, now: Micros) {
-        let Some(Conn { peer, protocol: Protocol::Link(link), .. }) = self.plumbing.get(conn) else { return };
+        let Some(Conn { peer, protocol: Protocol::HttpClient(link), .. }) = self.plumbing.get(conn) else {
+            return;
+        };
         let Peer::Node(at) = *peer else { return self.write_carried(conn, now) };
         // It may have come up late: what held when it was called may hold no longer.
         let Some(carried) = link.carries else { return };
@@ -169,7 +172,9 @@
         if let Some(link) = self.link(conn) {
             (link.asked, link.begun) = (now, false);
         }
-        let Some(Conn { peer, protocol: Protocol::Link(link), .. }) = self.plumbing.get(conn) else { return };
+        let Some(Conn { peer, protocol: Protocol::HttpClient(link), .. }) = self.plumbing.get(conn) else {
+            return;
+        };
         let host = match peer {
             Peer::Node(at) => self.nodes.get(*at).map(|n| n.address.to_string()).unwrap_or_default(),
             _ => self.config.list.to_string(),
@@ -301,7 +306,7 @@
 
     /// A connection has nothing to carry.
     fn free(&mut self, conn: ConnId, now: Micros) {
-        let Some(Conn { peer: Peer::Node(at), protocol: Protocol::Link(link), .. }) =
+        let Some(Conn { peer: Peer::Node(at), protocol: Protocol::HttpClient(link), .. }) =
             self.plumbing.get_mut(conn)
         else {
             return;
@@ -392,7 +397,7 @@
         let attempts = node.out.iter().filter_map(handed);
         let probes = node.probe_links.iter().map(|(token, conn)| (*conn, Carried::Probe(at, *token)));
         let waits = |(conn, carried): &(ConnId, Carried)| match self.plumbing.get(*conn) {
-            Some(Conn { stage: Stage::Open, protocol: Protocol::Link(link), .. }) => {
+            Some(Conn { stage: Stage::Open, protocol: Protocol::HttpClient(link), .. }) => {
                 !link.begun && link.carries == Some(*carried)
             }
             _ => false,
@@ -431,7 +436,7 @@
     /// Looks whether a connection was at one thing for too long.
     pub(super) fn quiet(&mut self, conn: ConnId, now: Micros) {
         match self.plumbing.get_mut(conn) {
-            Some(Conn { protocol: Protocol::Link(link), .. }) => {
+            Some(Conn { protocol: Protocol::HttpClient(link), .. }) => {
                 let due = link.since.after(ANSWER_STALLS);
                 match link.carries.is_some() && !link.reader.is_empty() {
                     true if due <= now => self.spoilt(conn, &"it does not end", now),
@@ -441,7 +446,7 @@
                     false => {}
                 }
             }
-            Some(_) => self.door_quiet(conn, now),
+            Some(_) => self.http_quiet(conn, now),
             None => {}
         }
     }
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -2,7 +2,7 @@
 //! ended.
 
 use super::Core;
-use super::door::Origin;
+use super::http_server::Origin;
 use super::plumbing::{Peer, Timer};
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{Action, AttemptNo, Ended, Event, NodeId, Outcome, RequestId};
--- a/crates/flaxstand-gateway/src/driver.rs
+++ b/crates/flaxstand-gateway/src/driver.rs
@@ -75,7 +75,7 @@
 }
 
 /// Connections that were refused with a word, most; each is kept until its peer has had time to read it. Part of the
-/// descriptors that the platform's door keeps back.
+/// descriptors that the platform's settings keep back.
 const PARTING: usize = 8;
 const PARTING_KEPT: Micros = Micros(250_000);
 
