--- a/crates/flaxstand-gateway/src/driver.rs
+++ b/crates/flaxstand-gateway/src/driver/mod.rs
@@ -3,27 +3,31 @@
 //! Each turn: wait for events or the machine's next moment, read the clock, hand over what came (a bounded
 //! part of each connection, so that none starves the others), let the machine settle, do what it wants.
 
+mod disk;
+mod files;
+mod listener;
+
+pub use files::replace;
+
 use crate::machine::{Address, Command, ConnId, Control, Machine, Micros, Reloaded, Sink};
-use flaxstand_store::{Batch, Storage, perform};
+use disk::{Disk, wake_pipe};
+use files::{append, replace_durably};
+use flaxstand_store::Storage;
+use listener::Listener;
 use rustix::event::{Timespec, epoll};
-use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
+use rustix::fd::OwnedFd;
 use rustix::io::{Errno, read, write};
 use rustix::net::{self, AddressFamily, SocketFlags, SocketType, sockopt};
 use std::collections::{BTreeMap, VecDeque};
 use std::fs::File;
-use std::io::{self, PipeReader, PipeWriter, Write as _};
-use std::net::TcpListener;
-use std::os::unix::net::{UnixListener, UnixStream};
+use std::io::{self, PipeReader, Write as _};
 use std::path::{Path, PathBuf};
-use std::sync::mpsc::{Receiver, Sender, channel};
 use tracing::{info, warn};
 
 /// Most bytes read from one connection in a turn.
 const READ_A_TURN: usize = 256 * 1024;
 /// Most connections accepted from one listener in a turn.
 const ACCEPT_A_TURN: usize = 64;
-/// Connections that the system holds for us until they are accepted, most.
-const BACKLOG: i32 = 4096;
 /// Events taken from the system in a turn.
 const EVENTS_A_TURN: usize = 1024;
 /// A turn that takes longer than this is settled again at its end, before anything of it is written.
@@ -37,43 +41,6 @@
     Micros(t.tv_sec as u64 * 1_000_000 + t.tv_nsec as u64 / 1000)
 }
 
-enum Listener {
-    Tcp(TcpListener),
-    Unix(UnixListener, PathBuf),
-}
-
-impl Listener {
-    fn fd(&self) -> BorrowedFd<'_> {
-        match self {
-            Listener::Tcp(l) => l.as_fd(),
-            Listener::Unix(l, _) => l.as_fd(),
-        }
-    }
-    fn accept(&self) -> io::Result<OwnedFd> {
-        match self {
-            Listener::Tcp(l) => {
-                let (stream, _) = l.accept()?;
-                stream.set_nodelay(true)?;
-                stream.set_nonblocking(true)?;
-                Ok(stream.into())
-            }
-            Listener::Unix(l, _) => {
-                let (stream, _) = l.accept()?;
-                stream.set_nonblocking(true)?;
-                Ok(stream.into())
-            }
-        }
-    }
-}
-
-impl Drop for Listener {
-    fn drop(&mut self) {
-        if let Listener::Unix(_, path) = self {
-            let _ = std::fs::remove_file(path);
-        }
-    }
-}
-
 /// Connections that were refused with a word, most; each is kept until its peer has had time to read it. Part of the
 /// descriptors that the platform's settings keep back.
 const PARTING: usize = 8;
@@ -127,38 +94,6 @@
     pub reload: Option<Reload>,
 }
 
-/// A pipe whose end here is never waited for. Not a pair of Unix sockets: the platform knows none.
-fn bell() -> io::Result<(PipeReader, PipeWriter)> {
-    let (ours, theirs) = io::pipe()?;
-    rustix::io::ioctl_fionbio(&ours, true)?;
-    Ok((ours, theirs))
-}
-
-/// The thread that carries batches out.
-struct Disk {
-    batches: Sender<Batch>,
-    done: Receiver<io::Result<()>>,
-    /// Readable when a batch is done.
-    bell: PipeReader,
-}
-
-impl Disk {
-    /// The thread ends with this.
-    fn start(name: &str, mut storage: Box<dyn Storage>) -> io::Result<Disk> {
-        let (bell, ring) = bell()?;
-        let (batches, todo) = channel::<Batch>();
-        let (tell, done) = channel();
-        std::thread::Builder::new().name(name.into()).spawn(move || {
-            for batch in todo {
-                if tell.send(perform(&mut *storage, &batch)).is_err() || (&ring).write_all(&[1]).is_err() {
-                    return;
-                }
-            }
-        })?;
-        Ok(Disk { batches, done, bell })
-    }
-}
-
 /// A machine and its sockets.
 pub struct Driver<M> {
     machine: M,
@@ -197,7 +132,7 @@
             (signal_hook::consts::SIGINT, Signal::Stop),
             (signal_hook::consts::SIGHUP, Signal::Reload),
         ] {
-            let (ours, theirs) = bell()?;
+            let (ours, theirs) = wake_pipe()?;
             signal_hook::low_level::pipe::register(number, theirs)?;
             let data = epoll::EventData::new_u64(SIGNAL | signals.len() as u64);
             epoll::add(&epoll, &ours, data, epoll::EventFlags::IN)?;
@@ -207,7 +142,7 @@
         let keeper = options.keeper.take().map(|s| Disk::start("keeper", s)).transpose()?;
         for (disk, data) in [(&disk, DISK), (&keeper, KEEPER)] {
             if let Some(disk) = disk {
-                epoll::add(&epoll, &disk.bell, epoll::EventData::new_u64(data), epoll::EventFlags::IN)?;
+                epoll::add(&epoll, &disk.done_pipe, epoll::EventData::new_u64(data), epoll::EventFlags::IN)?;
             }
         }
         if options.input {
@@ -242,26 +177,7 @@
     /// # Errors
     /// The address is in use or not to be had.
     pub fn listen(&mut self, address: &Address) -> io::Result<Address> {
-        let (listener, at) = match address {
-            Address::Tcp(address) => {
-                let listener = TcpListener::bind(address)?;
-                net::listen(&listener, BACKLOG)?;
-                listener.set_nonblocking(true)?;
-                let at = Address::Tcp(listener.local_addr()?);
-                (Listener::Tcp(listener), at)
-            }
-            Address::Unix(path) => {
-                if path.exists() {
-                    if UnixStream::connect(path).is_ok() {
-                        return Err(io::Error::from(Errno::ADDRINUSE));
-                    }
-                    std::fs::remove_file(path)?;
-                }
-                let listener = UnixListener::bind(path)?;
-                listener.set_nonblocking(true)?;
-                (Listener::Unix(listener, path.clone()), address.clone())
-            }
-        };
+        let (listener, at) = Listener::bind(address)?;
         let data = epoll::EventData::new_u64(LISTENER | self.listeners.len() as u64);
         epoll::add(&self.epoll, listener.fd(), data, epoll::EventFlags::IN)?;
         self.listeners.push(listener);
@@ -633,7 +549,7 @@
     fn stored(&mut self, data: u64) {
         let Some(disk) = (if data == DISK { &self.disk } else { &self.keeper }) else { return };
         let mut byte = [0; 64];
-        while matches!(read(&disk.bell, &mut byte), Ok(n) if n > 0) {}
+        while matches!(read(&disk.done_pipe, &mut byte), Ok(n) if n > 0) {}
         while let Ok(done) = disk.done.try_recv() {
             if let Err(error) = &done {
                 warn!(%error, "cannot store");
@@ -667,31 +583,3 @@
 fn spare() -> Option<OwnedFd> {
     File::open("/dev/null").ok().map(OwnedFd::from)
 }
-
-/// Puts bytes in a file's place: a reader sees the old ones or the new ones, whole.
-///
-/// # Errors
-/// The folder can't be written to.
-pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let next = path.with_extension("next");
-    std::fs::write(&next, bytes)?;
-    std::fs::rename(&next, path)
-}
-
-/// Adds bytes to a file that is there.
-fn append(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    File::options().append(true).open(path)?.write_all(bytes)
-}
-
-/// Puts bytes in a file's place, and they are there after a loss of power.
-fn replace_durably(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let next = path.with_extension("next");
-    let mut file = File::create(&next)?;
-    file.write_all(bytes)?;
-    file.sync_all()?;
-    std::fs::rename(&next, path)?;
-    match path.parent() {
-        Some(folder) => File::open(folder)?.sync_all(),
-        None => Ok(()),
-    }
-}
