--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -51,6 +51,9 @@
         if let Some(last) = last {
             self.plumbing.say(Command::Close { conn, last });
         }
+        if let Protocol::HttpServer(http) = &gone.protocol {
+            self.places.remove(conn, http.queued);
+        }
         match (gone.peer, gone.protocol) {
             (Peer::Client(client), _) => self.client_lost(conn, &client, cause, now),
             (Peer::Node(node), Protocol::HttpClient(link)) => {
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -5,6 +5,7 @@
 //! behind a request wait until it is answered and the answer written, so that a client that sends without
 //! reading holds up only itself.
 
+use super::client_places::MUTE;
 use super::clients::Client;
 use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
 use super::{Core, Phase};
@@ -15,10 +16,6 @@
 use std::fmt::Display;
 use tracing::debug;
 
-/// A connection that has said nothing yet, among as many as may be, is closed for a new one after this.
-const MUTE: Micros = Micros(250_000);
-/// One that has asked before and waits to ask again: it comes back by a new connection, which costs it little.
-const RESTING: Micros = Micros(100_000);
 /// After an error the peer has so long, and so many bytes, to stop sending and read it.
 const LINGER: Micros = Micros(500_000);
 const LINGER_BYTES: usize = 1 << 20;
@@ -45,17 +42,19 @@
 /// The server's side of one client's HTTP/1.1 connection.
 #[derive(Debug)]
 pub(super) struct HttpServer {
-    reader: Requests,
+    pub(super) reader: Requests,
     flow: Flow,
     /// Since when a request is on its way in, or the connection waits for one.
-    since: Micros,
+    pub(super) since: Micros,
+    /// By which moment it is queued among those that may give their place to a new client.
+    pub(super) queued: Micros,
     /// Requests that came whole.
-    asked: u64,
+    pub(super) asked: u64,
 }
 
 impl HttpServer {
     fn new(now: Micros) -> Self {
-        HttpServer { reader: Requests::default(), flow: Flow::Open, since: now, asked: 0 }
+        HttpServer { reader: Requests::default(), flow: Flow::Open, since: now, queued: now, asked: 0 }
     }
 
     /// Bytes held.
@@ -63,6 +62,11 @@
         self.reader.len()
     }
 
+    /// Its last answer has been given: what still comes is dropped.
+    pub(super) fn is_parting(&self) -> bool {
+        matches!(self.flow, Flow::Lingering(_))
+    }
+
     /// What a full reader is sent waits with its peer.
     pub(super) fn wants_read(&self) -> bool {
         matches!(self.flow, Flow::Lingering(_)) || !self.reader.is_full()
@@ -89,34 +93,11 @@
         self.clients += 1;
         let protocol = Protocol::HttpServer(HttpServer::new(now));
         let conn = self.plumbing.open(Peer::Client(Client::default()), Stage::Open, protocol);
+        self.places.add(conn, now);
         self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Quiet(conn));
         Ok(conn)
     }
 
-    /// Guards against clients that hold connections for nothing, also by the hundred a second: the one that has
-    /// waited longest without a whole request is closed, those that had an error first.
-    fn make_room(&mut self, now: Micros) -> bool {
-        let waits = |(id, c): (ConnId, &Conn)| {
-            let (Peer::Client(client), Protocol::HttpServer(http)) = (&c.peer, &c.protocol) else {
-                return None;
-            };
-            let least = match (http.flow, http.asked) {
-                (Flow::Lingering(_), _) => Micros(0),
-                (_, 0) => MUTE,
-                _ => RESTING,
-            };
-            let free = client.owed.is_empty() && c.outbox.is_empty();
-            let long = free && now.since(http.since) >= least && (http.asked == 0 || http.reader.is_empty());
-            let parted = matches!(http.flow, Flow::Lingering(_));
-            long.then_some((!parted, http.since, id))
-        };
-        let longest = self.plumbing.iter().filter_map(waits).min();
-        if let Some((.., conn)) = longest {
-            self.lost(conn, "its place is needed", true, now);
-        }
-        longest.is_some()
-    }
-
     pub(super) fn http_received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
         let Some(http) = self.http(conn) else { return };
         match &mut http.flow {
@@ -302,6 +283,8 @@
         let held = http.held();
         http.reader = Requests::default();
         (http.flow, http.since) = (Flow::Lingering(LINGER_BYTES), now);
+        let queued = std::mem::replace(&mut http.queued, now);
+        self.places.part(conn, queued, now);
         self.plumbing.partial_bytes -= held;
         // The client reads to the end of what it was sent and closes in its turn (RFC 9112, 9.6).
         self.plumbing.say(Command::Shut(conn));
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -15,12 +15,13 @@
 //! Peers speak frames, or the platform's HTTP/1.1 ([`Wire`]). A request's life is the same for both; three
 //! places differ:
 //!
-//! - [`http_server`]: clients that ask one request at a time of a connection
+//! - [`http_server`]: clients that ask one request at a time of a connection; [`client_places`]: who gives way
 //! - [`pool`]: connections to a node that carry one request each
 //! - [`watch`]: the list, told by calls that wait
 
 mod agreement;
 mod backoff;
+mod client_places;
 mod clients;
 mod config;
 mod dispatch;
@@ -45,6 +46,7 @@
 
 use crate::machine::{Command, ConnId, Control, Machine, Micros};
 use agreement::Agreed;
+use client_places::ClientPlaces;
 use flaxstand::api::{Action, Class, Event, RequestId, Settings, VolumeId};
 use flaxstand::brain::Brain;
 use flaxstand_proto::Parting;
@@ -95,6 +97,8 @@
     rng: Pcg64Mcg,
     plumbing: Plumbing,
     clients: usize,
+    /// Clients that speak HTTP, in the order in which they give way to new ones.
+    places: ClientPlaces,
     requests: BTreeMap<RequestId, Held>,
     next_request: u64,
     next_probe: u64,
@@ -173,6 +177,7 @@
             config,
             plumbing: Plumbing::default(),
             clients: 0,
+            places: ClientPlaces::default(),
             requests: BTreeMap::new(),
             next_request: 0,
             next_probe: 0,
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/plumbing.rs
@@ -129,7 +129,7 @@
     /// All of them. For what concerns every connection; each counts as walked.
     pub(super) fn iter(&self) -> impl Iterator<Item = (ConnId, &Conn)> {
         self.conns.iter().map(|(id, conn)| {
-            self.walked.set(self.walked.get() + 1);
+            self.count_walked();
             (*id, conn)
         })
     }
@@ -137,11 +137,16 @@
     /// Those that lead to nodes; each counts as walked.
     pub(super) fn to_nodes(&self) -> impl Iterator<Item = (ConnId, &Conn)> {
         self.node_conns.iter().filter_map(|id| {
-            self.walked.set(self.walked.get() + 1);
+            self.count_walked();
             Some((*id, self.conns.get(id)?))
         })
     }
 
+    /// One more was looked at among several.
+    pub(super) fn count_walked(&self) {
+        self.walked.set(self.walked.get() + 1);
+    }
+
     /// How many connections were gone through since the start.
     pub(super) fn walked(&self) -> u64 {
         self.walked.get()
