--- a/crates/flaxstand-gateway/src/core/agreement.rs
+++ b/crates/flaxstand-gateway/src/core/agreement.rs
@@ -219,10 +219,10 @@
         }
         let rules = agreed.agreement.passage(now);
         if let Some(batch) = agreed.agreement.batch(now) {
-            self.plumbing.say(Command::Keep(batch));
+            self.plumbing.command(Command::Keep(batch));
         }
         if let Some(book) = agreed.agreement.take_unsaved() {
-            self.plumbing.say(Command::SaveBook(book));
+            self.plumbing.command(Command::SaveBook(book));
         }
         let words = agreed.agreement.take_words();
         if let Some(rules) = rules {
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -192,7 +192,7 @@
         } else if c.outbox.len() > bounds.client_bytes && !client.paused {
             debug!(conn = conn.0, bytes = c.outbox.len(), "client is not read until it has read");
             client.paused = true;
-            self.plumbing.say(Command::Flush(conn));
+            self.plumbing.command(Command::Flush(conn));
         } else if client.finished && client.owed.is_empty() && c.outbox.is_empty() {
             self.lost(conn, "client has all it asked for", true, now);
         }
@@ -204,7 +204,7 @@
         let Peer::Client(client) = &mut c.peer else { return };
         if client.paused && c.outbox.len() <= self.config.bounds.client_bytes / 2 {
             client.paused = false;
-            self.plumbing.say(Command::Flush(conn));
+            self.plumbing.command(Command::Flush(conn));
         }
         self.client_wrote(conn, now);
     }
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -49,7 +49,7 @@
     fn gone(&mut self, conn: ConnId, cause: &str, last: Option<Vec<u8>>, now: Micros) {
         let Some(gone) = self.plumbing.take(conn) else { return };
         if let Some(last) = last {
-            self.plumbing.say(Command::Close { conn, last });
+            self.plumbing.command(Command::Close { conn, last });
         }
         if let Protocol::HttpServer(http) = &gone.protocol {
             self.places.remove(conn, http.queued);
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -116,7 +116,7 @@
                     self.read_http(conn, now);
                 }
                 if full {
-                    self.plumbing.say(Command::Flush(conn));
+                    self.plumbing.command(Command::Flush(conn));
                 }
             }
         }
@@ -287,7 +287,7 @@
         self.places.part(conn, queued, now);
         self.plumbing.partial_bytes -= held;
         // The client reads to the end of what it was sent and closes in its turn (RFC 9112, 9.6).
-        self.plumbing.say(Command::Shut(conn));
+        self.plumbing.command(Command::Shut(conn));
         self.plumbing.at(now.after(LINGER), Timer::Quiet(conn));
     }
 
@@ -314,7 +314,7 @@
         }
         if full {
             // It may be read again.
-            self.plumbing.say(Command::Flush(conn));
+            self.plumbing.command(Command::Flush(conn));
         }
     }
 
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -310,7 +310,7 @@
     fn stop_accepting(&mut self, now: Micros) {
         if self.phase == Phase::Leaving {
             self.phase = Phase::Stopping;
-            self.plumbing.say(Command::StopListening);
+            self.plumbing.command(Command::StopListening);
             self.drain_buffer(now);
             self.part_with_clients(now);
         }
@@ -347,7 +347,7 @@
             if self.nodes.listed() > 0 && !self.on_platform() {
                 self.save_whole(now);
             }
-            self.plumbing.say(Command::Exit);
+            self.plumbing.command(Command::Exit);
             let (buffer, repeats) = (self.buffer_status(now), self.repeats_judged());
             info!(counts = ?self.counts(), ?buffer, ?repeats, "stopped");
         }
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/plumbing.rs
@@ -114,7 +114,7 @@
     pub(super) fn dial(&mut self, peer: Peer, protocol: Protocol, address: Address, by: Micros) -> ConnId {
         let conn = self.open(peer, Stage::Dialing, protocol);
         self.at(by, Timer::Dial(conn));
-        self.say(Command::Connect { conn, address });
+        self.command(Command::Connect { conn, address });
         conn
     }
 
@@ -209,7 +209,7 @@
     /// Closes a connection from here that nothing hangs on any more.
     pub(super) fn drop_quietly(&mut self, conn: ConnId) {
         if self.take(conn).is_some() {
-            self.say(Command::Close { conn, last: Vec::new() });
+            self.command(Command::Close { conn, last: Vec::new() });
         }
     }
 
@@ -254,7 +254,7 @@
     }
 
     /// Wants something done by the driver.
-    pub(super) fn say(&mut self, command: Command) {
+    pub(super) fn command(&mut self, command: Command) {
         self.commands.push(command);
     }
 
--- a/crates/flaxstand-gateway/src/core/saved_list.rs
+++ b/crates/flaxstand-gateway/src/core/saved_list.rs
@@ -208,7 +208,7 @@
         }
         self.list.save.appended += bytes.len();
         self.counts.saved_bytes += bytes.len() as u64;
-        self.plumbing.say(Command::AppendSaved(bytes));
+        self.plumbing.command(Command::AppendSaved(bytes));
     }
 
     /// Saves all of the list, and the pace of every node.
@@ -218,7 +218,7 @@
         *save = SavePlan { whole: Some(bytes.len()), paces_at: Some(now), ..SavePlan::default() };
         self.counts.saved_bytes += bytes.len() as u64;
         self.counts.whole_saves += 1;
-        self.plumbing.say(Command::Save(bytes));
+        self.plumbing.command(Command::Save(bytes));
     }
 
     fn encode_whole(&self, now: Micros) -> Vec<u8> {
--- a/crates/flaxstand-gateway/src/core/writeback.rs
+++ b/crates/flaxstand-gateway/src/core/writeback.rs
@@ -210,7 +210,7 @@
     fn carry_out(&mut self, action: Action, now: Micros) {
         let request = |ticket: Ticket| RequestId(ticket.0);
         match action {
-            Action::Store(batch) => self.plumbing.say(Command::Store(batch)),
+            Action::Store(batch) => self.plumbing.command(Command::Store(batch)),
             Action::Buffered(ticket) => self.buffered(request(ticket), now),
             Action::Through(ticket) => self.through(request(ticket)),
             Action::Refused { ticket, wait } => self.refused_here(request(ticket), wait, now),
