--- a/crates/flaxstand-gateway/src/core/saved_list.rs
+++ b/crates/flaxstand-gateway/src/core/saved_list.rs
@@ -203,6 +203,9 @@
         }
         let nodes = self.list.save.take_changed(now);
         let bytes = self.encode_changes(nodes, now);
+        if bytes.is_empty() {
+            return;
+        }
         if !self.list.save.has_room(bytes.len()) {
             return self.save_whole(now);
         }
--- a/crates/flaxstand-gateway/tests/saved_list.rs
+++ b/crates/flaxstand-gateway/tests/saved_list.rs
@@ -131,6 +131,17 @@
     assert_eq!(World::cut_off(quiet(), 0, saved(&w)).core.footprint().nodes, NODES as usize);
 }
 
+#[test]
+fn a_change_that_tells_of_no_node_writes_nothing() {
+    let mut w = World::new(quiet(), 3);
+    let before = (saved(&w).to_vec(), w.core.counts());
+    tell(&mut w, Vec::new());
+    assert_eq!((saved(&w), w.core.counts().saved_bytes), (&before.0[..], before.1.saved_bytes));
+    // The one after it is told and saved as ever.
+    tell_one(&mut w, 1, State::Draining);
+    assert_eq!(states(saved(&w))[1], (1, State::Draining));
+}
+
 #[test]
 fn a_state_of_the_version_before_is_read() {
     let address = address(4);
