--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: their greeting, their submissions, and the bounds that keep one from harming the others.
 
-use super::door::Origin;
-use super::plumbing::{Conn, Inlet, Peer, Stage, Timer};
+use super::http_server::Origin;
+use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
 use super::requests::{Held, With};
 use super::{Core, Phase};
 use crate::machine::{Command, ConnId, Micros};
@@ -31,7 +31,7 @@
     pub(super) fn client_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         // The cheapest refusal: nothing is kept of a client that is told to come back.
         let refusal = match self.phase {
-            _ if self.on_platform() => return self.door_accepted(now),
+            _ if self.on_platform() => return self.http_accepted(now),
             Phase::Running if self.clients >= self.config.bounds.clients => {
                 Some((Parting::Bound, Micros(0), "as many clients as may be"))
             }
@@ -55,7 +55,7 @@
         let conn = self.plumbing.open(
             Peer::Client(Client::default()),
             Stage::Greeting,
-            Inlet::Frames(Inbox::default()),
+            Protocol::Frames(Inbox::default()),
         );
         self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Dial(conn));
         Ok(conn)
@@ -182,8 +182,8 @@
     pub(super) fn client_wrote(&mut self, conn: ConnId, now: Micros) {
         let bounds = self.config.bounds;
         let Some(c) = self.plumbing.get_mut(conn) else { return };
-        if let Inlet::Door(_) = c.inlet {
-            return self.door_wrote(conn, now);
+        if let Protocol::HttpServer(_) = c.protocol {
+            return self.http_wrote(conn, now);
         }
         let Peer::Client(client) = &mut c.peer else { return };
         if c.outbox.len() > bounds.client_bytes_most {
@@ -192,7 +192,7 @@
         } else if c.outbox.len() > bounds.client_bytes && !client.paused {
             debug!(conn = conn.0, bytes = c.outbox.len(), "client is not read until it has read");
             client.paused = true;
-            self.plumbing.say(Command::Flush(conn));
+            self.plumbing.command(Command::Flush(conn));
         } else if client.finished && client.owed.is_empty() && c.outbox.is_empty() {
             self.lost(conn, "client has all it asked for", true, now);
         }
@@ -204,7 +204,7 @@
         let Peer::Client(client) = &mut c.peer else { return };
         if client.paused && c.outbox.len() <= self.config.bounds.client_bytes / 2 {
             client.paused = false;
-            self.plumbing.say(Command::Flush(conn));
+            self.plumbing.command(Command::Flush(conn));
         }
         self.client_wrote(conn, now);
     }
@@ -214,7 +214,8 @@
         let Some(c) = self.plumbing.get_mut(conn) else { return false };
         match &mut c.peer {
             Peer::Client(client)
-                if matches!(c.inlet, Inlet::Frames(_)) && !client.owed.is_empty() || !c.outbox.is_empty() =>
+                if matches!(c.protocol, Protocol::Frames(_)) && !client.owed.is_empty()
+                    || !c.outbox.is_empty() =>
             {
                 client.finished = true;
                 true
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -15,17 +15,18 @@
 //! Peers speak frames, or the platform's HTTP/1.1 ([`Wire`]). A request's life is the same for both; three
 //! places differ:
 //!
-//! - [`door`]: clients that ask one request at a time of a connection
+//! - [`http_server`]: clients that ask one request at a time of a connection; [`client_places`]: who gives way
 //! - [`pool`]: connections to a node that carry one request each
 //! - [`watch`]: the list, told by calls that wait
 
 mod agreement;
 mod backoff;
+mod client_places;
 mod clients;
 mod config;
 mod dispatch;
-mod door;
 mod figures;
+mod http_server;
 mod list;
 mod node_table;
 mod nodes;
@@ -45,6 +46,7 @@
 
 use crate::machine::{Command, ConnId, Control, Machine, Micros};
 use agreement::Agreed;
+use client_places::ClientPlaces;
 use flaxstand::api::{Action, Class, Event, RequestId, Settings, VolumeId};
 use flaxstand::brain::Brain;
 use flaxstand_proto::Parting;
@@ -52,7 +54,7 @@
 use list::ListPeer;
 use node_table::NodeTable;
 use pipe::{Pipe, Placement};
-use plumbing::{Conn, Inlet, Peer, Plumbing, Stage, Timer};
+use plumbing::{Conn, Peer, Plumbing, Protocol, Stage, Timer};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use requests::Held;
@@ -95,6 +97,8 @@
     rng: Pcg64Mcg,
     plumbing: Plumbing,
     clients: usize,
+    /// Clients that speak HTTP, in the order in which they give way to new ones.
+    places: ClientPlaces,
     requests: BTreeMap<RequestId, Held>,
     next_request: u64,
     next_probe: u64,
@@ -173,6 +177,7 @@
             config,
             plumbing: Plumbing::default(),
             clients: 0,
+            places: ClientPlaces::default(),
             requests: BTreeMap::new(),
             next_request: 0,
             next_probe: 0,
@@ -276,7 +281,7 @@
             Timer::Quiet(conn) => self.quiet(conn, now),
             Timer::Begin(conn) => self.begin_ends(conn, now),
             Timer::Sweep => self.sweep(now),
-            Timer::GraceEnds => self.close_doors(now),
+            Timer::GraceEnds => self.stop_accepting(now),
             Timer::Idle(conn) => self.idle(conn, now),
             Timer::Probe(node, token) => self.probe_times_out(node, token, now),
             Timer::ListCall => self.call_list(now),
@@ -296,16 +301,16 @@
             self.phase = Phase::Leaving;
             self.answer_by = Some(now.after(waits.stop.since(STOP_MARGIN)));
             if waits.stop_grace == Micros(0) {
-                self.close_doors(now);
+                self.stop_accepting(now);
             }
         }
     }
 
     /// No new requests from now on; what is held is answered.
-    fn close_doors(&mut self, now: Micros) {
+    fn stop_accepting(&mut self, now: Micros) {
         if self.phase == Phase::Leaving {
             self.phase = Phase::Stopping;
-            self.plumbing.say(Command::StopListening);
+            self.plumbing.command(Command::StopListening);
             self.drain_buffer(now);
             self.part_with_clients(now);
         }
@@ -315,7 +320,8 @@
     /// its turn: over what it still sends, a close from here would take its answer with it.
     fn stopped(&self) -> bool {
         let owed = |(_, c): (ConnId, &Conn)| {
-            matches!(c.inlet, Inlet::Door(_)) || matches!(c.peer, Peer::Client(_)) && !c.outbox.is_empty()
+            matches!(c.protocol, Protocol::HttpServer(_))
+                || matches!(c.peer, Peer::Client(_)) && !c.outbox.is_empty()
         };
         self.requests.values().all(|r| r.owner.is_none())
             && !self.plumbing.iter().any(owed)
@@ -341,7 +347,7 @@
             if self.nodes.listed() > 0 && !self.on_platform() {
                 self.save_whole(now);
             }
-            self.plumbing.say(Command::Exit);
+            self.plumbing.command(Command::Exit);
             let (buffer, repeats) = (self.buffer_status(now), self.repeats_judged());
             info!(counts = ?self.counts(), ?buffer, ?repeats, "stopped");
         }
@@ -355,7 +361,7 @@
 
     fn connected(&mut self, conn: ConnId, now: Micros) {
         let Some(c) = self.plumbing.get_mut(conn) else { return };
-        if let Inlet::Frames(_) = c.inlet {
+        if let Protocol::Frames(_) = c.protocol {
             c.stage = Stage::Greeting;
             self.greet(conn);
         } else {
@@ -370,15 +376,15 @@
 
     fn received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
         let Some(c) = self.plumbing.get_mut(conn) else { return };
-        let inbox = match &mut c.inlet {
-            Inlet::Frames(inbox) => inbox,
-            Inlet::Door(_) => return self.door_received(conn, bytes, now),
-            Inlet::Link(_) => return self.link_received(conn, bytes, now),
+        let inbox = match &mut c.protocol {
+            Protocol::Frames(inbox) => inbox,
+            Protocol::HttpServer(_) => return self.http_received(conn, bytes, now),
+            Protocol::HttpClient(_) => return self.link_received(conn, bytes, now),
         };
         let mut inbox = std::mem::take(inbox);
         let fed = inbox.feed(bytes, |frame| self.frame(conn, frame, now));
         if let Some(c) = self.plumbing.get_mut(conn) {
-            c.inlet = Inlet::Frames(inbox);
+            c.protocol = Protocol::Frames(inbox);
             if let Err(e) = fed {
                 self.protocol_fault(conn, Parting::Protocol, &e.to_string(), now);
             }
@@ -407,8 +413,8 @@
     }
 
     fn wants_read(&self, conn: ConnId) -> bool {
-        match self.plumbing.get(conn).map(|c| (&c.peer, &c.inlet)) {
-            Some((_, Inlet::Door(door))) => door.wants_read(),
+        match self.plumbing.get(conn).map(|c| (&c.peer, &c.protocol)) {
+            Some((_, Protocol::HttpServer(http))) => http.wants_read(),
             Some((Peer::Client(client), _)) => !client.paused,
             Some(_) => true,
             None => false,
@@ -416,11 +422,11 @@
     }
 
     fn wants_end(&self, conn: ConnId) -> bool {
-        matches!(self.plumbing.get(conn).map(|c| &c.inlet), Some(Inlet::Door(_)))
+        matches!(self.plumbing.get(conn).map(|c| &c.protocol), Some(Protocol::HttpServer(_)))
     }
 
     fn rested(&self, conn: ConnId) -> bool {
-        matches!(self.plumbing.get(conn).map(|c| &c.inlet), Some(Inlet::Link(link)) if link.rested)
+        matches!(self.plumbing.get(conn).map(|c| &c.protocol), Some(Protocol::HttpClient(link)) if link.rested)
     }
 
     fn stored(&mut self, well: bool, now: Micros) {
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/plumbing.rs
@@ -1,10 +1,10 @@
 //! The plumbing: connections and what reads and writes them, moments of the core's own, commands to the driver.
 //! It knows whose a connection is and nothing of what is done with what comes on it: clients, nodes, the list and
-//! later parts hang on here, each at its own variant of [`Peer`], [`Inlet`] and [`Timer`].
+//! later parts hang on here, each at its own variant of [`Peer`], [`Protocol`] and [`Timer`].
 
 use super::agreement::Fellow;
 use super::clients::Client;
-use super::door::Door;
+use super::http_server::HttpServer;
 use super::pool::Link;
 use crate::machine::{Address, Command, ConnId, Micros};
 use flaxstand::api::{NodeId, RequestId};
@@ -33,21 +33,21 @@
     Open,
 }
 
-/// What reads a connection's bytes.
+/// What is spoken on a connection, and what has come of it in part.
 #[derive(Debug)]
-pub(super) enum Inlet {
+pub(super) enum Protocol {
     Frames(Inbox),
-    /// A client's HTTP.
-    Door(Door),
+    /// HTTP that a client asks of us.
+    HttpServer(HttpServer),
     /// HTTP that we ask, of a node or of the list service.
-    Link(Link),
+    HttpClient(Link),
 }
 
 #[derive(Debug)]
 pub(super) struct Conn {
     pub(super) peer: Peer,
     pub(super) stage: Stage,
-    pub(super) inlet: Inlet,
+    pub(super) protocol: Protocol,
     pub(super) outbox: Outbox,
 }
 
@@ -100,21 +100,21 @@
 
 impl Plumbing {
     /// A connection that the system has, or is at.
-    pub(super) fn open(&mut self, peer: Peer, stage: Stage, inlet: Inlet) -> ConnId {
+    pub(super) fn open(&mut self, peer: Peer, stage: Stage, protocol: Protocol) -> ConnId {
         self.next_conn += 1;
         let id = ConnId(self.next_conn);
         if let Peer::Node(_) = peer {
             self.node_conns.insert(id);
         }
-        self.conns.insert(id, Conn { peer, stage, inlet, outbox: Outbox::default() });
+        self.conns.insert(id, Conn { peer, stage, protocol, outbox: Outbox::default() });
         id
     }
 
     /// Calls a peer, which has until `by` to be open.
-    pub(super) fn dial(&mut self, peer: Peer, inlet: Inlet, address: Address, by: Micros) -> ConnId {
-        let conn = self.open(peer, Stage::Dialing, inlet);
+    pub(super) fn dial(&mut self, peer: Peer, protocol: Protocol, address: Address, by: Micros) -> ConnId {
+        let conn = self.open(peer, Stage::Dialing, protocol);
         self.at(by, Timer::Dial(conn));
-        self.say(Command::Connect { conn, address });
+        self.command(Command::Connect { conn, address });
         conn
     }
 
@@ -129,7 +129,7 @@
     /// All of them. For what concerns every connection; each counts as walked.
     pub(super) fn iter(&self) -> impl Iterator<Item = (ConnId, &Conn)> {
         self.conns.iter().map(|(id, conn)| {
-            self.walked.set(self.walked.get() + 1);
+            self.count_walked();
             (*id, conn)
         })
     }
@@ -137,11 +137,16 @@
     /// Those that lead to nodes; each counts as walked.
     pub(super) fn to_nodes(&self) -> impl Iterator<Item = (ConnId, &Conn)> {
         self.node_conns.iter().filter_map(|id| {
-            self.walked.set(self.walked.get() + 1);
+            self.count_walked();
             Some((*id, self.conns.get(id)?))
         })
     }
 
+    /// One more was looked at among several.
+    pub(super) fn count_walked(&self) {
+        self.walked.set(self.walked.get() + 1);
+    }
+
     /// How many connections were gone through since the start.
     pub(super) fn walked(&self) -> u64 {
         self.walked.get()
@@ -164,7 +169,7 @@
     }
 
     pub(super) fn speaks_frames(&self, conn: ConnId) -> bool {
-        self.conns.get(&conn).is_some_and(|c| matches!(c.inlet, Inlet::Frames(_)))
+        self.conns.get(&conn).is_some_and(|c| matches!(c.protocol, Protocol::Frames(_)))
     }
 
     /// Puts a frame into a connection's outbox. Returns where it ends in the stream.
@@ -180,7 +185,7 @@
         }
         let before = c.outbox.len();
         let ends = c.outbox.write(add);
-        if let Inlet::Door(_) = c.inlet {
+        if let Protocol::HttpServer(_) = c.protocol {
             self.unread_bytes += c.outbox.len() - before;
         }
         ends
@@ -191,7 +196,7 @@
         let Some(c) = self.conns.get_mut(&conn) else { return };
         let before = c.outbox.len();
         c.outbox.wrote(count);
-        if let Inlet::Door(_) = c.inlet {
+        if let Protocol::HttpServer(_) = c.protocol {
             self.unread_bytes -= before - c.outbox.len();
         }
     }
@@ -204,7 +209,7 @@
     /// Closes a connection from here that nothing hangs on any more.
     pub(super) fn drop_quietly(&mut self, conn: ConnId) {
         if self.take(conn).is_some() {
-            self.say(Command::Close { conn, last: Vec::new() });
+            self.command(Command::Close { conn, last: Vec::new() });
         }
     }
 
@@ -212,13 +217,13 @@
     pub(super) fn take(&mut self, conn: ConnId) -> Option<Conn> {
         let gone = self.conns.remove(&conn)?;
         self.node_conns.remove(&conn);
-        match &gone.inlet {
-            Inlet::Door(door) => {
-                self.partial_bytes -= door.held();
+        match &gone.protocol {
+            Protocol::HttpServer(http) => {
+                self.partial_bytes -= http.held();
                 self.unread_bytes -= gone.outbox.len();
             }
-            Inlet::Link(link) => self.answer_bytes -= link.held(),
-            Inlet::Frames(_) => {}
+            Protocol::HttpClient(link) => self.answer_bytes -= link.held(),
+            Protocol::Frames(_) => {}
         }
         Some(gone)
     }
@@ -249,7 +254,7 @@
     }
 
     /// Wants something done by the driver.
-    pub(super) fn say(&mut self, command: Command) {
+    pub(super) fn command(&mut self, command: Command) {
         self.commands.push(command);
     }
 
