--- a/src/brain.rs
+++ b/src/brain.rs
@@ -31,7 +31,7 @@
 /// Weight of the newest answer in running means.
 const NEWEST: f64 = 0.2;
 /// What was heard of a node's queue fades with this time constant, ms: one that nobody feeds is soon gone.
-const WORD_FADES: Ms = 1000.0;
+const REPORT_FADES: Ms = 1000.0;
 /// An attempt out for so many usual lags, and the tightest aim, makes a node suspect; pauses stay below.
 const SUSPECT_LAGS: f64 = 4.0;
 /// Part of the expected lag within which a request may well be answered.
@@ -231,7 +231,7 @@
         (out as f64) < self.depth.floor() && (!self.silent(usual, now) || self.canary_due(now))
     }
 
-    /// Wait in the node's queue, ms, as last heard: old word fades to what is heard of all nodes.
+    /// Wait in the node's queue, ms, as last heard: an old report fades to what all nodes report.
     fn heard(&self, usual: &Usual, now: Ms) -> Ms {
         usual.queue + (self.queued - usual.queue) * self.fresh(now)
     }
@@ -244,21 +244,21 @@
         self.out.iter().filter(queued).map(|o| self.shown_by(o, usual, now)).fold(heard, f64::max)
     }
 
-    /// Wait that the last attempt sent tells of, ms, if it was sent lately and says anything yet. One figure
+    /// Wait that the last attempt sent tells of, ms, if it was sent lately and tells anything yet. One report
     /// a node, and none of an attempt that is out for far longer than the queue that was heard here.
-    fn word(&self, usual: &Usual, now: Ms) -> Option<Ms> {
+    fn reported_wait(&self, usual: &Usual, now: Ms) -> Option<Ms> {
         let lately = now - self.last_sent < 2.0 * LATELY;
         let Some(last) = self.out.iter().find(|o| o.sent == self.last_sent) else {
             return lately.then_some(self.queued);
         };
-        let word = self.shown_by(last, usual, now);
-        let says = now - last.sent < self.patience(self.queued, last, usual);
-        (lately && word > 0.0 && says).then_some(word)
+        let wait = self.shown_by(last, usual, now);
+        let telling = now - last.sent < self.patience(self.queued, last, usual);
+        (lately && wait > 0.0 && telling).then_some(wait)
     }
 
-    /// How much the last word of the queue still says.
+    /// How much the last report of the queue still counts.
     fn fresh(&self, now: Ms) -> f64 {
-        (-(now - self.queued_at) / WORD_FADES).exp()
+        (-(now - self.queued_at) / REPORT_FADES).exp()
     }
 
     /// Unloaded time of a unit here, ms; a usual node's as long as none was served.
@@ -281,7 +281,7 @@
         if out.passed.is_some() { 0.0 } else { now - out.sent - self.own(out, usual) }
     }
 
-    /// Word of a wait in the node's queue; the older the last word, the more the new one counts.
+    /// A report of a wait in the node's queue; the older the last one, the more this one counts.
     fn heard_queue(&mut self, wait: Ms, now: Ms) {
         let weight = (1.0 - self.fresh(now)).max(NEWEST);
         self.queued += weight * (wait - self.queued);
@@ -780,7 +780,7 @@
     /// part of the others sends to each too: over all hosts these guesses add up. At its start it counts all.
     fn look_at_all(&mut self, now: Ms) {
         self.nodes.retain_active(|n| !n.at_rest(now));
-        let reported = self.nodes.active().filter_map(|(_, n)| n.word(&self.usual, now));
+        let reported = self.nodes.active().filter_map(|(_, n)| n.reported_wait(&self.usual, now));
         self.usual.queue = lower_median(reported).unwrap_or(0.0);
         let paces = self.nodes.samples();
         if let Some(middle) = paces.nth(paces.len() / 2) {
