--- a/src/brain.rs
+++ b/src/brain.rs
@@ -471,7 +471,7 @@
 
 /// Requests of one key that take turns.
 #[derive(Default)]
-struct Line {
+struct KeyQueue {
     waiting: VecDeque<RequestId>,
     rest_until: Ms,
 }
@@ -559,7 +559,7 @@
     nodes: Table<NodeId, Node>,
     volumes: BTreeMap<VolumeId, Volume>,
     requests: BTreeMap<RequestId, Request>,
-    lines: BTreeMap<Key, Line>,
+    key_queues: BTreeMap<Key, KeyQueue>,
     /// Items whose request was given up, by when its client left: whoever asks again repeats.
     given_up: BTreeMap<(VolumeId, Key), Ms>,
     /// For the budget: when requests were taken, and when attempts beyond a first were sent.
@@ -574,7 +574,7 @@
     /// A brain that has just started and knows nothing.
     pub fn new(settings: Settings, seed: u64, now: Ms) -> Self {
         let aim = settings.tightest_aim();
-        let (nodes, volumes, requests, lines, given_up, taken, further) = Default::default();
+        let (nodes, volumes, requests, key_queues, given_up, taken, further) = Default::default();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let unit_time = aim / settings.unit_mean.max(1.0) / 4.0;
         let (hosts, phase) = (f64::from(settings.initiators), random(&mut rng));
@@ -585,7 +585,7 @@
             nodes,
             volumes,
             requests,
-            lines,
+            key_queues,
             given_up,
             taken,
             further,
@@ -649,7 +649,7 @@
         // A client that leaves before the aim has passed must be answered before it leaves.
         let due = (now + (class.aim + stretch).min(class.deadline)).min(a.valid_until);
         if let (true, Some(key)) = (class.in_order, a.key) {
-            self.lines.entry(key).or_default().waiting.push_back(a.id);
+            self.key_queues.entry(key).or_default().waiting.push_back(a.id);
         }
         let (plan, reserve, filled_at) = (a.plan, self.s.unit_most, self.usual.started);
         let new = || Volume { plan, writers: 1.0, reserve, limit: 0.0, filled_at, beyond: Lately::default() };
@@ -683,7 +683,7 @@
         }
         let unsure = matches!(ended.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
         if let (true, Some(key)) = (class.in_order && unsure, r.a.key) {
-            self.lines.entry(key).or_default().rest_until = now + self.s.key_rest;
+            self.key_queues.entry(key).or_default().rest_until = now + self.s.key_rest;
         }
         let spent = r.attempts.len() >= self.s.max_attempts as usize;
         let (over, streaming, expired) = (r.over, r.streaming, now >= r.a.valid_until);
@@ -713,9 +713,9 @@
             return;
         }
         if let (true, Some(key)) = (self.s.classes[r.a.class.0].in_order, r.a.key)
-            && let Some(line) = self.lines.get_mut(&key)
+            && let Some(queue) = self.key_queues.get_mut(&key)
         {
-            line.waiting.retain(|w| *w != id);
+            queue.waiting.retain(|w| *w != id);
         }
         self.requests.remove(&id);
     }
@@ -743,7 +743,7 @@
         }
         self.look_at_all(now);
         self.volumes.values_mut().for_each(|v| v.fill(&self.s, now));
-        self.lines.retain(|_, line| !line.waiting.is_empty() || now < line.rest_until);
+        self.key_queues.retain(|_, queue| !queue.waiting.is_empty() || now < queue.rest_until);
         self.given_up.retain(|_, at| now < *at + PATIENCE);
         self.expire(now, actions);
         self.place(now);
@@ -915,8 +915,8 @@
         let (Some(r), Some(node)) = (self.requests.get(&id), self.nodes.get(at)) else { return false };
         let class = &self.s.classes[r.a.class.0];
         let first = r.attempts.is_empty();
-        let turn = match r.a.key.filter(|_| class.in_order).and_then(|k| self.lines.get(&k)) {
-            Some(line) => line.waiting.front() == Some(&id) && (!first || now >= line.rest_until),
+        let turn = match r.a.key.filter(|_| class.in_order).and_then(|k| self.key_queues.get(&k)) {
+            Some(queue) => queue.waiting.front() == Some(&id) && (!first || now >= queue.rest_until),
             None => true,
         };
         let volume = &self.volumes[&r.a.volume];
