--- a/src/brain.rs
+++ b/src/brain.rs
@@ -149,8 +149,8 @@
     }
 
     /// Its nominal size against the mean of those listed.
-    fn relative_size(&self, usual: &Usual) -> f64 {
-        if self.entry.size > 0.0 && usual.size > 0.0 { self.entry.size / usual.size } else { 1.0 }
+    fn relative_size(&self, fleet: &Fleet) -> f64 {
+        if self.entry.size > 0.0 && fleet.size > 0.0 { self.entry.size / fleet.size } else { 1.0 }
     }
 
     /// Share of its capacity that the node surely has; 1 once warm.
@@ -165,7 +165,7 @@
 
     /// Guards the rule on cold nodes: each window, this host's part, at one core's pace of a usual node. A
     /// larger request waits as many windows as it fills parts, the first time from a phase of the host's own.
-    fn cold_allows(&self, units: f64, usual: &Usual, s: &Settings, now: Ms) -> bool {
+    fn cold_allows(&self, units: f64, fleet: &Fleet, s: &Settings, now: Ms) -> bool {
         let warmth = self.warmth(s, now);
         if warmth >= 1.0 || s.fall_time <= 0.0 {
             return true;
@@ -173,20 +173,20 @@
         let since = self.cold_sends.iter().filter(|(at, _)| now - at < s.fall_time);
         let recent: f64 = since.map(|(_, u)| work(*u)).sum();
         let units = work(units);
-        let borne = (s.fall_multiple * warmth * s.fall_time / usual.unit_time).max(s.cold_bears * work(1.0));
+        let borne = (s.fall_multiple * warmth * s.fall_time / fleet.unit_time).max(s.cold_bears * work(1.0));
         // What a former life of this host sent here is not known: its part grows over the first window.
-        let anew = self.entry.booted_at.is_some_and(|at| at < usual.started);
-        let known = if anew { ((now - usual.started) / s.fall_time).min(1.0) } else { 1.0 };
-        let part = known * COLD_SHARE * borne * self.relative_size(usual) / usual.hosts;
+        let anew = self.entry.booted_at.is_some_and(|at| at < fleet.started);
+        let known = if anew { ((now - fleet.started) / s.fall_time).min(1.0) } else { 1.0 };
+        let part = known * COLD_SHARE * borne * self.relative_size(fleet) / fleet.hosts;
         let wait = s.fall_time * units / part;
         recent + units <= part
-            || now >= self.last_sent + wait && now >= self.told_at + usual.phase * wait && recent == 0.0
+            || now >= self.last_sent + wait && now >= self.told_at + fleet.phase * wait && recent == 0.0
     }
 
     /// Whether an attempt not overtaken is out far longer than usual: the node hangs or is gone unheard.
-    fn silent(&self, usual: &Usual, now: Ms) -> bool {
-        let queue = self.queued.max(usual.queue);
-        self.out.iter().any(|o| now - o.sent > self.patience(queue, o, usual) && o.passed.is_none())
+    fn silent(&self, fleet: &Fleet, now: Ms) -> bool {
+        let queue = self.queued.max(fleet.queue);
+        self.out.iter().any(|o| now - o.sent > self.patience(queue, o, fleet) && o.passed.is_none())
     }
 
     /// A silent node gets canaries, ever more rarely.
@@ -196,8 +196,8 @@
     }
 
     /// How long an attempt may be out behind such a queue before more is wrong than the queue.
-    fn patience(&self, queue: Ms, out: &Out, usual: &Usual) -> Ms {
-        (SUSPECT_LAGS * (self.own(out, usual) + queue)).max(usual.aim)
+    fn patience(&self, queue: Ms, out: &Out, fleet: &Fleet) -> Ms {
+        (SUSPECT_LAGS * (self.own(out, fleet) + queue)).max(fleet.aim)
     }
 
     /// Something sent at `sent` was answered: what was sent before and is still out was overtaken.
@@ -207,52 +207,52 @@
     }
 
     /// Whether an attempt was overtaken so long ago that its own work should be done: its answer is lost.
-    fn lost(&self, out: &Out, usual: &Usual, now: Ms) -> bool {
-        out.passed.is_some_and(|at| now - at > self.own(out, usual))
+    fn lost(&self, out: &Out, fleet: &Fleet, now: Ms) -> bool {
+        out.passed.is_some_and(|at| now - at > self.own(out, fleet))
     }
 
     /// Whether a probe would tell a lost answer from a queue: one attempt is out for longer than it should.
-    fn probe_due(&self, usual: &Usual, now: Ms) -> bool {
-        let heard = self.heard(usual, now);
-        let overdue = |o: &Out| o.passed.is_none() && now - o.sent > self.own(o, usual) + heard;
+    fn probe_due(&self, fleet: &Fleet, now: Ms) -> bool {
+        let heard = self.heard(fleet, now);
+        let overdue = |o: &Out| o.passed.is_none() && now - o.sent > self.own(o, fleet) + heard;
         self.serves() && self.probe.is_none() && now >= self.next_probe && self.out.iter().any(overdue)
     }
 
-    fn suspect(&self, usual: &Usual, now: Ms) -> bool {
-        self.fails >= TRIP || self.silent(usual, now)
+    fn suspect(&self, fleet: &Fleet, now: Ms) -> bool {
+        self.fails >= TRIP || self.silent(fleet, now)
     }
 
     /// Depth bound and health: room for one more attempt. What is lost keeps no place.
-    fn room(&self, usual: &Usual, now: Ms) -> bool {
+    fn room(&self, fleet: &Fleet, now: Ms) -> bool {
         if self.fails >= TRIP {
             return self.out.is_empty() && now >= self.next_canary;
         }
-        let out = self.out.iter().filter(|o| !self.lost(o, usual, now)).count();
-        (out as f64) < self.depth.floor() && (!self.silent(usual, now) || self.canary_due(now))
+        let out = self.out.iter().filter(|o| !self.lost(o, fleet, now)).count();
+        (out as f64) < self.depth.floor() && (!self.silent(fleet, now) || self.canary_due(now))
     }
 
     /// Wait in the node's queue, ms, as last heard: an old report fades to what all nodes report.
-    fn heard(&self, usual: &Usual, now: Ms) -> Ms {
-        usual.queue + (self.queued - usual.queue) * self.fresh(now)
+    fn heard(&self, fleet: &Fleet, now: Ms) -> Ms {
+        fleet.queue + (self.queued - fleet.queue) * self.fresh(now)
     }
 
     /// Wait in the node's queue, ms, as last heard and as the attempts that are out show it. Guards against
     /// queues that others make. An attempt out far longer shows a sick node or a lost answer, no queue.
-    fn queue(&self, usual: &Usual, now: Ms) -> Ms {
-        let queued = |o: &&Out| now - o.sent < SUSPECT_LAGS * (self.own(o, usual) + usual.queue);
-        let heard = self.heard(usual, now);
-        self.out.iter().filter(queued).map(|o| self.shown_by(o, usual, now)).fold(heard, f64::max)
+    fn queue(&self, fleet: &Fleet, now: Ms) -> Ms {
+        let queued = |o: &&Out| now - o.sent < SUSPECT_LAGS * (self.own(o, fleet) + fleet.queue);
+        let heard = self.heard(fleet, now);
+        self.out.iter().filter(queued).map(|o| self.shown_by(o, fleet, now)).fold(heard, f64::max)
     }
 
     /// Wait that the last attempt sent tells of, ms, if it was sent lately and tells anything yet. One report
     /// a node, and none of an attempt that is out for far longer than the queue that was heard here.
-    fn reported_wait(&self, usual: &Usual, now: Ms) -> Option<Ms> {
+    fn reported_wait(&self, fleet: &Fleet, now: Ms) -> Option<Ms> {
         let lately = now - self.last_sent < 2.0 * LATELY;
         let Some(last) = self.out.iter().find(|o| o.sent == self.last_sent) else {
             return lately.then_some(self.queued);
         };
-        let wait = self.shown_by(last, usual, now);
-        let telling = now - last.sent < self.patience(self.queued, last, usual);
+        let wait = self.shown_by(last, fleet, now);
+        let telling = now - last.sent < self.patience(self.queued, last, fleet);
         (lately && wait > 0.0 && telling).then_some(wait)
     }
 
@@ -262,23 +262,23 @@
     }
 
     /// Unloaded time of a unit here, ms; a usual node's as long as none was served.
-    fn pace(&self, usual: &Usual) -> Ms {
-        self.unit_time.map_or(usual.unit_time, |t| t.max(usual.unit_time))
+    fn pace(&self, fleet: &Fleet) -> Ms {
+        self.unit_time.map_or(fleet.unit_time, |t| t.max(fleet.unit_time))
     }
 
     /// Time that a request's own work takes here without a queue, ms.
-    fn cost(&self, units: f64, usual: &Usual) -> Ms {
-        work(units) * self.pace(usual)
+    fn cost(&self, units: f64, fleet: &Fleet) -> Ms {
+        work(units) * self.pace(fleet)
     }
 
     /// The most of its own work that an attempt may take without a queue.
-    fn own(&self, out: &Out, usual: &Usual) -> Ms {
-        (1.0 + NOISE) * self.cost(out.units, usual)
+    fn own(&self, out: &Out, fleet: &Fleet) -> Ms {
+        (1.0 + NOISE) * self.cost(out.units, fleet)
     }
 
     /// The wait that an attempt without an answer shows; none once overtaken: it is lost or long, not queued.
-    fn shown_by(&self, out: &Out, usual: &Usual, now: Ms) -> Ms {
-        if out.passed.is_some() { 0.0 } else { now - out.sent - self.own(out, usual) }
+    fn shown_by(&self, out: &Out, fleet: &Fleet, now: Ms) -> Ms {
+        if out.passed.is_some() { 0.0 } else { now - out.sent - self.own(out, fleet) }
     }
 
     /// A report of a wait in the node's queue; the older the last one, the more this one counts.
@@ -288,9 +288,9 @@
         self.queued_at = now;
     }
 
-    fn note_sent(&mut self, of: (RequestId, AttemptNo), units: f64, usual: &Usual, fall_time: Ms, now: Ms) {
+    fn note_sent(&mut self, of: (RequestId, AttemptNo), units: f64, fleet: &Fleet, fall_time: Ms, now: Ms) {
         let (request, attempt) = of;
-        let expected = self.queue(usual, now) + self.cost(units, usual);
+        let expected = self.queue(fleet, now) + self.cost(units, fleet);
         self.out.push(Out { request, attempt, sent: now, units, expected, passed: None });
         self.sent.add(units, now);
         self.last_sent = now;
@@ -310,15 +310,15 @@
     }
 
     /// Learns from an attempt's end: health from failures, pace and depth from the lag.
-    fn note_ended(&mut self, index: usize, ended: &Ended, usual: &Usual, now: Ms) {
+    fn note_ended(&mut self, index: usize, ended: &Ended, fleet: &Fleet, now: Ms) {
         let filled = self.out.len() as f64 + 1.0 > self.depth;
-        let shown = self.queue(usual, now);
-        let patience = self.patience(self.queued.max(usual.queue), &self.out[index], usual);
+        let shown = self.queue(fleet, now);
+        let patience = self.patience(self.queued.max(fleet.queue), &self.out[index], fleet);
         let out = self.out.swap_remove(index);
         // Guards against pushing over what went silent and comes back cold before the list tells: all hosts
         // hold requests for it, and their connections break at one moment.
         if ended.outcome == Outcome::Reset && ended.lag > patience && now >= self.seems.1 {
-            (self.seems, self.told_at) = ((now, now + LATELY * (0.5 + usual.phase)), now);
+            (self.seems, self.told_at) = ((now, now + LATELY * (0.5 + fleet.phase)), now);
         }
         match ended.outcome {
             Outcome::Served => {
@@ -327,9 +327,9 @@
                 let pace = ended.lag / work(out.units);
                 let weight = if self.unit_time.is_none_or(|t| pace < t) { NEWEST } else { NEWEST / 100.0 };
                 self.unit_time = Some(self.unit_time.map_or(pace, |t| t + weight * (pace - t)));
-                let queued = ended.lag - self.cost(out.units, usual);
+                let queued = ended.lag - self.cost(out.units, fleet);
                 self.heard_queue((queued - NOISE * (ended.lag - queued)).max(0.0), now);
-                if queued <= QUEUE_SHARE * usual.aim + NOISE * (ended.lag - queued) {
+                if queued <= QUEUE_SHARE * fleet.aim + NOISE * (ended.lag - queued) {
                     if filled {
                         self.depth = (self.depth + 1.0 / self.depth).min(DEPTH_MOST);
                     }
@@ -341,7 +341,7 @@
             // Its queue holds more than any aim allows.
             Outcome::Full => {
                 self.depth = (self.depth * CUT).max(1.0);
-                (self.queued, self.queued_at) = (shown.max(usual.aim), now);
+                (self.queued, self.queued_at) = (shown.max(fleet.aim), now);
             }
             Outcome::Moot => {}
             // An impatient client says nothing about the node's health, nor does an answer lost.
@@ -511,28 +511,28 @@
     }
 }
 
-/// What holds of a usual node, pooled over those heard from: a host of many hears of each seldom.
+/// What the nodes heard from and the hosts show together: a host of many hears of each node seldom.
 #[derive(Default)]
-struct Usual {
+struct Fleet {
     /// The tightest aim, ms.
     aim: Ms,
-    /// Wait in its queue, ms.
+    /// Wait in a usual node's queue, ms.
     queue: Ms,
-    /// Unloaded time of a unit, ms.
+    /// Unloaded time of a unit at a usual node, ms.
     unit_time: Ms,
     /// Answers lost lately: of what was overtaken long ago none came, or a copy's came first.
     losses: Lately,
-    /// Its nominal size: the mean of those that are ready.
+    /// Mean nominal size of the nodes that are ready.
     size: f64,
     /// By how much lags pass what was expected of them, as a part of it: a running mean that fades to none.
     excess: Lately,
-    /// Hosts that send to it, this host's place among them in time, 0 to 1, and when this host started.
+    /// Hosts that send to a node, this host's place among them in time, 0 to 1, and when this host started.
     hosts: f64,
     phase: f64,
     started: Ms,
 }
 
-impl Usual {
+impl Fleet {
     /// What an attempt's end tells of all nodes: answers get lost, lags come out longer than expected.
     fn learn(&mut self, out: &Out, lost: bool, ended: &Ended, now: Ms) {
         let timed_out = ended.outcome == Outcome::TimedOut;
@@ -555,7 +555,7 @@
 pub struct Brain {
     s: Settings,
     rng: Pcg64Mcg,
-    usual: Usual,
+    fleet: Fleet,
     nodes: Table<NodeId, Node>,
     volumes: BTreeMap<VolumeId, Volume>,
     requests: BTreeMap<RequestId, Request>,
@@ -578,10 +578,10 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let unit_time = aim / settings.unit_mean.max(1.0) / 4.0;
         let (hosts, phase) = (f64::from(settings.initiators), random(&mut rng));
-        let usual = Usual { aim, unit_time, hosts, phase, started: now, ..Usual::default() };
+        let fleet = Fleet { aim, unit_time, hosts, phase, started: now, ..Fleet::default() };
         Brain {
             rng,
-            usual,
+            fleet,
             nodes,
             volumes,
             requests,
@@ -609,7 +609,7 @@
                 self.nodes.update(id, |n| n.note_probed(outcome, now));
             }
             Event::ClientGone(id) => self.over(id),
-            Event::Rules(s) => (self.usual.aim, self.s) = (s.tightest_aim(), *s),
+            Event::Rules(s) => (self.fleet.aim, self.s) = (s.tightest_aim(), *s),
             Event::Decide => self.decide(now, actions),
         }
     }
@@ -645,13 +645,13 @@
     fn arrived(&mut self, a: Arrival, now: Ms) {
         self.taken.push_back(now);
         let class = &self.s.classes[a.class.0];
-        let stretch = class.aim_stretch * a.units * self.usual.unit_time;
+        let stretch = class.aim_stretch * a.units * self.fleet.unit_time;
         // A client that leaves before the aim has passed must be answered before it leaves.
         let due = (now + (class.aim + stretch).min(class.deadline)).min(a.valid_until);
         if let (true, Some(key)) = (class.in_order, a.key) {
             self.key_queues.entry(key).or_default().waiting.push_back(a.id);
         }
-        let (plan, reserve, filled_at) = (a.plan, self.s.unit_most, self.usual.started);
+        let (plan, reserve, filled_at) = (a.plan, self.s.unit_most, self.fleet.started);
         let new = || Volume { plan, writers: 1.0, reserve, limit: 0.0, filled_at, beyond: Lately::default() };
         let volume = self.volumes.entry(a.volume).or_insert_with(new);
         volume.writers = volume.writers.max(f64::from(a.writers));
@@ -674,9 +674,9 @@
         let this = |o: &Out| o.request == id && o.attempt == ended.attempt;
         self.nodes.update(attempt.node, |node| {
             let Some(index) = node.out.iter().position(this) else { return };
-            let lost = node.lost(&node.out[index], &self.usual, now);
-            self.usual.learn(&node.out[index], lost, ended, now);
-            node.note_ended(index, ended, &self.usual, now);
+            let lost = node.lost(&node.out[index], &self.fleet, now);
+            self.fleet.learn(&node.out[index], lost, ended, now);
+            node.note_ended(index, ended, &self.fleet, now);
         });
         if ended.outcome == Outcome::Moot {
             self.further.retain(|(_, request, no)| (*request, *no) != (id, ended.attempt));
@@ -751,7 +751,7 @@
         if !self.requests.is_empty() || self.ask_at.is_some() {
             let copies = self.s.most_out > 1 && self.seeks_lost(now);
             let waits = copies || self.requests.values().any(Request::held);
-            let look = now + if waits { LOOK } else { self.usual.aim / 4.0 };
+            let look = now + if waits { LOOK } else { self.fleet.aim / 4.0 };
             let at = look.min(self.ask_at.unwrap_or(look));
             if self.wake_at.is_none_or(|w| w <= now || w > at) {
                 self.wake_at = Some(at);
@@ -767,7 +767,7 @@
         let ending = |r: &Request| {
             let first = r.attempts.is_empty();
             let last = if first { r.hold_until } else { r.a.valid_until } - margin;
-            let cold = |n: &Node| !n.cold_allows(r.a.units, &self.usual, &self.s, last);
+            let cold = |n: &Node| !n.cold_allows(r.a.units, &self.fleet, &self.s, last);
             let full = || self.volumes[&r.a.volume].limit_at(&self.s, last) < r.a.units;
             let never = || first && (full() || r.node.and_then(|id| self.nodes.get(id)).is_some_and(cold));
             r.held() && (now >= last || never())
@@ -780,18 +780,18 @@
     /// part of the others sends to each too: over all hosts these guesses add up. At its start it counts all.
     fn look_at_all(&mut self, now: Ms) {
         self.nodes.retain_active(|n| !n.at_rest(now));
-        let reported = self.nodes.active().filter_map(|(_, n)| n.reported_wait(&self.usual, now));
-        self.usual.queue = lower_median(reported).unwrap_or(0.0);
+        let reported = self.nodes.active().filter_map(|(_, n)| n.reported_wait(&self.fleet, now));
+        self.fleet.queue = lower_median(reported).unwrap_or(0.0);
         let paces = self.nodes.samples();
         if let Some(middle) = paces.nth(paces.len() / 2) {
             // A first answer that came late says little of the pace.
-            self.usual.unit_time = paces.capped_mean(2.0 * middle).unwrap_or(middle);
+            self.fleet.unit_time = paces.capped_mean(2.0 * middle).unwrap_or(middle);
         }
         let ready = self.nodes.members().max(1) as f64;
-        self.usual.size = self.nodes.weight() / ready;
+        self.fleet.size = self.nodes.weight() / ready;
         let used = self.nodes.active().filter(|(_, n)| n.serves() && n.sent.get(now) > USED).count().max(1);
-        let share = if now < self.usual.started + 2.0 * LATELY { 1.0 } else { used as f64 / ready };
-        self.usual.hosts = 1.0 + share * f64::from(self.s.initiators.saturating_sub(1));
+        let share = if now < self.fleet.started + 2.0 * LATELY { 1.0 } else { used as f64 / ready };
+        self.fleet.hosts = 1.0 + share * f64::from(self.s.initiators.saturating_sub(1));
     }
 
     /// Gives every held request the node it waits for: its shard's, or one drawn by fitness.
@@ -826,10 +826,10 @@
             total += sent;
             if n.serves() {
                 let requests = n.out.len() as f64 + waiting.get(&node).copied().unwrap_or(0.0);
-                let others = n.queue(&self.usual, now) / n.pace(&self.usual) / self.s.unit_mean.max(1.0);
+                let others = n.queue(&self.fleet, now) / n.pace(&self.fleet) / self.s.unit_mean.max(1.0);
                 let (size, usage, warmth) =
-                    (n.relative_size(&self.usual), 100.0 * sent, n.warmth(&self.s, now));
-                let (suspect, heard) = (n.suspect(&self.usual, now), n.unit_time.is_some());
+                    (n.relative_size(&self.fleet), 100.0 * sent, n.warmth(&self.s, now));
+                let (suspect, heard) = (n.suspect(&self.fleet, now), n.unit_time.is_some());
                 candidates.push(Candidate { node, suspect, heard, requests, others, usage, size, warmth });
             }
         }
@@ -861,7 +861,7 @@
         }
         for (node, mut ids) in held {
             // Nothing passes the gate without room: asked first, so that a full node costs no walk.
-            while self.nodes[node].room(&self.usual, now) {
+            while self.nodes[node].room(&self.fleet, now) {
                 ids.retain(|id| {
                     self.requests.get(id).is_some_and(Request::held) && self.may_send(*id, node, now)
                 });
@@ -874,7 +874,7 @@
 
     /// Whether an answer was lost lately, and what is lost may be asked for again while it is out.
     fn seeks_lost(&self, now: Ms) -> bool {
-        (self.s.most_out > 1 || self.s.may_cancel) && self.usual.losses.get(now) >= LOSSES
+        (self.s.most_out > 1 || self.s.may_cancel) && self.fleet.losses.get(now) >= LOSSES
     }
 
     /// Guards against lost answers: what is out for longer than it should be is probed for, and what the
@@ -885,10 +885,10 @@
         }
         let (mut probed, mut lost) = (Vec::new(), Vec::new());
         for (id, node) in self.nodes.active() {
-            if self.s.may_probe && self.s.most_out > 1 && node.probe_due(&self.usual, now) {
+            if self.s.may_probe && self.s.most_out > 1 && node.probe_due(&self.fleet, now) {
                 probed.push(id);
             }
-            lost.extend(node.out.iter().filter(|o| node.lost(o, &self.usual, now)).map(|o| (o.request, id)));
+            lost.extend(node.out.iter().filter(|o| node.lost(o, &self.fleet, now)).map(|o| (o.request, id)));
         }
         for node in probed {
             self.nodes.update(node, |n| n.probe = Some(now));
@@ -896,7 +896,7 @@
         }
         for (id, node) in lost {
             let makes = |r: &&Request| {
-                let cost = self.nodes[node].cost(r.a.units, &self.usual);
+                let cost = self.nodes[node].cost(r.a.units, &self.fleet);
                 r.out().count() == 1 && !r.over && !r.streaming && now + cost <= r.due
             };
             let Some(r) = self.requests.get(&id).filter(makes) else { continue };
@@ -924,8 +924,8 @@
             && !r.over
             && r.out().count() < self.s.most_out as usize
             && now < r.a.valid_until
-            && node.room(&self.usual, now)
-            && node.cold_allows(r.a.units, &self.usual, &self.s, now)
+            && node.room(&self.fleet, now)
+            && node.cold_allows(r.a.units, &self.fleet, &self.s, now)
             && r.attempts.len() < self.s.max_attempts as usize
             && turn
             && (!first || volume.limit_at(&self.s, now) >= r.a.units)
@@ -949,7 +949,7 @@
             self.rank(of, at, now).into_iter().partition(|w| now + w.lag <= w.due);
         late.sort_by(|x, y| y.joins.total_cmp(&x.joins));
         let node = &self.nodes[at];
-        let queue = node.queue(&self.usual, now);
+        let queue = node.queue(&self.fleet, now);
         let fills = |w: &&Waiting| now + w.lag <= w.valid_until && node.out.is_empty() && queue <= w.joins;
         let next = timely.iter().find(|w| queue <= w.joins).or(late.iter().find(fills)).map(|w| w.id);
         let mut wait = 0.0;
@@ -966,7 +966,7 @@
     /// Earliest due first, with the queue that each may join by its volume's tier.
     fn rank(&self, ids: &[RequestId], at: NodeId, now: Ms) -> Vec<Waiting> {
         let node = &self.nodes[at];
-        let queue = node.queue(&self.usual, now);
+        let queue = node.queue(&self.fleet, now);
         let (mut left, most_worth) = (BTreeMap::new(), self.s.most_worth());
         let mut order: Vec<&Request> = ids.iter().filter_map(|id| self.requests.get(id)).collect();
         order.sort_by(|x, y| x.due.total_cmp(&y.due).then(x.a.id.cmp(&y.a.id)));
@@ -975,15 +975,15 @@
             let reserve = left.entry(r.a.volume).or_insert(volume.reserve);
             *reserve -= r.a.units;
             let tier = if *reserve >= 0.0 { 1.0 } else { volume.beyond_worth(-*reserve, &self.s, now) };
-            let cost = node.cost(r.a.units, &self.usual);
+            let cost = node.cost(r.a.units, &self.fleet);
             // One that came with less time than its aim has only this chance.
             let hope = if r.due >= r.a.valid_until { HOPE } else { 1.0 };
-            let lag = hope * self.usual.stretch(now).max(HOPE) * (queue + cost);
+            let lag = hope * self.fleet.stretch(now).max(HOPE) * (queue + cost);
             let class = &self.s.classes[r.a.class.0];
             let late = if now + lag > r.due { class.late_value } else { 1.0 };
             let repeat = if r.repeats { REPEAT } else { 1.0 };
             let worth = repeat * class.worth * self.s.plans[volume.plan.0].price / most_worth;
-            let joins = (QUEUE_SHARE + QUEUE_JOINED * tier * worth) * late * self.usual.aim;
+            let joins = (QUEUE_SHARE + QUEUE_JOINED * tier * worth) * late * self.fleet.aim;
             Waiting { id: r.a.id, due: r.due, valid_until: r.a.valid_until, cost, lag, joins }
         };
         order.into_iter().map(waiting).collect()
@@ -1008,7 +1008,7 @@
         let (shard, zone) = (node.entry.shard, node.entry.zone);
         let until = r.until(self.s.classes[r.a.class.0].effect, self.s.tick);
         r.attempts.push(Attempt { node: at, shard, zone, sent: now, ran: Ran::Out });
-        self.nodes.update(at, |n| n.note_sent((id, attempt), r.a.units, &self.usual, self.s.fall_time, now));
+        self.nodes.update(at, |n| n.note_sent((id, attempt), r.a.units, &self.fleet, self.s.fall_time, now));
         actions.push(Action::Send { request: id, node: at, until });
     }
 }
