--- a/crates/flaxstand-index/src/samples.rs
+++ b/crates/flaxstand-index/src/samples.rs
@@ -3,7 +3,7 @@
 use crate::ExactSum;
 
 /// Samples in one chunk, most. A chunk that grows beyond it is split in two.
-const CHUNK_MOST: usize = 256;
+const CHUNK_MOST: usize = 128;
 /// Two neighbouring chunks that hold no more than this together become one.
 const MERGED_MOST: usize = CHUNK_MOST / 2;
 
@@ -21,14 +21,24 @@
         Chunk { values, sum }
     }
 
-    fn first(&self) -> f64 {
-        self.values[0]
-    }
-
     fn last(&self) -> f64 {
         self.values[self.values.len() - 1]
     }
 
+    /// Sum of the samples, each counted as `cap` at most; goes through those on the shorter side of the cap.
+    fn capped_sum(&self, cap: f64) -> ExactSum {
+        let (within, beyond) = self.values.split_at(self.values.partition_point(|value| *value <= cap));
+        let mut sum = ExactSum::default();
+        if within.len() < beyond.len() {
+            within.iter().for_each(|value| sum.add(*value));
+        } else {
+            sum = self.sum;
+            beyond.iter().for_each(|value| sum.remove(*value));
+        }
+        sum.add_times(cap, beyond.len());
+        sum
+    }
+
     /// Where the first sample stands that is no less than `value`.
     fn position(&self, value: f64) -> usize {
         self.values.partition_point(|v| v.total_cmp(&value).is_lt())
@@ -37,8 +47,8 @@
 
 /// A multiset of numbers in the order of `f64::total_cmp`, with order statistics and capped means.
 ///
-/// With `n` samples, a change costs a search over `n / 64` chunks at most and moves at most 256 samples; a query
-/// walks the chunks, and the samples of one of them. Results do not depend on the order of changes.
+/// With `n` samples there are some `n / 32` chunks at most. A change searches them by halves and moves at most 128
+/// samples; a query walks the chunks' heads, and the samples of one of them. Results do not depend on the order of changes.
 #[derive(Debug, Default)]
 pub struct SortedSamples {
     chunks: Vec<Chunk>,
@@ -103,15 +113,14 @@
 
     /// Mean of the samples, each counted as `cap` at most; none without a sample.
     pub fn capped_mean(&self, cap: f64) -> Option<f64> {
+        // Chunks in which no sample passes the cap, one that it may cut, and chunks beyond it.
+        let within = self.chunks.partition_point(|chunk| chunk.last() <= cap);
+        let (below, rest) = self.chunks.split_at(within);
         let mut sum = ExactSum::default();
-        for chunk in &self.chunks {
-            if chunk.last() <= cap {
-                sum.add_sum(chunk.sum);
-            } else if chunk.first() > cap {
-                sum.add_times(cap, chunk.values.len());
-            } else {
-                chunk.values.iter().for_each(|value| sum.add(value.min(cap)));
-            }
+        below.iter().for_each(|chunk| sum.add_sum(chunk.sum));
+        if let Some((cut, beyond)) = rest.split_first() {
+            sum.add_sum(cut.capped_sum(cap));
+            sum.add_times(cap, beyond.iter().map(|chunk| chunk.values.len()).sum());
         }
         (self.len > 0).then(|| sum.value() / self.len as f64)
     }
--- a/crates/flaxstand-index/src/table.rs
+++ b/crates/flaxstand-index/src/table.rs
@@ -77,8 +77,8 @@
     }
 }
 
-/// Records by key. Kept up to date at each change, in steps that grow with the logarithm of the records (with
-/// their number over 64 for the samples): the leader of each group, the members' count and weight, the samples.
+/// Records by key. Kept up to date at each change, in steps that grow with the logarithm of the records (a new chunk
+/// of samples apart): the leader of each group, the members' count and weight, the samples.
 ///
 /// A record that was inserted or changed is active until [`Table::retain_active`] lets it rest.
 pub struct Table<K, V: Record> {
@@ -179,9 +179,10 @@
         self.update(key, change);
     }
 
-    /// Changes all records, in the order of keys; all become active.
-    pub fn update_all(&mut self, mut change: impl FnMut(&mut V)) {
-        let keys: Vec<K> = self.slots.keys().copied().collect();
+    /// Changes all records but those of some keys, in the order of keys; what is changed becomes active.
+    pub fn update_others(&mut self, spared: impl Iterator<Item = K>, mut change: impl FnMut(&mut V)) {
+        let spared: BTreeSet<K> = spared.collect();
+        let keys: Vec<K> = self.slots.keys().filter(|key| !spared.contains(key)).copied().collect();
         for key in keys {
             self.update(key, &mut change);
         }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -634,7 +634,7 @@
         }
         self.asks_failed = 0;
         if scope != ListScope::Changes {
-            self.nodes.update_all(|n| n.entry.readiness = Readiness::Gone);
+            self.nodes.update_others(entries.iter().map(|e| e.node), |n| n.entry.readiness = Readiness::Gone);
         }
         for entry in entries {
             self.nodes.update_or_insert_with(entry.node, || Node::new(entry, now), |n| n.told(entry, now));
