--- a/crates/flaxstand-gateway/src/core/list.rs
+++ b/crates/flaxstand-gateway/src/core/list.rs
@@ -184,7 +184,7 @@
             (Extent::Full, _) => ListScope::Full,
             (Extent::Changes, Some(held)) if list.revision <= held => {
                 debug!(held, revision = list.revision, "changes that are known already");
-                return;
+                return self.list_unchanged();
             }
             (Extent::Changes, Some(held)) if list.since == held => ListScope::Changes,
             (Extent::Changes, held) => {
@@ -210,6 +210,12 @@
         Ok(())
     }
 
+    /// The service answered, and nothing has changed. The module hears of it: how old its list is decides how soon it
+    /// asks again after a call that failed.
+    pub(super) fn list_unchanged(&mut self) {
+        self.events.push_back(Event::List(ListScope::Changes, Vec::new()));
+    }
+
     pub(super) fn take_told(&mut self, scope: ListScope, revision: u64, told: Vec<Told>, now: Micros) {
         let told: Vec<NodeEntry> = told.into_iter().filter_map(|e| self.take_entry(e, now)).collect();
         info!(?scope, revision, entries = told.len(), "node list");
--- a/crates/flaxstand-gateway/src/core/watch.rs
+++ b/crates/flaxstand-gateway/src/core/watch.rs
@@ -72,11 +72,11 @@
         }
         self.list.revision = Some(listing.rev);
         self.list.backoff.worked();
-        // The module hears of the first answer after a failure even if nothing has changed: its count of failed
-        // calls ends there, or the next failure would be met as one more in a row, with a longer wait.
-        let first = !std::mem::replace(&mut self.list.answers, true);
-        if listing.all || !listing.targets.is_empty() || first {
+        self.list.answers = true;
+        if listing.all || !listing.targets.is_empty() {
             self.take_platform_list(scope, listing, now);
+        } else {
+            self.list_unchanged();
         }
     }
 
--- a/crates/flaxstand-gateway/tests/platform.rs
+++ b/crates/flaxstand-gateway/tests/platform.rs
@@ -448,6 +448,27 @@
     assert_eq!(w.links(0).len(), 1, "the list held stays in use");
 }
 
+/// Answers that tell of no change keep the list fresh too: after a long quiet time a watch that fell silent is opened
+/// anew as soon as after a busy one.
+#[test]
+fn a_watch_that_falls_silent_after_a_quiet_time_is_opened_anew_at_once() {
+    let mut w = world();
+    let list = w.list_conn();
+    for _ in 0..20 {
+        w.answer(list, "200 OK", r#"{"rev":1,"all":false,"targets":[]}"#);
+        w.run(1000);
+    }
+    assert!(!w.closed.contains(&list));
+    let mut silent_for = 0;
+    while !w.closed.contains(&list) {
+        w.run(10);
+        silent_for += 10;
+        assert!(silent_for < 7000, "a silent watch is given up");
+    }
+    w.run(200);
+    assert_ne!(w.list_conn(), list, "called again within 0.2 s");
+}
+
 #[test]
 fn a_reload_moves_to_the_new_list_service_and_disturbs_nothing_else() {
     let mut w = world();
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -55,8 +55,9 @@
 /// How long a client that was given up is expected back, ms, and the part of its worth that a repeat has.
 const PATIENCE: Ms = 2000.0;
 const REPEAT: f64 = 0.3;
-/// First and longest wait before a failed call of the list is made again, ms.
-const ASK_AGAIN: (Ms, Ms) = (200.0, 1000.0);
+/// Longest wait before a failed call of the list is made again, by how long ago it was heard of, ms: hosts
+/// with a fresh list leave room to those whose list grows old; who hears nothing for long asks rarely.
+const ASK_AGAIN: [(Ms, Ms); 4] = [(200.0, 200.0), (2500.0, 1000.0), (7000.0, 100.0), (Ms::INFINITY, 1000.0)];
 
 /// A sum of what happened lately.
 type Lately = FadingSum<{ LATELY as u64 }>;
@@ -567,7 +568,7 @@
     further: VecDeque<(Ms, RequestId, AttemptNo)>,
     wake_at: Option<Ms>,
     ask_at: Option<Ms>,
-    asks_failed: u32,
+    heard_at: Ms,
 }
 
 impl Brain {
@@ -591,7 +592,7 @@
             further,
             wake_at: None,
             ask_at: settings.list_on_request.then_some(now),
-            asks_failed: 0,
+            heard_at: now,
             s: settings,
         }
     }
@@ -626,13 +627,12 @@
 
     fn listed(&mut self, scope: ListScope, entries: &[NodeEntry], now: Ms) {
         if scope == ListScope::Failed {
-            // Ask again, more rarely at first: the list service may be what is overloaded.
-            let wait = (ASK_AGAIN.0 * f64::from(1 << self.asks_failed.min(5))).min(ASK_AGAIN.1);
-            self.asks_failed += 1;
+            let age = now - self.heard_at;
+            let wait = ASK_AGAIN.iter().find(|(up_to, _)| age < *up_to).map_or(0.0, |(_, wait)| *wait);
             self.ask_at = Some(now + wait * (0.5 + 0.5 * random(&mut self.rng)));
             return;
         }
-        self.asks_failed = 0;
+        self.heard_at = now;
         if scope != ListScope::Changes {
             self.nodes.update_others(entries.iter().map(|e| e.node), |n| n.entry.readiness = Readiness::Gone);
         }
