--- a/crates/flaxstand-cli/src/args.rs
+++ b/crates/flaxstand-cli/src/args.rs
@@ -114,6 +114,8 @@
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
+    /// Measure what each role costs as a fleet grows: hollow initiators beside real processes
+    Scale(ScaleArgs),
     /// Look at a write-back log, or empty it
     #[command(subcommand)]
     Buffer(BufferTask),
@@ -165,6 +167,43 @@
     Buffer,
 }
 
+#[derive(Group)]
+pub struct ScaleArgs {
+    /// What there is to be, step by step
+    pub file: PathBuf,
+    /// Write the result there too; `-` prints it in place of the text
+    #[arg(long, value_name = "FILE")]
+    pub json: Option<PathBuf>,
+}
+
+#[derive(Group)]
+pub struct HollowArgs {
+    /// Settings of the first
+    #[arg(long)]
+    pub config: PathBuf,
+    /// Its number among the site's initiators
+    #[arg(long)]
+    pub first: u32,
+    /// How many
+    #[arg(long)]
+    pub count: u32,
+}
+
+#[derive(Group)]
+pub struct NodeListArgs {
+    /// Nodes in the list
+    #[arg(long)]
+    pub nodes: u32,
+    /// Changes a second, once started
+    #[arg(long)]
+    pub changes: f64,
+    /// Addresses of the first nodes; nothing listens at those of the others
+    #[arg(long)]
+    pub answering: Vec<Address>,
+    #[arg(long)]
+    pub listen: Vec<Address>,
+}
+
 #[derive(Subcommand)]
 pub enum BufferTask {
     /// What is buffered: of a running initiator its own figures, of a log's folder what it holds
@@ -332,6 +371,10 @@
         #[command(flatten)]
         files: Files,
     },
+    /// The list service of a scale run
+    NodeList(NodeListArgs),
+    /// Initiators without clients, many in one process
+    Hollow(HollowArgs),
     /// Clients that keep so many requests out, or send so many a second
     Press(Press),
     /// The clients
--- a/crates/flaxstand-cli/src/kit.rs
+++ b/crates/flaxstand-cli/src/kit.rs
@@ -2,6 +2,7 @@
 
 use crate::Failure;
 use crate::args::{Files, Measured, Press, Rehearsal, Role};
+use crate::scale;
 use crate::settings::tell_terms;
 use flaxstand_audit::Book;
 use flaxstand_gateway::settings::{SettingsError, read_daemon};
@@ -51,7 +52,8 @@
     }
 }
 
-fn system(e: impl std::fmt::Display) -> Failure {
+/// What the system or a process would not do.
+pub fn system(e: impl std::fmt::Display) -> Failure {
     Failure::System(e.to_string())
 }
 
@@ -60,7 +62,7 @@
 }
 
 /// Prints a result for people and writes it as JSON where asked; `-` prints the JSON in place of the text.
-fn told_result(json: serde_json::Result<String>, text: &str, to: Option<&Path>) -> Result<(), Failure> {
+pub fn told_result(json: serde_json::Result<String>, text: &str, to: Option<&Path>) -> Result<(), Failure> {
     let json = json.map_err(system)? + "\n";
     match to {
         Some(path) if path.as_os_str() == "-" => print!("{json}"),
@@ -234,6 +236,8 @@
             rehearse::serve_node(&day, id, cold, &what(files))
         }
         Role::Echo { mute, files } => press::serve_echo(mute, &what(files)),
+        Role::NodeList(arguments) => return scale::node_list(arguments),
+        Role::Hollow(arguments) => return scale::hollow(arguments),
         Role::Press(press) => return load(press, false),
         Role::Load { day, seconds, initiator, files } => {
             let (day, _) = read_day(&day)?;
--- a/crates/flaxstand-cli/src/main.rs
+++ b/crates/flaxstand-cli/src/main.rs
@@ -10,6 +10,7 @@
 mod daemon;
 mod kit;
 mod platform;
+mod scale;
 mod settings;
 
 use args::{Args, LogFormat, Task};
@@ -56,6 +57,7 @@
         }
         Task::Load(press) => kit::load(press, true),
         Task::Measure { what, seconds, json } => kit::measure(what, seconds, json.as_deref()),
+        Task::Scale(arguments) => scale::run(&arguments),
         Task::Buffer(task) => buffer::run(task),
         Task::Settings(task) => settings::run(task),
         Task::StandIn(role) => kit::stand_in(role),
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -219,6 +219,11 @@
         }
     }
 
+    /// Revision of the list that the service told last in this life; none: it has told none yet.
+    pub fn list_revision(&self) -> Option<u64> {
+        self.list.revision
+    }
+
     /// Requests held now.
     pub fn held(&self) -> usize {
         self.requests.len()
--- a/crates/flaxstand-lab/src/agreed.rs
+++ b/crates/flaxstand-lab/src/agreed.rs
@@ -64,7 +64,7 @@
 }
 
 /// Seconds since 1970 of a log's `2026-12-02T00:46:34.581734Z`; within half a day of now.
-fn seconds(stamp: &str) -> Option<f64> {
+pub(crate) fn seconds(stamp: &str) -> Option<f64> {
     let time = stamp.split_once('T')?.1.strip_suffix('Z')?;
     let mut parts = time.split(':').map(|p| p.parse::<f64>().ok());
     let (h, m, s) = (parts.next()??, parts.next()??, parts.next()??);
@@ -140,6 +140,30 @@
     Ok(found)
 }
 
+/// Proposes a version by whoever leads, in place of the newest that anybody asked has, until it is taken, for as long
+/// as `patience`. Its number.
+pub fn propose(listen: &[SocketAddr], rules: &Rules, text: &str, patience: Duration) -> Option<u64> {
+    let started = Instant::now();
+    while started.elapsed() < patience {
+        let book = |at: &SocketAddr| match ask(*at, &Wish::Book) {
+            Ok(Some(Reply::Book(Some(book)))) => Some(*book),
+            _ => None,
+        };
+        let newest = listen.iter().filter_map(book).max_by_key(|(index, _)| *index);
+        let base = newest.map_or(0, |(_, book)| book.acting.number);
+        let at = (calendar() * 1e6) as u64;
+        let version =
+            Version { number: 0, rules: rules.clone(), text: text.to_owned(), by: "the day".into(), at };
+        for to in listen {
+            if let Ok(Some(Reply::Agreed(number))) = ask(*to, &Wish::Propose(base, version.clone())) {
+                return Some(number);
+            }
+        }
+        std::thread::sleep(Duration::from_millis(20));
+    }
+    None
+}
+
 /// Addresses to listen at, also again after a restart: of loopback, but none from which calls are made, so that the
 /// system gives their ports to no call.
 ///
@@ -245,31 +269,9 @@
         self.relays.values().for_each(|relay| relay.set(Flow::Pass, Flow::Pass));
     }
 
-    /// Proposes a version by whoever leads, in place of the newest that anybody has, until it is taken, for as long as `patience`.
+    /// As [`propose`], to all of them.
     pub fn propose(&self, rules: &Rules, text: &str, patience: Duration) -> Option<u64> {
-        let started = Instant::now();
-        while started.elapsed() < patience {
-            let book = |at: &SocketAddr| match ask(*at, &Wish::Book) {
-                Ok(Some(Reply::Book(Some(book)))) => Some(*book),
-                _ => None,
-            };
-            let base = self
-                .listen
-                .iter()
-                .filter_map(book)
-                .max_by_key(|(index, _)| *index)
-                .map_or(0, |b| b.1.acting.number);
-            let at = (calendar() * 1e6) as u64;
-            let version =
-                Version { number: 0, rules: rules.clone(), text: text.to_owned(), by: "the day".into(), at };
-            for to in &self.listen {
-                if let Ok(Some(Reply::Agreed(number))) = ask(*to, &Wish::Propose(base, version.clone())) {
-                    return Some(number);
-                }
-            }
-            std::thread::sleep(Duration::from_millis(20));
-        }
-        None
+        propose(&self.listen, rules, text, patience)
     }
 
     /// Waits until all act on one version alone. The version; none if that does not come.
--- a/crates/flaxstand-lab/src/lib.rs
+++ b/crates/flaxstand-lab/src/lib.rs
@@ -3,7 +3,8 @@
 //! what there is and what goes wrong; [`rehearse`] plays it with real processes on loopback, [`world`] in one process on virtual time;
 //! [`agreed`] is about days on which initiators agree, with a [`relay`] on each link between them;
 //! [`swarm`] looks for
-//! a day on which something breaks, [`experiment`] tells what a change does; [`measure`] tells what an initiator costs.
+//! a day on which something breaks, [`experiment`] tells what a change does; [`measure`] tells what an initiator costs,
+//! [`scale`] what each role costs as a fleet grows.
 #![forbid(unsafe_code)]
 
 pub mod agreed;
@@ -22,6 +23,7 @@
 pub mod rehearse;
 pub mod relay;
 pub mod report;
+pub mod scale;
 pub mod script;
 pub mod shell;
 pub mod swarm;
--- a/crates/flaxstand-lab/src/process.rs
+++ b/crates/flaxstand-lab/src/process.rs
@@ -22,6 +22,9 @@
     /// A process did not do what it was started for.
     #[error("{0}")]
     Process(String),
+    /// Whoever started it wants it to end.
+    #[error("interrupted: all that was started has been stopped")]
+    Interrupted,
     /// What was recorded can't be read.
     #[error(transparent)]
     Records(#[from] flaxstand_audit::record::RecordError),
@@ -90,21 +93,21 @@
 
     /// Waits for a line that starts with a word; returns the rest of it.
     pub(crate) fn expect(&mut self, word: &str, within: Duration) -> Result<String, RehearsalError> {
+        self.line(word, within)?.ok_or_else(|| self.silent(word))
+    }
+
+    /// The same; none if no such line comes in time.
+    pub(crate) fn line(&mut self, word: &str, within: Duration) -> Result<Option<String>, RehearsalError> {
         let until = std::time::Instant::now() + within;
         loop {
             let left = until.saturating_duration_since(std::time::Instant::now());
             match self.output.recv_timeout(left) {
                 Ok(line) => {
                     if let Some(rest) = line.strip_prefix(word) {
-                        return Ok(rest.trim().to_owned());
+                        return Ok(Some(rest.trim().to_owned()));
                     }
                 }
-                Err(RecvTimeoutError::Timeout) => {
-                    return Err(RehearsalError::Process(format!(
-                        "{} did not say {word:?} in time",
-                        self.name
-                    )));
-                }
+                Err(RecvTimeoutError::Timeout) => return Ok(None),
                 Err(RecvTimeoutError::Disconnected) => {
                     return Err(RehearsalError::Process(format!("{} ended; its log says why", self.name)));
                 }
@@ -112,6 +115,11 @@
         }
     }
 
+    /// It did not say what was waited for.
+    pub(crate) fn silent(&self, word: &str) -> RehearsalError {
+        RehearsalError::Process(format!("{} did not say {word:?} in time", self.name))
+    }
+
     pub(crate) fn signal(&self, signal: rustix::process::Signal) {
         let _ = rustix::process::kill_process(rustix::process::Pid::from_child(&self.child), signal);
     }
