--- a/crates/flaxstand-lab/src/scale/account.rs
+++ b/crates/flaxstand-lab/src/scale/account.rs
@@ -8,6 +8,8 @@
 pub struct Account {
     /// Processor time of all its threads, nanoseconds.
     pub processor_ns: u64,
+    /// Time that its threads were ready to run and had no processor, nanoseconds.
+    pub waited_ns: u64,
     /// Memory that is resident now, KiB.
     pub resident_kib: u64,
     /// The most that ever was, KiB.
@@ -25,8 +27,10 @@
     pub fn of(pid: u32) -> Option<Account> {
         let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let io = fs::read_to_string(format!("/proc/{pid}/io")).ok()?;
+        let (processor_ns, waited_ns) = processor_time(pid)?;
         Some(Account {
-            processor_ns: processor_ns(pid)?,
+            processor_ns,
+            waited_ns,
             resident_kib: field(&status, "VmRSS:")?,
             resident_peak_kib: field(&status, "VmHWM:")?,
             read_bytes: field(&io, "rchar:")?,
@@ -36,16 +40,18 @@
     }
 }
 
-/// Time on a processor of all threads. `schedstat` counts the same as `utime + stime` of `stat`, in nanoseconds in
-/// place of hundredths of a second.
-fn processor_ns(pid: u32) -> Option<u64> {
-    let mut sum = 0;
+/// Time of all threads on a processor, and ready without one. The first is the `utime + stime` of `stat`, in
+/// nanoseconds in place of hundredths of a second.
+fn processor_time(pid: u32) -> Option<(u64, u64)> {
+    let (mut ran, mut waited) = (0, 0);
     for task in fs::read_dir(format!("/proc/{pid}/task")).ok()?.flatten() {
         // A thread that ended meanwhile has no account any more.
         let Ok(schedstat) = fs::read_to_string(task.path().join("schedstat")) else { continue };
-        sum += schedstat.split_whitespace().next()?.parse::<u64>().ok()?;
+        let mut fields = schedstat.split_whitespace().map(str::parse::<u64>);
+        ran += fields.next()?.ok()?;
+        waited += fields.next()?.ok()?;
     }
-    Some(sum)
+    Some((ran, waited))
 }
 
 fn field(text: &str, name: &str) -> Option<u64> {
--- a/crates/flaxstand-lab/src/scale/hollow.rs
+++ b/crates/flaxstand-lab/src/scale/hollow.rs
@@ -8,7 +8,8 @@
 //! | --- | --- |
 //! | `state` | prints `state` and a [`HollowState`] |
 //! | `start` | counts begin from 0 |
-//! | `restart SHARE` | that share of all is ended outright and started again at once |
+//! | `stop` | messages and bytes are no longer counted; what comes in force still is |
+//! | `restart SHARE` | that share of all is ended outright and started again, each at once, one after the other |
 //! | `report` | prints `report` and a [`HollowReport`] |
 
 use super::node_list::FIRST_REVISION;
@@ -20,12 +21,13 @@
 use flaxstand_gateway::driver::{Driver, Options};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Control, Machine, Micros};
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{self, Write as _};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tracing::warn;
 
-/// Time between the starts of two initiators of a process.
+/// Time between the starts of two initiators of a process: many in one turn would keep the others of it waiting for
+/// longer than a call may last, which real processes would not.
 const START_GAP: Micros = Micros(500);
 /// Bits of a connection's number that are the initiator's own number of it, and above them those of the life.
 const INNER_BITS: u32 = 32;
@@ -138,7 +140,10 @@
     /// When others want to be woken.
     due: BTreeSet<(Micros, usize)>,
     next_start: Micros,
+    /// Those that are to be restarted.
+    restarting: VecDeque<usize>,
     commands: Vec<Command>,
+    counting: bool,
     report: HollowReport,
 }
 
@@ -166,7 +171,9 @@
             touched: BTreeSet::new(),
             due: BTreeSet::new(),
             next_start: Micros(0),
+            restarting: VecDeque::new(),
             commands: Vec::new(),
+            counting: false,
             report: HollowReport::default(),
         }
     }
@@ -192,25 +199,40 @@
         core
     }
 
-    /// Starts those whose turn it is.
-    fn start_members(&mut self, now: Micros) {
-        while self.members.len() < self.options.count as usize && self.next_start <= now {
-            let member = self.members.len();
-            let saved = SavedState::default();
-            let core = self.start_core(member, &saved, now);
-            self.members.push(Hollow {
-                core,
-                life: 0,
-                links: BTreeMap::new(),
-                due: None,
-                revision: None,
-                acting: None,
-                restart: None,
-                saved,
-            });
-            self.touched.insert(member);
-            self.next_start = now.after(START_GAP);
+    /// Starts the next, if it is time.
+    fn start_next(&mut self, now: Micros) {
+        if self.next_start > now {
+            return;
+        }
+        if let Some(member) = self.restarting.pop_front() {
+            self.restart(member, now);
+        } else if !self.all_started() {
+            self.start(now);
+        } else {
+            return;
         }
+        self.next_start = now.after(START_GAP);
+    }
+
+    fn all_started(&self) -> bool {
+        self.members.len() == self.options.count as usize
+    }
+
+    fn start(&mut self, now: Micros) {
+        let member = self.members.len();
+        let saved = SavedState::default();
+        let core = self.start_core(member, &saved, now);
+        self.members.push(Hollow {
+            core,
+            life: 0,
+            links: BTreeMap::new(),
+            due: None,
+            revision: None,
+            acting: None,
+            restart: None,
+            saved,
+        });
+        self.touched.insert(member);
     }
 
     fn restart(&mut self, member: usize, now: Micros) {
@@ -229,13 +251,11 @@
         self.touched.insert(member);
     }
 
-    fn restart_share(&mut self, share: f64, now: Micros) {
+    fn restart_share(&mut self, share: f64) {
         let all = self.members.len();
         let count = (all as f64 * share).round() as usize;
         // Spread over all, so that no process and no keeper has more than its part.
-        for nth in 0..count {
-            self.restart(nth * all / count, now);
-        }
+        self.restarting.extend((0..count).map(|nth| nth * all / count));
     }
 
     /// The initiator that a connection belongs to, unless it was restarted since.
@@ -251,11 +271,14 @@
         self.members.get(member).filter(|hollow| hollow.life == life).map(|hollow| (hollow, inner))
     }
 
-    fn traffic(&mut self, kind: PeerKind) -> &mut Traffic {
-        match kind {
+    fn count(&mut self, kind: PeerKind, passed: &Traffic) {
+        let sum = match kind {
             PeerKind::List => &mut self.report.list,
             PeerKind::Initiator => &mut self.report.agreement,
             PeerKind::Node => &mut self.report.nodes,
+        };
+        if self.counting {
+            sum.add(passed);
         }
     }
 
@@ -348,11 +371,15 @@
         }
     }
 
-    fn line(&mut self, line: &str, now: Micros) {
+    fn line(&mut self, line: &str) {
         match line.split_whitespace().collect::<Vec<_>>()[..] {
             ["state"] => self.print("state", &self.state()),
-            ["start"] => self.report = HollowReport::default(),
-            ["restart", share] => self.restart_share(share.parse().unwrap_or(0.0), now),
+            ["start"] => {
+                self.report = HollowReport::default();
+                self.counting = true;
+            }
+            ["stop"] => self.counting = false,
+            ["restart", share] => self.restart_share(share.parse().unwrap_or(0.0)),
             ["report"] => {
                 self.report.state = self.state();
                 self.print("report", &self.report.clone());
@@ -404,10 +431,9 @@
         let hollow = &mut self.members[member];
         let counted = hollow.links.get_mut(&inner.0).map(|link| (link.kind, link.inbound.count(bytes)));
         hollow.core.received(inner, bytes, now);
-        if let Some((kind, messages)) = counted {
-            let traffic = self.traffic(kind);
-            traffic.messages_in += messages;
-            traffic.bytes_in += bytes.len() as u64;
+        if let Some((kind, messages_in)) = counted {
+            let bytes_in = bytes.len() as u64;
+            self.count(kind, &Traffic { messages_in, bytes_in, ..Traffic::default() });
         }
     }
 
@@ -435,10 +461,9 @@
         let written = &hollow.core.outgoing(inner)[..count];
         let counted = hollow.links.get_mut(&inner.0).map(|link| (link.kind, link.outbound.count(written)));
         hollow.core.wrote(inner, count, now);
-        if let Some((kind, messages)) = counted {
-            let traffic = self.traffic(kind);
-            traffic.messages_out += messages;
-            traffic.bytes_out += count as u64;
+        if let Some((kind, messages_out)) = counted {
+            let bytes_out = count as u64;
+            self.count(kind, &Traffic { messages_out, bytes_out, ..Traffic::default() });
         }
     }
 
@@ -454,16 +479,16 @@
         self.look(conn).is_some_and(|(hollow, inner)| hollow.core.rested(inner))
     }
 
-    fn control(&mut self, control: Control, now: Micros) {
+    fn control(&mut self, control: Control, _now: Micros) {
         match control {
             Control::Stop | Control::InputEnded => self.commands.push(Command::Exit),
-            Control::Line(line) => self.line(&line, now),
+            Control::Line(line) => self.line(&line),
             Control::Reload(_) => {}
         }
     }
 
     fn settle(&mut self, now: Micros) -> Option<Micros> {
-        self.start_members(now);
+        self.start_next(now);
         while let Some((_, member)) = self.due.first().copied().filter(|(due, _)| *due <= now) {
             self.due.pop_first();
             self.members[member].due = None;
@@ -472,8 +497,7 @@
         for member in std::mem::take(&mut self.touched) {
             self.settle_member(member, now);
         }
-        let all_started = self.members.len() == self.options.count as usize;
-        let start = (!all_started).then_some(self.next_start);
+        let start = (!self.all_started() || !self.restarting.is_empty()).then_some(self.next_start);
         let due = self.due.first().map(|(due, _)| *due);
         [start, due].into_iter().flatten().min()
     }
--- a/crates/flaxstand-lab/src/scale/node_list.rs
+++ b/crates/flaxstand-lab/src/scale/node_list.rs
@@ -4,7 +4,7 @@
 //! | line of standard input | meaning |
 //! | --- | --- |
 //! | `start` | changes begin, and counts from 0 |
-//! | `stop` | no further changes |
+//! | `stop` | no further changes, and nothing more is counted |
 //! | `away 0` or `1` | closes all connections and takes none |
 //! | `report` | prints `report` and a [`ListReport`] |
 //!
@@ -71,6 +71,7 @@
     /// Initiators by connection, and whether they watch.
     watchers: BTreeMap<ConnId, (u32, bool)>,
     next_change: Option<Micros>,
+    counting: bool,
     /// How many changes were made since the start of the process.
     made: u64,
     report: ListReport,
@@ -92,6 +93,7 @@
             away: false,
             watchers: BTreeMap::new(),
             next_change: None,
+            counting: false,
             made: 0,
             report: ListReport::default(),
         }
@@ -113,6 +115,9 @@
     }
 
     fn count(&mut self, conn: ConnId, note: impl Fn(&mut Traffic)) {
+        if !self.counting {
+            return;
+        }
         note(&mut self.report.traffic);
         if let Some((initiator, _)) = self.watchers.get(&conn).filter(|(i, _)| *i < COUNTED_ALONE) {
             note(self.report.by_initiator.entry(*initiator).or_default());
@@ -242,9 +247,13 @@
         match line.split_whitespace().collect::<Vec<_>>()[..] {
             ["start"] => {
                 self.report = ListReport::default();
+                self.counting = true;
                 self.next_change = self.gap().map(|gap| now.after(gap));
             }
-            ["stop"] => self.next_change = None,
+            ["stop"] => {
+                self.next_change = None;
+                self.counting = false;
+            }
             ["away", "1"] => {
                 self.away = true;
                 links.all().into_iter().for_each(|conn| links.close(conn));
--- a/crates/flaxstand-lab/src/scale/result.rs
+++ b/crates/flaxstand-lab/src/scale/result.rs
@@ -102,6 +102,9 @@
     pub processor_percent_most: f64,
     /// For each initiator.
     pub processor_percent_each: f64,
+    /// Time that a process was ready to run and had no processor, percent: where this is much, other work on the machine
+    /// made latencies longer.
+    pub waiting_percent: f64,
     /// Resident memory of the largest process at the end, MiB.
     pub resident_mib_most: f64,
     /// The most that any process ever held, MiB.
@@ -146,6 +149,8 @@
         let count = all.len() as f64;
         let percents: Vec<f64> = all.iter().map(|one| one.processor_percent(seconds)).collect();
         let sum: f64 = percents.iter().sum();
+        let waited = |one: &Accounted| one.after.waited_ns.saturating_sub(one.before.waited_ns) as f64;
+        let waited: f64 = all.iter().map(waited).sum();
         let most = |figure: fn(&Account) -> u64| all.iter().map(|one| figure(&one.after)).max().unwrap_or(0);
         let rate = |figure: fn(&Account) -> u64| {
             let used: u64 =
@@ -159,6 +164,7 @@
             processor_percent: sum / count,
             processor_percent_most: percents.iter().copied().fold(0.0, f64::max),
             processor_percent_each: sum / f64::from(initiators.max(1)),
+            waiting_percent: waited / NANOSECONDS_A_SECOND / seconds * 100.0 / count,
             resident_mib_most: most(|account| account.resident_kib) as f64 / KIB_A_MIB,
             resident_peak_mib_most: most(|account| account.resident_peak_kib) as f64 / KIB_A_MIB,
             descriptors_most: most(|account| account.descriptors),
@@ -240,13 +246,14 @@
     fn write_roles(&self, out: &mut String) {
         let _ = writeln!(
             out,
-            "  {:8} {:>5} {:>6} {:>8} {:>8} {:>8} {:>8} {:>8} {:>6} {:>9} {:>9} {:>12} {:>12}",
+            "  {:8} {:>5} {:>6} {:>8} {:>8} {:>8} {:>7} {:>8} {:>8} {:>6} {:>9} {:>9} {:>12} {:>12}",
             "role",
             "procs",
             "inits",
             "cpu %",
             "most %",
             "each %",
+            "wait %",
             "MiB",
             "peak MiB",
             "fds",
@@ -264,13 +271,14 @@
             });
             let _ = writeln!(
                 out,
-                "  {:8} {:>5} {:>6} {:>8.3} {:>8.3} {:>8.4} {:>8.1} {:>8.1} {:>6} {:>9.2} {:>9.2} {list:>12} {agreement:>12}",
+                "  {:8} {:>5} {:>6} {:>8.3} {:>8.3} {:>8.4} {:>7.2} {:>8.1} {:>8.1} {:>6} {:>9.2} {:>9.2} {list:>12} {agreement:>12}",
                 role.role,
                 role.processes,
                 role.initiators,
                 role.processor_percent,
                 role.processor_percent_most,
                 role.processor_percent_each,
+                role.waiting_percent,
                 role.resident_mib_most,
                 role.resident_peak_mib_most,
                 role.descriptors_most,
--- a/crates/flaxstand-lab/src/scale/run.rs
+++ b/crates/flaxstand-lab/src/scale/run.rs
@@ -39,7 +39,7 @@
 /// How long a process has for its report.
 const REPORT_WITHIN: Duration = Duration::from_secs(20);
 /// How long a proposal is tried.
-const PROPOSE_WITHIN: Duration = Duration::from_secs(10);
+const PROPOSE_WITHIN: Duration = Duration::from_secs(3);
 /// How long the keepers have to elect a leader.
 const ELECT_WITHIN: Duration = Duration::from_secs(20);
 /// How much longer than the measurement clients press.
@@ -308,6 +308,8 @@
         self.interrupt().sleep_until(begun + self.size().duration())?;
         let seconds = begun.elapsed().as_secs_f64();
         self.report.measured_seconds = seconds;
+        self.participants.list.tell("stop");
+        self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.tell("stop"));
         let roles = self.roles(leader);
         self.report.resident_mib = self.resident_kib() as f64 / 1024.0;
         for (role, initiators, ids) in roles {
@@ -319,7 +321,6 @@
             self.does_not_fit(reason);
         }
         self.finish_load(press)?;
-        self.participants.list.tell("stop");
         self.interrupt().sleep(GRACE)?;
         self.collect(begun_at, faults, leader)
     }
