--- a/crates/flaxstand-lab/src/scale/node_list.rs
+++ b/crates/flaxstand-lab/src/scale/node_list.rs
@@ -15,8 +15,9 @@
 use crate::rehearse::{StandIn, serve};
 use crate::shell::{Links, Peer};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Micros};
-use flaxstand_proto::codec::MAX_ENTRIES;
-use flaxstand_proto::{Entry, Extent, Frame, Hello, List, Role, State, VERSION, Welcome, encode};
+use flaxstand_proto::{
+    Entry, Extent, Frame, Hello, List, MAX_ENTRIES, Role, State, VERSION, Welcome, encode,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/flaxstand-lab/src/scale/participants.rs
+++ b/crates/flaxstand-lab/src/scale/participants.rs
@@ -1,7 +1,7 @@
 //! The processes of one step, and their settings. All end with whoever holds them.
 
 use super::interrupt::Interrupt;
-use super::plan::{Plan, Size};
+use super::plan::{HOLLOW_MOST, KEEPERS_MOST, Plan, REAL_MOST, Size};
 use crate::agreed::listeners;
 use crate::process::{Process, RehearsalError, SOON, io_error};
 use std::fmt::Write as _;
@@ -12,6 +12,13 @@
 pub(super) const ANSWERING_NODES: u32 = 8;
 /// Hollow initiators of one process, most: each has some three connections, and a process 20,000 descriptors.
 const HOLLOW_A_PROCESS: u32 = 1200;
+/// The list service, the nodes that answer, and the clients.
+const STAND_INS: u64 = 3;
+/// Processes of a step, most. What a plan may ask for stays below it.
+const PROCESSES_MOST: u64 = 300;
+const _: () = assert!(
+    HOLLOW_MOST.div_ceil(HOLLOW_A_PROCESS as u64) + REAL_MOST + KEEPERS_MOST + STAND_INS <= PROCESSES_MOST
+);
 /// Where a hollow initiator is said to listen: it does not, and nobody calls it.
 const NOWHERE: &str = "127.0.0.1:9";
 
--- a/crates/flaxstand-lab/src/scale/plan.rs
+++ b/crates/flaxstand-lab/src/scale/plan.rs
@@ -6,11 +6,13 @@
 use std::time::Duration;
 
 /// Hollow initiators of a step, most.
-const HOLLOW_MOST: u64 = 10_000;
+pub(super) const HOLLOW_MOST: u64 = 10_000;
 /// Listed nodes of a step, most.
 const NODES_MOST: u64 = 60_000;
 /// Real initiators of a step, most.
-const REAL_MOST: u64 = 50;
+pub(super) const REAL_MOST: u64 = 50;
+/// Keepers of a step, most.
+pub(super) const KEEPERS_MOST: u64 = 5;
 /// Client connections of a step, most: a process may have 20,000 descriptors open.
 const CONNECTIONS_MOST: u64 = 18_000;
 
@@ -196,7 +198,7 @@
     Size {
         hollow: whole("hollow", HOLLOW_MOST, base.hollow),
         real: whole("real", REAL_MOST, base.real),
-        keepers: whole("keepers", 5, base.keepers),
+        keepers: whole("keepers", KEEPERS_MOST, base.keepers),
         nodes: whole("nodes", NODES_MOST, base.nodes),
         node_changes: block.number("node-changes", 0.0..=1000.0, Some(base.node_changes)),
         rule_changes: block.number("rule-changes", 0.0..=100.0, Some(base.rule_changes)),
--- a/crates/flaxstand-lab/src/scale/run.rs
+++ b/crates/flaxstand-lab/src/scale/run.rs
@@ -2,31 +2,27 @@
 //! changes and faults for as long as is measured, and takes accounts before and after.
 
 use super::account::{Account, load_average, machine_memory_kib};
-use super::hollow::{Arrival, HollowReport, HollowState, Restarted};
+use super::collect::facts;
+use super::hollow::{Arrival, HollowState};
 use super::interrupt::Interrupt;
-use super::lags::{Change, Lags, LogFacts};
-use super::node_list::{FIRST_REVISION, ListReport};
+use super::lags::Change;
+use super::node_list::FIRST_REVISION;
 use super::participants::{ANSWERING_NODES, Participants, Real, Workplace};
 use super::plan::{FaultKind, Plan, Size, Step};
-use super::result::{Accounted, FaultReport, RoleLags, RoleReport, ScaleReport, StepReport};
+use super::result::{Accounted, FaultReport, RoleReport, ScaleReport, StepReport};
 use super::schedule::{Action, schedule};
-use super::traffic::Traffic;
 use crate::agreed::{ask, changed, propose};
 use crate::press::Seen;
 use crate::process::{Process, RehearsalError, SOON, io_error};
 use flaxstand_agree::agreement::{Reply, Report, Wish};
 use flaxstand_agree::rules::Value;
-use flaxstand_gateway::core::check_saved_list;
 use flaxstand_gateway::driver::clock;
-use flaxstand_proto::codec::MAX_ENTRIES;
 use serde::de::DeserializeOwned;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Processes of a step, most.
-const PROCESSES_MOST: usize = 300;
 /// How long initiators have until all are ready.
 const READY_WITHIN: Duration = Duration::from_secs(40);
 /// Without progress for so long, those that are not ready are taken not to fit.
@@ -37,7 +33,7 @@
 /// After the measurement changes under way have so long to come in force.
 const GRACE: Duration = Duration::from_millis(1500);
 /// How long a process has for its report.
-const REPORT_WITHIN: Duration = Duration::from_secs(20);
+pub(super) const REPORT_WITHIN: Duration = Duration::from_secs(20);
 /// How long a proposal is tried.
 const PROPOSE_WITHIN: Duration = Duration::from_secs(3);
 /// How long the keepers have to elect a leader.
@@ -91,13 +87,13 @@
 }
 
 /// What a step under way knows.
-struct Running<'a> {
-    workplace: &'a Workplace<'a>,
-    step: &'a Step,
-    participants: Participants,
-    report: StepReport,
+pub(super) struct Running<'a> {
+    pub(super) workplace: &'a Workplace<'a>,
+    pub(super) step: &'a Step,
+    pub(super) participants: Participants,
+    pub(super) report: StepReport,
     /// Proposals of rules that were taken.
-    proposed: Vec<Change>,
+    pub(super) proposed: Vec<Change>,
     /// How many proposals were made, taken or not.
     proposals: usize,
 }
@@ -117,12 +113,7 @@
         ..StepReport::default()
     };
     let mut running = Running { workplace, step, participants, report, proposed: Vec::new(), proposals: 0 };
-    let processes = running.participants.ids().len();
-    if processes > PROCESSES_MOST {
-        running.report.does_not_fit.push(format!("{processes} processes, at most {PROCESSES_MOST}"));
-        return Ok(running.report);
-    }
-    running.report.processes = processes;
+    running.report.processes = running.participants.ids().len();
     if running.found_agreement()? && running.become_ready(started)? {
         running.report.ready_ms = started.elapsed().as_secs_f64() * 1000.0;
         progress(&format!("ready after {:.1} s", started.elapsed().as_secs_f64()));
@@ -133,7 +124,8 @@
     Ok(running.report)
 }
 
-fn parsed<T: DeserializeOwned>(json: &str) -> Result<T, RehearsalError> {
+/// What a process printed as JSON.
+pub(super) fn parsed<T: DeserializeOwned>(json: &str) -> Result<T, RehearsalError> {
     serde_json::from_str(json).map_err(|e| RehearsalError::Process(format!("a report: {e}")))
 }
 
@@ -146,11 +138,11 @@
 }
 
 impl Running<'_> {
-    fn size(&self) -> &Size {
+    pub(super) fn size(&self) -> &Size {
         &self.step.size
     }
 
-    fn interrupt(&self) -> &Interrupt {
+    pub(super) fn interrupt(&self) -> &Interrupt {
         self.workplace.interrupt
     }
 
@@ -427,166 +419,6 @@
         }
         Ok(FaultReport { kind, struck: 1, ready: 0, p50_ms: 0.0, last_ms: 0.0 })
     }
-
-    /// Asks all for their reports and joins them.
-    fn collect(
-        &mut self,
-        begun_at: u64,
-        faults: Vec<FaultReport>,
-        leader: Option<usize>,
-    ) -> Result<(), RehearsalError> {
-        let interrupt = self.workplace.interrupt;
-        let list = &mut self.participants.list;
-        list.tell("report");
-        let list: ListReport = parsed(&interrupt.expect(list, "report", REPORT_WITHIN)?)?;
-        let mut hollow = HollowReport::default();
-        for process in &mut self.participants.hollow {
-            process.process.tell("report");
-            let json = interrupt.expect(&mut process.process, "report", REPORT_WITHIN)?;
-            add(&mut hollow, parsed(&json)?);
-        }
-        self.report.fault_reports = faults;
-        if !hollow.restarts.is_empty() {
-            self.report.fault_reports.push(restarts(&hollow.restarts));
-        }
-        self.report.floors = hollow.floors;
-        self.check_nodes()?;
-        self.add_traffic(&list, &hollow, leader);
-        self.add_lags(&list, &hollow, begun_at)
-    }
-
-    /// Whether the processes hold, and save, as many nodes as are listed.
-    fn check_nodes(&mut self) -> Result<(), RehearsalError> {
-        let nodes = self.size().nodes as usize;
-        let mut reasons = BTreeSet::new();
-        for initiator in self.participants.initiators() {
-            let left_out = facts(initiator)?.left_out;
-            if left_out > 0 {
-                reasons.insert(format!(
-                    "{left_out} of {nodes} listed nodes are left out (settings: bounds nodes)"
-                ));
-            }
-            // A node that drains is listed and saved too.
-            let saved = std::fs::read(&initiator.saved_list).unwrap_or_default();
-            let saved = check_saved_list(&saved).map_or(0, |list| list.entries.len());
-            if saved + left_out < nodes {
-                reasons.insert(format!(
-                    "a saved list has {saved} of {nodes} entries (MAX_ENTRIES {MAX_ENTRIES}, flaxstand-proto/src/codec.rs)"
-                ));
-            }
-        }
-        self.report.does_not_fit.extend(reasons);
-        Ok(())
-    }
-
-    fn add_traffic(&mut self, list: &ListReport, hollow: &HollowReport, leader: Option<usize>) {
-        let keepers = self.size().keepers;
-        let of = |numbers: Vec<u32>| {
-            let mut sum = Traffic::default();
-            for traffic in numbers.iter().filter_map(|number| list.by_initiator.get(number)) {
-                sum.add(&seen_from_there(traffic));
-            }
-            divided(&sum, numbers.len() as u64)
-        };
-        let leads = |number: &u32| Some(*number as usize) == leader;
-        let leader_traffic = of((0..keepers).filter(leads).collect());
-        let keeper_traffic = of((0..keepers).filter(|number| !leads(number)).collect());
-        let real_traffic = of((keepers..keepers + self.size().real).collect());
-        for role in &mut self.report.roles {
-            role.list = match role.role {
-                "leader" => Some(leader_traffic),
-                "keeper" => Some(keeper_traffic),
-                "real" => Some(real_traffic),
-                "hollow" => Some(divided(&hollow.list, role.initiators.into())),
-                _ => Some(list.traffic),
-            };
-            role.agreement = (role.role == "hollow" && keepers > 0).then_some(hollow.agreement);
-        }
-    }
-
-    fn add_lags(
-        &mut self,
-        list: &ListReport,
-        hollow: &HollowReport,
-        begun_at: u64,
-    ) -> Result<(), RehearsalError> {
-        let changes: Vec<Change> =
-            list.changes.iter().map(|(number, at)| Change { number: *number, at: *at }).collect();
-        let mut processes = LogFacts::default();
-        for initiator in self.participants.initiators() {
-            let facts = facts(initiator)?;
-            processes.revisions.extend(facts.revisions.into_iter().filter(|arrival| arrival.at >= begun_at));
-            processes.versions.extend(facts.versions.into_iter().filter(|arrival| arrival.at >= begun_at));
-        }
-        let by_role: [(&'static str, &[Arrival], &[Arrival], usize); 2] = [
-            ("hollow", &hollow.revisions, &hollow.versions, self.size().hollow as usize),
-            ("process", &processes.revisions, &processes.versions, self.participants.initiators().count()),
-        ];
-        for (role, revisions, versions, initiators) in
-            by_role.into_iter().filter(|(_, _, _, count)| *count > 0)
-        {
-            if !changes.is_empty() {
-                let lags = Lags::of(&changes, revisions, initiators);
-                self.report.node_changes.push(RoleLags { role, lags });
-            }
-            if !self.proposed.is_empty() {
-                let lags = Lags::of(&self.proposed, versions, initiators);
-                self.report.rule_changes.push(RoleLags { role, lags });
-            }
-        }
-        Ok(())
-    }
-}
-
-fn facts(initiator: &Real) -> Result<LogFacts, RehearsalError> {
-    let log = std::fs::read_to_string(&initiator.log).map_err(io_error("an initiator's log"))?;
-    Ok(LogFacts::read(initiator.number, &log))
-}
-
-fn add(sum: &mut HollowReport, other: HollowReport) {
-    sum.state.started += other.state.started;
-    sum.state.listed += other.state.listed;
-    sum.state.leased += other.state.leased;
-    sum.list.add(&other.list);
-    sum.agreement.add(&other.agreement);
-    sum.nodes.add(&other.nodes);
-    sum.revisions.extend(other.revisions);
-    sum.versions.extend(other.versions);
-    sum.restarts.extend(other.restarts);
-    sum.floors += other.floors;
-}
-
-/// What the list service sent, its watcher received.
-fn seen_from_there(traffic: &Traffic) -> Traffic {
-    Traffic {
-        messages_in: traffic.messages_out,
-        bytes_in: traffic.bytes_out,
-        messages_out: traffic.messages_in,
-        bytes_out: traffic.bytes_in,
-    }
-}
-
-fn divided(traffic: &Traffic, by: u64) -> Traffic {
-    let by = by.max(1);
-    Traffic {
-        messages_in: traffic.messages_in / by,
-        bytes_in: traffic.bytes_in / by,
-        messages_out: traffic.messages_out / by,
-        bytes_out: traffic.bytes_out / by,
-    }
-}
-
-fn restarts(all: &[Restarted]) -> FaultReport {
-    let mut times: Vec<u64> = all.iter().filter_map(|one| Some(one.ready? - one.at)).collect();
-    times.sort_unstable();
-    let ms = |place: usize| times.get(place).map_or(0.0, |micros| *micros as f64 / 1000.0);
-    FaultReport {
-        kind: "restart, until listed and leased".to_owned(),
-        struck: all.len(),
-        ready: times.len(),
-        p50_ms: ms(times.len() / 2),
-        last_ms: ms(times.len().saturating_sub(1)),
-    }
 }
 
 /// Removes what a run left, whatever became of it.
