--- a/crates/flaxstand-lab/src/scale/collect.rs
+++ b/crates/flaxstand-lab/src/scale/collect.rs
@@ -8,7 +8,7 @@
 use super::run::{REPORT_WITHIN, Running, parsed};
 use super::traffic::Traffic;
 use crate::process::{RehearsalError, io_error};
-use flaxstand_gateway::core::check_saved_list;
+use flaxstand_gateway::core::SavedList;
 use flaxstand_proto::MAX_ENTRIES;
 use std::collections::BTreeSet;
 
@@ -53,7 +53,7 @@
             }
             // A node that drains is listed and saved too.
             let saved = std::fs::read(&initiator.saved_list).unwrap_or_default();
-            let saved = check_saved_list(&saved).map_or(0, |list| list.entries.len());
+            let saved = SavedList::read(&saved).map_or(0, |list| list.entries.len());
             if saved + left_out < nodes {
                 reasons.insert(format!(
                     "a saved list has {saved} of {nodes} entries (MAX_ENTRIES {MAX_ENTRIES}, flaxstand-proto/src/codec.rs)"
--- a/crates/flaxstand-lab/src/scale/hollow.rs
+++ b/crates/flaxstand-lab/src/scale/hollow.rs
@@ -340,6 +340,9 @@
                 self.commands.push(Command::Close { conn: number(conn), last });
             }
             Command::Save(bytes) => self.members[member].saved.list = Some(bytes),
+            Command::AppendSaved(bytes) => {
+                self.members[member].saved.list.get_or_insert_default().extend(bytes);
+            }
             Command::SaveBook(bytes) => self.members[member].saved.book = Some(bytes),
             // They are no keepers, buffer nothing, have no clients, and end with the process.
             Command::Append(..)
