--- a/crates/flaxstand-cli/src/args.rs
+++ b/crates/flaxstand-cli/src/args.rs
@@ -197,6 +197,9 @@
     /// Changes a second, once started
     #[arg(long)]
     pub changes: f64,
+    /// How often watchers are told that nothing has changed, milliseconds; 0: never
+    #[arg(long, default_value_t = 0)]
+    pub heartbeat_ms: u32,
     /// Addresses of the first nodes; nothing listens at those of the others
     #[arg(long)]
     pub answering: Vec<Address>,
--- a/crates/flaxstand-cli/src/scale.rs
+++ b/crates/flaxstand-cli/src/scale.rs
@@ -3,6 +3,7 @@
 use crate::Failure;
 use crate::args::{HollowArgs, NodeListArgs, ScaleArgs};
 use crate::kit::{read, system, told, told_result};
+use flaxstand_gateway::machine::Micros;
 use flaxstand_gateway::settings::read_daemon;
 use flaxstand_lab::rehearse::{StandIn, fresh_folder};
 use flaxstand_lab::scale::hollow::{HollowOptions, serve_hollow};
@@ -34,7 +35,8 @@
 
 /// The list service of a scale run.
 pub fn node_list(arguments: NodeListArgs) -> Result<(), Failure> {
-    let NodeListArgs { nodes, changes, answering, listen } = arguments;
-    let options = NodeListOptions { nodes, changes, answering };
+    let NodeListArgs { nodes, changes, heartbeat_ms, answering, listen } = arguments;
+    let heartbeat = (heartbeat_ms > 0).then_some(Micros(u64::from(heartbeat_ms) * 1000));
+    let options = NodeListOptions { nodes, changes, heartbeat, answering };
     serve_node_list(options, &StandIn { listen, ..StandIn::default() }).map_err(system)
 }
--- a/crates/flaxstand-lab/src/scale/node_list.rs
+++ b/crates/flaxstand-lab/src/scale/node_list.rs
@@ -39,6 +39,8 @@
     pub nodes: u32,
     /// Changes a second, once started.
     pub changes: f64,
+    /// How often watchers are told that nothing has changed; none: never.
+    pub heartbeat: Option<Micros>,
     /// Addresses of the first nodes; nothing listens at those of the others.
     pub answering: Vec<Address>,
 }
@@ -72,6 +74,7 @@
     /// Initiators by connection, and whether they watch.
     watchers: BTreeMap<ConnId, (u32, bool)>,
     next_change: Option<Micros>,
+    next_heartbeat: Option<Micros>,
     counting: bool,
     /// How many changes were made since the start of the process.
     made: u64,
@@ -94,6 +97,7 @@
             away: false,
             watchers: BTreeMap::new(),
             next_change: None,
+            next_heartbeat: None,
             counting: false,
             made: 0,
             report: ListReport::default(),
@@ -176,8 +180,7 @@
         }
         let entries = vec![self.entry(number, now)];
         let frame = Frame::List(List { extent: Extent::Changes, since, revision: self.revision, entries });
-        let watching: Vec<ConnId> =
-            self.watchers.iter().filter(|(_, (_, watches))| *watches).map(|(conn, _)| *conn).collect();
+        let watching = self.watching();
         let bytes = length(&frame);
         for conn in &watching {
             links.push(*conn, &frame);
@@ -187,6 +190,19 @@
         }
     }
 
+    /// Tells all watchers that nothing has changed.
+    fn beat(&mut self, links: &mut Links) {
+        let (since, revision) = (self.revision, self.revision);
+        for conn in self.watching() {
+            let unchanged = List { extent: Extent::Changes, since, revision, entries: Vec::new() };
+            self.send(links, conn, &Frame::List(unchanged));
+        }
+    }
+
+    fn watching(&self) -> Vec<ConnId> {
+        self.watchers.iter().filter(|(_, (_, watches))| *watches).map(|(conn, _)| *conn).collect()
+    }
+
     fn gap(&self) -> Option<Micros> {
         (self.options.changes > 0.0).then(|| Micros((1e6 / self.options.changes) as u64))
     }
@@ -271,7 +287,13 @@
             self.change(links, now);
             self.next_change = Some(due.after(gap));
         }
-        self.next_change
+        if let Some(gap) = self.options.heartbeat
+            && self.next_heartbeat.is_none_or(|due| due <= now)
+        {
+            self.beat(links);
+            self.next_heartbeat = Some(now.after(gap));
+        }
+        [self.next_change, self.next_heartbeat].into_iter().flatten().min()
     }
 }
 
--- a/crates/flaxstand-lab/src/scale/participants.rs
+++ b/crates/flaxstand-lab/src/scale/participants.rs
@@ -108,6 +108,7 @@
         let mut arguments = vec!["stand-in".to_owned(), "node-list".into(), "--listen=127.0.0.1:0".into()];
         arguments.push(format!("--nodes={}", size.nodes));
         arguments.push(format!("--changes={}", size.node_changes));
+        arguments.push(format!("--heartbeat-ms={}", size.list_heartbeat_ms));
         arguments.extend(addresses.split_whitespace().map(|at| format!("--answering={at}")));
         Ok((answering, self.start_ready("list", &arguments)?))
     }
--- a/crates/flaxstand-lab/src/scale/plan.rs
+++ b/crates/flaxstand-lab/src/scale/plan.rs
@@ -15,6 +15,8 @@
 pub(super) const KEEPERS_MOST: u64 = 5;
 /// Client connections of a step, most: a process may have 20,000 descriptors open.
 const CONNECTIONS_MOST: u64 = 18_000;
+/// Longest gap between two heartbeats of the list service, milliseconds.
+const HEARTBEAT_MOST: u64 = 600_000;
 
 /// What there is in a step.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -29,6 +31,8 @@
     pub nodes: u32,
     /// Changes of the list a second.
     pub node_changes: f64,
+    /// How often the list service says that nothing has changed, milliseconds; 0: never.
+    pub list_heartbeat_ms: u32,
     /// Changes of the rules a second; needs keepers.
     pub rule_changes: f64,
     /// Client connections of the first real initiator.
@@ -59,6 +63,7 @@
             keepers: 0,
             nodes: 100,
             node_changes: 0.2,
+            list_heartbeat_ms: 0,
             rule_changes: 0.0,
             connections: 0,
             requests: 0.0,
@@ -201,6 +206,7 @@
         keepers: whole("keepers", KEEPERS_MOST, base.keepers),
         nodes: whole("nodes", NODES_MOST, base.nodes),
         node_changes: block.number("node-changes", 0.0..=1000.0, Some(base.node_changes)),
+        list_heartbeat_ms: whole("list-heartbeat-ms", HEARTBEAT_MOST, base.list_heartbeat_ms),
         rule_changes: block.number("rule-changes", 0.0..=100.0, Some(base.rule_changes)),
         connections: whole("connections", CONNECTIONS_MOST, base.connections),
         requests: block.number("requests", 0.0..=1e6, Some(base.requests)),
