--- a/src/brain.rs
+++ b/src/brain.rs
@@ -57,7 +57,7 @@
 const REPEAT: f64 = 0.3;
 /// Longest wait before a failed call of the list is made again, by how long ago it was heard of, ms: hosts
 /// with a fresh list leave room to those whose list grows old; who hears nothing for long asks rarely.
-const ASK_AGAIN: [(Ms, Ms); 4] = [(200.0, 200.0), (2500.0, 1000.0), (7000.0, 100.0), (Ms::INFINITY, 1000.0)];
+const ASK_AGAIN: [(Ms, Ms); 4] = [(200.0, 200.0), (2500.0, 2000.0), (7000.0, 600.0), (Ms::INFINITY, 1500.0)];
 
 /// A sum of what happened lately.
 type Lately = FadingSum<{ LATELY as u64 }>;
