--- a/crates/flaxstand-agree/src/agreement.rs
+++ b/crates/flaxstand-agree/src/agreement.rs
@@ -8,9 +8,11 @@
 //! - `protocol`: what initiators and operators say to each other
 //! - `routing`: the way of lease requests and responses
 //! - `replication`: the replicated state, and what a leader does by itself
+//! - `admission`: which hosts a leader lets join
 //! - `operators`: what operators ask for
 //! - `terms`: what follows from the settings
 
+mod admission;
 mod operators;
 mod protocol;
 mod replication;
@@ -26,6 +28,7 @@
 use crate::lease_manager::LeaseManager;
 use crate::member::{Acting, Member};
 use crate::rules::Rules;
+use admission::Admission;
 use flaxstand_proto::Micros;
 use flaxstand_store::Batch;
 use replication::Applied;
@@ -68,6 +71,7 @@
     member: Member,
     /// Of a keeper: the replicated state.
     applied: Applied,
+    admission: Admission,
     /// Requests of others that were passed on.
     routes: BTreeMap<RequestId, Route>,
     /// By index of the entry that it waits for: an operator's connection.
@@ -109,6 +113,7 @@
             leases: None,
             member,
             applied: Applied::default(),
+            admission: Admission::new(),
             routes: BTreeMap::new(),
             wishes: BTreeMap::new(),
             upstreams,
@@ -250,6 +255,13 @@
         self.leases.as_ref().map_or(0, LeaseManager::members_examined)
     }
 
+    /// Lowers the number of members that this initiator admits while it leads: for tests of what happens beyond
+    /// it. `MEMBERS_MOST` can't be raised.
+    #[doc(hidden)]
+    pub fn limit_members(&mut self, members_most: usize) {
+        self.admission.limit(members_most);
+    }
+
     /// Of a leader: until when nobody else can lead.
     fn leads_until(&self, now: Micros) -> Option<Micros> {
         self.keeper.as_ref()?.leads_until(now)
--- a/crates/flaxstand-agree/src/agreement/replication.rs
+++ b/crates/flaxstand-agree/src/agreement/replication.rs
@@ -11,13 +11,52 @@
 const ENTRIES_MOST: u64 = 64;
 
 /// The replicated state as a keeper made it of what was agreed on.
+///
+/// Its indices are those of log entries, so they compare across leaders and restarts: a copy with index `i` is the
+/// state after entry `i`. Keepers may know different indices for the same state, since a snapshot does not tell
+/// which entry changed it last and its own index is taken. Each is one of an entry at or after the last change, so
+/// a member with an older copy has a lower index than any of them, and is sent the state.
 #[derive(Debug, Default)]
 pub(super) struct Applied {
-    /// The newest entry in it.
-    pub(super) index: u64,
+    /// The state changed last at this entry, or before it.
+    state_index: u64,
+    /// Likewise for all of it but the list of members, on which only keepers act: leaders send other members the
+    /// state when their copy is older than this.
+    pub(super) versions_index: u64,
     pub(super) book: Book,
 }
 
+impl Applied {
+    /// The state of a snapshot.
+    fn of_snapshot(index: u64, book: Book) -> Applied {
+        Applied { state_index: index, versions_index: index, book }
+    }
+
+    /// Applies an entry.
+    ///
+    /// # Errors
+    /// It changes nothing; why, in words for whoever wanted it.
+    fn apply(&mut self, index: u64, bytes: &[u8]) -> Result<u64, String> {
+        let change = match postcard::from_bytes::<Change>(bytes) {
+            Ok(change) => change,
+            Err(error) => {
+                // Where a newer build leads members may have been sent what it made of the entry.
+                (self.state_index, self.versions_index) = (index, index);
+                return Err(format!("a newer build wrote it: {error}"));
+            }
+        };
+        let (stage, members) = (self.book.stage, self.book.members.len());
+        let outcome = self.book.apply(change);
+        // Each change of versions begins a stage; one of the list adds a name or takes one away.
+        if self.book.stage != stage {
+            (self.state_index, self.versions_index) = (index, index);
+        } else if self.book.members.len() != members {
+            self.state_index = index;
+        }
+        outcome
+    }
+}
+
 impl Agreement {
     /// Applies what keepers agreed on. A leader then does what is due.
     pub(super) fn settle(&mut self, now: Micros) {
@@ -30,24 +69,20 @@
         }
         self.compact();
         if self.applied.book.stage > 0 {
-            self.member.learn(self.applied.index, &self.applied.book);
+            self.member.learn(self.applied.state_index, &self.applied.book);
         }
         if self.keeper.as_ref().is_some_and(Keeper::leads) { self.lead(now) } else { self.stop_leading() }
     }
 
     fn install(&mut self, index: u64, bytes: &[u8]) {
         match Book::read(bytes) {
-            Ok(book) => self.applied = Applied { index, book },
+            Ok(book) => self.applied = Applied::of_snapshot(index, book),
             Err(error) => warn!(%error, index, "a snapshot that is no replicated state"),
         }
     }
 
     fn apply(&mut self, index: u64, bytes: &[u8]) {
-        let outcome = match postcard::from_bytes::<Change>(bytes) {
-            Ok(change) => self.applied.book.apply(change),
-            Err(error) => Err(format!("a newer build wrote it: {error}")),
-        };
-        self.applied.index = index;
+        let outcome = self.applied.apply(index, bytes);
         if let Err(why) = &outcome {
             info!(index, why, "a change that changes nothing");
         }
--- a/crates/flaxstand-agree/src/agreement/routing.rs
+++ b/crates/flaxstand-agree/src/agreement/routing.rs
@@ -1,5 +1,6 @@
 //! The way of lease requests to the leader, and of its responses back.
 
+use super::admission::Verdict;
 use super::{Agreement, To, Word};
 use crate::book::Change;
 use crate::lease_manager::{LeaseRequest, LeaseResponse};
@@ -117,17 +118,25 @@
     fn decide(&mut self, request: &LeaseRequest, now: Micros) -> Option<LeaseResponse> {
         let leads_until = self.leads_until(now)?;
         let leases = self.leases.as_mut()?;
-        let decision = leases.decide(request, self.applied.index, &self.applied.book, leads_until, now);
-        if decision.joins
-            && self.applied.book.stage > 0
-            && let Some(keeper) = &mut self.keeper
-        {
-            // Where it is not taken the member's next request proposes it again.
-            let _ = keeper.propose(Change::Join(request.name.clone()).bytes(), now);
+        let applied = &self.applied;
+        let decision = leases.decide(request, applied.versions_index, &applied.book, leads_until, now);
+        if decision.joins && self.applied.book.stage > 0 {
+            self.admit(&request.name, now);
         }
         Some(decision.response)
     }
 
+    /// Of a leader: proposes a host as a member, if there is room for it.
+    fn admit(&mut self, name: &str, now: Micros) {
+        let Some(keeper) = &mut self.keeper else { return };
+        let open = keeper.last() - keeper.committed();
+        let members = self.applied.book.members.len();
+        if self.admission.decide(name, members, open) == Verdict::Join {
+            // Where it is not taken the member's next request proposes it again.
+            let _ = keeper.propose(Change::Join(name.to_owned()).bytes(), now);
+        }
+    }
+
     /// Who is to get requests that we can't decide on. A keeper knows who leads; without a leader there is nobody.
     fn upstream(&self) -> Option<String> {
         if self.keeper.is_some() {
--- a/crates/flaxstand-agree/src/book.rs
+++ b/crates/flaxstand-agree/src/book.rs
@@ -103,7 +103,8 @@
     pub before: VecDeque<Version>,
     /// What happened, the newest last.
     pub history: VecDeque<Passage>,
-    /// Initiators that were ever given a lease and not forgotten since.
+    /// Initiators that were ever given a lease and not forgotten since. Only keepers act on it, and theirs alone is
+    /// up to date: other members are not told where nothing else changed.
     pub members: BTreeMap<String, ()>,
 }
 
--- a/crates/flaxstand-agree/src/lease_manager.rs
+++ b/crates/flaxstand-agree/src/lease_manager.rs
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Decides on a request. `index` is that of the replicated state `book`; `leads_until`: until when nobody else
-    /// can lead.
+    /// Decides on a request. A member whose copy of the replicated state is older than `index` is sent `book`;
+    /// `leads_until`: until when nobody else can lead.
     pub fn decide(
         &mut self,
         request: &LeaseRequest,
--- a/crates/flaxstand-agree/tests/capacity/fleet.rs
+++ b/crates/flaxstand-agree/tests/capacity/fleet.rs
@@ -2,7 +2,7 @@
 //! and counters of what each host sends, receives and looks at. One seed gives the same counts in every run.
 
 use flaxstand_agree::agreement::{Agreement, Config, Found, Reply, To, Wish, Word};
-use flaxstand_agree::book::Version;
+use flaxstand_agree::book::{MEMBERS_MOST, Version};
 use flaxstand_agree::member::Acting;
 use flaxstand_agree::rules::{Rules, Value};
 use flaxstand_agree::{Micros, Planted};
@@ -86,6 +86,22 @@
     busy: Duration,
 }
 
+impl Host {
+    fn new(disk_seed: u64) -> Host {
+        Host {
+            agreement: None,
+            disk: Faulty::new(disk_seed),
+            storing: None,
+            timer: None,
+            acting: Acting::Floor,
+            acting_since: Micros(0),
+            traffic: Traffic::default(),
+            examined_before: 0,
+            busy: Duration::ZERO,
+        }
+    }
+}
+
 enum Event {
     Deliver { from: usize, to: usize, word: Word },
     Timer(usize),
@@ -104,6 +120,8 @@
     pub lost_leases: u64,
     pub replies: Vec<Reply>,
     frame_overhead: u64,
+    /// Members that leaders admit.
+    members_most: usize,
 }
 
 pub fn host_name(host: usize) -> String {
@@ -148,26 +166,28 @@
         fleet
     }
 
-    /// The same fleet, where members have just been started.
+    /// A fleet of which leaders admit some hosts only; those act on the first version.
+    pub fn at_rest_with_members_most(count: usize, members_most: usize, seed: u64) -> Fleet {
+        let mut fleet = Fleet::started_with_members_most(count, members_most, seed);
+        fleet.run_until("all that are admitted act on the first version", |f| {
+            f.acting_alone(1) == members_most
+        });
+        fleet.run_for(LEASE);
+        fleet
+    }
+
+    /// A fleet of `count` hosts, keepers included, where members have just been started.
     pub fn started(count: usize, seed: u64) -> Fleet {
+        Fleet::started_with_members_most(count, MEMBERS_MOST, seed)
+    }
+
+    fn started_with_members_most(count: usize, members_most: usize, seed: u64) -> Fleet {
         let frame_overhead = {
             let mut frame = Vec::new();
             flaxstand_proto::encode(&Frame::Agreement { bytes: &[] }, &mut frame);
             frame.len() as u64
         };
-        let hosts = (0..count)
-            .map(|host| Host {
-                agreement: None,
-                disk: Faulty::new(seed ^ (host as u64) << 32),
-                storing: None,
-                timer: None,
-                acting: Acting::Floor,
-                acting_since: Micros(0),
-                traffic: Traffic::default(),
-                examined_before: 0,
-                busy: Duration::ZERO,
-            })
-            .collect();
+        let hosts = (0..count).map(|host| Host::new(seed ^ (host as u64) << 32)).collect();
         let mut fleet = Fleet {
             now: Micros(1_000),
             hosts,
@@ -178,6 +198,7 @@
             lost_leases: 0,
             replies: Vec::new(),
             frame_overhead,
+            members_most,
         };
         (0..KEEPERS).for_each(|host| fleet.start(host));
         fleet.run_until("a leader that may take proposals", |f| {
@@ -208,10 +229,20 @@
             planted: Planted::None,
         };
         let found = (host < KEEPERS).then(Found::default);
-        self.hosts[host].agreement = Some(Agreement::new(config, found, None, 0, self.now));
+        let mut agreement = Agreement::new(config, found, None, 0, self.now);
+        agreement.limit_members(self.members_most);
+        self.hosts[host].agreement = Some(agreement);
         self.settle(host);
     }
 
+    /// One more host starts. Returns its number.
+    pub fn add_host(&mut self) -> usize {
+        let number = self.hosts.len();
+        self.hosts.push(Host::new(number as u64));
+        self.start(number);
+        number
+    }
+
     /// Its process ends for good.
     pub fn kill(&mut self, host: usize) {
         self.count_acting(host, Acting::Floor);
--- a/crates/flaxstand-agree/tests/capacity/main.rs
+++ b/crates/flaxstand-agree/tests/capacity/main.rs
@@ -206,13 +206,72 @@
     }
 }
 
-/// A proposal that is refused moves the state's index all the same, and everybody is told the whole state again.
+/// A proposal that is refused changes nothing that anybody has to be told: nobody is sent a state, and the leader
+/// sends what it sends at rest and one entry to each other keeper.
 #[test]
-fn a_refused_proposal_brings_every_member_the_whole_state_today() {
+fn a_refused_proposal_brings_nobody_the_state() {
     for (size, costs) in refusals() {
-        assert_eq!(costs.member.states_received, 1, "{size} members");
+        assert_eq!(costs.member.states_received, 0, "{size} members");
+        assert_eq!(costs.keeper.states_received, 0, "{size} members");
+        let more_than_at_rest = |of: fn(&Costs) -> u64| {
+            let rest = &rests()[size];
+            of(costs) as f64 - rest.per_second(of(rest)) * costs.lasted.0 as f64 / 1e6
+        };
+        let member = more_than_at_rest(|c| c.member.received.bytes);
+        let leader = more_than_at_rest(|c| c.leader.sent.bytes);
+        println!("{size} members, a refused proposal: the leader sends {leader:.0} bytes more than at rest");
+        assert!(member < 1.0, "{size} members: one receives {member} bytes more than at rest");
+        // The entry, at most twice to each other keeper (again until it is known to be there), and its headers.
+        let entries = 2 * (fleet::KEEPERS - 1) * (fleet::TEXT_BYTES + 500);
+        assert!(
+            leader <= entries as f64,
+            "{size} members: the leader sends {leader} bytes more than at rest"
+        );
     }
-    let bytes = points(refusals(), |costs| costs.leader.sent.bytes as f64);
-    let pair = NAME_BYTES as f64 + 1.0;
-    assert_square("leader, bytes sent for a refused proposal", &bytes, pair * 0.9..pair * 1.1);
+}
+
+/// The list of members is the keepers' alone to act on.
+#[test]
+fn a_host_that_joins_brings_no_other_the_state() {
+    for size in [SIZES[0], SIZES[1]] {
+        let join = scenarios::join(size);
+        println!("{size} members and one that joins: {join:?}");
+        assert_eq!(join.others_states, 0, "{size} members: {join:?}");
+        assert_eq!(join.newcomer_states, 1, "{size} members: {join:?}");
+    }
+}
+
+/// Hosts beyond the bound on members cost what members cost at rest, or less: their requests write no entries, and
+/// nobody is sent a state for them.
+#[test]
+fn hosts_beyond_the_bound_on_members_leave_the_traffic_of_the_others_as_it_was() {
+    let (hosts, members_most) = (SIZES[1], SIZES[0]);
+    let beyond = scenarios::rest_beyond_bound(hosts, members_most);
+    println!("{beyond:?}");
+    assert_eq!(beyond.members_listed, members_most);
+    assert_eq!(beyond.on_version, members_most);
+    assert_eq!(beyond.on_floor, hosts - members_most);
+    assert_eq!(beyond.log_entries, 0);
+    assert_eq!(beyond.states_received, 0);
+    // As many hosts that are all members.
+    let all_members = &rests()[&hosts];
+    for (refused, admitted) in [
+        (beyond.costs.leader, all_members.leader),
+        (beyond.costs.keeper, all_members.keeper),
+        (beyond.costs.member, all_members.member),
+    ] {
+        assert_eq!(refused.sent.messages, admitted.sent.messages);
+        assert_eq!(refused.received.messages, admitted.received.messages);
+        assert!(refused.sent.bytes <= admitted.sent.bytes, "{refused:?}, {admitted:?}");
+        assert!(refused.received.bytes <= admitted.received.bytes, "{refused:?}, {admitted:?}");
+    }
+}
+
+/// Entries that change nothing leave no host behind: over snapshots and another leader a change reaches all.
+#[test]
+fn a_change_after_entries_without_effect_reaches_every_host() {
+    let (size, more_than_a_snapshot_takes) = (SIZES[0], 150);
+    let acting = scenarios::change_after_entries_without_effect(size, more_than_a_snapshot_takes);
+    // All that were started, one that joined, one that was killed.
+    assert_eq!(acting, size);
 }
--- a/crates/flaxstand-agree/tests/capacity/scenarios.rs
+++ b/crates/flaxstand-agree/tests/capacity/scenarios.rs
@@ -2,6 +2,7 @@
 
 use crate::fleet::{Count, Fleet, HostRole, LEASE, Traffic, host_name, version_after};
 use flaxstand_agree::Micros;
+use flaxstand_agree::agreement::Reply;
 use flaxstand_agree::book::{Book, Change};
 use std::time::Duration;
 
@@ -186,9 +187,84 @@
     let since = fleet.now;
     fleet.propose_from_older_version();
     fleet.run_for(LEASE);
+    assert!(matches!(fleet.replies.last(), Some(Reply::Refused(_))), "{:?}", fleet.replies.last());
     Costs::of(&fleet, since)
 }
 
+/// What follows when a host joins a fleet at rest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct JoinCosts {
+    /// Copies of the whole replicated state that the newcomer was sent.
+    pub newcomer_states: u64,
+    /// Likewise all others, together.
+    pub others_states: u64,
+    /// Bytes that all hosts sent, together, until members asked again.
+    pub bytes_sent: u64,
+}
+
+/// A host joins: the costs until members asked again.
+pub fn join(count: usize) -> JoinCosts {
+    let mut fleet = Fleet::at_rest(count, SEED);
+    fleet.reset_counters();
+    let newcomer = fleet.add_host();
+    fleet.run_for(LEASE);
+    assert_eq!(fleet.acting_alone(1), count + 1, "the newcomer has joined");
+    assert_eq!(fleet.members_listed(0), count + 1, "keepers list it");
+    let traffic = fleet.traffic();
+    let all_states: u64 = traffic.iter().map(|(_, t)| t.states_received).sum();
+    let newcomer_states = traffic[newcomer].1.states_received;
+    JoinCosts {
+        newcomer_states,
+        others_states: all_states - newcomer_states,
+        bytes_sent: traffic.iter().map(|(_, t)| t.sent.bytes).sum(),
+    }
+}
+
+/// A fleet at rest in which leaders admit fewer members than there are hosts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BeyondBound {
+    pub costs: Costs,
+    pub log_entries: u64,
+    pub members_listed: usize,
+    pub on_version: usize,
+    pub on_floor: usize,
+    /// Copies of the whole replicated state that hosts were sent, together.
+    pub states_received: u64,
+}
+
+pub fn rest_beyond_bound(count: usize, members_most: usize) -> BeyondBound {
+    let mut fleet = Fleet::at_rest_with_members_most(count, members_most, SEED);
+    let log_before = fleet.last_entry();
+    let costs = costs_at_rest(&mut fleet);
+    BeyondBound {
+        costs,
+        log_entries: fleet.last_entry() - log_before,
+        members_listed: fleet.members_listed(0),
+        on_version: fleet.acting_alone(1),
+        on_floor: fleet.on_floor(),
+        states_received: fleet.traffic().iter().map(|(_, t)| t.states_received).sum(),
+    }
+}
+
+/// Refused proposals until every keeper has put the replicated state in the place of entries, a host that joins,
+/// and the loss of the leader: then how many hosts act on a change that the next leader is told of.
+pub fn change_after_entries_without_effect(count: usize, refused: usize) -> usize {
+    let mut fleet = Fleet::at_rest(count, SEED);
+    for _ in 0..refused {
+        fleet.propose_from_older_version();
+        fleet.run_for(Micros(LEASE.0 / 100));
+    }
+    fleet.add_host();
+    fleet.run_for(LEASE);
+    fleet.kill(fleet.leader().expect("there is a leader"));
+    fleet.run_until("another leads", |f| f.leader().is_some_and(|leader| f.takes_proposals(leader)));
+    // Leases of the leader before have ended then.
+    fleet.run_for(Micros(2 * LEASE.0));
+    let version = fleet.propose();
+    fleet.run_for(Micros(2 * LEASE.0));
+    fleet.acting_alone(version)
+}
+
 /// The replicated state after so many changes, with so many members.
 pub fn state_after(changes: u64, members: usize) -> Book {
     let mut state = Book::default();
