--- a/crates/flaxstand-agree/src/agreement/replication.rs
+++ b/crates/flaxstand-agree/src/agreement/replication.rs
@@ -18,6 +18,8 @@
 /// a member with an older copy has a lower index than any of them, and is sent the state.
 #[derive(Debug, Default)]
 pub(super) struct Applied {
+    /// The newest entry that was applied.
+    pub(super) index: u64,
     /// The state changed last at this entry, or before it.
     state_index: u64,
     /// Likewise for all of it but the list of members, on which only keepers act: leaders send other members the
@@ -29,7 +31,7 @@
 impl Applied {
     /// The state of a snapshot.
     fn of_snapshot(index: u64, book: Book) -> Applied {
-        Applied { state_index: index, versions_index: index, book }
+        Applied { index, state_index: index, versions_index: index, book }
     }
 
     /// Applies an entry.
@@ -37,6 +39,7 @@
     /// # Errors
     /// It changes nothing; why, in words for whoever wanted it.
     fn apply(&mut self, index: u64, bytes: &[u8]) -> Result<u64, String> {
+        self.index = index;
         let change = match postcard::from_bytes::<Change>(bytes) {
             Ok(change) => change,
             Err(error) => {
--- a/crates/flaxstand-agree/src/agreement/routing.rs
+++ b/crates/flaxstand-agree/src/agreement/routing.rs
@@ -119,7 +119,12 @@
         let leads_until = self.leads_until(now)?;
         let leases = self.leases.as_mut()?;
         let applied = &self.applied;
-        let decision = leases.decide(request, applied.versions_index, &applied.book, leads_until, now);
+        let mut decision = leases.decide(request, applied.versions_index, &applied.book, leads_until, now);
+        let no_newer = decision.response.book.is_none() && request.index < applied.index;
+        if decision.differs && no_newer {
+            // Of an agreement before this one, say: it takes any state of a higher index.
+            decision.response.book = Some((applied.index, applied.book.clone()));
+        }
         if decision.joins && self.applied.book.stage > 0 {
             self.admit(&request.name, now);
         }
--- a/crates/flaxstand-agree/src/lease_manager.rs
+++ b/crates/flaxstand-agree/src/lease_manager.rs
@@ -67,6 +67,8 @@
     pub response: LeaseResponse,
     /// It is no member yet and wants to be one.
     pub joins: bool,
+    /// It does not act on the present stage as it is here: its copy of the replicated state may be another's.
+    pub differs: bool,
 }
 
 /// What the leader knows of one member, moments by its own clock.
@@ -181,7 +183,7 @@
         };
         if lease.incarnation > request.incarnation {
             // A later start of its name took its place.
-            return Decision { response, joins: false };
+            return Decision { response, joins: false, differs: false };
         }
         if lease.incarnation != request.incarnation {
             lease.restart(request.incarnation);
@@ -189,6 +191,7 @@
         lease.heard_at = now;
         let confirms = confirms(request, book, self.planted);
         lease.confirmed = confirms == Ok(true);
+        let differs = !lease.confirmed;
         lease.cannot = confirms.err();
         if request.leaves {
             lease.release();
@@ -197,7 +200,7 @@
             lease.present_stage_until = lease.present_stage_until.max(now.after(self.counted_span));
         }
         response.book = (request.index < index).then(|| (index, book.clone()));
-        Decision { response, joins: !is_member && !request.leaves }
+        Decision { response, joins: !is_member && !request.leaves, differs }
     }
 
     /// What keeps the next stage from beginning.
--- a/crates/flaxstand-agree/tests/members/main.rs
+++ b/crates/flaxstand-agree/tests/members/main.rs
@@ -100,15 +100,28 @@
         words.into_iter().find_map(|word| if let Word::Reply(reply) = word { Some(reply) } else { None })
     }
 
-    /// A host asks for a lease, and has an old copy of the replicated state or none.
+    /// A host asks for a lease, with a copy of the present state under some index, or with none (0).
     fn host_asks(&mut self, name: &str, seq: u64, index: u64) -> LeaseResponse {
+        let copy = self.agreement.book().filter(|_| index > 0);
+        let (stage, digest) = copy.map_or((0, 0), |(_, book)| (book.stage, book.digest()));
+        self.host_asks_with(name, seq, index, (stage, digest))
+    }
+
+    /// The same, with a copy of some stage and digest.
+    fn host_asks_with(
+        &mut self,
+        name: &str,
+        seq: u64,
+        index: u64,
+        (stage, digest): (u64, u64),
+    ) -> LeaseResponse {
         let request = LeaseRequest {
             name: name.to_owned(),
             incarnation: 1,
             seq,
             index,
-            stage: 0,
-            digest: 0,
+            stage,
+            digest,
             cannot: None,
             leaves: false,
         };
@@ -191,6 +204,28 @@
     }
 }
 
+/// A member's copy may be of an agreement that its keepers lost, under a higher index than that of the versions now:
+/// it is sent the state with the newest entry's index, as soon as that is higher.
+#[test]
+fn a_member_with_a_copy_of_another_agreement_is_sent_the_state_once_the_log_is_longer() {
+    let mut keeper = OneKeeper::leading();
+    let of_other_agreement = keeper.status().committed + 50;
+    let another = (7, 7);
+    let mut seq = 0;
+    let sent = loop {
+        seq += 1;
+        let newest = keeper.status().committed;
+        let response = keeper.host_asks_with("host", seq, of_other_agreement, another);
+        match response.book {
+            Some(state) => break state,
+            None => assert!(newest <= of_other_agreement, "entry {newest} is newer"),
+        }
+        keeper.host_asks(&format!("host-{seq:04}"), 1, 0);
+    };
+    assert_eq!(sent.0, of_other_agreement + 1);
+    assert_eq!(keeper.host_asks("host", seq + 1, sent.0).book, None, "it has the state now");
+}
+
 /// Versions and names that often repeat, so that many changes are refused.
 fn some_change() -> impl Strategy<Value = Change> {
     let number = || 0..5u64;
