--- a/crates/flaxstand-gateway/src/core/list.rs
+++ b/crates/flaxstand-gateway/src/core/list.rs
@@ -210,8 +210,7 @@
         Ok(())
     }
 
-    /// The service answered, and nothing has changed. The module hears of it: how old its list is decides how soon it
-    /// asks again after a call that failed.
+    /// The service answered, and nothing has changed. The module hears of it: its count of failed calls ends there.
     pub(super) fn list_unchanged(&mut self) {
         self.events.push_back(Event::List(ListScope::Changes, Vec::new()));
     }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -55,9 +55,9 @@
 /// How long a client that was given up is expected back, ms, and the part of its worth that a repeat has.
 const PATIENCE: Ms = 2000.0;
 const REPEAT: f64 = 0.3;
-/// Longest wait before a failed call of the list is made again, by how long ago it was heard of, ms: hosts
-/// with a fresh list leave room to those whose list grows old; who hears nothing for long asks rarely.
-const ASK_AGAIN: [(Ms, Ms); 4] = [(200.0, 200.0), (2500.0, 2000.0), (7000.0, 600.0), (Ms::INFINITY, 1500.0)];
+/// First and longest wait before a failed call of the list is made again, ms. A call that is turned away
+/// costs the service too: calls of a whole fleet each second may keep it from answering.
+const ASK_AGAIN: (Ms, Ms) = (200.0, 1300.0);
 
 /// A sum of what happened lately.
 type Lately = FadingSum<{ LATELY as u64 }>;
@@ -568,7 +568,7 @@
     further: VecDeque<(Ms, RequestId, AttemptNo)>,
     wake_at: Option<Ms>,
     ask_at: Option<Ms>,
-    heard_at: Ms,
+    asks_failed: u32,
 }
 
 impl Brain {
@@ -592,7 +592,7 @@
             further,
             wake_at: None,
             ask_at: settings.list_on_request.then_some(now),
-            heard_at: now,
+            asks_failed: 0,
             s: settings,
         }
     }
@@ -627,12 +627,12 @@
 
     fn listed(&mut self, scope: ListScope, entries: &[NodeEntry], now: Ms) {
         if scope == ListScope::Failed {
-            let age = now - self.heard_at;
-            let wait = ASK_AGAIN.iter().find(|(up_to, _)| age < *up_to).map_or(0.0, |(_, wait)| *wait);
+            let wait = (ASK_AGAIN.0 * f64::from(1 << self.asks_failed.min(5))).min(ASK_AGAIN.1);
+            self.asks_failed += 1;
             self.ask_at = Some(now + wait * (0.5 + 0.5 * random(&mut self.rng)));
             return;
         }
-        self.heard_at = now;
+        self.asks_failed = 0;
         if scope != ListScope::Changes {
             self.nodes.update_others(entries.iter().map(|e| e.node), |n| n.entry.readiness = Readiness::Gone);
         }
