--- a/crates/flaxstand-gateway/tests/harness/mod.rs
+++ b/crates/flaxstand-gateway/tests/harness/mod.rs
@@ -178,6 +178,8 @@
     /// What the core wrote on each connection.
     pub said: BTreeMap<ConnId, Vec<Said>>,
     inboxes: BTreeMap<ConnId, Inbox>,
+    /// The same, as bytes.
+    pub raw: BTreeMap<ConnId, Vec<u8>>,
     wire: Wire,
     /// On the platform: the bytes that the core wrote on each connection.
     pub heard: BTreeMap<ConnId, String>,
@@ -276,6 +278,7 @@
             now,
             said,
             inboxes,
+            raw: BTreeMap::new(),
             wire,
             heard: BTreeMap::new(),
             dialled: Vec::new(),
@@ -397,6 +400,7 @@
             }
             return;
         }
+        self.raw.entry(conn).or_default().extend_from_slice(bytes);
         let mut heard = Vec::new();
         let brought = &mut self.brought;
         let inbox = self.inboxes.entry(conn).or_default();
--- /dev/null
+++ b/crates/flaxstand-gateway/tests/recorded.rs
@@ -0,0 +1,276 @@
+//! Settings files, saved endpoint lists and what passes over the wire, as an earlier build read and wrote them.
+
+mod harness;
+
+use flaxstand_buffer::recover;
+use flaxstand_fixture::{Fixtures, hex, values_of};
+use flaxstand_gateway::core::{Bounds, Config, SavedList, Waits, WriteBack};
+use flaxstand_gateway::machine::{ConnId, Control, Machine};
+use flaxstand_gateway::settings::{read_daemon, read_rules};
+use flaxstand_proto::{Code, Entry, Extent, Frame, List, State};
+use flaxstand_store::faulty::Faulty;
+use harness::{PATH, READ, Said, World, address, ask_as, config, entry, ms, on_platform};
+use std::fmt::Write as _;
+
+const SETTINGS: [&str; 2] = ["settings/every-key.kdl", "settings/buffered.kdl"];
+/// Stands for a value of the wrong kind, and for a key that is not known.
+const NONSENSE: &str = "\"nonsense\"";
+
+fn fixtures() -> Fixtures {
+    Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn text_of(name: &str) -> String {
+    String::from_utf8(fixtures().read(name)).expect("a text")
+}
+
+#[test]
+fn each_key_of_a_settings_file_is_read_to_the_recorded_value() {
+    for name in SETTINGS {
+        let text = text_of(name);
+        let daemon = read_daemon(name, &text).unwrap_or_else(|e| panic!("{e}: {:?}", e.problems));
+        fixtures().assert_text(&format!("{name}.values"), &values_of(&format!("{daemon:?}")));
+        let rules = read_rules(name, &text).expect("it is sound");
+        fixtures()
+            .assert_text(&format!("{name}.rules"), &format!("{:#?}", rules.values.keys()).replace(',', ""));
+        fixtures().assert_text(&format!("{name}.rule-values"), &values_of(&format!("{rules:?}")));
+    }
+    let example = include_str!("../../../docs/example.kdl");
+    let daemon = read_daemon("example.kdl", example).expect("it is sound");
+    fixtures().assert_text("settings/example.values", &values_of(&format!("{daemon:?}")));
+}
+
+fn problems_of(text: &str) -> String {
+    match read_daemon("file.kdl", text) {
+        Ok(_) => "none".into(),
+        Err(error) => {
+            let problems = error.problems.iter().map(|p| format!("{}: {}", p.line, p.message));
+            problems.collect::<Vec<_>>().join("\n    ")
+        }
+    }
+}
+
+/// The file with the value at the end of one line replaced, or the whole line's key made one that is not known.
+fn spoilt(text: &str, number: usize, spoil: impl Fn(&str) -> String) -> String {
+    let line = |(at, line): (usize, &str)| if at == number { spoil(line) } else { line.to_owned() };
+    text.lines().enumerate().map(line).collect::<Vec<_>>().join("\n")
+}
+
+/// Guards against a renamed key, and against an error that names another key or place than the mistake's.
+#[test]
+fn each_mistake_in_a_settings_file_is_told_as_recorded() {
+    for name in SETTINGS {
+        let text = text_of(name);
+        let mut told = String::new();
+        for (number, line) in text.lines().enumerate() {
+            let trimmed = line.trim();
+            if trimmed.is_empty() || trimmed.starts_with("//") || trimmed == "}" {
+                continue;
+            }
+            let wrong_value =
+                spoilt(&text, number, |line| match line.trim_end_matches(" {").rsplit_once([' ', '=']) {
+                    Some((before, value)) => line.replacen(
+                        &format!("{before}{}{value}", &line[before.len()..=before.len()]),
+                        &format!("{before}{}{NONSENSE}", &line[before.len()..=before.len()]),
+                        1,
+                    ),
+                    None => line.to_owned(),
+                });
+            let unknown_key = spoilt(&text, number, |line| line.replacen(trimmed, &format!("x{trimmed}"), 1));
+            let _ = writeln!(told, "line {}: {trimmed}", number + 1);
+            let _ = writeln!(told, "  wrong value:\n    {}", problems_of(&wrong_value));
+            let _ = writeln!(told, "  unknown key:\n    {}", problems_of(&unknown_key));
+        }
+        fixtures().assert_text(&format!("{name}.mistakes"), &told);
+    }
+}
+
+/// A host that is told its list by the test alone.
+fn quiet() -> Config {
+    let mut config = config();
+    config.site.waits.list_silence = ms(3_600_000);
+    config
+}
+
+/// A saved list: the whole, two appended changes, and a third that is torn.
+fn saved_list() -> Vec<u8> {
+    let mut w = World::new(quiet(), 20);
+    let client = w.client();
+    w.submit(client, 1, READ, Some(3));
+    w.run(5);
+    let sent = *w.attempts(3).last().expect("it was sent");
+    w.done(w.node_conn(3), sent, Code::Served, b"");
+    w.run(5);
+    for (node, state) in [(1, State::Draining), (2, State::Gone), (0, State::Draining)] {
+        let at = address(node);
+        let changed =
+            Entry { age: Some(5_000_000), zone: 2, size: 150, ..entry(node, state, node as u32, &at) };
+        let since = w.revision;
+        w.revision += 1;
+        let list = List { extent: Extent::Changes, since, revision: w.revision, entries: vec![changed] };
+        w.tell(w.list_conn(), &Frame::List(list));
+        w.turn();
+    }
+    let mut bytes = w.saved.expect("it was saved");
+    bytes.truncate(bytes.len() - 7);
+    bytes
+}
+
+/// Guards against a restart during an outage of the list service that forgets which endpoints drain.
+#[test]
+fn a_recorded_saved_list_is_read_and_acted_on() {
+    fixtures().assert_bytes("saved.list", &saved_list());
+    let bytes = fixtures().read("saved.list");
+    let list = SavedList::read(&bytes).expect("a saved list");
+    assert!(list.torn > 0);
+    fixtures().assert_text("saved-list.values", &values_of(&format!("{list:?}")));
+    let mut next = World::cut_off(quiet(), 20, &bytes);
+    let client = next.client();
+    (0..4).for_each(|node| next.submit(client, node, READ, Some(node as u32)));
+    next.run(20);
+    let sent: Vec<usize> = (0..4).map(|node| next.attempts(node).len()).collect();
+    assert_eq!(sent, [1, 0, 0, 1], "node 1 drains, node 2 is gone, word of node 0 is torn");
+}
+
+fn platform() -> Config {
+    let c = on_platform(5000);
+    Config { bounds: Bounds { clients: 8, links: 6, ..c.bounds }, ..c }
+}
+
+/// All that the core wrote, by connection in the order of calling.
+fn transcript(w: &World) -> String {
+    let mut text = String::new();
+    for (conn, bytes) in &w.heard {
+        let to = w.dialled.iter().find(|(c, _)| c == conn).map_or("a client".into(), |(_, a)| a.to_string());
+        let closed = if w.closed.contains(conn) { ", closed" } else { "" };
+        let _ = writeln!(text, "--- to {to}{closed}\n{}", bytes.replace("\r\n", "\\r\\n\n"));
+    }
+    text
+}
+
+fn put(id: &str) -> String {
+    format!(
+        "PUT {PATH}?part=2 HTTP/1.1\r\nHost: h\r\nX-Request-ID: {id}\r\nX-Priority-Class: once\r\nX-Qos-Policy: plan\r\n\
+         X-Timeout: 0.5\r\nX-Placement: units=1,shard=0,hosts=1\r\nIdempotency-Key: k-7\r\nX-Other: passes\r\n\
+         Content-Length: 4\r\n\r\ndata"
+    )
+}
+
+fn served(w: &mut World) {
+    let client = w.http_client();
+    w.says(client, put("r1").as_bytes());
+    w.run(5);
+    let link = *w.links(0).last().expect("it was sent");
+    w.says(link, b"HTTP/1.1 200 OK\r\nX-Server-Load: inflight=2\r\nContent-Length: 4\r\n\r\nbody");
+    w.run(5);
+}
+
+fn refused(w: &mut World) {
+    let client = w.http_client();
+    w.says(client, ask_as("r2", "read", 99, "0.300").as_bytes());
+    w.run(400);
+    let (_, link) = w.asked("r3", "once");
+    w.says(link, b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
+    w.run(1100);
+}
+
+fn failed(w: &mut World) {
+    let (_, link) = w.asked("r4", "once");
+    w.answer(link, "500 No", "");
+    w.run(5);
+    let (client, _) = w.asked("r5", "read");
+    w.core.closed(client, "left", w.now);
+    w.run(50);
+}
+
+fn wrong(w: &mut World) {
+    let good = ask_as("r6", "read", 0, "1.000");
+    for bad in [
+        good.replace("X-Request-ID: r6\r\n", ""),
+        good.replace("X-Priority-Class: read", "X-Priority-Class: nobody"),
+        good.replace("GET", "POST").replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n"),
+        good.replace(PATH, "/elsewhere"),
+        "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n".to_owned(),
+        "noise\r\n\r\n".to_owned(),
+    ] {
+        let client: ConnId = w.http_client();
+        w.says(client, bad.as_bytes());
+        w.run(5);
+        w.core.closed(client, "left", w.now);
+        w.run(1);
+    }
+}
+
+fn listed(w: &mut World) {
+    w.run(6000);
+    let call = *w.called.iter().find(|(_, a)| a.to_string() == "127.0.0.1:1").expect("it watches").0;
+    w.answer(call, "200 OK", r#"{"rev":2,"all":false,"targets":[{"uid":"s-1","state":"draining"}]}"#);
+    w.run(50);
+    w.answer(call, "503 Busy", "");
+    w.run(3000);
+}
+
+/// Guards against a changed head, status, path or wait on the platform's wire, both to clients and to targets.
+#[test]
+fn a_conversation_on_the_platforms_wire_is_the_recorded_one() {
+    type Part = fn(&mut World);
+    let parts: [(&str, Part); 5] =
+        [("served", served), ("refused", refused), ("failed", failed), ("wrong", wrong), ("listed", listed)];
+    for (name, part) in parts {
+        let mut w = World::new(platform(), 2);
+        part(&mut w);
+        fixtures().assert_text(&format!("platform/{name}.txt"), &transcript(&w));
+    }
+    let mut w = World::new(platform(), 2);
+    served(&mut w);
+    w.core.control(Control::Stop, w.now);
+    w.run(3000);
+    assert!(w.exited);
+    fixtures().assert_text("platform/stopped.txt", &transcript(&w));
+}
+
+/// Guards against a figure of `buffer status --json` under another name.
+#[test]
+fn the_buffers_figures_have_the_recorded_names() {
+    let mut c = config();
+    c.site.write_back = Some(WriteBack::default());
+    c.site.classes[0].buffered = true;
+    let mut w = World::new(c, 1);
+    let recovered = recover(&mut Faulty::new(1)).expect("an empty log");
+    w.core.attach(recovered, w.now);
+    w.run(5);
+    let client = w.client();
+    w.tell(client, &Frame::AskStatus { id: 1 });
+    w.run(5);
+    let status = w.said_on(client).iter().find_map(|said| match said {
+        Said::Status(json) => Some(json.clone()),
+        _ => None,
+    });
+    let status = status.expect("it was answered");
+    let object: serde_json::Map<String, serde_json::Value> =
+        serde_json::from_str(&status).expect("an object");
+    let names: Vec<&str> = object.keys().map(String::as_str).collect();
+    fixtures().assert_text("buffer-figures.txt", &format!("{}\n", names.join("\n")));
+}
+
+/// Guards against frames that leave in another order, or with other fields, than before.
+#[test]
+fn a_conversation_in_frames_is_the_recorded_one() {
+    let mut c = config();
+    c.site.waits = Waits { stop: ms(500), ..c.site.waits };
+    let mut w = World::new(c, 3);
+    let client = w.client();
+    (1..=3).for_each(|id| w.submit(client, id, READ, Some(id as u32 - 1)));
+    w.submit_within(client, 4, READ, Some(99), 200);
+    w.run(20);
+    let sent = *w.attempts(0).last().expect("it was sent");
+    w.done(w.node_conn(0), sent, Code::Served, b"answer");
+    let sent = *w.attempts(1).last().expect("it was sent");
+    w.done(w.node_conn(1), sent, Code::Error, b"");
+    w.run(300);
+    w.core.control(Control::Stop, w.now);
+    w.run(3000);
+    let raw: String = w.raw.iter().map(|(conn, bytes)| format!("{}: {}\n", conn.0, hex(bytes))).collect();
+    fixtures().assert_text("frames.txt", &raw);
+    assert!(w.exited);
+}
--- /dev/null
+++ b/tests/recorded.rs
@@ -0,0 +1,68 @@
+//! What the module decided in an earlier build, as a checksum of its actions over drawn sequences of events.
+//! `equivalence.rs` compares two implementations that may change together; this holds both against the past.
+
+mod common;
+#[path = "common/script.rs"]
+mod script;
+
+use flaxstand::api::*;
+use flaxstand::brain::Brain;
+use flaxstand_fixture::Fixtures;
+use script::Script;
+
+const SEEDS: u64 = 60;
+const EVENTS: usize = 900;
+
+/// FNV-1a, 64 bits, over the parts of actions.
+struct Checksum(u64);
+
+impl Checksum {
+    fn add(&mut self, value: u64) {
+        for byte in value.to_le_bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+
+    fn add_action(&mut self, action: &Action) {
+        let parts = match *action {
+            Action::Send { request, node, until } => [1, request.0, node.0.into(), until.to_bits()],
+            Action::Cancel { request, attempt } => [2, request.0, attempt.0.into(), 0],
+            Action::Probe { node } => [3, node.0.into(), 0, 0],
+            Action::Refuse { request, retry_after } => [4, request.0, retry_after.to_bits(), 0],
+            Action::Fail { request } => [5, request.0, 0, 0],
+            Action::Wake { after } => [6, after.to_bits(), 0, 0],
+            Action::Subscribe => [7, 0, 0, 0],
+        };
+        parts.into_iter().for_each(|part| self.add(part));
+    }
+}
+
+fn play(seed: u64) -> (usize, u64) {
+    let mut script = Script::new(seed);
+    let mut brain = Brain::new(script.settings(), seed, script.now);
+    let (mut count, mut checksum) = (0, Checksum(0xcbf2_9ce4_8422_2325));
+    for step in 0..EVENTS {
+        let events = [Some(script.next_event()), (step % 5 != 0).then_some(Event::Decide)];
+        for event in events.into_iter().flatten() {
+            let mut actions = Vec::new();
+            brain.handle(event, script.now, &mut actions);
+            actions.iter().for_each(|action| checksum.add_action(action));
+            count += actions.len();
+            script.take(&actions);
+        }
+    }
+    let paces = (0..script.nodes).filter_map(|node| brain.pace_of(NodeId(node)));
+    paces.for_each(|pace| checksum.add(pace.to_bits()));
+    (count, checksum.0)
+}
+
+/// Guards against a change of arithmetic, of the order of random draws, or of the order of actions.
+#[test]
+fn drawn_sequences_are_decided_as_recorded() {
+    let line = |seed| {
+        let (count, checksum) = play(seed);
+        format!("seed {seed}: {count} actions, {checksum:016x}\n")
+    };
+    let text: String = (0..SEEDS).map(line).collect();
+    Fixtures::of_package(env!("CARGO_MANIFEST_DIR")).assert_text("decisions.txt", &text);
+}
