--- a/crates/flaxstand-cli/src/buffer.rs
+++ b/crates/flaxstand-cli/src/buffer.rs
@@ -4,12 +4,12 @@
 use crate::args::{BufferTask, By, Which, Word};
 use crate::caller::Caller;
 use crate::daemon::{self, Purpose};
-use flaxstand_buffer::offline::decide;
-use flaxstand_buffer::record::Wall;
-use flaxstand_buffer::{Live, Recovered, Seq, Verdict, Write, recover, salvage};
 use flaxstand_gateway::machine::Micros;
 use flaxstand_proto::Frame;
-use flaxstand_store::Folder;
+use flaxstand_storage::Folder;
+use flaxstand_write_back::offline::decide;
+use flaxstand_write_back::record::Wall;
+use flaxstand_write_back::{Live, Recovered, Seq, Verdict, Write, recover, salvage};
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/crates/flaxstand-cli/src/daemon.rs
+++ b/crates/flaxstand-cli/src/daemon.rs
@@ -2,14 +2,14 @@
 
 use crate::Failure;
 use crate::kit::{read, told};
-use flaxstand_agree::agreement::{Agreement, Found};
-use flaxstand_agree::book::Book;
-use flaxstand_buffer::{Recovered, recover};
+use flaxstand_consensus::agreement::{Agreement, Found};
+use flaxstand_consensus::book::Book;
 use flaxstand_gateway::core::Core;
 use flaxstand_gateway::driver::{Driver, Options, Reload, clock};
 use flaxstand_gateway::machine::{Control, Machine as _, Micros, Reloaded};
 use flaxstand_gateway::settings::{Daemon, read_daemon};
-use flaxstand_store::{Folder, Storage};
+use flaxstand_storage::{Folder, Storage};
+use flaxstand_write_back::{Recovered, recover};
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -182,10 +182,10 @@
     let failed = |e| system(&format!("cannot use {}", folder.display()))(e);
     let mut storage = Folder::open(folder).map_err(failed)?;
     let segments = storage.segments().map_err(failed)?;
-    let state = match flaxstand_agree::recover(&mut storage).map_err(failed)? {
-        flaxstand_agree::Recovered::State(state) => Some(*state),
-        flaxstand_agree::Recovered::Nothing => None,
-        flaxstand_agree::Recovered::Damaged(cause) => {
+    let state = match flaxstand_consensus::recover(&mut storage).map_err(failed)? {
+        flaxstand_consensus::Recovered::State(state) => Some(*state),
+        flaxstand_consensus::Recovered::Nothing => None,
+        flaxstand_consensus::Recovered::Damaged(cause) => {
             warn!(cause, folder = %folder.display(), "a keeper's folder is damaged: coming back as a new keeper");
             None
         }
--- a/crates/flaxstand-cli/src/kit.rs
+++ b/crates/flaxstand-cli/src/kit.rs
@@ -6,14 +6,14 @@
 use crate::settings::tell_terms;
 use flaxstand_audit::Book;
 use flaxstand_gateway::settings::{SettingsError, read_daemon};
-use flaxstand_lab::day::{Day, DayError};
-use flaxstand_lab::experiment::Experiment;
-use flaxstand_lab::node::Identity;
-use flaxstand_lab::press::{self, Pressure};
-use flaxstand_lab::rehearse::{self, Plan, StandIn};
-use flaxstand_lab::report::Report;
-use flaxstand_lab::{measure, measure_buffer};
-use flaxstand_lab::{swarm, world};
+use flaxstand_simulation::day::{Day, DayError};
+use flaxstand_simulation::experiment::Experiment;
+use flaxstand_simulation::node::Identity;
+use flaxstand_simulation::press::{self, Pressure};
+use flaxstand_simulation::rehearse::{self, Plan, StandIn};
+use flaxstand_simulation::report::Report;
+use flaxstand_simulation::{measure, measure_buffer};
+use flaxstand_simulation::{swarm, world};
 use miette::GraphicalReportHandler;
 use std::path::Path;
 use std::time::Instant;
@@ -146,7 +146,7 @@
     html: Option<&Path>,
 ) -> Result<(), Failure> {
     if let Some(path) = html {
-        write(path, &flaxstand_lab::html::page(day, book, report).map_err(system)?)?;
+        write(path, &flaxstand_simulation::html::page(day, book, report).map_err(system)?)?;
     }
     told_result(serde_json::to_string_pretty(report), &report.text(), to)?;
     if report.kept() { Ok(()) } else { Err(Failure::Rule) }
@@ -196,7 +196,7 @@
         })
         .map_err(system)?;
     if let Some(path) = html {
-        write(path, &flaxstand_lab::html::experiment_page(&outcome).map_err(system)?)?;
+        write(path, &flaxstand_simulation::html::experiment_page(&outcome).map_err(system)?)?;
     }
     told_result(serde_json::to_string_pretty(&outcome), &outcome.text(), json)
 }
--- a/crates/flaxstand-cli/src/scale.rs
+++ b/crates/flaxstand-cli/src/scale.rs
@@ -5,11 +5,11 @@
 use crate::kit::{read, system, told, told_result};
 use flaxstand_gateway::machine::Micros;
 use flaxstand_gateway::settings::read_daemon;
-use flaxstand_lab::rehearse::{StandIn, fresh_folder};
-use flaxstand_lab::scale::hollow::{HollowOptions, serve_hollow};
-use flaxstand_lab::scale::node_list::{NodeListOptions, serve_node_list};
-use flaxstand_lab::scale::plan::Plan;
-use flaxstand_lab::scale::run::{ScaleRun, clean};
+use flaxstand_simulation::rehearse::{StandIn, fresh_folder};
+use flaxstand_simulation::scale::hollow::{HollowOptions, serve_hollow};
+use flaxstand_simulation::scale::node_list::{NodeListOptions, serve_node_list};
+use flaxstand_simulation::scale::plan::Plan;
+use flaxstand_simulation::scale::run::{ScaleRun, clean};
 
 /// Runs the steps of a plan. A size that does not fit is told in the result and is no failure.
 pub fn run(arguments: &ScaleArgs) -> Result<(), Failure> {
--- a/crates/flaxstand-cli/src/settings.rs
+++ b/crates/flaxstand-cli/src/settings.rs
@@ -4,9 +4,9 @@
 use crate::args::{SettingsArgs, SettingsTask};
 use crate::caller::Caller;
 use crate::kit::{read, told};
-use flaxstand_agree::agreement::{Reply, Report, Wish, Word};
-use flaxstand_agree::book::{Book, Version};
-use flaxstand_agree::rules::{Meaning, Rules};
+use flaxstand_consensus::agreement::{Reply, Report, Wish, Word};
+use flaxstand_consensus::book::{Book, Version};
+use flaxstand_consensus::rules::{Meaning, Rules};
 use flaxstand_gateway::machine::Address;
 use flaxstand_gateway::settings::{read_daemon, read_rules};
 use flaxstand_proto::Frame;
@@ -149,7 +149,7 @@
 /// What a proposal changes, a line each.
 fn tell_steps(from: &Rules, to: &Rules) {
     let show =
-        |v: &Option<flaxstand_agree::rules::Value>| v.as_ref().map_or("none".into(), ToString::to_string);
+        |v: &Option<flaxstand_consensus::rules::Value>| v.as_ref().map_or("none".into(), ToString::to_string);
     for step in from.steps(to) {
         let meaning = match step.meaning {
             Meaning::Narrows => "narrows: acted on as soon as it is heard",
@@ -267,7 +267,7 @@
 
 /// What follows from a file's agreement, for `check`.
 pub fn tell_terms(path: &Path, lease_ms: f64, clock_error: f64, election_ms: f64) {
-    let terms = flaxstand_agree::agreement::Terms::of(lease_ms, clock_error, election_ms);
+    let terms = flaxstand_consensus::agreement::Terms::of(lease_ms, clock_error, election_ms);
     println!(
         "{}: two initiators act on rules that contradict each other for {} ms at most; a change is in force within \
          {} ms of its proposal where a leader lives, {} ms where it is lost",
--- a/crates/flaxstand-cli/tests/agreement/fleet.rs
+++ b/crates/flaxstand-cli/tests/agreement/fleet.rs
@@ -1,11 +1,13 @@
 //! Several processes of the program on loopback, a relay on every link between two of them, and what each one's log
 //! says that it acted on.
 
-use flaxstand_agree::agreement::{Reply, Report, Terms, Wish};
-use flaxstand_agree::book::{Book, Version};
+use flaxstand_consensus::agreement::{Reply, Report, Terms, Wish};
+use flaxstand_consensus::book::{Book, Version};
 use flaxstand_gateway::machine::Micros;
 use flaxstand_gateway::settings::read_rules;
-use flaxstand_lab::agreed::{Accord, Acted, Links, Pause, acted_of, ask, calendar, contradiction, spans};
+use flaxstand_simulation::agreed::{
+    Accord, Acted, Links, Pause, acted_of, ask, calendar, contradiction, spans,
+};
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -50,7 +52,7 @@
 impl Fleet {
     /// `keepers` of `count` processes are keepers; all start.
     pub fn start(name: &str, keepers: usize, count: usize) -> Fleet {
-        let folder = std::env::temp_dir().join(format!("flaxstand-agree-{name}-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("flaxstand-consensus-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         let process = |i: usize| Process {
--- a/crates/flaxstand-cli/tests/agreement/main.rs
+++ b/crates/flaxstand-cli/tests/agreement/main.rs
@@ -2,8 +2,8 @@
 
 mod fleet;
 
-use flaxstand_lab::agreed::calendar;
-use flaxstand_lab::relay::Flow;
+use flaxstand_simulation::agreed::calendar;
+use flaxstand_simulation::relay::Flow;
 use fleet::{Fleet, shared};
 
 fn text(bytes: &[u8]) -> String {
@@ -198,7 +198,7 @@
 
 #[test]
 fn two_proposals_at_once_and_one_withdrawn() {
-    use flaxstand_agree::agreement::{Reply, Wish};
+    use flaxstand_consensus::agreement::{Reply, Wish};
     let f = agreed("two", 3, 4);
     let leader = f.leader();
     f.until("the passage before to be over", |f| f.report(leader)?.holds.is_empty().then_some(()));
--- a/crates/flaxstand-cli/tests/recorded.rs
+++ b/crates/flaxstand-cli/tests/recorded.rs
@@ -15,6 +15,10 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
+/// A recorded write-back log, and where it lay when the messages about it were recorded.
+const LOG: &str = "crates/flaxstand-write-back/tests/fixtures/log";
+const LOG_WHEN_RECORDED: &str = "crates/flaxstand-buffer/tests/fixtures/log";
+
 fn flaxstand(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_flaxstand"));
     command
@@ -95,10 +99,12 @@
 
 fn line(arguments: &[&str], folder: &Folder) -> String {
     let output = flaxstand(arguments);
-    let hidden = |bytes: &[u8]| text(bytes).replace(&folder.0.display().to_string(), "FOLDER");
+    let named =
+        |text: &str| text.replace(&folder.0.display().to_string(), "FOLDER").replace(LOG, LOG_WHEN_RECORDED);
+    let hidden = |bytes: &[u8]| named(&text(bytes));
     format!(
         "=== {}: exit code {:?}\n{}--- standard error\n{}",
-        arguments.join(" ").replace(&folder.0.display().to_string(), "FOLDER"),
+        named(&arguments.join(" ")),
         output.status.code(),
         hidden(&output.stdout),
         hidden(&output.stderr)
@@ -113,7 +119,6 @@
     std::fs::write(&bad, "site {\n    initiators none\n}\n").expect("it can be written");
     let empty = folder.path("empty");
     std::fs::create_dir_all(&empty).expect("it can be made");
-    let log = "crates/flaxstand-buffer/tests/fixtures/log";
     let mut told = String::new();
     for arguments in [
         &["dance"][..],
@@ -131,7 +136,7 @@
         &["scale", &bad],
         &["load", "--initiator=unix:/nowhere/s.sock", "--shards=1", "--seconds=1"],
         &["load", "--initiator=unix:/nowhere/s.sock", "--shards=1", "--rate=10", "--window=1", "--seconds=1"],
-        &["buffer", "verify", log],
+        &["buffer", "verify", LOG],
         &["buffer", "verify", "/nowhere"],
         &["buffer", "dump", "/nowhere"],
         &["buffer", "status"],
@@ -205,11 +210,10 @@
 
 #[test]
 fn the_buffers_figures_as_json_have_the_recorded_fields() {
-    let log = "crates/flaxstand-buffer/tests/fixtures/log";
-    let status = json_of(&["buffer", "status", "--json", log]);
+    let status = json_of(&["buffer", "status", "--json", LOG]);
     let dump: String =
-        json_of(&["buffer", "dump", "--json", log]).lines().map(|line| fields(line) + "\n").collect();
-    let lines = json_of(&["buffer", "dump", "--parked", log]);
+        json_of(&["buffer", "dump", "--json", LOG]).lines().map(|line| fields(line) + "\n").collect();
+    let lines = json_of(&["buffer", "dump", "--parked", LOG]);
     let shape: Vec<&str> = lines.lines().filter_map(|line| line.rsplit("  ").next()).collect();
     fixtures().assert_text("buffer.txt", &format!("{}\n{dump}\n{}\n", fields(&status), shape.join("\n")));
 }
--- a/crates/flaxstand-agree/src/agreement.rs
+++ b/crates/flaxstand-consensus/src/agreement.rs
@@ -30,7 +30,7 @@
 use crate::rules::Rules;
 use admission::Admission;
 use flaxstand_proto::Micros;
-use flaxstand_store::Batch;
+use flaxstand_storage::Batch;
 use replication::Applied;
 use routing::{HOPS_MOST, RequestId, Route, Upstreams};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/flaxstand-agree/src/journal.rs
+++ b/crates/flaxstand-consensus/src/journal.rs
@@ -9,7 +9,7 @@
 use crate::log::{Entry, Log};
 use crate::replica::{Life, ReplicaId, Seen};
 use flaxstand_proto::Micros;
-use flaxstand_store::{Batch, Storage, StoreOp};
+use flaxstand_storage::{Batch, Storage, StoreOp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/flaxstand-agree/src/keeper.rs
+++ b/crates/flaxstand-consensus/src/keeper.rs
@@ -22,7 +22,7 @@
 use crate::message::{Body, Message};
 use crate::replica::{Life, ReplicaId, Seen};
 use flaxstand_proto::Micros;
-use flaxstand_store::Batch;
+use flaxstand_storage::Batch;
 use progress::LeaderState;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/flaxstand-agree/tests/agreement/main.rs
+++ b/crates/flaxstand-consensus/tests/agreement/main.rs
@@ -2,12 +2,12 @@
 
 mod rig;
 
-use flaxstand_agree::agreement::Wish;
-use flaxstand_agree::book::{Book, Change, Version};
-use flaxstand_agree::lease_manager::{LeaseManager, LeaseRequest};
-use flaxstand_agree::member::Member;
-use flaxstand_agree::rules::{Rules, Safe, TABLE, Value, safe};
-use flaxstand_agree::{Micros, Planted};
+use flaxstand_consensus::agreement::Wish;
+use flaxstand_consensus::book::{Book, Change, Version};
+use flaxstand_consensus::lease_manager::{LeaseManager, LeaseRequest};
+use flaxstand_consensus::member::Member;
+use flaxstand_consensus::rules::{Rules, Safe, TABLE, Value, safe};
+use flaxstand_consensus::{Micros, Planted};
 use proptest::prelude::*;
 use rig::{World, ms};
 use std::collections::BTreeMap;
--- a/crates/flaxstand-agree/tests/agreement/rig.rs
+++ b/crates/flaxstand-consensus/tests/agreement/rig.rs
@@ -1,13 +1,13 @@
 //! Initiators that agree, on virtual time: clocks of different rates, links that lose and cut, processes that stop
 //! and die, disks that lose what was not synced. What each acts on is compared from outside, at every moment.
 
-use flaxstand_agree::agreement::{Agreement, Config, Found, Reply, To, Wish, Word};
-use flaxstand_agree::book::Version;
-use flaxstand_agree::member::Acting;
-use flaxstand_agree::rules::{Rules, Value};
-use flaxstand_agree::{Micros, Planted, Recovered, recover};
-use flaxstand_store::faulty::Faulty;
-use flaxstand_store::{Batch, Storage as _, perform};
+use flaxstand_consensus::agreement::{Agreement, Config, Found, Reply, To, Wish, Word};
+use flaxstand_consensus::book::Version;
+use flaxstand_consensus::member::Acting;
+use flaxstand_consensus::rules::{Rules, Value};
+use flaxstand_consensus::{Micros, Planted, Recovered, recover};
+use flaxstand_storage::faulty::Faulty;
+use flaxstand_storage::{Batch, Storage as _, perform};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/flaxstand-agree/tests/capacity/fleet.rs
+++ b/crates/flaxstand-consensus/tests/capacity/fleet.rs
@@ -1,14 +1,14 @@
 //! A fleet without faults on virtual time: keepers and plain members with exact clocks, a network that only delays,
 //! and counters of what each host sends, receives and looks at. One seed gives the same counts in every run.
 
-use flaxstand_agree::agreement::{Agreement, Config, Found, Reply, To, Wish, Word};
-use flaxstand_agree::book::{MEMBERS_MOST, Version};
-use flaxstand_agree::member::Acting;
-use flaxstand_agree::rules::{Rules, Value};
-use flaxstand_agree::{Micros, Planted};
+use flaxstand_consensus::agreement::{Agreement, Config, Found, Reply, To, Wish, Word};
+use flaxstand_consensus::book::{MEMBERS_MOST, Version};
+use flaxstand_consensus::member::Acting;
+use flaxstand_consensus::rules::{Rules, Value};
+use flaxstand_consensus::{Micros, Planted};
 use flaxstand_proto::Frame;
-use flaxstand_store::faulty::Faulty;
-use flaxstand_store::{Batch, perform};
+use flaxstand_storage::faulty::Faulty;
+use flaxstand_storage::{Batch, perform};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -293,7 +293,7 @@
     pub fn leader(&self) -> Option<usize> {
         let status = |host: &usize| self.hosts[*host].agreement.as_ref()?.keeper(self.now);
         let leaders = (0..KEEPERS)
-            .filter(|host| status(host).is_some_and(|s| s.standing == flaxstand_agree::Standing::Leader));
+            .filter(|host| status(host).is_some_and(|s| s.standing == flaxstand_consensus::Standing::Leader));
         leaders.max_by_key(|host| status(host).map(|s| s.term))
     }
 
--- a/crates/flaxstand-agree/tests/capacity/main.rs
+++ b/crates/flaxstand-consensus/tests/capacity/main.rs
@@ -2,7 +2,7 @@
 //! replicated state, members looked at. `docs/CAPACITY.md` has the formulas. A test fails when the *kind* of growth
 //! changes, for the worse or for the better: who mends one changes its test and the page knowingly.
 //!
-//! `cargo test -p flaxstand-agree --test capacity -- --nocapture` prints the tables. The measurements of large
+//! `cargo test -p flaxstand-consensus --test capacity -- --nocapture` prints the tables. The measurements of large
 //! fleets are no checks: `--release -- --ignored --nocapture NAME`.
 
 mod fit;
--- a/crates/flaxstand-agree/tests/capacity/measurements.rs
+++ b/crates/flaxstand-consensus/tests/capacity/measurements.rs
@@ -3,10 +3,10 @@
 use crate::fleet::{Fleet, HostRole, LEASE};
 use crate::scenarios::{CHANGES_BEFORE, SEED, change_after, costs_at_rest, leader_loss, state_after};
 use crate::{scenarios, tables};
-use flaxstand_agree::Micros;
-use flaxstand_agree::book::{Book, Change, MEMBERS_MOST, RULES_MOST, TEXT_MOST, Version};
-use flaxstand_agree::keeper::STATE_MOST;
-use flaxstand_agree::rules::{Rules, Value};
+use flaxstand_consensus::Micros;
+use flaxstand_consensus::book::{Book, Change, MEMBERS_MOST, RULES_MOST, TEXT_MOST, Version};
+use flaxstand_consensus::keeper::STATE_MOST;
+use flaxstand_consensus::rules::{Rules, Value};
 
 /// Changes before the one that is measured, in large fleets: each takes its time to play.
 const FEW_CHANGES: usize = 1;
--- a/crates/flaxstand-agree/tests/capacity/scenarios.rs
+++ b/crates/flaxstand-consensus/tests/capacity/scenarios.rs
@@ -1,9 +1,9 @@
 //! What is played to count costs: a fleet at rest, one change of settings, the loss of the leader.
 
 use crate::fleet::{Count, Fleet, HostRole, LEASE, Traffic, host_name, version_after};
-use flaxstand_agree::Micros;
-use flaxstand_agree::agreement::Reply;
-use flaxstand_agree::book::{Book, Change};
+use flaxstand_consensus::Micros;
+use flaxstand_consensus::agreement::Reply;
+use flaxstand_consensus::book::{Book, Change};
 use std::time::Duration;
 
 /// How long a fleet at rest is watched: a whole number of asks of each member.
--- a/crates/flaxstand-agree/tests/keepers/main.rs
+++ b/crates/flaxstand-consensus/tests/keepers/main.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use flaxstand_agree::{
+use flaxstand_consensus::{
     Body, Config, Entry, Keeper, Life, Message, Planted, ReplicaId, Snapshot, Standing, State, What,
 };
 use rig::{World, ms};
@@ -12,7 +12,7 @@
     let count = if seed % 3 == 2 { 5 } else { 3 };
     let mut w = World::new(count, seed, planted);
     w.run(ms(400));
-    let mut copies: Vec<(usize, flaxstand_store::faulty::Faulty)> = Vec::new();
+    let mut copies: Vec<(usize, flaxstand_storage::faulty::Faulty)> = Vec::new();
     for _ in 0..40 {
         let (a, b) = (w.below(count as u64) as usize, w.below(count as u64) as usize);
         let all_intact = w.intact();
@@ -245,8 +245,8 @@
 
 #[test]
 fn a_damaged_record_that_was_told_is_noticed_and_a_torn_one_is_not_held_against_it() {
-    use flaxstand_agree::{Recovered, recover};
-    use flaxstand_store::Storage as _;
+    use flaxstand_consensus::{Recovered, recover};
+    use flaxstand_storage::Storage as _;
     let mut w = World::new(3, 9, Planted::None);
     w.led();
     (0..5).for_each(|_| {
--- a/crates/flaxstand-agree/tests/keepers/rig.rs
+++ b/crates/flaxstand-consensus/tests/keepers/rig.rs
@@ -1,11 +1,11 @@
 //! Keepers on virtual time, each with a disk that does its worst, between links that lose, double, delay and cut.
 //! Everything they tell is checked from outside: who was voted for, who led, what was agreed on.
 
-use flaxstand_agree::{
+use flaxstand_consensus::{
     Agreed, Body, Config, Keeper, Message, Micros, Planted, Recovered, ReplicaId, recover,
 };
-use flaxstand_store::faulty::{Faults, Faulty};
-use flaxstand_store::{Batch, Storage as _, perform};
+use flaxstand_storage::faulty::{Faults, Faulty};
+use flaxstand_storage::{Batch, Storage as _, perform};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/flaxstand-agree/tests/members/main.rs
+++ b/crates/flaxstand-consensus/tests/members/main.rs
@@ -1,12 +1,12 @@
 //! The bound on the number of members, at its value in service, and which entries change the replicated state.
 
-use flaxstand_agree::agreement::{Agreement, Config, Found, Reply, To, Wish, Word};
-use flaxstand_agree::book::{Book, Change, MEMBERS_MOST, Version};
-use flaxstand_agree::lease_manager::{LeaseRequest, LeaseResponse};
-use flaxstand_agree::rules::Rules;
-use flaxstand_agree::{Micros, Planted, Recovered, Standing, Status, recover};
-use flaxstand_store::faulty::Faulty;
-use flaxstand_store::{Storage as _, perform};
+use flaxstand_consensus::agreement::{Agreement, Config, Found, Reply, To, Wish, Word};
+use flaxstand_consensus::book::{Book, Change, MEMBERS_MOST, Version};
+use flaxstand_consensus::lease_manager::{LeaseRequest, LeaseResponse};
+use flaxstand_consensus::rules::Rules;
+use flaxstand_consensus::{Micros, Planted, Recovered, Standing, Status, recover};
+use flaxstand_storage::faulty::Faulty;
+use flaxstand_storage::{Storage as _, perform};
 use proptest::prelude::*;
 
 /// Connections of an operator and of a host.
--- a/crates/flaxstand-agree/tests/recorded/messages.rs
+++ b/crates/flaxstand-consensus/tests/recorded/messages.rs
@@ -1,11 +1,11 @@
 //! Messages between initiators and with operators, byte for byte.
 
-use flaxstand_agree::agreement::{Reply, Report, Wish, Word};
-use flaxstand_agree::book::{Book, Change, Version};
-use flaxstand_agree::lease_manager::{Blocker, LeaseRequest, LeaseResponse};
-use flaxstand_agree::replica::Seen;
-use flaxstand_agree::rules::{Rules, Value};
-use flaxstand_agree::{Body, Entry, Life, Message, ReplicaId, Snapshot, What};
+use flaxstand_consensus::agreement::{Reply, Report, Wish, Word};
+use flaxstand_consensus::book::{Book, Change, Version};
+use flaxstand_consensus::lease_manager::{Blocker, LeaseRequest, LeaseResponse};
+use flaxstand_consensus::replica::Seen;
+use flaxstand_consensus::rules::{Rules, Value};
+use flaxstand_consensus::{Body, Entry, Life, Message, ReplicaId, Snapshot, What};
 use flaxstand_fixture::{Fixtures, hex, unhex};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/flaxstand-agree/tests/recorded/stored.rs
+++ b/crates/flaxstand-consensus/tests/recorded/stored.rs
@@ -1,18 +1,18 @@
 //! A keeper's folder (snapshot, log, identity) and a member's saved state: read back, and taken further.
 
 use crate::messages::{book, id, life};
-use flaxstand_agree::agreement::{Agreement, Config as AgreementConfig, Found};
-use flaxstand_agree::book::{Book, Change};
-use flaxstand_agree::journal::Record;
-use flaxstand_agree::member::Member;
-use flaxstand_agree::replica::Seen;
-use flaxstand_agree::{
+use flaxstand_consensus::agreement::{Agreement, Config as AgreementConfig, Found};
+use flaxstand_consensus::book::{Book, Change};
+use flaxstand_consensus::journal::Record;
+use flaxstand_consensus::member::Member;
+use flaxstand_consensus::replica::Seen;
+use flaxstand_consensus::{
     Agreed, Body, Config, Entry, Journal, Keeper, Life, Log, Message, Micros, Planted, Recovered, Snapshot,
     State, What, recover,
 };
 use flaxstand_fixture::{Fixtures, values_of};
-use flaxstand_store::faulty::Faulty;
-use flaxstand_store::{Folder, Storage, perform};
+use flaxstand_storage::faulty::Faulty;
+use flaxstand_storage::{Folder, Storage, perform};
 use std::collections::BTreeMap;
 
 const SEGMENT: u64 = 1;
--- a/crates/flaxstand-agree/tests/search.rs
+++ b/crates/flaxstand-consensus/tests/search.rs
@@ -2,7 +2,7 @@
 //! Every order of deliveries, losses, timeouts and crashes (before or after the disk took what they wait for) within
 //! the bounds is walked, on the keepers themselves; the states seen are counted.
 
-use flaxstand_agree::{Body, Config, Keeper, Message, Micros, Planted, ReplicaId, Snapshot, State, What};
+use flaxstand_consensus::{Body, Config, Keeper, Message, Micros, Planted, ReplicaId, Snapshot, State, What};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
--- a/crates/flaxstand-gateway/src/core/agreement.rs
+++ b/crates/flaxstand-gateway/src/core/agreement.rs
@@ -1,5 +1,5 @@
 //! Where the agreement hangs in: words of other initiators and of operators in, words out, and the rules that hold
-//! now for the module. All that is decided is `flaxstand-agree`'s; here are connections, and calls that are made
+//! now for the module. All that is decided is `flaxstand-consensus`'s; here are connections, and calls that are made
 //! again after a wait.
 
 use super::clients::Fault;
@@ -8,9 +8,9 @@
 use crate::machine::{Address, Command, ConnId, Micros};
 use crate::settings::settings_of;
 use flaxstand::api::Event;
-use flaxstand_agree::agreement::{Agreement, Config, Found, To, Word};
-use flaxstand_agree::book::Book;
-use flaxstand_agree::keeper::Planted;
+use flaxstand_consensus::agreement::{Agreement, Config, Found, To, Word};
+use flaxstand_consensus::book::Book;
+use flaxstand_consensus::keeper::Planted;
 use flaxstand_proto::{Frame, Hello, Inbox, Parting, Role, VERSION, VERSION_OLDEST, Welcome};
 use std::collections::{BTreeMap, VecDeque};
 use tracing::{debug, info, warn};
--- a/crates/flaxstand-gateway/src/core/config.rs
+++ b/crates/flaxstand-gateway/src/core/config.rs
@@ -2,7 +2,7 @@
 
 use crate::machine::{Address, Micros};
 use flaxstand::api::Settings;
-use flaxstand_storm::ArrivalRules;
+use flaxstand_overload::ArrivalRules;
 use std::collections::BTreeSet;
 
 /// Which policy decides.
@@ -142,7 +142,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteBack {
     /// The buffer's bounds and waits.
-    pub rules: flaxstand_buffer::Rules,
+    pub rules: flaxstand_write_back::Rules,
     /// Only writes of these volumes are buffered; none: of all.
     pub volumes: Option<BTreeSet<u64>>,
 }
@@ -161,7 +161,7 @@
     /// The write-back buffer, where a class is buffered.
     pub write_back: Option<WriteBack>,
     /// How storms are met; none: they are not.
-    pub storm: Option<flaxstand_storm::Rules>,
+    pub storm: Option<flaxstand_overload::Rules>,
 }
 
 /// With whom an initiator agrees, and on what terms.
@@ -178,7 +178,7 @@
     /// By what part of a lease two hosts' clocks may differ over it.
     pub clock_error: f64,
     /// The rules of the initiator's own file.
-    pub started_with: flaxstand_agree::rules::Rules,
+    pub started_with: flaxstand_consensus::rules::Rules,
 }
 
 /// What clients, nodes and the list service speak.
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -6,8 +6,8 @@
 use super::plumbing::{Peer, Timer};
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{Action, AttemptNo, Ended, Event, NodeId, Outcome, RequestId};
-use flaxstand_buffer::{Place, TryId, Write};
 use flaxstand_proto::{Frame, Refusal, Scope, Submit};
+use flaxstand_write_back::{Place, TryId, Write};
 use tracing::{debug, error};
 
 /// An attempt that is out, or waits for its node's connection.
--- a/crates/flaxstand-gateway/src/core/storms.rs
+++ b/crates/flaxstand-gateway/src/core/storms.rs
@@ -4,8 +4,8 @@
 use super::requests::{Held, Owner, Verdict};
 use crate::machine::Micros;
 use flaxstand::api::{Class, RequestId, Settings};
+use flaxstand_overload::{Damper, Judged, Rules, Treatment, Try};
 use flaxstand_proto::{Frame, Refusal, Scope};
-use flaxstand_storm::{Damper, Judged, Rules, Treatment, Try};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tracing::{debug, info};
@@ -70,9 +70,9 @@
                 debug!(request = id.0, wait_us = wait.0, %scope, "a repeat in a storm: turned away");
                 self.counts.damped += 1;
                 let scope = match scope {
-                    flaxstand_storm::Scope::Volume(_) => Scope::Volume,
-                    flaxstand_storm::Scope::Plan(_) => Scope::Volume,
-                    flaxstand_storm::Scope::All => Scope::All,
+                    flaxstand_overload::Scope::Volume(_) => Scope::Volume,
+                    flaxstand_overload::Scope::Plan(_) => Scope::Volume,
+                    flaxstand_overload::Scope::All => Scope::All,
                 };
                 // The damper knows of it already.
                 if let Some(held) = self.requests.get_mut(&id) {
--- a/crates/flaxstand-gateway/src/core/writeback.rs
+++ b/crates/flaxstand-gateway/src/core/writeback.rs
@@ -11,14 +11,14 @@
 use flaxstand::api::{
     Arrival, Class, ClassId, Effect, Event, Key, PlanId, RequestId, Settings, ShardId, VolumeId,
 };
-use flaxstand_buffer::buffer::Buffering;
-use flaxstand_buffer::image::EXTENT_MOST;
-use flaxstand_buffer::record::Wall;
-use flaxstand_buffer::writeout::{Level, RepeatBudget};
-use flaxstand_buffer::{
+use flaxstand_proto::{Frame, Parting, Refusal, Scope, Submit};
+use flaxstand_write_back::buffer::Buffering;
+use flaxstand_write_back::image::EXTENT_MOST;
+use flaxstand_write_back::record::Wall;
+use flaxstand_write_back::writeout::{Level, RepeatBudget};
+use flaxstand_write_back::{
     Action, Buffer, Config, Expired, Offer, Place, ReadBack, Recovered, Status, Ticket, TryEnd, TryId, Write,
 };
-use flaxstand_proto::{Frame, Parting, Refusal, Scope, Submit};
 use std::collections::BTreeMap;
 use tracing::{debug, info};
 
--- a/crates/flaxstand-gateway/src/driver/disk.rs
+++ b/crates/flaxstand-gateway/src/driver/disk.rs
@@ -1,6 +1,6 @@
 //! The thread that carries batches of a durable log out, and the pipe by which it wakes the driver.
 
-use flaxstand_store::{Batch, Storage, perform};
+use flaxstand_storage::{Batch, Storage, perform};
 use std::io::{self, PipeReader, PipeWriter, Write as _};
 use std::sync::mpsc::{Receiver, Sender, channel};
 
--- a/crates/flaxstand-gateway/src/driver/mod.rs
+++ b/crates/flaxstand-gateway/src/driver/mod.rs
@@ -12,7 +12,7 @@
 use crate::machine::{Address, Command, ConnId, Control, Machine, Micros, Reloaded, Sink};
 use disk::{Disk, wake_pipe};
 use files::{append, replace_durably};
-use flaxstand_store::Storage;
+use flaxstand_storage::Storage;
 use listener::Listener;
 use rustix::event::{Timespec, epoll};
 use rustix::fd::OwnedFd;
--- a/crates/flaxstand-gateway/src/machine.rs
+++ b/crates/flaxstand-gateway/src/machine.rs
@@ -85,9 +85,9 @@
     /// Add these bytes to one of the machine's files. A stand-in's records, written before its answers.
     Append(Sink, Vec<u8>),
     /// Carry this batch out on the machine's log; `stored` follows. One at a time.
-    Store(flaxstand_store::Batch),
+    Store(flaxstand_storage::Batch),
     /// Carry this batch out on the keeper's folder, beside the machine's log; `kept` follows. One at a time.
-    Keep(flaxstand_store::Batch),
+    Keep(flaxstand_storage::Batch),
     /// Put these bytes, durably, into the file of what was agreed on, in place of what is there.
     SaveBook(Vec<u8>),
     /// Take no more connections.
--- a/crates/flaxstand-gateway/src/settings/mod.rs
+++ b/crates/flaxstand-gateway/src/settings/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::core::{Agreeing, Bounds, Config, Policy, Wire};
 use crate::machine::{Address, Micros};
-use flaxstand_storm::ArrivalRules;
+use flaxstand_overload::ArrivalRules;
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -118,7 +118,7 @@
 ///
 /// # Errors
 /// Everything that is wrong with it.
-pub fn read_rules(name: &str, text: &str) -> Result<flaxstand_agree::rules::Rules, SettingsError> {
+pub fn read_rules(name: &str, text: &str) -> Result<flaxstand_consensus::rules::Rules, SettingsError> {
     let source = Source::new(name, text);
     let document = source.parse()?;
     let root = Block::document(&source, &document);
@@ -132,7 +132,7 @@
     Ok(rules_of(&site, floor))
 }
 
-fn read_agreement(b: &Block<'_>, name: &str, started_with: flaxstand_agree::rules::Rules) -> Agreement {
+fn read_agreement(b: &Block<'_>, name: &str, started_with: flaxstand_consensus::rules::Rules) -> Agreement {
     let expected = "\"IP:PORT\" or \"unix:PATH\"";
     let address = |b: &Block<'_>, key| b.parsed(key, expected, None, |t| t.parse::<Address>().ok());
     let listen = address(b, "listen").unwrap_or(Address::Unix(PathBuf::new()));
--- a/crates/flaxstand-gateway/src/settings/reader.rs
+++ b/crates/flaxstand-gateway/src/settings/reader.rs
@@ -1,7 +1,7 @@
 //! Reads a KDL document strictly: what is missing, unknown, of another type or out of range is a problem
 //! with its place in the file. All problems of a file are told at once.
 
-use flaxstand_agree::rules::Value;
+use flaxstand_consensus::rules::Value;
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 use miette::{Diagnostic, LabeledSpan, NamedSource, SourceSpan};
 use std::cell::RefCell;
--- a/crates/flaxstand-gateway/src/settings/rules.rs
+++ b/crates/flaxstand-gateway/src/settings/rules.rs
@@ -1,11 +1,11 @@
 //! The shared part of a settings file as rules that initiators agree on, and back. Key by key as
-//! `flaxstand_agree::rules::TABLE` has them; what bounds nothing is left out.
+//! `flaxstand_consensus::rules::TABLE` has them; what bounds nothing is left out.
 
 use super::reader::Block;
 use super::site::SiteFile;
 use crate::core::Site;
 use flaxstand::api::{Budget, Effect, RepeatGroup, Settings};
-use flaxstand_agree::rules::{Rules, Safe, Value, safe};
+use flaxstand_consensus::rules::{Rules, Safe, Value, safe};
 use std::collections::BTreeMap;
 
 const GROUPS: [(&str, RepeatGroup); 3] =
--- a/crates/flaxstand-gateway/src/settings/site.rs
+++ b/crates/flaxstand-gateway/src/settings/site.rs
@@ -4,7 +4,7 @@
 use crate::core::{ClassInfo, Site, Waits, WriteBack};
 use crate::machine::Micros;
 use flaxstand::api::{Budget, Class, Effect, Plan, RepeatGroup, Settings};
-use flaxstand_storm::Rules as Storm;
+use flaxstand_overload::Rules as Storm;
 use std::collections::BTreeSet;
 
 /// Figures of the rules that the module keeps by itself, and that an audit asks for.
@@ -188,11 +188,11 @@
 }
 
 fn read_write_back(b: &Block<'_>) -> WriteBack {
-    let d = flaxstand_buffer::Rules::default();
+    let d = flaxstand_write_back::Rules::default();
     let wait = |key, default: Micros| Micros::from_ms(b.number(key, MS, Some(default.ms())));
     let bytes = |key, default| b.whole(key, 1..=1 << 40, Some(default));
     let volumes = b.wholes("volumes", 0..=u64::MAX >> 1);
-    let rules = flaxstand_buffer::Rules {
+    let rules = flaxstand_write_back::Rules {
         bytes: bytes("bytes", d.bytes),
         volume_bytes: bytes("volume-bytes", d.volume_bytes),
         age: Micros::from_ms(b.number("age-ms", POSITIVE_MS, Some(d.age.ms()))),
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -679,7 +679,8 @@
 /// A site that meets storms, and a client that presses again and again on a node that is not there.
 fn stormy() -> flaxstand_gateway::core::Config {
     let mut c = config();
-    c.site.storm = Some(flaxstand_storm::Rules { repeat_floor: 2.0, ..flaxstand_storm::Rules::default() });
+    c.site.storm =
+        Some(flaxstand_overload::Rules { repeat_floor: 2.0, ..flaxstand_overload::Rules::default() });
     c
 }
 
@@ -867,9 +868,9 @@
 
 /// Proposes the next version at an initiator that agrees with itself alone.
 fn propose(w: &mut World, base: u64, attempts: f64) {
-    use flaxstand_agree::agreement::{Reply, Wish, Word};
-    use flaxstand_agree::book::Version;
-    use flaxstand_agree::rules::Value;
+    use flaxstand_consensus::agreement::{Reply, Wish, Word};
+    use flaxstand_consensus::book::Version;
+    use flaxstand_consensus::rules::Value;
     let operator = w.core.accepted(1, w.now).expect("it is let in");
     let hello = Hello { role: Role::Client, versions: (VERSION, VERSION), id: 0, epoch: 0, name: "test" };
     w.core.received(operator, &bytes_of(&Frame::Hello(hello)), w.now);
@@ -884,7 +885,7 @@
 
 #[test]
 fn what_waits_to_leave_when_the_rules_change_never_leaves() {
-    use flaxstand_agree::agreement::Found;
+    use flaxstand_consensus::agreement::Found;
     let mut c = config();
     c.agreeing = Some(Agreeing {
         keepers: vec![(c.name.clone(), "127.0.0.1:9".parse().unwrap())],
--- a/crates/flaxstand-gateway/tests/harness/mod.rs
+++ b/crates/flaxstand-gateway/tests/harness/mod.rs
@@ -7,7 +7,7 @@
 use flaxstand_gateway::core::{Bounds, ClassInfo, Config, Core, Policy, Site, Waits, Wire};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Machine, Micros};
 use flaxstand_proto::*;
-use flaxstand_store::Batch;
+use flaxstand_storage::Batch;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Write as _;
 
--- a/crates/flaxstand-gateway/tests/recorded.rs
+++ b/crates/flaxstand-gateway/tests/recorded.rs
@@ -2,13 +2,13 @@
 
 mod harness;
 
-use flaxstand_buffer::recover;
 use flaxstand_fixture::{Fixtures, hex, values_of};
 use flaxstand_gateway::core::{Bounds, Config, SavedList, Waits, WriteBack};
 use flaxstand_gateway::machine::{ConnId, Control, Machine};
 use flaxstand_gateway::settings::{read_daemon, read_rules};
 use flaxstand_proto::{Code, Entry, Extent, Frame, List, State};
-use flaxstand_store::faulty::Faulty;
+use flaxstand_storage::faulty::Faulty;
+use flaxstand_write_back::recover;
 use harness::{PATH, READ, Said, World, address, ask_as, config, entry, ms, on_platform};
 use std::fmt::Write as _;
 
--- a/crates/flaxstand-gateway/tests/writeback.rs
+++ b/crates/flaxstand-gateway/tests/writeback.rs
@@ -2,12 +2,12 @@
 
 mod harness;
 
-use flaxstand_buffer::{Rules, recover};
 use flaxstand_gateway::core::{Config, Core, WriteBack};
 use flaxstand_gateway::machine::{ConnId, Control, Machine as _, Micros};
 use flaxstand_proto::*;
-use flaxstand_store::faulty::{Faults, Faulty};
-use flaxstand_store::{Storage as _, perform};
+use flaxstand_storage::faulty::{Faults, Faulty};
+use flaxstand_storage::{Storage as _, perform};
+use flaxstand_write_back::{Rules, recover};
 use harness::*;
 
 const ORDER: u16 = 0;
--- a/crates/flaxstand-proto/src/frame.rs
+++ b/crates/flaxstand-proto/src/frame.rs
@@ -403,7 +403,7 @@
     /// List service to initiator: a call failed.
     ListFailed,
     /// Between initiators, and between an operator and an initiator, about what they agree on: a message of
-    /// `flaxstand-agree`, in its serde format.
+    /// `flaxstand-consensus`, in its serde format.
     Agreement {
         /// The message.
         bytes: &'a [u8],
--- a/crates/flaxstand-lab/src/agreed.rs
+++ b/crates/flaxstand-simulation/src/agreed.rs
@@ -3,9 +3,9 @@
 
 use crate::process::{RehearsalError, io_error};
 use crate::relay::{Flow, Relay};
-use flaxstand_agree::agreement::{Reply, Report as Told, Terms, Wish, Word};
-use flaxstand_agree::book::Version;
-use flaxstand_agree::rules::{Rules, Value};
+use flaxstand_consensus::agreement::{Reply, Report as Told, Terms, Wish, Word};
+use flaxstand_consensus::book::Version;
+use flaxstand_consensus::rules::{Rules, Value};
 use flaxstand_gateway::machine::Micros;
 use flaxstand_proto::{Frame, Hello, Inbox, Role, VERSION, VERSION_OLDEST, encode};
 use serde::Serialize;
--- a/crates/flaxstand-lab/src/measure_buffer.rs
+++ b/crates/flaxstand-simulation/src/measure_buffer.rs
@@ -4,9 +4,9 @@
 use crate::measure::Bench;
 use crate::press::Seen;
 use crate::process::{RehearsalError, io_error, stop};
-use flaxstand_buffer::record::{Record, Wall};
-use flaxstand_buffer::{Micros, Place, Seq, Write, recover};
-use flaxstand_store::{Folder, perform};
+use flaxstand_storage::{Folder, perform};
+use flaxstand_write_back::record::{Record, Wall};
+use flaxstand_write_back::{Micros, Place, Seq, Write, recover};
 use serde::Serialize;
 use std::fmt::Write as _;
 use std::path::Path;
--- a/crates/flaxstand-lab/src/scale/hollow.rs
+++ b/crates/flaxstand-simulation/src/scale/hollow.rs
@@ -15,8 +15,8 @@
 use super::node_list::FIRST_REVISION;
 use super::traffic::{FrameCounter, Traffic};
 use crate::rehearse::StandIn;
-use flaxstand_agree::agreement::Agreement;
-use flaxstand_agree::member::Acting;
+use flaxstand_consensus::agreement::Agreement;
+use flaxstand_consensus::member::Acting;
 use flaxstand_gateway::core::{Config, Core};
 use flaxstand_gateway::driver::{Driver, Options};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Control, Machine, Micros};
--- a/crates/flaxstand-lab/src/scale/plan.rs
+++ b/crates/flaxstand-simulation/src/scale/plan.rs
@@ -133,7 +133,7 @@
     /// The part that settings files of initiators share.
     pub shared_settings: String,
     /// The rules of that part, for proposals.
-    pub rules: flaxstand_agree::rules::Rules,
+    pub rules: flaxstand_consensus::rules::Rules,
     /// Names of plans.
     pub plan_names: Vec<String>,
 }
--- a/crates/flaxstand-lab/src/script.rs
+++ b/crates/flaxstand-simulation/src/script.rs
@@ -1,7 +1,7 @@
 //! A day's faults as steps in time: what both drivers carry out.
 
 use crate::day::{Day, Trouble};
-use flaxstand_agree::rules::Value;
+use flaxstand_consensus::rules::Value;
 use std::collections::BTreeMap;
 
 /// What happens at a moment of the day.
--- a/crates/flaxstand-lab/tests/recorded.rs
+++ b/crates/flaxstand-simulation/tests/recorded.rs
@@ -4,10 +4,10 @@
 use flaxstand_audit::Record;
 use flaxstand_fixture::{Fixtures, values_of};
 use flaxstand_gateway::core::Policy;
-use flaxstand_lab::day::Day;
-use flaxstand_lab::experiment::Experiment;
-use flaxstand_lab::scale::plan::Plan;
-use flaxstand_lab::world::play;
+use flaxstand_simulation::day::Day;
+use flaxstand_simulation::experiment::Experiment;
+use flaxstand_simulation::scale::plan::Plan;
+use flaxstand_simulation::world::play;
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
--- a/crates/flaxstand-lab/tests/scale.rs
+++ b/crates/flaxstand-simulation/tests/scale.rs
@@ -1,10 +1,10 @@
 //! Parts of scale runs without processes: plans, counts of messages, times until changes are in force.
 
-use flaxstand_lab::scale::hollow::Arrival;
-use flaxstand_lab::scale::lags::{Change, Lags};
-use flaxstand_lab::scale::plan::{FaultKind, Plan};
-use flaxstand_lab::scale::traffic::FrameCounter;
 use flaxstand_proto::{Frame, encode};
+use flaxstand_simulation::scale::hollow::Arrival;
+use flaxstand_simulation::scale::lags::{Change, Lags};
+use flaxstand_simulation::scale::plan::{FaultKind, Plan};
+use flaxstand_simulation::scale::traffic::FrameCounter;
 use std::path::Path;
 
 const SITE: &str = "site {\n initiators 20\n}\nclass \"read\" {\n effect \"repeatable\"\n aim-ms 100\n \
--- a/crates/flaxstand-lab/tests/world.rs
+++ b/crates/flaxstand-simulation/tests/world.rs
@@ -2,9 +2,9 @@
 
 use flaxstand_audit::Record;
 use flaxstand_gateway::core::Policy;
-use flaxstand_lab::day::Day;
-use flaxstand_lab::swarm::{Drawn, search};
-use flaxstand_lab::world::{Played, play};
+use flaxstand_simulation::day::Day;
+use flaxstand_simulation::swarm::{Drawn, search};
+use flaxstand_simulation::world::{Played, play};
 use std::path::Path;
 
 fn day(name: &str) -> Day {
@@ -71,7 +71,7 @@
 fn a_page_holds_every_plot_and_nothing_from_outside() {
     let bad = day("bad-day.kdl");
     let played = play(&bad, 5.0, Policy::Module);
-    let page = flaxstand_lab::html::page(&bad, &played.book, &played.report).unwrap();
+    let page = flaxstand_simulation::html::page(&bad, &played.book, &played.report).unwrap();
     assert_eq!(page.matches("<svg").count(), 5);
     for class in &bad.site.site.classes {
         assert!(page.matches(&class.name[..]).count() >= 4, "{} is named in plots and figures", class.name);
@@ -81,7 +81,7 @@
     let mut empty = day("quiet.kdl");
     empty.traffic.rate = 0.0;
     let played = play(&empty, 1.0, Policy::Module);
-    assert!(flaxstand_lab::html::page(&empty, &played.book, &played.report).is_ok());
+    assert!(flaxstand_simulation::html::page(&empty, &played.book, &played.report).is_ok());
 }
 
 #[test]
@@ -114,14 +114,14 @@
 #[test]
 fn faults_that_overlap_on_one_process_bring_it_back_once() {
     let mut crash = day("crash.kdl");
-    let again = flaxstand_lab::day::Fault { at: 4.5, length: 5.0, ..crash.faults[0].clone() };
+    let again = flaxstand_simulation::day::Fault { at: 4.5, length: 5.0, ..crash.faults[0].clone() };
     crash.faults.push(again);
     let played = play(&crash, 12.0, Policy::Module);
     kept(&played);
     let up = played.book.lives.keys().filter(|(node, _)| *node == 1).count();
     assert_eq!(up, 2, "its start at dawn, and one return");
     let mut roll = day("initiator-roll.kdl");
-    let again = flaxstand_lab::day::Fault { at: 3.2, length: 0.1, ..roll.faults[0].clone() };
+    let again = flaxstand_simulation::day::Fault { at: 3.2, length: 0.1, ..roll.faults[0].clone() };
     roll.faults.push(again);
     kept(&play(&roll, 6.0, Policy::Module));
 }
@@ -130,7 +130,7 @@
 fn an_experiment_goes_on_from_what_was_kept_and_has_a_page() {
     let file = std::env::temp_dir().join(format!("flaxstand-experiment-{}.jsonl", std::process::id()));
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments/baselines.kdl");
-    let mut experiment = flaxstand_lab::experiment::Experiment::load(&path).unwrap();
+    let mut experiment = flaxstand_simulation::experiment::Experiment::load(&path).unwrap();
     (experiment.seeds, experiment.seconds) = (vec![1, 2], Some(2.0));
     experiment.days.truncate(2);
     experiment.variants.truncate(2);
@@ -147,7 +147,7 @@
     };
     let again = experiment.run(Some(&file), 1, count).unwrap();
     assert_eq!((played.into_inner(), &again.runs), (4, &first.runs));
-    let page = flaxstand_lab::html::experiment_page(&again).unwrap();
+    let page = flaxstand_simulation::html::experiment_page(&again).unwrap();
     assert!(page.contains("<svg") && page.contains("bad day: pipe"));
     std::fs::remove_file(&file).unwrap();
 }
--- a/crates/flaxstand-buffer/src/buffer.rs
+++ b/crates/flaxstand-write-back/src/buffer.rs
@@ -8,7 +8,7 @@
 use crate::recover::{Live, Recovered};
 use crate::writeout::{Ended, Level, RepeatBudget, WriteOut};
 use flaxstand_proto::Micros;
-use flaxstand_store::Batch;
+use flaxstand_storage::Batch;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{info, warn};
 
--- a/crates/flaxstand-buffer/src/lib.rs
+++ b/crates/flaxstand-write-back/src/lib.rs
@@ -1,6 +1,6 @@
 //! The write-back buffer: a write is acknowledged when it is durable on this host, and goes out to its node
 //! later. `docs/write-back.md` states what is promised. Nothing here touches a file or
-//! reads a clock: the initiator's core owns a [`Buffer`], its driver carries out the batches (`flaxstand-store`).
+//! reads a clock: the initiator's core owns a [`Buffer`], its driver carries out the batches (`flaxstand-storage`).
 //!
 //! - [`buffer`]: ties the parts together; what the core calls
 //! - [`order`]: what may go to a node now: places, barriers, rests
--- a/crates/flaxstand-buffer/src/log.rs
+++ b/crates/flaxstand-write-back/src/log.rs
@@ -7,7 +7,7 @@
 
 use crate::record::{BATCH_HEAD, HEADER, Header, Record, Seq, VERSION, encode_batch};
 use flaxstand_proto::Micros;
-use flaxstand_store::{Batch, StoreOp};
+use flaxstand_storage::{Batch, StoreOp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A segment is closed once it is as long as this, bytes.
--- a/crates/flaxstand-buffer/src/offline.rs
+++ b/crates/flaxstand-write-back/src/offline.rs
@@ -3,7 +3,7 @@
 use crate::record::{Record, Seq};
 use crate::recover::{Live, RecoverError, recover};
 use flaxstand_proto::Micros;
-use flaxstand_store::{Batch, Storage, perform};
+use flaxstand_storage::{Batch, Storage, perform};
 
 /// What an operator decides of a parked write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/flaxstand-buffer/src/recover.rs
+++ b/crates/flaxstand-write-back/src/recover.rs
@@ -4,7 +4,7 @@
 use crate::record::{
     HEADER, Header, Record, Seq, VERSION, VERSION_OLDEST, Wall, Write, decode_batch, next_batch,
 };
-use flaxstand_store::Storage;
+use flaxstand_storage::Storage;
 use std::collections::BTreeMap;
 use std::io;
 use thiserror::Error;
--- a/crates/flaxstand-buffer/tests/promises/main.rs
+++ b/crates/flaxstand-write-back/tests/promises/main.rs
@@ -3,8 +3,8 @@
 mod model;
 mod rig;
 
-use flaxstand_buffer::{Micros, Place};
-use flaxstand_store::faulty::Faults;
+use flaxstand_storage::faulty::Faults;
+use flaxstand_write_back::{Micros, Place};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
--- a/crates/flaxstand-buffer/tests/promises/model.rs
+++ b/crates/flaxstand-write-back/tests/promises/model.rs
@@ -4,7 +4,7 @@
 //! Data is cells of four bytes; a write fills its cells with its own number, so that a node's data tells
 //! who wrote what. Numbers are given in the order in which writes were offered, and so order them.
 
-use flaxstand_buffer::{Place, Write};
+use flaxstand_write_back::{Place, Write};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a client was told of a write.
--- a/crates/flaxstand-buffer/tests/promises/rig.rs
+++ b/crates/flaxstand-write-back/tests/promises/rig.rs
@@ -2,14 +2,14 @@
 //! they are told.
 
 use crate::model::{Data, Promises, Told, cells};
-use flaxstand_buffer::buffer::Buffering;
-use flaxstand_buffer::image::lay;
-use flaxstand_buffer::offline;
-use flaxstand_buffer::record::Wall;
-use flaxstand_buffer::writeout::RepeatBudget;
-use flaxstand_buffer::*;
-use flaxstand_store::faulty::{Faults, Faulty};
-use flaxstand_store::{Batch, Storage as _, StoreOp, perform};
+use flaxstand_storage::faulty::{Faults, Faulty};
+use flaxstand_storage::{Batch, Storage as _, StoreOp, perform};
+use flaxstand_write_back::buffer::Buffering;
+use flaxstand_write_back::image::lay;
+use flaxstand_write_back::offline;
+use flaxstand_write_back::record::Wall;
+use flaxstand_write_back::writeout::RepeatBudget;
+use flaxstand_write_back::*;
 use std::collections::BTreeMap;
 
 pub const REPEATABLE: u16 = 0;
@@ -431,7 +431,7 @@
     }
 
     fn skip_tail(&mut self) {
-        use flaxstand_buffer::record::{HEADER, next_batch};
+        use flaxstand_write_back::record::{HEADER, next_batch};
         let Some(last) = self.disk.segments().expect("in memory").last().copied() else { return };
         let bytes = self.disk.read(last).expect("it is there");
         let (mut at, mut ends) = (HEADER, Vec::new());
--- a/crates/flaxstand-buffer/tests/recorded_log.rs
+++ b/crates/flaxstand-write-back/tests/recorded_log.rs
@@ -1,16 +1,16 @@
 //! A write-back log that an earlier build left: with what is acknowledged, started, parked, done and torn. It is read
 //! back to the same content, goes out from there, and is decided on by operators.
 
-use flaxstand_buffer::buffer::Buffering;
-use flaxstand_buffer::offline::decide;
-use flaxstand_buffer::record::{Header, Record, Wall, encode_batch};
-use flaxstand_buffer::{
+use flaxstand_fixture::{Fixtures, values_of};
+use flaxstand_storage::faulty::Faulty;
+use flaxstand_storage::{Folder, Storage, perform};
+use flaxstand_write_back::buffer::Buffering;
+use flaxstand_write_back::offline::decide;
+use flaxstand_write_back::record::{Header, Record, Wall, encode_batch};
+use flaxstand_write_back::{
     Action, Buffer, Config, Live, Micros, Place, Recovered, Rules, Seq, TryEnd, Verdict, Write, recover,
     salvage,
 };
-use flaxstand_fixture::{Fixtures, values_of};
-use flaxstand_store::faulty::Faulty;
-use flaxstand_store::{Folder, Storage, perform};
 use std::collections::BTreeSet;
 
 /// Segments with the files that hold them. The first is closed, the second names it and its length.
@@ -78,7 +78,7 @@
 }
 
 fn made() -> [Vec<u8>; 2] {
-    let version = flaxstand_buffer::record::VERSION;
+    let version = flaxstand_write_back::record::VERSION;
     let first = segment(&Header { version, number: 1, before: None }, 1, &first_batches());
     let before = Some((1, first.len() as u64));
     let mut second = segment(&Header { version, number: 2, before }, 3, &second_batches());
