--- a/crates/flaxstand-audit/src/book.rs
+++ b/crates/flaxstand-audit/src/book.rs
@@ -88,7 +88,7 @@
     /// See [`Record::NodeUp`].
     pub power: f64,
     /// See [`Record::NodeUp`].
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// See [`Record::NodeUp`].
     pub warm_after: u64,
 }
@@ -148,8 +148,17 @@
                     book.told.entry((initiator, epoch, node, incarnation)).or_insert(at);
                 }
                 Record::Killed { at, initiator } => book.kills.push((at, initiator)),
-                Record::NodeUp { at, node, incarnation, shard, zone, power, cold_from, warm_after } => {
-                    let life = Life { at, shard, zone, power, cold_from, warm_after };
+                Record::NodeUp {
+                    at,
+                    node,
+                    incarnation,
+                    shard,
+                    zone,
+                    power,
+                    initial_capacity,
+                    warm_after,
+                } => {
+                    let life = Life { at, shard, zone, power, initial_capacity, warm_after };
                     book.lives.insert((node, incarnation), life);
                 }
                 Record::Arrived { initiator, epoch, request, op, class, plan, volume, units, .. } => {
--- a/crates/flaxstand-audit/src/rules.rs
+++ b/crates/flaxstand-audit/src/rules.rs
@@ -22,11 +22,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Harmless.
-    Repeatable,
+    Idempotent,
     /// A group of nodes drops repeats for so many microseconds.
-    Keyed(Group, u64),
+    IdempotencyKey(Group, u64),
     /// Never.
-    Once,
+    AtMostOnce,
 }
 
 /// What the rules ask at a site. Durations are microseconds.
@@ -39,13 +39,13 @@
     /// By plan: rate, most at once and slack of the limit, units; rate 0: none.
     pub limits: Vec<(f64, f64, f64)>,
     /// Attempts that a request may have out at once.
-    pub most_out: usize,
+    pub max_concurrent_attempts: usize,
     /// Rule 3.
     pub drain_grace: u64,
     /// Rule 4: multiple, time, units always borne.
     pub fall: (f64, u64, f64),
     /// Rule 5: rest of a key.
-    pub key_rest: u64,
+    pub key_cooldown: u64,
     /// Rule 6: floor, ratio, span.
     pub budget: Option<(f64, f64, u64)>,
     /// How long a frame may be under way, and a process wait for its turn: what was written so long before
@@ -238,19 +238,19 @@
         let Some((first, further)) = attempts.split_first() else { continue };
         for a in further {
             let how = match effect {
-                Effect::Repeatable => continue,
-                Effect::Once => "sent again though it may have run".to_owned(),
-                Effect::Keyed(group, _) if place(book, a, group) != place(book, first, group) => {
+                Effect::Idempotent => continue,
+                Effect::AtMostOnce => "sent again though it may have run".to_owned(),
+                Effect::IdempotencyKey(group, _) if place(book, a, group) != place(book, first, group) => {
                     format!("sent again outside the {group:?} that drops its repeats")
                 }
-                Effect::Keyed(_, window) if a.at > first.at + window + terms.transit => {
+                Effect::IdempotencyKey(_, window) if a.at > first.at + window + terms.transit => {
                     format!(
                         "sent again {} after the first, remembered for {}",
                         ms(a.at - first.at),
                         ms(window)
                     )
                 }
-                Effect::Keyed(..) => continue,
+                Effect::IdempotencyKey(..) => continue,
             };
             v.breach(Rule::Effects, a.at, Some(op), Some(a.node), how);
         }
@@ -262,7 +262,7 @@
         let out = |a: &&Attempt| a.over.is_none_or(|over| over > later.at + terms.transit);
         let earlier: Vec<String> =
             request.attempts[..i].iter().filter(out).map(|a| a.no.to_string()).collect();
-        if earlier.len() >= terms.most_out {
+        if earlier.len() >= terms.max_concurrent_attempts {
             let how = format!("attempt {} sent while attempt {} was out", later.no, earlier.join(" and "));
             v.breach(Rule::Effects, later.at, Some(request.op), Some(later.node), how);
         }
@@ -271,7 +271,7 @@
 
 fn refused_after_running(book: &Book, request: &Request, terms: &Terms, v: &mut Verdict) {
     let (effect, _) = terms.classes[usize::from(request.class)];
-    if matches!(effect, Effect::Repeatable | Effect::Keyed(Group::All, _)) {
+    if matches!(effect, Effect::Idempotent | Effect::IdempotencyKey(Group::All, _)) {
         return;
     }
     let Some(t) = request.of.map(|t| &book.tries[t]) else { return };
@@ -314,7 +314,7 @@
     /// Work a microsecond at a moment, in microseconds of a core.
     fn power_at(&self, at: u64) -> f64 {
         let part = (at.saturating_sub(self.at)) as f64 / self.warm_after.max(1) as f64;
-        self.power * (self.cold_from + (1.0 - self.cold_from) * part.min(1.0))
+        self.power * (self.initial_capacity + (1.0 - self.initial_capacity) * part.min(1.0))
     }
 }
 
@@ -397,7 +397,7 @@
         if a.over.is_none_or(|over| over > by) {
             return Some(format!("sent while attempt {} of operation {} was out", a.no, earlier.op));
         }
-        if unsure(&a) && a.over.is_some_and(|over| by < over + terms.key_rest) {
+        if unsure(&a) && a.over.is_some_and(|over| by < over + terms.key_cooldown) {
             return Some(format!("sent before the key had rested after operation {}", earlier.op));
         }
     }
--- a/crates/flaxstand-audit/tests/planted.rs
+++ b/crates/flaxstand-audit/tests/planted.rs
@@ -11,18 +11,18 @@
     Terms {
         // Safe; unsafe and in order; keyed within a zone; keyed within all; buffered.
         classes: vec![
-            (Effect::Repeatable, false),
-            (Effect::Once, true),
-            (Effect::Keyed(Group::Zone, 1000 * MS), false),
-            (Effect::Keyed(Group::All, 1000 * MS), false),
-            (Effect::Repeatable, false),
+            (Effect::Idempotent, false),
+            (Effect::AtMostOnce, true),
+            (Effect::IdempotencyKey(Group::Zone, 1000 * MS), false),
+            (Effect::IdempotencyKey(Group::All, 1000 * MS), false),
+            (Effect::Idempotent, false),
         ],
         buffered: vec![false, false, false, false, true],
         limits: vec![(0.0, 0.0, 0.0), (10.0, 20.0, 2.0)],
-        most_out: 1,
+        max_concurrent_attempts: 1,
         drain_grace: 250 * MS,
         fall: (2.0, 1000 * MS, 3.0),
-        key_rest: 100 * MS,
+        key_cooldown: 100 * MS,
         budget: Some((1.0, 0.5, 5000 * MS)),
         transit: 10 * MS,
     }
@@ -58,8 +58,8 @@
 
 fn up(node: u64, zone: u32, cold: bool) -> Record {
     let warm_after = if cold { 10_000 * MS } else { 0 };
-    let (incarnation, power, cold_from) = (1, 1.0, 0.1);
-    Record::NodeUp { at: 0, node, incarnation, shard: node as u32, zone, power, cold_from, warm_after }
+    let (incarnation, power, initial_capacity) = (1, 1.0, 0.1);
+    Record::NodeUp { at: 0, node, incarnation, shard: node as u32, zone, power, initial_capacity, warm_after }
 }
 
 fn arrived(at: u64, op: u64, class: u16, attempt: u32, node: u64) -> Record {
@@ -222,7 +222,7 @@
         }
         all.push(answered(151, 1, SERVED));
         all.sort_by_key(Record::at);
-        audit(&Book::new(all), &Terms { most_out: 2, budget: None, ..terms() })
+        audit(&Book::new(all), &Terms { max_concurrent_attempts: 2, budget: None, ..terms() })
     };
     assert!(audited(2).kept(), "{:?}", audited(2).breaches);
     let third = audited(3);
--- a/crates/flaxstand-bench-adapter/src/main.rs
+++ b/crates/flaxstand-bench-adapter/src/main.rs
@@ -5,7 +5,7 @@
 mod wire;
 
 use flaxstand::api::{Action, Event, NodeId, Settings};
-use flaxstand::brain::Brain;
+use flaxstand::scheduler::Scheduler;
 use flaxstand_platform::Params;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
@@ -14,7 +14,7 @@
 
 /// One simulated initiator: its brain and the names that only the wire knows.
 struct Instance {
-    brain: Brain,
+    scheduler: Scheduler,
     params: Params,
     settings: Settings,
     ids: BTreeMap<String, NodeId>,
@@ -38,9 +38,9 @@
 impl Host {
     fn start(&mut self, name: String, seed: u64, params: Params, now: f64) -> Result<(), String> {
         let settings = params.settings()?;
-        let brain = Brain::new(settings.clone(), seed, now);
+        let scheduler = Scheduler::new(settings.clone(), seed, now);
         let (ids, names, zones) = Default::default();
-        let instance = Instance { brain, params, settings, ids, names, zones, touched: true };
+        let instance = Instance { scheduler, params, settings, ids, names, zones, touched: true };
         self.instances.insert(name, instance);
         Ok(())
     }
@@ -79,7 +79,7 @@
             return Ok(());
         };
         let mut actions = Vec::new();
-        instance.brain.handle(event, now, &mut actions);
+        instance.scheduler.handle(event, now, &mut actions);
         write_actions(&name, instance, &actions, out)
     }
 
@@ -88,7 +88,7 @@
         for (name, instance) in &mut self.instances {
             if std::mem::take(&mut instance.touched) {
                 let mut actions = Vec::new();
-                instance.brain.handle(Event::Decide, now, &mut actions);
+                instance.scheduler.handle(Event::Evaluate, now, &mut actions);
                 write_actions(name, instance, &actions, out)?;
             }
         }
--- a/crates/flaxstand-bench-adapter/src/wire.rs
+++ b/crates/flaxstand-bench-adapter/src/wire.rs
@@ -1,8 +1,8 @@
 //! The wire's messages, and their translation to and from the module's interface.
 
 use flaxstand::api::{
-    Action, Arrival, AttemptNo, ClassId, Ended, Event, Key, ListScope, NodeEntry, NodeId, Outcome, PlanId,
-    Readiness, RequestId, Settings, ShardId, VolumeId, ZoneId,
+    Action, Arrival, AttemptEnd, AttemptNo, ClassId, Event, Key, ListScope, NodeEntry, NodeId, Outcome,
+    PlanId, Readiness, RequestId, Settings, ShardId, VolumeId, ZoneId,
 };
 use flaxstand_platform::Params;
 use serde::{Deserialize, Serialize};
@@ -91,7 +91,7 @@
     volume: Option<String>,
     price_units: Option<f64>,
     shard: Option<i64>,
-    writers: Option<u32>,
+    volume_initiators: Option<u32>,
 }
 
 #[derive(Deserialize)]
@@ -166,7 +166,7 @@
                 let scope = match list.scope {
                     Scope::D => ListScope::Changes,
                     Scope::F => ListScope::Full,
-                    Scope::C => ListScope::Saved,
+                    Scope::C => ListScope::Cached,
                     Scope::X => ListScope::Failed,
                 };
                 let entries = list.elements.unwrap_or_default().into_iter().map(|e| NodeEntry {
@@ -174,15 +174,15 @@
                     readiness: match e.readiness {
                         WireReadiness::Serving => Readiness::Serving,
                         WireReadiness::Draining => Readiness::Draining,
-                        WireReadiness::Deleted => Readiness::Gone,
+                        WireReadiness::Deleted => Readiness::Removed,
                     },
-                    booted_at: e.boot_time_ms.filter(|at| *at > 0.0),
+                    started_at: e.boot_time_ms.filter(|at| *at > 0.0),
                     size: e.size.unwrap_or(0.0),
-                    pace: None,
+                    service_time: None,
                     zone: ZoneId(zone(e.area.as_deref().unwrap_or(""))),
                     shard: ShardId(e.pod.unwrap_or(-1)),
                 });
-                Event::List(scope, entries.collect())
+                Event::EndpointList(scope, entries.collect())
             }
             Body::Knock(k) => {
                 let class = params.classes().position(|name| name == k.class);
@@ -192,28 +192,28 @@
                     None => Some(0),
                 };
                 let plan = plan.ok_or_else(|| format!("unknown plan {:?}", k.plan))?;
-                Event::Arrived(Arrival {
+                Event::RequestArrived(Arrival {
                     id: RequestId(k.op_id),
                     class: ClassId(class),
                     plan: PlanId(plan.min(settings.plans.len().saturating_sub(1))),
                     key: k.extent.as_deref().filter(|e| !e.is_empty()).map(hex).transpose()?.map(Key),
-                    valid_until: k.valid_until_ms,
+                    expires_at: k.valid_until_ms,
                     volume: VolumeId(k.volume.as_deref().filter(|v| !v.is_empty()).map_or(Ok(0), hex)?),
                     units: k.price_units.unwrap_or(1.0),
                     shard: k.shard.filter(|s| *s >= 0).map(ShardId),
-                    writers: k.writers.unwrap_or(1).max(1),
+                    volume_initiators: k.volume_initiators.unwrap_or(1).max(1),
                 })
             }
-            Body::Headers(h) => Event::AnswerStarted(RequestId(h.op_id)),
-            Body::Resolved(r) => Event::Ended(Ended {
+            Body::Headers(h) => Event::ResponseStarted(RequestId(h.op_id)),
+            Body::Resolved(r) => Event::AttemptEnded(AttemptEnd {
                 request: RequestId(r.op_id),
                 attempt: AttemptNo(r.go),
                 outcome: outcome(r.outcome)?,
-                lag: r.lag_ms,
-                complete: r.complete,
+                latency: r.lag_ms,
+                is_final: r.complete,
             }),
             Body::ClientLeft(c) => Event::ClientGone(RequestId(c.op_id)),
-            Body::ProbeDone(p) => Event::Probed(node(&p.target), outcome(p.outcome)?),
+            Body::ProbeDone(p) => Event::ProbeEnded(node(&p.target), outcome(p.outcome)?),
             Body::Idle => return Ok(None),
         }))
     }
@@ -227,12 +227,12 @@
     Ok(match code {
         1 => Outcome::Served,
         2 => Outcome::Error,
-        3 => Outcome::Full,
+        3 => Outcome::Rejected,
         4 => Outcome::TimedOut,
         5 => Outcome::ConnectFailed,
         6 => Outcome::Reset,
         7 => Outcome::Cancelled,
-        8 => Outcome::Moot,
+        8 => Outcome::NotSent,
         _ => return Err(format!("unknown outcome {code}")),
     })
 }
@@ -266,12 +266,12 @@
                 Outbound::DropAttempt { i, op_id: request.0, go: attempt.0 }
             }
             Action::Probe { node } => Outbound::Sample { i, target: name_of(node)? },
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 Outbound::Reject { i, op_id: request.0, backoff_ms: retry_after }
             }
             Action::Fail { request } => Outbound::DropRequest { i, op_id: request.0 },
-            Action::Wake { after } => Outbound::Timer { i, in_ms: after, token: 0 },
-            Action::Subscribe => Outbound::Observe { i, active: true },
+            Action::SetTimer { after } => Outbound::Timer { i, in_ms: after, token: 0 },
+            Action::PollList => Outbound::Observe { i, active: true },
         })
     }
 }
--- a/crates/flaxstand-cli/src/platform.rs
+++ b/crates/flaxstand-cli/src/platform.rs
@@ -52,14 +52,14 @@
 }
 
 fn config(c: &Configuration) -> Result<Config, Failure> {
-    let list_terms = Some(c.settings.list_terms());
-    let settings = Settings { list_terms, ..c.settings.settings().map_err(Failure::System)? };
+    let notification_terms = Some(c.settings.notification_terms());
+    let settings = Settings { notification_terms, ..c.settings.settings().map_err(Failure::System)? };
     let ms =
         |told: Option<f64>, factor: f64, default| told.map_or(default, |ms| Micros::from_ms(ms * factor));
     let d = Waits::default();
     let longest = settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
     let killed = longest.min(DEADLINE_MOST) + KILL_AFTER;
-    let watch = if settings.ask_within > 0.0 { settings.ask_within / 2.0 } else { WATCH_MOST };
+    let watch = if settings.poll_within > 0.0 { settings.poll_within / 2.0 } else { WATCH_MOST };
     let waits = Waits {
         dial: ms(c.settings.dial_timeout_ms(), 1.0, d.dial),
         // Well before the node closes it: what crosses that on its way is lost.
@@ -100,7 +100,7 @@
     let configuration = read(&path).map_err(Failure::System)?;
     let mut core =
         Core::new(config(&configuration)?, None, clock()).map_err(|e| Failure::System(e.to_string()))?;
-    core.take_platform_list(ListScope::Saved, &configuration.known, clock());
+    core.take_platform_list(ListScope::Cached, &configuration.known, clock());
     let options = Options { reload: Some(reload(path)), ..Options::default() };
     let mut driver = Driver::new(core, options).map_err(system("cannot start"))?;
     let listen = Address::Tcp(configuration.listen);
--- a/crates/flaxstand-cli/tests/program.rs
+++ b/crates/flaxstand-cli/tests/program.rs
@@ -143,14 +143,14 @@
         self.submit_as(id, time_left, b"x");
     }
     fn submit_as(&mut self, id: u64, time_left: u32, payload: &[u8]) {
-        let (class, plan, writers, try_no, units, volume) = (0, 0, 1, 0, 1, 5);
+        let (class, plan, volume_initiators, try_no, units, volume) = (0, 0, 1, 0, 1, 5);
         let (extent, shard, operation, write) = (Some(id), Some(0), id, true);
         let submit = Submit {
             id,
             operation,
             class,
             plan,
-            writers,
+            volume_initiators,
             try_no,
             write,
             volume,
@@ -351,7 +351,7 @@
 }
 
 /// A saved list of one node, with the pace that an earlier life learnt, microseconds a unit.
-fn saved_list(pace: Option<u32>) -> Vec<u8> {
+fn saved_list(service_time: Option<u32>) -> Vec<u8> {
     let entry = Entry {
         node: 1,
         incarnation: 1,
@@ -360,7 +360,7 @@
         shard: 0,
         zone: 0,
         size: 100,
-        pace,
+        service_time,
         address: "127.0.0.1:9",
     };
     let list = List { extent: Extent::Full, since: 3, revision: 3, entries: vec![entry] };
@@ -489,7 +489,7 @@
         operation,
         class: 0,
         plan: 0,
-        writers: 1,
+        volume_initiators: 1,
         write,
         volume: 5,
         extent: Some(operation),
--- a/crates/flaxstand-client/examples/checkout.rs
+++ b/crates/flaxstand-client/examples/checkout.rs
@@ -19,7 +19,7 @@
             operation: seed << 32 | seat,
             class: 0,
             plan: 0,
-            writers: 1,
+            volume_initiators: 1,
             write: true,
             volume: 5,
             extent: Some(seat),
--- a/crates/flaxstand-client/src/core.rs
+++ b/crates/flaxstand-client/src/core.rs
@@ -81,7 +81,7 @@
     /// Index of its volume's plan.
     pub plan: u16,
     /// Initiators that share the volume.
-    pub writers: u16,
+    pub volume_initiators: u16,
     /// It writes.
     pub write: bool,
     /// The volume.
@@ -439,7 +439,7 @@
             operation: c.operation,
             class: c.class,
             plan: c.plan,
-            writers: c.writers,
+            volume_initiators: c.volume_initiators,
             // Marked as what it is: the initiator treats a repeat as one.
             try_no: u8::try_from(held.tries).unwrap_or(u8::MAX),
             write: c.write,
--- a/crates/flaxstand-client/tests/client.rs
+++ b/crates/flaxstand-client/tests/client.rs
@@ -14,7 +14,7 @@
         operation,
         class: 0,
         plan: 0,
-        writers: 1,
+        volume_initiators: 1,
         write: true,
         volume: operation % 2,
         extent: Some(operation),
--- a/crates/flaxstand-gateway/src/core/agreement.rs
+++ b/crates/flaxstand-gateway/src/core/agreement.rs
@@ -231,7 +231,7 @@
             let settings = super::module_settings(&self.config);
             self.brain_classes = settings.classes.clone();
             let mut actions = Vec::new();
-            self.decider.handle(Event::Rules(Box::new(settings)), now, &mut actions);
+            self.decider.handle(Event::SettingsChanged(Box::new(settings)), now, &mut actions);
             self.undecided = true;
         }
         for (to, word) in words {
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -94,22 +94,22 @@
     ) -> Result<(), Fault> {
         let fault = |text: String| Err((Parting::Protocol, text));
         let site = &self.config.site;
-        let unit_most = site.settings.unit_most;
+        let max_units = site.settings.max_units;
         if usize::from(s.class) >= site.classes.len() {
             return fault(format!("class {} of {}", s.class, site.classes.len()));
         }
         if usize::from(s.plan) >= site.plans.len() {
             return fault(format!("plan {} of {}", s.plan, site.plans.len()));
         }
-        if s.units == 0 || f64::from(s.units) > unit_most {
-            return fault(format!("{} units, 1 to {unit_most} are taken", s.units));
+        if s.units == 0 || f64::from(s.units) > max_units {
+            return fault(format!("{} units, 1 to {max_units} are taken", s.units));
         }
         Self::range_fault(s)?;
-        let Some((id, valid_until)) = self.admit(conn, s.id, Some(VolumeId(s.volume)), s.time_left, now)?
+        let Some((id, expires_at)) = self.admit(conn, s.id, Some(VolumeId(s.volume)), s.time_left, now)?
         else {
             return Ok(());
         };
-        let mut held = Held::new((conn, s.id), s, valid_until);
+        let mut held = Held::new((conn, s.id), s, expires_at);
         if let Some(origin) = origin {
             self.open_ids.insert(origin.id.clone());
             held.origin = Some(Box::new(origin));
@@ -161,20 +161,20 @@
             client.owed.insert(client_id, id);
         }
         let time_left = Micros(time_left.into()).since(self.config.site.waits.answer);
-        let valid_until = now.after(time_left);
-        Ok(Some((id, self.answer_by.map_or(valid_until, |by| valid_until.min(by)))))
+        let expires_at = now.after(time_left);
+        Ok(Some((id, self.answer_by.map_or(expires_at, |by| expires_at.min(by)))))
     }
 
     fn take_request(&mut self, id: RequestId, held: Held, s: &Submit<'_>, now: Micros) {
-        let valid_until = held.valid_until;
+        let expires_at = held.expires_at;
         debug!(request = id.0, owner = ?held.owner, class = s.class, shard = s.shard, "taken");
         self.requests.insert(id, held);
-        self.plumbing.at(valid_until, Timer::Deadline(id));
+        self.plumbing.at(expires_at, Timer::Deadline(id));
         let Some(class) = self.gate(id, now) else { return };
         if !self.offer(id, s, now)
             && let Some(held) = self.requests.get(&id)
         {
-            self.events.push_back(Event::Arrived(held.arrival(id, class)));
+            self.events.push_back(Event::RequestArrived(held.arrival(id, class)));
         }
     }
 
--- a/crates/flaxstand-gateway/src/core/decider.rs
+++ b/crates/flaxstand-gateway/src/core/decider.rs
@@ -4,11 +4,11 @@
 use super::{Config, Policy, storms, writeback};
 use crate::machine::Micros;
 use flaxstand::api::{Action, Event, Settings};
-use flaxstand::brain::Brain;
+use flaxstand::scheduler::Scheduler;
 
 /// The decision module or a baseline.
 pub(super) enum Decider {
-    Module(Box<Brain>),
+    Module(Box<Scheduler>),
     Pipe(Pipe),
 }
 
@@ -19,7 +19,7 @@
         match config.policy {
             Policy::Module => {
                 let seed = config.seed ^ config.epoch.rotate_left(32);
-                Decider::Module(Box::new(Brain::new(settings, seed, now.ms())))
+                Decider::Module(Box::new(Scheduler::new(settings, seed, now.ms())))
             }
             Policy::Pipe => pipe(Placement::RoundRobin),
             Policy::LeastOut => pipe(Placement::LeastOut),
@@ -30,15 +30,15 @@
     /// Takes one event; what is to be done is added to `actions`.
     pub(super) fn handle(&mut self, event: Event, now: Micros, actions: &mut Vec<Action>) {
         match self {
-            Decider::Module(brain) => brain.handle(event, now.ms(), actions),
+            Decider::Module(scheduler) => scheduler.handle(event, now.ms(), actions),
             Decider::Pipe(pipe) => pipe.handle(event, actions),
         }
     }
 
     /// Until when requests may be sent on the list held, ms. Baselines know of no age of lists.
-    pub(super) fn list_trusted_until(&self) -> f64 {
+    pub(super) fn endpoints_trusted_until(&self) -> f64 {
         match self {
-            Decider::Module(brain) => brain.list_trusted_until(),
+            Decider::Module(scheduler) => scheduler.endpoints_trusted_until(),
             Decider::Pipe(_) => f64::INFINITY,
         }
     }
--- a/crates/flaxstand-gateway/src/core/first_byte.rs
+++ b/crates/flaxstand-gateway/src/core/first_byte.rs
@@ -25,7 +25,7 @@
     pub(super) fn may_begin(&self, id: RequestId, attempt: AttemptNo, now: Micros) -> bool {
         let Some(held) = self.requests.get(&id) else { return false };
         let Some(flight) = self.flight(id, attempt) else { return false };
-        let in_time = now < flight.until && now < held.valid_until;
+        let in_time = now < flight.until && now < held.expires_at;
         held.owner.is_some() && in_time && self.node_takes_work(flight.node, now)
     }
 
@@ -35,12 +35,12 @@
     }
 
     fn list_is_trusted(&self, now: Micros) -> bool {
-        now.ms() < self.decider.list_trusted_until()
+        now.ms() < self.decider.endpoints_trusted_until()
     }
 
     /// Looks at the age of the list once the module has heard all that happened, and again when it becomes too old.
     pub(super) fn watch_list_trust(&mut self, now: Micros) {
-        let until = self.decider.list_trusted_until();
+        let until = self.decider.endpoints_trusted_until();
         if until.is_infinite() {
             return;
         }
@@ -101,7 +101,7 @@
         let mut waiting: Vec<(ConnId, Carried)> = nodes.iter().flat_map(|at| self.not_begun(*at)).collect();
         waiting.sort_by_key(|(conn, _)| *conn);
         for (conn, carried) in waiting {
-            self.close_under(conn, carried, why, Outcome::Moot, now);
+            self.close_under(conn, carried, why, Outcome::NotSent, now);
         }
     }
 
@@ -130,7 +130,7 @@
             && !self.may_begin(id, attempt, now)
         {
             let carried = Carried::Attempt(id, attempt);
-            self.close_under(conn, carried, "its window is over", Outcome::Moot, now);
+            self.close_under(conn, carried, "its window is over", Outcome::NotSent, now);
         }
     }
 }
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -172,7 +172,7 @@
         let terms = Terms {
             classes: &self.class_names,
             plans: &self.config.site.plans,
-            units: settings.unit_most,
+            units: settings.max_units,
             hosts: settings.initiators,
         };
         let r = match ClientRequest::read(&request, &terms) {
@@ -194,7 +194,7 @@
             operation: 0,
             class: r.class,
             plan: r.plan,
-            writers: r.hosts,
+            volume_initiators: r.hosts,
             try_no: r.retried.into(),
             write: r.write,
             volume: r.volume,
--- a/crates/flaxstand-gateway/src/core/list.rs
+++ b/crates/flaxstand-gateway/src/core/list.rs
@@ -77,13 +77,13 @@
     pub(super) incarnation: u64,
     pub(super) readiness: Readiness,
     /// Milliseconds on our clock; none: long ago.
-    pub(super) booted_at: Option<f64>,
+    pub(super) started_at: Option<f64>,
     pub(super) shard: u32,
     pub(super) zone: u32,
     /// Hundredths; 0: not told.
     pub(super) size: u32,
     /// Unloaded time of a unit, ms.
-    pub(super) pace: Option<f64>,
+    pub(super) service_time: Option<f64>,
     pub(super) address: String,
 }
 
@@ -95,13 +95,13 @@
             readiness: match e.state {
                 State::Serving => Readiness::Serving,
                 State::Draining => Readiness::Draining,
-                State::Gone => Readiness::Gone,
+                State::Gone => Readiness::Removed,
             },
-            booted_at: e.age.map(|age| now.ms() - Micros(age).ms()),
+            started_at: e.age.map(|age| now.ms() - Micros(age).ms()),
             shard: e.shard,
             zone: e.zone,
             size: e.size,
-            pace: e.pace.map(|pace| Micros(pace.into()).ms()),
+            service_time: e.service_time.map(|service_time| Micros(service_time.into()).ms()),
             address: e.address.to_owned(),
         }
     }
@@ -154,12 +154,12 @@
 
     /// A call failed: the next one is the module's to ask for, or follows after a wait.
     pub(super) fn list_call_again_later(&mut self, now: Micros) {
-        if self.config.site.settings.list_on_request {
+        if self.config.site.settings.polls_list {
             // The module asked for it, and asks again when it sees fit.
-            self.events.push_back(Event::List(ListScope::Failed, Vec::new()));
+            self.events.push_back(Event::EndpointList(ListScope::Failed, Vec::new()));
         } else {
             let wait = self.list.backoff.failed(&mut self.rng);
-            self.plumbing.at(now.after(wait), Timer::ListCall);
+            self.plumbing.at(now.after(wait), Timer::DiscoveryCall);
         }
     }
 
@@ -253,13 +253,13 @@
             warn!(bytes = saved.torn, "the end of the saved list is torn: the changes in it are left out");
         }
         let told = saved.entries.iter().map(|entry| Told::of(entry, now)).collect();
-        self.take_told(ListScope::Saved, saved.revision, told, now);
+        self.take_told(ListScope::Cached, saved.revision, told, now);
         Ok(())
     }
 
     /// The service answered, and nothing has changed. The module hears of it: its count of failed calls ends there.
     pub(super) fn list_unchanged(&mut self) {
-        self.events.push_back(Event::List(ListScope::Changes, Vec::new()));
+        self.events.push_back(Event::EndpointList(ListScope::Changes, Vec::new()));
     }
 
     pub(super) fn take_told(&mut self, scope: ListScope, revision: u64, told: Vec<Told>, now: Micros) {
@@ -269,7 +269,7 @@
         if scope != ListScope::Changes {
             touched.append(&mut self.take_out_all_but(&touched, now));
         }
-        self.events.push_back(Event::List(scope, told));
+        self.events.push_back(Event::EndpointList(scope, told));
         self.call_back_from_drained(&touched, now);
         for id in &touched {
             self.close_if_gone(*id, now);
@@ -279,16 +279,16 @@
             _ if self.on_platform() => {}
             ListScope::Full => self.list.save.all_changed(),
             ListScope::Changes => self.list.save.changed(touched),
-            ListScope::Saved | ListScope::Failed => {}
+            ListScope::Cached | ListScope::Failed => {}
         }
     }
 
     /// What a whole list does not tell is gone. Returns those that were listed until now.
     fn take_out_all_but(&mut self, told: &BTreeSet<NodeId>, now: Micros) -> BTreeSet<NodeId> {
-        let listed = self.nodes.iter().filter(|(_, node)| node.readiness() != Readiness::Gone);
+        let listed = self.nodes.iter().filter(|(_, node)| node.readiness() != Readiness::Removed);
         let absent: BTreeSet<NodeId> = listed.map(|(id, _)| id).filter(|id| !told.contains(id)).collect();
         for id in &absent {
-            self.nodes.set_readiness(*id, Readiness::Gone, now);
+            self.nodes.set_readiness(*id, Readiness::Removed, now);
         }
         absent
     }
@@ -306,7 +306,7 @@
             // Fixed at first word of this start, by the list or by the node: a staler age that comes later
             // must not make it look like another.
             node.incarnation = e.incarnation;
-            node.booted_at = e.booted_at;
+            node.started_at = e.started_at;
         }
         let moved = node.address != address;
         // A whole list tells mostly what is known.
@@ -321,7 +321,7 @@
         }
         // Told with the entry that tells it and not kept: it holds for that start of the node alone.
         let entry = self.nodes.get(id)?.entry(id);
-        Some(NodeEntry { pace: e.pace, ..entry })
+        Some(NodeEntry { service_time: e.service_time, ..entry })
     }
 
     /// Where an entry says that its node listens. A known node whose address can't be read keeps the one it had, and
--- a/crates/flaxstand-gateway/src/core/list_calls.rs
+++ b/crates/flaxstand-gateway/src/core/list_calls.rs
@@ -10,7 +10,7 @@
 use super::Core;
 use super::plumbing::{Conn, Protocol, Timer};
 use crate::machine::{ConnId, Micros};
-use flaxstand::api::{Event, ListCall, ListTerms};
+use flaxstand::api::{DiscoveryCall, Event, NotificationTerms};
 use flaxstand_http::{Answer, Answers, write_request};
 use flaxstand_platform::{list_call, read_listing};
 use rand_core::RngCore as _;
@@ -36,7 +36,7 @@
 const ANSWER_MOST: usize = 16 << 20;
 
 /// An answer that can't be read comes from a service that works.
-const UNREADABLE: ListCall = ListCall::TurnedAway { after: 0.0 };
+const UNREADABLE: DiscoveryCall = DiscoveryCall::Rejected { elapsed: 0.0 };
 
 /// A connection to the list service. A call is out on it from when it stands.
 #[derive(Debug)]
@@ -90,13 +90,13 @@
     }
 
     /// The service is at another address: what was learnt of its calls holds no longer.
-    fn moved(&mut self, terms: Option<ListTerms>, now: Micros) {
+    fn moved(&mut self, terms: Option<NotificationTerms>, now: Micros) {
         let mut binds_at = std::mem::take(&mut self.binds_at);
         if let Some(terms) = terms {
             if binds_at.len() >= MOVES_MOST {
                 binds_at.pop_back();
             }
-            binds_at.push_back(now.after(Micros::from_ms(terms.told_after_move)));
+            binds_at.push_back(now.after(Micros::from_ms(terms.notified_after_move)));
         }
         *self = ListCalls { binds_at, ..ListCalls::default() };
     }
@@ -106,9 +106,9 @@
         self.unanswered = 0;
     }
 
-    fn failed(&mut self, how: ListCall) {
+    fn failed(&mut self, how: DiscoveryCall) {
         self.answered = false;
-        if matches!(how, ListCall::TurnedAway { .. } | ListCall::Abandoned) {
+        if matches!(how, DiscoveryCall::Rejected { .. } | DiscoveryCall::Abandoned) {
             self.unanswered = 0;
         } else {
             self.unanswered += 1;
@@ -134,7 +134,7 @@
 
     fn list_call_made(&mut self, wait: Micros, now: Micros) {
         self.list.calls.made_at = now;
-        self.events.push_back(Event::ListCall(ListCall::Made { waits: wait.ms() }));
+        self.events.push_back(Event::DiscoveryCall(DiscoveryCall::Started { long_poll: wait.ms() }));
     }
 
     /// Makes the next call on a connection that stands. From now on its answer is waited for.
@@ -198,7 +198,7 @@
             None => {
                 let progress = Progress { began: now, last: now, bytes };
                 calls.progress = Some(progress);
-                self.events.push_back(Event::ListCall(ListCall::AnswerBegan));
+                self.events.push_back(Event::DiscoveryCall(DiscoveryCall::ResponseBegan));
                 self.look_for_silence(progress.due());
             }
         }
@@ -242,24 +242,24 @@
     /// The connection broke, from the other end or for what came on it.
     pub(super) fn list_connection_lost(&mut self, cause: &str, now: Micros) {
         self.list.conn = None;
-        self.list_call_ended(ListCall::Unanswered, cause, now);
+        self.list_call_ended(DiscoveryCall::Unanswered, cause, now);
     }
 
     /// Closes a connection under its call, which ends so.
-    fn fail_list_call(&mut self, conn: ConnId, how: ListCall, cause: &str, now: Micros) {
+    fn fail_list_call(&mut self, conn: ConnId, how: DiscoveryCall, cause: &str, now: Micros) {
         self.plumbing.drop_quietly(conn);
         self.list.conn = None;
         self.list_call_ended(how, cause, now);
     }
 
     /// A call ended without a list. The list held stays in use for as long as the module trusts it.
-    fn list_call_ended(&mut self, how: ListCall, cause: &str, now: Micros) {
+    fn list_call_ended(&mut self, how: DiscoveryCall, cause: &str, now: Micros) {
         let lasted = now.since(self.list.calls.made_at).ms();
         warn!(cause, ?how, lasted_ms = lasted, "a call of the list service failed");
         self.list.calls.failed(how);
         self.list.calls.progress = None;
         self.stop_looking_for_silence();
-        self.events.push_back(Event::ListCall(how));
+        self.events.push_back(Event::DiscoveryCall(how));
         self.list_call_again_later(now);
     }
 
@@ -268,10 +268,12 @@
         match self.list.calls.progress {
             Some(progress) if now < progress.due() => self.look_for_silence(progress.due()),
             Some(progress) if now < progress.last.after(STALLED) => {
-                self.fail_list_call(conn, ListCall::Abandoned, "the list comes too slowly", now);
+                self.fail_list_call(conn, DiscoveryCall::Abandoned, "the list comes too slowly", now);
             }
-            Some(_) => self.fail_list_call(conn, ListCall::Unanswered, "the list does not come whole", now),
-            None => self.fail_list_call(conn, ListCall::Unanswered, "the list service is silent", now),
+            Some(_) => {
+                self.fail_list_call(conn, DiscoveryCall::Unanswered, "the list does not come whole", now)
+            }
+            None => self.fail_list_call(conn, DiscoveryCall::Unanswered, "the list service is silent", now),
         }
     }
 
@@ -282,16 +284,16 @@
             self.plumbing.drop_quietly(conn);
         }
         self.stop_looking_for_silence();
-        self.list.calls.moved(self.config.site.settings.list_terms, now);
-        self.events.push_back(Event::ListCall(ListCall::Moved));
+        self.list.calls.moved(self.config.site.settings.notification_terms, now);
+        self.events.push_back(Event::DiscoveryCall(DiscoveryCall::ServiceMoved));
         self.call_list(now);
     }
 }
 
 /// What a status other than 200 says of the service: it works and is busy, or something before it found none.
-fn call_end(status: u16, after: Micros) -> ListCall {
+fn call_end(status: u16, after: Micros) -> DiscoveryCall {
     match status {
-        500 | 502 | 504 => ListCall::Unanswered,
-        _ => ListCall::TurnedAway { after: after.ms() },
+        500 | 502 | 504 => DiscoveryCall::Unanswered,
+        _ => DiscoveryCall::Rejected { elapsed: after.ms() },
     }
 }
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -183,8 +183,8 @@
         if core.on_platform() {
             core.plumbing.at(now, Timer::Sweep);
         }
-        if !core.config.site.settings.list_on_request {
-            core.plumbing.at(now, Timer::ListCall);
+        if !core.config.site.settings.polls_list {
+            core.plumbing.at(now, Timer::DiscoveryCall);
         }
         Ok(core)
     }
@@ -245,7 +245,7 @@
         self.undecided = false;
         self.decided_at = Some(now);
         let mut actions = Vec::new();
-        self.decider.handle(Event::Decide, now, &mut actions);
+        self.decider.handle(Event::Evaluate, now, &mut actions);
         self.perform(&mut actions, now);
     }
 
@@ -263,7 +263,7 @@
             Timer::GraceEnds => self.stop_accepting(now),
             Timer::Idle(conn) => self.idle(conn, now),
             Timer::Probe(node, token) => self.probe_times_out(node, token, now),
-            Timer::ListCall => self.call_list(now),
+            Timer::DiscoveryCall => self.call_list(now),
             Timer::ListSilence => self.list_silent(now),
             Timer::ListTrust => self.list_trust_due(),
             // Looked at in every turn.
--- a/crates/flaxstand-gateway/src/core/node_table.rs
+++ b/crates/flaxstand-gateway/src/core/node_table.rs
@@ -31,7 +31,7 @@
     pub(super) name: NodeName,
     pub(super) incarnation: u64,
     /// Milliseconds on our clock; fixed for an incarnation from when it was first heard of.
-    pub(super) booted_at: Option<f64>,
+    pub(super) started_at: Option<f64>,
     readiness: Readiness,
     pub(super) shard: u32,
     pub(super) zone: u32,
@@ -59,8 +59,8 @@
         NodePeer {
             name,
             incarnation: 0,
-            booted_at: None,
-            readiness: Readiness::Gone,
+            started_at: None,
+            readiness: Readiness::Removed,
             shard: 0,
             zone: 0,
             size: 0,
@@ -86,9 +86,9 @@
         NodeEntry {
             node,
             readiness: self.readiness,
-            booted_at: self.booted_at,
+            started_at: self.started_at,
             size: f64::from(self.size) / 100.0,
-            pace: None,
+            service_time: None,
             zone: ZoneId(self.zone),
             shard: ShardId(self.shard.into()),
         }
@@ -138,7 +138,7 @@
 
     /// Forgets a node.
     pub(super) fn remove(&mut self, id: NodeId) -> Option<NodePeer> {
-        self.set_readiness(id, Readiness::Gone, Micros(0));
+        self.set_readiness(id, Readiness::Removed, Micros(0));
         let node = self.nodes.remove(&id)?;
         self.gone.remove(&(node.gone_at, id));
         self.ids.remove(&node.name);
@@ -149,7 +149,7 @@
     pub(super) fn set_readiness(&mut self, id: NodeId, readiness: Readiness, now: Micros) {
         self.visit();
         let Some(node) = self.nodes.get_mut(&id) else { return };
-        match (node.readiness == Readiness::Gone, readiness == Readiness::Gone) {
+        match (node.readiness == Readiness::Removed, readiness == Readiness::Removed) {
             (false, true) => {
                 node.gone_at = now;
                 self.gone.insert((now, id));
--- a/crates/flaxstand-gateway/src/core/nodes.rs
+++ b/crates/flaxstand-gateway/src/core/nodes.rs
@@ -51,7 +51,7 @@
         node.probe = Some((token, ends));
         let conn = node.conn;
         if !self.node_takes_work(at, now) {
-            return self.probed(at, token, Outcome::Moot);
+            return self.probed(at, token, Outcome::NotSent);
         }
         if self.on_platform() {
             return self.carry(at, Carried::Probe(at, token), now);
@@ -76,7 +76,7 @@
         node.probe_links.remove(&token);
         if let Some((_, ends)) = node.probe.take_if(|(out, _)| *out == token) {
             self.plumbing.cancel(ends, Timer::Probe(at, token));
-            self.events.push_back(Event::Probed(at, outcome));
+            self.events.push_back(Event::ProbeEnded(at, outcome));
         }
     }
 
@@ -94,7 +94,7 @@
         let full = self.plumbing.get(conn).is_some_and(|c| c.outbox.len() > self.config.bounds.node_bytes);
         if full {
             // What waits for this node is at its bound; it never left, so it has not run.
-            self.end_attempt(id, attempt, Outcome::Full, now);
+            self.end_attempt(id, attempt, Outcome::Rejected, now);
             return;
         }
         let Some(held) = self.requests.get_mut(&id) else { return };
@@ -112,7 +112,7 @@
             extent: held.extent,
             units: held.units,
             at: held.at,
-            time_left: u32::try_from(held.valid_until.since(now).0).unwrap_or(u32::MAX),
+            time_left: u32::try_from(held.expires_at.since(now).0).unwrap_or(u32::MAX),
             payload: &payload,
         });
         let ends = self.plumbing.push(conn, &frame);
@@ -150,17 +150,17 @@
         let restarted = w.epoch > node.incarnation;
         if restarted {
             info!(node = %node.name, incarnation = w.epoch, "met a start that the list has not told yet");
-            (node.incarnation, node.booted_at) = (w.epoch, Some(now.ms()));
+            (node.incarnation, node.started_at) = (w.epoch, Some(now.ms()));
             let entry = node.entry(at);
             self.list.save.learnt(at);
-            self.events.push_back(Event::List(ListScope::Changes, vec![entry]));
+            self.events.push_back(Event::EndpointList(ListScope::Changes, vec![entry]));
         }
         self.plumbing.is_at(conn, Stage::Open);
         self.plumbing.at(now.after(idle), Timer::Idle(conn));
         for (id, attempt) in waiting {
             if restarted || !self.may_begin(id, attempt, now) {
                 // Not sent: the module sends it when the node bears it, if at all.
-                self.end_attempt(id, attempt, Outcome::Moot, now);
+                self.end_attempt(id, attempt, Outcome::NotSent, now);
             } else {
                 self.hand_over(id, attempt, conn, now);
             }
@@ -213,7 +213,7 @@
                 self.served(id, attempt, shard, d.payload, now);
             }
             Code::Error => self.end_attempt(id, attempt, Outcome::Error, now),
-            Code::Full => self.end_attempt(id, attempt, Outcome::Full, now),
+            Code::Full => self.end_attempt(id, attempt, Outcome::Rejected, now),
         }
     }
 
@@ -229,7 +229,7 @@
             return;
         }
         if !std::mem::replace(&mut held.streaming, true) {
-            self.events.push_back(Event::AnswerStarted(id));
+            self.events.push_back(Event::ResponseStarted(id));
         }
         if let Some(Owner::Client(client, client_id)) = held.owner {
             self.plumbing.push(client, &Frame::Part { id: client_id, payload });
@@ -250,7 +250,7 @@
     /// A node that is gone from the list and has nothing of ours out needs no connection.
     pub(super) fn close_if_gone(&mut self, at: NodeId, now: Micros) {
         let Some(node) = self.node(at) else { return };
-        if let (Some(conn), Readiness::Gone, true) = (node.conn, node.readiness(), node.out.is_empty()) {
+        if let (Some(conn), Readiness::Removed, true) = (node.conn, node.readiness(), node.out.is_empty()) {
             node.conn = None;
             self.lost(conn, "node is gone", true, now);
         }
--- a/crates/flaxstand-gateway/src/core/pipe.rs
+++ b/crates/flaxstand-gateway/src/core/pipe.rs
@@ -42,9 +42,9 @@
     /// Takes one event; what is to be done is added to `actions`.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::List(ListScope::Failed, _) => actions.push(Action::Subscribe),
-            Event::List(scope, entries) => self.listed(scope, entries),
-            Event::Arrived(a) => {
+            Event::EndpointList(ListScope::Failed, _) => actions.push(Action::PollList),
+            Event::EndpointList(scope, entries) => self.listed(scope, entries),
+            Event::RequestArrived(a) => {
                 let node = match a.shard {
                     Some(shard) => self.node_of(shard),
                     None => self.next(),
@@ -54,15 +54,15 @@
                     self.at.insert(a.id, node);
                 }
                 actions.push(match node {
-                    Some(node) => Action::Send { request: a.id, node, until: a.valid_until },
-                    None => Action::Refuse { request: a.id, retry_after: 0.0 },
+                    Some(node) => Action::Send { request: a.id, node, until: a.expires_at },
+                    None => Action::Reject { request: a.id, retry_after: 0.0 },
                 });
             }
-            Event::Ended(e) => {
+            Event::AttemptEnded(e) => {
                 if let Some(node) = self.at.remove(&e.request) {
                     self.out.entry(node).and_modify(|out| *out = out.saturating_sub(1));
                 }
-                if !e.complete {
+                if !e.is_final {
                     actions.push(Self::answer(e.request, e.outcome));
                 }
             }
@@ -72,8 +72,8 @@
 
     fn answer(request: RequestId, outcome: Outcome) -> Action {
         match outcome {
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot => {
-                Action::Refuse { request, retry_after: 0.0 }
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => {
+                Action::Reject { request, retry_after: 0.0 }
             }
             _ => Action::Fail { request },
         }
@@ -132,7 +132,7 @@
 
     /// The node of a shard that serves; where there are several, the one that started last.
     fn node_of(&self, shard: ShardId) -> Option<NodeId> {
-        let started = |node: &NodeId| self.nodes.get(node).and_then(|entry| entry.booted_at).unwrap_or(0.0);
+        let started = |node: &NodeId| self.nodes.get(node).and_then(|entry| entry.started_at).unwrap_or(0.0);
         let nodes = self.by_shard.get(&shard)?.iter().copied();
         nodes.max_by(|x, y| started(x).total_cmp(&started(y)))
     }
--- a/crates/flaxstand-gateway/src/core/platform_list.rs
+++ b/crates/flaxstand-gateway/src/core/platform_list.rs
@@ -42,7 +42,7 @@
         }
         serving.iter().for_each(|id| self.nodes.set_readiness(*id, Readiness::Draining, now));
         let entries = serving.iter().filter_map(|id| Some(self.nodes.get(*id)?.entry(*id))).collect();
-        self.events.push_back(Event::List(ListScope::Changes, entries));
+        self.events.push_back(Event::EndpointList(ListScope::Changes, entries));
         self.call_back_from_drained(&serving, now);
     }
 
@@ -68,7 +68,7 @@
     /// revision from now on: the service tells what has changed since, which costs it less than the whole.
     pub fn take_platform_list(&mut self, scope: ListScope, listing: &Listing, now: Micros) {
         let told: Vec<Told> = listing.targets.iter().map(|t| self.told(t)).collect();
-        if scope == ListScope::Saved && !told.is_empty() {
+        if scope == ListScope::Cached && !told.is_empty() {
             self.list.revision = Some(listing.rev);
         }
         self.take_told(scope, listing.rev, told, now);
@@ -87,14 +87,14 @@
             readiness: match t.state {
                 TargetState::Up => Readiness::Serving,
                 TargetState::Draining => Readiness::Draining,
-                TargetState::Removed => Readiness::Gone,
+                TargetState::Removed => Readiness::Removed,
             },
             // One clock is read by all machines: its start on ours, which may be before ours began.
-            booted_at: (t.boot_ms > 0).then(|| t.boot_ms as f64 - Micros(self.config.calendar).ms()),
+            started_at: (t.boot_ms > 0).then(|| t.boot_ms as f64 - Micros(self.config.calendar).ms()),
             shard: t.pod_group,
             zone: zone as u32,
             size: (t.capacity_hint * 100.0) as u32,
-            pace: None,
+            service_time: None,
             address: t.endpoint.clone(),
         }
     }
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/plumbing.rs
@@ -84,7 +84,7 @@
     /// The time is over in which a stop changes nothing yet.
     GraceEnds,
     /// Call the list service.
-    ListCall,
+    DiscoveryCall,
     /// Has the list service been silent for too long?
     ListSilence,
     /// The list held may have grown too old to act on.
--- a/crates/flaxstand-gateway/src/core/pool.rs
+++ b/crates/flaxstand-gateway/src/core/pool.rs
@@ -108,7 +108,7 @@
         }
         if self.links >= self.config.bounds.links && !self.close_longest_idle(now) {
             debug!(links = self.links, "no connection to be had");
-            return self.end_carried(what, Outcome::Moot, now);
+            return self.end_carried(what, Outcome::NotSent, now);
         }
         self.links += 1;
         let (protocol, by) =
@@ -162,7 +162,7 @@
             return self.write_carried(conn, now);
         }
         self.free(conn, now);
-        self.end_carried(carried, Outcome::Moot, now);
+        self.end_carried(carried, Outcome::NotSent, now);
     }
 
     fn write_carried(&mut self, conn: ConnId, now: Micros) {
@@ -180,7 +180,7 @@
                 let Some(held) = self.requests.get_mut(&id) else { return };
                 let Some(origin) = held.origin.take() else { return };
                 let payload = std::mem::take(&mut held.payload);
-                let left = held.valid_until.since(now).ms().max(1.0) / 1000.0;
+                let left = held.expires_at.since(now).ms().max(1.0) / 1000.0;
                 let left = format_args!("{left:.3}");
                 let mut fields = vec![host, (field::ID, &origin.id), (field::TIMEOUT, &left)];
                 if let Some(key) = &origin.key {
@@ -196,8 +196,8 @@
                 }
                 self.note_handed(id, attempt, conn, ends);
                 let until = self.flight(id, attempt).map(|f| f.until);
-                let valid_until = self.requests.get(&id).map(|r| r.valid_until);
-                if let Some(until) = until.filter(|until| Some(*until) < valid_until) {
+                let expires_at = self.requests.get(&id).map(|r| r.expires_at);
+                if let Some(until) = until.filter(|until| Some(*until) < expires_at) {
                     self.plumbing.at(until, Timer::Begin(conn));
                 }
             }
@@ -260,12 +260,12 @@
         let Some(link) = self.link(conn) else { return };
         let Some(carried) = link.carries else { return };
         let print = fingerprint(answer);
-        let lag = now.since(link.asked);
-        let soon = lag.0 < link.shortest.0 / 2;
+        let latency = now.since(link.asked);
+        let soon = latency.0 < link.shortest.0 / 2;
         if soon && link.last.is_some_and(|(at, last)| now.since(at) < REST && last == print) {
             return self.spoilt(conn, &"the last answer once more", now);
         }
-        (link.last, link.shortest) = (Some((now, print)), link.shortest.min(lag));
+        (link.last, link.shortest) = (Some((now, print)), link.shortest.min(latency));
         link.carries = None;
         // Freed first: what the answer leads to may use it again.
         if answer.keeps {
@@ -291,7 +291,7 @@
         };
         (link.carries, link.since) = (None, now);
         let at = *at;
-        match self.node(at).filter(|n| n.readiness() != Readiness::Gone) {
+        match self.node(at).filter(|n| n.readiness() != Readiness::Removed) {
             Some(node) => {
                 node.idle.push(conn);
                 self.idle_links.insert((now, conn));
@@ -350,7 +350,7 @@
             held.flights.iter().filter_map(|f| Some((f.attempt, f.handed.filter(|h| leaving(*h))?.0)));
         for (attempt, conn) in handed.collect::<Vec<_>>() {
             let carried = Carried::Attempt(id, attempt);
-            self.close_under(conn, carried, "its client has gone", Outcome::Moot, now);
+            self.close_under(conn, carried, "its client has gone", Outcome::NotSent, now);
         }
     }
 
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -5,7 +5,7 @@
 use super::http_server::Origin;
 use super::plumbing::{Peer, Timer};
 use crate::machine::{ConnId, Micros};
-use flaxstand::api::{Action, AttemptNo, Ended, Event, NodeId, Outcome, RequestId};
+use flaxstand::api::{Action, AttemptEnd, AttemptNo, Event, NodeId, Outcome, RequestId};
 use flaxstand_proto::{Frame, Refusal, Scope, Submit};
 use flaxstand_write_back::{Place, TryId, Write};
 use tracing::{debug, error};
@@ -82,9 +82,9 @@
     pub(super) extent: Option<u64>,
     pub(super) shard: Option<u32>,
     pub(super) units: u32,
-    pub(super) writers: u16,
+    pub(super) volume_initiators: u16,
     pub(super) at: Option<u32>,
-    pub(super) valid_until: Micros,
+    pub(super) expires_at: Micros,
     pub(super) payload: Vec<u8>,
     /// How a client of the platform asked for it.
     pub(super) origin: Option<Box<Origin>>,
@@ -95,7 +95,7 @@
 }
 
 impl Held {
-    fn empty(owner: Owner, with: With, valid_until: Micros) -> Self {
+    fn empty(owner: Owner, with: With, expires_at: Micros) -> Self {
         Held {
             owner: Some(owner),
             owner_was: owner,
@@ -116,9 +116,9 @@
             extent: None,
             shard: None,
             units: 1,
-            writers: 1,
+            volume_initiators: 1,
             at: None,
-            valid_until,
+            expires_at,
             payload: Vec::new(),
             origin: None,
             attempts: 0,
@@ -128,7 +128,7 @@
     }
 
     /// A client's request.
-    pub(super) fn new((conn, id): (ConnId, u64), s: &Submit<'_>, valid_until: Micros) -> Self {
+    pub(super) fn new((conn, id): (ConnId, u64), s: &Submit<'_>, expires_at: Micros) -> Self {
         Held {
             operation: s.operation,
             class: s.class,
@@ -139,20 +139,20 @@
             extent: s.extent,
             shard: s.shard,
             units: s.units,
-            writers: s.writers,
+            volume_initiators: s.volume_initiators,
             at: s.at,
             payload: s.payload.to_vec(),
-            ..Self::empty(Owner::Client(conn, id), With::Module { through: false }, valid_until)
+            ..Self::empty(Owner::Client(conn, id), With::Module { through: false }, expires_at)
         }
     }
 
     /// A client's barrier or flush.
-    pub(super) fn mark((conn, id): (ConnId, u64), valid_until: Micros) -> Self {
-        Held { mark: true, ..Self::empty(Owner::Client(conn, id), With::Buffer, valid_until) }
+    pub(super) fn mark((conn, id): (ConnId, u64), expires_at: Micros) -> Self {
+        Held { mark: true, ..Self::empty(Owner::Client(conn, id), With::Buffer, expires_at) }
     }
 
     /// A write-out of the buffer's.
-    pub(super) fn write_out(id: TryId, w: Write, valid_until: Micros) -> Self {
+    pub(super) fn write_out(id: TryId, w: Write, expires_at: Micros) -> Self {
         Held {
             operation: w.operation,
             class: w.class,
@@ -162,10 +162,10 @@
             extent: Some(w.place.extent),
             shard: Some(w.shard),
             units: w.units,
-            writers: w.writers,
+            volume_initiators: w.volume_initiators,
             at: w.at,
             payload: w.payload,
-            ..Self::empty(Owner::Buffer(id), With::Module { through: false }, valid_until)
+            ..Self::empty(Owner::Buffer(id), With::Module { through: false }, expires_at)
         }
     }
 }
@@ -182,7 +182,7 @@
                     self.call_off(request, attempt, Outcome::Cancelled, now);
                 }
                 Action::Probe { node } => self.probe(node, now),
-                Action::Refuse { request, retry_after } => {
+                Action::Reject { request, retry_after } => {
                     let advised = Micros::from_ms(retry_after);
                     let wait = u32::try_from(self.advice(advised).0).unwrap_or(u32::MAX);
                     debug!(request = request.0, wait_us = wait, "refused");
@@ -196,7 +196,7 @@
                     self.counts.failed += u64::from(self.of_client(request));
                     self.answer(request, Verdict::Failed, now, |id| Frame::Failed { id });
                 }
-                Action::Wake { after } => {
+                Action::SetTimer { after } => {
                     // Rounded up: woken a moment early, the module would find nothing due, take the wake that it asked
                     // for as still to come, and not be woken again.
                     self.wakes.insert(now.after(Micros::from_ms(after)).after(Micros(1)));
@@ -204,7 +204,7 @@
                         self.wakes.pop_last();
                     }
                 }
-                Action::Subscribe => self.subscribe(now),
+                Action::PollList => self.subscribe(now),
             }
         }
     }
@@ -255,7 +255,7 @@
         let listed = self.nodes.get(node);
         let holds = listed.is_some_and(|n| held.shard.is_none_or(|shard| shard == n.shard));
         if !self.may_begin(request, attempt, now) || !holds {
-            self.end_attempt(request, attempt, Outcome::Moot, now);
+            self.end_attempt(request, attempt, Outcome::NotSent, now);
         } else {
             self.send_attempt(request, attempt, node, now);
         }
@@ -267,15 +267,21 @@
         let Some(at) = held.flights.iter().position(|f| f.attempt == attempt) else { return };
         let flight = held.flights.swap_remove(at);
         // A stream that broke can't be tried again: its client has a part of it.
-        let complete = held.owner.is_none() || held.streaming;
+        let is_final = held.owner.is_none() || held.streaming;
         held.ran |= match outcome {
             Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => true,
-            Outcome::Served | Outcome::Full | Outcome::ConnectFailed | Outcome::Moot => false,
+            Outcome::Served | Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => false,
         };
-        let lag = now.since(flight.sent).ms();
-        debug!(request = id.0, attempt = attempt.0, ?outcome, lag_ms = lag, "attempt ended");
-        self.events.push_back(Event::Ended(Ended { request: id, attempt, outcome, lag, complete }));
-        if complete && self.requests[&id].owner.is_some() {
+        let latency = now.since(flight.sent).ms();
+        debug!(request = id.0, attempt = attempt.0, ?outcome, lag_ms = latency, "attempt ended");
+        self.events.push_back(Event::AttemptEnded(AttemptEnd {
+            request: id,
+            attempt,
+            outcome,
+            latency,
+            is_final,
+        }));
+        if is_final && self.requests[&id].owner.is_some() {
             self.fail(id, now);
         }
         self.node_flight_ended(flight.node, id, attempt, now);
@@ -294,8 +300,8 @@
         let Some(held) = self.requests.get_mut(&id) else { return };
         let Some(at) = held.flights.iter().position(|f| f.attempt == attempt) else { return };
         let flight = held.flights.swap_remove(at);
-        let lag = now.since(flight.sent).ms();
-        debug!(request = id.0, attempt = attempt.0, lag_ms = lag, bytes = payload.len(), "served");
+        let latency = now.since(flight.sent).ms();
+        debug!(request = id.0, attempt = attempt.0, lag_ms = latency, bytes = payload.len(), "served");
         if held.owner.is_some() {
             let gathered = std::mem::take(&mut held.gathered.1);
             let laid_over = held.merge.map(|_| [&gathered[..], payload].concat());
@@ -308,7 +314,13 @@
             self.list.save.used(flight.node);
         }
         let outcome = Outcome::Served;
-        self.events.push_back(Event::Ended(Ended { request: id, attempt, outcome, lag, complete: true }));
+        self.events.push_back(Event::AttemptEnded(AttemptEnd {
+            request: id,
+            attempt,
+            outcome,
+            latency,
+            is_final: true,
+        }));
         self.node_flight_ended(flight.node, id, attempt, now);
         self.forget(id, now);
     }
@@ -387,7 +399,7 @@
         if self.requests.get(&id).is_some_and(over)
             && let Some(held) = self.requests.remove(&id)
         {
-            self.plumbing.cancel(held.valid_until, Timer::Deadline(id));
+            self.plumbing.cancel(held.expires_at, Timer::Deadline(id));
             if let Some(origin) = &held.origin {
                 self.open_ids.remove(&origin.id);
             }
--- a/crates/flaxstand-gateway/src/core/saved_list.rs
+++ b/crates/flaxstand-gateway/src/core/saved_list.rs
@@ -227,7 +227,7 @@
     }
 
     fn encode_whole(&self, now: Micros) -> Vec<u8> {
-        let listed = self.nodes.iter().filter(|(_, node)| node.readiness() != Readiness::Gone);
+        let listed = self.nodes.iter().filter(|(_, node)| node.readiness() != Readiness::Removed);
         let listed: Vec<(NodeId, &NodePeer)> = listed.collect();
         let last = listed.len().saturating_sub(1) / MAX_ENTRIES;
         let mut bytes = Vec::new();
@@ -272,19 +272,19 @@
             node: if let NodeName::Number(number) = node.name { number } else { 0 },
             incarnation: node.incarnation,
             state: state_of(node.readiness()),
-            age: node.booted_at.map(|at| Micros::from_ms(now.ms() - at).0),
+            age: node.started_at.map(|at| Micros::from_ms(now.ms() - at).0),
             shard: node.shard,
             zone: node.zone,
             size: node.size,
-            pace: self.pace_of(id),
+            service_time: self.service_time_of(id),
             address,
         }
     }
 
     /// Unloaded time of a unit at a node, microseconds, as the module has learnt it.
-    fn pace_of(&self, id: NodeId) -> Option<u32> {
-        let Decider::Module(brain) = &self.decider else { return None };
-        u32::try_from(Micros::from_ms(brain.pace_of(id)?).0).ok()
+    fn service_time_of(&self, id: NodeId) -> Option<u32> {
+        let Decider::Module(scheduler) = &self.decider else { return None };
+        u32::try_from(Micros::from_ms(scheduler.service_time_of(id)?).0).ok()
     }
 }
 
@@ -292,6 +292,6 @@
     match readiness {
         Readiness::Serving => State::Serving,
         Readiness::Draining => State::Draining,
-        Readiness::Gone => State::Gone,
+        Readiness::Removed => State::Gone,
     }
 }
--- a/crates/flaxstand-gateway/src/core/storms.rs
+++ b/crates/flaxstand-gateway/src/core/storms.rs
@@ -25,7 +25,7 @@
 
 /// What the module is told of repeats: after the classes so far, one for each of the site's, of less worth.
 pub(super) fn with_repeats(settings: &mut Settings, site_classes: usize, rules: &Rules) {
-    let less = |c: &Class| Class { worth: c.worth * rules.repeat_worth, ..c.clone() };
+    let less = |c: &Class| Class { priority_weight: c.priority_weight * rules.repeat_worth, ..c.clone() };
     let own: Vec<Class> = settings.classes[..site_classes].iter().map(less).collect();
     settings.classes.extend(own);
 }
--- a/crates/flaxstand-gateway/src/core/writeback.rs
+++ b/crates/flaxstand-gateway/src/core/writeback.rs
@@ -35,21 +35,27 @@
 /// What write-outs are to the module, by urgency: worth in parts of their class's, aim in multiples of it. At
 /// the last they are worth as much as anything is.
 fn write_out_class(class: &Class, level: Level, most: f64) -> Class {
-    let (worth, aim) = match level {
-        Level::Idle => (class.worth * 0.05, 4.0),
-        Level::Rising => (class.worth * 0.3, 2.0),
-        Level::High => (class.worth, 1.0),
+    let (priority_weight, latency_objective) = match level {
+        Level::Idle => (class.priority_weight * 0.05, 4.0),
+        Level::Rising => (class.priority_weight * 0.3, 2.0),
+        Level::High => (class.priority_weight, 1.0),
         Level::Urgent => (most, 1.0),
     };
-    let aim = class.aim * aim;
+    let latency_objective = class.latency_objective * latency_objective;
     // No client waits for it: it is worth as much after the aim as before.
-    Class { worth, aim, deadline: class.deadline.max(aim), late_value: 1.0, ..class.clone() }
+    Class {
+        priority_weight,
+        latency_objective,
+        deadline: class.deadline.max(latency_objective),
+        late_value: 1.0,
+        ..class.clone()
+    }
 }
 
 /// What the module is told of a site whose writes are buffered: after the site's classes, one for each of
 /// them and each urgency.
 pub(super) fn with_write_outs(settings: &Settings) -> Settings {
-    let most = settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max);
+    let most = settings.classes.iter().map(|c| c.priority_weight).fold(0.0, f64::max);
     let of = |class| Level::ALL.map(|level| write_out_class(class, level, most));
     let own: Vec<Class> = settings.classes.iter().flat_map(of).collect();
     let mut settings = settings.clone();
@@ -60,11 +66,11 @@
 fn buffer_config(w: &WriteBack, core: &Core) -> Config {
     let site = &core.config.site;
     let buffering = |(info, class): (&super::ClassInfo, &Class)| match (info.buffered, class.effect) {
-        (true, Effect::Repeatable) => Buffering::Repeatable,
-        (true, Effect::Keyed { window, .. }) => Buffering::Keyed(Micros::from_ms(window)),
-        (true, Effect::Once) | (false, _) => Buffering::Never,
+        (true, Effect::Idempotent) => Buffering::Repeatable,
+        (true, Effect::IdempotencyKey { window, .. }) => Buffering::Keyed(Micros::from_ms(window)),
+        (true, Effect::AtMostOnce) | (false, _) => Buffering::Never,
     };
-    let span = |b: flaxstand::api::Budget| RepeatBudget {
+    let span = |b: flaxstand::api::RetryBudget| RepeatBudget {
         floor: b.floor,
         ratio: b.ratio,
         span: Micros::from_ms(b.span),
@@ -72,9 +78,9 @@
     Config {
         rules: w.rules.clone(),
         refusal_wait: Micros::from_ms(site.settings.max_retry_after),
-        key_rest: Micros::from_ms(site.settings.key_rest),
+        key_cooldown: Micros::from_ms(site.settings.key_cooldown),
         classes: site.classes.iter().zip(&site.settings.classes).map(buffering).collect(),
-        repeats: site.settings.budget.map(span),
+        repeats: site.settings.retry_budget.map(span),
         calendar: Wall(core.config.calendar),
     }
 }
@@ -148,7 +154,7 @@
                     place,
                     class: s.class,
                     plan: s.plan,
-                    writers: s.writers.max(1),
+                    volume_initiators: s.volume_initiators.max(1),
                     shard,
                     units: s.units,
                     operation: s.operation,
@@ -171,11 +177,11 @@
         time_left: u32,
         now: Micros,
     ) -> Result<(), Fault> {
-        let Some((id, valid_until)) = self.admit(conn, client_id, None, time_left, now)? else {
+        let Some((id, expires_at)) = self.admit(conn, client_id, None, time_left, now)? else {
             return Ok(());
         };
-        self.requests.insert(id, Held::mark((conn, client_id), valid_until));
-        self.plumbing.at(valid_until, Timer::Deadline(id));
+        self.requests.insert(id, Held::mark((conn, client_id), expires_at));
+        self.plumbing.at(expires_at, Timer::Deadline(id));
         let Some(back) = &mut self.back else {
             let (wait, refusal, scope) = (0, Refusal::Unbuffered, Scope::All);
             self.counts.turned_away += 1;
@@ -244,7 +250,7 @@
         held.with = With::Module { through: true };
         if let Some(held) = self.requests.get(&id) {
             let arrival = held.arrival(id, self.brain_class(held));
-            self.events.push_back(Event::Arrived(arrival));
+            self.events.push_back(Event::RequestArrived(arrival));
         }
     }
 
@@ -253,16 +259,16 @@
         let Some(back) = &mut self.back else { return };
         let class = back.classes + usize::from(write.class) * Level::ALL.len() + level as usize;
         let deadline = Micros::from_ms(self.brain_classes[class].deadline);
-        let valid_until = until.map_or(now.after(deadline), |until| now.after(deadline).min(until));
+        let expires_at = until.map_or(now.after(deadline), |until| now.after(deadline).min(until));
         self.next_request += 1;
         let request = RequestId(self.next_request);
         back.tries.insert(id, request);
         self.volumes.insert(VolumeId(write.place.volume));
         debug!(request = request.0, attempt = id.0, ?level, operation = write.operation, "write-out");
-        let held = Held::write_out(id, write, valid_until);
-        self.events.push_back(Event::Arrived(held.arrival(request, class)));
+        let held = Held::write_out(id, write, expires_at);
+        self.events.push_back(Event::RequestArrived(held.arrival(request, class)));
         self.requests.insert(request, held);
-        self.plumbing.at(valid_until, Timer::Deadline(request));
+        self.plumbing.at(expires_at, Timer::Deadline(request));
     }
 
     /// A write-out that waits with the module at too low a worth is taken back, if none of it has left.
@@ -273,7 +279,7 @@
             back.tries.remove(&id);
             back.buffer.try_ended(id, TryEnd::Withdrawn, now);
             if let Some(held) = self.requests.remove(&request) {
-                self.plumbing.cancel(held.valid_until, Timer::Deadline(request));
+                self.plumbing.cancel(held.expires_at, Timer::Deadline(request));
             }
             self.events.push_back(Event::ClientGone(request));
         }
@@ -408,11 +414,11 @@
             class: ClassId(class),
             plan: PlanId(self.plan.into()),
             key: self.extent.map(Key),
-            valid_until: self.valid_until.ms(),
+            expires_at: self.expires_at.ms(),
             volume: VolumeId(self.volume),
             units: self.units.into(),
             shard: self.shard.map(|shard| ShardId(shard.into())),
-            writers: u32::from(self.writers.max(1)),
+            volume_initiators: u32::from(self.volume_initiators.max(1)),
         }
     }
 }
--- a/crates/flaxstand-gateway/src/settings/rules.rs
+++ b/crates/flaxstand-gateway/src/settings/rules.rs
@@ -4,14 +4,17 @@
 use super::reader::Block;
 use super::site::SiteFile;
 use crate::core::Site;
-use flaxstand::api::{Budget, Effect, RepeatGroup, Settings};
+use flaxstand::api::{DeduplicationScope, Effect, RetryBudget, Settings};
 use flaxstand_consensus::rules::{Rules, Safe, Value, safe};
 use std::collections::BTreeMap;
 
-const GROUPS: [(&str, RepeatGroup); 3] =
-    [("all", RepeatGroup::All), ("zone", RepeatGroup::Zone), ("shard", RepeatGroup::Cell)];
+const GROUPS: [(&str, DeduplicationScope); 3] = [
+    ("all", DeduplicationScope::All),
+    ("zone", DeduplicationScope::Zone),
+    ("shard", DeduplicationScope::Shard),
+];
 
-fn group_name(group: RepeatGroup) -> &'static str {
+fn group_name(group: DeduplicationScope) -> &'static str {
     GROUPS.iter().find(|(_, g)| *g == group).map_or("shard", |(name, _)| name)
 }
 
@@ -24,29 +27,29 @@
     let word = |w: &str| Value::Word(w.to_owned());
     for (key, value) in [
         ("initiators", number(s.initiators.into())),
-        ("list", word(if s.list_on_request { "on-request" } else { "pushed" })),
-        ("ask-within-ms", number(s.ask_within)),
+        ("list", word(if s.polls_list { "on-request" } else { "pushed" })),
+        ("ask-within-ms", number(s.poll_within)),
         ("max-attempts", number(s.max_attempts.into())),
-        ("second-copies", Value::Flag(s.most_out > 1)),
+        ("second-copies", Value::Flag(s.max_concurrent_attempts > 1)),
         ("cancel", Value::Flag(s.may_cancel)),
         ("probes", Value::Flag(s.may_probe)),
         ("retry-after-most-ms", number(s.max_retry_after)),
-        ("unit-mean", number(s.unit_mean)),
-        ("unit-most", number(s.unit_most)),
-        ("share-worth", number(s.share_worth)),
-        ("spare-worth", number(s.spare_worth)),
-        ("key-rest-ms", number(s.key_rest)),
+        ("unit-mean", number(s.mean_units)),
+        ("unit-most", number(s.max_units)),
+        ("share-worth", number(s.shared_weight)),
+        ("spare-worth", number(s.spare_weight)),
+        ("key-rest-ms", number(s.key_cooldown)),
         ("drain-grace-ms", number(file.rules.drain_grace.ms())),
         ("tick-ms", number(s.tick)),
-        ("cold.from", number(s.cold_from)),
-        ("cold.warm-ms", number(s.cold_time)),
-        ("cold.fall-multiple", number(s.fall_multiple)),
-        ("cold.fall-ms", number(s.fall_time)),
-        ("cold.bears-units", number(s.cold_bears)),
+        ("cold.from", number(s.initial_capacity)),
+        ("cold.warm-ms", number(s.warm_up_time)),
+        ("cold.fall-multiple", number(s.overload_multiple)),
+        ("cold.fall-ms", number(s.slow_start_window)),
+        ("cold.bears-units", number(s.slow_start_min_units)),
     ] {
         put(format!("site.{key}"), value);
     }
-    if let Some(b) = s.budget {
+    if let Some(b) = s.retry_budget {
         for (key, value) in [("floor", b.floor), ("ratio", b.ratio), ("span-ms", b.span)] {
             put(format!("site.budget.{key}"), number(value));
         }
@@ -55,19 +58,19 @@
         let mut put = |key: &str, value: Value| put(format!("class.{}{key}", info.name), value);
         put("", number(at as f64));
         let effect = match c.effect {
-            Effect::Repeatable => "repeatable",
-            Effect::Once => "once",
-            Effect::Keyed { group, window } => {
+            Effect::Idempotent => "repeatable",
+            Effect::AtMostOnce => "once",
+            Effect::IdempotencyKey { group, window } => {
                 put(".group", word(group_name(group)));
                 put(".window-ms", number(window));
                 "keyed"
             }
         };
         put(".effect", word(effect));
-        put(".aim-ms", number(c.aim));
-        put(".aim-stretch", number(c.aim_stretch));
+        put(".aim-ms", number(c.latency_objective));
+        put(".aim-stretch", number(c.objective_stretch));
         put(".deadline-ms", number(c.deadline));
-        put(".worth", number(c.worth));
+        put(".worth", number(c.priority_weight));
         put(".late-value", number(c.late_value));
         put(".in-order", Value::Flag(c.in_order));
         put(".stream", Value::Flag(info.stream));
@@ -78,7 +81,7 @@
         put("", at as f64);
         put(".base-rate", p.base_rate);
         put(".reserve-rate", p.reserve_rate);
-        put(".price", p.price);
+        put(".price", p.priority_factor);
         if p.limit_rate > 0.0 {
             put(".limit-rate", p.limit_rate);
             put(".limit-burst", p.limit_burst);
@@ -107,25 +110,25 @@
     };
     let mut s = site.settings.clone();
     s.initiators = number("site.initiators", s.initiators.into()) as u32;
-    s.ask_within = number("site.ask-within-ms", s.ask_within);
+    s.poll_within = number("site.ask-within-ms", s.poll_within);
     s.max_attempts = number("site.max-attempts", s.max_attempts.into()) as u32;
-    s.most_out = if flag("site.second-copies", s.most_out > 1) { 2 } else { 1 };
+    s.max_concurrent_attempts = if flag("site.second-copies", s.max_concurrent_attempts > 1) { 2 } else { 1 };
     s.may_cancel = flag("site.cancel", s.may_cancel);
     s.may_probe = flag("site.probes", s.may_probe);
     s.max_retry_after = number("site.retry-after-most-ms", s.max_retry_after);
-    s.unit_mean = number("site.unit-mean", s.unit_mean);
-    s.unit_most = number("site.unit-most", s.unit_most);
-    s.share_worth = number("site.share-worth", s.share_worth);
-    s.spare_worth = number("site.spare-worth", s.spare_worth);
-    s.key_rest = number("site.key-rest-ms", s.key_rest);
+    s.mean_units = number("site.unit-mean", s.mean_units);
+    s.max_units = number("site.unit-most", s.max_units);
+    s.shared_weight = number("site.share-worth", s.shared_weight);
+    s.spare_weight = number("site.spare-worth", s.spare_weight);
+    s.key_cooldown = number("site.key-rest-ms", s.key_cooldown);
     s.tick = number("site.tick-ms", s.tick);
-    s.cold_from = number("site.cold.from", s.cold_from);
-    s.cold_time = number("site.cold.warm-ms", s.cold_time);
-    s.fall_multiple = number("site.cold.fall-multiple", s.fall_multiple);
-    s.fall_time = number("site.cold.fall-ms", s.fall_time);
-    s.cold_bears = number("site.cold.bears-units", s.cold_bears);
+    s.initial_capacity = number("site.cold.from", s.initial_capacity);
+    s.warm_up_time = number("site.cold.warm-ms", s.warm_up_time);
+    s.overload_multiple = number("site.cold.fall-multiple", s.overload_multiple);
+    s.slow_start_window = number("site.cold.fall-ms", s.slow_start_window);
+    s.slow_start_min_units = number("site.cold.bears-units", s.slow_start_min_units);
     let has_budget = rules.values.contains_key("site.budget.ratio");
-    s.budget = has_budget.then(|| Budget {
+    s.retry_budget = has_budget.then(|| RetryBudget {
         floor: number("site.budget.floor", 0.0),
         ratio: number("site.budget.ratio", 0.0),
         span: number("site.budget.span-ms", 0.0),
@@ -134,17 +137,17 @@
         let key = |field: &str| format!("class.{}.{field}", info.name);
         let group = word(&key("group")).and_then(|w| GROUPS.iter().find(|(name, _)| *name == w));
         c.effect = match (word(&key("effect")), group) {
-            (Some("repeatable"), _) => Effect::Repeatable,
+            (Some("repeatable"), _) => Effect::Idempotent,
             (Some("keyed"), Some((_, group))) => {
-                Effect::Keyed { group: *group, window: number(&key("window-ms"), 0.0) }
+                Effect::IdempotencyKey { group: *group, window: number(&key("window-ms"), 0.0) }
             }
             (None, _) => c.effect,
-            _ => Effect::Once,
+            _ => Effect::AtMostOnce,
         };
-        c.aim = number(&key("aim-ms"), c.aim);
-        c.aim_stretch = number(&key("aim-stretch"), c.aim_stretch);
+        c.latency_objective = number(&key("aim-ms"), c.latency_objective);
+        c.objective_stretch = number(&key("aim-stretch"), c.objective_stretch);
         c.deadline = number(&key("deadline-ms"), c.deadline);
-        c.worth = number(&key("worth"), c.worth);
+        c.priority_weight = number(&key("worth"), c.priority_weight);
         c.late_value = number(&key("late-value"), c.late_value);
         c.in_order = flag(&key("in-order"), c.in_order);
     }
@@ -152,7 +155,7 @@
         let key = |field: &str| format!("plan.{name}.{field}");
         p.base_rate = number(&key("base-rate"), p.base_rate);
         p.reserve_rate = number(&key("reserve-rate"), p.reserve_rate);
-        p.price = number(&key("price"), p.price);
+        p.priority_factor = number(&key("price"), p.priority_factor);
         let limited = rules.values.contains_key(&key("limit-rate"));
         p.limit_rate = if limited { number(&key("limit-rate"), 0.0).max(NO_RATE) } else { 0.0 };
         p.limit_burst = if limited { number(&key("limit-burst"), 0.0) } else { 0.0 };
--- a/crates/flaxstand-gateway/src/settings/site.rs
+++ b/crates/flaxstand-gateway/src/settings/site.rs
@@ -3,7 +3,7 @@
 use super::reader::Block;
 use crate::core::{ClassInfo, Site, Waits, WriteBack};
 use crate::machine::Micros;
-use flaxstand::api::{Budget, Class, Effect, Plan, RepeatGroup, Settings};
+use flaxstand::api::{Class, DeduplicationScope, Effect, Plan, RetryBudget, Settings};
 use flaxstand_overload::Rules as Storm;
 use std::collections::BTreeSet;
 
@@ -48,25 +48,25 @@
         initiators: 1,
         classes,
         plans,
-        list_on_request: false,
-        ask_within: 0.0,
-        list_terms: None,
+        polls_list: false,
+        poll_within: 0.0,
+        notification_terms: None,
         max_attempts: 1,
-        most_out: 1,
+        max_concurrent_attempts: 1,
         may_cancel: false,
         may_probe: false,
         max_retry_after: 0.0,
-        cold_from: 1.0,
-        cold_time: 0.0,
-        fall_multiple: 1.0,
-        fall_time: 0.0,
-        cold_bears: 0.0,
-        key_rest: 0.0,
-        budget: None,
-        unit_mean: 1.0,
-        unit_most: 1.0,
-        share_worth: 1.0,
-        spare_worth: 1.0,
+        initial_capacity: 1.0,
+        warm_up_time: 0.0,
+        overload_multiple: 1.0,
+        slow_start_window: 0.0,
+        slow_start_min_units: 0.0,
+        key_cooldown: 0.0,
+        retry_budget: None,
+        mean_units: 1.0,
+        max_units: 1.0,
+        shared_weight: 1.0,
+        spare_weight: 1.0,
         tick: 1.0,
     };
     let mut rules = Rules { limit_slack, ..Rules::default() };
@@ -80,8 +80,8 @@
         None => (empty, Waits::default()),
     };
     for (block, plan) in plan_blocks.iter().zip(&settings.plans) {
-        if plan.limit_rate > 0.0 && plan.limit_burst < settings.unit_most {
-            let (burst, most) = (plan.limit_burst, settings.unit_most);
+        if plan.limit_rate > 0.0 && plan.limit_burst < settings.max_units {
+            let (burst, most) = (plan.limit_burst, settings.max_units);
             block.problem(format!(
                 "limit-burst is {burst}, expected at least unit-most, {most}: the largest request could not go"
             ));
@@ -112,37 +112,37 @@
     let lists = [("pushed", false), ("on-request", true)];
     let mut s = Settings {
         initiators: b.whole("initiators", 1..=1 << 20, None) as u32,
-        list_on_request: b.choice("list", &lists, Some(false)).unwrap_or(false),
-        ask_within: b.number("ask-within-ms", POSITIVE_MS, Some(10_000.0)),
+        polls_list: b.choice("list", &lists, Some(false)).unwrap_or(false),
+        poll_within: b.number("ask-within-ms", POSITIVE_MS, Some(10_000.0)),
         max_attempts: b.whole("max-attempts", 1..=100, Some(3)) as u32,
-        most_out: if b.flag("second-copies", false) { 2 } else { 1 },
+        max_concurrent_attempts: if b.flag("second-copies", false) { 2 } else { 1 },
         may_cancel: b.flag("cancel", false),
         may_probe: b.flag("probes", false),
         max_retry_after: b.number("retry-after-most-ms", MS, Some(0.0)),
-        key_rest: b.number("key-rest-ms", MS, Some(0.0)),
-        unit_mean: b.number("unit-mean", 1.0..=1e6, Some(1.0)),
-        unit_most: b.number("unit-most", 1.0..=1e6, Some(1.0)),
-        share_worth: b.number("share-worth", 0.0..=1.0, Some(0.3)),
-        spare_worth: b.number("spare-worth", 0.0..=1.0, Some(0.1)),
+        key_cooldown: b.number("key-rest-ms", MS, Some(0.0)),
+        mean_units: b.number("unit-mean", 1.0..=1e6, Some(1.0)),
+        max_units: b.number("unit-most", 1.0..=1e6, Some(1.0)),
+        shared_weight: b.number("share-worth", 0.0..=1.0, Some(0.3)),
+        spare_weight: b.number("spare-worth", 0.0..=1.0, Some(0.1)),
         tick: b.number("tick-ms", 0.0..=1000.0, Some(1.0)),
         ..empty
     };
-    if s.most_out > 1 && s.max_attempts < 2 {
+    if s.max_concurrent_attempts > 1 && s.max_attempts < 2 {
         b.problem("second-copies is #true, expected max-attempts 2 or more, it is 1".into());
     }
-    if s.unit_mean > s.unit_most {
-        b.problem(format!("unit-mean is {}, expected at most unit-most, {}", s.unit_mean, s.unit_most));
+    if s.mean_units > s.max_units {
+        b.problem(format!("unit-mean is {}, expected at most unit-most, {}", s.mean_units, s.max_units));
     }
     if let Some(cold) = b.block("cold") {
-        s.cold_from = cold.number("from", 0.001..=1.0, None);
-        s.cold_time = cold.number("warm-ms", POSITIVE_MS, None);
-        s.fall_multiple = cold.number("fall-multiple", 0.001..=1000.0, None);
-        s.fall_time = cold.number("fall-ms", POSITIVE_MS, None);
-        s.cold_bears = cold.number("bears-units", 0.0..=1e6, Some(0.0));
+        s.initial_capacity = cold.number("from", 0.001..=1.0, None);
+        s.warm_up_time = cold.number("warm-ms", POSITIVE_MS, None);
+        s.overload_multiple = cold.number("fall-multiple", 0.001..=1000.0, None);
+        s.slow_start_window = cold.number("fall-ms", POSITIVE_MS, None);
+        s.slow_start_min_units = cold.number("bears-units", 0.0..=1e6, Some(0.0));
         cold.finish();
     }
-    s.budget = b.block("budget").map(|budget| {
-        let read = Budget {
+    s.retry_budget = b.block("budget").map(|budget| {
+        let read = RetryBudget {
             floor: budget.number("floor", 0.0..=1e6, Some(0.0)),
             ratio: budget.number("ratio", 0.0..=100.0, None),
             span: budget.number("span-ms", POSITIVE_MS, None),
@@ -210,7 +210,11 @@
 }
 
 fn read_class(b: &Block<'_>) -> (ClassInfo, Class) {
-    let groups = [("all", RepeatGroup::All), ("zone", RepeatGroup::Zone), ("shard", RepeatGroup::Cell)];
+    let groups = [
+        ("all", DeduplicationScope::All),
+        ("zone", DeduplicationScope::Zone),
+        ("shard", DeduplicationScope::Shard),
+    ];
     #[derive(Clone, Copy)]
     enum Word {
         Repeatable,
@@ -219,27 +223,30 @@
     }
     let words = [("repeatable", Word::Repeatable), ("keyed", Word::Keyed), ("once", Word::Once)];
     let effect = match b.choice("effect", &words, None) {
-        Some(Word::Keyed) => Effect::Keyed {
-            group: b.choice("group", &groups, None).unwrap_or(RepeatGroup::Cell),
+        Some(Word::Keyed) => Effect::IdempotencyKey {
+            group: b.choice("group", &groups, None).unwrap_or(DeduplicationScope::Shard),
             window: b.number("window-ms", POSITIVE_MS, None),
         },
-        Some(Word::Once) => Effect::Once,
-        _ => Effect::Repeatable,
+        Some(Word::Once) => Effect::AtMostOnce,
+        _ => Effect::Idempotent,
     };
     let class = Class {
-        aim: b.number("aim-ms", POSITIVE_MS, None),
-        aim_stretch: b.number("aim-stretch", 0.0..=1000.0, Some(0.0)),
+        latency_objective: b.number("aim-ms", POSITIVE_MS, None),
+        objective_stretch: b.number("aim-stretch", 0.0..=1000.0, Some(0.0)),
         deadline: b.number("deadline-ms", POSITIVE_MS, None),
         late_value: b.number("late-value", 0.0..=1.0, Some(0.0)),
-        worth: b.number("worth", 0.0..=1e9, Some(1.0)),
+        priority_weight: b.number("worth", 0.0..=1e9, Some(1.0)),
         effect,
         in_order: b.flag("in-order", false),
     };
-    if class.aim > class.deadline {
-        b.problem(format!("aim-ms is {}, expected at most deadline-ms, {}", class.aim, class.deadline));
+    if class.latency_objective > class.deadline {
+        b.problem(format!(
+            "aim-ms is {}, expected at most deadline-ms, {}",
+            class.latency_objective, class.deadline
+        ));
     }
     let buffered = b.flag("buffered", false);
-    if buffered && class.effect == Effect::Once {
+    if buffered && class.effect == Effect::AtMostOnce {
         b.problem(
             "buffered is #true, expected #false for effect \"once\": after a crash it could not be repeated"
                 .into(),
@@ -256,7 +263,7 @@
         reserve_rate: b.number("reserve-rate", RATE, Some(0.0)),
         limit_rate: b.number("limit-rate", RATE, Some(0.0)),
         limit_burst: b.number("limit-burst", RATE, Some(0.0)),
-        price: b.number("price", 0.0..=1e9, Some(1.0)),
+        priority_factor: b.number("price", 0.0..=1e9, Some(1.0)),
     };
     let slack = b.number("limit-slack", RATE, Some(0.0));
     let name = b.name();
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -245,7 +245,7 @@
     // A phase of its own that is not early.
     c.seed = 4;
     c.site.settings.initiators = 243;
-    (c.site.settings.cold_bears, c.site.settings.fall_time) = (1.0, 300.0);
+    (c.site.settings.slow_start_min_units, c.site.settings.slow_start_window) = (1.0, 300.0);
     let mut w = World::new(c, 1);
     w.starts.insert(0, 2);
     let client = w.client();
@@ -363,7 +363,7 @@
 #[test]
 fn a_list_on_request_is_asked_for_by_the_module() {
     let mut c = config();
-    c.site.settings.list_on_request = true;
+    c.site.settings.polls_list = true;
     let mut w = World::new(c, 1);
     assert!(w.said_on(w.list_conn()).contains(&Said::Watch));
     w.list_up = false;
@@ -403,7 +403,7 @@
         operation: 1,
         class: 0,
         plan: 0,
-        writers: 1,
+        volume_initiators: 1,
         try_no: 0,
         write: false,
         volume: 6,
@@ -736,7 +736,8 @@
 /// A core that may probe and copy, with an answer of node 0 just lost.
 fn after_a_loss() -> (World, ConnId) {
     let mut c = config();
-    (c.site.settings.most_out, c.site.settings.may_probe, c.site.settings.may_cancel) = (2, true, true);
+    (c.site.settings.max_concurrent_attempts, c.site.settings.may_probe, c.site.settings.may_cancel) =
+        (2, true, true);
     let mut w = World::new(c, 1);
     let client = w.client();
     (0..5).for_each(|id| serve(&mut w, client, id, 10));
@@ -790,7 +791,7 @@
 fn saved_pace(w: &World) -> Option<u32> {
     let list = SavedList::read(w.saved.as_ref().unwrap()).expect("a saved list");
     assert_eq!((list.entries.len(), list.torn), (1, 0));
-    list.entries[0].pace
+    list.entries[0].service_time
 }
 
 #[test]
@@ -822,10 +823,10 @@
 
 #[test]
 fn a_pace_is_void_at_a_start_that_the_node_tells_before_the_list_does() {
-    let (address, pace) = (address(0), Some(40_000));
-    let learnt = Entry { pace, ..entry(0, State::Serving, 0, &address) };
+    let (address, service_time) = (address(0), Some(40_000));
+    let learnt = Entry { service_time, ..entry(0, State::Serving, 0, &address) };
     let list = List { extent: Extent::Full, since: 1, revision: 1, entries: vec![learnt] };
-    for (start, kept) in [(1, pace), (2, None)] {
+    for (start, kept) in [(1, service_time), (2, None)] {
         let mut w = World::cut_off(config(), 1, &bytes_of(&Frame::List(list.clone())));
         w.starts.insert(0, start);
         let client = w.client();
--- a/crates/flaxstand-gateway/tests/crossings_drawn.rs
+++ b/crates/flaxstand-gateway/tests/crossings_drawn.rs
@@ -19,7 +19,7 @@
 fn platform(seed: u64) -> Config {
     let mut c = with_keyed(2500, WINDOW as f64);
     c.seed = seed;
-    (c.site.settings.may_probe, c.site.settings.most_out) = (true, 2);
+    (c.site.settings.may_probe, c.site.settings.max_concurrent_attempts) = (true, 2);
     (c.bounds.clients, c.bounds.links) = (CLIENTS, LINKS);
     c
 }
@@ -36,7 +36,7 @@
     /// An attempt's first byte left for a node.
     Begun(u32, u64),
     /// An attempt ended; never: its peer said, or its connection proves, that it has not run.
-    Ended(u32, bool),
+    AttemptEnd(u32, bool),
     /// The core was told that a node takes nothing new, or does again.
     Drains(u64, bool),
 }
@@ -54,7 +54,7 @@
             Seen::Answered(_) => {}
             Seen::Drains(node, true) => drop(drains.insert(node)),
             Seen::Drains(node, false) => drop(drains.remove(&node)),
-            Seen::Ended(id, never) => {
+            Seen::AttemptEnd(id, never) => {
                 if never {
                     may_have_run.entry(id).and_modify(|n| *n = n.saturating_sub(1));
                 }
@@ -189,7 +189,7 @@
                 match self.draw(12) {
                     0..=7 => self.w.answer(conn, "200 OK", &format!("answer to {id}")),
                     8 => {
-                        self.seen.push((now, Seen::Ended(id, true)));
+                        self.seen.push((now, Seen::AttemptEnd(id, true)));
                         self.w.says(
                             conn,
                             b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
--- a/crates/flaxstand-gateway/tests/harness/mod.rs
+++ b/crates/flaxstand-gateway/tests/harness/mod.rs
@@ -3,7 +3,7 @@
 //! call is answered; all else is the test's to say.
 #![allow(dead_code)]
 
-use flaxstand::api::{Class, Effect, Plan, RepeatGroup, Settings};
+use flaxstand::api::{Class, DeduplicationScope, Effect, Plan, Settings};
 use flaxstand_gateway::core::{Bounds, ClassInfo, Config, Core, Policy, Site, Waits, Wire};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Machine, Micros};
 use flaxstand_proto::*;
@@ -21,44 +21,44 @@
 
 pub fn config() -> Config {
     let class = |effect| Class {
-        aim: 200.0,
-        aim_stretch: 0.0,
+        latency_objective: 200.0,
+        objective_stretch: 0.0,
         deadline: 1000.0,
         late_value: 0.2,
-        worth: 1.0,
+        priority_weight: 1.0,
         effect,
         in_order: false,
     };
     let info = |name: &str, stream| ClassInfo { name: name.into(), stream, buffered: false };
     let settings = Settings {
         initiators: 1,
-        classes: vec![class(Effect::Repeatable), class(Effect::Once), class(Effect::Repeatable)],
+        classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce), class(Effect::Idempotent)],
         plans: vec![Plan {
             base_rate: 100.0,
             reserve_rate: 100.0,
             limit_rate: 0.0,
             limit_burst: 0.0,
-            price: 1.0,
+            priority_factor: 1.0,
         }],
-        list_on_request: false,
-        ask_within: 10_000.0,
-        list_terms: None,
+        polls_list: false,
+        poll_within: 10_000.0,
+        notification_terms: None,
         max_attempts: 3,
-        most_out: 1,
+        max_concurrent_attempts: 1,
         may_cancel: true,
         may_probe: false,
         max_retry_after: 300.0,
-        cold_from: 0.2,
-        cold_time: 5000.0,
-        fall_multiple: 4.0,
-        fall_time: 1000.0,
-        cold_bears: 4.0,
-        key_rest: 0.0,
-        budget: None,
-        unit_mean: 1.0,
-        unit_most: 4.0,
-        share_worth: 0.3,
-        spare_worth: 0.1,
+        initial_capacity: 0.2,
+        warm_up_time: 5000.0,
+        overload_multiple: 4.0,
+        slow_start_window: 1000.0,
+        slow_start_min_units: 4.0,
+        key_cooldown: 0.0,
+        retry_budget: None,
+        mean_units: 1.0,
+        max_units: 4.0,
+        shared_weight: 0.3,
+        spare_weight: 0.1,
         tick: 1.0,
     };
     Config {
@@ -87,7 +87,7 @@
 pub fn on_platform(watch: u64) -> Config {
     let mut c = config();
     c.wire = Wire::Platform;
-    c.site.settings.list_on_request = true;
+    c.site.settings.polls_list = true;
     c.site.waits =
         Waits { idle: ms(18_000), watch: ms(watch), stop_grace: ms(1400), stop: ms(1600), ..c.site.waits };
     c.site.classes[2].stream = false;
@@ -97,7 +97,7 @@
 /// The same, with the third class "keyed": nodes of a shard drop its repeats for so long.
 pub fn with_keyed(watch: u64, window: f64) -> Config {
     let mut c = on_platform(watch);
-    let keyed = Effect::Keyed { group: RepeatGroup::Cell, window };
+    let keyed = Effect::IdempotencyKey { group: DeduplicationScope::Shard, window };
     c.site.settings.classes[2] = Class { effect: keyed, ..c.site.settings.classes[2].clone() };
     c.site.classes[2].name = "keyed".into();
     c
@@ -227,7 +227,7 @@
         operation: 1000 + id,
         class,
         plan: 0,
-        writers: 1,
+        volume_initiators: 1,
         try_no: 0,
         write: false,
         volume: 5,
@@ -242,7 +242,7 @@
 
 /// A node's entry in the list, at its first start.
 pub fn entry(node: u64, state: State, shard: u32, address: &str) -> Entry<'_> {
-    Entry { node, incarnation: 1, state, age: None, shard, zone: 0, size: 0, pace: None, address }
+    Entry { node, incarnation: 1, state, age: None, shard, zone: 0, size: 0, service_time: None, address }
 }
 
 pub fn bytes_of(frame: &Frame<'_>) -> Vec<u8> {
--- a/crates/flaxstand-gateway/tests/list_answers.rs
+++ b/crates/flaxstand-gateway/tests/list_answers.rs
@@ -3,7 +3,7 @@
 
 mod harness;
 
-use flaxstand::api::ListTerms;
+use flaxstand::api::NotificationTerms;
 use flaxstand_gateway::core::Config;
 use flaxstand_gateway::machine::ConnId;
 use harness::*;
@@ -182,8 +182,11 @@
 #[test]
 fn what_an_answer_tells_counts_while_it_is_arriving() {
     let mut config = platform();
-    config.site.settings.list_terms =
-        Some(ListTerms { told_within: 6_000.0, told_after_move: 4_000.0, drain_grace: 1_000.0 });
+    config.site.settings.notification_terms = Some(NotificationTerms {
+        notified_within: 6_000.0,
+        notified_after_move: 4_000.0,
+        drain_grace: 1_000.0,
+    });
     let mut w = World::new(config, 2);
     let conn = w.list_conn();
     let bytes = with_head(&whole_list(2));
@@ -207,8 +210,8 @@
 /// An attempt that waits in our own buffer when the list becomes too old does not begin.
 fn waiting_attempt_is_taken_back(drain_grace: f64, after_ms: u64) {
     let mut config = platform();
-    config.site.settings.list_terms =
-        Some(ListTerms { told_within: 6_000.0, told_after_move: 4_000.0, drain_grace });
+    config.site.settings.notification_terms =
+        Some(NotificationTerms { notified_within: 6_000.0, notified_after_move: 4_000.0, drain_grace });
     let mut w = World::new(config, 2);
     let (_, link) = w.asked("r1", "read");
     w.answer(link, "200 OK", "ok");
--- a/crates/flaxstand-gateway/tests/list_fleet/audit.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/audit.rs
@@ -176,7 +176,7 @@
 /// The judge of one day.
 pub struct Audit {
     grace: Micros,
-    ask_within: Micros,
+    poll_within: Micros,
     lives: Vec<Life>,
     outages: Vec<Outage>,
     /// Targets that take nothing new, by the change that began that.
@@ -187,10 +187,10 @@
 }
 
 impl Audit {
-    pub fn new(hosts: usize, grace: Micros, ask_within: Micros) -> Self {
+    pub fn new(hosts: usize, grace: Micros, poll_within: Micros) -> Self {
         Audit {
             grace,
-            ask_within,
+            poll_within,
             lives: vec![Life::default(); hosts],
             outages: Vec::new(),
             closed_targets: BTreeMap::new(),
@@ -339,7 +339,7 @@
             return None;
         }
         let factor = if life.call_failed { FAILED_CALL_FACTOR } else { 1 };
-        let held = Micros(self.ask_within.0 * factor);
+        let held = Micros(self.poll_within.0 * factor);
         let since = life.last_call.max(change.at);
         Some(Told { at: self.reachable_for(held, since)?, why: Reason::NoCall })
     }
--- a/crates/flaxstand-gateway/tests/list_fleet/events.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/events.rs
@@ -39,7 +39,7 @@
         input: Input,
     },
     /// A call reaches the list service.
-    ListCall(HostConn, Call),
+    DiscoveryCall(HostConn, Call),
     /// The next part of a list service's answer leaves.
     Piece(HostConn),
     /// The list service closes what is left of the connections to an address that it had.
--- a/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
@@ -5,7 +5,7 @@
 use super::harness::with_keyed;
 use super::list_service::FIRST_REVISION;
 use super::simulation::{ASK_WITHIN, Simulation};
-use flaxstand::api::{ListScope, ListTerms};
+use flaxstand::api::{ListScope, NotificationTerms};
 use flaxstand_gateway::core::{Config, Core};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Control, Machine, Micros, Reloaded};
 use flaxstand_platform::{TOLD_AFTER_MOVE_MS, TOLD_WITHIN_MS};
@@ -86,10 +86,10 @@
         config.epoch = u64::from(self.hosts[host].life);
         config.list = list_address(self.network.moves);
         let settings = &mut config.site.settings;
-        (settings.initiators, settings.ask_within) = (self.day.hosts as u32, ASK_WITHIN.ms());
-        settings.list_terms = Some(ListTerms {
-            told_within: TOLD_WITHIN_MS,
-            told_after_move: TOLD_AFTER_MOVE_MS,
+        (settings.initiators, settings.poll_within) = (self.day.hosts as u32, ASK_WITHIN.ms());
+        settings.notification_terms = Some(NotificationTerms {
+            notified_within: TOLD_WITHIN_MS,
+            notified_after_move: TOLD_AFTER_MOVE_MS,
             drain_grace: self.day.grace.ms(),
         });
         config
@@ -100,7 +100,7 @@
         self.hosts[host].life += 1;
         let known = self.service.revision().saturating_sub(revisions_behind).max(FIRST_REVISION);
         let mut core = Core::new(self.config(host), None, self.now).expect("there is no saved list");
-        core.take_platform_list(ListScope::Saved, &self.service.listing_at(known), self.now);
+        core.take_platform_list(ListScope::Cached, &self.service.listing_at(known), self.now);
         self.audit.host_starts(host, known, self.now);
         let started = &mut self.hosts[host];
         (started.core, started.wake, started.busy_until) = (Some(Box::new(core)), Some(self.now), self.now);
--- a/crates/flaxstand-gateway/tests/list_fleet/network.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/network.rs
@@ -107,7 +107,7 @@
         self.audit.called(conn.host, leaves);
         let arrives = leaves.after(LATENCY);
         if let Some(call) = read_call(&String::from_utf8_lossy(text)) {
-            self.events.at(arrives, Event::ListCall(conn, call));
+            self.events.at(arrives, Event::DiscoveryCall(conn, call));
         }
     }
 
--- a/crates/flaxstand-gateway/tests/list_fleet/simulation.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/simulation.rs
@@ -123,7 +123,7 @@
         match event {
             Event::Step(step) => self.step(step),
             Event::Input { host, life, input } => self.hosts[host].take_input(life, input),
-            Event::ListCall(link, call) => self.list_called(link, call),
+            Event::DiscoveryCall(link, call) => self.list_called(link, call),
             Event::Piece(link) => self.next_piece(link),
             Event::CloseOldLinks(address) => self.close_old_links(address),
             Event::Send { host, life, target } => {
--- a/crates/flaxstand-gateway/tests/list_growth.rs
+++ b/crates/flaxstand-gateway/tests/list_growth.rs
@@ -248,7 +248,7 @@
 /// A core on the platform that may probe its one target, and has this many idle connections to it.
 fn probing(idle: u64) -> World {
     let mut c = on_platform(2500);
-    (c.site.settings.most_out, c.site.settings.may_probe) = (2, true);
+    (c.site.settings.max_concurrent_attempts, c.site.settings.may_probe) = (2, true);
     let mut w = World::new(c, 0);
     w.dials.insert("127.0.0.1:10000".parse().unwrap(), Dial::Greets(0));
     tell_targets(&mut w, 0..1, TargetState::Up);
--- a/crates/flaxstand-gateway/tests/saved_list.rs
+++ b/crates/flaxstand-gateway/tests/saved_list.rs
@@ -192,8 +192,8 @@
     let before = saved(&w).len();
     tell_one(&mut w, 7, State::Draining);
     let read = SavedList::read(saved(&w)).unwrap();
-    assert!(read.entries[0].pace.is_some(), "learnt since the whole was saved");
-    assert!(read.entries[1..].iter().all(|e| e.pace.is_none()));
+    assert!(read.entries[0].service_time.is_some(), "learnt since the whole was saved");
+    assert!(read.entries[1..].iter().all(|e| e.service_time.is_none()));
     let appended = saved(&w).len() - before;
     assert!(appended < before / 5, "{appended} bytes: two nodes of thirty");
 }
--- a/crates/flaxstand-gateway/tests/settings.rs
+++ b/crates/flaxstand-gateway/tests/settings.rs
@@ -41,7 +41,7 @@
     let example = include_str!("../../../docs/example.kdl");
     let daemon = read_daemon("example.kdl", example).unwrap();
     assert_eq!((daemon.listen.len(), daemon.config.bounds.clients), (2, 500));
-    assert_eq!(daemon.config.site.settings.cold_from, 0.2);
+    assert_eq!(daemon.config.site.settings.initial_capacity, 0.2);
 }
 
 #[test]
--- a/crates/flaxstand-gateway/tests/writeback.rs
+++ b/crates/flaxstand-gateway/tests/writeback.rs
@@ -16,7 +16,7 @@
 fn buffering() -> Config {
     let mut c = config();
     c.site.classes[0].buffered = true;
-    c.site.settings.key_rest = 20.0;
+    c.site.settings.key_cooldown = 20.0;
     let rules = Rules { linger: Micros(0), record_linger: ms(5), age: ms(2000), ..Rules::default() };
     c.site.write_back = Some(WriteBack { rules, volumes: None });
     c
--- a/crates/flaxstand-platform/src/answer.rs
+++ b/crates/flaxstand-platform/src/answer.rs
@@ -9,7 +9,7 @@
 pub fn outcome_of(answer: &Answer) -> Outcome {
     match answer.status {
         200 => Outcome::Served,
-        503 | 504 if answer.fields.one(field::NOT_RUN) == Some("1") => Outcome::Full,
+        503 | 504 if answer.fields.one(field::NOT_RUN) == Some("1") => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
--- a/crates/flaxstand-platform/src/settings.rs
+++ b/crates/flaxstand-platform/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings object, which the simulator's first message and the configuration share: its names and
 //! units, and the module's settings in it.
 
-use flaxstand::api::{Budget, Class, Effect, ListTerms, Plan, RepeatGroup, Settings};
+use flaxstand::api::{Class, DeduplicationScope, Effect, NotificationTerms, Plan, RetryBudget, Settings};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
@@ -182,10 +182,10 @@
     }
 
     /// When changes of the list bind an initiator on the platform's wire.
-    pub fn list_terms(&self) -> ListTerms {
-        ListTerms {
-            told_within: TOLD_WITHIN_MS,
-            told_after_move: TOLD_AFTER_MOVE_MS,
+    pub fn notification_terms(&self) -> NotificationTerms {
+        NotificationTerms {
+            notified_within: TOLD_WITHIN_MS,
+            notified_after_move: TOLD_AFTER_MOVE_MS,
             drain_grace: self.rules.stop_sending_within_ms,
         }
     }
@@ -258,19 +258,19 @@
     pub fn settings(&self) -> Result<Settings, String> {
         self.check()?;
         let classes = self.classes.iter().map(|c| Class {
-            aim: c.aim_ms,
-            aim_stretch: c.aim_stretch,
+            latency_objective: c.aim_ms,
+            objective_stretch: c.aim_stretch,
             deadline: c.deadline_ms,
             late_value: c.late_value,
-            worth: c.worth,
+            priority_weight: c.worth,
             effect: match (c.semantics, c.group) {
-                (Semantics::Repeatable, _) => Effect::Repeatable,
-                (Semantics::Once, _) => Effect::Once,
-                (Semantics::ByKey, group) => Effect::Keyed {
+                (Semantics::Repeatable, _) => Effect::Idempotent,
+                (Semantics::Once, _) => Effect::AtMostOnce,
+                (Semantics::ByKey, group) => Effect::IdempotencyKey {
                     group: match group {
-                        WireGroup::All => RepeatGroup::All,
-                        WireGroup::Zone => RepeatGroup::Zone,
-                        WireGroup::Cell => RepeatGroup::Cell,
+                        WireGroup::All => DeduplicationScope::All,
+                        WireGroup::Zone => DeduplicationScope::Zone,
+                        WireGroup::Cell => DeduplicationScope::Shard,
                     },
                     window: c.dedup_window_ms,
                 },
@@ -282,7 +282,7 @@
             reserve_rate: g.floor_rate,
             limit_rate: g.ceiling_rate,
             limit_burst: g.most_at_once,
-            price: g.price,
+            priority_factor: g.price,
         };
         let mut plans: Vec<Plan> = self.grades.iter().map(plan).collect();
         if plans.is_empty() {
@@ -292,7 +292,7 @@
         let budget = match (rules.extra_floor, rules.further_ratio, rules.budget_span_ms) {
             (None, None, None) => None,
             (floor, ratio, Some(span)) => {
-                Some(Budget { floor: floor.unwrap_or(0.0), ratio: ratio.unwrap_or(0.0), span })
+                Some(RetryBudget { floor: floor.unwrap_or(0.0), ratio: ratio.unwrap_or(0.0), span })
             }
             _ => return Err("a budget of attempts without its span".into()),
         };
@@ -300,26 +300,26 @@
             initiators: self.balancers.max(1),
             classes: classes.collect(),
             plans,
-            list_on_request: matches!(self.registry_mode, RegistryMode::OnRequest),
-            ask_within: rules.ask_within_ms,
+            polls_list: matches!(self.registry_mode, RegistryMode::OnRequest),
+            poll_within: rules.ask_within_ms,
             // The platform's wire states them, the simulator's does not.
-            list_terms: None,
+            notification_terms: None,
             max_attempts: self.caps.max_attempts,
-            most_out: if self.caps.second_copies { 2 } else { 1 },
+            max_concurrent_attempts: if self.caps.second_copies { 2 } else { 1 },
             may_cancel: self.caps.cancel,
             may_probe: self.caps.may_probe,
             max_retry_after: if self.caps.retry_after { self.caps.max_retry_after_ms } else { 0.0 },
-            cold_from: rules.cold_from,
-            cold_time: rules.cold_ms,
-            fall_multiple: rules.fall_multiple,
-            fall_time: rules.fall_ms,
-            cold_bears: self.family_info.cold_bears,
-            key_rest: rules.key_rest_ms,
-            budget,
-            unit_mean: self.family_info.unit_mean,
-            unit_most: self.family_info.most_units,
-            share_worth: self.family_info.fair_worth,
-            spare_worth: self.family_info.idle_worth,
+            initial_capacity: rules.cold_from,
+            warm_up_time: rules.cold_ms,
+            overload_multiple: rules.fall_multiple,
+            slow_start_window: rules.fall_ms,
+            slow_start_min_units: self.family_info.cold_bears,
+            key_cooldown: rules.key_rest_ms,
+            retry_budget: budget,
+            mean_units: self.family_info.unit_mean,
+            max_units: self.family_info.most_units,
+            shared_weight: self.family_info.fair_worth,
+            spare_weight: self.family_info.idle_worth,
             tick: self.tick_ms,
         })
     }
--- a/crates/flaxstand-platform/tests/answer.rs
+++ b/crates/flaxstand-platform/tests/answer.rs
@@ -12,8 +12,8 @@
         outcome_of(&reader.take().unwrap().unwrap())
     };
     assert_eq!(of("200 OK"), Outcome::Served);
-    assert_eq!(of("503 Full\r\nX-Not-Processed: 1"), Outcome::Full);
-    assert_eq!(of("504 Late\r\nx-not-processed: 1"), Outcome::Full);
+    assert_eq!(of("503 Full\r\nX-Not-Processed: 1"), Outcome::Rejected);
+    assert_eq!(of("504 Late\r\nx-not-processed: 1"), Outcome::Rejected);
     for head in [
         "500 No",
         "503 No",
--- a/crates/flaxstand-platform/tests/recorded.rs
+++ b/crates/flaxstand-platform/tests/recorded.rs
@@ -25,7 +25,7 @@
     let settings = read.settings.settings().expect("it is sound");
     fixtures().assert_text("settings.values", &values_of(&format!("{settings:?}")));
     let more = (
-        read.settings.list_terms(),
+        read.settings.notification_terms(),
         read.settings.dial_timeout_ms(),
         read.settings.keepalive_ms(),
         read.settings.classes().collect::<Vec<_>>(),
--- a/crates/flaxstand-platform/tests/settings.rs
+++ b/crates/flaxstand-platform/tests/settings.rs
@@ -97,5 +97,5 @@
         assert!(read.is_ok(), "{pointer}: {}", read.err().unwrap());
     }
     let settings = Configuration::read(&configuration().to_string()).unwrap().settings.settings().unwrap();
-    assert!(matches!(settings.classes[1].effect, Effect::Keyed { window, .. } if window == 700.0));
+    assert!(matches!(settings.classes[1].effect, Effect::IdempotencyKey { window, .. } if window == 700.0));
 }
--- a/crates/flaxstand-proto/src/codec.rs
+++ b/crates/flaxstand-proto/src/codec.rs
@@ -293,7 +293,7 @@
             w.u64(s.operation);
             w.u16(s.class);
             w.u16(s.plan);
-            w.u16(s.writers);
+            w.u16(s.volume_initiators);
             w.u8(s.try_no);
             w.u8(u8::from(s.write));
             w.u64(s.volume);
@@ -389,7 +389,7 @@
                 w.u32(e.shard);
                 w.u32(e.zone);
                 w.u32(e.size);
-                w.maybe_u32(e.pace);
+                w.maybe_u32(e.service_time);
                 w.text(e.address);
             }
         }
@@ -458,7 +458,7 @@
             operation: r.u64("operation")?,
             class: r.u16("class")?,
             plan: r.u16("plan")?,
-            writers: r.u16("writers")?,
+            volume_initiators: r.u16("writers")?,
             try_no: r.u8("try")?,
             write: r.flag("write")?,
             volume: r.u64("volume")?,
@@ -539,7 +539,7 @@
             shard: r.u32("shard")?,
             zone: r.u32("zone")?,
             size: if r.version >= 3 { r.u32("size")? } else { 0 },
-            pace: if r.version >= 3 { r.maybe_u32("pace")? } else { None },
+            service_time: if r.version >= 3 { r.maybe_u32("pace")? } else { None },
             address: r.text("address")?,
         });
     }
--- a/crates/flaxstand-proto/src/frame.rs
+++ b/crates/flaxstand-proto/src/frame.rs
@@ -149,7 +149,7 @@
     /// Index into the site's plans.
     pub plan: u16,
     /// How many initiators the volume's requests use, 1 or more.
-    pub writers: u16,
+    pub volume_initiators: u16,
     /// 0 for a first try, then counted up.
     pub try_no: u8,
     /// It writes.
@@ -249,7 +249,7 @@
     /// Its nominal size against others', in hundredths; 0: not told.
     pub size: u32,
     /// Unloaded time of a unit there, microseconds, as an initiator has learnt it: in its saved list only.
-    pub pace: Option<u32>,
+    pub service_time: Option<u32>,
     /// Where it listens: `host:port`, or `unix:` and a path; at most 255 bytes.
     pub address: &'a str,
 }
--- a/crates/flaxstand-proto/tests/frames.rs
+++ b/crates/flaxstand-proto/tests/frames.rs
@@ -16,7 +16,7 @@
         operation: 9,
         class: 1,
         plan: 0,
-        writers: 2,
+        volume_initiators: 2,
         try_no: 1,
         write: true,
         volume: 77,
@@ -39,7 +39,7 @@
         shard: 4,
         zone: 1,
         size: 250,
-        pace: Some(17_000),
+        service_time: Some(17_000),
         address: "127.0.0.1:9",
     };
     vec![
@@ -147,7 +147,7 @@
         shard: node as u32,
         zone: 1,
         size: 100,
-        pace: Some(1),
+        service_time: Some(1),
         address,
     };
     let entries = (0..entries).map(entry).collect();
--- a/crates/flaxstand-proto/tests/recorded_frames.rs
+++ b/crates/flaxstand-proto/tests/recorded_frames.rs
@@ -17,7 +17,7 @@
         shard: 4,
         zone: 1,
         size: 250,
-        pace: Some(17_000),
+        service_time: Some(17_000),
         address: "127.0.0.1:9",
     }
 }
@@ -28,7 +28,7 @@
         operation: 9,
         class: 1,
         plan: 3,
-        writers: 2,
+        volume_initiators: 2,
         try_no: 1,
         write: true,
         volume: 77,
@@ -125,7 +125,7 @@
 }
 
 fn lists() -> Vec<(&'static str, Frame<'static>)> {
-    let bare = Entry { age: None, pace: None, size: 0, ..entry(State::Gone) };
+    let bare = Entry { age: None, service_time: None, size: 0, ..entry(State::Gone) };
     let list = |extent, entries| Frame::List(List { extent, since: 6, revision: 7, entries });
     vec![
         ("get list", Frame::GetList),
--- a/crates/flaxstand-simulation/src/day.rs
+++ b/crates/flaxstand-simulation/src/day.rs
@@ -4,7 +4,7 @@
 use crate::agreed::Accord;
 use crate::model::Spec;
 use crate::node::Habits;
-use flaxstand::api::{Effect, RepeatGroup};
+use flaxstand::api::{DeduplicationScope, Effect};
 use flaxstand_audit::{Group, Terms};
 use flaxstand_consensus::rules::{Value, safe};
 use flaxstand_gateway::machine::Micros;
@@ -352,15 +352,15 @@
         let s = &self.site.site.settings;
         let us = |ms: f64| Micros::from_ms(ms).0;
         let effect = |e: &Effect| match *e {
-            Effect::Repeatable => flaxstand_audit::Effect::Repeatable,
-            Effect::Once => flaxstand_audit::Effect::Once,
-            Effect::Keyed { group, window } => {
+            Effect::Idempotent => flaxstand_audit::Effect::Idempotent,
+            Effect::AtMostOnce => flaxstand_audit::Effect::AtMostOnce,
+            Effect::IdempotencyKey { group, window } => {
                 let group = match group {
-                    RepeatGroup::All => Group::All,
-                    RepeatGroup::Zone => Group::Zone,
-                    RepeatGroup::Cell => Group::Shard,
+                    DeduplicationScope::All => Group::All,
+                    DeduplicationScope::Zone => Group::Zone,
+                    DeduplicationScope::Shard => Group::Shard,
                 };
-                flaxstand_audit::Effect::Keyed(group, us(window))
+                flaxstand_audit::Effect::IdempotencyKey(group, us(window))
             }
         };
         let slack = |i: usize| self.site.rules.limit_slack.get(i).copied().unwrap_or(0.0);
@@ -369,11 +369,11 @@
             classes: s.classes.iter().map(|c| (effect(&c.effect), c.in_order)).collect(),
             buffered: self.site.site.classes.iter().map(|c| c.buffered).collect(),
             limits: s.plans.iter().enumerate().map(limit).collect(),
-            most_out: s.most_out as usize,
+            max_concurrent_attempts: s.max_concurrent_attempts as usize,
             drain_grace: self.site.rules.drain_grace.0,
-            fall: (s.fall_multiple, us(s.fall_time), s.cold_bears),
-            key_rest: us(s.key_rest),
-            budget: s.budget.map(|b| (b.floor, b.ratio, us(b.span))),
+            fall: (s.overload_multiple, us(s.slow_start_window), s.slow_start_min_units),
+            key_cooldown: us(s.key_cooldown),
+            budget: s.retry_budget.map(|b| (b.floor, b.ratio, us(b.span))),
             transit: self.transit.0,
         }
     }
@@ -402,7 +402,7 @@
     let s = &site.site.settings;
     let unit_work = b.number("unit-work-ms", 0.001..=1e6, None);
     let windows = s.classes.iter().map(|c| match c.effect {
-        Effect::Keyed { window, .. } => window,
+        Effect::IdempotencyKey { window, .. } => window,
         _ => 0.0,
     });
     let fleet = Fleet {
@@ -414,8 +414,8 @@
             speed: 1.0,
             slots: b.whole("slots", 1..=100_000, Some(4)) as usize,
             queue: b.whole("queue", 0..=10_000_000, Some(64)) as usize,
-            cold_from: s.cold_from,
-            warm_after: Micros::from_ms(s.cold_time),
+            initial_capacity: s.initial_capacity,
+            warm_after: Micros::from_ms(s.warm_up_time),
             warm_by_work: b
                 .choice("warm-by", &[("time", false), ("work", true)], Some(false))
                 .unwrap_or(false),
@@ -425,10 +425,10 @@
             remembers: b.whole("remembers", 0..=10_000, Some(0)) as usize,
             put_off: b.number("put-off", 0.0..=0.99, Some(0.0)),
             put_off_every: Micros::from_ms(b.number("put-off-every-ms", 1.0..=1e6, Some(2000.0))),
-            fall_multiple: s.fall_multiple,
-            fall_time: Micros::from_ms(s.fall_time),
+            overload_multiple: s.overload_multiple,
+            slow_start_window: Micros::from_ms(s.slow_start_window),
             // The stated units, at the most work that they may hold.
-            fall_work: s.cold_bears * unit_work * 1000.0,
+            fall_work: s.slow_start_min_units * unit_work * 1000.0,
         },
         habits: Habits {
             unit_work: unit_work * 1000.0,
@@ -449,7 +449,7 @@
 
 fn read_traffic(b: &Block<'_>, site: &SiteFile) -> Traffic {
     let units = b.whole("units", 1..=1_000_000, Some(1));
-    let most = site.site.settings.unit_most;
+    let most = site.site.settings.max_units;
     if units as f64 > most {
         b.problem(format!("units is {units}, expected at most the site's unit-most, {most}"));
     }
--- a/crates/flaxstand-simulation/src/html.rs
+++ b/crates/flaxstand-simulation/src/html.rs
@@ -96,10 +96,12 @@
 fn service(day: &Day, book: &Book, axis: &Axis) -> Drawn {
     let mut counts = by_class::<(u32, u32)>(day);
     for o in operations(book).values() {
-        let aim = day.site.site.settings.classes[usize::from(o.class)].aim * 1000.0;
+        let latency_objective =
+            day.site.site.settings.classes[usize::from(o.class)].latency_objective * 1000.0;
         let place = &mut counts[usize::from(o.class)][axis.bin(o.first)];
         place.0 += 1;
-        place.1 += u32::from(o.served.is_some_and(|at| at.saturating_sub(o.first) as f64 <= aim));
+        place.1 +=
+            u32::from(o.served.is_some_and(|at| at.saturating_sub(o.first) as f64 <= latency_objective));
     }
     let points = |bins: &Vec<(u32, u32)>| {
         let asked = bins.iter().enumerate().filter(|(_, (wanted, _))| *wanted > 0);
--- a/crates/flaxstand-simulation/src/list.rs
+++ b/crates/flaxstand-simulation/src/list.rs
@@ -51,7 +51,7 @@
             zone: self.zone,
             // The nodes of a day are of one kind.
             size: 100,
-            pace: None,
+            service_time: None,
             address: &self.address,
         }
     }
--- a/crates/flaxstand-simulation/src/load.rs
+++ b/crates/flaxstand-simulation/src/load.rs
@@ -4,7 +4,7 @@
 use crate::day::{Day, Manners};
 use crate::shell::{Links, Peer};
 use crate::{between, random};
-use flaxstand::api::{Effect, RepeatGroup};
+use flaxstand::api::{DeduplicationScope, Effect};
 use flaxstand_audit::{Answer, Mark, Record};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Micros};
 use flaxstand_proto::{Frame, Hello, Role, Submit, VERSION, VERSION_OLDEST};
@@ -36,7 +36,7 @@
     class: u16,
     plan: u16,
     volume: u64,
-    writers: u16,
+    volume_initiators: u16,
     extent: u64,
     shard: Option<u32>,
     units: u32,
@@ -189,14 +189,14 @@
             (volume, extent, shard, one_way) = (written_in, written, Some(at), true);
         }
         let v = &self.volumes[volume];
-        let (id, plan, writers, hosts) = (v.id, v.plan, v.hosts.len() as u16, v.hosts.clone());
+        let (id, plan, volume_initiators, hosts) = (v.id, v.plan, v.hosts.len() as u16, v.hosts.clone());
         let deadline = Micros::from_ms(self.day.site.site.settings.classes[class].deadline);
         let operation = Operation {
             op: self.next_op,
             class: class as u16,
             plan,
             volume: id,
-            writers,
+            volume_initiators,
             extent,
             shard,
             units,
@@ -291,7 +291,7 @@
                 operation: o.op,
                 class: o.class,
                 plan: o.plan,
-                writers: o.writers,
+                volume_initiators: o.volume_initiators,
                 try_no: o.tries,
                 write: o.write,
                 volume: o.volume,
@@ -311,7 +311,7 @@
     fn again(&mut self, client: usize, mut operation: Operation, wait: f64, now: Micros) {
         operation.tries += 1;
         let effect = self.day.site.site.settings.classes[usize::from(operation.class)].effect;
-        if let Effect::Keyed { window, .. } = effect {
+        if let Effect::IdempotencyKey { window, .. } = effect {
             // Nodes remember an earlier try for so long: none may be sent later.
             operation.until = operation.until.min(operation.begun.after(Micros::from_ms(window)));
         }
@@ -345,9 +345,9 @@
             return false;
         }
         match self.day.site.site.settings.classes[usize::from(operation.class)].effect {
-            Effect::Repeatable => true,
-            Effect::Keyed { group, .. } => group == RepeatGroup::All,
-            Effect::Once => false,
+            Effect::Idempotent => true,
+            Effect::IdempotencyKey { group, .. } => group == DeduplicationScope::All,
+            Effect::AtMostOnce => false,
         }
     }
 
--- a/crates/flaxstand-simulation/src/measure_buffer.rs
+++ b/crates/flaxstand-simulation/src/measure_buffer.rs
@@ -21,7 +21,7 @@
     /// Acknowledged as buffered; else they went through.
     pub buffered: bool,
     /// How many.
-    pub writers: u32,
+    pub volume_initiators: u32,
     /// What they saw.
     pub seen: Seen,
     /// Syncs of data for each write, word of what is done included.
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Measured {
     /// Writers.
-    pub writers: Vec<Writers>,
+    pub volume_initiators: Vec<Writers>,
     /// Logs.
     pub read_back: Vec<ReadBack>,
 }
@@ -57,13 +57,13 @@
             "{:8} {:>8} {:>10} {:>8} {:>8} {:>13} {:>13}\n",
             "writes", "writers", "writes/s", "p50 us", "p99 us", "syncs/write", "bytes/byte"
         );
-        for w in &self.writers {
+        for w in &self.volume_initiators {
             let rate = w.seen.served as f64 / w.seen.seconds.max(1e-9);
             let how = if w.buffered { "buffered" } else { "through" };
             let _ = writeln!(
                 out,
                 "{how:8} {:>8} {rate:>10.0} {:>8} {:>8} {:>13.3} {:>13.2}",
-                w.writers, w.seen.p50_us, w.seen.p99_us, w.syncs_a_write, w.amplification
+                w.volume_initiators, w.seen.p50_us, w.seen.p99_us, w.syncs_a_write, w.amplification
             );
         }
         for r in &self.read_back {
@@ -87,17 +87,22 @@
         + "buffer {\n    bytes 1000000000\n    volume-bytes 1000000000\n}\n"
 }
 
-fn writers(bench: &Bench<'_>, buffered: bool, writers: u32, seconds: f64) -> Result<Writers, RehearsalError> {
+fn volume_initiators(
+    bench: &Bench<'_>,
+    buffered: bool,
+    volume_initiators: u32,
+    seconds: f64,
+) -> Result<Writers, RehearsalError> {
     let log = bench.folder.join("log");
     let _ = std::fs::remove_dir_all(&log);
     let (_echo, _list, initiator) =
         bench.stage_with(10, false, |list| settings(bench.folder, list, buffered))?;
-    let more = ["--window=1".into(), format!("--clients={writers}"), format!("--write={BYTES}")];
+    let more = ["--window=1".into(), format!("--clients={volume_initiators}"), format!("--write={BYTES}")];
     let mut press = bench.press(10, &more, seconds)?;
     let seen = press.expect("seen", Duration::from_secs_f64(seconds * 2.0 + 10.0))?;
     let seen: Seen =
         serde_json::from_str(&seen).map_err(|e| RehearsalError::Process(format!("press: {e}")))?;
-    let mut measured = Writers { buffered, writers, seen, syncs_a_write: 0.0, amplification: 0.0 };
+    let mut measured = Writers { buffered, volume_initiators, seen, syncs_a_write: 0.0, amplification: 0.0 };
     if buffered {
         let address = format!("--initiator=unix:{}/measured.sock", bench.folder.display());
         let out = std::process::Command::new(bench.program)
@@ -127,9 +132,18 @@
             seq += 1;
             let place = Place { volume: seq % 64, extent: seq };
             let payload = vec![seq as u8; BYTES as usize];
-            let (class, plan, writers, shard, units) = (0, 0, 1, 0, 1);
-            let write =
-                Write { place, class, plan, writers, shard, units, operation: seq, at: None, payload };
+            let (class, plan, volume_initiators, shard, units) = (0, 0, 1, 0, 1);
+            let write = Write {
+                place,
+                class,
+                plan,
+                volume_initiators,
+                shard,
+                units,
+                operation: seq,
+                at: None,
+                payload,
+            };
             let (taken, started, parked) = (Wall(1), None, false);
             log.append(&Record::Write { seq: Seq(seq), taken, started, parked, write }, now);
         }
@@ -157,7 +171,7 @@
     let mut all = Measured::default();
     for count in [1, 8, 64] {
         for buffered in [false, true] {
-            all.writers.push(writers(&bench, buffered, count, seconds)?);
+            all.volume_initiators.push(volume_initiators(&bench, buffered, count, seconds)?);
         }
     }
     for mib in [16, 64, 256] {
--- a/crates/flaxstand-simulation/src/model.rs
+++ b/crates/flaxstand-simulation/src/model.rs
@@ -16,7 +16,7 @@
     /// Requests that may wait beside.
     pub queue: usize,
     /// Share of its power at a cold start.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// Time from a cold start until it is warm; the share grows evenly.
     pub warm_after: Micros,
     /// It warms with the work it has done too, if that is faster: warm after a tenth of what it could do in
@@ -34,12 +34,12 @@
     pub put_off: f64,
     /// See `put_off`.
     pub put_off_every: Micros,
-    /// A cold node falls over when sent more than `fall_multiple` times its present power for `fall_time`,
+    /// A cold node falls over when sent more than `overload_multiple` times its present power for `slow_start_window`,
     /// and more than `fall_work` of work, microseconds of a core of speed 1.
-    pub fall_multiple: f64,
-    /// See `fall_multiple`.
-    pub fall_time: Micros,
-    /// See `fall_multiple`.
+    pub overload_multiple: f64,
+    /// See `overload_multiple`.
+    pub slow_start_window: Micros,
+    /// See `overload_multiple`.
     pub fall_work: f64,
 }
 
@@ -139,7 +139,7 @@
         let by_work = 10.0 * self.worked / (whole * self.spec.cores * self.spec.speed);
         let part = now.since(booted).0 as f64 / whole;
         let part = if self.spec.warm_by_work { part.max(by_work) } else { part };
-        self.spec.cold_from + (1.0 - self.spec.cold_from) * part.min(1.0)
+        self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * part.min(1.0)
     }
 
     /// Work a microsecond for each active job.
@@ -181,11 +181,11 @@
         }
         self.recent.push_back((now, work));
         self.recent_work += work;
-        while self.recent.front().is_some_and(|(at, _)| now.since(*at) >= self.spec.fall_time) {
+        while self.recent.front().is_some_and(|(at, _)| now.since(*at) >= self.spec.slow_start_window) {
             self.recent_work -= self.recent.pop_front().map_or(0.0, |(_, work)| work);
         }
         let power = self.spec.cores * self.spec.speed * self.warmth(now);
-        let bears = self.spec.fall_multiple * power * self.spec.fall_time.0 as f64;
+        let bears = self.spec.overload_multiple * power * self.spec.slow_start_window.0 as f64;
         self.fell |= self.recent_work > bears.max(self.spec.fall_work);
     }
 
@@ -289,7 +289,7 @@
             speed: 1.0,
             slots: 1,
             queue: 1_000_000,
-            cold_from: 0.2,
+            initial_capacity: 0.2,
             warm_after: Micros(10_000_000),
             warm_by_work: false,
             thrash: 0.0,
@@ -298,8 +298,8 @@
             remembers: 2,
             put_off: 0.0,
             put_off_every: Micros(1_000_000),
-            fall_multiple: 4.0,
-            fall_time: Micros(1_000_000),
+            overload_multiple: 4.0,
+            slow_start_window: Micros(1_000_000),
             fall_work: 0.0,
         }
     }
--- a/crates/flaxstand-simulation/src/node.rs
+++ b/crates/flaxstand-simulation/src/node.rs
@@ -154,7 +154,7 @@
             shard: self.id.shard,
             zone: self.id.zone,
             power: self.model.spec.cores * self.model.spec.speed,
-            cold_from: self.model.spec.cold_from,
+            initial_capacity: self.model.spec.initial_capacity,
             warm_after: if cold { self.model.spec.warm_after.0 } else { 0 },
         }
     }
--- a/crates/flaxstand-simulation/src/press.rs
+++ b/crates/flaxstand-simulation/src/press.rs
@@ -122,7 +122,7 @@
                 operation: id,
                 class: 0,
                 plan: 0,
-                writers: 1,
+                volume_initiators: 1,
                 try_no: 0,
                 write: self.p.write > 0,
                 volume: id % 64,
--- a/crates/flaxstand-simulation/src/recovery.rs
+++ b/crates/flaxstand-simulation/src/recovery.rs
@@ -30,7 +30,7 @@
 /// Service by second, and when it was back. None: nothing goes wrong on this day.
 pub(crate) fn recovery(day: &Day, operations: &BTreeMap<u64, Operation>) -> Option<Recovery> {
     let first = day.faults.iter().map(|f| f.at).fold(f64::INFINITY, f64::min);
-    let cold = day.site.site.settings.cold_time / 1000.0;
+    let cold = day.site.site.settings.warm_up_time / 1000.0;
     let warm = |f: &crate::day::Fault| match f.trouble {
         Trouble::Crash | Trouble::Replace => f.at + f.length + cold,
         _ => f.at + f.length,
@@ -42,10 +42,10 @@
         let class = &day.site.site.settings.classes[usize::from(o.class)];
         let bin = ((o.first - start) / 1_000_000) as usize;
         bins.resize(bins.len().max(bin + 1), (0.0, 0.0));
-        bins[bin].1 += class.worth;
-        let in_time = |at: u64| at.saturating_sub(o.first) as f64 <= class.aim * 1000.0;
+        bins[bin].1 += class.priority_weight;
+        let in_time = |at: u64| at.saturating_sub(o.first) as f64 <= class.latency_objective * 1000.0;
         if o.served.is_some_and(in_time) {
-            bins[bin].0 += class.worth;
+            bins[bin].0 += class.priority_weight;
         }
     }
     let seconds: Vec<f64> = bins.iter().map(|(got, wanted)| got / wanted.max(1e-9)).collect();
--- a/crates/flaxstand-simulation/src/report.rs
+++ b/crates/flaxstand-simulation/src/report.rs
@@ -111,14 +111,14 @@
     for request in book.requests.values() {
         *attempts.entry(request.op).or_default() += request.attempts.len() as u64;
     }
-    let (mut worth, mut wanted) = (0.0, 0.0);
+    let (mut priority_weight, mut wanted) = (0.0, 0.0);
     let operations = operations(book);
     for (op, o) in &operations {
         let class = &site.settings.classes[usize::from(o.class)];
         let lag = o.served.map(|at| at.saturating_sub(o.first));
-        let in_time = lag.is_some_and(|lag| lag as f64 <= class.aim * 1000.0);
-        wanted += class.worth;
-        worth += if in_time { class.worth } else { 0.0 };
+        let in_time = lag.is_some_and(|lag| lag as f64 <= class.latency_objective * 1000.0);
+        wanted += class.priority_weight;
+        priority_weight += if in_time { class.priority_weight } else { 0.0 };
         for (s, lags) in [&mut classes[usize::from(o.class)], &mut plans[usize::from(o.plan)]] {
             s.wanted += 1;
             s.tries += o.tries;
@@ -147,7 +147,7 @@
         };
         all.into_iter().map(of).collect()
     };
-    let service = if wanted > 0.0 { worth / wanted } else { 1.0 };
+    let service = if wanted > 0.0 { priority_weight / wanted } else { 1.0 };
     Report {
         agreement: None,
         recovery: recovery(day, &operations),
--- a/crates/flaxstand-simulation/src/scale/node_list.rs
+++ b/crates/flaxstand-simulation/src/scale/node_list.rs
@@ -114,7 +114,7 @@
             shard: number as u32,
             zone: number as u32 % ZONES,
             size: NODE_SIZE,
-            pace: None,
+            service_time: None,
             address: &node.address,
         }
     }
--- a/crates/flaxstand-simulation/src/swarm.rs
+++ b/crates/flaxstand-simulation/src/swarm.rs
@@ -98,11 +98,11 @@
                     format!("\"keyed\"\n    group \"{group}\"\n    window-ms {}", whole(r, 500, 4000))
                 }
             };
-            let (aim, order) = (whole(r, 50, 600), random(r) < 0.25);
-            let deadline = aim + whole(r, 100, 2500);
+            let (latency_objective, order) = (whole(r, 50, 600), random(r) < 0.25);
+            let deadline = latency_objective + whole(r, 100, 2500);
             let _ = write!(
                 common,
-                "class \"{class}\" {{\n    effect {effect}\n    aim-ms {aim}\n    deadline-ms {deadline}\n    worth {}\n    \
+                "class \"{class}\" {{\n    effect {effect}\n    aim-ms {latency_objective}\n    deadline-ms {deadline}\n    worth {}\n    \
                  late-value 0.2\n    in-order #{order}\n}}\n",
                 whole(r, 1, 4)
             );
--- a/crates/flaxstand-write-back/src/buffer.rs
+++ b/crates/flaxstand-write-back/src/buffer.rs
@@ -75,7 +75,7 @@
     /// Advised wait with a refusal.
     pub refusal_wait: Micros,
     /// A place rests so long after an attempt that may still run.
-    pub key_rest: Micros,
+    pub key_cooldown: Micros,
     /// By class.
     pub classes: Vec<Buffering>,
     /// Bound on repeats of write-outs.
@@ -272,7 +272,7 @@
     /// A buffer that goes on with what was read back.
     pub fn new(config: Config, recovered: Recovered, now: Micros) -> Self {
         // Attempts of an earlier life may still run, also where nothing of it is in the log.
-        let begins = now.after(config.key_rest);
+        let begins = now.after(config.key_cooldown);
         let mut buffer = Buffer {
             log: recovered.log,
             order: Order::new(begins),
@@ -466,7 +466,7 @@
     /// A request that went through is over. `unsure`: an attempt of it may still run.
     pub fn through_ended(&mut self, ticket: Ticket, unsure: bool, now: Micros) {
         let Some(Role::Through(seq)) = self.roles.remove(&ticket) else { return };
-        let rest = if unsure { now.after(self.config.key_rest) } else { Micros(0) };
+        let rest = if unsure { now.after(self.config.key_cooldown) } else { Micros(0) };
         let freed = self.order.finish(seq, rest);
         self.freed(freed, now);
     }
@@ -706,8 +706,11 @@
             TryEnd::Confirmed { lingers } => {
                 self.out.ended(shard, Ended::Well, now);
                 self.status.write_outs += 1;
-                let rest =
-                    if lingers || t.earlier.is_some() { now.after(self.config.key_rest) } else { Micros(0) };
+                let rest = if lingers || t.earlier.is_some() {
+                    now.after(self.config.key_cooldown)
+                } else {
+                    Micros(0)
+                };
                 // No barrier lies inside a run: nothing is freed before its last.
                 let mut freed = Freed::default();
                 for seq in &t.run.seqs {
@@ -734,7 +737,7 @@
             TryEnd::Unsure => {
                 self.out.ended(shard, Ended::Badly(Micros(0)), now);
                 self.unsure.insert(first, Earlier::ThisLife);
-                self.order.give_back(t.run, true, now.after(self.config.key_rest));
+                self.order.give_back(t.run, true, now.after(self.config.key_cooldown));
                 self.consider(place, now);
             }
         }
--- a/crates/flaxstand-write-back/src/image.rs
+++ b/crates/flaxstand-write-back/src/image.rs
@@ -67,7 +67,17 @@
 
     fn write(at: Option<u32>, payload: Vec<u8>) -> Write {
         let place = Place { volume: 1, extent: 1 };
-        Write { place, class: 0, plan: 0, writers: 1, shard: 0, units: 1, operation: 0, at, payload }
+        Write {
+            place,
+            class: 0,
+            plan: 0,
+            volume_initiators: 1,
+            shard: 0,
+            units: 1,
+            operation: 0,
+            at,
+            payload,
+        }
     }
 
     fn any_write() -> impl Strategy<Value = Write> {
--- a/crates/flaxstand-write-back/src/record.rs
+++ b/crates/flaxstand-write-back/src/record.rs
@@ -46,7 +46,7 @@
     /// Index of its volume's plan.
     pub plan: u16,
     /// Initiators that share the volume.
-    pub writers: u16,
+    pub volume_initiators: u16,
     /// The shard that holds the extent.
     pub shard: u32,
     /// Units it counts.
@@ -151,7 +151,7 @@
                 out.extend_from_slice(&w.place.extent.to_le_bytes());
                 out.extend_from_slice(&w.class.to_le_bytes());
                 out.extend_from_slice(&w.plan.to_le_bytes());
-                out.extend_from_slice(&w.writers.to_le_bytes());
+                out.extend_from_slice(&w.volume_initiators.to_le_bytes());
                 out.extend_from_slice(&w.shard.to_le_bytes());
                 out.extend_from_slice(&w.units.to_le_bytes());
                 out.extend_from_slice(&w.operation.to_le_bytes());
@@ -179,7 +179,7 @@
                     place: Place { volume: r.u64()?, extent: r.u64()? },
                     class: r.u16()?,
                     plan: r.u16()?,
-                    writers: r.u16()?,
+                    volume_initiators: r.u16()?,
                     shard: r.u32()?,
                     units: r.u32()?,
                     operation: r.u64()?,
@@ -321,8 +321,17 @@
     fn write(at: Option<u32>) -> Record {
         let place = Place { volume: 7, extent: 9 };
         let payload = vec![1, 2, 3];
-        let write =
-            Write { place, class: 1, plan: 2, writers: 3, shard: 4, units: 5, operation: 6, at, payload };
+        let write = Write {
+            place,
+            class: 1,
+            plan: 2,
+            volume_initiators: 3,
+            shard: 4,
+            units: 5,
+            operation: 6,
+            at,
+            payload,
+        };
         Record::Write { seq: Seq(8), taken: Wall(10), started: Some(Wall(11)), parked: true, write }
     }
 
--- a/crates/flaxstand-write-back/tests/promises/rig.rs
+++ b/crates/flaxstand-write-back/tests/promises/rig.rs
@@ -137,7 +137,7 @@
     Config {
         rules,
         refusal_wait: Micros(1000),
-        key_rest: if plant == Plant::NoRest { Micros(0) } else { KEY_REST },
+        key_cooldown: if plant == Plant::NoRest { Micros(0) } else { KEY_REST },
         classes: vec![
             Buffering::Repeatable,
             if plant == Plant::WindowIgnored { Buffering::Repeatable } else { Buffering::Keyed(WINDOW) },
@@ -192,7 +192,7 @@
             place,
             class,
             plan: 0,
-            writers: 1,
+            volume_initiators: 1,
             shard: (place.extent % 2) as u32,
             units: 1,
             operation: number.into(),
--- a/crates/flaxstand-write-back/tests/recorded_log.rs
+++ b/crates/flaxstand-write-back/tests/recorded_log.rs
@@ -30,7 +30,7 @@
         place: Place { volume, extent },
         class,
         plan: 1,
-        writers: 2,
+        volume_initiators: 2,
         shard: extent as u32,
         units: 3,
         operation: 1000 + extent,
@@ -106,7 +106,7 @@
     Config {
         rules: Rules::default(),
         refusal_wait: Micros(1000),
-        key_rest: Micros(0),
+        key_cooldown: Micros(0),
         classes: vec![Buffering::Repeatable, Buffering::Keyed(Micros(60_000_000))],
         repeats: None,
         calendar: Wall(TAKEN.0 + 1_000_000),
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,8 +1,8 @@
 //! The decision module's interface: plain values, no transport. All times are milliseconds on one
-//! clock that never goes back; all durations are milliseconds too.
+//! monotonic clock; all durations are milliseconds too.
 
 /// A moment or a duration in milliseconds.
-pub type Ms = f64;
+pub type Millis = f64;
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
@@ -12,7 +12,7 @@
     };
 }
 
-id!(/// One try of a client.
+id!(/// One attempt of a client to have an operation done.
     RequestId, u64);
 id!(/// A storage node's process, as the node list names it.
     NodeId, u32);
@@ -31,87 +31,88 @@
 id!(/// Number of a request's attempt, from 0 in the order of sending.
     AttemptNo, u32);
 
-/// Within which nodes repeats of a keyed request are dropped.
+/// Which nodes deduplicate requests with one idempotency key among themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatGroup {
+pub enum DeduplicationScope {
     /// Every node.
     All,
     /// Nodes of one zone.
     Zone,
     /// Nodes that hold one shard.
-    Cell,
+    Shard,
 }
 
-/// Whether a request of a class may run again.
+/// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Repeating is harmless.
-    Repeatable,
-    /// A group of nodes drops repeats for `window` after the first attempt that may have run.
-    Keyed {
+    /// A second execution is harmless.
+    Idempotent,
+    /// Requests carry an idempotency key: nodes drop a second one for `window` after the first attempt that may
+    /// have been executed.
+    IdempotencyKey {
         /// Which nodes know of the first attempt.
-        group: RepeatGroup,
-        /// How long they remember it.
-        window: Ms,
+        group: DeduplicationScope,
+        /// How long they remember it, ms.
+        window: Millis,
     },
-    /// Must never run twice.
-    Once,
+    /// Must never be executed twice.
+    AtMostOnce,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this earns full worth.
-    pub aim: Ms,
-    /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: f64,
-    /// How long a client waits over all its tries.
-    pub deadline: Ms,
-    /// Share of the worth earned by an answer after the aim.
+    /// Latency within which an answer has its full value, ms.
+    pub latency_objective: Millis,
+    /// The objective grows by this multiple of the request's own service time.
+    pub objective_stretch: f64,
+    /// How long a client waits over all its attempts, ms.
+    pub deadline: Millis,
+    /// Share of the value that an answer after the objective has, 0 to 1.
     pub late_value: f64,
-    /// Worth of a request.
-    pub worth: f64,
-    /// May it run again.
+    /// Weight of a request of this class against those of others.
+    pub priority_weight: f64,
+    /// Whether it may be executed more than once.
     pub effect: Effect,
-    /// Requests with one key take turns.
+    /// Requests with one key are executed one after the other.
     pub in_order: bool,
 }
 
-/// A plan that volumes stand on; its figures count for a volume over all initiators.
+/// A service plan of volumes; its rates count for a volume over all initiators.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Units a second a volume is sized for.
     pub base_rate: f64,
-    /// Units a second that earn full worth.
+    /// Units a second that have full value.
     pub reserve_rate: f64,
-    /// Units a second at which the limit's store fills; 0: no limit.
+    /// Units a second at which the limit's token bucket fills; 0: no limit.
     pub limit_rate: f64,
-    /// Most units the limit's store holds.
+    /// Capacity of that bucket, units.
     pub limit_burst: f64,
-    /// Worth factor.
-    pub price: f64,
+    /// Factor on the priority weight of requests.
+    pub priority_factor: f64,
 }
 
-/// The budget of attempts beyond each request's first.
+/// The budget of retries: attempts beyond each request's first.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
-    /// Allowed however light the traffic.
+pub struct RetryBudget {
+    /// Retries allowed however light the traffic.
     pub floor: f64,
-    /// Allowed for each request taken.
+    /// Retries allowed for each request that arrived.
     pub ratio: f64,
-    /// How far back both counts look.
-    pub span: Ms,
+    /// Length of the window in which both are counted, ms.
+    pub span: Millis,
 }
 
-/// When a change of the node list binds an initiator that has not heard of it.
+/// When a change of the endpoint list binds an initiator that was not notified of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ListTerms {
-    /// So long after the list service had it and could be reached.
-    pub told_within: Ms,
-    /// So long after the initiator was told that the service is at another address.
-    pub told_after_move: Ms,
-    /// Requests may go to a node for so long after the change that drains it binds.
-    pub drain_grace: Ms,
+pub struct NotificationTerms {
+    /// So long after the discovery service had it and could be reached, ms.
+    pub notified_within: Millis,
+    /// So long after the initiator was told that the service is at another address, ms.
+    pub notified_after_move: Millis,
+    /// Requests may go to a node for so long after the change that drains it binds, ms.
+    pub drain_grace: Millis,
 }
 
 /// What a site tells an initiator when it starts.
@@ -123,126 +124,126 @@
     pub classes: Vec<Class>,
     /// Plans of volumes.
     pub plans: Vec<Plan>,
-    /// The list answers only when asked.
-    pub list_on_request: bool,
-    /// The initiator must have asked for the list within this.
-    pub ask_within: Ms,
-    /// When changes of the list bind; none: not stated, and no list is too old to act on.
-    pub list_terms: Option<ListTerms>,
+    /// The endpoint list is polled; else it is pushed.
+    pub polls_list: bool,
+    /// The initiator must have polled the list within this, ms.
+    pub poll_within: Millis,
+    /// When changes of the list bind; none: not stated, and no list is ever too old to act on.
+    pub notification_terms: Option<NotificationTerms>,
     /// Attempts a request may have.
     pub max_attempts: u32,
-    /// Attempts of one request that may be out at once, 1 or more.
-    pub most_out: u32,
-    /// An attempt that is out may be called off.
+    /// Attempts of one request that may be in flight at once, 1 or more; above 1 requests may be hedged.
+    pub max_concurrent_attempts: u32,
+    /// An attempt in flight may be cancelled.
     pub may_cancel: bool,
-    /// Nodes may be probed.
+    /// Nodes may be probed by health checks.
     pub may_probe: bool,
-    /// Longest advised wait that clients honour; 0: advice does not reach them.
-    pub max_retry_after: Ms,
-    /// A node starts at this share of its capacity or more.
-    pub cold_from: f64,
-    /// A node is warm after this.
-    pub cold_time: Ms,
-    /// A cold node falls when sent more than this many times its present capacity
-    pub fall_multiple: f64,
-    /// for this long.
-    pub fall_time: Ms,
-    /// Units within `fall_time`, from all initiators, that a cold node always bears.
-    pub cold_bears: f64,
-    /// Rest of a key after an attempt that may still run.
-    pub key_rest: Ms,
-    /// Budget of further attempts, where one is stated.
-    pub budget: Option<Budget>,
+    /// Longest Retry-After that clients honour, ms; 0: they are told none.
+    pub max_retry_after: Millis,
+    /// Share of its capacity that a node has at its start, 0 to 1.
+    pub initial_capacity: f64,
+    /// Time from a node's start until it has its full capacity, ms.
+    pub warm_up_time: Millis,
+    /// A node that is warming up fails when it is sent more than this multiple of its present capacity
+    pub overload_multiple: f64,
+    /// within this window, ms.
+    pub slow_start_window: Millis,
+    /// Units within `slow_start_window`, from all initiators, that it always bears.
+    pub slow_start_min_units: f64,
+    /// Pause of an ordered key after an attempt that may still be executed, ms.
+    pub key_cooldown: Millis,
+    /// Budget of retries, where one is stated.
+    pub retry_budget: Option<RetryBudget>,
     /// Mean units of a request.
-    pub unit_mean: f64,
-    /// Most units of a request.
-    pub unit_most: f64,
-    /// Worth of units beyond the reserve, within the share.
-    pub share_worth: f64,
-    /// Worth of units beyond reserve and share.
-    pub spare_worth: f64,
-    /// Instances act at most this often.
-    pub tick: Ms,
+    pub mean_units: f64,
+    /// Largest number of units of a request.
+    pub max_units: f64,
+    /// Factor on the weight of units beyond the reserve, within the volume's share, 0 to 1.
+    pub shared_weight: f64,
+    /// Factor on the weight of units beyond reserve and share, 0 to 1.
+    pub spare_weight: f64,
+    /// Shortest interval between two evaluations, ms.
+    pub tick: Millis,
 }
 
 impl Settings {
-    /// The tightest aim of a class, ms; infinite without a class.
-    pub fn tightest_aim(&self) -> Ms {
-        self.classes.iter().map(|class| class.aim).fold(Ms::INFINITY, Ms::min)
+    /// The tightest latency objective of a class, ms; infinite without a class.
+    pub fn tightest_objective(&self) -> Millis {
+        self.classes.iter().map(|class| class.latency_objective).fold(Millis::INFINITY, Millis::min)
     }
 
-    /// The most worth that a request may have, for its class and plan.
-    pub fn most_worth(&self) -> f64 {
-        let price = self.plans.iter().map(|plan| plan.price).fold(0.0, f64::max);
-        self.classes.iter().map(|class| class.worth * price).fold(0.0, f64::max)
+    /// The largest weight that a request may have, for its class and plan.
+    pub fn max_priority_weight(&self) -> f64 {
+        let priority_factor = self.plans.iter().map(|plan| plan.priority_factor).fold(0.0, f64::max);
+        self.classes.iter().map(|class| class.priority_weight * priority_factor).fold(0.0, f64::max)
     }
 }
 
-/// A node's state in the list.
+/// A node's state in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
     /// Takes work.
     Serving,
     /// Finishes its work; nothing new.
     Draining,
-    /// Removed.
+    /// No longer listed.
     #[default]
-    Gone,
+    Removed,
 }
 
-/// An entry of the node list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct NodeEntry {
     /// The node.
     pub node: NodeId,
     /// Its state.
     pub readiness: Readiness,
-    /// Its latest start, unless long past.
-    pub booted_at: Option<Ms>,
-    /// Its nominal size, against others'; 0: not told.
+    /// When its process started last, unless long past.
+    pub started_at: Option<Millis>,
+    /// Its nominal size relative to others; 0: not stated.
     pub size: f64,
-    /// Unloaded time of a unit there, ms, as an earlier life of this host learnt it; none: not known.
-    pub pace: Option<Ms>,
+    /// Unloaded service time of a unit there, ms, as an earlier process of this host learnt it; none: unknown.
+    pub service_time: Option<Millis>,
     /// Its zone.
     pub zone: ZoneId,
     /// The shard it holds.
     pub shard: ShardId,
 }
 
-/// How a list relates to the one held.
+/// How a list relates to the one that the module has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// Changed entries.
     Changes,
     /// All entries; an absent node is gone.
     Full,
-    /// The list as this host last held it; may be stale.
-    Saved,
+    /// The list as this host last saved it; may be stale.
+    Cached,
     /// The call failed or the subscription dropped; nothing changes.
     Failed,
 }
 
-/// What became of a call of the list service, beside the list that it may bring.
+/// What became of a call of the discovery service, beside the list that it may bring.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ListCall {
+pub enum DiscoveryCall {
     /// It was made.
-    Made {
-        /// How long the service is asked to wait for a change.
-        waits: Ms,
+    Started {
+        /// How long the service may hold it until something changes (long poll), ms.
+        long_poll: Millis,
     },
-    /// Its answer has begun to arrive and is not complete.
-    AnswerBegan,
+    /// Its response has begun to arrive and is not complete.
+    ResponseBegan,
     /// The service, or something before it, answered that it cannot tell the list now.
-    TurnedAway {
-        /// How long after the call was made.
-        after: Ms,
+    Rejected {
+        /// How long after the call was made, ms.
+        elapsed: Millis,
     },
-    /// Its answer was arriving so slowly that it was given up.
+    /// Its response was arriving so slowly that it was given up.
     Abandoned,
-    /// It had no answer: the service could not be reached, was silent, or the connection broke.
+    /// It had no response: the service could not be reached, was silent, or the connection broke.
     Unanswered,
     /// The service is at another address from now on.
-    Moved,
+    ServiceMoved,
 }
 
 /// A client's request.
@@ -256,16 +257,16 @@
     pub plan: PlanId,
     /// Its item of data, if it names one.
     pub key: Option<Key>,
-    /// When the client gives this try up.
-    pub valid_until: Ms,
+    /// When the client stops waiting.
+    pub expires_at: Millis,
     /// Its volume.
     pub volume: VolumeId,
-    /// Units it counts.
+    /// Units of work that it counts as.
     pub units: f64,
     /// The shard that holds its data; none: a new object.
     pub shard: Option<ShardId>,
     /// Initiators that share the volume.
-    pub writers: u32,
+    pub volume_initiators: u32,
 }
 
 /// How an attempt ended.
@@ -273,61 +274,61 @@
 pub enum Outcome {
     /// Served.
     Served,
-    /// The node returned an error; it may have run.
+    /// The node returned an error; it may have been executed.
     Error,
-    /// Turned away unseen.
-    Full,
-    /// No answer in time; it may run yet.
+    /// Rejected without being executed: the node's queue is full, or it drains.
+    Rejected,
+    /// No answer in time; it may still be executed.
     TimedOut,
-    /// No connection; never ran.
+    /// No connection; it was not executed.
     ConnectFailed,
-    /// Connection lost; it may have run.
+    /// Connection lost; it may have been executed.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled; it may have been executed.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptEnd {
     /// The request.
     pub request: RequestId,
     /// Which attempt.
     pub attempt: AttemptNo,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
-    pub lag: Ms,
-    /// The request is over.
-    pub complete: bool,
+    /// Time since it was sent, ms.
+    pub latency: Millis,
+    /// The request has its answer: nothing more is to be sent for it.
+    pub is_final: bool,
 }
 
-/// What the brain is told.
+/// What the scheduler is told.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Word of the node list.
-    List(ListScope, Vec<NodeEntry>),
-    /// What became of a call of the list service, where the deployment has [`ListTerms`].
-    ListCall(ListCall),
+    /// Entries of the endpoint list.
+    EndpointList(ListScope, Vec<NodeEntry>),
+    /// What became of a call of the discovery service, where the deployment has [`NotificationTerms`].
+    DiscoveryCall(DiscoveryCall),
     /// A request arrived.
-    Arrived(Arrival),
+    RequestArrived(Arrival),
     /// A streamed answer started: the attempt belongs to the client now.
-    AnswerStarted(RequestId),
+    ResponseStarted(RequestId),
     /// An attempt ended.
-    Ended(Ended),
+    AttemptEnded(AttemptEnd),
     /// A probe of a node ended, well or not.
-    Probed(NodeId, Outcome),
+    ProbeEnded(NodeId, Outcome),
     /// Nobody waits for this request any more.
     ClientGone(RequestId),
-    /// Rules that hold from now on, also for what is held or out. Classes and plans keep their numbers.
-    Rules(Box<Settings>),
+    /// Settings that hold from now on, also for what is queued or in flight. Classes and plans keep their numbers.
+    SettingsChanged(Box<Settings>),
     /// A timer fired, or all that happened at this moment has been told: decide.
-    Decide,
+    Evaluate,
 }
 
-/// What the brain wants done, in order.
+/// What the scheduler wants done, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
@@ -336,38 +337,38 @@
         request: RequestId,
         /// Where to.
         node: NodeId,
-        /// Its first byte must leave before this, or it ends as [`Outcome::Moot`]: a connection may come up late.
-        until: Ms,
+        /// Its first byte must leave before this, or it ends as [`Outcome::NotSent`]: a connection may come up late.
+        until: Millis,
     },
-    /// Call an attempt off; it ends as cancelled unless it ends otherwise first.
+    /// Cancel an attempt; it ends as cancelled unless it ends otherwise first.
     Cancel {
         /// The request; it may be over.
         request: RequestId,
         /// Which attempt.
         attempt: AttemptNo,
     },
-    /// Probe a node; one `Probed` comes back.
+    /// Probe a node; one [`Event::ProbeEnded`] comes back.
     Probe {
         /// Which one.
         node: NodeId,
     },
-    /// Final answer: refused; trying again is harmless.
-    Refuse {
+    /// Final answer: rejected; it was not executed, or a retry is harmless.
+    Reject {
         /// The request.
         request: RequestId,
-        /// Advised wait; 0: none.
-        retry_after: Ms,
+        /// Retry-After, ms; 0: none.
+        retry_after: Millis,
     },
     /// Final answer: failed; nothing is promised.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Say `Decide` again after this long.
-    Wake {
-        /// How long from now.
-        after: Ms,
+    /// Say [`Event::Evaluate`] again after this long.
+    SetTimer {
+        /// How long from now, ms.
+        after: Millis,
     },
-    /// Subscribe to changes of the list.
-    Subscribe,
+    /// Poll the endpoint list.
+    PollList,
 }
--- a/src/list_freshness.rs
+++ b/src/list_freshness.rs
@@ -10,12 +10,12 @@
 //! requests may be sent on the list held. It is asked before each decision to send, and again by the
 //! gateway before the first byte of an attempt leaves.
 
-use crate::api::{ListCall, ListTerms, Ms};
+use crate::api::{DiscoveryCall, Millis, NotificationTerms};
 use std::collections::VecDeque;
 
 /// Kept back from every span: a turn may be held up for 150 ms between reading its clock and writing, and a
 /// list or a request may be some milliseconds on its way.
-const MARGIN: Ms = 250.0;
+const MARGIN: Millis = 250.0;
 /// The service counts as unreachable after so many calls in a row without an answer, made over so long a
 /// time. A watch that went silent, or some calls that were lost, may happen to a service that works.
 const UNREACHABLE_CALLS: u32 = 3;
@@ -25,10 +25,10 @@
 /// A call that is turned away later than this shows nothing: it waited, at a service that is busy or at one
 /// that is down (503 answers came within 20 ms from a crowded service, and spread over a second in an
 /// outage).
-const AT_ONCE: Ms = 50.0;
-const UNREACHABLE_SPAN: Ms = 2000.0;
+const AT_ONCE: Millis = 50.0;
+const UNREACHABLE_SPAN: Millis = 2000.0;
 /// The same where the service has moved: a new configuration binds sooner, so less is taken for an outage.
-const UNREACHABLE_SPAN_AFTER_MOVE: Ms = 3000.0;
+const UNREACHABLE_SPAN_AFTER_MOVE: Millis = 3000.0;
 /// Moves that are remembered until what the service has some seconds later is known. Of more than so many
 /// within these seconds the earliest and the last count.
 const MOVES_MOST: usize = 16;
@@ -37,29 +37,29 @@
 #[derive(Debug)]
 pub(crate) struct ListFreshness {
     /// None: this deployment states no such terms, and the list never grows too old.
-    terms: Option<ListTerms>,
+    terms: Option<NotificationTerms>,
     /// The last moment at which every change that bound this host was in the list held: when the list was
     /// last heard, or when the service could not be reached.
-    current_at: Ms,
+    current_at: Millis,
     /// When the call that is out was made, and how long it asked the service to wait for a change.
-    call_made_at: Ms,
-    call_waits: Ms,
+    call_made_at: Millis,
+    call_waits: Millis,
     /// Calls in a row that showed no service, and when the first of them was made.
     unanswered: u32,
-    unanswered_since: Ms,
+    unanswered_since: Millis,
     /// Since when an answer has been arriving that is not complete. What it tells binds from then on.
-    answer_began_at: Option<Ms>,
+    answer_began_at: Option<Millis>,
     /// The same of the first answer that was given up since the list was last heard.
-    abandoned_since: Option<Ms>,
+    abandoned_since: Option<Millis>,
     /// When this host was told that the service is at another address, in order. What the service has some
     /// seconds later binds then, whatever was heard before; a move is forgotten once the list held is from
     /// after that.
-    moves: VecDeque<Ms>,
+    moves: VecDeque<Millis>,
 }
 
 impl ListFreshness {
     /// For a host that starts now, perhaps with a saved list.
-    pub(crate) fn new(terms: Option<ListTerms>, now: Ms) -> Self {
+    pub(crate) fn new(terms: Option<NotificationTerms>, now: Millis) -> Self {
         ListFreshness {
             terms,
             current_at: now,
@@ -76,7 +76,7 @@
     /// The service told the list, or that nothing has changed. When it wrote the answer is not known, which
     /// may have been on its way for long: at the earliest when the call was made, or, if nothing changed,
     /// when its wait ended.
-    pub(crate) fn list_heard(&mut self, changed: bool, now: Ms) {
+    pub(crate) fn list_heard(&mut self, changed: bool, now: Millis) {
         let waited = if changed { 0.0 } else { self.call_waits };
         let written_at = (self.call_made_at + waited).min(now);
         self.current_at = self.current_at.max(written_at);
@@ -87,26 +87,26 @@
     }
 
     /// Something became of a call.
-    pub(crate) fn call_changed(&mut self, call: ListCall, now: Ms) {
+    pub(crate) fn call_changed(&mut self, call: DiscoveryCall, now: Millis) {
         match call {
-            ListCall::Made { waits } => {
+            DiscoveryCall::Started { long_poll } => {
                 self.call_made_at = now;
-                self.call_waits = waits;
+                self.call_waits = long_poll;
             }
-            ListCall::AnswerBegan => {
+            DiscoveryCall::ResponseBegan => {
                 self.answer_began_at.get_or_insert(now);
             }
-            ListCall::TurnedAway { after } if after <= AT_ONCE => {
+            DiscoveryCall::Rejected { elapsed } if elapsed <= AT_ONCE => {
                 self.answer_began_at = None;
                 self.unanswered = self.unanswered.saturating_sub(TURNED_AWAY_WEIGHS);
             }
-            ListCall::TurnedAway { .. } | ListCall::Unanswered => self.call_unanswered(),
-            ListCall::Abandoned => {
+            DiscoveryCall::Rejected { .. } | DiscoveryCall::Unanswered => self.call_unanswered(),
+            DiscoveryCall::Abandoned => {
                 self.unanswered = 0;
                 self.abandoned_since = self.abandoned_since.or(self.answer_began_at);
                 self.answer_began_at = None;
             }
-            ListCall::Moved => {
+            DiscoveryCall::ServiceMoved => {
                 self.unanswered = 0;
                 self.moved(now);
             }
@@ -131,7 +131,7 @@
         }
     }
 
-    fn moved(&mut self, now: Ms) {
+    fn moved(&mut self, now: Millis) {
         if self.moves.len() >= MOVES_MOST {
             self.moves.pop_back();
         }
@@ -140,22 +140,22 @@
 
     fn forget_moves(&mut self) {
         let Some(terms) = self.terms else { return };
-        let known = |moved_at: &mut Ms| *moved_at + terms.told_after_move <= self.current_at;
+        let known = |moved_at: &mut Millis| *moved_at + terms.notified_after_move <= self.current_at;
         while self.moves.pop_front_if(known).is_some() {}
     }
 
     /// Until when requests may be sent on the list held. It moves back where an answer begins to arrive, or
     /// the service moves.
-    pub(crate) fn trusted_until(&self) -> Ms {
-        let Some(terms) = self.terms else { return Ms::INFINITY };
-        let unheard = self.current_at + terms.told_within;
-        let moved = self.moves.front().map_or(Ms::INFINITY, |at| at + terms.told_after_move);
-        let arriving = self.abandoned_since.or(self.answer_began_at).unwrap_or(Ms::INFINITY);
+    pub(crate) fn trusted_until(&self) -> Millis {
+        let Some(terms) = self.terms else { return Millis::INFINITY };
+        let unheard = self.current_at + terms.notified_within;
+        let moved = self.moves.front().map_or(Millis::INFINITY, |at| at + terms.notified_after_move);
+        let arriving = self.abandoned_since.or(self.answer_began_at).unwrap_or(Millis::INFINITY);
         unheard.min(moved).min(arriving) + terms.drain_grace - MARGIN
     }
 
     /// Whether requests may be sent on the list held now.
-    pub(crate) fn is_trusted(&self, now: Ms) -> bool {
+    pub(crate) fn is_trusted(&self, now: Millis) -> bool {
         now < self.trusted_until()
     }
 }
--- a/tests/common/module.rs
+++ b/tests/common/module.rs
@@ -3,44 +3,44 @@
 
 use crate::plain;
 use flaxstand::api::*;
-use flaxstand::brain;
+use flaxstand::scheduler;
 
 /// What both versions can do.
 pub trait Module {
     const NAME: &'static str;
-    fn start(settings: Settings, seed: u64, now: Ms) -> Self;
-    fn tell(&mut self, event: Event, now: Ms, actions: &mut Vec<Action>);
-    fn pace(&self, node: NodeId) -> Option<Ms>;
+    fn start(settings: Settings, seed: u64, now: Millis) -> Self;
+    fn tell(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>);
+    fn service_time(&self, node: NodeId) -> Option<Millis>;
 }
 
-impl Module for brain::Brain {
+impl Module for scheduler::Scheduler {
     const NAME: &'static str = "indexed";
 
-    fn start(settings: Settings, seed: u64, now: Ms) -> Self {
+    fn start(settings: Settings, seed: u64, now: Millis) -> Self {
         Self::new(settings, seed, now)
     }
 
-    fn tell(&mut self, event: Event, now: Ms, actions: &mut Vec<Action>) {
+    fn tell(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
         self.handle(event, now, actions);
     }
 
-    fn pace(&self, node: NodeId) -> Option<Ms> {
-        self.pace_of(node)
+    fn service_time(&self, node: NodeId) -> Option<Millis> {
+        self.service_time_of(node)
     }
 }
 
-impl Module for plain::brain::Brain {
+impl Module for plain::scheduler::Scheduler {
     const NAME: &'static str = "plain";
 
-    fn start(settings: Settings, seed: u64, now: Ms) -> Self {
+    fn start(settings: Settings, seed: u64, now: Millis) -> Self {
         Self::new(settings, seed, now)
     }
 
-    fn tell(&mut self, event: Event, now: Ms, actions: &mut Vec<Action>) {
+    fn tell(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
         self.handle(event, now, actions);
     }
 
-    fn pace(&self, node: NodeId) -> Option<Ms> {
-        self.pace_of(node)
+    fn service_time(&self, node: NodeId) -> Option<Millis> {
+        self.service_time_of(node)
     }
 }
--- a/tests/common/script.rs
+++ b/tests/common/script.rs
@@ -39,7 +39,7 @@
 }
 
 /// After this an attempt whose answer was lost ends as timed out, ms.
-const LOST_ENDS: Ms = 400.0;
+const LOST_ENDS: Millis = 400.0;
 
 /// What will become of an attempt.
 #[derive(Clone, Copy, PartialEq)]
@@ -54,14 +54,14 @@
 struct Attempt {
     request: RequestId,
     number: AttemptNo,
-    sent: Ms,
+    sent: Millis,
     fate: Fate,
 }
 
 /// The world around one module, drawn step by step.
 pub struct Script {
     draw: Draw,
-    pub now: Ms,
+    pub now: Millis,
     /// Highest node id plus one; ids beyond those first listed join later.
     pub nodes: u32,
     /// Chance that the pace of a listed node is known from an earlier life, percent.
@@ -91,36 +91,36 @@
 /// Settings with every class of effect and with exceptions that come and go.
 pub fn draw_settings(draw: &mut Draw) -> Settings {
     let window = draw.pick(&[200.0, 1500.0]);
-    let keyed = |group| Effect::Keyed { group, window };
+    let keyed = |group| Effect::IdempotencyKey { group, window };
     let mut classes = vec![
-        class(200.0, 1500.0, 2.0, Effect::Repeatable),
-        class(1000.0, 3000.0, 1.0, Effect::Once),
-        class(400.0, 2000.0, 1.5, keyed(RepeatGroup::All)),
-        class(100.0, 2000.0, 0.5, keyed(RepeatGroup::Zone)),
-        class(300.0, 1500.0, 1.0, keyed(RepeatGroup::Cell)),
+        class(200.0, 1500.0, 2.0, Effect::Idempotent),
+        class(1000.0, 3000.0, 1.0, Effect::AtMostOnce),
+        class(400.0, 2000.0, 1.5, keyed(DeduplicationScope::All)),
+        class(100.0, 2000.0, 0.5, keyed(DeduplicationScope::Zone)),
+        class(300.0, 1500.0, 1.0, keyed(DeduplicationScope::Shard)),
     ];
     let scale = draw.pick(&[1.0, 1.0, 0.4]);
     for class in &mut classes {
-        class.aim *= scale;
+        class.latency_objective *= scale;
         class.in_order = draw.chance(30);
-        class.aim_stretch = draw.pick(&[0.0, 0.0, 1.5]);
+        class.objective_stretch = draw.pick(&[0.0, 0.0, 1.5]);
     }
-    let limited = Plan { limit_rate: 40.0, limit_burst: 30.0, price: 2.0, ..plan(5.0) };
-    let budget = Budget { floor: 3.0, ratio: 0.2, span: draw.pick(&[500.0, 5000.0]) };
+    let limited = Plan { limit_rate: 40.0, limit_burst: 30.0, priority_factor: 2.0, ..plan(5.0) };
+    let budget = RetryBudget { floor: 3.0, ratio: 0.2, span: draw.pick(&[500.0, 5000.0]) };
     Settings {
         initiators: draw.pick(&[1, 3, 40, 300]),
         classes,
         plans: vec![plan(0.0), plan(50.0), limited],
-        list_on_request: draw.chance(30),
+        polls_list: draw.chance(30),
         max_attempts: draw.pick(&[1, 3, 5]),
-        most_out: draw.pick(&[1, 2]),
+        max_concurrent_attempts: draw.pick(&[1, 2]),
         may_cancel: draw.chance(70),
         may_probe: draw.chance(60),
         max_retry_after: draw.pick(&[0.0, 500.0]),
-        cold_time: draw.pick(&[500.0, 10_000.0]),
-        key_rest: draw.pick(&[0.0, 300.0]),
-        budget: draw.chance(50).then_some(budget),
-        unit_mean: draw.pick(&[0.5, 2.0]),
+        warm_up_time: draw.pick(&[500.0, 10_000.0]),
+        key_cooldown: draw.pick(&[0.0, 300.0]),
+        retry_budget: draw.chance(50).then_some(budget),
+        mean_units: draw.pick(&[0.5, 2.0]),
         ..settings()
     }
 }
@@ -172,7 +172,7 @@
         match self.draw.below(100) {
             0 => self.rules(),
             1 | 2 => Event::ClientGone(self.some_request()),
-            3 => Event::AnswerStarted(self.some_request()),
+            3 => Event::ResponseStarted(self.some_request()),
             4..15 => self.probed(),
             _ => self.end(),
         }
@@ -191,7 +191,7 @@
                     let fate = if self.draw.chance(self.losses) { Fate::Lost } else { Fate::Answered };
                     self.out.push(Attempt { request: *request, number, sent: self.now, fate });
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     self.live.remove(request);
                 }
                 Action::Probe { node } => self.probes.push(*node),
@@ -199,7 +199,7 @@
                     let is = |a: &&mut Attempt| a.request == *request && a.number == *attempt;
                     self.out.iter_mut().filter(is).for_each(|a| a.fate = Fate::CalledOff);
                 }
-                Action::Wake { .. } | Action::Subscribe => {}
+                Action::SetTimer { .. } | Action::PollList => {}
             }
         }
     }
@@ -217,16 +217,16 @@
         if shard.is_none() {
             self.objects.insert(id);
         }
-        Event::Arrived(Arrival {
+        Event::RequestArrived(Arrival {
             id,
             class: ClassId(self.draw.below(self.settings.classes.len() as u64) as usize),
             plan: PlanId(self.draw.below(self.settings.plans.len() as u64) as usize),
             key: self.draw.chance(40).then(|| Key(self.draw.below(KEYS))),
-            valid_until: self.now + self.draw.pick(&[40.0, 300.0, 1500.0, 4000.0]),
+            expires_at: self.now + self.draw.pick(&[40.0, 300.0, 1500.0, 4000.0]),
             volume: VolumeId(self.draw.below(VOLUMES)),
             units: self.draw.pick(&[1.0, 1.0, 2.0, 8.0]),
             shard,
-            writers: 1 + self.draw.below(3) as u32,
+            volume_initiators: 1 + self.draw.below(3) as u32,
         })
     }
 
@@ -243,7 +243,7 @@
         let now = self.now;
         let may_end = |a: &Attempt| a.fate != Fate::Lost || now - a.sent > LOST_ENDS;
         let ending: Vec<usize> = (0..self.out.len()).filter(|place| may_end(&self.out[*place])).collect();
-        let Some(oldest) = ending.first().copied() else { return Event::Decide };
+        let Some(oldest) = ending.first().copied() else { return Event::Evaluate };
         // The oldest mostly; some stay out for long, or end long after their node has gone.
         let place = if self.draw.chance(70) { oldest } else { self.draw.pick(&ending) };
         let attempt = self.out.remove(place);
@@ -252,9 +252,15 @@
             Fate::CalledOff => self.draw.pick(&[Outcome::Cancelled, Outcome::Cancelled, Outcome::Served]),
             Fate::Answered => self.draw_outcome(),
         };
-        let complete = outcome == Outcome::Served || self.draw.chance(10);
-        let lag = self.now - attempt.sent;
-        Event::Ended(Ended { request: attempt.request, attempt: attempt.number, outcome, lag, complete })
+        let is_final = outcome == Outcome::Served || self.draw.chance(10);
+        let latency = self.now - attempt.sent;
+        Event::AttemptEnded(AttemptEnd {
+            request: attempt.request,
+            attempt: attempt.number,
+            outcome,
+            latency,
+            is_final,
+        })
     }
 
     fn draw_outcome(&mut self) -> Outcome {
@@ -263,31 +269,31 @@
         }
         self.draw.pick(&[
             Outcome::Error,
-            Outcome::Full,
+            Outcome::Rejected,
             Outcome::TimedOut,
             Outcome::ConnectFailed,
             Outcome::Reset,
             Outcome::Cancelled,
-            Outcome::Moot,
+            Outcome::NotSent,
         ])
     }
 
     fn probed(&mut self) -> Event {
         let outcome = self.draw.pick(&[Outcome::Served, Outcome::Served, Outcome::TimedOut]);
         let node = self.probes.pop().unwrap_or(NodeId(self.draw.below(u64::from(self.nodes) + 2) as u32));
-        Event::Probed(node, outcome)
+        Event::ProbeEnded(node, outcome)
     }
 
     fn rules(&mut self) -> Event {
         self.settings = draw_settings(&mut self.draw);
-        Event::Rules(Box::new(self.settings.clone()))
+        Event::SettingsChanged(Box::new(self.settings.clone()))
     }
 
     fn list(&mut self) -> Event {
         let first = self.listed.is_empty();
         match if first { 0 } else { self.draw.below(20) } {
             0 | 1 => {
-                let scope = self.draw.pick(&[ListScope::Full, ListScope::Saved]);
+                let scope = self.draw.pick(&[ListScope::Full, ListScope::Cached]);
                 let keeps = self.draw.pick(&[50, 90, 100]);
                 let mut entries = Vec::new();
                 for node in 0..self.nodes {
@@ -301,7 +307,7 @@
                 self.listed.retain(|node, _| told.contains(node));
                 self.note(entries, scope)
             }
-            2 => Event::List(ListScope::Failed, Vec::new()),
+            2 => Event::EndpointList(ListScope::Failed, Vec::new()),
             _ => {
                 let count = self.draw.pick(&[1, 1, 1, 2, 4]);
                 let entries = (0..count).map(|_| self.changed_entry()).collect();
@@ -312,16 +318,16 @@
 
     fn note(&mut self, entries: Vec<NodeEntry>, scope: ListScope) -> Event {
         self.listed.extend(entries.iter().map(|entry| (entry.node, entry.clone())));
-        Event::List(scope, entries)
+        Event::EndpointList(scope, entries)
     }
 
     fn new_entry(&mut self, node: u32) -> NodeEntry {
         NodeEntry {
             node: NodeId(node),
             readiness: self.draw.pick(&[Readiness::Serving, Readiness::Serving, Readiness::Draining]),
-            booted_at: self.draw.chance(20).then(|| self.now - self.draw.pick(&[0.0, 300.0, 50_000.0])),
+            started_at: self.draw.chance(20).then(|| self.now - self.draw.pick(&[0.0, 300.0, 50_000.0])),
             size: self.draw.pick(&[0.0, 1.0, 1.0, 2.5, 0.3]),
-            pace: self.draw.chance(self.known_paces).then(|| self.draw.between(0.2, 30.0)),
+            service_time: self.draw.chance(self.known_paces).then(|| self.draw.between(0.2, 30.0)),
             zone: ZoneId(node % 3),
             shard: ShardId(i64::from(node)),
         }
@@ -335,14 +341,14 @@
         let Some(known) = self.listed.get(&NodeId(node)).cloned() else { return self.new_entry(node) };
         match self.draw.below(9) {
             0 => NodeEntry { readiness: Readiness::Draining, ..known },
-            1 => NodeEntry { readiness: Readiness::Gone, ..known },
+            1 => NodeEntry { readiness: Readiness::Removed, ..known },
             2..5 => NodeEntry { readiness: Readiness::Serving, ..known },
             5 => {
-                let pace = self.draw.chance(50).then(|| self.draw.between(0.2, 30.0));
-                let booted_at = Some(self.now - self.draw.pick(&[0.0, 0.0, 200.0]));
-                NodeEntry { booted_at, pace, readiness: Readiness::Serving, ..known }
+                let service_time = self.draw.chance(50).then(|| self.draw.between(0.2, 30.0));
+                let started_at = Some(self.now - self.draw.pick(&[0.0, 0.0, 200.0]));
+                NodeEntry { started_at, service_time, readiness: Readiness::Serving, ..known }
             }
-            6 => NodeEntry { booted_at: None, ..known },
+            6 => NodeEntry { started_at: None, ..known },
             // Another node comes to hold a shard that a busy one holds too.
             7 => NodeEntry { shard: ShardId(self.draw.below(u64::from(busy)) as i64), ..known },
             _ => NodeEntry { size: self.draw.pick(&[0.0, 0.5, 1.0, 4.0]), ..known },
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -11,7 +11,7 @@
 use common::{arrival, entry, settings};
 use flaxstand::api;
 use flaxstand::api::*;
-use flaxstand::brain::Brain;
+use flaxstand::scheduler::Scheduler;
 use module::Module;
 use std::time::{Duration, Instant};
 
@@ -23,16 +23,16 @@
 /// How long one round goes on, at least.
 const ROUND: Duration = Duration::from_millis(20);
 /// Lag of each served request, ms, and the time between two of them.
-const LAG: Ms = 3.0;
+const LAG: Millis = 3.0;
 /// Time from one look to the next, ms: short, so that what is in use stays so.
-const STEP: Ms = 0.01;
+const STEP: Millis = 0.01;
 /// Start of the clock, ms.
-const START: Ms = 100_000.0;
+const START: Millis = 100_000.0;
 
 /// A module that knows `listed` nodes with known paces, `used` of which were sent to lately.
 struct Bench<M> {
     module: M,
-    now: Ms,
+    now: Millis,
     next: u64,
     listed: u32,
     used: u32,
@@ -44,8 +44,8 @@
         let module = M::start(settings(), 7, START);
         let mut bench = Bench { module, now: START, next: 0, listed, used, actions: Vec::new() };
         let entries = (0..listed).map(|node| bench.entry(node)).collect();
-        bench.tell(Event::List(ListScope::Full, entries));
-        bench.tell(Event::Decide);
+        bench.tell(Event::EndpointList(ListScope::Full, entries));
+        bench.tell(Event::Evaluate);
         for _ in 0..2 * used {
             bench.request_to_shard();
         }
@@ -54,8 +54,8 @@
 
     fn entry(&self, node: u32) -> NodeEntry {
         // One in twenty is slow, beyond what the mean pace counts in full.
-        let pace = Some(if node % 20 == 7 { 15.0 } else { 2.0 + f64::from(node % 101) / 100.0 });
-        NodeEntry { size: 1.0 + f64::from(node % 3), pace, ..entry(node, Readiness::Serving, None) }
+        let service_time = Some(if node % 20 == 7 { 15.0 } else { 2.0 + f64::from(node % 101) / 100.0 });
+        NodeEntry { size: 1.0 + f64::from(node % 3), service_time, ..entry(node, Readiness::Serving, None) }
     }
 
     fn tell(&mut self, event: Event) {
@@ -65,7 +65,7 @@
 
     fn look(&mut self) {
         self.now += STEP;
-        self.tell(Event::Decide);
+        self.tell(Event::Evaluate);
     }
 
     /// Arrival, look, end, look; the shards of the nodes in use take turns.
@@ -82,31 +82,37 @@
         let id = self.next;
         self.next += 1;
         self.now += LAG;
-        self.tell(Event::Arrived(arrival(id, shard, self.now + 1500.0)));
-        self.tell(Event::Decide);
+        self.tell(Event::RequestArrived(arrival(id, shard, self.now + 1500.0)));
+        self.tell(Event::Evaluate);
         assert!(self.actions.iter().any(|a| matches!(a, Action::Send { .. })), "{:?}", self.actions);
         let (request, attempt) = (RequestId(id), AttemptNo(0));
         let outcome = Outcome::Served;
         self.now += LAG;
-        self.tell(Event::Ended(Ended { request, attempt, outcome, lag: LAG, complete: true }));
-        self.tell(Event::Decide);
+        self.tell(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            outcome,
+            latency: LAG,
+            is_final: true,
+        }));
+        self.tell(Event::Evaluate);
     }
 
     /// The last listed node starts anew: one changed entry, then a look.
     fn changed_entry(&mut self) {
         self.now += STEP;
-        let booted_at = Some(self.now);
-        let changed = NodeEntry { booted_at, ..self.entry(self.listed - 1) };
-        self.tell(Event::List(ListScope::Changes, vec![changed]));
-        self.tell(Event::Decide);
+        let started_at = Some(self.now);
+        let changed = NodeEntry { started_at, ..self.entry(self.listed - 1) };
+        self.tell(Event::EndpointList(ListScope::Changes, vec![changed]));
+        self.tell(Event::Evaluate);
     }
 
     /// The whole list again, then a look.
     fn whole_list(&mut self) {
         self.now += STEP;
         let entries = (0..self.listed).map(|node| self.entry(node)).collect();
-        self.tell(Event::List(ListScope::Full, entries));
-        self.tell(Event::Decide);
+        self.tell(Event::EndpointList(ListScope::Full, entries));
+        self.tell(Event::Evaluate);
     }
 
     /// Mean time of one call over a round, in microseconds.
@@ -147,20 +153,22 @@
 #[test]
 #[ignore = "a measurement"]
 fn cost_of_the_plain_version() {
-    print_costs::<plain::brain::Brain>();
+    print_costs::<plain::scheduler::Scheduler>();
 }
 
 #[test]
 #[ignore = "a measurement"]
 fn cost_of_the_module() {
-    print_costs::<Brain>();
+    print_costs::<Scheduler>();
 }
 
 #[test]
 #[ignore = "a measurement"]
 fn cost_of_whole_lists() {
-    let (plain, module) =
-        (least_times::<plain::brain::Brain>(Bench::whole_list), least_times::<Brain>(Bench::whole_list));
+    let (plain, module) = (
+        least_times::<plain::scheduler::Scheduler>(Bench::whole_list),
+        least_times::<Scheduler>(Bench::whole_list),
+    );
     println!("whole list and a look, us; listed, in use: plain, indexed");
     for (at, (listed, used)) in SIZES.iter().enumerate() {
         println!("| {listed} | {used} | {:.1} | {:.1} |", plain[at], module[at]);
@@ -172,11 +180,11 @@
 fn cost_of_a_look_by_volumes_ever_seen() {
     println!("look with 100 nodes in use, us; volumes ever seen: indexed");
     for volumes in [1, 1000, 10_000] {
-        let mut bench = Bench::<Brain>::new(100, 100);
+        let mut bench = Bench::<Scheduler>::new(100, 100);
         for volume in 0..volumes {
             let arrival =
                 Arrival { volume: VolumeId(volume), ..arrival(volume + 1_000_000, Some(0), bench.now) };
-            bench.tell(Event::Arrived(arrival));
+            bench.tell(Event::RequestArrived(arrival));
             bench.tell(Event::ClientGone(RequestId(volume + 1_000_000)));
         }
         let least = (0..ROUNDS).map(|_| bench.time(Bench::look)).fold(f64::INFINITY, f64::min);
@@ -203,12 +211,12 @@
 #[test]
 #[ignore = "a measurement"]
 fn memory_of_the_plain_version() {
-    print_memory::<plain::brain::Brain>();
+    print_memory::<plain::scheduler::Scheduler>();
 }
 
 /// Run alone, so that no freed memory is taken again.
 #[test]
 #[ignore = "a measurement"]
 fn memory_of_the_module() {
-    print_memory::<Brain>();
+    print_memory::<Scheduler>();
 }
--- a/tests/equivalence.rs
+++ b/tests/equivalence.rs
@@ -10,7 +10,7 @@
 
 use flaxstand::api;
 use flaxstand::api::*;
-use flaxstand::brain::Brain;
+use flaxstand::scheduler::Scheduler;
 use module::Module;
 use script::Script;
 use std::collections::BTreeMap;
@@ -28,24 +28,24 @@
         Action::Send { .. } => "send",
         Action::Cancel { .. } => "cancel",
         Action::Probe { .. } => "probe",
-        Action::Refuse { .. } => "refuse",
+        Action::Reject { .. } => "refuse",
         Action::Fail { .. } => "fail",
-        Action::Wake { .. } => "wake",
-        Action::Subscribe => "subscribe",
+        Action::SetTimer { .. } => "wake",
+        Action::PollList => "subscribe",
     }
 }
 
 /// Both versions, told the same.
 struct Pair {
     seed: u64,
-    indexed: Brain,
-    plain: plain::brain::Brain,
+    indexed: Scheduler,
+    plain: plain::scheduler::Scheduler,
     counts: BTreeMap<&'static str, u64>,
 }
 
 impl Pair {
     /// Tells both one event and gives back the actions, which are equal.
-    fn tell(&mut self, step: usize, event: Event, now: Ms) -> Vec<Action> {
+    fn tell(&mut self, step: usize, event: Event, now: Millis) -> Vec<Action> {
         let (mut got, mut want) = (Vec::new(), Vec::new());
         let told = format!("{event:?}");
         self.indexed.tell(event.clone(), now, &mut got);
@@ -57,7 +57,7 @@
 
     fn compare_paces(&self, step: usize, nodes: u32) {
         for node in (0..nodes + 2).map(NodeId) {
-            let (got, want) = (self.indexed.pace(node), self.plain.pace(node));
+            let (got, want) = (self.indexed.service_time(node), self.plain.service_time(node));
             assert_eq!(got, want, "seed {}, step {step}: pace of {node:?}", self.seed);
         }
     }
@@ -66,8 +66,8 @@
 /// Plays one seed's sequence and counts actions by kind, and two more kinds of sends.
 fn play(seed: u64) -> BTreeMap<&'static str, u64> {
     let mut script = Script::new(seed);
-    let indexed = Brain::start(script.settings(), seed, script.now);
-    let plain = plain::brain::Brain::start(script.settings(), seed, script.now);
+    let indexed = Scheduler::start(script.settings(), seed, script.now);
+    let plain = plain::scheduler::Scheduler::start(script.settings(), seed, script.now);
     let mut pair = Pair { seed, indexed, plain, counts: BTreeMap::new() };
     for step in 0..EVENTS {
         let event = script.next_event();
@@ -75,7 +75,7 @@
         script.take(&actions);
         // Some events of one moment are told before the module decides.
         if step % 5 != 0 {
-            let actions = pair.tell(step, Event::Decide, script.now);
+            let actions = pair.tell(step, Event::Evaluate, script.now);
             script.take(&actions);
         }
         if step % PACES_EVERY == 0 {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,14 +5,14 @@
 
 use common::{Host, arrival, entry, plan, settings};
 use flaxstand::api::*;
-use flaxstand::brain::Brain;
+use flaxstand::scheduler::Scheduler;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 /// Unloaded time of a unit, ms, and how long the ramp is played.
-const UNIT: Ms = 20.0;
-const PLAYED: Ms = 4000.0;
-const STEP: Ms = 5.0;
+const UNIT: Millis = 20.0;
+const PLAYED: Millis = 4000.0;
+const STEP: Millis = 5.0;
 
 /// How the fleet is made up.
 #[derive(Clone, Copy, Debug)]
@@ -26,7 +26,7 @@
     /// Every so manieth host has four times that.
     heavy: u32,
     /// Most that word of the start comes late, ms.
-    late: Ms,
+    late: Millis,
     /// Part of the hosts that start anew 1.2 s into the ramp.
     anew: f64,
 }
@@ -36,8 +36,8 @@
 }
 
 /// Requests sent to the node that started at 0: when.
-fn sends_of(fleet: Fleet, seed: u64) -> Vec<Ms> {
-    let s = Settings { initiators: fleet.hosts, plans: vec![plan(1000.0)], unit_mean: 1.0, ..settings() };
+fn sends_of(fleet: Fleet, seed: u64) -> Vec<Millis> {
+    let s = Settings { initiators: fleet.hosts, plans: vec![plan(1000.0)], mean_units: 1.0, ..settings() };
     let mut all = Vec::new();
     for host_no in 0..fleet.hosts {
         let mut rng = Pcg64Mcg::seed_from_u64(seed * 1000 + u64::from(host_no));
@@ -55,7 +55,7 @@
         if host_no == 0 && !uses.contains(&0) {
             uses[0] = 0;
         }
-        let (mut told, mut next, mut due) = (false, 0u64, Vec::<(Ms, u64)>::new());
+        let (mut told, mut next, mut due) = (false, 0u64, Vec::<(Millis, u64)>::new());
         // Until it is told it has nothing for the node: it was not there.
         let mut at = started - 3000.0;
         host.now = at;
@@ -69,8 +69,11 @@
             if anew_at.is_some_and(|anew| at >= anew && at < anew + STEP) {
                 // What it had out is lost with it; the list tells it all.
                 let entries = (1..fleet.nodes).map(|n| entry(n, Readiness::Serving, None)).chain([cold()]);
-                host =
-                    Host { brain: Brain::new(s.clone(), rng.next_u64(), at), now: at, actions: Vec::new() };
+                host = Host {
+                    scheduler: Scheduler::new(s.clone(), rng.next_u64(), at),
+                    now: at,
+                    actions: Vec::new(),
+                };
                 host.list(ListScope::Full, entries.collect());
                 due.clear();
             }
@@ -80,7 +83,7 @@
                     host.arrive(arrival(next, Some(node.into()), at + 1500.0));
                 }
             }
-            host.tell(Event::Decide);
+            host.tell(Event::Evaluate);
             for (id, node) in host.sends() {
                 all.extend((node == 0).then_some(at - started));
                 due.push((at + UNIT, id));
@@ -100,9 +103,9 @@
     let sends = sends_of(fleet, seed);
     let mut most = (f64::NEG_INFINITY, 0, 0.0);
     for (at, end) in sends.iter().enumerate() {
-        let within = sends[..=at].iter().filter(|t| **t > end - s.fall_time).count();
-        let warmth = s.cold_from + (1.0 - s.cold_from) * end / s.cold_time;
-        let budget = s.fall_multiple * warmth * s.fall_time / UNIT;
+        let within = sends[..=at].iter().filter(|t| **t > end - s.slow_start_window).count();
+        let warmth = s.initial_capacity + (1.0 - s.initial_capacity) * end / s.warm_up_time;
+        let budget = s.overload_multiple * warmth * s.slow_start_window / UNIT;
         let beyond = (within as f64 - budget - 2.0) / budget.sqrt();
         if beyond > most.0 {
             most = (beyond, within, budget);
