--- a/tests/health.rs
+++ b/tests/health.rs
@@ -98,7 +98,7 @@
 
 #[test]
 fn at_a_queue_what_is_inside_the_reserve_goes_first() {
-    let mut s = Settings { share_worth: 0.1, ..settings() };
+    let mut s = Settings { shared_weight: 0.1, ..settings() };
     s.plans.push(plan(40.0));
     let mut host = Host::new(s, 1);
     host.pass(10_000.0);
@@ -127,7 +127,7 @@
     }
     host.end(0, 0, Outcome::Served, 100.0);
     let actions = host.take();
-    let advised = |a: &&Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0.0);
+    let advised = |a: &&Action| matches!(a, Action::Reject { retry_after, .. } if *retry_after > 0.0);
     assert!(actions.iter().filter(advised).count() > 10);
 }
 
@@ -138,7 +138,7 @@
         host.warm_up(id, 0, 100.0);
     }
     host.arrive(arrival(1, Some(0), host.now + 60.0));
-    assert_eq!(host.take(), [Action::Refuse { request: RequestId(1), retry_after: 500.0 }]);
+    assert_eq!(host.take(), [Action::Reject { request: RequestId(1), retry_after: 500.0 }]);
 }
 
 #[test]
@@ -154,9 +154,9 @@
     assert_eq!(host.sends(), [(10, 0)]);
 }
 
-/// Sends in eight seconds, of units beyond any reserve, to a node that answers after `lag`; 10 ms is its
+/// Sends in eight seconds, of units beyond any reserve, to a node that answers after `latency`; 10 ms is its
 /// unloaded time.
-fn sends_to_a_queue(lag: Ms) -> usize {
+fn sends_to_a_queue(latency: Millis) -> usize {
     let mut host = Host::new(settings(), 1);
     host.warm_up(1000, 0, 10.0);
     let (mut out, mut sent) = (Vec::new(), 0);
@@ -165,11 +165,11 @@
         host.pass(5.0);
         for (sent_id, _) in host.sends() {
             sent += usize::from(id >= 400);
-            out.push((host.now + lag, sent_id));
+            out.push((host.now + latency, sent_id));
         }
         let now = host.now;
         for (_, id) in out.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>() {
-            host.end(id, 0, Outcome::Served, lag);
+            host.end(id, 0, Outcome::Served, latency);
         }
     }
     sent
@@ -182,12 +182,12 @@
     assert!((1..=20).contains(&long), "a long one is looked at now and then: {long}");
 }
 
-/// Sends to node 0, not heard from yet, while the other nodes answer after `lag`.
-fn sends_to_an_unheard_node(lag: Ms) -> usize {
-    let mut host = Host::new(Settings { share_worth: 0.1, ..settings() }, 5);
+/// Sends to node 0, not heard from yet, while the other nodes answer after `latency`.
+fn sends_to_an_unheard_node(latency: Millis) -> usize {
+    let mut host = Host::new(Settings { shared_weight: 0.1, ..settings() }, 5);
     host.pass(10_000.0);
     for id in 0..40 {
-        host.warm_up(1000 + id, 1 + (id % 4) as i64, if id < 4 { 10.0 } else { lag });
+        host.warm_up(1000 + id, 1 + (id % 4) as i64, if id < 4 { 10.0 } else { latency });
     }
     host.arrive(arrival(1, Some(0), host.now + 1500.0));
     host.sends().len()
@@ -205,18 +205,18 @@
     host.warm_up(1000, 0, 10.0);
     host.arrive(arrival(1, Some(0), host.now + 1500.0));
     host.take();
-    host.end(1, 0, Outcome::Full, 1.0);
+    host.end(1, 0, Outcome::Rejected, 1.0);
     host.pass(200.0);
     assert_eq!(host.sends(), [], "its queue holds more than the aim allows");
 }
 
 #[test]
 fn late_requests_leave_only_where_the_bound_shows_room_to_spare() {
-    let slow_then_late = |lag: Ms| {
+    let slow_then_late = |latency: Millis| {
         let mut host = Host::new(settings(), 1);
         host.warm_up(1000, 0, 10.0);
         for id in 1001..1012 {
-            host.warm_up(id, 0, lag);
+            host.warm_up(id, 0, latency);
         }
         host.list(ListScope::Changes, vec![entry(0, Readiness::Draining, None)]);
         host.arrive(arrival(1, Some(0), host.now + 1500.0));
@@ -258,10 +258,10 @@
 
 /// Whether a request for an item is sent to a node with a queue that a first one joins, `after` ms after the
 /// request for item 7 was given up.
-fn joins(item: u64, after: Ms) -> bool {
+fn joins(item: u64, after: Millis) -> bool {
     let mut host = Host::new(Settings { plans: vec![plan(1000.0)], ..settings() }, 1);
     host.warm_up(1000, 0, 10.0);
-    let of = |id: u64, item: u64, shard: i64, until: Ms| Arrival {
+    let of = |id: u64, item: u64, shard: i64, until: Millis| Arrival {
         class: ClassId(1),
         key: Some(Key(item)),
         ..arrival(id, Some(shard), until)
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Line length of the module, as the operators' paper copy asks. Their limit on its lines has been lifted.
 
 const MODULE: [(&str, &str); 2] = [
-    ("brain.rs", include_str!("../src/brain.rs")),
+    ("scheduler.rs", include_str!("../src/scheduler.rs")),
     ("list_freshness.rs", include_str!("../src/list_freshness.rs")),
 ];
 
--- a/tests/list_calls.rs
+++ b/tests/list_calls.rs
@@ -4,7 +4,7 @@
 
 use common::{Host, entry, settings};
 use flaxstand::api::*;
-use flaxstand::brain::Brain;
+use flaxstand::scheduler::Scheduler;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -25,7 +25,7 @@
 const PLAYED: u64 = 20_000_000;
 /// Every host has heard within this of its start, or of a watch that was turned away, ms: half of the play. A fleet
 /// that keeps the service from answering does not hear at all.
-const HEARD_WITHIN: Ms = 10_000.0;
+const HEARD_WITHIN: Millis = 10_000.0;
 
 /// What happens next in the play.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -62,14 +62,14 @@
 impl Fleet {
     fn new(seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let settings = Settings { list_on_request: true, ..settings() };
+        let settings = Settings { polls_list: true, ..settings() };
         let mut hosts = Vec::new();
         let mut agenda = BinaryHeap::new();
         for number in 0..HOSTS {
-            let mut brain = Brain::new(settings.clone(), rng.next_u64(), 0.0);
-            let saved = Event::List(ListScope::Saved, vec![entry(0, Readiness::Serving, None)]);
-            brain.handle(saved, 0.0, &mut Vec::new());
-            hosts.push(Host { brain, now: 0.0, actions: Vec::new() });
+            let mut scheduler = Scheduler::new(settings.clone(), rng.next_u64(), 0.0);
+            let saved = Event::EndpointList(ListScope::Cached, vec![entry(0, Readiness::Serving, None)]);
+            scheduler.handle(saved, 0.0, &mut Vec::new());
+            hosts.push(Host { scheduler, now: 0.0, actions: Vec::new() });
             agenda.push(Reverse((0, Happening::Decide(number))));
         }
         agenda.push(Reverse((CHANGES, Happening::Changed)));
@@ -84,20 +84,20 @@
 
     /// Tells a host what came of its call, and lets it decide.
     fn tell(&mut self, host: usize, scope: ListScope, at: u64) {
-        self.hosts[host].now = at as Ms / 1000.0;
+        self.hosts[host].now = at as Millis / 1000.0;
         let entries =
             if scope == ListScope::Full { vec![entry(0, Readiness::Serving, None)] } else { vec![] };
-        self.hosts[host].tell(Event::List(scope, entries));
+        self.hosts[host].tell(Event::EndpointList(scope, entries));
         self.decide(host, at);
     }
 
     fn decide(&mut self, host: usize, at: u64) {
-        self.hosts[host].now = at as Ms / 1000.0;
-        self.hosts[host].tell(Event::Decide);
+        self.hosts[host].now = at as Millis / 1000.0;
+        self.hosts[host].tell(Event::Evaluate);
         for action in std::mem::take(&mut self.hosts[host].actions) {
             match action {
-                Action::Subscribe => self.call(host, at),
-                Action::Wake { after } => {
+                Action::PollList => self.call(host, at),
+                Action::SetTimer { after } => {
                     let wake = at + (after * 1000.0).ceil() as u64;
                     self.at(wake, Happening::Decide(host));
                 }
@@ -141,7 +141,7 @@
     }
 
     /// The longest that a host was without word of the list, ms.
-    fn longest_wait(mut self) -> Ms {
+    fn longest_wait(mut self) -> Millis {
         while let Some(Reverse((at, happening))) = self.agenda.pop()
             && at < PLAYED
         {
@@ -157,7 +157,7 @@
             }
         }
         let waiting = self.unheard_since.iter().flatten().map(|since| PLAYED - since).max();
-        self.longest_wait.max(waiting.unwrap_or(0)) as Ms / 1000.0
+        self.longest_wait.max(waiting.unwrap_or(0)) as Millis / 1000.0
     }
 }
 
--- a/tests/losses.rs
+++ b/tests/losses.rs
@@ -6,7 +6,7 @@
 use flaxstand::api::*;
 
 fn copying() -> Settings {
-    Settings { most_out: 2, may_probe: true, ..settings() }
+    Settings { max_concurrent_attempts: 2, may_probe: true, ..settings() }
 }
 
 /// Sends a request, and another after it that is answered first.
@@ -45,8 +45,8 @@
     assert_eq!(host.sends(), [(10, 0)]);
     host.pass(80.0);
     assert_eq!(probes(&host.take()), 1, "out for longer than its work: is it the queue, or the answer?");
-    host.tell(Event::Probed(NodeId(0), Outcome::Served));
-    host.tell(Event::Decide);
+    host.tell(Event::ProbeEnded(NodeId(0), Outcome::Served));
+    host.tell(Event::Evaluate);
     assert_eq!(host.sends(), [], "it had begun by then; it may still be at work");
     host.pass(80.0);
     assert_eq!(host.sends(), [(10, 0)]);
@@ -61,7 +61,7 @@
     host.take();
     host.pass(80.0);
     assert_eq!(probes(&host.take()), 1);
-    host.tell(Event::Probed(NodeId(0), Outcome::TimedOut));
+    host.tell(Event::ProbeEnded(NodeId(0), Outcome::TimedOut));
     host.pass(100.0);
     assert_eq!(host.take(), []);
 }
@@ -90,9 +90,9 @@
 
 #[test]
 fn what_must_never_run_twice_is_neither_copied_nor_called_off() {
-    for most_out in [1, 2] {
-        let mut s = Settings { most_out, ..copying() };
-        s.classes[1].effect = Effect::Once;
+    for max_concurrent_attempts in [1, 2] {
+        let mut s = Settings { max_concurrent_attempts, ..copying() };
+        s.classes[1].effect = Effect::AtMostOnce;
         let mut host = after_a_loss(s);
         let first = Arrival { class: ClassId(1), ..arrival(10, Some(0), host.now + 1500.0) };
         overtaken(&mut host, first);
@@ -126,14 +126,14 @@
 
 #[test]
 fn lags_that_come_out_longer_than_expected_lengthen_what_is_expected() {
-    let takes = |lag: Ms, after: Ms| {
+    let takes = |latency: Millis, after: Millis| {
         let mut host = Host::new(settings(), 20);
         for id in 0..12 {
             host.warm_up(1000 + id, id as i64, 20.0);
         }
         // Each at a node of its own: by most nodes' word there is no queue.
         for id in 0..3 {
-            host.warm_up(2000 + id, 12 + id as i64, lag);
+            host.warm_up(2000 + id, 12 + id as i64, latency);
         }
         host.pass(after);
         host.arrive(arrival(10, Some(19), host.now + 45.0));
@@ -189,7 +189,7 @@
 
 #[test]
 fn a_hurried_request_is_tried_where_it_has_a_chance() {
-    let tries = |left: Ms| {
+    let tries = |left: Millis| {
         let mut host = Host::new(settings(), 1);
         for id in 0..30 {
             host.warm_up(1000 + id, 0, 40.0);
@@ -203,14 +203,18 @@
 
 #[test]
 fn a_learnt_pace_is_taken_over_for_the_same_start_and_void_after_another() {
-    let learnt = |booted, pace| NodeEntry { pace, ..entry(0, Readiness::Serving, booted) };
+    let learnt = |booted, service_time| NodeEntry { service_time, ..entry(0, Readiness::Serving, booted) };
     let mut host = Host::new(settings(), 0);
-    host.list(ListScope::Saved, vec![learnt(None, Some(70.0))]);
-    assert_eq!(host.brain.pace_of(NodeId(0)), Some(70.0));
+    host.list(ListScope::Cached, vec![learnt(None, Some(70.0))]);
+    assert_eq!(host.scheduler.service_time_of(NodeId(0)), Some(70.0));
     host.list(ListScope::Full, vec![learnt(None, None)]);
-    assert_eq!(host.brain.pace_of(NodeId(0)), Some(70.0), "the service tells none: what was learnt stays");
+    assert_eq!(
+        host.scheduler.service_time_of(NodeId(0)),
+        Some(70.0),
+        "the service tells none: what was learnt stays"
+    );
     host.list(ListScope::Changes, vec![learnt(Some(host.now), None)]);
-    assert_eq!(host.brain.pace_of(NodeId(0)), None, "another start: learnt afresh");
+    assert_eq!(host.scheduler.service_time_of(NodeId(0)), None, "another start: learnt afresh");
 }
 
 #[test]
@@ -220,7 +224,7 @@
     let mut host = after_a_loss(s);
     host.arrive(arrival(10, Some(0), host.now + 1500.0));
     host.pass(80.0);
-    host.tell(Event::Probed(NodeId(0), Outcome::Served));
+    host.tell(Event::ProbeEnded(NodeId(0), Outcome::Served));
     host.pass(80.0);
     host.take();
     host.end(10, 1, Outcome::Error, 5.0);
@@ -233,7 +237,7 @@
 fn a_lost_attempt_keeps_no_place_under_its_nodes_bound() {
     let sent_at_once = |answered: bool| {
         let mut s = copying();
-        s.classes[1].effect = Effect::Once;
+        s.classes[1].effect = Effect::AtMostOnce;
         let mut host = after_a_loss(s);
         let first = Arrival { class: ClassId(1), ..arrival(10, Some(0), host.now + 3000.0) };
         overtaken(&mut host, first);
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -2,4 +2,4 @@
 //! plain version of the same sums; a test crate that uses it has `flaxstand::api` in its root.
 #![allow(dead_code)]
 
-pub mod brain;
+pub mod scheduler;
--- a/tests/plain/brain.rs
+++ b/tests/plain/scheduler.rs
@@ -20,7 +20,7 @@
 /// Least fitness of a node that may be drawn (design page).
 const FITNESS_FLOOR: f64 = 0.01;
 /// How far back "lately" reaches for the usage term, ms: many requests, yet shorter than a trouble.
-const LATELY: Ms = 2000.0;
+const LATELY: Millis = 2000.0;
 /// Wait in a node's queue that is let be, in tightest aims: waiting belongs here, where order is chosen.
 const QUEUE_SHARE: f64 = 0.06;
 /// Part of its own work by which an attempt may last longer unqueued: works differ by themselves.
@@ -31,7 +31,7 @@
 const NEWEST: f64 = 0.2;
 /// Word of a node's queue fades with this time constant, ms: a host of many hears of a node seldom, and
 /// a queue that nobody feeds is gone within a second or so.
-const WORD_FADES: Ms = 1000.0;
+const WORD_FADES: Millis = 1000.0;
 /// An attempt out for so many usual lags, and the tightest aim, makes a node suspect; pauses stay below.
 const SUSPECT_LAGS: f64 = 4.0;
 /// Part of the expected lag within which a request may well be answered.
@@ -43,34 +43,34 @@
 /// Failures in a row after which a node gets single canaries only.
 const TRIP: u32 = 2;
 /// First and longest wait between canaries, ms; it doubles up to about the time in which a list notices.
-const CANARY: (Ms, Ms) = (50.0, 400.0);
+const CANARY: (Millis, Millis) = (50.0, 400.0);
 /// Share used of the cold rule's allowance; the rest is for handshakes and what a restarted host forgot.
 const COLD_SHARE: f64 = 0.7;
 /// Longest wait between two looks at what is held, ms.
-const LOOK: Ms = 10.0;
+const LOOK: Millis = 10.0;
 /// A held request is ended this long before its client leaves, ms, beyond one look and one tick.
-const END_MARGIN: Ms = 4.0;
+const END_MARGIN: Millis = 4.0;
 /// Part of its client's time for which a request is held without an attempt.
 const HOLD: f64 = 0.5;
 /// How long a client that was given up is expected back, ms, and the part of its worth that a repeat has.
-const PATIENCE: Ms = 2000.0;
+const PATIENCE: Millis = 2000.0;
 const REPEAT: f64 = 0.3;
 /// First and longest wait before a failed call of the list is made again, ms. A call that is turned away
 /// costs the service too: calls of a whole fleet each second may keep it from answering.
-const ASK_AGAIN: (Ms, Ms) = (200.0, 1300.0);
+const ASK_AGAIN: (Millis, Millis) = (200.0, 1300.0);
 
 /// A sum that fades with time constant `LATELY`.
 #[derive(Clone, Copy, Default)]
 struct Fading {
     value: f64,
-    at: Ms,
+    at: Millis,
 }
 
 impl Fading {
-    fn get(&self, now: Ms) -> f64 {
+    fn get(&self, now: Millis) -> f64 {
         self.value * (-(now - self.at) / LATELY).exp()
     }
-    fn add(&mut self, amount: f64, now: Ms) {
+    fn add(&mut self, amount: f64, now: Millis) {
         *self = Fading { value: self.get(now) + amount, at: now };
     }
 }
@@ -81,10 +81,10 @@
 }
 
 /// The tightest aim, ms, and the most worth of a request, for its class and plan.
-fn scales(s: &Settings) -> (Ms, f64) {
-    let aim = s.classes.iter().map(|c| c.aim).fold(Ms::INFINITY, Ms::min);
-    let price = s.plans.iter().map(|p| p.price).fold(0.0, f64::max);
-    (aim, s.classes.iter().map(|c| c.worth * price).fold(0.0, f64::max))
+fn scales(s: &Settings) -> (Millis, f64) {
+    let latency_objective = s.classes.iter().map(|c| c.latency_objective).fold(Millis::INFINITY, Millis::min);
+    let priority_factor = s.plans.iter().map(|p| p.priority_factor).fold(0.0, f64::max);
+    (latency_objective, s.classes.iter().map(|c| c.priority_weight * priority_factor).fold(0.0, f64::max))
 }
 
 fn random(rng: &mut Pcg64Mcg) -> f64 {
@@ -95,12 +95,12 @@
 struct Out {
     request: RequestId,
     attempt: AttemptNo,
-    sent: Ms,
+    sent: Millis,
     units: f64,
     /// Lag that was expected, ms.
-    expected: Ms,
+    expected: Millis,
     /// When an answer or a probe sent later came: nodes take work in turn, so it had begun by then.
-    passed: Option<Ms>,
+    passed: Option<Millis>,
 }
 
 /// One storage node: readiness, warmth, health, requests out, pace.
@@ -109,37 +109,37 @@
     entry: NodeEntry,
     out: Vec<Out>,
     depth: f64,
-    last_cut: Ms,
-    last_sent: Ms,
+    last_cut: Millis,
+    last_sent: Millis,
     /// When the list first named the process that runs now, or it seemed to have started.
-    told_at: Ms,
+    told_at: Millis,
     /// When it seemed to have started, unheard by the list, and until when that is believed.
-    seems: (Ms, Ms),
+    seems: (Millis, Millis),
     /// Unloaded time of a unit, ms: falls fast, rises slowly.
     unit_time: Option<f64>,
     /// Part of the lag that was wait in the node's queue, ms, and when that was heard.
-    queued: Ms,
-    queued_at: Ms,
+    queued: Millis,
+    queued_at: Millis,
     fails: u32,
-    next_canary: Ms,
+    next_canary: Millis,
     /// When the probe that is out was sent, and from when on another may be.
-    probe: Option<Ms>,
-    next_probe: Ms,
+    probe: Option<Millis>,
+    next_probe: Millis,
     /// Units sent lately, for the usage term.
     sent: Fading,
     /// Sends while cold: when, units.
-    cold_sends: VecDeque<(Ms, f64)>,
+    cold_sends: VecDeque<(Millis, f64)>,
 }
 
 impl Node {
-    fn new(entry: &NodeEntry, now: Ms) -> Self {
-        let (depth, unit_time) = (DEPTH_MOST / 2.0, entry.pace);
+    fn new(entry: &NodeEntry, now: Millis) -> Self {
+        let (depth, unit_time) = (DEPTH_MOST / 2.0, entry.service_time);
         Node { entry: entry.clone(), depth, told_at: now, unit_time, ..Node::default() }
     }
 
     /// The list speaks; a fresh start makes all that was learned of the old process void.
-    fn told(&mut self, entry: &NodeEntry, now: Ms) {
-        if entry.booted_at.is_some() && entry.booted_at != self.entry.booted_at {
+    fn told(&mut self, entry: &NodeEntry, now: Millis) {
+        if entry.started_at.is_some() && entry.started_at != self.entry.started_at {
             let out = std::mem::take(&mut self.out);
             *self = Node { out, depth: 1.0, ..Node::new(entry, now) };
         }
@@ -152,10 +152,10 @@
     }
 
     /// Share of its capacity that the node surely has; 1 once warm.
-    fn warmth(&self, s: &Settings, now: Ms) -> f64 {
-        match (now < self.seems.1).then_some(self.seems.0).or(self.entry.booted_at) {
-            Some(at) if now < at + s.cold_time => {
-                s.cold_from + (1.0 - s.cold_from) * ((now - at).max(0.0) / s.cold_time)
+    fn warmth(&self, s: &Settings, now: Millis) -> f64 {
+        match (now < self.seems.1).then_some(self.seems.0).or(self.entry.started_at) {
+            Some(at) if now < at + s.warm_up_time => {
+                s.initial_capacity + (1.0 - s.initial_capacity) * ((now - at).max(0.0) / s.warm_up_time)
             }
             _ => 1.0,
         }
@@ -164,67 +164,68 @@
     /// Guards the rule on cold nodes: each window, this host's part, at one core's pace of a usual node.
     /// A request larger than the part waits as many windows as it fills parts; the first wait begins at
     /// a `phase` of its own, or hundreds of hosts would send their first together.
-    fn cold_allows(&self, units: f64, usual: &Usual, s: &Settings, now: Ms) -> bool {
+    fn cold_allows(&self, units: f64, usual: &Usual, s: &Settings, now: Millis) -> bool {
         let warmth = self.warmth(s, now);
-        if warmth >= 1.0 || s.fall_time <= 0.0 {
+        if warmth >= 1.0 || s.slow_start_window <= 0.0 {
             return true;
         }
-        let since = self.cold_sends.iter().filter(|(at, _)| now - at < s.fall_time);
+        let since = self.cold_sends.iter().filter(|(at, _)| now - at < s.slow_start_window);
         let recent: f64 = since.map(|(_, u)| work(*u)).sum();
         let units = work(units);
-        let borne = (s.fall_multiple * warmth * s.fall_time / usual.unit_time).max(s.cold_bears * work(1.0));
+        let borne = (s.overload_multiple * warmth * s.slow_start_window / usual.unit_time)
+            .max(s.slow_start_min_units * work(1.0));
         // What a former life of this host sent here is not known: its part grows over the first window.
-        let anew = self.entry.booted_at.is_some_and(|at| at < usual.started);
-        let known = if anew { ((now - usual.started) / s.fall_time).min(1.0) } else { 1.0 };
+        let anew = self.entry.started_at.is_some_and(|at| at < usual.started);
+        let known = if anew { ((now - usual.started) / s.slow_start_window).min(1.0) } else { 1.0 };
         let part = known * COLD_SHARE * borne * self.relative_size(usual) / usual.hosts;
-        let wait = s.fall_time * units / part;
+        let wait = s.slow_start_window * units / part;
         recent + units <= part
             || now >= self.last_sent + wait && now >= self.told_at + usual.phase * wait && recent == 0.0
     }
 
     /// Whether an attempt not overtaken has been out far longer than usual: the node hangs, died unheard,
     /// lost its power to something else, or an answer was lost.
-    fn silent(&self, usual: &Usual, now: Ms) -> bool {
+    fn silent(&self, usual: &Usual, now: Millis) -> bool {
         let queue = self.queued.max(usual.queue);
         self.out.iter().any(|o| now - o.sent > self.patience(queue, o, usual) && o.passed.is_none())
     }
 
     /// A silent node gets canaries, ever more rarely.
-    fn canary_due(&self, now: Ms) -> bool {
-        let oldest = self.out.iter().map(|o| o.sent).fold(now, Ms::min);
+    fn canary_due(&self, now: Millis) -> bool {
+        let oldest = self.out.iter().map(|o| o.sent).fold(now, Millis::min);
         now - self.last_sent >= (self.last_sent - oldest).max(CANARY.1)
     }
 
     /// How long an attempt may be out behind such a queue before more is wrong than the queue.
-    fn patience(&self, queue: Ms, out: &Out, usual: &Usual) -> Ms {
-        (SUSPECT_LAGS * (self.own(out, usual) + queue)).max(usual.aim)
+    fn patience(&self, queue: Millis, out: &Out, usual: &Usual) -> Millis {
+        (SUSPECT_LAGS * (self.own(out, usual) + queue)).max(usual.latency_objective)
     }
 
     /// Something sent at `sent` was answered: what was sent before and is still out was overtaken.
-    fn pass(&mut self, sent: Ms, now: Ms) {
+    fn pass(&mut self, sent: Millis, now: Millis) {
         let older = self.out.iter_mut().filter(|o| o.sent < sent && o.passed.is_none());
         older.for_each(|o| o.passed = Some(now));
     }
 
     /// Whether an attempt was overtaken so long ago that its own work should be done: its answer is lost.
-    fn lost(&self, out: &Out, usual: &Usual, now: Ms) -> bool {
+    fn lost(&self, out: &Out, usual: &Usual, now: Millis) -> bool {
         out.passed.is_some_and(|at| now - at > self.own(out, usual))
     }
 
     /// Whether a probe would tell a lost answer from a queue: one attempt is out for longer than it should.
-    fn probe_due(&self, usual: &Usual, now: Ms) -> bool {
+    fn probe_due(&self, usual: &Usual, now: Millis) -> bool {
         let heard = self.heard(usual, now);
         let overdue = |o: &Out| o.passed.is_none() && now - o.sent > self.own(o, usual) + heard;
         let serves = self.entry.readiness == Readiness::Serving;
         serves && self.probe.is_none() && now >= self.next_probe && self.out.iter().any(overdue)
     }
 
-    fn suspect(&self, usual: &Usual, now: Ms) -> bool {
+    fn suspect(&self, usual: &Usual, now: Millis) -> bool {
         self.fails >= TRIP || self.silent(usual, now)
     }
 
     /// Depth bound and health: room for one more attempt. What is lost keeps no place.
-    fn room(&self, usual: &Usual, now: Ms) -> bool {
+    fn room(&self, usual: &Usual, now: Millis) -> bool {
         if self.fails >= TRIP {
             return self.out.is_empty() && now >= self.next_canary;
         }
@@ -233,14 +234,14 @@
     }
 
     /// Wait in the node's queue, ms, as last heard: old word fades to what is heard of all nodes.
-    fn heard(&self, usual: &Usual, now: Ms) -> Ms {
+    fn heard(&self, usual: &Usual, now: Millis) -> Millis {
         usual.queue + (self.queued - usual.queue) * self.fresh(now)
     }
 
     /// Wait in the node's queue, ms, as last heard and as the attempts that are out show it. Guards against
     /// queues that others make: old word fades to what is heard of all nodes. An attempt out far longer
     /// than that shows a sick node or a lost answer, no queue.
-    fn queue(&self, usual: &Usual, now: Ms) -> Ms {
+    fn queue(&self, usual: &Usual, now: Millis) -> Millis {
         let queued = |o: &&Out| now - o.sent < SUSPECT_LAGS * (self.own(o, usual) + usual.queue);
         let heard = self.heard(usual, now);
         self.out.iter().filter(queued).map(|o| self.shown_by(o, usual, now)).fold(heard, f64::max)
@@ -249,7 +250,7 @@
     /// Word of the queue from the last attempt sent, if it was sent lately and says anything yet. One word
     /// a node: what long stays out without an answer must not outvote what was answered, nor does it count
     /// once it is out for far longer than the queue that was heard here.
-    fn word(&self, usual: &Usual, now: Ms) -> Option<Ms> {
+    fn word(&self, usual: &Usual, now: Millis) -> Option<Millis> {
         let lately = now - self.last_sent < 2.0 * LATELY;
         let Some(last) = self.out.iter().find(|o| o.sent == self.last_sent) else {
             return lately.then_some(self.queued);
@@ -260,50 +261,57 @@
     }
 
     /// How much the last word of the queue still says.
-    fn fresh(&self, now: Ms) -> f64 {
+    fn fresh(&self, now: Millis) -> f64 {
         (-(now - self.queued_at) / WORD_FADES).exp()
     }
 
     /// Unloaded time of a unit here, ms; a usual node's as long as none was served.
-    fn pace(&self, usual: &Usual) -> Ms {
+    fn service_time(&self, usual: &Usual) -> Millis {
         self.unit_time.map_or(usual.unit_time, |t| t.max(usual.unit_time))
     }
 
     /// Time that a request's own work takes here without a queue, ms.
-    fn cost(&self, units: f64, usual: &Usual) -> Ms {
-        work(units) * self.pace(usual)
+    fn cost(&self, units: f64, usual: &Usual) -> Millis {
+        work(units) * self.service_time(usual)
     }
 
     /// The most of its own work that an attempt may take without a queue.
-    fn own(&self, out: &Out, usual: &Usual) -> Ms {
+    fn own(&self, out: &Out, usual: &Usual) -> Millis {
         (1.0 + NOISE) * self.cost(out.units, usual)
     }
 
     /// The wait that an attempt without an answer shows; none where one sent later was answered, since
     /// nodes take work in turn: that one is lost or long, not queued.
-    fn shown_by(&self, out: &Out, usual: &Usual, now: Ms) -> Ms {
+    fn shown_by(&self, out: &Out, usual: &Usual, now: Millis) -> Millis {
         if out.passed.is_some() { 0.0 } else { now - out.sent - self.own(out, usual) }
     }
 
     /// Word of a wait in the node's queue; the older the last word, the more the new one counts.
-    fn heard_queue(&mut self, wait: Ms, now: Ms) {
+    fn heard_queue(&mut self, wait: Millis, now: Millis) {
         let weight = (1.0 - self.fresh(now)).max(NEWEST);
         self.queued += weight * (wait - self.queued);
         self.queued_at = now;
     }
 
-    fn note_sent(&mut self, of: (RequestId, AttemptNo), units: f64, usual: &Usual, fall_time: Ms, now: Ms) {
+    fn note_sent(
+        &mut self,
+        of: (RequestId, AttemptNo),
+        units: f64,
+        usual: &Usual,
+        slow_start_window: Millis,
+        now: Millis,
+    ) {
         let (request, attempt) = of;
         let expected = self.queue(usual, now) + self.cost(units, usual);
         self.out.push(Out { request, attempt, sent: now, units, expected, passed: None });
         self.sent.add(units, now);
         self.last_sent = now;
         self.cold_sends.push_back((now, units));
-        self.cold_sends.retain(|(at, _)| now - at < fall_time);
+        self.cold_sends.retain(|(at, _)| now - at < slow_start_window);
     }
 
     /// A probe's lag is the wait in the queue, and what was sent before it has begun by its end.
-    fn note_probed(&mut self, outcome: Outcome, now: Ms) {
+    fn note_probed(&mut self, outcome: Outcome, now: Millis) {
         let Some(sent) = self.probe.take() else { return };
         if outcome == Outcome::Served {
             self.pass(sent, now);
@@ -314,42 +322,44 @@
     }
 
     /// Learns from an attempt's end: health from failures, pace and depth from the lag.
-    fn note_ended(&mut self, index: usize, ended: &Ended, usual: &Usual, now: Ms) {
+    fn note_ended(&mut self, index: usize, ended: &AttemptEnd, usual: &Usual, now: Millis) {
         let filled = self.out.len() as f64 + 1.0 > self.depth;
         let shown = self.queue(usual, now);
         let patience = self.patience(self.queued.max(usual.queue), &self.out[index], usual);
         let out = self.out.swap_remove(index);
         // Guards against pushing over what went silent and comes back cold before the list tells: all hosts
         // hold requests for it, and their connections break at one moment.
-        if ended.outcome == Outcome::Reset && ended.lag > patience && now >= self.seems.1 {
+        if ended.outcome == Outcome::Reset && ended.latency > patience && now >= self.seems.1 {
             (self.seems, self.told_at) = ((now, now + LATELY * (0.5 + usual.phase)), now);
         }
         match ended.outcome {
             Outcome::Served => {
                 self.fails = 0;
                 self.pass(out.sent, now);
-                let pace = ended.lag / work(out.units);
-                let weight = if self.unit_time.is_none_or(|t| pace < t) { NEWEST } else { NEWEST / 100.0 };
-                self.unit_time = Some(self.unit_time.map_or(pace, |t| t + weight * (pace - t)));
-                let queued = ended.lag - self.cost(out.units, usual);
-                self.heard_queue((queued - NOISE * (ended.lag - queued)).max(0.0), now);
-                if queued <= QUEUE_SHARE * usual.aim + NOISE * (ended.lag - queued) {
+                let service_time = ended.latency / work(out.units);
+                let weight =
+                    if self.unit_time.is_none_or(|t| service_time < t) { NEWEST } else { NEWEST / 100.0 };
+                self.unit_time =
+                    Some(self.unit_time.map_or(service_time, |t| t + weight * (service_time - t)));
+                let queued = ended.latency - self.cost(out.units, usual);
+                self.heard_queue((queued - NOISE * (ended.latency - queued)).max(0.0), now);
+                if queued <= QUEUE_SHARE * usual.latency_objective + NOISE * (ended.latency - queued) {
                     if filled {
                         self.depth = (self.depth + 1.0 / self.depth).min(DEPTH_MOST);
                     }
-                } else if now - self.last_cut > ended.lag {
+                } else if now - self.last_cut > ended.latency {
                     self.depth = (self.depth * CUT).max(1.0);
                     self.last_cut = now;
                 }
             }
             // Its queue holds more than any aim allows.
-            Outcome::Full => {
+            Outcome::Rejected => {
                 self.depth = (self.depth * CUT).max(1.0);
-                (self.queued, self.queued_at) = (shown.max(usual.aim), now);
+                (self.queued, self.queued_at) = (shown.max(usual.latency_objective), now);
             }
-            Outcome::Moot => {}
+            Outcome::NotSent => {}
             // An impatient client says nothing about the node's health, nor does an answer lost.
-            Outcome::TimedOut if ended.lag < patience => (self.queued, self.queued_at) = (shown, now),
+            Outcome::TimedOut if ended.latency < patience => (self.queued, self.queued_at) = (shown, now),
             Outcome::TimedOut | Outcome::Cancelled if out.passed.is_some() => {}
             _ => {
                 self.fails = (self.fails + 1).min(16);
@@ -363,12 +373,12 @@
 /// One volume: this host's part of its reserve and of its limit.
 struct Volume {
     plan: PlanId,
-    writers: f64,
+    volume_initiators: f64,
     /// Reserve units that still earn full worth.
     reserve: f64,
     /// Limit units that may still be sent.
     limit: f64,
-    filled_at: Ms,
+    filled_at: Millis,
     /// Units sent beyond the reserve lately.
     beyond: Fading,
 }
@@ -376,31 +386,32 @@
 impl Volume {
     /// The reserve and the limit count over all hosts: an even part of each is ours. The limit's is empty
     /// at our start, since what this host sent before a restart is unknown.
-    fn fill(&mut self, s: &Settings, now: Ms) {
-        let rate = s.plans[self.plan.0].reserve_rate / self.writers;
-        self.reserve = (self.reserve + rate * (now - self.filled_at) / 1000.0).min(rate + s.unit_most);
+    fn fill(&mut self, s: &Settings, now: Millis) {
+        let rate = s.plans[self.plan.0].reserve_rate / self.volume_initiators;
+        self.reserve = (self.reserve + rate * (now - self.filled_at) / 1000.0).min(rate + s.max_units);
         self.limit = self.limit_at(s, now);
         self.filled_at = now;
     }
 
     /// Guards the rule on limits: units that this host may send at a moment from the last filling on, if it
     /// sends none until then.
-    fn limit_at(&self, s: &Settings, at: Ms) -> f64 {
+    fn limit_at(&self, s: &Settings, at: Millis) -> f64 {
         let plan = &s.plans[self.plan.0];
         if plan.limit_rate <= 0.0 {
             return f64::INFINITY;
         }
-        let filled = self.limit + plan.limit_rate / self.writers * (at - self.filled_at).max(0.0) / 1000.0;
-        filled.min(plan.limit_burst / self.writers)
+        let filled =
+            self.limit + plan.limit_rate / self.volume_initiators * (at - self.filled_at).max(0.0) / 1000.0;
+        filled.min(plan.limit_burst / self.volume_initiators)
     }
 
     /// Worth of a unit that would be `ahead` units beyond the reserve: the share's as long as the volume
     /// takes no more than it is sized for, then falling to the least as it takes more. How much the
     /// node's queue lets pass of that ends up as the level of the shares.
-    fn beyond_worth(&self, ahead: f64, s: &Settings, now: Ms) -> f64 {
+    fn beyond_worth(&self, ahead: f64, s: &Settings, now: Millis) -> f64 {
         let sized = s.plans[self.plan.0].base_rate * LATELY / 1000.0;
         let part = (sized / (self.beyond.get(now) + ahead).max(sized)).min(1.0);
-        s.spare_worth + (s.share_worth - s.spare_worth) * part
+        s.spare_weight + (s.shared_weight - s.spare_weight) * part
     }
 }
 
@@ -416,16 +427,16 @@
     node: NodeId,
     shard: ShardId,
     zone: ZoneId,
-    sent: Ms,
+    sent: Millis,
     ran: Ran,
 }
 
 /// One request: attempts, due time, what may have run.
 struct Request {
     a: Arrival,
-    due: Ms,
+    due: Millis,
     /// Until when it may be held without an attempt.
-    hold_until: Ms,
+    hold_until: Millis,
     attempts: Vec<Attempt>,
     /// Where it waits: its fixed node, or for a new object the one drawn.
     node: Option<NodeId>,
@@ -447,22 +458,22 @@
         self.attempts.iter().find(|t| t.ran != Ran::Never)
     }
     /// Until when another attempt may leave: its client waits, and a group of nodes drops repeats.
-    fn until(&self, effect: Effect, tick: Ms) -> Ms {
-        let Effect::Keyed { window, .. } = effect else { return self.a.valid_until };
-        let ends = self.may_have_run().map_or(Ms::INFINITY, |first| first.sent + window - tick);
-        ends.min(self.a.valid_until)
+    fn until(&self, effect: Effect, tick: Millis) -> Millis {
+        let Effect::IdempotencyKey { window, .. } = effect else { return self.a.expires_at };
+        let ends = self.may_have_run().map_or(Millis::INFINITY, |first| first.sent + window - tick);
+        ends.min(self.a.expires_at)
     }
     /// Guards the rule on effects: whether another attempt at this node is harmless.
-    fn effect_allows(&self, node: &Node, effect: Effect, tick: Ms, now: Ms) -> bool {
+    fn effect_allows(&self, node: &Node, effect: Effect, tick: Millis, now: Millis) -> bool {
         let Some(first) = self.may_have_run() else { return true };
         match effect {
-            Effect::Repeatable => true,
-            Effect::Once => false,
-            Effect::Keyed { group, .. } => {
+            Effect::Idempotent => true,
+            Effect::AtMostOnce => false,
+            Effect::IdempotencyKey { group, .. } => {
                 let inside = match group {
-                    RepeatGroup::All => true,
-                    RepeatGroup::Zone => first.zone == node.entry.zone,
-                    RepeatGroup::Cell => first.shard == node.entry.shard,
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => first.zone == node.entry.zone,
+                    DeduplicationScope::Shard => first.shard == node.entry.shard,
                 };
                 inside && now < self.until(effect, tick)
             }
@@ -470,7 +481,10 @@
     }
     /// Whether it may be told that trying again is harmless.
     fn may_refuse(&self, effect: Effect) -> bool {
-        let all = matches!(effect, Effect::Repeatable | Effect::Keyed { group: RepeatGroup::All, .. });
+        let all = matches!(
+            effect,
+            Effect::Idempotent | Effect::IdempotencyKey { group: DeduplicationScope::All, .. }
+        );
         all || self.may_have_run().is_none()
     }
 }
@@ -479,29 +493,29 @@
 #[derive(Default)]
 struct Line {
     waiting: VecDeque<RequestId>,
-    rest_until: Ms,
+    rest_until: Millis,
 }
 
 /// A held request as the release sees it.
 struct Waiting {
     id: RequestId,
-    due: Ms,
-    valid_until: Ms,
+    due: Millis,
+    expires_at: Millis,
     /// Time that it takes the node, and time from its sending to its answer.
-    cost: Ms,
-    lag: Ms,
+    cost: Millis,
+    latency: Millis,
     /// Longest queue at the node that it may join, ms: by its part of full worth, in time or late.
-    joins: Ms,
+    joins: Millis,
 }
 
 /// What holds of a usual node, pooled over those heard from: a host of many hears of each seldom.
 struct Usual {
     /// The tightest aim, ms.
-    aim: Ms,
+    latency_objective: Millis,
     /// Wait in its queue, ms.
-    queue: Ms,
+    queue: Millis,
     /// Unloaded time of a unit, ms.
-    unit_time: Ms,
+    unit_time: Millis,
     /// Answers lost lately: of what was overtaken long ago none came, or a copy's came first.
     losses: Fading,
     /// Its nominal size: the mean of those that are ready.
@@ -513,30 +527,30 @@
     hosts: f64,
     phase: f64,
     /// When this host started.
-    started: Ms,
+    started: Millis,
 }
 
 impl Usual {
     /// What an attempt's end tells of all nodes: answers get lost, lags come out longer than expected.
-    fn learn(&mut self, out: &Out, lost: bool, ended: &Ended, now: Ms) {
+    fn learn(&mut self, out: &Out, lost: bool, ended: &AttemptEnd, now: Millis) {
         let timed_out = ended.outcome == Outcome::TimedOut;
         if lost && ended.attempt.0 == 0 && (timed_out || ended.outcome == Outcome::Cancelled) {
             self.losses.add(1.0, now);
         }
         let late = timed_out && out.passed.is_none() && self.losses.get(now) < LOSSES;
         if late || ended.outcome == Outcome::Served {
-            let ratio = (ended.lag / out.expected.max(1.0)).min(MOST_STRETCH);
+            let ratio = (ended.latency / out.expected.max(1.0)).min(MOST_STRETCH);
             self.excess.add(NEWEST * (ratio - self.stretch(now)), now);
         }
     }
     /// Lags against what was expected of them.
-    fn stretch(&self, now: Ms) -> f64 {
+    fn stretch(&self, now: Millis) -> f64 {
         1.0 + self.excess.get(now)
     }
 }
 
 /// The decisions of one initiator.
-pub struct Brain {
+pub struct Scheduler {
     s: Settings,
     rng: Pcg64Mcg,
     usual: Usual,
@@ -545,29 +559,30 @@
     requests: BTreeMap<RequestId, Request>,
     lines: BTreeMap<Key, Line>,
     /// Items whose request was given up, by when its client left: whoever asks again repeats.
-    given_up: BTreeMap<(VolumeId, Key), Ms>,
+    given_up: BTreeMap<(VolumeId, Key), Millis>,
     /// For the budget: when requests were taken, and when attempts beyond a first were sent.
-    taken: VecDeque<Ms>,
-    further: VecDeque<(Ms, RequestId, AttemptNo)>,
+    taken: VecDeque<Millis>,
+    further: VecDeque<(Millis, RequestId, AttemptNo)>,
     /// Most worth of a request, for its class and plan.
-    most_worth: f64,
-    wake_at: Option<Ms>,
-    ask_at: Option<Ms>,
+    max_priority_weight: f64,
+    wake_at: Option<Millis>,
+    ask_at: Option<Millis>,
     asks_failed: u32,
 }
 
-impl Brain {
+impl Scheduler {
     /// A brain that has just started and knows nothing.
-    pub fn new(settings: Settings, seed: u64, now: Ms) -> Self {
-        let (aim, most_worth) = scales(&settings);
+    pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
+        let (latency_objective, max_priority_weight) = scales(&settings);
         let (nodes, volumes, requests, lines, given_up, taken, further) = Default::default();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let unit_time = aim / settings.unit_mean.max(1.0) / 4.0;
+        let unit_time = latency_objective / settings.mean_units.max(1.0) / 4.0;
         let (hosts, phase) = (f64::from(settings.initiators), random(&mut rng));
         let (losses, excess) = Default::default();
         let (queue, size, started) = (0.0, 0.0, now);
-        let usual = Usual { aim, queue, unit_time, losses, size, excess, hosts, phase, started };
-        Brain {
+        let usual =
+            Usual { latency_objective, queue, unit_time, losses, size, excess, hosts, phase, started };
+        Scheduler {
             rng,
             usual,
             nodes,
@@ -577,43 +592,43 @@
             given_up,
             taken,
             further,
-            most_worth,
+            max_priority_weight,
             wake_at: None,
-            ask_at: settings.list_on_request.then_some(now),
+            ask_at: settings.polls_list.then_some(now),
             asks_failed: 0,
             s: settings,
         }
     }
 
     /// Takes one event; what is to be done is added to `actions`.
-    pub fn handle(&mut self, event: Event, now: Ms, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
         match event {
-            Event::List(scope, entries) => self.listed(scope, &entries, now),
+            Event::EndpointList(scope, entries) => self.listed(scope, &entries, now),
             // It knows no terms of the list: equal decisions are asked for where none are stated.
-            Event::ListCall(_) => {}
-            Event::Arrived(arrival) => self.arrived(arrival, now),
-            Event::AnswerStarted(id) => {
+            Event::DiscoveryCall(_) => {}
+            Event::RequestArrived(arrival) => self.arrived(arrival, now),
+            Event::ResponseStarted(id) => {
                 self.requests.entry(id).and_modify(|r| r.streaming = true);
             }
-            Event::Ended(ended) => self.ended(&ended, now, actions),
-            Event::Probed(id, outcome) => {
+            Event::AttemptEnded(ended) => self.ended(&ended, now, actions),
+            Event::ProbeEnded(id, outcome) => {
                 self.nodes.entry(id).and_modify(|n| n.note_probed(outcome, now));
             }
             Event::ClientGone(id) => self.over(id),
-            Event::Rules(s) => {
-                (self.usual.aim, self.most_worth) = scales(&s);
+            Event::SettingsChanged(s) => {
+                (self.usual.latency_objective, self.max_priority_weight) = scales(&s);
                 self.s = *s;
             }
-            Event::Decide => self.decide(now, actions),
+            Event::Evaluate => self.decide(now, actions),
         }
     }
 
     /// What was learnt of a node's pace, for a later life: unloaded time of a unit, ms.
-    pub fn pace_of(&self, node: NodeId) -> Option<Ms> {
+    pub fn service_time_of(&self, node: NodeId) -> Option<Millis> {
         self.nodes.get(&node)?.unit_time
     }
 
-    fn listed(&mut self, scope: ListScope, entries: &[NodeEntry], now: Ms) {
+    fn listed(&mut self, scope: ListScope, entries: &[NodeEntry], now: Millis) {
         if scope == ListScope::Failed {
             let wait = (ASK_AGAIN.0 * f64::from(1 << self.asks_failed.min(5))).min(ASK_AGAIN.1);
             self.asks_failed += 1;
@@ -622,28 +637,35 @@
         }
         self.asks_failed = 0;
         if scope != ListScope::Changes {
-            self.nodes.values_mut().for_each(|n| n.entry.readiness = Readiness::Gone);
+            self.nodes.values_mut().for_each(|n| n.entry.readiness = Readiness::Removed);
         }
         for entry in entries {
             self.nodes.entry(entry.node).or_insert_with(|| Node::new(entry, now)).told(entry, now);
         }
-        self.nodes.retain(|_, n| n.entry.readiness != Readiness::Gone || !n.out.is_empty());
+        self.nodes.retain(|_, n| n.entry.readiness != Readiness::Removed || !n.out.is_empty());
     }
 
-    fn arrived(&mut self, a: Arrival, now: Ms) {
+    fn arrived(&mut self, a: Arrival, now: Millis) {
         self.taken.push_back(now);
         let class = &self.s.classes[a.class.0];
-        let stretch = class.aim_stretch * a.units * self.usual.unit_time;
+        let stretch = class.objective_stretch * a.units * self.usual.unit_time;
         // A client that leaves before the aim has passed must be answered before it leaves.
-        let due = (now + (class.aim + stretch).min(class.deadline)).min(a.valid_until);
+        let due = (now + (class.latency_objective + stretch).min(class.deadline)).min(a.expires_at);
         if let (true, Some(key)) = (class.in_order, a.key) {
             self.lines.entry(key).or_default().waiting.push_back(a.id);
         }
-        let (plan, reserve, filled_at) = (a.plan, self.s.unit_most, self.usual.started);
-        let new = || Volume { plan, writers: 1.0, reserve, limit: 0.0, filled_at, beyond: Fading::default() };
+        let (plan, reserve, filled_at) = (a.plan, self.s.max_units, self.usual.started);
+        let new = || Volume {
+            plan,
+            volume_initiators: 1.0,
+            reserve,
+            limit: 0.0,
+            filled_at,
+            beyond: Fading::default(),
+        };
         let volume = self.volumes.entry(a.volume).or_insert_with(new);
-        volume.writers = volume.writers.max(f64::from(a.writers));
-        let hold_until = now + HOLD * (a.valid_until - now);
+        volume.volume_initiators = volume.volume_initiators.max(f64::from(a.volume_initiators));
+        let hold_until = now + HOLD * (a.expires_at - now);
         let given_up = a.key.and_then(|key| self.given_up.remove(&(a.volume, key)));
         let repeats = given_up.is_some_and(|at| now < at + PATIENCE);
         let (attempts, node, over, streaming) = (Vec::new(), None, false, false);
@@ -651,11 +673,11 @@
         self.requests.insert(r.a.id, r);
     }
 
-    fn ended(&mut self, ended: &Ended, now: Ms, actions: &mut Vec<Action>) {
+    fn ended(&mut self, ended: &AttemptEnd, now: Millis, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&ended.request) else { return };
         let Some(attempt) = r.attempts.get_mut(ended.attempt.0 as usize) else { return };
         attempt.ran = match ended.outcome {
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot => Ran::Never,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => Ran::Never,
             _ => Ran::Maybe,
         };
         let (class, id) = (&self.s.classes[r.a.class.0], ended.request);
@@ -667,19 +689,19 @@
             self.usual.learn(&node.out[index], lost, ended, now);
             node.note_ended(index, ended, &self.usual, now);
         }
-        if ended.outcome == Outcome::Moot {
+        if ended.outcome == Outcome::NotSent {
             self.further.retain(|(_, request, no)| (*request, *no) != (id, ended.attempt));
         }
         let unsure = matches!(ended.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
         if let (true, Some(key)) = (class.in_order && unsure, r.a.key) {
-            self.lines.entry(key).or_default().rest_until = now + self.s.key_rest;
+            self.lines.entry(key).or_default().rest_until = now + self.s.key_cooldown;
         }
         let spent = r.attempts.len() >= self.s.max_attempts as usize;
-        let (over, streaming, expired) = (r.over, r.streaming, now >= r.a.valid_until);
-        let repeat = class.effect != Effect::Once || r.may_have_run().is_none();
+        let (over, streaming, expired) = (r.over, r.streaming, now >= r.a.expires_at);
+        let repeat = class.effect != Effect::AtMostOnce || r.may_have_run().is_none();
         // A new object that failed is drawn again.
         r.node = None;
-        if ended.complete || over {
+        if ended.is_final || over {
             // What is still out of it would keep its key's turn, and a place under the bound.
             if self.s.may_cancel && !over {
                 actions.extend(r.out().map(|attempt| Action::Cancel { request: id, attempt }));
@@ -716,19 +738,19 @@
             return;
         }
         if let Some(key) = r.a.key {
-            self.given_up.insert((r.a.volume, key), r.a.valid_until);
+            self.given_up.insert((r.a.volume, key), r.a.expires_at);
         }
         if !expired && r.may_refuse(self.s.classes[r.a.class.0].effect) {
-            actions.push(Action::Refuse { request: id, retry_after: self.s.max_retry_after });
+            actions.push(Action::Reject { request: id, retry_after: self.s.max_retry_after });
         } else {
             actions.push(Action::Fail { request: id });
         }
         self.over(id);
     }
 
-    fn decide(&mut self, now: Ms, actions: &mut Vec<Action>) {
+    fn decide(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if self.ask_at.take_if(|at| now >= *at).is_some() {
-            actions.push(Action::Subscribe);
+            actions.push(Action::PollList);
         }
         self.look_at_all(now);
         self.volumes.values_mut().for_each(|v| v.fill(&self.s, now));
@@ -738,24 +760,24 @@
         self.place(now);
         self.release(now, actions);
         if !self.requests.is_empty() || self.ask_at.is_some() {
-            let copies = self.s.most_out > 1 && self.seeks_lost(now);
+            let copies = self.s.max_concurrent_attempts > 1 && self.seeks_lost(now);
             let waits = copies || self.requests.values().any(Request::held);
-            let look = now + if waits { LOOK } else { self.usual.aim / 4.0 };
+            let look = now + if waits { LOOK } else { self.usual.latency_objective / 4.0 };
             let at = look.min(self.ask_at.unwrap_or(look));
             if self.wake_at.is_none_or(|w| w <= now || w > at) {
                 self.wake_at = Some(at);
-                actions.push(Action::Wake { after: at - now });
+                actions.push(Action::SetTimer { after: at - now });
             }
         }
     }
 
     /// Held requests get their final answer before the client leaves, one never sent while it can still ask
     /// again; at once where by then a cold node's part or the volume's limit would still not let them go.
-    fn expire(&mut self, now: Ms, actions: &mut Vec<Action>) {
+    fn expire(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let margin = LOOK + self.s.tick + END_MARGIN;
         let ending = |r: &Request| {
             let first = r.attempts.is_empty();
-            let last = if first { r.hold_until } else { r.a.valid_until } - margin;
+            let last = if first { r.hold_until } else { r.a.expires_at } - margin;
             let cold = |n: &Node| !n.cold_allows(r.a.units, &self.usual, &self.s, last);
             let full = || self.volumes[&r.a.volume].limit_at(&self.s, last) < r.a.units;
             let never = || first && (full() || r.node.and_then(|id| self.nodes.get(&id)).is_some_and(cold));
@@ -767,15 +789,16 @@
 
     /// What the nodes show together. A host that sends to a part of the nodes takes it that so large a
     /// part of the others sends to each too: over all hosts these guesses add up. At its start it counts all.
-    fn look_at_all(&mut self, now: Ms) {
-        let mut words: Vec<Ms> = self.nodes.values().filter_map(|n| n.word(&self.usual, now)).collect();
+    fn look_at_all(&mut self, now: Millis) {
+        let mut words: Vec<Millis> = self.nodes.values().filter_map(|n| n.word(&self.usual, now)).collect();
         words.sort_by(f64::total_cmp);
         self.usual.queue = words.get(words.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
-        let mut known: Vec<Ms> = self.nodes.values().filter_map(|n| n.unit_time).collect();
+        let mut known: Vec<Millis> = self.nodes.values().filter_map(|n| n.unit_time).collect();
         known.sort_by(f64::total_cmp);
         if let Some(middle) = known.get(known.len() / 2).copied() {
             // A first answer that came late says little of the pace.
-            self.usual.unit_time = known.iter().map(|t| t.min(2.0 * middle)).sum::<Ms>() / known.len() as f64;
+            self.usual.unit_time =
+                known.iter().map(|t| t.min(2.0 * middle)).sum::<Millis>() / known.len() as f64;
         }
         let ready = self.nodes.values().filter(|n| n.entry.readiness == Readiness::Serving);
         self.usual.size =
@@ -787,18 +810,18 @@
     }
 
     /// Gives every held request the node it waits for: its shard's, or one drawn by fitness.
-    fn place(&mut self, now: Ms) {
+    fn place(&mut self, now: Millis) {
         let mut by_shard: BTreeMap<ShardId, NodeId> = BTreeMap::new();
         for (id, node) in self.nodes.iter().filter(|(_, n)| n.entry.readiness == Readiness::Serving) {
             let newest = by_shard.entry(node.entry.shard).or_insert(*id);
-            if self.nodes[newest].entry.booted_at.unwrap_or(0.0) < node.entry.booted_at.unwrap_or(0.0) {
+            if self.nodes[newest].entry.started_at.unwrap_or(0.0) < node.entry.started_at.unwrap_or(0.0) {
                 *newest = *id;
             }
         }
         let mut waiting: BTreeMap<NodeId, f64> = BTreeMap::new();
         let mut fresh = Vec::new();
         for (id, r) in self.requests.iter_mut().filter(|(_, r)| r.held()) {
-            let kept = r.may_have_run().filter(|_| self.s.classes[r.a.class.0].effect != Effect::Repeatable);
+            let kept = r.may_have_run().filter(|_| self.s.classes[r.a.class.0].effect != Effect::Idempotent);
             match r.a.shard.or(kept.map(|t| t.shard)) {
                 Some(shard) => {
                     r.node = by_shard.get(&shard).copied();
@@ -818,7 +841,7 @@
     }
 
     /// The design's draw over ready nodes; suspects only if all are, a cold node by what it surely can do.
-    fn draw(&mut self, waiting: &BTreeMap<NodeId, f64>, now: Ms) -> Option<NodeId> {
+    fn draw(&mut self, waiting: &BTreeMap<NodeId, f64>, now: Millis) -> Option<NodeId> {
         let ready: Vec<_> =
             self.nodes.iter().filter(|(_, n)| n.entry.readiness == Readiness::Serving).collect();
         let well: Vec<_> = ready.iter().filter(|(_, n)| !n.suspect(&self.usual, now)).copied().collect();
@@ -826,7 +849,7 @@
         let total: f64 = self.nodes.values().map(|n| n.sent.get(now)).sum();
         let fitness = |id: &NodeId, n: &Node| {
             let size = n.relative_size(&self.usual);
-            let others = n.queue(&self.usual, now) / n.pace(&self.usual) / self.s.unit_mean.max(1.0);
+            let others = n.queue(&self.usual, now) / n.service_time(&self.usual) / self.s.mean_units.max(1.0);
             let q = n.out.len() as f64 + waiting.get(id).copied().unwrap_or(0.0) + others;
             let usage = if total > 0.0 { 100.0 * n.sent.get(now) / total / size } else { 0.0 };
             (size * (1.0 - q / size / DEPTH_MOST).max(0.0) / AGGRESSION.powf(usage)).max(FITNESS_FLOOR)
@@ -848,7 +871,7 @@
         weights.iter().find(passes).or(weights.last()).map(|(id, _)| *id)
     }
 
-    fn release(&mut self, now: Ms, actions: &mut Vec<Action>) {
+    fn release(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let mut held: BTreeMap<NodeId, Vec<RequestId>> = BTreeMap::new();
         for (id, r) in self.requests.iter().filter(|(_, r)| r.held()) {
             if let Some(node) = r.node.filter(|id| self.nodes.contains_key(id)) {
@@ -869,19 +892,19 @@
     }
 
     /// Whether an answer was lost lately, and what is lost may be asked for again while it is out.
-    fn seeks_lost(&self, now: Ms) -> bool {
-        (self.s.most_out > 1 || self.s.may_cancel) && self.usual.losses.get(now) >= LOSSES
+    fn seeks_lost(&self, now: Millis) -> bool {
+        (self.s.max_concurrent_attempts > 1 || self.s.may_cancel) && self.usual.losses.get(now) >= LOSSES
     }
 
     /// Guards against lost answers: what is out for longer than it should be is probed for, and what the
     /// probe or a later answer overtook is sent again, where it can still make its aim.
-    fn copy(&mut self, now: Ms, actions: &mut Vec<Action>) {
+    fn copy(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if !self.seeks_lost(now) {
             return;
         }
         let mut lost = Vec::new();
         for (id, node) in &mut self.nodes {
-            if self.s.may_probe && self.s.most_out > 1 && node.probe_due(&self.usual, now) {
+            if self.s.may_probe && self.s.max_concurrent_attempts > 1 && node.probe_due(&self.usual, now) {
                 node.probe = Some(now);
                 actions.push(Action::Probe { node: *id });
             }
@@ -894,10 +917,10 @@
             };
             let Some(r) = self.requests.get(&id).filter(makes) else { continue };
             let class = &self.s.classes[r.a.class.0];
-            let again = class.effect == Effect::Repeatable && r.attempts.len() < self.s.max_attempts as usize;
-            if self.s.most_out > 1 && self.may_send(id, node, now) {
+            let again = class.effect == Effect::Idempotent && r.attempts.len() < self.s.max_attempts as usize;
+            if self.s.max_concurrent_attempts > 1 && self.may_send(id, node, now) {
                 self.send(id, node, now, actions);
-            } else if self.s.most_out < 2 && again {
+            } else if self.s.max_concurrent_attempts < 2 && again {
                 actions.extend(r.out().map(|attempt| Action::Cancel { request: id, attempt }));
             }
         }
@@ -905,7 +928,7 @@
 
     /// The gate that every send passes: drain, depth and health, cold, attempts, order, limit, effect,
     /// budget.
-    fn may_send(&self, id: RequestId, at: NodeId, now: Ms) -> bool {
+    fn may_send(&self, id: RequestId, at: NodeId, now: Millis) -> bool {
         let (Some(r), Some(node)) = (self.requests.get(&id), self.nodes.get(&at)) else { return false };
         let class = &self.s.classes[r.a.class.0];
         let first = r.attempts.is_empty();
@@ -916,8 +939,8 @@
         let volume = &self.volumes[&r.a.volume];
         node.entry.readiness == Readiness::Serving
             && !r.over
-            && r.out().count() < self.s.most_out as usize
-            && now < r.a.valid_until
+            && r.out().count() < self.s.max_concurrent_attempts as usize
+            && now < r.a.expires_at
             && node.room(&self.usual, now)
             && node.cold_allows(r.a.units, &self.usual, &self.s, now)
             && r.attempts.len() < self.s.max_attempts as usize
@@ -927,8 +950,8 @@
             && (first || self.budget_allows(now))
     }
 
-    fn budget_allows(&self, now: Ms) -> bool {
-        let Some(b) = self.s.budget else { return true };
+    fn budget_allows(&self, now: Millis) -> bool {
+        let Some(b) = self.s.retry_budget else { return true };
         // Counted to the safe side of the window's edge by one tick.
         let taken = self.taken.iter().filter(|at| now - **at < b.span - self.s.tick).count() as f64;
         let further = self.further.iter().filter(|(at, ..)| now - at <= b.span + self.s.tick).count() as f64;
@@ -938,17 +961,23 @@
     /// Earliest due first, of what can make its aim. The exception: a request that earns less joins only
     /// shorter queues at the node, and a late one only if nothing of this host is out there. What can no
     /// more be answered in its client's time is refused at once.
-    fn choose(&mut self, of: &[RequestId], at: NodeId, now: Ms, acts: &mut Vec<Action>) -> Option<RequestId> {
+    fn choose(
+        &mut self,
+        of: &[RequestId],
+        at: NodeId,
+        now: Millis,
+        acts: &mut Vec<Action>,
+    ) -> Option<RequestId> {
         let (timely, mut late): (Vec<_>, Vec<_>) =
-            self.rank(of, at, now).into_iter().partition(|w| now + w.lag <= w.due);
+            self.rank(of, at, now).into_iter().partition(|w| now + w.latency <= w.due);
         late.sort_by(|x, y| y.joins.total_cmp(&x.joins));
         let node = &self.nodes[&at];
         let queue = node.queue(&self.usual, now);
-        let fills = |w: &&Waiting| now + w.lag <= w.valid_until && node.out.is_empty() && queue <= w.joins;
+        let fills = |w: &&Waiting| now + w.latency <= w.expires_at && node.out.is_empty() && queue <= w.joins;
         let next = timely.iter().find(|w| queue <= w.joins).or(late.iter().find(fills)).map(|w| w.id);
         let mut wait = 0.0;
         for w in timely.iter().chain(&late) {
-            if now + wait + w.lag > w.valid_until {
+            if now + wait + w.latency > w.expires_at {
                 self.finish(w.id, false, acts);
             } else {
                 wait += w.cost;
@@ -958,7 +987,7 @@
     }
 
     /// Earliest due first, with the queue that each may join by its volume's tier.
-    fn rank(&self, ids: &[RequestId], at: NodeId, now: Ms) -> Vec<Waiting> {
+    fn rank(&self, ids: &[RequestId], at: NodeId, now: Millis) -> Vec<Waiting> {
         let node = &self.nodes[&at];
         let queue = node.queue(&self.usual, now);
         let mut left: BTreeMap<VolumeId, f64> = BTreeMap::new();
@@ -971,19 +1000,22 @@
             let tier = if *reserve >= 0.0 { 1.0 } else { volume.beyond_worth(-*reserve, &self.s, now) };
             let cost = node.cost(r.a.units, &self.usual);
             // One that came with less time than its aim has only this chance.
-            let hope = if r.due >= r.a.valid_until { HOPE } else { 1.0 };
-            let lag = hope * self.usual.stretch(now).max(HOPE) * (queue + cost);
+            let hope = if r.due >= r.a.expires_at { HOPE } else { 1.0 };
+            let latency = hope * self.usual.stretch(now).max(HOPE) * (queue + cost);
             let class = &self.s.classes[r.a.class.0];
-            let late = if now + lag > r.due { class.late_value } else { 1.0 };
+            let late = if now + latency > r.due { class.late_value } else { 1.0 };
             let repeat = if r.repeats { REPEAT } else { 1.0 };
-            let worth = repeat * class.worth * self.s.plans[volume.plan.0].price / self.most_worth;
-            let joins = (QUEUE_SHARE + QUEUE_JOINED * tier * worth) * late * self.usual.aim;
-            Waiting { id: r.a.id, due: r.due, valid_until: r.a.valid_until, cost, lag, joins }
+            let priority_weight =
+                repeat * class.priority_weight * self.s.plans[volume.plan.0].priority_factor
+                    / self.max_priority_weight;
+            let joins =
+                (QUEUE_SHARE + QUEUE_JOINED * tier * priority_weight) * late * self.usual.latency_objective;
+            Waiting { id: r.a.id, due: r.due, expires_at: r.a.expires_at, cost, latency, joins }
         };
         order.into_iter().map(waiting).collect()
     }
 
-    fn send(&mut self, id: RequestId, at: NodeId, now: Ms, actions: &mut Vec<Action>) {
+    fn send(&mut self, id: RequestId, at: NodeId, now: Millis, actions: &mut Vec<Action>) {
         let (Some(r), Some(node)) = (self.requests.get_mut(&id), self.nodes.get_mut(&at)) else {
             return;
         };
@@ -998,13 +1030,13 @@
                 volume.beyond.add(r.a.units, now);
             }
         }
-        let span = self.s.budget.map_or(0.0, |b| b.span) + self.s.tick;
+        let span = self.s.retry_budget.map_or(0.0, |b| b.span) + self.s.tick;
         self.taken.retain(|at| now - at <= span);
         self.further.retain(|(at, ..)| now - at <= span);
         let (shard, zone) = (node.entry.shard, node.entry.zone);
         let until = r.until(self.s.classes[r.a.class.0].effect, self.s.tick);
         r.attempts.push(Attempt { node: at, shard, zone, sent: now, ran: Ran::Out });
-        node.note_sent((id, attempt), r.a.units, &self.usual, self.s.fall_time, now);
+        node.note_sent((id, attempt), r.a.units, &self.usual, self.s.slow_start_window, now);
         actions.push(Action::Send { request: id, node: at, until });
     }
 }
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -6,7 +6,7 @@
 mod script;
 
 use flaxstand::api::*;
-use flaxstand::brain::Brain;
+use flaxstand::scheduler::Scheduler;
 use flaxstand_fixture::Fixtures;
 use script::Script;
 
@@ -28,10 +28,10 @@
             Action::Send { request, node, until } => [1, request.0, node.0.into(), until.to_bits()],
             Action::Cancel { request, attempt } => [2, request.0, attempt.0.into(), 0],
             Action::Probe { node } => [3, node.0.into(), 0, 0],
-            Action::Refuse { request, retry_after } => [4, request.0, retry_after.to_bits(), 0],
+            Action::Reject { request, retry_after } => [4, request.0, retry_after.to_bits(), 0],
             Action::Fail { request } => [5, request.0, 0, 0],
-            Action::Wake { after } => [6, after.to_bits(), 0, 0],
-            Action::Subscribe => [7, 0, 0, 0],
+            Action::SetTimer { after } => [6, after.to_bits(), 0, 0],
+            Action::PollList => [7, 0, 0, 0],
         };
         parts.into_iter().for_each(|part| self.add(part));
     }
@@ -39,20 +39,20 @@
 
 fn play(seed: u64) -> (usize, u64) {
     let mut script = Script::new(seed);
-    let mut brain = Brain::new(script.settings(), seed, script.now);
+    let mut scheduler = Scheduler::new(script.settings(), seed, script.now);
     let (mut count, mut checksum) = (0, Checksum(0xcbf2_9ce4_8422_2325));
     for step in 0..EVENTS {
-        let events = [Some(script.next_event()), (step % 5 != 0).then_some(Event::Decide)];
+        let events = [Some(script.next_event()), (step % 5 != 0).then_some(Event::Evaluate)];
         for event in events.into_iter().flatten() {
             let mut actions = Vec::new();
-            brain.handle(event, script.now, &mut actions);
+            scheduler.handle(event, script.now, &mut actions);
             actions.iter().for_each(|action| checksum.add_action(action));
             count += actions.len();
             script.take(&actions);
         }
     }
-    let paces = (0..script.nodes).filter_map(|node| brain.pace_of(NodeId(node)));
-    paces.for_each(|pace| checksum.add(pace.to_bits()));
+    let paces = (0..script.nodes).filter_map(|node| scheduler.service_time_of(NodeId(node)));
+    paces.for_each(|service_time| checksum.add(service_time.to_bits()));
     (count, checksum.0)
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,9 +5,9 @@
 use common::*;
 use flaxstand::api::*;
 
-fn keyed(group: RepeatGroup, window: Ms) -> Settings {
+fn keyed(group: DeduplicationScope, window: Millis) -> Settings {
     let mut s = settings();
-    s.classes[0].effect = Effect::Keyed { group, window };
+    s.classes[0].effect = Effect::IdempotencyKey { group, window };
     s
 }
 
@@ -29,7 +29,7 @@
     host.arrive(arrival(1, Some(0), host.now + 800.0));
     assert_eq!(host.sends(), [(1, 0)]);
     host.list(ListScope::Full, Vec::new());
-    host.end(1, 0, Outcome::Full, 5.0);
+    host.end(1, 0, Outcome::Rejected, 5.0);
     host.pass(760.0);
     assert_eq!(host.take(), []);
     host.pass(34.0);
@@ -40,14 +40,14 @@
 fn a_node_that_left_the_list_leaves_nothing_behind() {
     let mut host = Host::new(settings(), 1);
     host.warm_up(1, 0, 20.0);
-    assert!(host.brain.pace_of(NodeId(0)).is_some());
+    assert!(host.scheduler.service_time_of(NodeId(0)).is_some());
     // A new object that was drawn for it waits on when all are gone.
     host.list(ListScope::Changes, vec![entry(0, Readiness::Draining, None)]);
     host.arrive(arrival(2, None, host.now + 800.0));
     host.pass(20.0);
     host.list(ListScope::Full, Vec::new());
     host.pass(20.0);
-    assert_eq!(host.brain.pace_of(NodeId(0)), None);
+    assert_eq!(host.scheduler.service_time_of(NodeId(0)), None);
     host.list(ListScope::Full, vec![entry(1, Readiness::Serving, None)]);
     host.pass(20.0);
     assert_eq!(host.sends(), [(2, 1)]);
@@ -66,7 +66,7 @@
 #[test]
 fn nothing_is_sent_for_a_request_that_its_client_left() {
     let mut host = Host::new(settings(), 1);
-    host.tell(Event::Arrived(arrival(1, Some(0), host.now + 400.0)));
+    host.tell(Event::RequestArrived(arrival(1, Some(0), host.now + 400.0)));
     host.tell(Event::ClientGone(RequestId(1)));
     host.pass(500.0);
     assert_eq!(host.take(), []);
@@ -104,7 +104,7 @@
     let mut host = Host::new(settings(), 1);
     let successor =
         NodeEntry { shard: ShardId(0), ..entry(9, Readiness::Serving, Some(host.now - 50_000.0)) };
-    host.list(ListScope::Changes, vec![entry(0, Readiness::Gone, None), successor]);
+    host.list(ListScope::Changes, vec![entry(0, Readiness::Removed, None), successor]);
     host.arrive(arrival(1, Some(0), host.now + 300.0));
     assert_eq!(host.sends(), [(1, 9)]);
 }
@@ -112,26 +112,26 @@
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_for_and_again_after_a_failure() {
     let mut s = settings();
-    s.list_on_request = true;
+    s.polls_list = true;
     let mut host = Host::new(s, 1);
-    host.tell(Event::Decide);
-    assert_eq!(host.take(), [Action::Subscribe]);
+    host.tell(Event::Evaluate);
+    assert_eq!(host.take(), [Action::PollList]);
     host.pass(1000.0);
     assert_eq!(host.take(), []);
     host.list(ListScope::Failed, vec![]);
     host.pass(5000.0);
-    assert_eq!(host.take(), [Action::Subscribe]);
+    assert_eq!(host.take(), [Action::PollList]);
 }
 
-/// Plays a cold node that answers each attempt with `outcome` after `lag`, and returns the most units
+/// Plays a cold node that answers each attempt with `outcome` after `latency`, and returns the most units
 /// that this host sent it within any second.
-fn most_sent_cold(outcome: Outcome, lag: Ms) -> f64 {
+fn most_sent_cold(outcome: Outcome, latency: Millis) -> f64 {
     let mut host = Host::new(settings(), 2);
     for id in 0..20 {
         host.warm_up(1000 + id, 1, 20.0);
     }
     host.list(ListScope::Changes, vec![entry(0, Readiness::Serving, Some(host.now))]);
-    let (mut sends, mut out): (Vec<Ms>, Vec<(Ms, u64, u32)>) = (vec![], vec![]);
+    let (mut sends, mut out): (Vec<Millis>, Vec<(Millis, u64, u32)>) = (vec![], vec![]);
     let mut attempts = std::collections::BTreeMap::new();
     for id in 0..600 {
         host.arrive(arrival(id, Some(0), host.now + 1500.0));
@@ -140,23 +140,23 @@
             assert_eq!(node, 0);
             let attempt = attempts.entry(id).or_insert(0);
             sends.push(host.now);
-            out.push((host.now + lag, id, *attempt));
+            out.push((host.now + latency, id, *attempt));
             *attempt += 1;
         }
         let now = host.now;
         for (_, id, attempt) in out.extract_if(.., |(at, ..)| *at <= now).collect::<Vec<_>>() {
-            host.end(id, attempt, outcome, lag);
+            host.end(id, attempt, outcome, latency);
         }
     }
-    let within = |at: &Ms| sends.iter().filter(|s| *s >= at && **s < at + 1000.0).count();
+    let within = |at: &Millis| sends.iter().filter(|s| *s >= at && **s < at + 1000.0).count();
     sends.iter().map(within).max().unwrap_or(0) as f64
 }
 
 #[test]
 fn a_cold_node_gets_at_most_this_hosts_part_even_when_it_rejects_fast() {
     // A node that turned requests away as full is not asked again within the aim, cold or not.
-    for (outcome, lag, least) in [(Outcome::Served, 20.0, 2.0), (Outcome::Full, 1.0, 1.0)] {
-        let most = most_sent_cold(outcome, lag);
+    for (outcome, latency, least) in [(Outcome::Served, 20.0, 2.0), (Outcome::Rejected, 1.0, 1.0)] {
+        let most = most_sent_cold(outcome, latency);
         // 4 x its capacity three seconds after the start (0.44), at 20 ms a unit, halved for two hosts.
         assert!(most >= least && most <= 4.0 * 0.44 * 1000.0 / 20.0 / 2.0, "{outcome:?}: {most}");
     }
@@ -167,7 +167,7 @@
 fn most_sent_cold_by_all(hosts: u32, used: u32) -> f64 {
     let s = Settings { initiators: hosts, plans: vec![plan(1000.0)], ..settings() };
     let users = u64::from((hosts * used).div_ceil(10));
-    let mut sends: Vec<Ms> = vec![];
+    let mut sends: Vec<Millis> = vec![];
     for seed in 0..users {
         let mut host = Host::seeded(s.clone(), 10, seed);
         host.pass(5000.0);
@@ -187,7 +187,7 @@
             }
         }
     }
-    let within = |at: &Ms| sends.iter().filter(|s| *s >= at && **s < at + 1000.0).count();
+    let within = |at: &Millis| sends.iter().filter(|s| *s >= at && **s < at + 1000.0).count();
     sends.iter().map(within).max().unwrap_or(0) as f64
 }
 
@@ -205,7 +205,7 @@
 /// out there, which may go again, and three more requests held.
 fn most_sent_back_by_all(hosts: u32) -> f64 {
     let s = Settings { initiators: hosts, ..settings() };
-    let mut sends: Vec<Ms> = vec![];
+    let mut sends: Vec<Millis> = vec![];
     for seed in 0..u64::from(hosts) {
         let mut host = Host::seeded(s.clone(), 10, seed);
         host.pass(5000.0);
@@ -261,7 +261,7 @@
 #[test]
 fn a_once_request_goes_again_only_when_it_never_ran() {
     let mut s = settings();
-    s.classes[0].effect = Effect::Once;
+    s.classes[0].effect = Effect::AtMostOnce;
     let mut host = Host::new(s, 1);
     host.arrive(arrival(1, Some(0), host.now + 1500.0));
     host.end(1, 0, Outcome::ConnectFailed, 1.0);
@@ -274,7 +274,7 @@
 
 #[test]
 fn a_keyed_request_stays_in_its_group_and_window() {
-    let mut host = Host::new(keyed(RepeatGroup::Cell, 300.0), 4);
+    let mut host = Host::new(keyed(DeduplicationScope::Shard, 300.0), 4);
     host.arrive(arrival(1, None, host.now + 1500.0));
     let first = host.sends()[0].1;
     host.end(1, 0, Outcome::Error, 5.0);
@@ -291,11 +291,14 @@
 
 #[test]
 fn a_keyed_request_that_may_have_run_is_refused_only_if_all_nodes_drop_repeats() {
-    for (group, refuse) in [(RepeatGroup::All, true), (RepeatGroup::Zone, false), (RepeatGroup::Cell, false)]
-    {
+    for (group, refuse) in [
+        (DeduplicationScope::All, true),
+        (DeduplicationScope::Zone, false),
+        (DeduplicationScope::Shard, false),
+    ] {
         let mut host = Host::new(keyed(group, 50.0), 2);
         host.arrive(arrival(1, Some(0), host.now + 400.0));
-        host.tell(Event::List(ListScope::Changes, vec![entry(0, Readiness::Draining, None)]));
+        host.tell(Event::EndpointList(ListScope::Changes, vec![entry(0, Readiness::Draining, None)]));
         host.end(1, 0, Outcome::Reset, 5.0);
         host.pass(390.0);
         let actions = host.take();
@@ -307,7 +310,7 @@
 fn requests_of_a_key_take_turns_and_the_key_rests_after_a_time_out() {
     let mut s = settings();
     s.classes[0].in_order = true;
-    s.key_rest = 200.0;
+    s.key_cooldown = 200.0;
     s.max_attempts = 1;
     let mut host = Host::new(s, 1);
     let with_key = |id, until| Arrival { key: Some(Key(5)), ..arrival(id, Some(0), until) };
@@ -331,10 +334,10 @@
 #[test]
 fn further_attempts_stay_within_the_budget() {
     let mut s = settings();
-    s.budget = Some(Budget { floor: 2.0, ratio: 0.1, span: 60_000.0 });
+    s.retry_budget = Some(RetryBudget { floor: 2.0, ratio: 0.1, span: 60_000.0 });
     s.max_attempts = 50;
     s.plans = vec![plan(1000.0)];
-    s.classes[1] = class(10_000.0, 10_000.0, 2.0, Effect::Repeatable);
+    s.classes[1] = class(10_000.0, 10_000.0, 2.0, Effect::Idempotent);
     let mut host = Host::new(s, 1);
     let mut further = 0;
     for id in 0..10 {
@@ -361,7 +364,7 @@
     let mut host = Host::new(s, 1);
     let mut sent = 0.0;
     for id in 0..200 {
-        host.arrive(Arrival { writers: 2, ..arrival(id, Some(0), host.now + 1500.0) });
+        host.arrive(Arrival { volume_initiators: 2, ..arrival(id, Some(0), host.now + 1500.0) });
         host.pass(20.0);
         for (id, _) in host.sends() {
             sent += 1.0;
@@ -377,7 +380,7 @@
     let mut host = Host::new(settings(), 1);
     host.arrive(arrival(1, Some(0), host.now + 300.0));
     host.take();
-    host.tell(Event::AnswerStarted(RequestId(1)));
+    host.tell(Event::ResponseStarted(RequestId(1)));
     host.pass(2000.0);
     assert_eq!(host.take(), [], "neither called off nor answered");
 }
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -13,7 +13,7 @@
 
 /// Settings under which a node's part is the same however many are listed: there is no other host.
 fn alone() -> Settings {
-    Settings { initiators: 1, most_out: 2, may_probe: true, ..settings() }
+    Settings { initiators: 1, max_concurrent_attempts: 2, may_probe: true, ..settings() }
 }
 
 /// A host with all of its nodes in use, and the others at rest.
@@ -47,18 +47,18 @@
 
     /// Nodes looked at during a part of the site's life.
     fn looked_at(&mut self, during: impl Fn(&mut Self)) -> u64 {
-        let before = self.host.brain.nodes_looked_at();
+        let before = self.host.scheduler.nodes_visited();
         during(self);
-        self.host.brain.nodes_looked_at() - before
+        self.host.scheduler.nodes_visited() - before
     }
 
     fn look(&mut self) {
         self.host.now += 1.0;
-        self.host.tell(Event::Decide);
+        self.host.tell(Event::Evaluate);
     }
 
-    fn change(&mut self, node: u32, readiness: Readiness, booted_at: Option<Ms>) {
-        self.host.list(ListScope::Changes, vec![entry(node, readiness, booted_at)]);
+    fn change(&mut self, node: u32, readiness: Readiness, started_at: Option<Millis>) {
+        self.host.list(ListScope::Changes, vec![entry(node, readiness, started_at)]);
     }
 }
 
@@ -88,7 +88,7 @@
         let (few, many) = few_and_many(|site| {
             site.change(node, Readiness::Draining, None);
             site.change(node, Readiness::Serving, Some(site.host.now));
-            site.change(node, Readiness::Gone, None);
+            site.change(node, Readiness::Removed, None);
             site.change(node, Readiness::Serving, None);
         });
         assert_eq!(few, many, "node {node}");
@@ -143,7 +143,7 @@
     let draw = |objects: u64| {
         move |site: &mut Site| {
             for id in 0..objects {
-                site.host.tell(Event::Arrived(arrival(800_000 + id, None, site.host.now + 1500.0)));
+                site.host.tell(Event::RequestArrived(arrival(800_000 + id, None, site.host.now + 1500.0)));
             }
             site.look();
         }
