--- a/crates/flaxstand-cli/src/daemon.rs
+++ b/crates/flaxstand-cli/src/daemon.rs
@@ -2,8 +2,8 @@
 
 use crate::Failure;
 use crate::kit::{read, told};
-use flaxstand_consensus::agreement::{Agreement, Found};
-use flaxstand_consensus::book::Book;
+use flaxstand_consensus::participant::{Participant, StoredReplica};
+use flaxstand_consensus::replicated_state::ReplicatedState;
 use flaxstand_gateway::core::Core;
 use flaxstand_gateway::driver::{Driver, Options, Reload, clock};
 use flaxstand_gateway::machine::{Control, Machine as _, Micros, Reloaded};
@@ -165,9 +165,9 @@
 
 /// What was agreed on in an earlier life. A file that makes no sense is set aside: it is learnt anew, and until then
 /// the floor of the settings holds.
-fn read_book(path: &Path) -> Result<Option<(u64, Book)>, Failure> {
+fn read_book(path: &Path) -> Result<Option<(u64, ReplicatedState)>, Failure> {
     match std::fs::read(path) {
-        Ok(bytes) => match Agreement::read_saved(&bytes) {
+        Ok(bytes) => match Participant::read_saved(&bytes) {
             Ok(book) => Ok(Some(book)),
             Err(cause) => set_aside(path, "damaged", &cause).map(|()| None),
         },
@@ -178,7 +178,7 @@
 
 /// Opens a keeper's folder for this process alone. One that is empty or damaged makes a new keeper: what it promised
 /// before is lost, and it asks to be taken in.
-fn open_keeper(folder: &Path) -> Result<(Box<dyn Storage>, Found), Failure> {
+fn open_keeper(folder: &Path) -> Result<(Box<dyn Storage>, StoredReplica), Failure> {
     let failed = |e| system(&format!("cannot use {}", folder.display()))(e);
     let mut storage = Folder::open(folder).map_err(failed)?;
     let segments = storage.segments().map_err(failed)?;
@@ -190,7 +190,7 @@
             None
         }
     };
-    Ok((Box::new(storage), Found { state, segments }))
+    Ok((Box::new(storage), StoredReplica { state, segments }))
 }
 
 /// Reads what may change anew. A file with problems changes nothing.
--- a/crates/flaxstand-cli/src/settings.rs
+++ b/crates/flaxstand-cli/src/settings.rs
@@ -4,9 +4,9 @@
 use crate::args::{SettingsArgs, SettingsTask};
 use crate::caller::Caller;
 use crate::kit::{read, told};
-use flaxstand_consensus::agreement::{Reply, Report, Wish, Word};
-use flaxstand_consensus::book::{Book, Version};
-use flaxstand_consensus::rules::{Meaning, Rules};
+use flaxstand_consensus::participant::{OperatorReply, OperatorRequest, PeerMessage, StatusReport};
+use flaxstand_consensus::replicated_state::{ReplicatedState, Version};
+use flaxstand_consensus::rules::{ChangeKind, Rules};
 use flaxstand_gateway::machine::Address;
 use flaxstand_gateway::settings::{read_daemon, read_rules};
 use flaxstand_proto::Frame;
@@ -36,19 +36,22 @@
         }
         SettingsTask::Status { json } => status(&site, json),
         SettingsTask::History => {
-            for passage in &site.book()?.1.history {
-                let at = passage.at / 1_000_000;
-                println!("{at}  stage {}  version {}  {}", passage.stage, passage.number, passage.what);
+            for take_rules_change in &site.book()?.1.history {
+                let at = take_rules_change.at / 1_000_000;
+                println!(
+                    "{at}  stage {}  version {}  {}",
+                    take_rules_change.stage, take_rules_change.number, take_rules_change.what
+                );
             }
             Ok(())
         }
         SettingsTask::Show { number } => {
             let book = site.book()?.1;
-            print!("{}", version(&book, number.unwrap_or(book.acting.number))?.text);
+            print!("{}", version(&book, number.unwrap_or(book.in_force.number))?.text);
             Ok(())
         }
         SettingsTask::Withdraw { number } => {
-            site.wish(&Wish::Withdraw(number, operator(), calendar()))?;
+            site.operator_request(&OperatorRequest::Withdraw(number, operator(), calendar()))?;
             println!("version {number} is withdrawn");
             Ok(())
         }
@@ -59,7 +62,7 @@
         }
         SettingsTask::Wait { seconds } => wait(&site, Duration::from_secs_f64(seconds.clamp(0.0, 1e6))),
         SettingsTask::Forget { name } => {
-            site.wish(&Wish::Forget(name.clone()))?;
+            site.operator_request(&OperatorRequest::Forget(name.clone()))?;
             println!("{name} is no member any more");
             Ok(())
         }
@@ -74,8 +77,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-fn version(book: &Book, number: u64) -> Result<&Version, Failure> {
-    let kept = book.before.iter().chain([&book.acting]).chain(&book.next);
+fn version(book: &ReplicatedState, number: u64) -> Result<&Version, Failure> {
+    let kept = book.before.iter().chain([&book.in_force]).chain(&book.next);
     let all: Vec<&Version> = kept.filter(|v| v.number > 0).collect();
     all.iter().find(|v| v.number == number).copied().ok_or_else(|| {
         let numbers: Vec<String> = all.iter().map(|v| v.number.to_string()).collect();
@@ -91,14 +94,14 @@
 }
 
 impl Site {
-    fn ask(address: &Address, wish: &Wish) -> Result<Reply, Failure> {
+    fn ask(address: &Address, operator_request: &OperatorRequest) -> Result<OperatorReply, Failure> {
         let mut caller = Caller::call(address, "flaxstand settings")?;
-        let bytes =
-            postcard::to_stdvec(&Word::Wish(wish.clone())).map_err(|e| Failure::System(e.to_string()))?;
+        let bytes = postcard::to_stdvec(&PeerMessage::OperatorRequest(operator_request.clone()))
+            .map_err(|e| Failure::System(e.to_string()))?;
         caller.say(&Frame::Agreement { bytes: &bytes })?;
         caller.hear(PATIENCE, |frame| match frame {
             Frame::Agreement { bytes } => match postcard::from_bytes(bytes) {
-                Ok(Word::Reply(reply)) => Some(Ok(reply)),
+                Ok(PeerMessage::OperatorReply(reply)) => Some(Ok(reply)),
                 Ok(_) => None,
                 Err(e) => Some(Err(format!("an answer that can't be read: {e}"))),
             },
@@ -107,14 +110,16 @@
     }
 
     /// Asks whoever leads. Until somebody does, all keepers are asked in turn.
-    fn wish(&self, wish: &Wish) -> Result<u64, Failure> {
+    fn operator_request(&self, operator_request: &OperatorRequest) -> Result<u64, Failure> {
         let started = Instant::now();
         let mut last = String::new();
         while started.elapsed() < LEADER {
             for (name, address) in &self.all[..self.keepers] {
-                match Self::ask(address, wish) {
-                    Ok(Reply::Agreed(number)) => return Ok(number),
-                    Ok(Reply::Refused(why)) => return Err(Failure::System(format!("refused: {why}"))),
+                match Self::ask(address, operator_request) {
+                    Ok(OperatorReply::Committed(number)) => return Ok(number),
+                    Ok(OperatorReply::Refused(why)) => {
+                        return Err(Failure::System(format!("refused: {why}")));
+                    }
                     Ok(_) => last = format!("{name} does not lead"),
                     Err(Failure::System(why)) => last = why,
                     Err(other) => return Err(other),
@@ -126,18 +131,20 @@
     }
 
     /// The newest book that anybody has.
-    fn book(&self) -> Result<(u64, Book), Failure> {
-        let known = self.all.iter().filter_map(|(_, address)| match Self::ask(address, &Wish::Book) {
-            Ok(Reply::Book(book)) => book.map(|b| *b),
-            _ => None,
+    fn book(&self) -> Result<(u64, ReplicatedState), Failure> {
+        let known = self.all.iter().filter_map(|(_, address)| {
+            match Self::ask(address, &OperatorRequest::ReplicatedState) {
+                Ok(OperatorReply::ReplicatedState(book)) => book.map(|b| *b),
+                _ => None,
+            }
         });
         let newest = known.max_by_key(|(index, _)| *index);
         newest.ok_or_else(|| Failure::System("no initiator knows what was agreed on".into()))
     }
 
-    fn reports(&self) -> Vec<(String, Result<Box<Report>, String>)> {
-        let report = |address: &Address| match Self::ask(address, &Wish::Status) {
-            Ok(Reply::Status(report)) => Ok(report),
+    fn reports(&self) -> Vec<(String, Result<Box<StatusReport>, String>)> {
+        let report = |address: &Address| match Self::ask(address, &OperatorRequest::Status) {
+            Ok(OperatorReply::Status(report)) => Ok(report),
             Ok(_) => Err("an answer to something else".into()),
             Err(Failure::System(why)) => Err(why),
             Err(_) => Err("no answer".into()),
@@ -151,17 +158,17 @@
     let show =
         |v: &Option<flaxstand_consensus::rules::Value>| v.as_ref().map_or("none".into(), ToString::to_string);
     for step in from.steps(to) {
-        let meaning = match step.meaning {
-            Meaning::Narrows => "narrows: acted on as soon as it is heard",
-            Meaning::Widens => "widens: acted on once nobody acts on the old value any more",
-            Meaning::Waits => "has no value between: nothing of the kind is done until it is in force",
-            Meaning::Free => "contradicts nothing",
+        let meaning = match step.kind {
+            ChangeKind::Narrows => "narrows: acted on as soon as it is heard",
+            ChangeKind::Widens => "widens: acted on once nobody acts on the old value any more",
+            ChangeKind::Blocks => "has no value between: nothing of the kind is done until it is in force",
+            ChangeKind::Unordered => "contradicts nothing",
         };
         println!("{}: {} -> {}  {meaning}", step.key, show(&step.values.0), show(&step.values.1));
     }
-    for (key, value) in &to.floor {
-        if from.floor.get(key) != Some(value) {
-            println!("floor of {key}: {} -> {value}", show(&from.floor.get(key).cloned()));
+    for (key, value) in &to.fallback {
+        if from.fallback.get(key) != Some(value) {
+            println!("floor of {key}: {} -> {value}", show(&from.fallback.get(key).cloned()));
         }
     }
 }
@@ -173,7 +180,7 @@
     dry_run: bool,
     wait_for: Option<f64>,
 ) -> Result<(), Failure> {
-    let acting = site.book().map(|(_, book)| book.acting).unwrap_or_default();
+    let acting = site.book().map(|(_, book)| book.in_force).unwrap_or_default();
     if acting.number > 0 {
         tell_steps(&acting.rules, &rules);
         let objections = rules.objections(&acting.rules);
@@ -190,7 +197,7 @@
         return Ok(());
     }
     let version = Version { number: 0, rules, text, by: operator(), at: calendar() };
-    let number = site.wish(&Wish::Propose(acting.number, version))?;
+    let number = site.operator_request(&OperatorRequest::Propose(acting.number, version))?;
     println!("version {number} is agreed on");
     match wait_for {
         Some(seconds) => wait(site, Duration::from_secs_f64(seconds.clamp(0.0, 1e6))),
@@ -206,14 +213,14 @@
             reports.iter().filter_map(|(_, r)| r.as_ref().ok()).find(|r| r.leader.as_ref() == Some(&r.name));
         if let Some(leader) = leader
             && leader.versions.1.is_none()
-            && leader.holds.is_empty()
+            && leader.blockers.is_empty()
         {
             println!("version {} is in force", leader.versions.0);
             return Ok(());
         }
         if started.elapsed() >= longest {
             let holds = leader.map_or("nobody leads".into(), |l| {
-                let who: Vec<String> = l.holds.iter().map(|h| format!("{}: {}", h.who, h.why)).collect();
+                let who: Vec<String> = l.blockers.iter().map(|h| format!("{}: {}", h.who, h.why)).collect();
                 who.join("; ")
             });
             return Err(Failure::System(format!("not in force yet: {holds}")));
@@ -225,7 +232,7 @@
 fn status(site: &Site, json: bool) -> Result<(), Failure> {
     let reports = site.reports();
     if json {
-        let object = |r: &(String, Result<Box<Report>, String>)| match &r.1 {
+        let object = |r: &(String, Result<Box<StatusReport>, String>)| match &r.1 {
             Ok(report) => serde_json::to_value(report).unwrap_or_default(),
             Err(why) => serde_json::json!({ "name": r.0, "unreachable": why }),
         };
@@ -236,8 +243,8 @@
     for (name, report) in &reports {
         match report {
             Ok(r) => {
-                let keeper = r.keeper.as_ref().map(|k| format!(", keeper: {k}")).unwrap_or_default();
-                println!("{name}: acts on {}, for {} ms yet{keeper}", r.acting, r.lease_ms);
+                let keeper = r.replica.as_ref().map(|k| format!(", keeper: {k}")).unwrap_or_default();
+                println!("{name}: acts on {}, for {} ms yet{keeper}", r.active_rules, r.lease_ms);
             }
             Err(why) => println!("{name}: {why}"),
         }
@@ -256,7 +263,7 @@
                 (v, None) => println!("version {v} is in force"),
                 (v, Some(next)) => println!("version {v} is in force, version {next} under way"),
             }
-            for h in &l.holds {
+            for h in &l.blockers {
                 let ends = h.ends_ms.map(|ms| format!(", at most {ms} ms")).unwrap_or_default();
                 println!("held up by {}: {}{ends}", h.who, h.why);
             }
@@ -267,7 +274,7 @@
 
 /// What follows from a file's agreement, for `check`.
 pub fn tell_terms(path: &Path, lease_ms: f64, clock_error: f64, election_ms: f64) {
-    let terms = flaxstand_consensus::agreement::Terms::of(lease_ms, clock_error, election_ms);
+    let terms = flaxstand_consensus::participant::RolloutBounds::of(lease_ms, clock_error, election_ms);
     println!(
         "{}: two initiators act on rules that contradict each other for {} ms at most; a change is in force within \
          {} ms of its proposal where a leader lives, {} ms where it is lost",
--- a/crates/flaxstand-cli/tests/agreement/fleet.rs
+++ b/crates/flaxstand-cli/tests/agreement/fleet.rs
@@ -1,8 +1,8 @@
 //! Several processes of the program on loopback, a relay on every link between two of them, and what each one's log
 //! says that it acted on.
 
-use flaxstand_consensus::agreement::{Reply, Report, Terms, Wish};
-use flaxstand_consensus::book::{Book, Version};
+use flaxstand_consensus::participant::{OperatorReply, OperatorRequest, RolloutBounds, StatusReport};
+use flaxstand_consensus::replicated_state::{ReplicatedState, Version};
 use flaxstand_gateway::machine::Micros;
 use flaxstand_gateway::settings::read_rules;
 use flaxstand_simulation::agreed::{
@@ -152,20 +152,20 @@
     }
 
     /// An operator's word to one initiator.
-    pub fn say(&self, i: usize, wish: &Wish) -> Option<Reply> {
-        ask(self.links.listen(i), wish).ok()?
+    pub fn say(&self, i: usize, operator_request: &OperatorRequest) -> Option<OperatorReply> {
+        ask(self.links.listen(i), operator_request).ok()?
     }
 
-    pub fn report(&self, i: usize) -> Option<Box<Report>> {
-        match self.say(i, &Wish::Status)? {
-            Reply::Status(report) => Some(report),
+    pub fn report(&self, i: usize) -> Option<Box<StatusReport>> {
+        match self.say(i, &OperatorRequest::Status)? {
+            OperatorReply::Status(report) => Some(report),
             _ => None,
         }
     }
 
-    pub fn book(&self, i: usize) -> Option<Book> {
-        match self.say(i, &Wish::Book)? {
-            Reply::Book(book) => book.map(|b| b.1),
+    pub fn book(&self, i: usize) -> Option<ReplicatedState> {
+        match self.say(i, &OperatorRequest::ReplicatedState)? {
+            OperatorReply::ReplicatedState(book) => book.map(|b| b.1),
             _ => None,
         }
     }
@@ -193,7 +193,7 @@
         self.until("a leader", |f| {
             some.iter().copied().find(|i| {
                 f.report(*i).is_some_and(|r| {
-                    r.leader.as_ref() == Some(&r.name) && r.keeper.as_deref() == Some("leader")
+                    r.leader.as_ref() == Some(&r.name) && r.replica.as_deref() == Some("leader")
                 })
             })
         })
@@ -208,15 +208,17 @@
     /// Proposes by whichever keeper leads, until it is taken. The version's number.
     #[track_caller]
     pub fn propose(&self, base: u64, text: &str) -> u64 {
-        let wish = Wish::Propose(base, version(text));
+        let operator_request = OperatorRequest::Propose(base, version(text));
         self.until("a proposal to be agreed on", |f| {
-            (0..f.keepers).find_map(|i| match f.say(i, &wish)? {
-                Reply::Agreed(number) => Some(number),
+            (0..f.keepers).find_map(|i| match f.say(i, &operator_request)? {
+                OperatorReply::Committed(number) => Some(number),
                 // It was taken, and its answer lost with its leader.
-                Reply::Refused(why) if why.contains("is under way") || why.contains("is in force") => {
+                OperatorReply::Refused(why)
+                    if why.contains("is under way") || why.contains("is in force") =>
+                {
                     let book = f.book(i)?;
                     let ours = |v: &Version| v.text == text && v.number > base;
-                    book.next.iter().chain([&book.acting]).find(|v| ours(v)).map(|v| v.number)
+                    book.next.iter().chain([&book.in_force]).find(|v| ours(v)).map(|v| v.number)
                 }
                 _ => None,
             })
@@ -261,7 +263,7 @@
     /// Fails if two acted on rules that contradict each other for longer than the settings allow.
     #[track_caller]
     pub fn no_contradiction(&self) {
-        let terms = Terms::of(LEASE_MS as f64, ERROR, ELECTION_MS as f64);
+        let terms = RolloutBounds::of(LEASE_MS as f64, ERROR, ELECTION_MS as f64);
         let (longest, who) = self.contradiction();
         assert!(longest * 1000.0 <= terms.contradiction_ms, "{longest} s: {who}");
     }
--- a/crates/flaxstand-cli/tests/agreement/main.rs
+++ b/crates/flaxstand-cli/tests/agreement/main.rs
@@ -14,7 +14,7 @@
 fn agreed(name: &str, keepers: usize, count: usize) -> Fleet {
     let fleet = Fleet::start(name, keepers, count);
     assert_eq!(fleet.propose(0, &shared(100, "repeatable")), 1);
-    fleet.until_acting(&fleet.everyone(), "Alone(1)");
+    fleet.until_acting(&fleet.everyone(), "Version(1)");
     fleet
 }
 
@@ -22,18 +22,18 @@
 fn a_change_passes_through_what_both_versions_allow() {
     let f = agreed("passes", 3, 5);
     assert_eq!(f.propose(1, &shared(40, "once")), 2);
-    f.until_acting(&f.everyone(), "Alone(2)");
+    f.until_acting(&f.everyone(), "Version(2)");
     for p in &f.all {
         let mut acted: Vec<String> = p.acted().into_iter().map(|a| a.what).collect();
         acted.dedup();
-        assert_eq!(acted, ["Floor", "Alone(1)", "Between(1, 2)", "Alone(2)"], "{}", p.name);
+        assert_eq!(acted, ["Fallback", "Version(1)", "Transition(1, 2)", "Version(2)"], "{}", p.name);
     }
     f.no_contradiction();
 }
 
 /// Waits until the others than `but` act on a version, and then all.
 fn settles(f: &Fleet, version: u64) {
-    f.until_acting(&f.everyone(), &format!("Alone({version})"));
+    f.until_acting(&f.everyone(), &format!("Version({version})"));
     f.no_contradiction();
 }
 
@@ -43,11 +43,11 @@
     let old = f.leader();
     f.links.around(old, Flow::Stall);
     let others: Vec<usize> = f.everyone().into_iter().filter(|i| *i != old).collect();
-    f.until_acting(&[old], "Floor");
+    f.until_acting(&[old], "Fallback");
     assert_eq!(f.propose(1, &shared(40, "once")), 2);
-    f.until_acting(&others, "Alone(2)");
-    assert_eq!(f.all[old].acts().unwrap().what, "Floor");
-    assert_eq!(f.book(old).unwrap().acting.number, 1, "it can't have heard of it");
+    f.until_acting(&others, "Version(2)");
+    assert_eq!(f.all[old].acts().unwrap().what, "Fallback");
+    assert_eq!(f.book(old).unwrap().in_force.number, 1, "it can't have heard of it");
     f.links.heal();
     settles(&f, 2);
 }
@@ -60,8 +60,9 @@
     let before = calendar();
     assert_eq!(f.propose(1, &shared(500, "repeatable")), 2);
     let rest = [0, 1, 2, 3];
-    f.until_acting(&rest, "Alone(2)");
-    let let_go = f.all[4].acted().into_iter().rev().find(|a| a.what == "Floor").expect("its lease ended").at;
+    f.until_acting(&rest, "Version(2)");
+    let let_go =
+        f.all[4].acted().into_iter().rev().find(|a| a.what == "Fallback").expect("its lease ended").at;
     let widened = rest.iter().map(|i| f.all[*i].acts().unwrap().at).fold(f64::INFINITY, f64::min);
     assert!(let_go > before && widened > let_go, "{before} {let_go} {widened}");
     f.links.heal();
@@ -77,7 +78,7 @@
     f.links.one_way(leader, deaf, Flow::Stall);
     let term = f.report(leader).unwrap().term;
     assert_eq!(f.propose(1, &shared(80, "repeatable")), 2);
-    f.until_acting(&[leader, (leader + 2) % 5, (leader + 3) % 5], "Alone(2)");
+    f.until_acting(&[leader, (leader + 2) % 5, (leader + 3) % 5], "Version(2)");
     assert_eq!(f.report(leader).unwrap().term, term);
     f.links.heal();
     settles(&f, 2);
@@ -95,20 +96,20 @@
 fn a_process_that_stood_still_acts_on_the_floor_when_it_wakes() {
     let mut f = agreed("stood-still", 3, 5);
     for who in [f.leader(), 4] {
-        let base = f.book(3).unwrap().acting.number;
+        let base = f.book(3).unwrap().in_force.number;
         let others: Vec<usize> = f.everyone().into_iter().filter(|i| *i != who).collect();
         let since = f.pause(who);
         let next = f.propose(base, &shared(90 - base, "repeatable"));
-        f.until_acting(&others, &format!("Alone({next})"));
+        f.until_acting(&others, &format!("Version({next})"));
         f.go_on(who, since);
         settles(&f, next);
         let acted = f.all[who].acted();
         let woke = acted.iter().find(|a| a.at > since).expect("it noted something when it woke");
-        assert_eq!(woke.what, "Floor", "the first thing that it noticed");
+        assert_eq!(woke.what, "Fallback", "the first thing that it noticed");
     }
     // All keepers at once, for longer than a lease.
     let since: Vec<f64> = (0..3).map(|i| f.pause(i)).collect();
-    f.until_acting(&[3, 4], "Floor");
+    f.until_acting(&[3, 4], "Fallback");
     (0..3).for_each(|i| f.go_on(i, since[i]));
     settles(&f, 3);
 }
@@ -129,12 +130,12 @@
         }
         if step == 2 {
             f.until("the version to be in force somewhere", |f| {
-                f.everyone().into_iter().find(|i| f.book(*i).is_some_and(|b| b.acting.number == next))
+                f.everyone().into_iter().find(|i| f.book(*i).is_some_and(|b| b.in_force.number == next))
             });
             f.kill(leader);
         }
         let rest: Vec<usize> = f.everyone().into_iter().filter(|i| *i != leader).collect();
-        f.until_acting(&rest, &format!("Alone({next})"));
+        f.until_acting(&rest, &format!("Version({next})"));
         f.run(leader);
         settles(&f, next);
         base = next;
@@ -164,7 +165,7 @@
     std::fs::remove_dir_all(f.own_folder(wiped)).unwrap();
     f.run(wiped);
     f.until("the one without a disk to be taken in", |f| {
-        (f.report(wiped)?.keeper.as_deref() == Some("follower") && voters(f).len() == 3).then_some(())
+        (f.report(wiped)?.replica.as_deref() == Some("follower") && voters(f).len() == 3).then_some(())
     });
     // Its folder is put back to what it was before it promised more.
     f.kill(old);
@@ -178,7 +179,7 @@
     fleet::copy(&copy, &f.own_folder(old));
     f.run(old);
     f.until("the old copy to be found out", |f| f.all[old].logged("its folder is an old copy").then_some(()));
-    f.until("it to be taken in", |f| (f.report(old)?.keeper.as_deref() == Some("follower")).then_some(()));
+    f.until("it to be taken in", |f| (f.report(old)?.replica.as_deref() == Some("follower")).then_some(()));
     settles(&f, next);
     // The last bytes of its log are torn off: never told, so it goes on as itself.
     f.kill(old);
@@ -198,30 +199,35 @@
 
 #[test]
 fn two_proposals_at_once_and_one_withdrawn() {
-    use flaxstand_consensus::agreement::{Reply, Wish};
+    use flaxstand_consensus::participant::{OperatorReply, OperatorRequest};
     let f = agreed("two", 3, 4);
     let leader = f.leader();
-    f.until("the passage before to be over", |f| f.report(leader)?.holds.is_empty().then_some(()));
-    let say = |limit| f.say(leader, &Wish::Propose(1, fleet::version(&shared(limit, "repeatable"))));
+    f.until("the passage before to be over", |f| f.report(leader)?.blockers.is_empty().then_some(()));
+    let say =
+        |limit| f.say(leader, &OperatorRequest::Propose(1, fleet::version(&shared(limit, "repeatable"))));
     let (one, two) = std::thread::scope(|s| {
         let one = s.spawn(|| say(80));
         let two = s.spawn(|| say(70));
         (one.join().unwrap().expect("an answer"), two.join().unwrap().expect("an answer"))
     });
-    let taken: Vec<&Reply> = [&one, &two].into_iter().filter(|r| matches!(r, Reply::Agreed(2))).collect();
+    let taken: Vec<&OperatorReply> =
+        [&one, &two].into_iter().filter(|r| matches!(r, OperatorReply::Committed(2))).collect();
     assert_eq!(taken.len(), 1, "{one:?} {two:?}");
     settles(&f, 2);
     // One that can't come in force, since a member holds it up, is withdrawn.
     f.links.around(3, Flow::Stall);
     assert_eq!(f.propose(2, &shared(400, "repeatable")), 3);
-    let withdrawn = f.say(leader, &Wish::Withdraw(3, "a test".into(), 0)).expect("an answer");
-    if withdrawn == Reply::Agreed(3) {
-        f.until_acting(&[0, 1, 2], "Alone(2)");
+    let withdrawn = f.say(leader, &OperatorRequest::Withdraw(3, "a test".into(), 0)).expect("an answer");
+    if withdrawn == OperatorReply::Committed(3) {
+        f.until_acting(&[0, 1, 2], "Version(2)");
         f.links.heal();
         settles(&f, 2);
     } else {
         // It came in force first: then there is nothing to take back.
-        assert!(matches!(&withdrawn, Reply::Refused(why) if why.contains("not under way")), "{withdrawn:?}");
+        assert!(
+            matches!(&withdrawn, OperatorReply::Refused(why) if why.contains("not under way")),
+            "{withdrawn:?}"
+        );
         f.links.heal();
         settles(&f, 3);
     }
@@ -235,7 +241,7 @@
         f.stop(i);
         f.run(i);
         // Of keepers a majority is to be there at all times.
-        f.until("it to have a lease again", |f| f.all[i].acts().filter(|a| a.what.starts_with("Alone")));
+        f.until("it to have a lease again", |f| f.all[i].acts().filter(|a| a.what.starts_with("Version")));
     }
     settles(&f, next);
 }
@@ -292,7 +298,7 @@
     );
     assert_eq!(f.command(0, &["revert", "1"]).status.code(), Some(0));
     settles(&f, 3);
-    assert_eq!(f.book(1).unwrap().acting.text, shared(100, "repeatable"));
+    assert_eq!(f.book(1).unwrap().in_force.text, shared(100, "repeatable"));
 }
 
 /// Long, and so no part of the usual run: `cargo test --release -p flaxstand-cli --test agreement -- --ignored --nocapture`.
@@ -312,7 +318,7 @@
             let drawn = (draw >> 33) as usize;
             let leader = f.leader();
             f.until("the passage before to be over", |f| {
-                f.report(f.leader())?.holds.is_empty().then_some(())
+                f.report(f.leader())?.blockers.is_empty().then_some(())
             });
             match fault {
                 "a member cut off" => {
@@ -334,7 +340,7 @@
                 f.kill(leader);
             }
             f.until("the version to be in force somewhere", |f| {
-                let acts = |i: &usize| f.all[*i].acts().is_some_and(|a| a.what == format!("Alone({next})"));
+                let acts = |i: &usize| f.all[*i].acts().is_some_and(|a| a.what == format!("Version({next})"));
                 f.everyone().iter().any(acts).then_some(())
             });
             took.push(started.elapsed().as_millis() as u64);
--- a/crates/flaxstand-consensus/src/journal.rs
+++ b/crates/flaxstand-consensus/src/journal.rs
@@ -7,7 +7,7 @@
 //! an intact later frame behind it was, so what is there can't be trusted and the keeper has lost its disk.
 
 use crate::log::{Entry, Log};
-use crate::replica::{Life, ReplicaId, Seen};
+use crate::replica_id::{Incarnation, LastSeen, ReplicaId};
 use flaxstand_proto::Micros;
 use flaxstand_storage::{Batch, Storage, StoreOp};
 use serde::{Deserialize, Serialize};
@@ -28,7 +28,7 @@
     /// Who it is.
     pub me: ReplicaId,
     /// Its newest life.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// The agreement it belongs to; 0: none yet.
     pub cluster: u64,
     /// Its term.
@@ -40,7 +40,7 @@
     /// How many promises it has written down, over all lives of this incarnation.
     pub written: u64,
     /// The newest of each other keeper that it acted on.
-    pub seen: BTreeMap<ReplicaId, Seen>,
+    pub seen: BTreeMap<ReplicaId, LastSeen>,
 }
 
 /// A change of that.
@@ -53,15 +53,15 @@
     /// The entries from an index on are these.
     Entries(u64, Vec<Entry>),
     /// The newest of another keeper.
-    Seen(ReplicaId, Seen),
+    LastSeen(ReplicaId, LastSeen),
 }
 
 impl State {
     /// A keeper with nothing behind it.
-    pub fn fresh(me: ReplicaId, life: Life) -> State {
+    pub fn fresh(me: ReplicaId, incarnation: Incarnation) -> State {
         State {
             me,
-            life,
+            incarnation,
             cluster: 0,
             term: 0,
             voted: None,
@@ -83,7 +83,7 @@
                 self.log.entries.extend(entries);
                 self.written += 1;
             }
-            Record::Seen(member, seen) => drop(self.seen.insert(member, seen)),
+            Record::LastSeen(member, seen) => drop(self.seen.insert(member, seen)),
         }
     }
 }
@@ -165,7 +165,7 @@
 
 /// What is under way.
 #[derive(Clone, Debug)]
-struct Flight {
+struct WriteInFlight {
     /// All up to this record is durable if it goes well.
     upto: u64,
     /// The log's last entry as it then stands in the storage.
@@ -184,7 +184,7 @@
     durable: u64,
     /// The last entry of the log that is durable, as far as none was taken back.
     durable_last: u64,
-    flight: Option<Flight>,
+    write_in_flight: Option<WriteInFlight>,
     /// Segments that are there, the last one written to. None is written to after a failure.
     segments: Vec<u64>,
     next_segment: u64,
@@ -204,7 +204,7 @@
             queued: 0,
             durable: 0,
             durable_last: 0,
-            flight: None,
+            write_in_flight: None,
             segments,
             next_segment,
             next_frame: 1,
@@ -233,8 +233,8 @@
     /// Entries from an index on are others than those that are durable or under way.
     fn taken_back(&mut self, from: u64) {
         self.durable_last = self.durable_last.min(from - 1);
-        if let Some(flight) = &mut self.flight {
-            flight.last = flight.last.min(from - 1);
+        if let Some(write_in_flight) = &mut self.write_in_flight {
+            write_in_flight.last = write_in_flight.last.min(from - 1);
         }
     }
 
@@ -266,7 +266,7 @@
     /// What to store next, if something is to be stored and nothing is under way.
     pub fn batch(&mut self, state: &State, now: Micros) -> Option<Batch> {
         let waits = self.failing.is_some_and(|(at, _)| at > now);
-        if self.flight.is_some() || waits || self.durable == self.queued {
+        if self.write_in_flight.is_some() || waits || self.durable == self.queued {
             return None;
         }
         let number = self.next_frame;
@@ -300,20 +300,21 @@
                 0
             }
         };
-        self.flight = Some(Flight { upto: self.queued, last: state.log.last(), bytes, begins });
+        self.write_in_flight =
+            Some(WriteInFlight { upto: self.queued, last: state.log.last(), bytes, begins });
         Some(Batch { ops })
     }
 
     /// How the batch under way went. After a failure the whole state goes to a new segment: what the failed one
     /// left behind is not known.
     pub fn stored(&mut self, well: bool, now: Micros) {
-        let Some(flight) = self.flight.take() else { return };
+        let Some(write_in_flight) = self.write_in_flight.take() else { return };
         if well {
             self.failing = None;
-            self.durable = flight.upto;
-            self.durable_last = flight.last;
-            self.grown = self.grown.map(|grown| grown + flight.bytes);
-            if flight.begins {
+            self.durable = write_in_flight.upto;
+            self.durable_last = write_in_flight.last;
+            self.grown = self.grown.map(|grown| grown + write_in_flight.bytes);
+            if write_in_flight.begins {
                 self.segments.drain(..self.segments.len() - 1);
             }
         } else {
@@ -326,6 +327,8 @@
 
     /// When to ask for a batch again, if time alone makes one due.
     pub fn wake(&self) -> Option<Micros> {
-        self.failing.filter(|_| self.flight.is_none() && self.durable != self.queued).map(|(at, _)| at)
+        self.failing
+            .filter(|_| self.write_in_flight.is_none() && self.durable != self.queued)
+            .map(|(at, _)| at)
     }
 }
--- a/crates/flaxstand-consensus/src/lease_manager.rs
+++ b/crates/flaxstand-consensus/src/lease_manager.rs
@@ -2,8 +2,8 @@
 //! stage, and says when the next stage may begin: once every member has confirmed the present one, or has no lease
 //! for an older one any more. A new leader knows of no lease that others granted, and waits until all must have ended.
 
-use crate::book::{Book, Change};
-use crate::keeper::Planted;
+use crate::replica::InjectedFault;
+use crate::replicated_state::{Change, ReplicatedState};
 use flaxstand_proto::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
     /// Its name.
     pub name: String,
     /// Which start of it.
-    pub incarnation: u64,
+    pub epoch: u64,
     /// Its number among its requests.
     pub seq: u64,
     /// Index of the replicated state that it has.
@@ -38,7 +38,7 @@
     /// Whose request.
     pub name: String,
     /// Which start of it.
-    pub incarnation: u64,
+    pub epoch: u64,
     /// The request's number.
     pub seq: u64,
     /// How long the lease is from when it was asked for, microseconds; none: it gets none now.
@@ -46,7 +46,7 @@
     /// The stage that the lease is for.
     pub stage: u64,
     /// The replicated state and its index, where the member has an older one.
-    pub book: Option<(u64, Book)>,
+    pub replicated_state: Option<(u64, ReplicatedState)>,
 }
 
 /// What keeps the next stage from beginning.
@@ -74,7 +74,7 @@
 /// What the leader knows of one member, moments by its own clock.
 #[derive(Clone, Debug, Default)]
 struct MemberLease {
-    incarnation: u64,
+    epoch: u64,
     /// It confirmed the present stage.
     confirmed: bool,
     cannot: Option<String>,
@@ -99,9 +99,9 @@
     }
 
     /// A later start of the member: what an earlier one may still act on is kept.
-    fn restart(&mut self, incarnation: u64) {
+    fn restart(&mut self, epoch: u64) {
         let earlier_start_until = self.earlier_start_until.max(self.leased_until());
-        *self = MemberLease { incarnation, earlier_start_until, ..MemberLease::default() };
+        *self = MemberLease { epoch, earlier_start_until, ..MemberLease::default() };
     }
 
     /// Another stage begins.
@@ -133,14 +133,14 @@
     leases: BTreeMap<String, MemberLease>,
     /// See `LeaseManager::members_examined`.
     members_examined: u64,
-    planted: Planted,
+    injected_fault: InjectedFault,
 }
 
 impl LeaseManager {
     /// Of a leader that begins to lead now. Leases last `span`; clocks' rates differ by at most `error` of it.
-    pub fn new(span: Micros, error: f64, planted: Planted, now: Micros) -> LeaseManager {
+    pub fn new(span: Micros, error: f64, injected_fault: InjectedFault, now: Micros) -> LeaseManager {
         let counted_span = Micros((span.0 as f64 * (1.0 + 2.0 * error)).ceil() as u64);
-        let waits = planted != Planted::StrangersIgnored;
+        let waits = injected_fault != InjectedFault::StrangersIgnored;
         LeaseManager {
             earlier_leaders_until: if waits { now.after(counted_span) } else { now },
             span,
@@ -148,7 +148,7 @@
             stage: 0,
             leases: BTreeMap::new(),
             members_examined: 0,
-            planted,
+            injected_fault,
         }
     }
 
@@ -160,52 +160,56 @@
         }
     }
 
-    /// Decides on a request. A member whose copy of the replicated state is older than `index` is sent `book`;
+    /// Decides on a request. A member whose copy of the replicated state is older than `index` is sent `replicated_state`;
     /// `leads_until`: until when nobody else can lead.
     pub fn decide(
         &mut self,
         request: &LeaseRequest,
         index: u64,
-        book: &Book,
+        replicated_state: &ReplicatedState,
         leads_until: Micros,
         now: Micros,
     ) -> Decision {
-        self.at_stage(book.stage);
-        let is_member = book.members.contains_key(&request.name);
+        self.at_stage(replicated_state.stage);
+        let is_member = replicated_state.members.contains_key(&request.name);
         let lease = self.leases.entry(request.name.clone()).or_default();
         let mut response = LeaseResponse {
             name: request.name.clone(),
-            incarnation: request.incarnation,
+            epoch: request.epoch,
             seq: request.seq,
             lease: None,
-            stage: book.stage,
-            book: None,
+            stage: replicated_state.stage,
+            replicated_state: None,
         };
-        if lease.incarnation > request.incarnation {
+        if lease.epoch > request.epoch {
             // A later start of its name took its place.
             return Decision { response, joins: false, differs: false };
         }
-        if lease.incarnation != request.incarnation {
-            lease.restart(request.incarnation);
+        if lease.epoch != request.epoch {
+            lease.restart(request.epoch);
         }
         lease.heard_at = now;
-        let confirms = confirms(request, book, self.planted);
+        let confirms = confirms(request, replicated_state, self.injected_fault);
         lease.confirmed = confirms == Ok(true);
         let differs = !lease.confirmed;
         lease.cannot = confirms.err();
         if request.leaves {
             lease.release();
-        } else if is_member && now < leads_until && lease.cannot.is_none() && book.acting.number > 0 {
+        } else if is_member
+            && now < leads_until
+            && lease.cannot.is_none()
+            && replicated_state.in_force.number > 0
+        {
             response.lease = Some(self.span.0);
             lease.present_stage_until = lease.present_stage_until.max(now.after(self.counted_span));
         }
-        response.book = (request.index < index).then(|| (index, book.clone()));
+        response.replicated_state = (request.index < index).then(|| (index, replicated_state.clone()));
         Decision { response, joins: !is_member && !request.leaves, differs }
     }
 
     /// What keeps the next stage from beginning.
-    pub fn blockers(&self, book: &Book, now: Micros) -> Vec<Blocker> {
-        let everyone = book.needs_everyone();
+    pub fn blockers(&self, replicated_state: &ReplicatedState, now: Micros) -> Vec<Blocker> {
+        let everyone = replicated_state.needs_everyone();
         let mut all = Vec::new();
         if now < self.earlier_leaders_until {
             all.push(Blocker {
@@ -214,13 +218,24 @@
                 ends_ms: Some(ms_until(self.earlier_leaders_until, now)),
             });
         }
-        all.extend(book.members.keys().filter_map(|name| self.blocked_by(name, book, everyone, now)));
+        all.extend(
+            replicated_state
+                .members
+                .keys()
+                .filter_map(|name| self.blocked_by(name, replicated_state, everyone, now)),
+        );
         all
     }
 
     /// Whether a member keeps the next stage from beginning. `everyone`: that stage needs each member's own word.
-    fn blocked_by(&self, name: &str, book: &Book, everyone: bool, now: Micros) -> Option<Blocker> {
-        let lease = self.leases.get(name).filter(|_| self.stage == book.stage);
+    fn blocked_by(
+        &self,
+        name: &str,
+        replicated_state: &ReplicatedState,
+        everyone: bool,
+        now: Micros,
+    ) -> Option<Blocker> {
+        let lease = self.leases.get(name).filter(|_| self.stage == replicated_state.stage);
         let confirmed = lease.is_some_and(|lease| lease.confirmed);
         if confirmed && lease.is_some_and(|lease| now >= lease.earlier_start_until) {
             return None;
@@ -230,7 +245,7 @@
             (why, None)
         } else if everyone && !confirmed {
             ("the floor changes: its own word is needed".to_owned(), None)
-        } else if now < older_until && self.planted != Planted::LeasesNotAwaited {
+        } else if now < older_until && self.injected_fault != InjectedFault::LeasesNotAwaited {
             let why = "it may act on what was before until its lease ends".to_owned();
             (why, Some(ms_until(older_until, now)))
         } else {
@@ -240,19 +255,25 @@
     }
 
     /// The change that puts the version under way in force, if there is one and nothing blocks it.
-    pub fn change_in_force(&mut self, book: &Book, calendar: u64, now: Micros) -> Option<Change> {
-        let next = book.next.as_ref()?;
-        self.members_examined += book.members.len() as u64;
-        if !self.blockers(book, now).is_empty() {
+    pub fn change_in_force(
+        &mut self,
+        replicated_state: &ReplicatedState,
+        calendar: u64,
+        now: Micros,
+    ) -> Option<Change> {
+        let next = replicated_state.next.as_ref()?;
+        self.members_examined += replicated_state.members.len() as u64;
+        if !self.blockers(replicated_state, now).is_empty() {
             return None;
         }
-        Some(Change::InForce { number: next.number, why: self.who_confirmed(book), at: calendar })
+        Some(Change::InForce { number: next.number, why: self.who_confirmed(replicated_state), at: calendar })
     }
 
     /// How many confirmed, and who did not, for the history.
-    fn who_confirmed(&self, book: &Book) -> String {
+    fn who_confirmed(&self, replicated_state: &ReplicatedState) -> String {
         let confirmed = |name: &&String| self.leases.get(*name).is_some_and(|lease| lease.confirmed);
-        let (with, without): (Vec<&String>, Vec<&String>) = book.members.keys().partition(confirmed);
+        let (with, without): (Vec<&String>, Vec<&String>) =
+            replicated_state.members.keys().partition(confirmed);
         let mut text = format!("confirmed by {}", with.len());
         if !without.is_empty() {
             let named: Vec<&str> = without.iter().take(NAMED_MOST).map(|name| name.as_str()).collect();
@@ -283,14 +304,18 @@
 ///
 /// # Errors
 /// The member can't act on it; why, in words for operators.
-fn confirms(request: &LeaseRequest, book: &Book, planted: Planted) -> Result<bool, String> {
+fn confirms(
+    request: &LeaseRequest,
+    replicated_state: &ReplicatedState,
+    injected_fault: InjectedFault,
+) -> Result<bool, String> {
     if let Some(why) = &request.cannot {
         return Err(why.clone());
     }
-    if request.stage != book.stage {
+    if request.stage != replicated_state.stage {
         return Ok(false);
     }
-    if request.digest != book.digest() && planted != Planted::DigestNotCompared {
+    if request.digest != replicated_state.digest() && injected_fault != InjectedFault::DigestNotCompared {
         return Err("it understands the rules otherwise: another build".to_owned());
     }
     Ok(true)
--- a/crates/flaxstand-consensus/src/lib.rs
+++ b/crates/flaxstand-consensus/src/lib.rs
@@ -5,30 +5,30 @@
 //! Nothing here touches a socket, a file or a clock. The owner hands over messages, moments and word of what
 //! became durable, and takes messages to send, batches to store and what was agreed on.
 //!
-//! - [`agreement`]: one initiator: its keeper, if it is one, its membership, and the ways between; what the owner calls
+//! - [`participant`]: one initiator: its keeper, if it is one, its membership, and the ways between; what the owner calls
 //! - [`member`]: leases as their holder sees them; [`lease_manager`]: as the leader does
-//! - [`book`]: the replicated state; [`rules`]: its rules, and which of two values is safe beside the other
-//! - [`keeper`]: one replica of the log: elections, replication, recovery
+//! - [`replicated_state`]: the replicated state; [`rules`]: its rules, and which of two values is safe beside the other
+//! - [`replica`]: one replica of the log: elections, replication, recovery
 //! - [`log`]: entries and the snapshot before them
-//! - [`replica`]: what names a keeper, its starts
+//! - [`replica_id`]: what names a replica, its starts
 //! - [`message`]: what keepers say to each other
 //! - [`journal`]: what must be durable before it is told, and reading it back
 #![forbid(unsafe_code)]
 
-pub mod agreement;
-pub mod book;
 pub mod journal;
-pub mod keeper;
 pub mod lease_manager;
 pub mod log;
 pub mod member;
 pub mod message;
+pub mod participant;
 pub mod replica;
+pub mod replica_id;
+pub mod replicated_state;
 pub mod rules;
 
 pub use flaxstand_proto::Micros;
 pub use journal::{Journal, Recovered, State, recover};
-pub use keeper::{Agreed, Config, Keeper, Planted, ProposeError, Standing, Status};
-pub use log::{Entry, Log, Snapshot, What};
-pub use message::{Body, Message};
-pub use replica::{Life, ReplicaId};
+pub use log::{Entry, EntryPayload, Log, Snapshot};
+pub use message::{Message, MessageBody};
+pub use replica::{Committed, Config, InjectedFault, ProposeError, Replica, ReplicaRole, Status};
+pub use replica_id::{Incarnation, ReplicaId};
--- a/crates/flaxstand-consensus/src/log.rs
+++ b/crates/flaxstand-consensus/src/log.rs
@@ -1,11 +1,11 @@
 //! Entries, and the snapshot in place of those before them.
 
-use crate::replica::ReplicaId;
+use crate::replica_id::ReplicaId;
 use serde::{Deserialize, Serialize};
 
 /// What an entry says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum EntryPayload {
     /// A leader's first.
     Begin,
     /// Who votes from this entry on, whether it is committed or not.
@@ -20,7 +20,7 @@
     /// The term in which a leader wrote it.
     pub term: u64,
     /// What it says.
-    pub what: What,
+    pub what: EntryPayload,
 }
 
 /// All up to an index.
@@ -85,7 +85,7 @@
     /// Who votes: the newest electorate in the log, and the index of its entry.
     pub fn electorate(&self) -> (u64, &[ReplicaId]) {
         for (at, entry) in self.entries.iter().enumerate().rev() {
-            if let What::Electorate(members) = &entry.what {
+            if let EntryPayload::Electorate(members) = &entry.what {
                 return (self.snapshot.index + 1 + at as u64, members);
             }
         }
@@ -102,7 +102,7 @@
         let Some(term) = self.term(index) else { return };
         let upto = (index - self.snapshot.index) as usize;
         let told = self.entries[..upto].iter().rev().find_map(|e| match &e.what {
-            What::Electorate(members) => Some(members.clone()),
+            EntryPayload::Electorate(members) => Some(members.clone()),
             _ => None,
         });
         let electorate = told.unwrap_or_else(|| std::mem::take(&mut self.snapshot.electorate));
@@ -115,9 +115,9 @@
     /// About how many bytes it takes.
     pub fn size(&self) -> usize {
         32 + match &self.what {
-            What::Begin => 0,
-            What::Electorate(members) => members.iter().map(|m| m.name.len() + 16).sum(),
-            What::Change(bytes) => bytes.len(),
+            EntryPayload::Begin => 0,
+            EntryPayload::Electorate(members) => members.iter().map(|m| m.name.len() + 16).sum(),
+            EntryPayload::Change(bytes) => bytes.len(),
         }
     }
 }
--- a/crates/flaxstand-consensus/src/member.rs
+++ b/crates/flaxstand-consensus/src/member.rs
@@ -5,9 +5,9 @@
 //! does not follow the calendar; whoever gave it counts from when he gave it, which is later, and adds the clocks'
 //! stated error. So it never runs out here after it ran out there.
 
-use crate::book::Book;
-use crate::keeper::Planted;
 use crate::lease_manager::{LeaseRequest, LeaseResponse};
+use crate::replica::InjectedFault;
+use crate::replicated_state::ReplicatedState;
 use crate::rules::Rules;
 use flaxstand_proto::Micros;
 use std::collections::BTreeMap;
@@ -19,21 +19,21 @@
 
 /// What a member acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Acting {
-    /// The floor: it has no lease.
-    Floor,
-    /// The narrower of the version in force and of the one under way.
-    Between(u64, u64),
+pub enum ActiveRules {
+    /// The fallback rules: it has no lease.
+    Fallback,
+    /// What the version in force and the one that is being rolled out both allow.
+    Transition(u64, u64),
     /// The version in force.
-    Alone(u64),
+    Version(u64),
 }
 
 /// A member.
 #[derive(Debug)]
 pub struct Member {
     name: String,
-    incarnation: u64,
-    book: Option<Book>,
+    epoch: u64,
+    replicated_state: Option<ReplicatedState>,
     /// The book's index in the log.
     index: u64,
     /// Until when it acts on the book. A lease for an older stage holds for the newer one too: who acts on that
@@ -47,7 +47,7 @@
     leaving: bool,
     /// The book that has to be saved before its stage is confirmed.
     unsaved: bool,
-    planted: Planted,
+    injected_fault: InjectedFault,
 }
 
 impl Member {
@@ -55,17 +55,18 @@
     /// be, until the first tells.
     pub fn new(
         name: String,
-        incarnation: u64,
-        saved: Option<(u64, Book)>,
+        epoch: u64,
+        saved: Option<(u64, ReplicatedState)>,
         span: Micros,
-        planted: Planted,
+        injected_fault: InjectedFault,
         now: Micros,
     ) -> Member {
-        let (index, book) = saved.map_or((0, None), |(index, book)| (index, Some(book)));
+        let (index, replicated_state) =
+            saved.map_or((0, None), |(index, replicated_state)| (index, Some(replicated_state)));
         Member {
             name,
-            incarnation,
-            book,
+            epoch,
+            replicated_state,
             index,
             lease: None,
             pending: BTreeMap::new(),
@@ -74,55 +75,62 @@
             span,
             leaving: false,
             unsaved: false,
-            planted,
+            injected_fault,
         }
     }
 
     /// The book, and its index.
-    pub fn book(&self) -> Option<(u64, &Book)> {
-        self.book.as_ref().map(|b| (self.index, b))
+    pub fn replicated_state(&self) -> Option<(u64, &ReplicatedState)> {
+        self.replicated_state.as_ref().map(|b| (self.index, b))
     }
 
     /// A newer book.
-    pub fn learn(&mut self, index: u64, book: &Book) {
-        let older = self.planted == Planted::OlderBookTaken && index < self.index;
-        if index > self.index || self.book.is_none() || older {
-            self.unsaved |= self.book.as_ref() != Some(book);
-            (self.index, self.book) = (index, Some(book.clone()));
+    pub fn learn(&mut self, index: u64, replicated_state: &ReplicatedState) {
+        let older = self.injected_fault == InjectedFault::OlderBookTaken && index < self.index;
+        if index > self.index || self.replicated_state.is_none() || older {
+            self.unsaved |= self.replicated_state.as_ref() != Some(replicated_state);
+            (self.index, self.replicated_state) = (index, Some(replicated_state.clone()));
         }
     }
 
     /// The book that is to be saved now, if it changed: before anything later is said.
-    pub fn take_unsaved(&mut self) -> Option<(u64, &Book)> {
+    pub fn take_unsaved(&mut self) -> Option<(u64, &ReplicatedState)> {
         let unsaved = std::mem::take(&mut self.unsaved);
-        self.book.as_ref().filter(|_| unsaved).map(|b| (self.index, b))
+        self.replicated_state.as_ref().filter(|_| unsaved).map(|b| (self.index, b))
     }
 
     /// What it acts on at a moment.
-    pub fn acting(&self, now: Micros) -> Acting {
-        let unchecked = self.planted == Planted::LeaseNotChecked;
+    pub fn active_rules(&self, now: Micros) -> ActiveRules {
+        let unchecked = self.injected_fault == InjectedFault::LeaseNotChecked;
         let leased = self.lease.is_some_and(|until| now < until || unchecked);
-        match &self.book {
-            Some(book) if leased && book.acting.number > 0 => match &book.next {
-                Some(next) if self.planted == Planted::OneStep => Acting::Alone(next.number),
-                Some(next) => Acting::Between(book.acting.number, next.number),
-                None => Acting::Alone(book.acting.number),
-            },
-            _ => Acting::Floor,
+        match &self.replicated_state {
+            Some(replicated_state) if leased && replicated_state.in_force.number > 0 => {
+                match &replicated_state.next {
+                    Some(next) if self.injected_fault == InjectedFault::OneStep => {
+                        ActiveRules::Version(next.number)
+                    }
+                    Some(next) => ActiveRules::Transition(replicated_state.in_force.number, next.number),
+                    None => ActiveRules::Version(replicated_state.in_force.number),
+                }
+            }
+            _ => ActiveRules::Fallback,
         }
     }
 
     /// The rules that it acts on, given the rules it was started with.
     pub fn rules(&self, started_with: &Rules, now: Micros) -> Rules {
-        match (self.acting(now), &self.book) {
-            (Acting::Floor, Some(book)) if book.acting.number > 0 => {
-                let floor = book.acting.rules.on_floor();
+        match (self.active_rules(now), &self.replicated_state) {
+            (ActiveRules::Fallback, Some(replicated_state)) if replicated_state.in_force.number > 0 => {
+                let fallback = replicated_state.in_force.rules.fallback_rules();
                 // Of a floor that is being changed the narrower of both.
-                book.next.as_ref().map_or(floor.clone(), |next| floor.narrower(&next.rules.on_floor()))
+                replicated_state
+                    .next
+                    .as_ref()
+                    .map_or(fallback.clone(), |next| fallback.narrower(&next.rules.fallback_rules()))
             }
-            (Acting::Floor, _) => started_with.on_floor(),
-            (_, Some(book)) => book.rules(),
-            (_, None) => started_with.on_floor(),
+            (ActiveRules::Fallback, _) => started_with.fallback_rules(),
+            (_, Some(replicated_state)) => replicated_state.rules(),
+            (_, None) => started_with.fallback_rules(),
         }
     }
 
@@ -150,17 +158,17 @@
         while self.pending.len() > PENDING_MOST {
             self.pending.pop_first();
         }
-        let unknown = self.book.as_ref().map(|b| {
-            let next = b.next.as_ref().unwrap_or(&b.acting);
+        let unknown = self.replicated_state.as_ref().map(|b| {
+            let next = b.next.as_ref().unwrap_or(&b.in_force);
             next.rules.unknown().join(", ")
         });
         Some(LeaseRequest {
             name: self.name.clone(),
-            incarnation: self.incarnation,
+            epoch: self.epoch,
             seq,
             index: self.index,
-            stage: self.book.as_ref().map_or(0, |b| b.stage),
-            digest: self.book.as_ref().map_or(0, Book::digest),
+            stage: self.replicated_state.as_ref().map_or(0, |b| b.stage),
+            digest: self.replicated_state.as_ref().map_or(0, ReplicatedState::digest),
             cannot: unknown.filter(|keys| !keys.is_empty()).map(|keys| format!("it does not know {keys}")),
             leaves: self.leaving,
         })
@@ -176,16 +184,16 @@
     /// A response came: a lease for the stage that it names, if that is the book's here by now.
     pub fn lease_response(&mut self, response: &LeaseResponse, now: Micros) {
         let Some(requested_at) = self.pending.remove(&response.seq) else { return };
-        if response.incarnation != self.incarnation || self.leaving {
+        if response.epoch != self.epoch || self.leaving {
             return;
         }
-        if let Some((index, book)) = &response.book {
-            self.learn(*index, book);
+        if let Some((index, replicated_state)) = &response.replicated_state {
+            self.learn(*index, replicated_state);
         }
-        let stage = self.book.as_ref().map_or(0, |b| b.stage);
+        let stage = self.replicated_state.as_ref().map_or(0, |b| b.stage);
         if let Some(span) = response.lease.map(Micros).filter(|_| response.stage == stage && stage > 0) {
             self.span = span;
-            let from = if self.planted == Planted::LeaseFromAnswer { now } else { requested_at };
+            let from = if self.injected_fault == InjectedFault::LeaseFromAnswer { now } else { requested_at };
             self.lease = self.lease.max(Some(from.after(span)));
         }
     }
--- a/crates/flaxstand-consensus/src/message.rs
+++ b/crates/flaxstand-consensus/src/message.rs
@@ -1,7 +1,7 @@
 //! What keepers say to each other. Messages may be lost, doubled, late and out of order.
 
 use crate::log::{Entry, Snapshot};
-use crate::replica::{Life, ReplicaId, Seen};
+use crate::replica_id::{Incarnation, LastSeen, ReplicaId};
 use serde::{Deserialize, Serialize};
 
 /// A message.
@@ -12,22 +12,22 @@
     /// Its sender.
     pub from: ReplicaId,
     /// The sender's life.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// How many promises it has written down.
     pub written: u64,
     /// The name it is sent to.
     pub to: String,
     /// Which incarnation of it, where the sender knows.
-    pub incarnation: Option<u64>,
+    pub instance: Option<u64>,
     /// The sender's term.
     pub term: u64,
     /// What it says.
-    pub body: Body,
+    pub body: MessageBody,
 }
 
 /// What a message says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+pub enum MessageBody {
     /// The founder asks whether the other is as new as itself.
     AskFresh,
     /// It is: it belongs to no agreement.
@@ -39,9 +39,9 @@
     /// After a start: was a later life of mine seen?
     AskLife,
     /// None later than this one was; or it is new itself, and knows nothing any more.
-    LifeSeen(Life),
+    LifeSeen(Incarnation),
     /// A later life of the receiver was seen: it runs on an old copy of its folder.
-    Superseded(Seen),
+    Superseded(LastSeen),
     /// The leader to one that wants votes: another incarnation has its name's place in the electorate.
     Replaced,
     /// Would you vote for me in `term + 1`? My log's last term and index.
@@ -71,7 +71,7 @@
     Has(u64),
     /// The leader to one that may be an old copy, in this life: a majority without it proves that I lead, and all
     /// that was agreed on is there.
-    UpToDate(Life),
+    UpToDate(Incarnation),
     /// The entry before was not here; all up to there surely is; the stamp.
     Missing(u64, u64),
 }
--- a/crates/flaxstand-consensus/src/agreement.rs
+++ b/crates/flaxstand-consensus/src/participant.rs
@@ -19,14 +19,14 @@
 mod routing;
 mod terms;
 
-pub use protocol::{Reply, Report, To, Wish, Word};
-pub use terms::Terms;
+pub use protocol::{Destination, OperatorReply, OperatorRequest, PeerMessage, StatusReport};
+pub use terms::RolloutBounds;
 
-use crate::book::Book;
 use crate::journal::State;
-use crate::keeper::{Config as KeeperConfig, Keeper, Planted, Status};
 use crate::lease_manager::LeaseManager;
-use crate::member::{Acting, Member};
+use crate::member::{ActiveRules, Member};
+use crate::replica::{Config as ReplicaConfig, InjectedFault, Replica, Status};
+use crate::replicated_state::ReplicatedState;
 use crate::rules::Rules;
 use admission::Admission;
 use flaxstand_proto::Micros;
@@ -42,9 +42,9 @@
     /// Its name.
     pub name: String,
     /// Which start of it: grows.
-    pub incarnation: u64,
+    pub epoch: u64,
     /// Names of the keepers, the founder first.
-    pub keepers: Vec<String>,
+    pub voters: Vec<String>,
     /// Names of other initiators that it may ask where it reaches no keeper.
     pub neighbours: Vec<String>,
     /// How long a lease is.
@@ -59,14 +59,14 @@
     pub started_with: Rules,
     /// A fault that tests plant.
     #[doc(hidden)]
-    pub planted: Planted,
+    pub injected_fault: InjectedFault,
 }
 
 /// The agreement of one initiator.
 #[derive(Debug)]
-pub struct Agreement {
+pub struct Participant {
     config: Config,
-    keeper: Option<Keeper>,
+    replica: Option<Replica>,
     leases: Option<LeaseManager>,
     member: Member,
     /// Of a keeper: the replicated state.
@@ -75,50 +75,50 @@
     /// Requests of others that were passed on.
     routes: BTreeMap<RequestId, Route>,
     /// By index of the entry that it waits for: an operator's connection.
-    wishes: BTreeMap<u64, u64>,
+    operator_requests: BTreeMap<u64, u64>,
     upstreams: Upstreams,
     /// When the upstream answered last, or was taken.
     answered_at: Micros,
-    words: VecDeque<(To, Word)>,
+    outgoing: VecDeque<(Destination, PeerMessage)>,
     /// What the owner was told to act on, and of which stage.
-    acted: Option<(Acting, u64)>,
+    acted: Option<(ActiveRules, u64)>,
     /// The host's calendar when the clock was 0, microseconds since 1970.
     calendar: u64,
 }
 
 /// What was found in the folder of a keeper.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct StoredReplica {
     /// Its state; none: it is new, or its disk was lost.
     pub state: Option<State>,
     /// Segments in the folder.
     pub segments: Vec<u64>,
 }
 
-impl Agreement {
+impl Participant {
     /// The agreement of an initiator that starts. `found`: a keeper's folder. `saved`: the book that it saved.
     pub fn new(
         config: Config,
-        found: Option<Found>,
-        saved: Option<(u64, Book)>,
+        found: Option<StoredReplica>,
+        saved: Option<(u64, ReplicatedState)>,
         calendar: u64,
         now: Micros,
-    ) -> Agreement {
-        let keeper = found.map(|found| start_keeper(&config, found, now));
-        let upstreams = Upstreams::new(&config.name, &config.keepers, &config.neighbours);
+    ) -> Participant {
+        let replica = found.map(|found| start_keeper(&config, found, now));
+        let upstreams = Upstreams::new(&config.name, &config.voters, &config.neighbours);
         let member =
-            Member::new(config.name.clone(), config.incarnation, saved, config.lease, config.planted, now);
-        Agreement {
-            keeper,
+            Member::new(config.name.clone(), config.epoch, saved, config.lease, config.injected_fault, now);
+        Participant {
+            replica,
             leases: None,
             member,
             applied: Applied::default(),
             admission: Admission::new(),
             routes: BTreeMap::new(),
-            wishes: BTreeMap::new(),
+            operator_requests: BTreeMap::new(),
             upstreams,
             answered_at: now,
-            words: VecDeque::new(),
+            outgoing: VecDeque::new(),
             acted: None,
             calendar,
             config,
@@ -127,18 +127,20 @@
 
     /// A word came, on the connection that the owner numbered so. `from`: the initiator that said it, none for an
     /// operator.
-    pub fn heard(&mut self, conn: u64, from: Option<&str>, word: Word, now: Micros) {
+    pub fn heard(&mut self, conn: u64, from: Option<&str>, word: PeerMessage, now: Micros) {
         match (word, from) {
-            (Word::Keeper(message), Some(name)) if message.from.name == name => {
-                if let Some(keeper) = &mut self.keeper {
-                    keeper.receive(message, now);
+            (PeerMessage::Replica(message), Some(name)) if message.from.name == name => {
+                if let Some(replica) = &mut self.replica {
+                    replica.receive(message, now);
                 }
             }
-            (Word::LeaseRequest(hops, request), Some(_)) if hops <= HOPS_MOST => {
+            (PeerMessage::LeaseRequest(hops, request), Some(_)) if hops <= HOPS_MOST => {
                 self.lease_requested(Some(conn), hops, request, now);
             }
-            (Word::LeaseResponse(response), Some(_)) => self.lease_response(*response, now),
-            (Word::Wish(wish), None) => self.operator_asked(conn, wish, now),
+            (PeerMessage::LeaseResponse(response), Some(_)) => self.lease_response(*response, now),
+            (PeerMessage::OperatorRequest(operator_request), None) => {
+                self.operator_asked(conn, operator_request, now)
+            }
             (word, from) => warn!(?from, ?word, "a message that has no place here"),
         }
         self.settle(now);
@@ -146,10 +148,10 @@
 
     /// Word of the time.
     pub fn tick(&mut self, now: Micros) {
-        if let Some(keeper) = &mut self.keeper
-            && keeper.wake() <= now
+        if let Some(replica) = &mut self.replica
+            && replica.wake() <= now
         {
-            keeper.tick(now);
+            replica.tick(now);
         }
         self.settle(now);
         self.renew_lease(now);
@@ -158,78 +160,80 @@
 
     /// When `tick` is to be called at the latest.
     pub fn wake(&self, now: Micros) -> Micros {
-        let keeper = self.keeper.as_ref().map(Keeper::wake);
-        keeper.into_iter().chain([self.member.wake(now)]).min().expect("one at least")
+        let replica = self.replica.as_ref().map(Replica::wake);
+        replica.into_iter().chain([self.member.wake(now)]).min().expect("one at least")
     }
 
     /// What a keeper has to store next.
     pub fn batch(&mut self, now: Micros) -> Option<Batch> {
-        self.keeper.as_mut()?.batch(now)
+        self.replica.as_mut()?.batch(now)
     }
 
     /// How that went.
     pub fn stored(&mut self, well: bool, now: Micros) {
-        if let Some(keeper) = &mut self.keeper {
-            keeper.stored(well, now);
+        if let Some(replica) = &mut self.replica {
+            replica.stored(well, now);
         }
         self.settle(now);
     }
 
     /// The book to be saved in place of the one before, if it changed: at once, before words go out.
     pub fn take_unsaved(&mut self) -> Option<Vec<u8>> {
-        let (index, book) = self.member.take_unsaved()?;
-        Some(postcard::to_stdvec(&(index, book)).expect("plain values can be written"))
+        let (index, replicated_state) = self.member.take_unsaved()?;
+        Some(postcard::to_stdvec(&(index, replicated_state)).expect("plain values can be written"))
     }
 
     /// Reads what `take_unsaved` made.
     ///
     /// # Errors
     /// It is no saved book.
-    pub fn read_saved(bytes: &[u8]) -> Result<(u64, Book), postcard::Error> {
+    pub fn read_saved(bytes: &[u8]) -> Result<(u64, ReplicatedState), postcard::Error> {
         postcard::from_bytes(bytes)
     }
 
     /// What is to be said, and to whom.
-    pub fn take_words(&mut self) -> Vec<(To, Word)> {
-        let mut words: Vec<(To, Word)> = self.words.drain(..).collect();
-        if let Some(keeper) = &mut self.keeper {
-            let messages = keeper.take_messages();
-            words.extend(
-                messages.into_iter().map(|message| (To::Peer(message.to.clone()), Word::Keeper(message))),
+    pub fn take_outgoing(&mut self) -> Vec<(Destination, PeerMessage)> {
+        let mut outgoing: Vec<(Destination, PeerMessage)> = self.outgoing.drain(..).collect();
+        if let Some(replica) = &mut self.replica {
+            let messages = replica.take_messages();
+            outgoing.extend(
+                messages
+                    .into_iter()
+                    .map(|message| (Destination::Peer(message.to.clone()), PeerMessage::Replica(message))),
             );
         }
-        words
+        outgoing
     }
 
     /// The rules to act on from now on, if they are others than at the last call. To be called in each turn before
     /// anything is sent: a lease that ran out while the process stood still is noticed here.
-    pub fn passage(&mut self, now: Micros) -> Option<Rules> {
-        let acting = self.member.acting(now);
-        let stage = self.member.book().map_or(0, |(_, b)| b.stage);
-        if self.acted == Some((acting, stage)) {
+    pub fn take_rules_change(&mut self, now: Micros) -> Option<Rules> {
+        let active_rules = self.member.active_rules(now);
+        let stage = self.member.replicated_state().map_or(0, |(_, b)| b.stage);
+        if self.acted == Some((active_rules, stage)) {
             return None;
         }
-        let cause = match (self.acted, acting) {
+        let cause = match (self.acted, active_rules) {
             (None, _) => "start",
-            (Some(_), Acting::Floor) => "no lease",
-            (Some((Acting::Floor, _)), _) => "a lease",
+            (Some(_), ActiveRules::Fallback) => "no lease",
+            (Some((ActiveRules::Fallback, _)), _) => "a lease",
             _ => "a passage was agreed on",
         };
-        info!(from = ?self.acted.map(|(a, _)| a), to = ?acting, stage, cause, "rules");
-        self.acted = Some((acting, stage));
+        info!(from = ?self.acted.map(|(a, _)| a), to = ?active_rules, stage, cause, "rules");
+        self.acted = Some((active_rules, stage));
         Some(self.member.rules(&self.config.started_with, now))
     }
 
     /// What it acts on.
-    pub fn acting(&self, now: Micros) -> Acting {
-        self.member.acting(now)
+    pub fn active_rules(&self, now: Micros) -> ActiveRules {
+        self.member.active_rules(now)
     }
 
     /// The version whose rules are acted on, for those who note it: 0 on the floor.
     pub fn version(&self, now: Micros) -> u64 {
-        match self.member.acting(now) {
-            Acting::Floor => 0,
-            Acting::Between(v, _) | Acting::Alone(v) => v,
+        match self.member.active_rules(now) {
+            ActiveRules::Fallback => 0,
+            ActiveRules::Transition(v, _) | ActiveRules::Version(v) => v,
         }
     }
 
@@ -240,13 +244,13 @@
     }
 
     /// The keeper's state, if it is one.
-    pub fn keeper(&self, now: Micros) -> Option<Status> {
-        self.keeper.as_ref().map(|k| k.status(now))
+    pub fn replica(&self, now: Micros) -> Option<Status> {
+        self.replica.as_ref().map(|k| k.status(now))
     }
 
     /// The book as it is known here.
-    pub fn book(&self) -> Option<(u64, &Book)> {
-        self.member.book()
+    pub fn replicated_state(&self) -> Option<(u64, &ReplicatedState)> {
+        self.member.replicated_state()
     }
 
     /// See [`LeaseManager::members_examined`]; 0 where this initiator does not lead.
@@ -256,7 +260,7 @@
     }
 
     /// Lowers the number of members that this initiator admits while it leads: for tests of what happens beyond
-    /// it. `MEMBERS_MOST` can't be raised.
+    /// it. `MAX_MEMBERS` can't be raised.
     #[doc(hidden)]
     pub fn limit_members(&mut self, members_most: usize) {
         self.admission.limit(members_most);
@@ -264,27 +268,27 @@
 
     /// Of a leader: until when nobody else can lead.
     fn leads_until(&self, now: Micros) -> Option<Micros> {
-        self.keeper.as_ref()?.leads_until(now)
+        self.replica.as_ref()?.leads_until(now)
     }
 
     /// Who leads, as far as this keeper knows.
     fn leader(&self) -> Option<String> {
-        self.keeper.as_ref()?.leader().map(str::to_owned)
+        self.replica.as_ref()?.leader().map(str::to_owned)
     }
 }
 
 /// How many times a leader sends heartbeats in the time after which it is taken for lost.
 const HEARTBEATS: u64 = 5;
 
-fn start_keeper(config: &Config, found: Found, now: Micros) -> Keeper {
-    let keeper_config = KeeperConfig {
+fn start_keeper(config: &Config, found: StoredReplica, now: Micros) -> Replica {
+    let keeper_config = ReplicaConfig {
         name: config.name.clone(),
-        names: config.keepers.clone(),
+        names: config.voters.clone(),
         election: config.election,
         heartbeat: Micros(config.election.0 / HEARTBEATS),
         seed: config.seed,
-        begins_with: Book::default().bytes(),
-        planted: config.planted,
+        initial_state: ReplicatedState::default().bytes(),
+        injected_fault: config.injected_fault,
     };
-    Keeper::start(keeper_config, found.state, found.segments, now)
+    Replica::start(keeper_config, found.state, found.segments, now)
 }
--- a/crates/flaxstand-consensus/src/agreement/admission.rs
+++ b/crates/flaxstand-consensus/src/participant/admission.rs
@@ -3,7 +3,7 @@
 //! A host beyond the bound is refused without a log entry. It asks again at its usual pace, and joins once a
 //! member was forgotten.
 
-use crate::book::MEMBERS_MOST;
+use crate::replicated_state::MAX_MEMBERS;
 use std::collections::BTreeSet;
 use tracing::warn;
 
@@ -30,9 +30,9 @@
 }
 
 impl Admission {
-    /// Admission up to `MEMBERS_MOST`.
+    /// Admission up to `MAX_MEMBERS`.
     pub(super) fn new() -> Admission {
-        Admission { members_most: MEMBERS_MOST, refused: BTreeSet::new() }
+        Admission { members_most: MAX_MEMBERS, refused: BTreeSet::new() }
     }
 
     /// Lowers the bound; it can't be raised.
--- a/crates/flaxstand-consensus/src/agreement/replication.rs
+++ b/crates/flaxstand-consensus/src/participant/replication.rs
@@ -1,9 +1,9 @@
 //! From the keepers' log to the replicated state, and what a leader does by itself: leases and changes of stage.
 
-use super::{Agreement, Reply};
-use crate::book::{Book, Change};
-use crate::keeper::{Agreed, Keeper};
+use super::{OperatorReply, Participant};
 use crate::lease_manager::LeaseManager;
+use crate::replica::{Committed, Replica};
+use crate::replicated_state::{Change, ReplicatedState};
 use flaxstand_proto::Micros;
 use tracing::{info, warn};
 
@@ -25,13 +25,13 @@
     /// Likewise for all of it but the list of members, on which only keepers act: leaders send other members the
     /// state when their copy is older than this.
     pub(super) versions_index: u64,
-    pub(super) book: Book,
+    pub(super) replicated_state: ReplicatedState,
 }
 
 impl Applied {
     /// The state of a snapshot.
-    fn of_snapshot(index: u64, book: Book) -> Applied {
-        Applied { index, state_index: index, versions_index: index, book }
+    fn of_snapshot(index: u64, replicated_state: ReplicatedState) -> Applied {
+        Applied { index, state_index: index, versions_index: index, replicated_state }
     }
 
     /// Applies an entry.
@@ -48,38 +48,38 @@
                 return Err(format!("a newer build wrote it: {error}"));
             }
         };
-        let (stage, members) = (self.book.stage, self.book.members.len());
-        let outcome = self.book.apply(change);
+        let (stage, members) = (self.replicated_state.stage, self.replicated_state.members.len());
+        let outcome = self.replicated_state.apply(change);
         // Each change of versions begins a stage; one of the list adds a name or takes one away.
-        if self.book.stage != stage {
+        if self.replicated_state.stage != stage {
             (self.state_index, self.versions_index) = (index, index);
-        } else if self.book.members.len() != members {
+        } else if self.replicated_state.members.len() != members {
             self.state_index = index;
         }
         outcome
     }
 }
 
-impl Agreement {
+impl Participant {
     /// Applies what keepers agreed on. A leader then does what is due.
     pub(super) fn settle(&mut self, now: Micros) {
-        let Some(keeper) = &mut self.keeper else { return };
-        for agreed in keeper.take_agreed() {
+        let Some(replica) = &mut self.replica else { return };
+        for agreed in replica.take_agreed() {
             match agreed {
-                Agreed::State(index, bytes) => self.install(index, &bytes),
-                Agreed::Change(index, bytes) => self.apply(index, &bytes),
+                Committed::State(index, bytes) => self.install(index, &bytes),
+                Committed::Change(index, bytes) => self.apply(index, &bytes),
             }
         }
         self.compact();
-        if self.applied.book.stage > 0 {
-            self.member.learn(self.applied.state_index, &self.applied.book);
+        if self.applied.replicated_state.stage > 0 {
+            self.member.learn(self.applied.state_index, &self.applied.replicated_state);
         }
-        if self.keeper.as_ref().is_some_and(Keeper::leads) { self.lead(now) } else { self.stop_leading() }
+        if self.replica.as_ref().is_some_and(Replica::leads) { self.lead(now) } else { self.stop_leading() }
     }
 
     fn install(&mut self, index: u64, bytes: &[u8]) {
-        match Book::read(bytes) {
-            Ok(book) => self.applied = Applied::of_snapshot(index, book),
+        match ReplicatedState::read(bytes) {
+            Ok(replicated_state) => self.applied = Applied::of_snapshot(index, replicated_state),
             Err(error) => warn!(%error, index, "a snapshot that is no replicated state"),
         }
     }
@@ -89,45 +89,47 @@
         if let Err(why) = &outcome {
             info!(index, why, "a change that changes nothing");
         }
-        if let Some(connection) = self.wishes.remove(&index) {
-            self.reply(connection, outcome.map_or_else(Reply::Refused, Reply::Agreed));
+        if let Some(connection) = self.operator_requests.remove(&index) {
+            self.reply(connection, outcome.map_or_else(OperatorReply::Refused, OperatorReply::Committed));
         }
     }
 
     fn compact(&mut self) {
-        if let Some(keeper) = &mut self.keeper
-            && keeper.compactable() > ENTRIES_MOST
+        if let Some(replica) = &mut self.replica
+            && replica.compactable() > ENTRIES_MOST
         {
-            keeper.compact(self.applied.book.bytes());
+            replica.compact(self.applied.replicated_state.bytes());
         }
     }
 
     /// Puts the version under way in force once nothing blocks it.
     fn lead(&mut self, now: Micros) {
-        let Some(keeper) = &mut self.keeper else { return };
+        let Some(replica) = &mut self.replica else { return };
         let config = &self.config;
-        let leases = self
-            .leases
-            .get_or_insert_with(|| LeaseManager::new(config.lease, config.clock_error, config.planted, now));
-        leases.at_stage(self.applied.book.stage);
+        let leases = self.leases.get_or_insert_with(|| {
+            LeaseManager::new(config.lease, config.clock_error, config.injected_fault, now)
+        });
+        leases.at_stage(self.applied.replicated_state.stage);
         // Only while nobody else can lead: leases that another gave are not known here.
-        let surely_leads = keeper.leads_until(now).is_some_and(|until| now < until);
-        let pending = keeper.last() > keeper.committed();
+        let surely_leads = replica.leads_until(now).is_some_and(|until| now < until);
+        let pending = replica.last() > replica.committed();
         if !surely_leads || pending {
             return;
         }
-        if let Some(change) = leases.change_in_force(&self.applied.book, self.calendar + now.0, now) {
+        if let Some(change) =
+            leases.change_in_force(&self.applied.replicated_state, self.calendar + now.0, now)
+        {
             // Where it is not taken the next turn proposes it again.
-            let _ = keeper.propose(change.bytes(), now);
+            let _ = replica.propose(change.bytes(), now);
         }
     }
 
     /// Operators that wait for a change of ours are told that it may be lost.
     fn stop_leading(&mut self) {
         self.leases = None;
-        for connection in std::mem::take(&mut self.wishes).into_values() {
+        for connection in std::mem::take(&mut self.operator_requests).into_values() {
             let why = "the leader was lost before it was agreed on: look at the history, and try again";
-            self.reply(connection, Reply::Refused(why.into()));
+            self.reply(connection, OperatorReply::Refused(why.into()));
         }
     }
 }
--- a/crates/flaxstand-consensus/src/agreement/routing.rs
+++ b/crates/flaxstand-consensus/src/participant/routing.rs
@@ -1,9 +1,9 @@
 //! The way of lease requests to the leader, and of its responses back.
 
 use super::admission::Verdict;
-use super::{Agreement, To, Word};
-use crate::book::Change;
+use super::{Destination, Participant, PeerMessage};
 use crate::lease_manager::{LeaseRequest, LeaseResponse};
+use crate::replicated_state::Change;
 use flaxstand_proto::Micros;
 use tracing::debug;
 
@@ -32,11 +32,11 @@
 impl Upstreams {
     /// Keepers, of which members take their first by their names, so that they spread over all; then neighbours,
     /// for whoever reaches no keeper.
-    pub(super) fn new(own_name: &str, keepers: &[String], neighbours: &[String]) -> Upstreams {
+    pub(super) fn new(own_name: &str, voters: &[String], neighbours: &[String]) -> Upstreams {
         let others = |names: &[String]| -> Vec<String> {
             names.iter().filter(|name| *name != own_name).cloned().collect()
         };
-        let mut names = others(keepers);
+        let mut names = others(voters);
         let hash = own_name.bytes().fold(0usize, |sum, byte| sum.wrapping_mul(31) + usize::from(byte));
         let first = hash % names.len().max(1);
         names.rotate_left(first);
@@ -54,7 +54,7 @@
     }
 }
 
-impl Agreement {
+impl Participant {
     /// Sends the member's own request, if one is due.
     pub(super) fn renew_lease(&mut self, now: Micros) {
         let Some(request) = self.member.lease_request(now) else { return };
@@ -95,7 +95,7 @@
             let id = (request.name.clone(), request.seq);
             self.routes.insert(id, Route { connection, since: now });
         }
-        self.words.push_back((To::Peer(upstream), Word::LeaseRequest(hops + 1, request)));
+        self.outgoing.push_back((Destination::Peer(upstream), PeerMessage::LeaseRequest(hops + 1, request)));
     }
 
     /// A response, to us or to one whose request was passed on.
@@ -111,7 +111,8 @@
     }
 
     fn respond(&mut self, connection: u64, response: LeaseResponse) {
-        self.words.push_back((To::Back(connection), Word::LeaseResponse(Box::new(response))));
+        self.outgoing
+            .push_back((Destination::Connection(connection), PeerMessage::LeaseResponse(Box::new(response))));
     }
 
     /// A leader's decision on a request; none: we do not lead.
@@ -119,13 +120,14 @@
         let leads_until = self.leads_until(now)?;
         let leases = self.leases.as_mut()?;
         let applied = &self.applied;
-        let mut decision = leases.decide(request, applied.versions_index, &applied.book, leads_until, now);
-        let no_newer = decision.response.book.is_none() && request.index < applied.index;
+        let mut decision =
+            leases.decide(request, applied.versions_index, &applied.replicated_state, leads_until, now);
+        let no_newer = decision.response.replicated_state.is_none() && request.index < applied.index;
         if decision.differs && no_newer {
             // Of an agreement before this one, say: it takes any state of a higher index.
-            decision.response.book = Some((applied.index, applied.book.clone()));
+            decision.response.replicated_state = Some((applied.index, applied.replicated_state.clone()));
         }
-        if decision.joins && self.applied.book.stage > 0 {
+        if decision.joins && self.applied.replicated_state.stage > 0 {
             self.admit(&request.name, now);
         }
         Some(decision.response)
@@ -133,18 +135,18 @@
 
     /// Of a leader: proposes a host as a member, if there is room for it.
     fn admit(&mut self, name: &str, now: Micros) {
-        let Some(keeper) = &mut self.keeper else { return };
-        let open = keeper.last() - keeper.committed();
-        let members = self.applied.book.members.len();
+        let Some(replica) = &mut self.replica else { return };
+        let open = replica.last() - replica.committed();
+        let members = self.applied.replicated_state.members.len();
         if self.admission.decide(name, members, open) == Verdict::Join {
             // Where it is not taken the member's next request proposes it again.
-            let _ = keeper.propose(Change::Join(name.to_owned()).bytes(), now);
+            let _ = replica.propose(Change::Join(name.to_owned()).bytes(), now);
         }
     }
 
     /// Who is to get requests that we can't decide on. A keeper knows who leads; without a leader there is nobody.
     fn upstream(&self) -> Option<String> {
-        if self.keeper.is_some() {
+        if self.replica.is_some() {
             return self.leader().filter(|leader| *leader != self.config.name);
         }
         self.upstreams.current().cloned()
--- a/crates/flaxstand-consensus/src/agreement/terms.rs
+++ b/crates/flaxstand-consensus/src/participant/terms.rs
@@ -2,7 +2,7 @@
 
 /// What follows from the settings, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct RolloutBounds {
     /// T: how long two initiators may act on rules that contradict each other, ms. Leases end here before whoever
     /// gave them counts them as ended; what is left is a turn of the process in which a lease was good, and what a
     /// clock that runs twice as wrong as stated would add.
@@ -17,11 +17,11 @@
 /// The longest turn of a process, ms: from the check of a lease to the last byte that it lets go.
 const TURN_MS: f64 = 100.0;
 
-impl Terms {
+impl RolloutBounds {
     /// Of a lease, an election's time (ms) and a clocks' error.
-    pub fn of(lease_ms: f64, clock_error: f64, election_ms: f64) -> Terms {
+    pub fn of(lease_ms: f64, clock_error: f64, election_ms: f64) -> RolloutBounds {
         let counted = lease_ms * (1.0 + 2.0 * clock_error);
-        Terms {
+        RolloutBounds {
             contradiction_ms: (TURN_MS + 2.0 * clock_error * lease_ms).ceil(),
             passage_ms: (counted + election_ms).ceil(),
             passage_without_leader_ms: (2.0 * counted + 4.0 * election_ms).ceil(),
--- a/crates/flaxstand-consensus/src/keeper/config.rs
+++ b/crates/flaxstand-consensus/src/replica/config.rs
@@ -5,7 +5,7 @@
 /// Faults that tests plant to see that they would be caught. Never set in service.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedFault {
     /// None.
     #[default]
     None,
@@ -53,8 +53,8 @@
     /// Seed of its random numbers; another one at each start.
     pub seed: u64,
     /// What a new agreement begins with.
-    pub begins_with: Vec<u8>,
+    pub initial_state: Vec<u8>,
     /// A planted fault.
     #[doc(hidden)]
-    pub planted: Planted,
+    pub injected_fault: InjectedFault,
 }
--- a/crates/flaxstand-consensus/src/keeper/election.rs
+++ b/crates/flaxstand-consensus/src/replica/election.rs
@@ -1,16 +1,16 @@
 //! Terms and votes.
 
 use super::progress::LeaderState;
-use super::{Keeper, Planted, Role};
+use super::{InjectedFault, Replica, Role};
 use crate::journal::Record;
-use crate::log::What;
-use crate::message::Body;
-use crate::replica::ReplicaId;
+use crate::log::EntryPayload;
+use crate::message::MessageBody;
+use crate::replica_id::ReplicaId;
 use flaxstand_proto::Micros;
 use std::collections::BTreeSet;
 use tracing::info;
 
-impl Keeper {
+impl Replica {
     pub(super) fn majority(&self, of: &BTreeSet<ReplicaId>) -> bool {
         let electorate = self.state.log.electorate().1;
         electorate.iter().filter(|m| of.contains(m)).count() > electorate.len() / 2
@@ -18,7 +18,7 @@
 
     /// Whether it may want to be elected.
     pub(super) fn may_stand(&self) -> bool {
-        self.state.cluster != 0 && self.unsure.is_none() && self.is_member() && !self.leads()
+        self.state.cluster != 0 && self.recovering.is_none() && self.is_member() && !self.leads()
     }
 
     /// Whether a leader was heard within an election's time: then nobody else is helped to one. Guards the leader
@@ -56,7 +56,7 @@
         }
         let granted = BTreeSet::from([self.state.me.clone()]);
         let newest = self.state.log.newest();
-        let body = if pre { Body::PreVote(newest) } else { Body::Vote(newest) };
+        let body = if pre { MessageBody::PreVote(newest) } else { MessageBody::Vote(newest) };
         self.role = Role::Candidate { pre, granted };
         let others = self.electorate().into_iter().filter(|m| *m != self.state.me);
         others.collect::<Vec<_>>().iter().for_each(|m| self.tell(m, body.clone()));
@@ -77,21 +77,21 @@
         self.role = Role::Leader(LeaderState::new(peers, self.state.log.last(), now));
         self.leader = Some(self.state.me.clone());
         // Entries of earlier terms count as committed only behind one of this term.
-        self.write(What::Begin);
+        self.write(EntryPayload::Begin);
         self.spread(now);
     }
 
     fn newer_than_ours(&self, newest: (u64, u64)) -> bool {
-        newest >= self.state.log.newest() || self.config.planted == Planted::OlderLogElected
+        newest >= self.state.log.newest() || self.config.injected_fault == InjectedFault::OlderLogElected
     }
 
     pub(super) fn asked_pre_vote(&mut self, from: &ReplicaId, term: u64, newest: (u64, u64), now: Micros) {
-        if self.unsure.is_some() {
+        if self.recovering.is_some() {
             return;
         }
         let asked = term + 1;
         let granted = !self.has_leader(now) && asked > self.state.term && self.newer_than_ours(newest);
-        self.tell(from, Body::PreVoted(asked, granted));
+        self.tell(from, MessageBody::PreVoted(asked, granted));
     }
 
     pub(super) fn pre_voted(&mut self, from: ReplicaId, term: u64, asked: u64, granted: bool, now: Micros) {
@@ -108,7 +108,7 @@
     }
 
     pub(super) fn asked_vote(&mut self, from: &ReplicaId, term: u64, newest: (u64, u64), now: Micros) {
-        if self.unsure.is_some() || self.has_leader(now) && term > self.state.term {
+        if self.recovering.is_some() || self.has_leader(now) && term > self.state.term {
             return;
         }
         if term > self.state.term {
@@ -119,13 +119,13 @@
         if granted {
             if self.state.voted.is_none() {
                 self.state.voted = Some(from.clone());
-                if self.config.planted != Planted::VoteNotWritten {
+                if self.config.injected_fault != InjectedFault::VoteNotWritten {
                     self.promise(Record::Term(term, self.state.voted.clone()));
                 }
             }
             self.put_off_election(now);
         }
-        self.tell(from, Body::Voted(granted));
+        self.tell(from, MessageBody::Voted(granted));
     }
 
     pub(super) fn voted(&mut self, from: ReplicaId, term: u64, granted: bool, now: Micros) {
--- a/crates/flaxstand-consensus/src/keeper/following.rs
+++ b/crates/flaxstand-consensus/src/replica/following.rs
@@ -1,10 +1,10 @@
 //! What a keeper does that a leader speaks to.
 
-use super::{Keeper, Planted};
+use super::{InjectedFault, Replica};
 use crate::journal::Record;
 use crate::log::{Entry, Snapshot};
-use crate::message::Body;
-use crate::replica::ReplicaId;
+use crate::message::MessageBody;
+use crate::replica_id::ReplicaId;
 use flaxstand_proto::Micros;
 use tracing::info;
 
@@ -16,7 +16,7 @@
     Missing(u64),
 }
 
-impl Keeper {
+impl Replica {
     /// Whether the message comes from this term's leader, who is followed from now on.
     fn led_by(&mut self, from: &ReplicaId, term: u64, now: Micros) -> bool {
         if term < self.state.term {
@@ -48,7 +48,7 @@
         let log = &self.state.log;
         let in_snapshot = before < log.snapshot.index;
         let fits = in_snapshot || log.term(before) == Some(before_term);
-        if !fits && self.config.planted != Planted::GapTaken {
+        if !fits && self.config.injected_fault != InjectedFault::GapTaken {
             // All that is agreed on here the leader has as well.
             return Heard::Missing(self.committed);
         }
@@ -96,9 +96,9 @@
     pub(super) fn answer_leader(&mut self, to: &ReplicaId, heard: Heard, stamp: u64) {
         // An old copy must not confirm what its later life may have confirmed otherwise.
         let body = match heard {
-            Heard::Held(upto) | Heard::Missing(upto) if self.unsure.is_some() => Body::Has(upto),
-            Heard::Held(upto) => Body::Held(upto, stamp),
-            Heard::Missing(surely) => Body::Missing(surely, stamp),
+            Heard::Held(upto) | Heard::Missing(upto) if self.recovering.is_some() => MessageBody::Has(upto),
+            Heard::Held(upto) => MessageBody::Held(upto, stamp),
+            Heard::Missing(surely) => MessageBody::Missing(surely, stamp),
         };
         self.tell(to, body);
     }
--- a/crates/flaxstand-consensus/src/keeper/identity.rs
+++ b/crates/flaxstand-consensus/src/replica/identity.rs
@@ -16,25 +16,25 @@
 //!   another machine was started under its name. One folder at a time may be an old copy, and not while another
 //!   keeper's disk is lost.
 
-use super::{Keeper, Planted, Role};
+use super::{InjectedFault, Replica, Role};
 use crate::journal::State;
 use crate::log::Snapshot;
-use crate::message::{Body, Message};
-use crate::replica::{Life, ReplicaId, Seen};
+use crate::message::{Message, MessageBody};
+use crate::replica_id::{Incarnation, LastSeen, ReplicaId};
 use flaxstand_proto::Micros;
 use rand_core::RngCore;
 use std::collections::BTreeSet;
 use tracing::{info, warn};
 
-impl Keeper {
+impl Replica {
     /// One that is new calls: the founder to found, the others to be taken in.
     pub(super) fn call_as_new(&mut self, now: Micros) {
         if self.config.names.first() != Some(&self.config.name) || self.founded_elsewhere {
-            return self.call_all(&Body::Newcomer);
+            return self.call_all(&MessageBody::Newcomer);
         }
         let named: BTreeSet<&str> = self.fresh.iter().map(|m| m.name.as_str()).collect();
         let all = self.config.names.iter().all(|n| *n == self.config.name || named.contains(n.as_str()));
-        if all { self.found(now) } else { self.call_all(&Body::AskFresh) }
+        if all { self.found(now) } else { self.call_all(&MessageBody::AskFresh) }
     }
 
     fn found(&mut self, now: Micros) {
@@ -45,7 +45,7 @@
         self.state.cluster = self.rng.next_u64() | 1;
         self.state.written += 1;
         self.state.term = 1;
-        let state = self.config.begins_with.clone();
+        let state = self.config.initial_state.clone();
         self.state.log.snapshot = Snapshot { index: 1, term: 1, electorate, state };
         self.committed = 1;
         self.tell_state();
@@ -54,7 +54,7 @@
     }
 
     pub(super) fn asked_fresh(&mut self, founder: &ReplicaId) {
-        let body = if self.state.cluster == 0 { Body::Fresh } else { Body::Formed };
+        let body = if self.state.cluster == 0 { MessageBody::Fresh } else { MessageBody::Formed };
         self.tell(founder, body);
     }
 
@@ -76,8 +76,8 @@
     /// After a start: the others are asked before anything is promised.
     pub(super) fn ask_after_later_lives(&mut self) {
         // Also where the folder knows of no vote: a later life may have had one.
-        if self.config.names.len() > 1 && self.config.planted != Planted::OldCopyVotes {
-            self.unsure = Some(BTreeSet::new());
+        if self.config.names.len() > 1 && self.config.injected_fault != InjectedFault::OldCopyVotes {
+            self.recovering = Some(BTreeSet::new());
         }
     }
 
@@ -88,40 +88,45 @@
             others.extend(self.config.names.iter().cloned());
         }
         others.remove(&self.config.name);
-        let Some(asked) = &mut self.unsure else { return };
+        let Some(asked) = &mut self.recovering else { return };
         asked.insert(from.name);
         if others.is_subset(asked) {
-            info!(life = self.state.life.count, "no later life was seen: taking part");
-            self.unsure = None;
+            info!(incarnation = self.state.incarnation.count, "no later life was seen: taking part");
+            self.recovering = None;
         }
     }
 
     /// A keeper that started asks for word of it. A leader notes that it has to be brought up to date.
-    pub(super) fn asked_life(&mut self, from: &ReplicaId, life: Life, now: Micros) {
+    pub(super) fn asked_life(&mut self, from: &ReplicaId, incarnation: Incarnation, now: Micros) {
         if let Role::Leader(leading) = &mut self.role {
-            leading.unsure(from, life, now);
+            leading.recovering(from, incarnation, now);
         }
-        self.tell(from, Body::LifeSeen(life));
+        self.tell(from, MessageBody::LifeSeen(incarnation));
     }
 
     /// The leader proved, without this keeper, that it leads, and this keeper has all that was agreed on: whatever
     /// it promised in a life that it does not know, a majority without it has gone on from.
-    pub(super) fn up_to_date(&mut self, term: u64, life: Life) {
-        if term == self.state.term && life == self.state.life && self.unsure.take().is_some() {
-            info!(life = life.count, "brought up to date by a leader: taking part");
+    pub(super) fn up_to_date(&mut self, term: u64, incarnation: Incarnation) {
+        if term == self.state.term
+            && incarnation == self.state.incarnation
+            && self.recovering.take().is_some()
+        {
+            info!(incarnation = incarnation.count, "brought up to date by a leader: taking part");
         }
     }
 
     /// Whether the message comes from its sender's newest life. An older one, or one that begins with less than was
     /// heard of it before, is told so, and its message dropped.
     pub(super) fn newest_life(&mut self, message: &Message) -> bool {
-        let heard = Seen { life: message.life, written: message.written };
+        let heard = LastSeen { incarnation: message.incarnation, written: message.written };
         match self.state.seen.get(&message.from) {
             // What comes late in one life says less.
-            Some(newest) if message.life == newest.life && heard.written <= newest.written => true,
-            Some(newest) if message.life.superseded_by(*newest) => {
+            Some(newest) if message.incarnation == newest.incarnation && heard.written <= newest.written => {
+                true
+            }
+            Some(newest) if message.incarnation.superseded_by(*newest) => {
                 let newest = *newest;
-                self.tell(&message.from, Body::Superseded(newest));
+                self.tell(&message.from, MessageBody::Superseded(newest));
                 false
             }
             _ => {
@@ -132,10 +137,10 @@
     }
 
     /// Guards against an old copy of the folder: what this keeper promised beyond it, it does not know.
-    pub(super) fn superseded(&mut self, newest: Seen) {
+    pub(super) fn superseded(&mut self, newest: LastSeen) {
         // A message of an earlier life that came late is answered so too.
-        if self.state.life.superseded_by(newest) {
-            warn!(own = ?self.state.life, ?newest, "more was heard of this keeper than it knows");
+        if self.state.incarnation.superseded_by(newest) {
+            warn!(own = ?self.state.incarnation, ?newest, "more was heard of this keeper than it knows");
             self.renounce("its folder is an old copy");
         }
     }
@@ -143,11 +148,11 @@
     /// Comes back as another, that promised nothing yet.
     pub(super) fn renounce(&mut self, why: &str) {
         warn!(why, "coming back as a new keeper");
-        let me = ReplicaId { name: self.config.name.clone(), incarnation: self.rng.next_u64() };
-        let life = Life { count: 1, nonce: self.rng.next_u64(), began: 0 };
-        self.state = State::fresh(me, life);
+        let me = ReplicaId { name: self.config.name.clone(), instance: self.rng.next_u64() };
+        let incarnation = Incarnation { count: 1, nonce: self.rng.next_u64(), promises_at_start: 0 };
+        self.state = State::fresh(me, incarnation);
         self.role = Role::Follower;
-        (self.leader, self.leader_heard, self.unsure) = (None, None, None);
+        (self.leader, self.leader_heard, self.recovering) = (None, None, None);
         self.founded_elsewhere = true;
         self.drop_all_held();
         self.journal.renew(0);
--- a/crates/flaxstand-consensus/src/keeper/leading.rs
+++ b/crates/flaxstand-consensus/src/replica/leading.rs
@@ -2,11 +2,11 @@
 //! keepers in.
 
 use super::progress::{Progress, Unsure};
-use super::{Keeper, MESSAGE_MOST, Planted, Role};
+use super::{InjectedFault, MAX_MESSAGE_BYTES, Replica, Role};
 use crate::journal::Record;
-use crate::log::{Entry, What};
-use crate::message::Body;
-use crate::replica::ReplicaId;
+use crate::log::{Entry, EntryPayload};
+use crate::message::MessageBody;
+use crate::replica_id::ReplicaId;
 use flaxstand_proto::Micros;
 use std::collections::BTreeSet;
 use tracing::{info, warn};
@@ -15,9 +15,9 @@
 /// so many elections' times.
 const LOST_AFTER: u64 = 4;
 
-impl Keeper {
+impl Replica {
     /// Writes an entry of this term. Returns its index.
-    pub(super) fn write(&mut self, what: What) -> u64 {
+    pub(super) fn write(&mut self, what: EntryPayload) -> u64 {
         let entry = Entry { term: self.state.term, what };
         let index = self.state.log.last() + 1;
         self.state.log.entries.push(entry.clone());
@@ -27,7 +27,7 @@
 
     /// Speaks to all, as often as a leader does.
     pub(super) fn lead(&mut self, now: Micros) {
-        if !self.hears_majority(now) && self.config.planted != Planted::LeaderStaysAlone {
+        if !self.hears_majority(now) && self.config.injected_fault != InjectedFault::LeaderStaysAlone {
             warn!(term = self.state.term, "no majority answers");
             return self.follow(self.state.term, now);
         }
@@ -94,11 +94,11 @@
         let before = peer.next_index - 1;
         let body = match log.term(before) {
             Some(term) => {
-                let entries = log.after(before, MESSAGE_MOST);
-                Body::Append { prev: (before, term), entries, commit: self.committed, stamp: now.0 }
+                let entries = log.after(before, MAX_MESSAGE_BYTES);
+                MessageBody::Append { prev: (before, term), entries, commit: self.committed, stamp: now.0 }
             }
             // What it needs is here no more.
-            None => Body::Install(log.snapshot.clone(), now.0),
+            None => MessageBody::Install(log.snapshot.clone(), now.0),
         };
         self.tell(to, body);
     }
@@ -122,7 +122,7 @@
         }
         let Some(peer) = leading.peers.get_mut(from) else { return };
         peer.heard_at = now;
-        peer.unsure = None;
+        peer.recovering = None;
         peer.newest_stamp = peer.newest_stamp.max(stamp.min(now));
         if fits {
             // What comes late says less than what came before it.
@@ -148,9 +148,9 @@
         let Role::Leader(leading) = &mut self.role else { return };
         if term == self.state.term
             && let Some(peer) = leading.peers.get_mut(from)
-            && let Some(unsure) = &mut peer.unsure
+            && let Some(recovering) = &mut peer.recovering
         {
-            unsure.has = upto;
+            recovering.has = upto;
             peer.next_index = upto.min(last) + 1;
         }
     }
@@ -165,23 +165,23 @@
         }
         let mut ready = Vec::new();
         for (member, peer) in &leading.peers {
-            let Some(Unsure { life, asked_at, has }) = peer.unsure else { continue };
+            let Some(Unsure { incarnation, asked_at, has }) = peer.recovering else { continue };
             let proves = |m: &&ReplicaId| {
                 *m != member
                     && (**m == self.state.me
                         || leading.peers.get(m).is_some_and(|p| p.newest_stamp > asked_at))
             };
             if has >= self.committed && electorate.iter().filter(proves).count() > electorate.len() / 2 {
-                ready.push((member.clone(), life));
+                ready.push((member.clone(), incarnation));
             }
         }
-        for (member, life) in ready {
-            self.tell(&member, Body::UpToDate(life));
+        for (member, incarnation) in ready {
+            self.tell(&member, MessageBody::UpToDate(incarnation));
             // Told again if it asks again: the message may be lost.
             if let Role::Leader(leading) = &mut self.role
                 && let Some(peer) = leading.peers.get_mut(&member)
             {
-                peer.unsure = Some(Unsure { life, asked_at: now, has: 0 });
+                peer.recovering = Some(Unsure { incarnation, asked_at: now, has: 0 });
             }
         }
     }
@@ -205,7 +205,9 @@
         all.sort_unstable_by(|a, b| b.cmp(a));
         let Some(upto) = all.get(all.len() / 2).copied() else { return };
         let of_term = self.state.log.term(upto) == Some(self.state.term);
-        if upto > self.committed && (of_term || self.config.planted == Planted::EarlierTermCommitted) {
+        if upto > self.committed
+            && (of_term || self.config.injected_fault == InjectedFault::EarlierTermCommitted)
+        {
             self.committed = upto;
             leading.heartbeat_at = Micros(0);
             if !self.is_member() && self.state.log.electorate().0 <= upto {
@@ -261,7 +263,7 @@
             }
         }
         if let Some(next) = next {
-            self.write(What::Electorate(next));
+            self.write(EntryPayload::Electorate(next));
         }
     }
 }
--- a/crates/flaxstand-consensus/src/keeper/progress.rs
+++ b/crates/flaxstand-consensus/src/replica/progress.rs
@@ -1,6 +1,6 @@
 //! What a leader knows of each other replica: how far its log matches, when it was heard.
 
-use crate::replica::{Life, ReplicaId};
+use crate::replica_id::{Incarnation, ReplicaId};
 use flaxstand_proto::Micros;
 use std::collections::BTreeMap;
 use tracing::info;
@@ -11,7 +11,7 @@
 /// A replica that started in this life and may run on an old copy of its folder.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Unsure {
-    pub(super) life: Life,
+    pub(super) incarnation: Incarnation,
     /// When it asked whether a later life of it was seen.
     pub(super) asked_at: Micros,
     /// All up to there is in its log since.
@@ -33,7 +33,7 @@
     /// When the newest of the messages was written that it answered.
     pub(super) newest_stamp: Micros,
     /// It started, and was not brought up to date yet.
-    pub(super) unsure: Option<Unsure>,
+    pub(super) recovering: Option<Unsure>,
 }
 
 impl Progress {
@@ -45,7 +45,7 @@
             next_index,
             heard_at: now,
             newest_stamp: Micros(0),
-            unsure: None,
+            recovering: None,
         }
     }
 }
@@ -64,21 +64,21 @@
         LeaderState { peers, heartbeat_at: now }
     }
 
-    /// See `Keeper::essence`.
+    /// See `Replica::essence`.
     pub(super) fn essence(&self) -> String {
         let of = |(peer, progress): (&ReplicaId, &Progress)| {
-            let has = progress.unsure.map(|unsure| unsure.has);
+            let has = progress.recovering.map(|recovering| recovering.has);
             format!("{} {} {} {has:?}", peer.name, progress.counted_index, progress.next_index)
         };
         format!("leads {:?}", self.peers.iter().map(of).collect::<Vec<_>>())
     }
 
     /// A replica started and is not sure of itself.
-    pub(super) fn unsure(&mut self, replica: &ReplicaId, life: Life, now: Micros) {
+    pub(super) fn recovering(&mut self, replica: &ReplicaId, incarnation: Incarnation, now: Micros) {
         if let Some(progress) = self.peers.get_mut(replica)
-            && progress.unsure.is_none_or(|unsure| unsure.life != life)
+            && progress.recovering.is_none_or(|recovering| recovering.incarnation != incarnation)
         {
-            progress.unsure = Some(Unsure { life, asked_at: now, has: 0 });
+            progress.recovering = Some(Unsure { incarnation, asked_at: now, has: 0 });
         }
     }
 
--- a/crates/flaxstand-consensus/src/keeper/status.rs
+++ b/crates/flaxstand-consensus/src/replica/status.rs
@@ -1,12 +1,12 @@
 //! What a keeper tells its owner.
 
-use super::{CHANGE_MOST, OPEN_MOST};
-use crate::replica::ReplicaId;
+use super::{MAX_CHANGE_BYTES, MAX_UNCOMMITTED_ENTRIES};
+use crate::replica_id::ReplicaId;
 use thiserror::Error;
 
 /// What is agreed on, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Agreed {
+pub enum Committed {
     /// The change at this index.
     Change(u64, Vec<u8>),
     /// What the owner made of all changes up to this index, in place of what it has.
@@ -23,20 +23,20 @@
         leader: Option<String>,
     },
     /// Too much is not agreed on yet.
-    #[error("{OPEN_MOST} changes are not agreed on yet: try again later")]
+    #[error("{MAX_UNCOMMITTED_ENTRIES} changes are not agreed on yet: try again later")]
     Busy,
     /// It is too large.
-    #[error("a change of {0} bytes, at most {CHANGE_MOST} are taken")]
+    #[error("a change of {0} bytes, at most {MAX_CHANGE_BYTES} are taken")]
     TooLarge(usize),
 }
 
 /// What a keeper is at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ReplicaRole {
     /// It belongs to no agreement yet, or lost its disk, and asks to be taken in.
     New,
-    /// It waits for the others' word that its folder is no old copy. It neither votes nor confirms.
-    Unsure,
+    /// It waits until others confirm that its folder is no old copy. It neither votes nor confirms entries.
+    Recovering,
     /// It is in no electorate.
     Learner,
     /// It follows.
@@ -47,15 +47,29 @@
     Leader,
 }
 
+impl ReplicaRole {
+    /// Its name in reports to operators.
+    pub fn report_name(self) -> &'static str {
+        match self {
+            ReplicaRole::New => "new",
+            ReplicaRole::Recovering => "unsure",
+            ReplicaRole::Learner => "learner",
+            ReplicaRole::Follower => "follower",
+            ReplicaRole::Candidate => "candidate",
+            ReplicaRole::Leader => "leader",
+        }
+    }
+}
+
 /// A keeper's state, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     /// What it is.
-    pub standing: Standing,
+    pub role: ReplicaRole,
     /// Who it is.
     pub me: ReplicaId,
     /// How often it started.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its term.
     pub term: u64,
     /// The leader, where one is known.
--- a/crates/flaxstand-consensus/src/book.rs
+++ b/crates/flaxstand-consensus/src/replicated_state.rs
@@ -9,15 +9,15 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Most bytes of a version's text.
-pub const TEXT_MOST: usize = 32 << 10;
+pub const MAX_TEXT_BYTES: usize = 32 << 10;
 /// Most bytes of its rules as they are kept.
-pub const RULES_MOST: usize = 48 << 10;
+pub const MAX_RULES_BYTES: usize = 48 << 10;
 /// Versions before the one in force that are kept for `revert`.
 const KEPT: usize = 4;
 /// Passages that the history holds.
 const HISTORY: usize = 256;
 /// Members, most. One more is not taken in.
-pub const MEMBERS_MOST: usize = 4096;
+pub const MAX_MEMBERS: usize = 4096;
 
 /// A version of the rules.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
 
 /// A passage, for the history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Passage {
+pub struct RolloutStep {
     /// The version.
     pub number: u64,
     /// The stage that began with it.
@@ -90,11 +90,11 @@
 
 /// The book.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Book {
+pub struct ReplicatedState {
     /// Grows by one at each passage.
     pub stage: u64,
     /// The version in force; number 0 before there is any.
-    pub acting: Version,
+    pub in_force: Version,
     /// The one under way.
     pub next: Option<Version>,
     /// Number of the last version that was ever proposed.
@@ -102,13 +102,13 @@
     /// Versions that were in force before, the newest last.
     pub before: VecDeque<Version>,
     /// What happened, the newest last.
-    pub history: VecDeque<Passage>,
+    pub history: VecDeque<RolloutStep>,
     /// Initiators that were ever given a lease and not forgotten since. Only keepers act on it, and theirs alone is
     /// up to date: other members are not told where nothing else changed.
     pub members: BTreeMap<String, ()>,
 }
 
-impl Book {
+impl ReplicatedState {
     /// Takes an entry.
     ///
     /// # Errors
@@ -131,8 +131,8 @@
                 None => Err(format!("version {number} is not under way")),
             },
             Change::Join(name) => {
-                if self.members.len() >= MEMBERS_MOST && !self.members.contains_key(&name) {
-                    return Err(format!("{MEMBERS_MOST} members, one more is not taken in"));
+                if self.members.len() >= MAX_MEMBERS && !self.members.contains_key(&name) {
+                    return Err(format!("{MAX_MEMBERS} members, one more is not taken in"));
                 }
                 self.members.insert(name, ());
                 Ok(0)
@@ -148,15 +148,15 @@
         if let Some(next) = &self.next {
             return Err(format!("version {} is under way: wait for it or withdraw it", next.number));
         }
-        if base != self.acting.number {
-            let now = self.acting.number;
+        if base != self.in_force.number {
+            let now = self.in_force.number;
             return Err(format!(
                 "made from version {base}, {now} is in force: look at what changed and propose anew"
             ));
         }
-        let objections = match self.acting.number {
+        let objections = match self.in_force.number {
             0 => Vec::new(),
-            _ => version.rules.objections(&self.acting.rules),
+            _ => version.rules.objections(&self.in_force.rules),
         };
         if !objections.is_empty() {
             return Err(objections.join("; "));
@@ -164,7 +164,7 @@
         self.last += 1;
         version.number = self.last;
         let (number, by, at) = (version.number, version.by.clone(), version.at);
-        if self.acting.number == 0 {
+        if self.in_force.number == 0 {
             // Nobody acts on any version yet, and the floor is what all start on.
             self.put_in_force(version, format!("the first, proposed by {by}"), at);
         } else {
@@ -176,7 +176,7 @@
 
     fn put_in_force(&mut self, version: Version, what: String, at: u64) {
         let number = version.number;
-        let old = std::mem::replace(&mut self.acting, version);
+        let old = std::mem::replace(&mut self.in_force, version);
         if old.number > 0 {
             self.before.push_back(old);
         }
@@ -191,14 +191,14 @@
         if self.history.len() >= HISTORY {
             self.history.pop_front();
         }
-        self.history.push_back(Passage { number, stage: self.stage, what, at });
+        self.history.push_back(RolloutStep { number, stage: self.stage, what, at });
     }
 
     /// The rules to act on with a lease for this stage.
     pub fn rules(&self) -> Rules {
         match &self.next {
-            Some(next) => self.acting.rules.narrower(&next.rules),
-            None => self.acting.rules.clone(),
+            Some(next) => self.in_force.rules.narrower(&next.rules),
+            None => self.in_force.rules.clone(),
         }
     }
 
@@ -211,9 +211,9 @@
     /// word of every member, also of those without a lease.
     pub fn needs_everyone(&self) -> bool {
         let Some(next) = &self.next else { return false };
-        let floor = self.acting.rules.on_floor();
+        let fallback = self.in_force.rules.fallback_rules();
         // What is free stays the floor's there.
-        floor.narrower(&next.rules).values != floor.values
+        fallback.narrower(&next.rules).values != fallback.values
     }
 
     /// As bytes.
@@ -225,7 +225,7 @@
     ///
     /// # Errors
     /// They are no book.
-    pub fn read(bytes: &[u8]) -> Result<Book, postcard::Error> {
+    pub fn read(bytes: &[u8]) -> Result<ReplicatedState, postcard::Error> {
         postcard::from_bytes(bytes)
     }
 }
--- a/crates/flaxstand-consensus/src/rules.rs
+++ b/crates/flaxstand-consensus/src/rules.rs
@@ -14,7 +14,7 @@
     /// True or false.
     Flag(bool),
     /// A word.
-    Word(String),
+    Text(String),
 }
 
 impl fmt::Display for Value {
@@ -22,85 +22,91 @@
         match self {
             Value::Number(n) => write!(f, "{n}"),
             Value::Flag(b) => write!(f, "#{b}"),
-            Value::Word(w) => write!(f, "{w:?}"),
+            Value::Text(w) => write!(f, "{w:?}"),
         }
     }
 }
 
 /// Which of two values of a key is safe beside the other.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Safe {
+pub enum Narrowing {
     /// The smaller; one that is not there bounds nothing.
-    Least,
+    Smaller,
     /// The larger; one that is not there bounds nothing.
-    Most,
+    Larger,
     /// `#false`.
-    Off,
+    False,
     /// `#true`.
-    On,
+    True,
     /// The word that comes first here.
-    First(&'static [&'static str]),
+    Earliest(&'static [&'static str]),
     /// Neither: in between, these keys have these values, by which nothing of the kind is done.
-    Neither(&'static [(&'static str, f64)]),
+    Incompatible(&'static [(&'static str, f64)]),
     /// Both: what is best for one initiator, whatever the others think.
-    Both,
+    Unordered,
     /// None: a change of it is not taken.
-    Fixed,
+    Immutable,
 }
 
 /// The table. `*` stands for a name. `docs/agreement.md` has it with the reasons.
-pub const TABLE: &[(&str, Safe)] = &[
-    ("site.initiators", Safe::Most),
-    ("site.list", Safe::Fixed),
-    ("site.ask-within-ms", Safe::Least),
-    ("site.max-attempts", Safe::Least),
-    ("site.second-copies", Safe::Off),
-    ("site.cancel", Safe::Off),
-    ("site.probes", Safe::Off),
-    ("site.retry-after-most-ms", Safe::Both),
-    ("site.unit-mean", Safe::Both),
-    ("site.unit-most", Safe::Least),
-    ("site.share-worth", Safe::Both),
-    ("site.spare-worth", Safe::Both),
-    ("site.key-rest-ms", Safe::Most),
-    ("site.drain-grace-ms", Safe::Least),
-    ("site.tick-ms", Safe::Both),
-    ("site.cold.from", Safe::Least),
-    ("site.cold.warm-ms", Safe::Most),
-    ("site.cold.fall-multiple", Safe::Least),
+pub const NARROWING_TABLE: &[(&str, Narrowing)] = &[
+    ("site.initiators", Narrowing::Larger),
+    ("site.list", Narrowing::Immutable),
+    ("site.ask-within-ms", Narrowing::Smaller),
+    ("site.max-attempts", Narrowing::Smaller),
+    ("site.second-copies", Narrowing::False),
+    ("site.cancel", Narrowing::False),
+    ("site.probes", Narrowing::False),
+    ("site.retry-after-most-ms", Narrowing::Unordered),
+    ("site.unit-mean", Narrowing::Unordered),
+    ("site.unit-most", Narrowing::Smaller),
+    ("site.share-worth", Narrowing::Unordered),
+    ("site.spare-worth", Narrowing::Unordered),
+    ("site.key-rest-ms", Narrowing::Larger),
+    ("site.drain-grace-ms", Narrowing::Smaller),
+    ("site.tick-ms", Narrowing::Unordered),
+    ("site.cold.from", Narrowing::Smaller),
+    ("site.cold.warm-ms", Narrowing::Larger),
+    ("site.cold.fall-multiple", Narrowing::Smaller),
     // Two windows of different length: neither bounds what the other counts.
-    ("site.cold.fall-ms", Safe::Neither(&[("site.cold.fall-multiple", 0.0), ("site.cold.bears-units", 0.0)])),
-    ("site.cold.bears-units", Safe::Least),
-    ("site.budget.floor", Safe::Least),
-    ("site.budget.ratio", Safe::Least),
-    ("site.budget.span-ms", Safe::Neither(&[("site.budget.floor", 0.0), ("site.budget.ratio", 0.0)])),
+    (
+        "site.cold.fall-ms",
+        Narrowing::Incompatible(&[("site.cold.fall-multiple", 0.0), ("site.cold.bears-units", 0.0)]),
+    ),
+    ("site.cold.bears-units", Narrowing::Smaller),
+    ("site.budget.floor", Narrowing::Smaller),
+    ("site.budget.ratio", Narrowing::Smaller),
+    (
+        "site.budget.span-ms",
+        Narrowing::Incompatible(&[("site.budget.floor", 0.0), ("site.budget.ratio", 0.0)]),
+    ),
     // Clients number them: one that is new, gone or elsewhere would be taken for another.
-    ("class.*", Safe::Fixed),
-    ("class.*.effect", Safe::First(&["once", "keyed", "repeatable"])),
-    ("class.*.group", Safe::First(&["shard", "zone", "all"])),
-    ("class.*.window-ms", Safe::Least),
-    ("class.*.aim-ms", Safe::Both),
-    ("class.*.aim-stretch", Safe::Both),
-    ("class.*.deadline-ms", Safe::Both),
-    ("class.*.worth", Safe::Both),
-    ("class.*.late-value", Safe::Both),
-    ("class.*.in-order", Safe::On),
-    ("class.*.stream", Safe::Fixed),
-    ("class.*.buffered", Safe::Fixed),
-    ("plan.*", Safe::Fixed),
-    ("plan.*.base-rate", Safe::Both),
-    ("plan.*.reserve-rate", Safe::Both),
-    ("plan.*.limit-rate", Safe::Least),
-    ("plan.*.limit-burst", Safe::Least),
-    ("plan.*.limit-slack", Safe::Least),
-    ("plan.*.price", Safe::Both),
+    ("class.*", Narrowing::Immutable),
+    ("class.*.effect", Narrowing::Earliest(&["once", "keyed", "repeatable"])),
+    ("class.*.group", Narrowing::Earliest(&["shard", "zone", "all"])),
+    ("class.*.window-ms", Narrowing::Smaller),
+    ("class.*.aim-ms", Narrowing::Unordered),
+    ("class.*.aim-stretch", Narrowing::Unordered),
+    ("class.*.deadline-ms", Narrowing::Unordered),
+    ("class.*.worth", Narrowing::Unordered),
+    ("class.*.late-value", Narrowing::Unordered),
+    ("class.*.in-order", Narrowing::True),
+    ("class.*.stream", Narrowing::Immutable),
+    ("class.*.buffered", Narrowing::Immutable),
+    ("plan.*", Narrowing::Immutable),
+    ("plan.*.base-rate", Narrowing::Unordered),
+    ("plan.*.reserve-rate", Narrowing::Unordered),
+    ("plan.*.limit-rate", Narrowing::Smaller),
+    ("plan.*.limit-burst", Narrowing::Smaller),
+    ("plan.*.limit-slack", Narrowing::Smaller),
+    ("plan.*.price", Narrowing::Unordered),
 ];
 
 /// Numbers the table: a build with another one understands rules otherwise, and confirms none.
-pub const TABLE_VERSION: u32 = 1;
+pub const NARROWING_TABLE_VERSION: u32 = 1;
 
 /// The table's row for a key.
-pub fn safe(key: &str) -> Option<Safe> {
+pub fn narrowing_of(key: &str) -> Option<Narrowing> {
     let mut parts = key.split('.');
     let (kind, name) = (parts.next()?, parts.next());
     let pattern = match (kind, name, key.rsplit_once('.')) {
@@ -109,13 +115,13 @@
         ("class" | "plan", Some(_), Some((_, field))) => format!("{kind}.*.{field}"),
         _ => key.to_owned(),
     };
-    TABLE.iter().find(|(row, _)| *row == pattern).map(|(_, safe)| *safe)
+    NARROWING_TABLE.iter().find(|(row, _)| *row == pattern).map(|(_, narrowing_of)| *narrowing_of)
 }
 
 fn has_field(key: &str) -> bool {
     let Some((before, field)) = key.rsplit_once('.') else { return false };
     let kind = key.split('.').next().unwrap_or_default();
-    before.contains('.') && TABLE.iter().any(|(row, _)| *row == format!("{kind}.*.{field}"))
+    before.contains('.') && NARROWING_TABLE.iter().any(|(row, _)| *row == format!("{kind}.*.{field}"))
 }
 
 /// A set of rules: every key that must be the same everywhere, with its value. What bounds nothing is not there.
@@ -125,37 +131,38 @@
     pub values: BTreeMap<String, Value>,
     /// What no version may ever be narrower than: acted on by who is cut off. A key that is not here has no safe
     /// value, and what needs it is refused.
-    pub floor: BTreeMap<String, Value>,
+    pub fallback: BTreeMap<String, Value>,
 }
 
 /// What a change does to a key.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
+pub struct KeyChange {
     /// The key.
     pub key: String,
     /// Its value before and after.
     pub values: (Option<Value>, Option<Value>),
     /// What it means.
-    pub meaning: Meaning,
+    pub kind: ChangeKind,
 }
 
 /// What a change of a value means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meaning {
+pub enum ChangeKind {
     /// Less is allowed: acted on as soon as it is heard.
     Narrows,
     /// More is allowed: acted on once everybody has let go of the old value.
     Widens,
     /// There is no safe value between: nothing of the kind is done until it is in force.
-    Waits,
+    Blocks,
     /// It contradicts nothing.
-    Free,
+    Unordered,
 }
 
 impl Rules {
     /// A digest of what these rules mean to this build.
     pub fn digest(&self) -> u64 {
-        let bytes = postcard::to_stdvec(&(TABLE_VERSION, self)).expect("plain values can be written");
+        let bytes =
+            postcard::to_stdvec(&(NARROWING_TABLE_VERSION, self)).expect("plain values can be written");
         let mut low = [0; 8];
         low.copy_from_slice(&blake3::hash(&bytes).as_bytes()[..8]);
         u64::from_le_bytes(low)
@@ -165,35 +172,37 @@
     pub fn unknown(&self) -> Vec<&str> {
         self.values
             .keys()
-            .chain(self.floor.keys())
+            .chain(self.fallback.keys())
             .map(String::as_str)
-            .filter(|k| safe(k).is_none())
+            .filter(|k| narrowing_of(k).is_none())
             .collect()
     }
 
     /// What is safe beside both: key by key, the narrower value.
     pub fn narrower(&self, other: &Rules) -> Rules {
-        let mut floor = narrow(&self.floor, &other.floor);
+        let mut fallback = narrow(&self.fallback, &other.fallback);
         // A key that one floor lacks has no safe value on that floor.
-        floor.retain(|key, _| self.floor.contains_key(key) && other.floor.contains_key(key));
-        Rules { values: narrow(&self.values, &other.values), floor }
+        fallback.retain(|key, _| self.fallback.contains_key(key) && other.fallback.contains_key(key));
+        Rules { values: narrow(&self.values, &other.values), fallback }
     }
 
     /// What may be acted on without word from the others: the floor's values, and where it has none, values by
     /// which nothing of the kind is done.
-    pub fn on_floor(&self) -> Rules {
+    pub fn fallback_rules(&self) -> Rules {
         let mut values = self.values.clone();
         for (key, value) in &mut values {
-            let given = self.floor.get(key);
-            *value = match (safe(key), &value) {
-                (Some(Safe::Both | Safe::Fixed), _) | (None, _) => continue,
+            let given = self.fallback.get(key);
+            *value = match (narrowing_of(key), &value) {
+                (Some(Narrowing::Unordered | Narrowing::Immutable), _) | (None, _) => continue,
                 _ if given.is_some() => given.cloned().expect("it was just found"),
-                (Some(Safe::Off), _) => Value::Flag(false),
-                (Some(Safe::On), _) => Value::Flag(true),
-                (Some(Safe::First(words)), _) => Value::Word(words[0].to_owned()),
+                (Some(Narrowing::False), _) => Value::Flag(false),
+                (Some(Narrowing::True), _) => Value::Flag(true),
+                (Some(Narrowing::Earliest(words)), _) => Value::Text(words[0].to_owned()),
                 // One attempt, and what is counted by others' count stays as it is.
                 (Some(_), Value::Number(n)) if key == "site.max-attempts" => Value::Number(n.min(1.0)),
-                (Some(Safe::Least), Value::Number(_)) if NONE_AT_ALL.iter().any(|end| key.ends_with(end)) => {
+                (Some(Narrowing::Smaller), Value::Number(_))
+                    if NONE_AT_ALL.iter().any(|end| key.ends_with(end)) =>
+                {
                     Value::Number(0.0)
                 }
                 (Some(_), value) => (*value).clone(),
@@ -205,19 +214,19 @@
         for plan in plans {
             for field in ["limit-rate", "limit-burst"] {
                 let key = format!("{plan}.{field}");
-                let value = self.floor.get(&key).cloned().unwrap_or(Value::Number(0.0));
+                let value = self.fallback.get(&key).cloned().unwrap_or(Value::Number(0.0));
                 values.insert(key, value);
             }
         }
         for key in ["site.budget.floor", "site.budget.ratio", "site.budget.span-ms"] {
-            let given = self.floor.get(key).cloned();
+            let given = self.fallback.get(key).cloned();
             values.entry(key.to_owned()).or_insert_with(|| given.unwrap_or(Value::Number(0.0)));
         }
-        Rules { values, floor: self.floor.clone() }
+        Rules { values, fallback: self.fallback.clone() }
     }
 
     /// Key by key, what changes from these to others.
-    pub fn steps(&self, to: &Rules) -> Vec<Step> {
+    pub fn steps(&self, to: &Rules) -> Vec<KeyChange> {
         let middle = self.narrower(to);
         let keys: BTreeSet<&String> = self.values.keys().chain(to.values.keys()).collect();
         let mut steps = Vec::new();
@@ -227,14 +236,14 @@
                 continue;
             }
             let between = middle.values.get(key);
-            let meaning = match safe(key) {
-                Some(Safe::Both) => Meaning::Free,
-                Some(Safe::Neither(_)) => Meaning::Waits,
-                _ if between == new => Meaning::Narrows,
-                _ if between == old => Meaning::Widens,
-                _ => Meaning::Waits,
+            let kind = match narrowing_of(key) {
+                Some(Narrowing::Unordered) => ChangeKind::Unordered,
+                Some(Narrowing::Incompatible(_)) => ChangeKind::Blocks,
+                _ if between == new => ChangeKind::Narrows,
+                _ if between == old => ChangeKind::Widens,
+                _ => ChangeKind::Blocks,
             };
-            steps.push(Step { key: key.clone(), values: (old.cloned(), new.cloned()), meaning });
+            steps.push(KeyChange { key: key.clone(), values: (old.cloned(), new.cloned()), kind });
         }
         steps
     }
@@ -244,16 +253,16 @@
         let mut all: Vec<String> =
             self.unknown().iter().map(|key| format!("{key} is not known to this build")).collect();
         for step in from.steps(self) {
-            if safe(&step.key) == Some(Safe::Fixed) {
+            if narrowing_of(&step.key) == Some(Narrowing::Immutable) {
                 all.push(format!(
                     "{} can't be changed while initiators run: narrow it by its other keys, or start all anew",
                     step.key
                 ));
             }
         }
-        for (key, low) in &self.floor {
+        for (key, low) in &self.fallback {
             let Some(value) = self.values.get(key) else { continue };
-            if narrower_of(safe(key), low, value) != Some(low) {
+            if narrower_of(narrowing_of(key), low, value) != Some(low) {
                 all.push(format!(
                     "{key} is {value}, narrower than the floor's {low}: change the floor first"
                 ));
@@ -267,20 +276,20 @@
 const NONE_AT_ALL: [&str; 6] =
     ["limit-rate", "limit-burst", "fall-multiple", "bears-units", "budget.floor", "budget.ratio"];
 
-fn narrower_of<'a>(safe: Option<Safe>, a: &'a Value, b: &'a Value) -> Option<&'a Value> {
+fn narrower_of<'a>(narrowing_of: Option<Narrowing>, a: &'a Value, b: &'a Value) -> Option<&'a Value> {
     let place = |words: &[&str], v: &Value| match v {
-        Value::Word(w) => words.iter().position(|x| x == w).unwrap_or(0),
+        Value::Text(w) => words.iter().position(|x| x == w).unwrap_or(0),
         _ => 0,
     };
-    match (safe?, a, b) {
+    match (narrowing_of?, a, b) {
         // Of two windows either does, as long as all take the same: nothing is done by it in between.
-        (Safe::Least | Safe::Neither(_), Value::Number(x), Value::Number(y)) => {
+        (Narrowing::Smaller | Narrowing::Incompatible(_), Value::Number(x), Value::Number(y)) => {
             Some(if x <= y { a } else { b })
         }
-        (Safe::Most, Value::Number(x), Value::Number(y)) => Some(if x >= y { a } else { b }),
-        (Safe::Off, Value::Flag(x), _) => Some(if *x { b } else { a }),
-        (Safe::On, Value::Flag(x), _) => Some(if *x { a } else { b }),
-        (Safe::First(words), ..) => Some(if place(words, a) <= place(words, b) { a } else { b }),
+        (Narrowing::Larger, Value::Number(x), Value::Number(y)) => Some(if x >= y { a } else { b }),
+        (Narrowing::False, Value::Flag(x), _) => Some(if *x { b } else { a }),
+        (Narrowing::True, Value::Flag(x), _) => Some(if *x { a } else { b }),
+        (Narrowing::Earliest(words), ..) => Some(if place(words, a) <= place(words, b) { a } else { b }),
         _ => Some(a),
     }
 }
@@ -289,14 +298,14 @@
     let mut out = BTreeMap::new();
     for key in a.keys().chain(b.keys()) {
         let value = match (a.get(key), b.get(key)) {
-            (Some(x), Some(y)) => narrower_of(safe(key), x, y).unwrap_or(x),
+            (Some(x), Some(y)) => narrower_of(narrowing_of(key), x, y).unwrap_or(x),
             (Some(x), None) | (None, Some(x)) => x,
             (None, None) => continue,
         };
         out.insert(key.clone(), value.clone());
     }
-    for (key, safe) in TABLE {
-        if let Safe::Neither(instead) = safe
+    for (key, narrowing_of) in NARROWING_TABLE {
+        if let Narrowing::Incompatible(instead) = narrowing_of
             && a.get(*key) != b.get(*key)
         {
             out.extend(instead.iter().map(|(k, v)| ((*k).to_owned(), Value::Number(*v))));
--- a/crates/flaxstand-consensus/tests/capacity/fleet.rs
+++ b/crates/flaxstand-consensus/tests/capacity/fleet.rs
@@ -1,11 +1,13 @@
 //! A fleet without faults on virtual time: keepers and plain members with exact clocks, a network that only delays,
 //! and counters of what each host sends, receives and looks at. One seed gives the same counts in every run.
 
-use flaxstand_consensus::agreement::{Agreement, Config, Found, Reply, To, Wish, Word};
-use flaxstand_consensus::book::{MEMBERS_MOST, Version};
-use flaxstand_consensus::member::Acting;
+use flaxstand_consensus::member::ActiveRules;
+use flaxstand_consensus::participant::{
+    Config, Destination, OperatorReply, OperatorRequest, Participant, PeerMessage, StoredReplica,
+};
+use flaxstand_consensus::replicated_state::{MAX_MEMBERS, Version};
 use flaxstand_consensus::rules::{Rules, Value};
-use flaxstand_consensus::{Micros, Planted};
+use flaxstand_consensus::{InjectedFault, Micros};
 use flaxstand_proto::Frame;
 use flaxstand_storage::faulty::Faulty;
 use flaxstand_storage::{Batch, perform};
@@ -67,17 +69,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostRole {
     Leader,
-    Keeper,
+    Replica,
     Member,
 }
 
 struct Host {
-    agreement: Option<Agreement>,
+    agreement: Option<Participant>,
     disk: Faulty,
     storing: Option<Batch>,
     /// The moment for which its timer is set.
     timer: Option<Micros>,
-    acting: Acting,
+    active_rules: ActiveRules,
     acting_since: Micros,
     traffic: Traffic,
     /// Members examined before the counters were last set back.
@@ -93,7 +95,7 @@
             disk: Faulty::new(disk_seed),
             storing: None,
             timer: None,
-            acting: Acting::Floor,
+            active_rules: ActiveRules::Fallback,
             acting_since: Micros(0),
             traffic: Traffic::default(),
             examined_before: 0,
@@ -103,7 +105,7 @@
 }
 
 enum Event {
-    Deliver { from: usize, to: usize, word: Word },
+    Deliver { from: usize, to: usize, word: PeerMessage },
     Timer(usize),
     Stored(usize),
 }
@@ -118,7 +120,7 @@
     acting_alone: BTreeMap<u64, usize>,
     /// How often a host that had a lease lost it.
     pub lost_leases: u64,
-    pub replies: Vec<Reply>,
+    pub replies: Vec<OperatorReply>,
     frame_overhead: u64,
     /// Members that leaders admit.
     members_most: usize,
@@ -138,12 +140,12 @@
     let mut rules = Rules::default();
     let mut put = |key: &str, value| drop(rules.values.insert(key.to_owned(), value));
     put("class.read", Value::Number(0.0));
-    put("class.read.effect", Value::Word("repeatable".into()));
+    put("class.read.effect", Value::Text("repeatable".into()));
     put("plan.gold", Value::Number(0.0));
     put("plan.gold.limit-rate", Value::Number(limit));
     put("plan.gold.limit-burst", Value::Number(limit));
-    rules.floor.insert("plan.gold.limit-rate".into(), Value::Number(1.0));
-    rules.floor.insert("plan.gold.limit-burst".into(), Value::Number(1.0));
+    rules.fallback.insert("plan.gold.limit-rate".into(), Value::Number(1.0));
+    rules.fallback.insert("plan.gold.limit-burst".into(), Value::Number(1.0));
     rules
 }
 
@@ -178,7 +180,7 @@
 
     /// A fleet of `count` hosts, keepers included, where members have just been started.
     pub fn started(count: usize, seed: u64) -> Fleet {
-        Fleet::started_with_members_most(count, MEMBERS_MOST, seed)
+        Fleet::started_with_members_most(count, MAX_MEMBERS, seed)
     }
 
     fn started_with_members_most(count: usize, members_most: usize, seed: u64) -> Fleet {
@@ -218,18 +220,18 @@
     fn start(&mut self, host: usize) {
         let config = Config {
             name: host_name(host),
-            incarnation: 1,
-            keepers: (0..KEEPERS).map(host_name).collect(),
+            epoch: 1,
+            voters: (0..KEEPERS).map(host_name).collect(),
             neighbours: Vec::new(),
             lease: LEASE,
             clock_error: CLOCK_ERROR,
             election: ELECTION,
             seed: self.rng.next_u64(),
             started_with: rules(100.0),
-            planted: Planted::None,
+            injected_fault: InjectedFault::None,
         };
-        let found = (host < KEEPERS).then(Found::default);
-        let mut agreement = Agreement::new(config, found, None, 0, self.now);
+        let found = (host < KEEPERS).then(StoredReplica::default);
+        let mut agreement = Participant::new(config, found, None, 0, self.now);
         agreement.limit_members(self.members_most);
         self.hosts[host].agreement = Some(agreement);
         self.settle(host);
@@ -245,7 +247,7 @@
 
     /// Its process ends for good.
     pub fn kill(&mut self, host: usize) {
-        self.count_acting(host, Acting::Floor);
+        self.count_acting(host, ActiveRules::Fallback);
         let host = &mut self.hosts[host];
         (host.agreement, host.storing, host.timer) = (None, None, None);
     }
@@ -254,7 +256,7 @@
     pub fn propose(&mut self) -> u64 {
         let leader = self.leader().expect("there is a leader");
         let base = self.newest();
-        self.operator_asks(leader, Wish::Propose(base, version_after(base)));
+        self.operator_asks(leader, OperatorRequest::Propose(base, version_after(base)));
         base + 1
     }
 
@@ -262,7 +264,7 @@
     pub fn propose_until_taken(&mut self) {
         let end = self.now.after(PATIENCE);
         self.replies.clear();
-        while !self.replies.iter().any(|reply| matches!(reply, Reply::Agreed(_))) {
+        while !self.replies.iter().any(|reply| matches!(reply, OperatorReply::Committed(_))) {
             assert!(self.now < end, "no proposal is taken: {:?}", self.replies.last());
             self.propose();
             self.run_for(OPERATOR_RETRY);
@@ -272,41 +274,41 @@
     /// An operator proposes a version that was made from none, which is refused once it is agreed on.
     pub fn propose_from_older_version(&mut self) {
         let leader = self.leader().expect("there is a leader");
-        self.operator_asks(leader, Wish::Propose(0, version_after(0)));
+        self.operator_asks(leader, OperatorRequest::Propose(0, version_after(0)));
     }
 
     /// An operator's message to one host.
-    pub fn operator_asks(&mut self, host: usize, wish: Wish) {
+    pub fn operator_asks(&mut self, host: usize, operator_request: OperatorRequest) {
         let now = self.now;
         let agreement = self.hosts[host].agreement.as_mut().expect("it is up");
-        agreement.heard(OPERATOR, None, Word::Wish(wish), now);
+        agreement.heard(OPERATOR, None, PeerMessage::OperatorRequest(operator_request), now);
         self.settle(host);
     }
 
     /// The newest version in force that the leader, or else any host, knows of.
     pub fn newest(&self) -> u64 {
-        let states = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.book());
-        states.map(|(_, state)| state.acting.number).max().unwrap_or(0)
+        let states = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.replicated_state());
+        states.map(|(_, state)| state.in_force.number).max().unwrap_or(0)
     }
 
     /// The keeper that leads.
     pub fn leader(&self) -> Option<usize> {
-        let status = |host: &usize| self.hosts[*host].agreement.as_ref()?.keeper(self.now);
+        let status = |host: &usize| self.hosts[*host].agreement.as_ref()?.replica(self.now);
         let leaders = (0..KEEPERS)
-            .filter(|host| status(host).is_some_and(|s| s.standing == flaxstand_consensus::Standing::Leader));
+            .filter(|host| status(host).is_some_and(|s| s.role == flaxstand_consensus::ReplicaRole::Leader));
         leaders.max_by_key(|host| status(host).map(|s| s.term))
     }
 
     /// Index of the newest entry of any keeper's log.
     pub fn last_entry(&self) -> u64 {
-        let keepers = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.keeper(self.now));
-        keepers.map(|status| status.last).max().unwrap_or(0)
+        let voters = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.replica(self.now));
+        voters.map(|status| status.last).max().unwrap_or(0)
     }
 
     /// Whether a leader has committed all that it knows of.
     pub fn takes_proposals(&self, leader: usize) -> bool {
-        let keeper = self.hosts[leader].agreement.as_ref().and_then(|a| a.keeper(self.now));
-        keeper.is_some_and(|status| status.committed == status.last)
+        let replica = self.hosts[leader].agreement.as_ref().and_then(|a| a.replica(self.now));
+        replica.is_some_and(|status| status.committed == status.last)
     }
 
     /// Hosts that act on this version alone.
@@ -315,13 +317,13 @@
     }
 
     /// Hosts that have no lease.
-    pub fn on_floor(&self) -> usize {
-        self.hosts.iter().filter(|h| h.agreement.is_some() && h.acting == Acting::Floor).count()
+    pub fn fallback_rules(&self) -> usize {
+        self.hosts.iter().filter(|h| h.agreement.is_some() && h.active_rules == ActiveRules::Fallback).count()
     }
 
     /// Since when each host that acts on this version alone does so, in order.
     pub fn acting_alone_since(&self, version: u64) -> Vec<Micros> {
-        let of_version = self.hosts.iter().filter(|h| h.acting == Acting::Alone(version));
+        let of_version = self.hosts.iter().filter(|h| h.active_rules == ActiveRules::Version(version));
         let mut since: Vec<Micros> = of_version.map(|h| h.acting_since).collect();
         since.sort_unstable();
         since
@@ -330,13 +332,13 @@
     /// Bytes of the replicated state as a host has it.
     pub fn state_bytes(&self, host: usize) -> u64 {
         let agreement = self.hosts[host].agreement.as_ref();
-        agreement.and_then(Agreement::book).map_or(0, |(_, state)| state.bytes().len() as u64)
+        agreement.and_then(Participant::replicated_state).map_or(0, |(_, state)| state.bytes().len() as u64)
     }
 
     /// Members that a host's replicated state lists.
     pub fn members_listed(&self, host: usize) -> usize {
         let agreement = self.hosts[host].agreement.as_ref();
-        agreement.and_then(Agreement::book).map_or(0, |(_, state)| state.members.len())
+        agreement.and_then(Participant::replicated_state).map_or(0, |(_, state)| state.members.len())
     }
 
     /// What passed each host since the counters were set back, with its role now.
@@ -345,7 +347,7 @@
         let with_role = |(number, host): (usize, &Host)| {
             let role = match number {
                 number if Some(number) == leader => HostRole::Leader,
-                number if number < KEEPERS => HostRole::Keeper,
+                number if number < KEEPERS => HostRole::Replica,
                 _ => HostRole::Member,
             };
             let examined = self.examined(number).saturating_sub(host.examined_before);
@@ -369,7 +371,7 @@
     }
 
     fn examined(&self, host: usize) -> u64 {
-        self.hosts[host].agreement.as_ref().map_or(0, Agreement::members_examined)
+        self.hosts[host].agreement.as_ref().map_or(0, Participant::members_examined)
     }
 
     pub fn run_for(&mut self, time: Micros) {
@@ -416,21 +418,21 @@
         Micros(least + self.rng.next_u64() % varies)
     }
 
-    fn deliver(&mut self, from: usize, to: usize, word: Word) {
+    fn deliver(&mut self, from: usize, to: usize, word: PeerMessage) {
         let size = self.size(&word);
         let now = self.now;
         let host = &mut self.hosts[to];
         let Some(agreement) = &mut host.agreement else { return };
         host.traffic.received += size;
-        if let Word::LeaseResponse(answer) = &word
-            && answer.book.is_some()
+        if let PeerMessage::LeaseResponse(answer) = &word
+            && answer.replicated_state.is_some()
             && host_number(&answer.name) == to
         {
             host.traffic.states_received += 1;
         }
-        let began = Instant::now();
+        let promises_at_start = Instant::now();
         agreement.heard(from as u64, Some(&host_name(from)), word, now);
-        host.busy += began.elapsed();
+        host.busy += promises_at_start.elapsed();
         self.settle(to);
     }
 
@@ -446,7 +448,7 @@
         self.settle(host);
     }
 
-    fn size(&self, word: &Word) -> Count {
+    fn size(&self, word: &PeerMessage) -> Count {
         let bytes = postcard::to_stdvec(word).expect("plain values can be written").len() as u64;
         Count { messages: 1, bytes: bytes + self.frame_overhead }
     }
@@ -454,44 +456,44 @@
     /// One turn of a host, as the gateway's core has it.
     fn settle(&mut self, number: usize) {
         let now = self.now;
-        let began = Instant::now();
+        let promises_at_start = Instant::now();
         let host = &mut self.hosts[number];
         let Some(agreement) = &mut host.agreement else { return };
         if agreement.wake(now) <= now {
             agreement.tick(now);
         }
-        let _rules = agreement.passage(now);
-        let acting = agreement.acting(now);
+        let _rules = agreement.take_rules_change(now);
+        let active_rules = agreement.active_rules(now);
         let batch = if host.storing.is_none() { agreement.batch(now) } else { None };
         let _saved = agreement.take_unsaved();
-        let words = agreement.take_words();
+        let outgoing = agreement.take_outgoing();
         let wake = agreement.wake(now).max(Micros(now.0 + 1));
-        self.count_acting(number, acting);
+        self.count_acting(number, active_rules);
         if let Some(batch) = batch {
             self.hosts[number].storing = Some(batch);
             let done = now.after(self.drawn(WRITE));
             self.schedule(done, Event::Stored(number));
         }
-        for (to, word) in words {
+        for (to, word) in outgoing {
             self.send(number, to, word);
         }
         if self.hosts[number].timer != Some(wake) {
             self.hosts[number].timer = Some(wake);
             self.schedule(wake, Event::Timer(number));
         }
-        self.hosts[number].busy += began.elapsed();
+        self.hosts[number].busy += promises_at_start.elapsed();
     }
 
-    fn send(&mut self, from: usize, to: To, word: Word) {
+    fn send(&mut self, from: usize, to: Destination, word: PeerMessage) {
         let to = match to {
-            To::Peer(name) => host_number(&name),
-            To::Back(OPERATOR) => {
-                if let Word::Reply(reply) = word {
+            Destination::Peer(name) => host_number(&name),
+            Destination::Connection(OPERATOR) => {
+                if let PeerMessage::OperatorReply(reply) = word {
                     self.replies.push(reply);
                 }
                 return;
             }
-            To::Back(connection) => connection as usize,
+            Destination::Connection(connection) => connection as usize,
         };
         let size = self.size(&word);
         self.hosts[from].traffic.sent += size;
@@ -499,21 +501,21 @@
         self.schedule(arrives, Event::Deliver { from, to, word });
     }
 
-    fn count_acting(&mut self, number: usize, acting: Acting) {
+    fn count_acting(&mut self, number: usize, active_rules: ActiveRules) {
         let now = self.now;
         let host = &mut self.hosts[number];
-        let before = std::mem::replace(&mut host.acting, acting);
-        if before == acting {
+        let before = std::mem::replace(&mut host.active_rules, active_rules);
+        if before == active_rules {
             return;
         }
         host.acting_since = now;
-        if let Acting::Alone(version) = before {
+        if let ActiveRules::Version(version) = before {
             *self.acting_alone.entry(version).or_default() -= 1;
         }
-        if let Acting::Alone(version) = acting {
+        if let ActiveRules::Version(version) = active_rules {
             *self.acting_alone.entry(version).or_default() += 1;
         }
-        if acting == Acting::Floor {
+        if active_rules == ActiveRules::Fallback {
             self.lost_leases += 1;
         }
     }
--- a/crates/flaxstand-consensus/tests/capacity/main.rs
+++ b/crates/flaxstand-consensus/tests/capacity/main.rs
@@ -127,9 +127,9 @@
 #[test]
 fn at_rest_another_keepers_messages_and_bytes_grow_linearly() {
     let per_second = |of: fn(&Costs) -> u64| points(rests(), |costs| costs.per_second(of(costs)));
-    assert_linear("keeper, sent messages/s", &per_second(|c| c.keeper.sent.messages), 0.5..0.57);
-    assert_linear("keeper, sent bytes/s", &per_second(|c| c.keeper.sent.bytes), 23.0..27.0);
-    assert_linear("keeper, received bytes/s", &per_second(|c| c.keeper.received.bytes), 23.0..27.0);
+    assert_linear("keeper, sent messages/s", &per_second(|c| c.replica.sent.messages), 0.5..0.57);
+    assert_linear("keeper, sent bytes/s", &per_second(|c| c.replica.sent.bytes), 23.0..27.0);
+    assert_linear("keeper, received bytes/s", &per_second(|c| c.replica.received.bytes), 23.0..27.0);
 }
 
 #[test]
@@ -163,8 +163,8 @@
 fn a_changes_messages_at_the_leader_and_bytes_at_a_keeper_grow_no_faster_than_stated() {
     let leader = points(changes(), |change| change.costs.leader.sent.messages as f64);
     assert_linear("leader, messages sent for a change", &leader, 2.8..3.3);
-    let keeper = points(changes(), |change| change.costs.keeper.sent.bytes as f64);
-    assert_square("keeper, bytes sent for a change", &keeper, 5.0..7.5);
+    let replica = points(changes(), |change| change.costs.replica.sent.bytes as f64);
+    assert_square("keeper, bytes sent for a change", &replica, 5.0..7.5);
 }
 
 /// It asks at most four times, and is told the whole state twice: that state's size is all that grows.
@@ -212,7 +212,7 @@
 fn a_refused_proposal_brings_nobody_the_state() {
     for (size, costs) in refusals() {
         assert_eq!(costs.member.states_received, 0, "{size} members");
-        assert_eq!(costs.keeper.states_received, 0, "{size} members");
+        assert_eq!(costs.replica.states_received, 0, "{size} members");
         let more_than_at_rest = |of: fn(&Costs) -> u64| {
             let rest = &rests()[size];
             of(costs) as f64 - rest.per_second(of(rest)) * costs.lasted.0 as f64 / 1e6
@@ -250,14 +250,14 @@
     println!("{beyond:?}");
     assert_eq!(beyond.members_listed, members_most);
     assert_eq!(beyond.on_version, members_most);
-    assert_eq!(beyond.on_floor, hosts - members_most);
+    assert_eq!(beyond.fallback_rules, hosts - members_most);
     assert_eq!(beyond.log_entries, 0);
     assert_eq!(beyond.states_received, 0);
     // As many hosts that are all members.
     let all_members = &rests()[&hosts];
     for (refused, admitted) in [
         (beyond.costs.leader, all_members.leader),
-        (beyond.costs.keeper, all_members.keeper),
+        (beyond.costs.replica, all_members.replica),
         (beyond.costs.member, all_members.member),
     ] {
         assert_eq!(refused.sent.messages, admitted.sent.messages);
@@ -271,7 +271,7 @@
 #[test]
 fn a_change_after_entries_without_effect_reaches_every_host() {
     let (size, more_than_a_snapshot_takes) = (SIZES[0], 150);
-    let acting = scenarios::change_after_entries_without_effect(size, more_than_a_snapshot_takes);
+    let active_rules = scenarios::change_after_entries_without_effect(size, more_than_a_snapshot_takes);
     // All that were started, one that joined, one that was killed.
-    assert_eq!(acting, size);
+    assert_eq!(active_rules, size);
 }
--- a/crates/flaxstand-consensus/tests/capacity/measurements.rs
+++ b/crates/flaxstand-consensus/tests/capacity/measurements.rs
@@ -4,8 +4,10 @@
 use crate::scenarios::{CHANGES_BEFORE, SEED, change_after, costs_at_rest, leader_loss, state_after};
 use crate::{scenarios, tables};
 use flaxstand_consensus::Micros;
-use flaxstand_consensus::book::{Book, Change, MEMBERS_MOST, RULES_MOST, TEXT_MOST, Version};
-use flaxstand_consensus::keeper::STATE_MOST;
+use flaxstand_consensus::replica::MAX_STATE_BYTES;
+use flaxstand_consensus::replicated_state::{
+    Change, MAX_MEMBERS, MAX_RULES_BYTES, MAX_TEXT_BYTES, ReplicatedState, Version,
+};
 use flaxstand_consensus::rules::{Rules, Value};
 
 /// Changes before the one that is measured, in large fleets: each takes its time to play.
@@ -60,14 +62,14 @@
 fn measurement_4600_members_of_which_some_are_beyond_members_most() {
     let size = 4_600;
     let mut fleet = Fleet::started(size, SEED);
-    fleet.run_until("as many as are listed act on the first version", |f| f.acting_alone(1) >= MEMBERS_MOST);
+    fleet.run_until("as many as are listed act on the first version", |f| f.acting_alone(1) >= MAX_MEMBERS);
     fleet.reset_counters();
     let (since, log_before) = (fleet.now, fleet.last_entry());
     fleet.run_for(Micros(750_000));
     println!(
         "{size} members: {} on a version, {} on the floor, {} listed",
         fleet.acting_alone(1),
-        fleet.on_floor(),
+        fleet.fallback_rules(),
         fleet.members_listed(0)
     );
     println!(
@@ -82,39 +84,39 @@
 #[ignore = "a measurement, no check"]
 fn measurement_bytes_of_the_replicated_state() {
     for changes in [1, 6, 200] {
-        for members in [0, 1_000, MEMBERS_MOST] {
+        for members in [0, 1_000, MAX_MEMBERS] {
             let bytes = state_after(changes, members).bytes().len();
-            println!("{members} members after {changes} changes: {bytes} bytes of {STATE_MOST}");
+            println!("{members} members after {changes} changes: {bytes} bytes of {MAX_STATE_BYTES}");
         }
     }
 }
 
 /// Names as long as the settings let them be, and files and rules as large as a proposal may have them: a state
-/// beyond `STATE_MOST` ends every keeper at `Keeper::compact`.
+/// beyond `MAX_STATE_BYTES` ends every keeper at `Replica::compact`.
 #[test]
 #[ignore = "a measurement, no check"]
 fn measurement_bytes_of_the_replicated_state_at_its_bounds() {
     /// Of the settings (`initiator "NAME"`).
     const LONGEST_NAME: usize = 100;
     for (name_bytes, rules_bytes) in
-        [(14, 0), (LONGEST_NAME, 0), (14, RULES_MOST), (LONGEST_NAME, RULES_MOST)]
+        [(14, 0), (LONGEST_NAME, 0), (14, MAX_RULES_BYTES), (LONGEST_NAME, MAX_RULES_BYTES)]
     {
-        let mut state = Book::default();
+        let mut state = ReplicatedState::default();
         for base in 0..6 {
             let mut rules = Rules::default();
             let large = "x".repeat(rules_bytes.saturating_sub(64));
-            rules.values.insert("class.read.effect".into(), Value::Word(large));
-            let version = Version { rules, text: "x".repeat(TEXT_MOST), ..Version::default() };
+            rules.values.insert("class.read.effect".into(), Value::Text(large));
+            let version = Version { rules, text: "x".repeat(MAX_TEXT_BYTES), ..Version::default() };
             let number = state.apply(Change::Propose { base, version }).expect("it follows");
             let _first_is_in_force = state.apply(Change::InForce { number, why: String::new(), at: 0 });
         }
-        for member in 0..MEMBERS_MOST {
+        for member in 0..MAX_MEMBERS {
             state.apply(Change::Join(format!("{member:0name_bytes$}"))).expect("there is room");
         }
         let bytes = state.bytes().len();
         println!(
-            "{MEMBERS_MOST} names of {name_bytes} bytes, texts of {TEXT_MOST}, rules of {rules_bytes}: \
-             {bytes} bytes of {STATE_MOST}"
+            "{MAX_MEMBERS} names of {name_bytes} bytes, texts of {MAX_TEXT_BYTES}, rules of {rules_bytes}: \
+             {bytes} bytes of {MAX_STATE_BYTES}"
         );
     }
 }
--- a/crates/flaxstand-consensus/tests/capacity/scenarios.rs
+++ b/crates/flaxstand-consensus/tests/capacity/scenarios.rs
@@ -2,8 +2,8 @@
 
 use crate::fleet::{Count, Fleet, HostRole, LEASE, Traffic, host_name, version_after};
 use flaxstand_consensus::Micros;
-use flaxstand_consensus::agreement::Reply;
-use flaxstand_consensus::book::{Book, Change};
+use flaxstand_consensus::participant::OperatorReply;
+use flaxstand_consensus::replicated_state::{Change, ReplicatedState};
 use std::time::Duration;
 
 /// How long a fleet at rest is watched: a whole number of asks of each member.
@@ -43,7 +43,7 @@
     /// On virtual time.
     pub lasted: Micros,
     pub leader: Busiest,
-    pub keeper: Busiest,
+    pub replica: Busiest,
     pub member: Busiest,
 }
 
@@ -54,7 +54,7 @@
         Costs {
             lasted: fleet.now.since(since),
             leader: Busiest::of(HostRole::Leader, &traffic),
-            keeper: Busiest::of(HostRole::Keeper, &traffic),
+            replica: Busiest::of(HostRole::Replica, &traffic),
             member: Busiest::of(HostRole::Member, &traffic),
         }
     }
@@ -187,7 +187,7 @@
     let since = fleet.now;
     fleet.propose_from_older_version();
     fleet.run_for(LEASE);
-    assert!(matches!(fleet.replies.last(), Some(Reply::Refused(_))), "{:?}", fleet.replies.last());
+    assert!(matches!(fleet.replies.last(), Some(OperatorReply::Refused(_))), "{:?}", fleet.replies.last());
     Costs::of(&fleet, since)
 }
 
@@ -227,7 +227,7 @@
     pub log_entries: u64,
     pub members_listed: usize,
     pub on_version: usize,
-    pub on_floor: usize,
+    pub fallback_rules: usize,
     /// Copies of the whole replicated state that hosts were sent, together.
     pub states_received: u64,
 }
@@ -241,7 +241,7 @@
         log_entries: fleet.last_entry() - log_before,
         members_listed: fleet.members_listed(0),
         on_version: fleet.acting_alone(1),
-        on_floor: fleet.on_floor(),
+        fallback_rules: fleet.fallback_rules(),
         states_received: fleet.traffic().iter().map(|(_, t)| t.states_received).sum(),
     }
 }
@@ -266,8 +266,8 @@
 }
 
 /// The replicated state after so many changes, with so many members.
-pub fn state_after(changes: u64, members: usize) -> Book {
-    let mut state = Book::default();
+pub fn state_after(changes: u64, members: usize) -> ReplicatedState {
+    let mut state = ReplicatedState::default();
     for base in 0..changes {
         let number = state.apply(Change::Propose { base, version: version_after(base) }).expect("it follows");
         if number > 1 {
--- a/crates/flaxstand-consensus/tests/capacity/tables.rs
+++ b/crates/flaxstand-consensus/tests/capacity/tables.rs
@@ -16,7 +16,7 @@
 }
 
 fn by_role(costs: &Costs) -> [(&'static str, &Busiest); 3] {
-    [("leader", &costs.leader), ("keeper", &costs.keeper), ("member", &costs.member)]
+    [("leader", &costs.leader), ("keeper", &costs.replica), ("member", &costs.member)]
 }
 
 pub fn print_rest(size: usize, costs: &Costs) {
--- a/crates/flaxstand-consensus/tests/members/main.rs
+++ b/crates/flaxstand-consensus/tests/members/main.rs
@@ -1,10 +1,12 @@
 //! The bound on the number of members, at its value in service, and which entries change the replicated state.
 
-use flaxstand_consensus::agreement::{Agreement, Config, Found, Reply, To, Wish, Word};
-use flaxstand_consensus::book::{Book, Change, MEMBERS_MOST, Version};
 use flaxstand_consensus::lease_manager::{LeaseRequest, LeaseResponse};
+use flaxstand_consensus::participant::{
+    Config, Destination, OperatorReply, OperatorRequest, Participant, PeerMessage, StoredReplica,
+};
+use flaxstand_consensus::replicated_state::{Change, MAX_MEMBERS, ReplicatedState, Version};
 use flaxstand_consensus::rules::Rules;
-use flaxstand_consensus::{Micros, Planted, Recovered, Standing, Status, recover};
+use flaxstand_consensus::{InjectedFault, Micros, Recovered, ReplicaRole, Status, recover};
 use flaxstand_storage::faulty::Faulty;
 use flaxstand_storage::{Storage as _, perform};
 use proptest::prelude::*;
@@ -18,7 +20,7 @@
 
 /// An agreement with one keeper, whose disk takes no time.
 struct OneKeeper {
-    agreement: Agreement,
+    agreement: Participant,
     disk: Faulty,
     now: Micros,
 }
@@ -27,26 +29,26 @@
     /// One that leads, with a first version in force.
     fn leading() -> OneKeeper {
         let now = Micros(1_000);
-        let agreement = Agreement::new(OneKeeper::config(1), Some(Found::default()), None, 0, now);
-        let mut keeper = OneKeeper { agreement, disk: Faulty::new(1), now };
-        keeper.lead();
-        let agreed = keeper.operator_asks(Wish::Propose(0, Version::default()));
-        assert_eq!(agreed, Some(Reply::Agreed(1)));
-        keeper
+        let agreement = Participant::new(OneKeeper::config(1), Some(StoredReplica::default()), None, 0, now);
+        let mut replica = OneKeeper { agreement, disk: Faulty::new(1), now };
+        replica.lead();
+        let agreed = replica.operator_asks(OperatorRequest::Propose(0, Version::default()));
+        assert_eq!(agreed, Some(OperatorReply::Committed(1)));
+        replica
     }
 
-    fn config(incarnation: u64) -> Config {
+    fn config(epoch: u64) -> Config {
         Config {
             name: "keeper".into(),
-            incarnation,
-            keepers: vec!["keeper".into()],
+            epoch,
+            voters: vec!["keeper".into()],
             neighbours: Vec::new(),
             lease: LEASE,
             clock_error: 0.001,
             election: Micros(500_000),
             seed: 1,
             started_with: Rules::default(),
-            planted: Planted::None,
+            injected_fault: InjectedFault::None,
         }
     }
 
@@ -56,8 +58,8 @@
             panic!("its disk holds a state");
         };
         let segments = self.disk.segments().expect("in memory");
-        let found = Found { state: Some(*state), segments };
-        self.agreement = Agreement::new(OneKeeper::config(2), Some(found), None, 0, self.now);
+        let found = StoredReplica { state: Some(*state), segments };
+        self.agreement = Participant::new(OneKeeper::config(2), Some(found), None, 0, self.now);
         self.lead();
     }
 
@@ -65,7 +67,7 @@
     fn lead(&mut self) {
         let end = self.now.after(Micros(60_000_000));
         let ready = |status: &Status| {
-            status.standing == Standing::Leader && status.committed > 0 && status.committed == status.last
+            status.role == ReplicaRole::Leader && status.committed > 0 && status.committed == status.last
         };
         while !ready(&self.status()) {
             assert!(self.now < end, "it does not lead: {:?}", self.status());
@@ -74,15 +76,15 @@
     }
 
     fn status(&self) -> Status {
-        self.agreement.keeper(self.now).expect("it is a keeper")
+        self.agreement.replica(self.now).expect("it is a keeper")
     }
 
     fn members(&self) -> usize {
-        self.agreement.book().map_or(0, |(_, book)| book.members.len())
+        self.agreement.replicated_state().map_or(0, |(_, replicated_state)| replicated_state.members.len())
     }
 
     /// A turn. Returns what was said back to operators and hosts.
-    fn turn(&mut self) -> Vec<Word> {
+    fn turn(&mut self) -> Vec<PeerMessage> {
         self.now = self.now.after(TURN);
         self.agreement.tick(self.now);
         while let Some(batch) = self.agreement.batch(self.now) {
@@ -90,20 +92,26 @@
             self.agreement.stored(well, self.now);
         }
         let _saved = self.agreement.take_unsaved();
-        let words = self.agreement.take_words();
-        words.into_iter().filter_map(|(to, word)| matches!(to, To::Back(_)).then_some(word)).collect()
+        let outgoing = self.agreement.take_outgoing();
+        outgoing
+            .into_iter()
+            .filter_map(|(to, word)| matches!(to, Destination::Connection(_)).then_some(word))
+            .collect()
     }
 
-    fn operator_asks(&mut self, wish: Wish) -> Option<Reply> {
-        self.agreement.heard(OPERATOR, None, Word::Wish(wish), self.now);
-        let words = self.turn().into_iter().chain(self.turn());
-        words.into_iter().find_map(|word| if let Word::Reply(reply) = word { Some(reply) } else { None })
+    fn operator_asks(&mut self, operator_request: OperatorRequest) -> Option<OperatorReply> {
+        self.agreement.heard(OPERATOR, None, PeerMessage::OperatorRequest(operator_request), self.now);
+        let outgoing = self.turn().into_iter().chain(self.turn());
+        outgoing
+            .into_iter()
+            .find_map(|word| if let PeerMessage::OperatorReply(reply) = word { Some(reply) } else { None })
     }
 
     /// A host asks for a lease, with a copy of the present state under some index, or with none (0).
     fn host_asks(&mut self, name: &str, seq: u64, index: u64) -> LeaseResponse {
-        let copy = self.agreement.book().filter(|_| index > 0);
-        let (stage, digest) = copy.map_or((0, 0), |(_, book)| (book.stage, book.digest()));
+        let copy = self.agreement.replicated_state().filter(|_| index > 0);
+        let (stage, digest) =
+            copy.map_or((0, 0), |(_, replicated_state)| (replicated_state.stage, replicated_state.digest()));
         self.host_asks_with(name, seq, index, (stage, digest))
     }
 
@@ -117,7 +125,7 @@
     ) -> LeaseResponse {
         let request = LeaseRequest {
             name: name.to_owned(),
-            incarnation: 1,
+            epoch: 1,
             seq,
             index,
             stage,
@@ -125,10 +133,10 @@
             cannot: None,
             leaves: false,
         };
-        self.agreement.heard(HOST, Some(name), Word::LeaseRequest(1, request), self.now);
-        let words = self.turn().into_iter();
-        let mut responses = words.filter_map(|word| match word {
-            Word::LeaseResponse(response) => Some(*response),
+        self.agreement.heard(HOST, Some(name), PeerMessage::LeaseRequest(1, request), self.now);
+        let outgoing = self.turn().into_iter();
+        let mut responses = outgoing.filter_map(|word| match word {
+            PeerMessage::LeaseResponse(response) => Some(*response),
             _ => None,
         });
         responses.next().expect("the leader responds")
@@ -137,68 +145,68 @@
 
 #[test]
 fn beyond_members_most_a_host_is_refused_without_a_log_entry_until_one_is_forgotten() {
-    let mut keeper = OneKeeper::leading();
+    let mut replica = OneKeeper::leading();
     let host = |number: usize| format!("host-{number:04}");
-    while keeper.members() == 0 {
-        keeper.turn();
+    while replica.members() == 0 {
+        replica.turn();
     }
-    for number in keeper.members()..MEMBERS_MOST {
-        keeper.host_asks(&host(number), 1, 0);
+    for number in replica.members()..MAX_MEMBERS {
+        replica.host_asks(&host(number), 1, 0);
     }
-    assert_eq!(keeper.members(), MEMBERS_MOST);
-    let full_at = keeper.status().last;
-    let beyond = [host(MEMBERS_MOST), host(MEMBERS_MOST + 1)];
+    assert_eq!(replica.members(), MAX_MEMBERS);
+    let full_at = replica.status().last;
+    let beyond = [host(MAX_MEMBERS), host(MAX_MEMBERS + 1)];
     for name in &beyond {
-        let first = keeper.host_asks(name, 1, 0);
+        let first = replica.host_asks(name, 1, 0);
         assert_eq!(first.lease, None, "{name} stays on the floor");
-        let (index, _) = first.book.expect("it is told the state once");
+        let (index, _) = first.replicated_state.expect("it is told the state once");
         for seq in 2..=20 {
-            let response = keeper.host_asks(name, seq, index);
-            assert_eq!((response.lease, response.book), (None, None), "{name}, request {seq}");
+            let response = replica.host_asks(name, seq, index);
+            assert_eq!((response.lease, response.replicated_state), (None, None), "{name}, request {seq}");
         }
     }
-    assert_eq!(keeper.status().last, full_at, "no entry was written for them");
-    assert_eq!(keeper.members(), MEMBERS_MOST);
+    assert_eq!(replica.status().last, full_at, "no entry was written for them");
+    assert_eq!(replica.members(), MAX_MEMBERS);
 
     // Once there is room the first that asks joins, and has a lease at its next request.
-    assert_eq!(keeper.operator_asks(Wish::Forget(host(1))), Some(Reply::Agreed(0)));
-    let leases = |keeper: &mut OneKeeper, name| [21, 22].map(|seq| keeper.host_asks(name, seq, 0).lease);
-    assert_eq!(leases(&mut keeper, &beyond[0]), [None, Some(LEASE.0)]);
-    assert_eq!(leases(&mut keeper, &beyond[1]), [None, None]);
-    assert_eq!(keeper.status().last, full_at + 2, "one was forgotten, one joined");
+    assert_eq!(replica.operator_asks(OperatorRequest::Forget(host(1))), Some(OperatorReply::Committed(0)));
+    let leases = |replica: &mut OneKeeper, name| [21, 22].map(|seq| replica.host_asks(name, seq, 0).lease);
+    assert_eq!(leases(&mut replica, &beyond[0]), [None, Some(LEASE.0)]);
+    assert_eq!(leases(&mut replica, &beyond[1]), [None, None]);
+    assert_eq!(replica.status().last, full_at + 2, "one was forgotten, one joined");
 }
 
 /// A snapshot does not tell which entry changed the versions last: a leader that starts from one tells a member the
 /// state once more, and the index that the member is told never goes back. No change is kept from it.
 #[test]
 fn indices_of_the_state_stay_monotonic_over_a_restart_from_a_snapshot() {
-    let mut keeper = OneKeeper::leading();
-    let state = |keeper: &mut OneKeeper, seq, index| keeper.host_asks("host", seq, index).book;
-    let (first, _) = state(&mut keeper, 1, 0).expect("it has none");
+    let mut replica = OneKeeper::leading();
+    let state = |replica: &mut OneKeeper, seq, index| replica.host_asks("host", seq, index).replicated_state;
+    let (first, _) = state(&mut replica, 1, 0).expect("it has none");
     for number in 0..100 {
-        keeper.host_asks(&format!("host-{number:04}"), 1, 0);
-        let stale = keeper.operator_asks(Wish::Propose(0, Version::default()));
-        assert!(matches!(stale, Some(Reply::Refused(_))), "{stale:?}");
+        replica.host_asks(&format!("host-{number:04}"), 1, 0);
+        let stale = replica.operator_asks(OperatorRequest::Propose(0, Version::default()));
+        assert!(matches!(stale, Some(OperatorReply::Refused(_))), "{stale:?}");
     }
-    assert_eq!(state(&mut keeper, 2, first), None, "nothing that it acts on has changed");
+    assert_eq!(state(&mut replica, 2, first), None, "nothing that it acts on has changed");
 
-    keeper.restart();
-    let (from_snapshot, _) = state(&mut keeper, 3, first).expect("it may have an older one");
+    replica.restart();
+    let (from_snapshot, _) = state(&mut replica, 3, first).expect("it may have an older one");
     assert!(from_snapshot > first, "the snapshot took the place of entries: {from_snapshot}, {first}");
-    assert_eq!(state(&mut keeper, 4, from_snapshot), None);
+    assert_eq!(state(&mut replica, 4, from_snapshot), None);
     // A member may know a higher index, of a leader that started from a later snapshot.
-    let newest = keeper.status().committed;
-    assert_eq!(state(&mut keeper, 5, newest), None);
+    let newest = replica.status().committed;
+    assert_eq!(state(&mut replica, 5, newest), None);
 
     // A new leader takes no proposals until leases of the one before have ended.
-    let leases_end = keeper.now.after(Micros(2 * LEASE.0));
-    while keeper.now < leases_end {
-        keeper.turn();
+    let leases_end = replica.now.after(Micros(2 * LEASE.0));
+    while replica.now < leases_end {
+        replica.turn();
     }
-    let proposed = keeper.operator_asks(Wish::Propose(1, Version::default()));
-    assert_eq!(proposed, Some(Reply::Agreed(2)));
+    let proposed = replica.operator_asks(OperatorRequest::Propose(1, Version::default()));
+    assert_eq!(proposed, Some(OperatorReply::Committed(2)));
     for (seq, index) in [(6, first), (7, from_snapshot), (8, newest)] {
-        let (later, changed) = state(&mut keeper, seq, index).expect("the versions have changed");
+        let (later, changed) = state(&mut replica, seq, index).expect("the versions have changed");
         assert!(later > newest);
         assert_eq!(changed.last, 2, "version 2 was proposed");
     }
@@ -208,22 +216,22 @@
 /// it is sent the state with the newest entry's index, as soon as that is higher.
 #[test]
 fn a_member_with_a_copy_of_another_agreement_is_sent_the_state_once_the_log_is_longer() {
-    let mut keeper = OneKeeper::leading();
-    let of_other_agreement = keeper.status().committed + 50;
+    let mut replica = OneKeeper::leading();
+    let of_other_agreement = replica.status().committed + 50;
     let another = (7, 7);
     let mut seq = 0;
     let sent = loop {
         seq += 1;
-        let newest = keeper.status().committed;
-        let response = keeper.host_asks_with("host", seq, of_other_agreement, another);
-        match response.book {
+        let newest = replica.status().committed;
+        let response = replica.host_asks_with("host", seq, of_other_agreement, another);
+        match response.replicated_state {
             Some(state) => break state,
             None => assert!(newest <= of_other_agreement, "entry {newest} is newer"),
         }
-        keeper.host_asks(&format!("host-{seq:04}"), 1, 0);
+        replica.host_asks(&format!("host-{seq:04}"), 1, 0);
     };
     assert_eq!(sent.0, of_other_agreement + 1);
-    assert_eq!(keeper.host_asks("host", seq + 1, sent.0).book, None, "it has the state now");
+    assert_eq!(replica.host_asks("host", seq + 1, sent.0).replicated_state, None, "it has the state now");
 }
 
 /// Versions and names that often repeat, so that many changes are refused.
@@ -246,11 +254,11 @@
     fn each_change_of_versions_begins_a_stage_and_each_of_the_list_changes_its_length(
         changes in proptest::collection::vec(some_change(), 1..60),
     ) {
-        let mut state = Book::default();
+        let mut state = ReplicatedState::default();
         for change in changes {
             let before = state.clone();
             let outcome = state.apply(change.clone());
-            let without_members = |state: &Book| Book { members: Default::default(), ..state.clone() };
+            let without_members = |state: &ReplicatedState| ReplicatedState { members: Default::default(), ..state.clone() };
             let versions_changed = without_members(&before) != without_members(&state);
             let members_changed = before.members != state.members;
             prop_assert_eq!(versions_changed, state.stage > before.stage, "{:?}", &change);
--- a/crates/flaxstand-consensus/tests/agreement/rig.rs
+++ b/crates/flaxstand-consensus/tests/participants/rig.rs
@@ -1,11 +1,13 @@
 //! Initiators that agree, on virtual time: clocks of different rates, links that lose and cut, processes that stop
 //! and die, disks that lose what was not synced. What each acts on is compared from outside, at every moment.
 
-use flaxstand_consensus::agreement::{Agreement, Config, Found, Reply, To, Wish, Word};
-use flaxstand_consensus::book::Version;
-use flaxstand_consensus::member::Acting;
+use flaxstand_consensus::member::ActiveRules;
+use flaxstand_consensus::participant::{
+    Config, Destination, OperatorReply, OperatorRequest, Participant, PeerMessage, StoredReplica,
+};
+use flaxstand_consensus::replicated_state::Version;
 use flaxstand_consensus::rules::{Rules, Value};
-use flaxstand_consensus::{Micros, Planted, Recovered, recover};
+use flaxstand_consensus::{InjectedFault, Micros, Recovered, recover};
 use flaxstand_storage::faulty::Faulty;
 use flaxstand_storage::{Batch, Storage as _, perform};
 use rand_core::{RngCore, SeedableRng};
@@ -23,18 +25,18 @@
 }
 
 struct Host {
-    agreement: Option<Agreement>,
-    keeper: bool,
+    agreement: Option<Participant>,
+    replica: bool,
     disk: Faulty,
     /// The file of what was agreed on.
-    book: Option<Vec<u8>>,
+    replicated_state: Option<Vec<u8>>,
     storing: Option<(Micros, Batch)>,
     stopped_until: Micros,
     /// Its clock: this much at 0, and so fast.
     clock: (u64, f64),
     starts: u64,
     /// What it acted on when it last looked: a stopped process sends nothing.
-    acting: Acting,
+    active_rules: ActiveRules,
     /// The newest stage that it knew: also over a restart it never goes back.
     stage: u64,
 }
@@ -53,8 +55,8 @@
     pub now: Micros,
     hosts: Vec<Host>,
     pub rng: Pcg64Mcg,
-    planted: Planted,
-    words: BTreeMap<(Micros, u64), (usize, usize, bool, Word)>,
+    injected_fault: InjectedFault,
+    outgoing: BTreeMap<(Micros, u64), (usize, usize, bool, PeerMessage)>,
     next_word: u64,
     pub cut: BTreeSet<(usize, usize)>,
     pub lossy: u64,
@@ -64,7 +66,7 @@
     pub longest_clash: (Micros, String),
     pub broken: Vec<String>,
     pub passages: u64,
-    pub replies: Vec<Reply>,
+    pub replies: Vec<OperatorReply>,
     /// Words that any one host was sent in any second, most.
     pub most_words: u64,
     heard: BTreeMap<(usize, u64), u64>,
@@ -74,40 +76,40 @@
     let mut r = Rules::default();
     let mut put = |key: &str, value| drop(r.values.insert(key.to_owned(), value));
     put("class.read", Value::Number(0.0));
-    put("class.read.effect", Value::Word(effect.into()));
+    put("class.read.effect", Value::Text(effect.into()));
     put("plan.gold", Value::Number(0.0));
     put("plan.gold.limit-rate", Value::Number(limit));
     put("plan.gold.limit-burst", Value::Number(limit));
-    r.floor.insert("plan.gold.limit-rate".into(), Value::Number(1.0));
-    r.floor.insert("plan.gold.limit-burst".into(), Value::Number(1.0));
+    r.fallback.insert("plan.gold.limit-rate".into(), Value::Number(1.0));
+    r.fallback.insert("plan.gold.limit-burst".into(), Value::Number(1.0));
     r
 }
 
 /// Versions that allow what one acts on; none: the floor, which all allow.
-fn allowed(acting: Acting) -> Option<Vec<u64>> {
-    match acting {
-        Acting::Floor => None,
-        Acting::Alone(v) => Some(vec![v]),
-        Acting::Between(v, w) => Some(vec![v, w]),
+fn allowed(active_rules: ActiveRules) -> Option<Vec<u64>> {
+    match active_rules {
+        ActiveRules::Fallback => None,
+        ActiveRules::Version(v) => Some(vec![v]),
+        ActiveRules::Transition(v, w) => Some(vec![v, w]),
     }
 }
 
 impl World {
-    pub fn new(keepers: usize, count: usize, seed: u64, planted: Planted) -> World {
+    pub fn new(voters: usize, count: usize, seed: u64, injected_fault: InjectedFault) -> World {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let hosts = (0..count)
             .map(|i| {
                 let fast = 1.0 + ERROR * ((rng.next_u64() % 2001) as f64 / 1000.0 - 1.0) / 2.0;
                 Host {
                     agreement: None,
-                    keeper: i < keepers,
+                    replica: i < voters,
                     disk: Faulty::new(seed ^ (i as u64) << 32),
-                    book: None,
+                    replicated_state: None,
                     storing: None,
                     stopped_until: Micros(0),
                     clock: (rng.next_u64() % 1_000_000_000, fast),
                     starts: 0,
-                    acting: Acting::Floor,
+                    active_rules: ActiveRules::Fallback,
                     stage: 0,
                 }
             })
@@ -116,8 +118,8 @@
             now: ms(1),
             hosts,
             rng,
-            planted,
-            words: BTreeMap::new(),
+            injected_fault,
+            outgoing: BTreeMap::new(),
             next_word: 0,
             cut: BTreeSet::new(),
             lossy: 0,
@@ -156,35 +158,35 @@
 
     pub fn start(&mut self, i: usize) {
         let names = |range: std::ops::Range<usize>| range.map(Self::name).collect::<Vec<_>>();
-        let keepers = self.hosts.iter().filter(|h| h.keeper).count();
-        let (seed, count, planted) = (self.rng.next_u64(), self.count(), self.planted);
+        let voters = self.hosts.iter().filter(|h| h.replica).count();
+        let (seed, count, injected_fault) = (self.rng.next_u64(), self.count(), self.injected_fault);
         let host = &mut self.hosts[i];
         host.starts += 1;
         let config = Config {
             name: Self::name(i),
-            incarnation: host.starts,
-            keepers: names(0..keepers),
+            epoch: host.starts,
+            voters: names(0..voters),
             // A few, not all.
-            neighbours: names(keepers..count).into_iter().take(3).collect(),
+            neighbours: names(voters..count).into_iter().take(3).collect(),
             lease: ms(LEASE_MS),
             clock_error: ERROR,
             election: ms(150),
             seed,
             started_with: rules(100.0, "repeatable"),
-            planted,
+            injected_fault,
         };
-        let found = host.keeper.then(|| Found {
+        let found = host.replica.then(|| StoredReplica {
             state: match recover(&mut host.disk).expect("in memory") {
                 Recovered::State(state) => Some(*state),
                 Recovered::Nothing | Recovered::Damaged(_) => None,
             },
             segments: host.disk.segments().expect("in memory"),
         });
-        let saved = host.book.as_ref().and_then(|b| Agreement::read_saved(b).ok());
+        let saved = host.replicated_state.as_ref().and_then(|b| Participant::read_saved(b).ok());
         let now = host.now(self.now);
         host.storing = None;
-        host.agreement = Some(Agreement::new(config, found, saved, 0, now));
-        host.acting = Acting::Floor;
+        host.agreement = Some(Participant::new(config, found, saved, 0, now));
+        host.active_rules = ActiveRules::Fallback;
     }
 
     pub fn kill(&mut self, i: usize, power: bool) {
@@ -194,7 +196,7 @@
         } else {
             host.disk.lose_process()
         }
-        (host.agreement, host.storing, host.acting) = (None, None, Acting::Floor);
+        (host.agreement, host.storing, host.active_rules) = (None, None, ActiveRules::Fallback);
     }
 
     pub fn pause(&mut self, i: usize, wait: Micros) {
@@ -206,13 +208,13 @@
     }
 
     /// An operator's word to every host that is up.
-    pub fn wish(&mut self, wish: &Wish) {
+    pub fn operator_request(&mut self, operator_request: &OperatorRequest) {
         for i in 0..self.count() {
             let now = self.hosts[i].now(self.now);
             if self.hosts[i].stopped_until <= self.now
                 && let Some(agreement) = &mut self.hosts[i].agreement
             {
-                agreement.heard(OPERATOR, None, Word::Wish(wish.clone()), now);
+                agreement.heard(OPERATOR, None, PeerMessage::OperatorRequest(operator_request.clone()), now);
             }
         }
     }
@@ -222,28 +224,28 @@
         let effect = ["once", "repeatable"][self.below(2) as usize];
         let base = self.newest();
         let version = Version { rules: rules(limit, effect), by: "a test".into(), ..Version::default() };
-        self.wish(&Wish::Propose(base, version));
+        self.operator_request(&OperatorRequest::Propose(base, version));
     }
 
     /// The newest version in force that any host knows of.
     pub fn newest(&self) -> u64 {
-        let books = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.book());
-        books.map(|(_, b)| b.acting.number).max().unwrap_or(0)
+        let books = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.replicated_state());
+        books.map(|(_, b)| b.in_force.number).max().unwrap_or(0)
     }
 
     /// How many have a lease and act on the newest version alone.
     pub fn on_newest(&self) -> usize {
         let newest = self.newest();
-        self.hosts.iter().filter(|h| newest > 0 && h.acting == Acting::Alone(newest)).count()
+        self.hosts.iter().filter(|h| newest > 0 && h.active_rules == ActiveRules::Version(newest)).count()
     }
 
-    fn post(&mut self, from: usize, to: usize, back: bool, word: Word) {
+    fn post(&mut self, from: usize, to: usize, back: bool, word: PeerMessage) {
         if self.cut.contains(&(from, to)) || self.below(1000) < self.lossy {
             return;
         }
         let wait = 200 + self.below(self.slowest * 1000);
         self.next_word += 1;
-        self.words.insert((self.now.after(Micros(wait)), self.next_word), (from, to, back, word));
+        self.outgoing.insert((self.now.after(Micros(wait)), self.next_word), (from, to, back, word));
     }
 
     fn turn(&mut self, i: usize) {
@@ -261,31 +263,31 @@
         if agreement.wake(now) <= now {
             agreement.tick(now);
         }
-        let passed = agreement.passage(now).is_some();
-        host.acting = agreement.acting(now);
+        let passed = agreement.take_rules_change(now).is_some();
+        host.active_rules = agreement.active_rules(now);
         if host.storing.is_none()
             && let Some(batch) = agreement.batch(now)
         {
             host.storing = Some((at.after(Micros(100 + self.rng.next_u64() % 2000)), batch));
         }
-        if let Some(book) = agreement.take_unsaved() {
-            host.book = Some(book);
+        if let Some(replicated_state) = agreement.take_unsaved() {
+            host.replicated_state = Some(replicated_state);
         }
-        let stage = agreement.book().map_or(0, |(_, b)| b.stage);
+        let stage = agreement.replicated_state().map_or(0, |(_, b)| b.stage);
         if stage < host.stage {
             self.broken.push(format!("i{i} went back from stage {} to {stage}", host.stage));
         }
         host.stage = stage;
         self.passages += u64::from(passed);
-        for (to, word) in agreement.take_words() {
+        for (to, word) in agreement.take_outgoing() {
             match to {
-                To::Peer(name) => self.post(i, Self::index(&name), false, word),
-                To::Back(OPERATOR) => {
-                    if let Word::Reply(reply) = word {
+                Destination::Peer(name) => self.post(i, Self::index(&name), false, word),
+                Destination::Connection(OPERATOR) => {
+                    if let PeerMessage::OperatorReply(reply) = word {
                         self.replies.push(reply);
                     }
                 }
-                To::Back(conn) => self.post(i, conn as usize - 1, true, word),
+                Destination::Connection(conn) => self.post(i, conn as usize - 1, true, word),
             }
         }
     }
@@ -298,7 +300,7 @@
             .iter()
             .enumerate()
             .filter(|(_, h)| active(h))
-            .filter_map(|(i, h)| Some((i, allowed(h.acting)?)))
+            .filter_map(|(i, h)| Some((i, allowed(h.active_rules)?)))
             .collect();
         let mut clash = BTreeSet::new();
         let groups: BTreeMap<Vec<u64>, usize> = all.iter().map(|(i, v)| (v.clone(), *i)).collect();
@@ -315,7 +317,7 @@
             let since = *self.clashes.entry(pair).or_insert(self.now);
             let long = self.now.since(since).max(Micros(1));
             if long > self.longest_clash.0 {
-                let (a, b) = (self.hosts[pair.0].acting, self.hosts[pair.1].acting);
+                let (a, b) = (self.hosts[pair.0].active_rules, self.hosts[pair.1].active_rules);
                 self.longest_clash = (long, format!("i{} on {a:?} and i{} on {b:?}", pair.0, pair.1));
             }
         }
@@ -330,17 +332,17 @@
                 let next = h.storing.as_ref().map_or(wake, |(done, _)| (*done).min(wake));
                 Some(next.max(h.stopped_until))
             });
-            let comes = self.words.first_key_value().map(|((at, _), _)| *at);
+            let comes = self.outgoing.first_key_value().map(|((at, _), _)| *at);
             let Some(next) = wakes.chain(comes).min().filter(|next| *next <= end) else { break };
             self.now = next.max(Micros(self.now.0 + 1));
-            while let Some(entry) = self.words.first_entry().filter(|e| e.key().0 <= self.now) {
+            while let Some(entry) = self.outgoing.first_entry().filter(|e| e.key().0 <= self.now) {
                 let (from, to, back, word) = entry.remove();
                 let host = &mut self.hosts[to];
                 if host.stopped_until > self.now {
                     // It lies in the socket until the process goes on.
                     self.next_word += 1;
                     let then = Micros(host.stopped_until.0 + 1);
-                    self.words.insert((then, self.next_word), (from, to, back, word));
+                    self.outgoing.insert((then, self.next_word), (from, to, back, word));
                     continue;
                 }
                 let now = host.now(self.now);
