--- a/crates/flaxstand-consensus/tests/recorded/stored.rs
+++ b/crates/flaxstand-consensus/tests/recorded/stored.rs
@@ -1,14 +1,14 @@
 //! A keeper's folder (snapshot, log, identity) and a member's saved state: read back, and taken further.
 
-use crate::messages::{book, id, life};
-use flaxstand_consensus::agreement::{Agreement, Config as AgreementConfig, Found};
-use flaxstand_consensus::book::{Book, Change};
+use crate::messages::{id, incarnation, replicated_state};
 use flaxstand_consensus::journal::Record;
 use flaxstand_consensus::member::Member;
-use flaxstand_consensus::replica::Seen;
+use flaxstand_consensus::participant::{Config as ParticipantConfig, Participant, StoredReplica};
+use flaxstand_consensus::replica_id::LastSeen;
+use flaxstand_consensus::replicated_state::{Change, ReplicatedState};
 use flaxstand_consensus::{
-    Agreed, Body, Config, Entry, Journal, Keeper, Life, Log, Message, Micros, Planted, Recovered, Snapshot,
-    State, What, recover,
+    Committed, Config, Entry, EntryPayload, Incarnation, InjectedFault, Journal, Log, Message, MessageBody,
+    Micros, Recovered, Replica, Snapshot, State, recover,
 };
 use flaxstand_fixture::{Fixtures, values_of};
 use flaxstand_storage::faulty::Faulty;
@@ -32,16 +32,16 @@
     let electorate = vec![id("k0", 11), id("k1", 12), id("k2", 13)];
     State {
         me: id("k0", 11),
-        life: life(4),
+        incarnation: incarnation(4),
         cluster: 99,
         term: 6,
         voted: Some(id("k1", 12)),
         log: Log {
-            snapshot: Snapshot { index: 20, term: 5, electorate, state: book().bytes() },
-            entries: vec![Entry { term: 6, what: What::Begin }],
+            snapshot: Snapshot { index: 20, term: 5, electorate, state: replicated_state().bytes() },
+            entries: vec![Entry { term: 6, what: EntryPayload::Begin }],
         },
         written: 30,
-        seen: BTreeMap::from([(id("k1", 12), Seen { life: life(2), written: 8 })]),
+        seen: BTreeMap::from([(id("k1", 12), LastSeen { incarnation: incarnation(2), written: 8 })]),
     }
 }
 
@@ -50,10 +50,13 @@
     let entry = |what| Entry { term: 7, what };
     vec![
         Record::Term(7, None),
-        Record::Entries(22, vec![entry(What::Begin), entry(What::Change(Change::Join("i3".into()).bytes()))]),
-        Record::Seen(id("k2", 13), Seen { life: life(9), written: 40 }),
+        Record::Entries(
+            22,
+            vec![entry(EntryPayload::Begin), entry(EntryPayload::Change(Change::Join("i3".into()).bytes()))],
+        ),
+        Record::LastSeen(id("k2", 13), LastSeen { incarnation: incarnation(9), written: 40 }),
         Record::Term(7, Some(id("k0", 11))),
-        Record::Entries(23, vec![entry(What::Change(Change::Join("i4".into()).bytes()))]),
+        Record::Entries(23, vec![entry(EntryPayload::Change(Change::Join("i4".into()).bytes()))]),
     ]
 }
 
@@ -97,7 +100,7 @@
     assert_eq!((state.me.clone(), state.cluster, state.term), (id("k0", 11), 99, 7));
     assert_eq!((state.voted.clone(), state.written), (Some(id("k0", 11)), 34));
     assert_eq!((state.log.snapshot.index, state.log.last()), (20, 23));
-    assert_eq!(Book::read(&state.log.snapshot.state), Ok(book()));
+    assert_eq!(ReplicatedState::read(&state.log.snapshot.state), Ok(replicated_state()));
     assert_eq!(state.seen.len(), 2);
 }
 
@@ -111,120 +114,126 @@
     assert!(matches!(recover(&mut disk), Ok(Recovered::Damaged(_))));
 }
 
-fn started() -> Keeper {
+fn started() -> Replica {
     let config = Config {
         name: "k0".into(),
         names: vec!["k0".into(), "k1".into(), "k2".into()],
         election: ms(150),
         heartbeat: ms(30),
         seed: 5,
-        begins_with: Book::default().bytes(),
-        planted: Planted::None,
+        initial_state: ReplicatedState::default().bytes(),
+        injected_fault: InjectedFault::None,
     };
-    Keeper::start(config, Some(recovered()), vec![SEGMENT], ms(1))
+    Replica::start(config, Some(recovered()), vec![SEGMENT], ms(1))
 }
 
-fn said(name: &str, incarnation: u64, term: u64, body: Body) -> Message {
+fn said(name: &str, instance: u64, term: u64, body: MessageBody) -> Message {
     Message {
         cluster: 99,
-        from: id(name, incarnation),
+        from: id(name, instance),
         // It began with more than the folder heard of it.
-        life: Life { count: 50, nonce: 78, began: 90 },
+        incarnation: Incarnation { count: 50, nonce: 78, promises_at_start: 90 },
         written: 100,
         to: "k0".into(),
-        incarnation: Some(11),
+        instance: Some(11),
         term,
         body,
     }
 }
 
 /// Time passes, and the disk does what it is told at once. What the keeper says.
-fn settle(keeper: &mut Keeper, now: Micros) -> Vec<Message> {
-    keeper.tick(now);
-    while keeper.batch(now).is_some() {
-        keeper.stored(true, now);
+fn settle(replica: &mut Replica, now: Micros) -> Vec<Message> {
+    replica.tick(now);
+    while replica.batch(now).is_some() {
+        replica.stored(true, now);
     }
-    keeper.take_messages()
+    replica.take_messages()
 }
 
 /// Guards against a vote given twice in a term, or given before it is known that no later life promised anything.
 #[test]
 fn a_keeper_goes_on_from_a_recorded_folder_and_votes() {
-    let mut keeper = started();
-    assert!(matches!(&keeper.take_agreed()[..], [Agreed::State(20, _)]));
-    assert_eq!(keeper.state().life.count, 5, "one start more");
-    let asked = settle(&mut keeper, ms(40));
-    assert!(asked.iter().any(|m| m.body == Body::AskLife), "{asked:?}");
+    let mut replica = started();
+    assert!(matches!(&replica.take_agreed()[..], [Committed::State(20, _)]));
+    assert_eq!(replica.state().incarnation.count, 5, "one start more");
+    let asked = settle(&mut replica, ms(40));
+    assert!(asked.iter().any(|m| m.body == MessageBody::AskLife), "{asked:?}");
     let newest = (8, 30);
-    let vote_of = |keeper: &mut Keeper, from: (&str, u64), at: u64| {
-        keeper.receive(said(from.0, from.1, 9, Body::Vote(newest)), ms(at));
-        let told = settle(keeper, ms(at));
-        told.into_iter().find_map(|m| if let Body::Voted(granted) = m.body { Some(granted) } else { None })
+    let vote_of = |replica: &mut Replica, from: (&str, u64), at: u64| {
+        replica.receive(said(from.0, from.1, 9, MessageBody::Vote(newest)), ms(at));
+        let told = settle(replica, ms(at));
+        told.into_iter()
+            .find_map(|m| if let MessageBody::Voted(granted) = m.body { Some(granted) } else { None })
     };
-    assert_ne!(vote_of(&mut keeper, ("k1", 12), 1000), Some(true), "it is not sure of itself yet");
-    let own = keeper.state().life;
-    keeper.receive(said("k1", 12, 7, Body::LifeSeen(own)), ms(1001));
-    keeper.receive(said("k2", 13, 7, Body::LifeSeen(own)), ms(1002));
-    settle(&mut keeper, ms(1003));
-    assert_eq!(vote_of(&mut keeper, ("k1", 12), 2000), Some(true));
-    assert_ne!(vote_of(&mut keeper, ("k2", 13), 2001), Some(true), "one vote a term");
+    assert_ne!(vote_of(&mut replica, ("k1", 12), 1000), Some(true), "it is not sure of itself yet");
+    let own = replica.state().incarnation;
+    replica.receive(said("k1", 12, 7, MessageBody::LifeSeen(own)), ms(1001));
+    replica.receive(said("k2", 13, 7, MessageBody::LifeSeen(own)), ms(1002));
+    settle(&mut replica, ms(1003));
+    assert_eq!(vote_of(&mut replica, ("k1", 12), 2000), Some(true));
+    assert_ne!(vote_of(&mut replica, ("k2", 13), 2001), Some(true), "one vote a term");
 }
 
 #[test]
 fn entries_of_a_recorded_folder_are_agreed_on_once_a_leader_says_so() {
-    let mut keeper = started();
-    keeper.take_agreed();
-    settle(&mut keeper, ms(40));
-    let append = Body::Append { prev: (23, 7), entries: Vec::new(), commit: 23, stamp: 1 };
-    keeper.receive(said("k1", 12, 8, append), ms(50));
-    settle(&mut keeper, ms(50));
-    let agreed = keeper.take_agreed();
+    let mut replica = started();
+    replica.take_agreed();
+    settle(&mut replica, ms(40));
+    let append = MessageBody::Append { prev: (23, 7), entries: Vec::new(), commit: 23, stamp: 1 };
+    replica.receive(said("k1", 12, 8, append), ms(50));
+    settle(&mut replica, ms(50));
+    let agreed = replica.take_agreed();
     let joined = Change::Join("i4".into()).bytes();
-    assert!(matches!(&agreed[..], [Agreed::Change(23, change)] if *change == joined), "{agreed:?}");
+    assert!(matches!(&agreed[..], [Committed::Change(23, change)] if *change == joined), "{agreed:?}");
 }
 
 fn member() -> Member {
-    let saved = Agreement::read_saved(&fixtures().read("member.saved")).expect("a saved state");
-    assert_eq!(saved, (17, book()));
-    Member::new("i1".into(), 3, Some(saved), ms(600), Planted::None, ms(1))
+    let saved = Participant::read_saved(&fixtures().read("member.saved")).expect("a saved state");
+    assert_eq!(saved, (17, replicated_state()));
+    Member::new("i1".into(), 3, Some(saved), ms(600), InjectedFault::None, ms(1))
 }
 
 /// Guards against a member that forgets which stage it acted on before a restart.
 #[test]
 fn a_member_goes_on_from_its_recorded_state() {
-    let made = postcard::to_stdvec(&(17_u64, book())).expect("plain values");
+    let made = postcard::to_stdvec(&(17_u64, replicated_state())).expect("plain values");
     fixtures().assert_bytes("member.saved", &made);
     let mut member = member();
     let request = member.lease_request(ms(2)).expect("it asks at once");
-    assert_eq!((request.index, request.stage, request.digest), (17, book().stage, book().digest()));
-    let values = |member: &Member| values_of(&format!("{:?}", member.rules(&book().acting.rules, ms(3))));
+    assert_eq!(
+        (request.index, request.stage, request.digest),
+        (17, replicated_state().stage, replicated_state().digest())
+    );
+    let values = |member: &Member| {
+        values_of(&format!("{:?}", member.rules(&replicated_state().in_force.rules, ms(3))))
+    };
     fixtures().assert_text("member-rules.txt", &values(&member));
 }
 
 /// Guards against another word for what a keeper is, in `settings status` and its JSON.
 #[test]
 fn an_initiator_tells_what_it_is_and_acts_on_in_the_recorded_words() {
-    let config = |planted| AgreementConfig {
+    let config = |injected_fault| ParticipantConfig {
         name: "k0".into(),
-        incarnation: 3,
-        keepers: vec!["k0".into(), "k1".into(), "k2".into()],
+        epoch: 3,
+        voters: vec!["k0".into(), "k1".into(), "k2".into()],
         neighbours: Vec::new(),
         lease: ms(600),
         clock_error: 0.01,
         election: ms(150),
         seed: 5,
-        started_with: book().acting.rules,
-        planted,
+        started_with: replicated_state().in_force.rules,
+        injected_fault,
     };
-    let found = |state| Some(Found { state, segments: vec![SEGMENT] });
-    let saved = Agreement::read_saved(&fixtures().read("member.saved")).ok();
+    let found = |state| Some(StoredReplica { state, segments: vec![SEGMENT] });
+    let saved = Participant::read_saved(&fixtures().read("member.saved")).ok();
     let mut told = String::new();
     for (name, found, saved) in [
         ("no keeper", None, None),
         ("new", found(None), None),
         ("started again", found(Some(recovered())), saved),
     ] {
-        let agreement = Agreement::new(config(Planted::None), found, saved, 0, ms(1));
+        let agreement = Participant::new(config(InjectedFault::None), found, saved, 0, ms(1));
         let json = serde_json::to_string_pretty(&agreement.report(ms(2))).expect("plain values");
         told += &format!("{name}: {json}\n");
     }
--- a/crates/flaxstand-consensus/tests/keepers/main.rs
+++ b/crates/flaxstand-consensus/tests/replicas/main.rs
@@ -3,14 +3,15 @@
 mod rig;
 
 use flaxstand_consensus::{
-    Body, Config, Entry, Keeper, Life, Message, Planted, ReplicaId, Snapshot, Standing, State, What,
+    Config, Entry, EntryPayload, Incarnation, InjectedFault, Message, MessageBody, Replica, ReplicaId,
+    ReplicaRole, Snapshot, State,
 };
 use rig::{World, ms};
 
 /// One drawn schedule. What was broken, or that the keepers did not come back, in words.
-fn drawn(seed: u64, planted: Planted) -> Result<u64, String> {
+fn drawn(seed: u64, injected_fault: InjectedFault) -> Result<u64, String> {
     let count = if seed % 3 == 2 { 5 } else { 3 };
-    let mut w = World::new(count, seed, planted);
+    let mut w = World::new(count, seed, injected_fault);
     w.run(ms(400));
     let mut copies: Vec<(usize, flaxstand_storage::faulty::Faulty)> = Vec::new();
     for _ in 0..40 {
@@ -19,10 +20,10 @@
         match w.below(22) {
             0 => w.kill(a, true),
             1 => w.kill(a, false),
-            2 | 3 if w.nodes[a].keeper.is_none() => w.start(a),
+            2 | 3 if w.nodes[a].replica.is_none() => w.start(a),
             4 => (0..count).for_each(|i| w.kill(i, true)),
             5 => (0..count).rev().for_each(|i| {
-                if w.nodes[i].keeper.is_none() {
+                if w.nodes[i].replica.is_none() {
                     w.start(i);
                 }
             }),
@@ -62,7 +63,7 @@
     match w.broken.first() {
         Some(broken) => Err(format!("seed {seed}: {broken}")),
         None if !well => {
-            let all: Vec<_> = w.nodes.iter().flat_map(|n| &n.keeper).map(|k| k.status(w.now)).collect();
+            let all: Vec<_> = w.nodes.iter().flat_map(|n| &n.replica).map(|k| k.status(w.now)).collect();
             Err(format!("seed {seed}: the keepers did not come back: {all:#?}, lost {:?}", w.lost))
         }
         None => Ok(w.agreed.len() as u64),
@@ -80,7 +81,7 @@
 fn drawn_schedules_keep_one_log_and_come_back() {
     let mut agreed = 0;
     for seed in schedules() {
-        let played = std::panic::catch_unwind(|| drawn(seed, Planted::None));
+        let played = std::panic::catch_unwind(|| drawn(seed, InjectedFault::None));
         let played = played.unwrap_or_else(|_| Err(format!("seed {seed}: an assertion failed")));
         agreed += played.unwrap_or_else(|e| panic!("{e}"));
     }
@@ -90,7 +91,7 @@
 
 #[test]
 fn all_start_elect_and_agree() {
-    let mut w = World::new(3, 1, Planted::None);
+    let mut w = World::new(3, 1, InjectedFault::None);
     let leader = w.led();
     w.propose();
     w.run(ms(200));
@@ -100,14 +101,14 @@
 
 #[test]
 fn a_leader_that_is_cut_off_steps_down_and_its_change_is_not_agreed_on() {
-    let mut w = World::new(3, 2, Planted::None);
+    let mut w = World::new(3, 2, InjectedFault::None);
     let old = w.led();
     w.run(ms(200));
     w.isolate(old);
     w.propose();
     let before = w.agreed.len();
     w.run(ms(2000));
-    assert!(!w.nodes[old].keeper.as_ref().expect("it is up").leads(), "check-quorum");
+    assert!(!w.nodes[old].replica.as_ref().expect("it is up").leads(), "check-quorum");
     let new = w.leader().expect("the others elect one");
     assert_ne!(new, old);
     assert_eq!(w.agreed.len(), before);
@@ -119,51 +120,51 @@
 
 #[test]
 fn one_that_hears_the_leader_and_is_not_heard_does_not_unseat_it() {
-    let mut w = World::new(3, 3, Planted::None);
+    let mut w = World::new(3, 3, InjectedFault::None);
     let leader = w.led();
     w.run(ms(200));
-    let term = w.nodes[leader].keeper.as_ref().expect("up").state().term;
+    let term = w.nodes[leader].replica.as_ref().expect("up").state().term;
     let deaf = (leader + 1) % 3;
     // The leader's messages do not reach it; its own reach everyone.
     w.cut.insert((leader, deaf));
     w.run(ms(3000));
     assert_eq!(w.leader(), Some(leader));
-    assert_eq!(w.nodes[leader].keeper.as_ref().expect("up").state().term, term, "pre-vote");
+    assert_eq!(w.nodes[leader].replica.as_ref().expect("up").state().term, term, "pre-vote");
 }
 
 #[test]
 fn a_wiped_keeper_has_no_vote_until_it_is_taken_in_as_another() {
-    let mut w = World::new(3, 4, Planted::None);
+    let mut w = World::new(3, 4, InjectedFault::None);
     let leader = w.led();
     let wiped = (leader + 1) % 3;
-    let was = w.nodes[wiped].keeper.as_ref().expect("up").state().me.clone();
+    let was = w.nodes[wiped].replica.as_ref().expect("up").state().me.clone();
     w.wipe(wiped);
     w.start(wiped);
     let now = w.now;
-    let k = w.nodes[wiped].keeper.as_ref().expect("up");
-    assert_ne!(k.state().me.incarnation, was.incarnation);
-    assert_eq!(k.status(now).standing, Standing::New);
+    let k = w.nodes[wiped].replica.as_ref().expect("up");
+    assert_ne!(k.state().me.instance, was.instance);
+    assert_eq!(k.status(now).role, ReplicaRole::New);
     assert!(w.heal(), "{:?}", w.broken);
-    let electorate = w.nodes[leader].keeper.as_ref().expect("up").state().log.electorate().1.to_vec();
+    let electorate = w.nodes[leader].replica.as_ref().expect("up").state().log.electorate().1.to_vec();
     assert!(!electorate.contains(&was), "{electorate:?}");
 }
 
 #[test]
 fn a_founder_that_loses_its_disk_does_not_found_again() {
-    let mut w = World::new(3, 5, Planted::None);
+    let mut w = World::new(3, 5, InjectedFault::None);
     w.led();
     w.propose();
     w.run(ms(300));
-    let cluster = w.nodes[1].keeper.as_ref().expect("up").state().cluster;
+    let cluster = w.nodes[1].replica.as_ref().expect("up").state().cluster;
     w.wipe(0);
     w.start(0);
     assert!(w.heal(), "{:?}", w.broken);
-    assert_eq!(w.nodes[0].keeper.as_ref().expect("up").state().cluster, cluster);
+    assert_eq!(w.nodes[0].replica.as_ref().expect("up").state().cluster, cluster);
 }
 
 #[test]
 fn a_folder_put_back_from_an_old_copy_does_not_vote_as_it_was() {
-    let mut w = World::new(3, 6, Planted::None);
+    let mut w = World::new(3, 6, InjectedFault::None);
     let leader = w.led();
     let other = (leader + 1) % 3;
     let old = w.nodes[other].disk.clone();
@@ -172,13 +173,13 @@
     w.start(other);
     w.propose();
     w.run(ms(500));
-    let was = w.nodes[other].keeper.as_ref().expect("up").state().me.clone();
+    let was = w.nodes[other].replica.as_ref().expect("up").state().me.clone();
     w.put_back(other, old);
     w.start(other);
     let now = w.now;
-    assert_eq!(w.nodes[other].keeper.as_ref().expect("up").status(now).standing, Standing::Unsure);
+    assert_eq!(w.nodes[other].replica.as_ref().expect("up").status(now).role, ReplicaRole::Recovering);
     assert!(w.heal(), "{:?}", w.broken);
-    assert_ne!(w.nodes[other].keeper.as_ref().expect("up").state().me, was, "it came back as another");
+    assert_ne!(w.nodes[other].replica.as_ref().expect("up").state().me, was, "it came back as another");
 }
 
 /// A promise is known to whom it was made. Seen as: an entry agreed on by a leader and two followers, of whom one was
@@ -186,7 +187,7 @@
 #[test]
 fn an_old_copy_is_not_trusted_while_the_one_that_knows_better_is_silent() {
     for seed in 0..25 {
-        let mut w = World::new(5, 100 + seed, Planted::None);
+        let mut w = World::new(5, 100 + seed, InjectedFault::None);
         let leader = w.led();
         w.propose();
         w.run(ms(300));
@@ -208,8 +209,8 @@
         // Three that are sure of themselves go on, and bring it up to date.
         let led = w.leader().expect("three of five elect one");
         assert!(
-            w.nodes[led].keeper.as_ref().expect("up").committed()
-                >= w.nodes[knows].keeper.as_ref().expect("up").committed()
+            w.nodes[led].replica.as_ref().expect("up").committed()
+                >= w.nodes[knows].replica.as_ref().expect("up").committed()
         );
         assert!(w.heal(), "seed {seed}: {:?}", w.broken);
     }
@@ -217,7 +218,7 @@
 
 #[test]
 fn one_far_behind_gets_a_snapshot() {
-    let mut w = World::new(3, 7, Planted::None);
+    let mut w = World::new(3, 7, InjectedFault::None);
     let leader = w.led();
     let behind = (leader + 1) % 3;
     w.kill(behind, true);
@@ -225,7 +226,7 @@
         w.propose();
         w.run(ms(50));
     }
-    let log = &w.nodes[leader].keeper.as_ref().expect("up").state().log;
+    let log = &w.nodes[leader].replica.as_ref().expect("up").state().log;
     assert!(log.snapshot.index > 20, "compacted: {}", log.snapshot.index);
     w.start(behind);
     assert!(w.heal(), "{:?}", w.broken);
@@ -233,7 +234,7 @@
 
 #[test]
 fn a_leader_whose_disk_is_full_is_replaced() {
-    let mut w = World::new(3, 8, Planted::None);
+    let mut w = World::new(3, 8, InjectedFault::None);
     let leader = w.led();
     w.run(ms(200));
     w.disk_fails(leader, Some(0), None);
@@ -247,7 +248,7 @@
 fn a_damaged_record_that_was_told_is_noticed_and_a_torn_one_is_not_held_against_it() {
     use flaxstand_consensus::{Recovered, recover};
     use flaxstand_storage::Storage as _;
-    let mut w = World::new(3, 9, Planted::None);
+    let mut w = World::new(3, 9, InjectedFault::None);
     w.led();
     (0..5).for_each(|_| {
         w.propose();
@@ -270,33 +271,33 @@
 
 /// A keeper of five that comes to lead term 4 with an entry of term 2 that is not agreed on, and gets to hear that a
 /// majority holds that entry. Returns how far it takes the log for agreed on: before, and once they hold its own.
-fn leads_with_an_older_entry(planted: Planted) -> (u64, u64) {
-    let member = |i: u64| ReplicaId { name: format!("k{i}"), incarnation: 10 + i };
+fn leads_with_an_older_entry(injected_fault: InjectedFault) -> (u64, u64) {
+    let member = |i: u64| ReplicaId { name: format!("k{i}"), instance: 10 + i };
     let names: Vec<String> = (0..5).map(|i| member(i).name).collect();
-    let mut state = State::fresh(member(0), Life::default());
+    let mut state = State::fresh(member(0), Incarnation::default());
     (state.cluster, state.term) = (7, 3);
     let electorate = (0..5).map(member).collect();
     state.log.snapshot = Snapshot { index: 1, term: 1, electorate, state: vec![0; 8] };
-    state.log.entries.push(Entry { term: 2, what: What::Change(vec![1]) });
+    state.log.entries.push(Entry { term: 2, what: EntryPayload::Change(vec![1]) });
     let config = Config {
         name: "k0".into(),
         names,
         election: ms(150),
         heartbeat: ms(30),
         seed: 1,
-        begins_with: vec![0; 8],
-        planted,
+        initial_state: vec![0; 8],
+        injected_fault,
     };
-    let mut k = Keeper::start(config, Some(state), Vec::new(), ms(1));
-    let (life, me) = (k.state().life, k.state().me.clone());
-    let says = |k: &mut Keeper, from: u64, term: u64, body: Body| {
+    let mut k = Replica::start(config, Some(state), Vec::new(), ms(1));
+    let (incarnation, me) = (k.state().incarnation, k.state().me.clone());
+    let says = |k: &mut Replica, from: u64, term: u64, body: MessageBody| {
         let message = Message {
             cluster: 7,
             from: member(from),
-            life: Life { count: 1, nonce: from, began: 0 },
+            incarnation: Incarnation { count: 1, nonce: from, promises_at_start: 0 },
             written: 1,
             to: me.name.clone(),
-            incarnation: Some(me.incarnation),
+            instance: Some(me.instance),
             term,
             body,
         };
@@ -305,37 +306,41 @@
             k.stored(true, ms(400));
         }
     };
-    (1..5).for_each(|i| says(&mut k, i, 3, Body::LifeSeen(life)));
+    (1..5).for_each(|i| says(&mut k, i, 3, MessageBody::LifeSeen(incarnation)));
     k.tick(ms(400));
-    (1..3).for_each(|i| says(&mut k, i, 3, Body::PreVoted(4, true)));
-    (1..3).for_each(|i| says(&mut k, i, 4, Body::Voted(true)));
+    (1..3).for_each(|i| says(&mut k, i, 3, MessageBody::PreVoted(4, true)));
+    (1..3).for_each(|i| says(&mut k, i, 4, MessageBody::Voted(true)));
     assert!(k.leads() && k.state().log.last() == 3);
-    (1..3).for_each(|i| says(&mut k, i, 4, Body::Held(2, 0)));
+    (1..3).for_each(|i| says(&mut k, i, 4, MessageBody::Held(2, 0)));
     let before = k.committed();
-    (1..3).for_each(|i| says(&mut k, i, 4, Body::Held(3, 0)));
+    (1..3).for_each(|i| says(&mut k, i, 4, MessageBody::Held(3, 0)));
     (before, k.committed())
 }
 
 #[test]
 fn an_entry_of_an_earlier_term_is_agreed_on_only_behind_one_of_the_leaders_own() {
-    assert_eq!(leads_with_an_older_entry(Planted::None), (1, 3));
-    assert_eq!(leads_with_an_older_entry(Planted::EarlierTermCommitted), (2, 3), "the planted fault shows");
+    assert_eq!(leads_with_an_older_entry(InjectedFault::None), (1, 3));
+    assert_eq!(
+        leads_with_an_older_entry(InjectedFault::EarlierTermCommitted),
+        (2, 3),
+        "the planted fault shows"
+    );
 }
 
 /// Whether a leader that was cut off still takes itself for one.
-fn cut_off_and_leading(planted: Planted) -> bool {
-    let mut w = World::new(3, 2, planted);
+fn cut_off_and_leading(injected_fault: InjectedFault) -> bool {
+    let mut w = World::new(3, 2, injected_fault);
     let old = w.led();
     w.run(ms(200));
     w.isolate(old);
     w.run(ms(2000));
-    w.nodes[old].keeper.as_ref().expect("it is up").leads()
+    w.nodes[old].replica.as_ref().expect("it is up").leads()
 }
 
 #[test]
 fn a_leader_that_hears_no_majority_steps_down() {
-    assert!(!cut_off_and_leading(Planted::None));
-    assert!(cut_off_and_leading(Planted::LeaderStaysAlone), "the planted fault shows");
+    assert!(!cut_off_and_leading(InjectedFault::None));
+    assert!(cut_off_and_leading(InjectedFault::LeaderStaysAlone), "the planted fault shows");
 }
 
 /// Each is caught by some drawn schedule: something is told that must not be, or an assertion of the keepers' own
@@ -343,19 +348,20 @@
 #[test]
 fn planted_faults_are_caught() {
     let all = [
-        Planted::ToldBeforeDurable,
-        Planted::VoteNotWritten,
-        Planted::OldCopyVotes,
-        Planted::OlderLogElected,
-        Planted::GapTaken,
+        InjectedFault::ToldBeforeDurable,
+        InjectedFault::VoteNotWritten,
+        InjectedFault::OldCopyVotes,
+        InjectedFault::OlderLogElected,
+        InjectedFault::GapTaken,
     ];
-    for planted in all {
-        let caught = (0..12_000).find_map(|seed| match std::panic::catch_unwind(|| drawn(seed, planted)) {
-            Err(_) => Some(format!("seed {seed}: an assertion")),
-            Ok(Err(what)) if !what.contains("come back") => Some(what),
-            Ok(_) => None,
-        });
-        println!("{planted:?}: {}", caught.as_deref().unwrap_or("not caught"));
-        assert!(caught.is_some(), "{planted:?} was not caught");
+    for injected_fault in all {
+        let caught =
+            (0..12_000).find_map(|seed| match std::panic::catch_unwind(|| drawn(seed, injected_fault)) {
+                Err(_) => Some(format!("seed {seed}: an assertion")),
+                Ok(Err(what)) if !what.contains("come back") => Some(what),
+                Ok(_) => None,
+            });
+        println!("{injected_fault:?}: {}", caught.as_deref().unwrap_or("not caught"));
+        assert!(caught.is_some(), "{injected_fault:?} was not caught");
     }
 }
--- a/crates/flaxstand-consensus/tests/keepers/rig.rs
+++ b/crates/flaxstand-consensus/tests/replicas/rig.rs
@@ -2,7 +2,7 @@
 //! Everything they tell is checked from outside: who was voted for, who led, what was agreed on.
 
 use flaxstand_consensus::{
-    Agreed, Body, Config, Keeper, Message, Micros, Planted, Recovered, ReplicaId, recover,
+    Committed, Config, InjectedFault, Message, MessageBody, Micros, Recovered, Replica, ReplicaId, recover,
 };
 use flaxstand_storage::faulty::{Faults, Faulty};
 use flaxstand_storage::{Batch, Storage as _, perform};
@@ -15,7 +15,7 @@
 }
 
 pub struct Node {
-    pub keeper: Option<Keeper>,
+    pub replica: Option<Replica>,
     pub disk: Faulty,
     /// The batch that is under way, and when it is done.
     storing: Option<(Micros, Batch)>,
@@ -31,7 +31,7 @@
     pub now: Micros,
     pub nodes: Vec<Node>,
     pub rng: Pcg64Mcg,
-    planted: Planted,
+    injected_fault: InjectedFault,
     names: Vec<String>,
     /// On their way: when they come, an order among them, where from, the message.
     messages: BTreeMap<(Micros, u64), Message>,
@@ -64,11 +64,11 @@
 }
 
 impl World {
-    pub fn new(count: usize, seed: u64, planted: Planted) -> World {
+    pub fn new(count: usize, seed: u64, injected_fault: InjectedFault) -> World {
         let names: Vec<String> = (0..count).map(|i| format!("k{i}")).collect();
         let nodes = (0..count)
             .map(|i| Node {
-                keeper: None,
+                replica: None,
                 disk: Faulty::new(seed ^ (i as u64) << 40),
                 storing: None,
                 stopped_until: Micros(0),
@@ -81,7 +81,7 @@
             now: ms(1),
             nodes,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            planted,
+            injected_fault,
             names,
             messages: BTreeMap::new(),
             next_message: 0,
@@ -119,11 +119,11 @@
             election: ms(150),
             heartbeat: ms(30),
             seed,
-            begins_with: vec![0; 8],
-            planted: self.planted,
+            initial_state: vec![0; 8],
+            injected_fault: self.injected_fault,
         };
         node.storing = None;
-        node.keeper = Some(Keeper::start(config, found, segments, self.now));
+        node.replica = Some(Replica::start(config, found, segments, self.now));
     }
 
     /// The process dies; with `power`, so does the machine, and what was not synced is gone in part.
@@ -140,7 +140,7 @@
         } else {
             node.disk.lose_process()
         }
-        node.keeper = None;
+        node.replica = None;
     }
 
     pub fn wipe(&mut self, at: usize) {
@@ -157,7 +157,7 @@
     }
 
     fn forgets(&mut self, at: usize) {
-        self.lost.extend(self.nodes[at].keeper.as_ref().map(|k| k.state().me.clone()));
+        self.lost.extend(self.nodes[at].replica.as_ref().map(|k| k.state().me.clone()));
     }
 
     pub fn pause(&mut self, at: usize, wait: Micros) {
@@ -173,8 +173,8 @@
         self.proposed += 1;
         let change = self.proposed.to_le_bytes().to_vec();
         for node in self.nodes.iter_mut().filter(|n| n.stopped_until <= self.now) {
-            if let Some(keeper) = &mut node.keeper {
-                let _ = keeper.propose(change.clone(), self.now);
+            if let Some(replica) = &mut node.replica {
+                let _ = replica.propose(change.clone(), self.now);
             }
         }
     }
@@ -208,9 +208,8 @@
     /// What a message shows.
     fn look(&mut self, message: &Message) {
         match &message.body {
-            Body::Voted(true) => {
-                let to =
-                    ReplicaId { name: message.to.clone(), incarnation: message.incarnation.unwrap_or(0) };
+            MessageBody::Voted(true) => {
+                let to = ReplicaId { name: message.to.clone(), instance: message.instance.unwrap_or(0) };
                 let key = (message.from.clone(), message.term);
                 match self.votes.insert(key, to.clone()) {
                     Some(before) if before != to => {
@@ -219,7 +218,7 @@
                     _ => {}
                 }
             }
-            Body::Append { .. } | Body::Install(..) => {
+            MessageBody::Append { .. } | MessageBody::Install(..) => {
                 match self.leaders.insert(message.term, message.from.clone()) {
                     Some(before) if before != message.from => {
                         self.broken.push(format!("two leaders in term {}", message.term));
@@ -235,27 +234,27 @@
     fn turn(&mut self, at: usize) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        let Some(keeper) = &mut node.keeper else { return };
+        let Some(replica) = &mut node.replica else { return };
         if node.stopped_until > now {
             return;
         }
         if let Some((_, batch)) = node.storing.take_if(|(done, _)| *done <= now) {
             let well = perform(&mut node.disk, &batch).is_ok();
-            keeper.stored(well, now);
+            replica.stored(well, now);
         }
-        if keeper.wake() <= now {
-            keeper.tick(now);
+        if replica.wake() <= now {
+            replica.tick(now);
         }
         if node.storing.is_none()
-            && let Some(batch) = keeper.batch(now)
+            && let Some(batch) = replica.batch(now)
         {
             let takes = 100 + self.rng.next_u64() % 3000;
             node.storing = Some((now.after(Micros(takes)), batch));
         }
-        for told in keeper.take_agreed() {
+        for told in replica.take_agreed() {
             match told {
-                Agreed::State(index, state) => (node.upto, node.owner) = (index, state),
-                Agreed::Change(index, change) => {
+                Committed::State(index, state) => (node.upto, node.owner) = (index, state),
+                Committed::Change(index, change) => {
                     if index <= node.upto {
                         self.broken.push(format!("index {index} told again after {}", node.upto));
                     }
@@ -269,10 +268,10 @@
                 }
             }
         }
-        if keeper.compactable() > 8 {
-            keeper.compact(node.owner.clone());
+        if replica.compactable() > 8 {
+            replica.compact(node.owner.clone());
         }
-        let messages = keeper.take_messages();
+        let messages = replica.take_messages();
         messages.into_iter().for_each(|message| self.post(message));
     }
 
@@ -281,8 +280,9 @@
         let end = self.now.after(time);
         loop {
             let wakes = self.nodes.iter().filter_map(|n| {
-                let keeper = n.keeper.as_ref()?;
-                let stored = n.storing.as_ref().map_or(keeper.wake(), |(done, _)| (*done).min(keeper.wake()));
+                let replica = n.replica.as_ref()?;
+                let stored =
+                    n.storing.as_ref().map_or(replica.wake(), |(done, _)| (*done).min(replica.wake()));
                 Some(stored.max(n.stopped_until))
             });
             let comes = self.messages.first_key_value().map(|((at, _), _)| *at);
@@ -302,8 +302,8 @@
                     self.next_message += 1;
                     let then = Micros(node.stopped_until.0 + 1);
                     self.messages.insert((then, self.next_message), message);
-                } else if let Some(keeper) = &mut node.keeper {
-                    keeper.receive(message, self.now);
+                } else if let Some(replica) = &mut node.replica {
+                    replica.receive(message, self.now);
                 }
             }
             (0..self.nodes.len()).for_each(|at| self.turn(at));
@@ -320,7 +320,7 @@
         self.lossy = 0;
         for at in 0..self.nodes.len() {
             self.nodes[at].disk.set(Faults::default());
-            if self.nodes[at].keeper.is_none() {
+            if self.nodes[at].replica.is_none() {
                 self.start(at);
             }
         }
@@ -333,7 +333,7 @@
                 return false;
             }
             let level = self.nodes.iter().all(|n| n.upto > target && n.owner == self.nodes[0].owner);
-            let settled = self.nodes.iter().flat_map(|n| &n.keeper).all(|k| {
+            let settled = self.nodes.iter().flat_map(|n| &n.replica).all(|k| {
                 k.state().log.electorate().1.len() == self.nodes.len()
                     && k.state().log.electorate().1.contains(&k.state().me)
             });
@@ -345,8 +345,8 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.keeper.as_ref().is_some_and(Keeper::leads);
-        let term = |n: &Node| n.keeper.as_ref().map_or(0, |k| k.state().term);
+        let leads = |n: &Node| n.replica.as_ref().is_some_and(Replica::leads);
+        let term = |n: &Node| n.replica.as_ref().map_or(0, |k| k.state().term);
         (0..self.nodes.len()).filter(|i| leads(&self.nodes[*i])).max_by_key(|i| term(&self.nodes[*i]))
     }
 
@@ -360,18 +360,18 @@
         }
         panic!(
             "nobody leads: {:?}",
-            self.nodes.iter().map(|n| n.keeper.as_ref().map(|k| k.status(self.now))).collect::<Vec<_>>()
+            self.nodes.iter().map(|n| n.replica.as_ref().map(|k| k.status(self.now))).collect::<Vec<_>>()
         );
     }
 
     /// Whether all are up, and the newest electorate is of full size with none whose promises are gone.
     pub fn intact(&self) -> bool {
         let newest =
-            self.nodes.iter().flat_map(|n| &n.keeper).max_by_key(|k| (k.committed(), k.state().term));
+            self.nodes.iter().flat_map(|n| &n.replica).max_by_key(|k| (k.committed(), k.state().term));
         let agreed = newest.map(|k| (k.state().log.electorate(), k.committed()));
         let agreed = agreed.filter(|((since, _), committed)| since <= committed);
         let electorate = agreed.map_or(Vec::new(), |((_, members), _)| members.to_vec());
-        self.nodes.iter().all(|n| n.keeper.is_some())
+        self.nodes.iter().all(|n| n.replica.is_some())
             && electorate.len() == self.nodes.len()
             && !electorate.iter().any(|m| self.lost.contains(m))
     }
--- a/crates/flaxstand-gateway/src/core/agreement.rs
+++ b/crates/flaxstand-gateway/src/core/agreement.rs
@@ -8,9 +8,9 @@
 use crate::machine::{Address, Command, ConnId, Micros};
 use crate::settings::settings_of;
 use flaxstand::api::Event;
-use flaxstand_consensus::agreement::{Agreement, Config, Found, To, Word};
-use flaxstand_consensus::book::Book;
-use flaxstand_consensus::keeper::Planted;
+use flaxstand_consensus::participant::{Config, Destination, Participant, PeerMessage, StoredReplica};
+use flaxstand_consensus::replica::InjectedFault;
+use flaxstand_consensus::replicated_state::ReplicatedState;
 use flaxstand_proto::{Frame, Hello, Inbox, Parting, Role, VERSION, VERSION_OLDEST, Welcome};
 use std::collections::{BTreeMap, VecDeque};
 use tracing::{debug, info, warn};
@@ -50,7 +50,7 @@
 /// The agreement and the ways to others.
 #[derive(Debug)]
 pub(super) struct Agreed {
-    pub(super) agreement: Agreement,
+    pub(super) agreement: Participant,
     /// Which of the listeners is the agreement's.
     listener: usize,
     calls: BTreeMap<String, Call>,
@@ -60,20 +60,26 @@
 impl Core {
     /// Agrees with other initiators from now on: as a keeper, with what its folder held, or as a member alone.
     /// `saved` is the book of an earlier life; words come in at the listener of that number.
-    pub fn agree(&mut self, listener: usize, found: Option<Found>, saved: Option<(u64, Book)>, now: Micros) {
+    pub fn agree(
+        &mut self,
+        listener: usize,
+        found: Option<StoredReplica>,
+        saved: Option<(u64, ReplicatedState)>,
+        now: Micros,
+    ) {
         let Some(a) = &self.config.agreeing else { return };
         let names = |all: &[(String, Address)]| all.iter().map(|(n, _)| n.clone()).collect();
         let config = Config {
             name: self.config.name.clone(),
-            incarnation: self.config.epoch,
-            keepers: names(&a.keepers),
+            epoch: self.config.epoch,
+            voters: names(&a.keepers),
             neighbours: names(&a.others),
             lease: a.lease,
             clock_error: a.clock_error,
             election: a.election,
             seed: self.config.seed ^ self.config.epoch,
             started_with: a.started_with.clone(),
-            planted: Planted::None,
+            injected_fault: InjectedFault::None,
         };
         let backoff = || Backoff::new(AGAIN.0, AGAIN.1);
         let call = |address: &Address| Call {
@@ -85,13 +91,13 @@
         };
         let others = a.keepers.iter().chain(&a.others).filter(|(n, _)| *n != self.config.name);
         let calls = others.map(|(n, address)| (n.clone(), call(address))).collect();
-        let agreement = Agreement::new(config, found, saved, self.config.calendar, now);
+        let agreement = Participant::new(config, found, saved, self.config.calendar, now);
         self.agreed = Some(Agreed { agreement, listener, calls, callers: 0 });
         self.plumbing.at(now, Timer::Agreement);
     }
 
     /// The agreement, where there is one.
-    pub fn agreement(&self) -> Option<&Agreement> {
+    pub fn agreement(&self) -> Option<&Participant> {
         self.agreed.as_ref().map(|a| &a.agreement)
     }
 
@@ -169,7 +175,7 @@
     }
 
     pub(super) fn fellow_said(&mut self, conn: ConnId, bytes: &[u8], now: Micros) -> Result<(), Fault> {
-        let word: Word =
+        let word: PeerMessage =
             postcard::from_bytes(bytes).map_err(|e| (Parting::Protocol, format!("no word: {e}")))?;
         let from = match self.plumbing.get(conn).map(|c| &c.peer) {
             Some(Peer::Fellow(Fellow::Initiator(name) | Fellow::Called(name))) => Some(name.clone()),
@@ -217,14 +223,14 @@
         if agreed.agreement.wake(now) <= now {
             agreed.agreement.tick(now);
         }
-        let rules = agreed.agreement.passage(now);
+        let rules = agreed.agreement.take_rules_change(now);
         if let Some(batch) = agreed.agreement.batch(now) {
             self.plumbing.command(Command::Keep(batch));
         }
         if let Some(book) = agreed.agreement.take_unsaved() {
             self.plumbing.command(Command::SaveBook(book));
         }
-        let words = agreed.agreement.take_words();
+        let words = agreed.agreement.take_outgoing();
         if let Some(rules) = rules {
             self.cut_what_waits(now);
             self.config.site.settings = settings_of(&rules, &self.config.site);
@@ -243,8 +249,8 @@
                 }
             };
             match to {
-                To::Back(conn) => self.say_to(ConnId(conn), &bytes),
-                To::Peer(name) => self.say_to_peer(&name, bytes, now),
+                Destination::Connection(conn) => self.say_to(ConnId(conn), &bytes),
+                Destination::Peer(name) => self.say_to_peer(&name, bytes, now),
             }
         }
         // At least one moment on: what a turn leads to is the next turn's.
--- a/crates/flaxstand-gateway/src/settings/reader.rs
+++ b/crates/flaxstand-gateway/src/settings/reader.rs
@@ -409,7 +409,7 @@
 
 fn value_of(value: &KdlValue) -> Option<Value> {
     match value {
-        KdlValue::String(text) => Some(Value::Word(text.clone())),
+        KdlValue::String(text) => Some(Value::Text(text.clone())),
         KdlValue::Bool(flag) => Some(Value::Flag(*flag)),
         other => number(other).map(Value::Number),
     }
--- a/crates/flaxstand-gateway/src/settings/rules.rs
+++ b/crates/flaxstand-gateway/src/settings/rules.rs
@@ -5,7 +5,7 @@
 use super::site::SiteFile;
 use crate::core::Site;
 use flaxstand::api::{DeduplicationScope, Effect, RetryBudget, Settings};
-use flaxstand_consensus::rules::{Rules, Safe, Value, safe};
+use flaxstand_consensus::rules::{Narrowing, Rules, Value, narrowing_of};
 use std::collections::BTreeMap;
 
 const GROUPS: [(&str, DeduplicationScope); 3] = [
@@ -24,7 +24,7 @@
     let mut values = BTreeMap::new();
     let mut put = |key: String, value: Value| drop(values.insert(key, value));
     let number = Value::Number;
-    let word = |w: &str| Value::Word(w.to_owned());
+    let word = |w: &str| Value::Text(w.to_owned());
     for (key, value) in [
         ("initiators", number(s.initiators.into())),
         ("list", word(if s.polls_list { "on-request" } else { "pushed" })),
@@ -88,7 +88,7 @@
             put(".limit-slack", file.rules.limit_slack.get(at).copied().unwrap_or(0.0));
         }
     }
-    Rules { values, floor }
+    Rules { values, fallback: floor }
 }
 
 /// Least rate of a limit: a limit of 0 would be none.
@@ -105,7 +105,7 @@
         _ => old,
     };
     let word = |key: &str| match rules.values.get(key) {
-        Some(Value::Word(w)) => Some(w.as_str()),
+        Some(Value::Text(w)) => Some(w.as_str()),
         _ => None,
     };
     let mut s = site.settings.clone();
@@ -166,16 +166,16 @@
 /// Reads `floor`: lines `set "KEY" VALUE`.
 pub fn read_floor(root: &Block<'_>) -> BTreeMap<String, Value> {
     let Some(b) = root.block("floor") else { return BTreeMap::new() };
-    let floor = b.sets("set", |key, value| match safe(key) {
+    let floor = b.sets("set", |key, value| match narrowing_of(key) {
         None => Err(format!("{key:?} is no key of the rules, see docs/agreement.md")),
-        Some(Safe::Both | Safe::Fixed | Safe::Neither(_)) => Err(format!("{key:?} has no narrower value")),
-        Some(Safe::Off | Safe::On) if !matches!(value, Value::Flag(_)) => {
+        Some(Narrowing::Unordered | Narrowing::Immutable | Narrowing::Incompatible(_)) => Err(format!("{key:?} has no narrower value")),
+        Some(Narrowing::False | Narrowing::True) if !matches!(value, Value::Flag(_)) => {
             Err(format!("{key:?} is {value}, expected #true or #false"))
         }
-        Some(Safe::First(words)) if !matches!(value, Value::Word(w) if words.contains(&w.as_str())) => {
+        Some(Narrowing::Earliest(words)) if !matches!(value, Value::Text(w) if words.contains(&w.as_str())) => {
             Err(format!("{key:?} is {value}, expected one of {}", words.join(", ")))
         }
-        Some(Safe::Least | Safe::Most) if !matches!(value, Value::Number(n) if *n >= 0.0) => {
+        Some(Narrowing::Smaller | Narrowing::Larger) if !matches!(value, Value::Number(n) if *n >= 0.0) => {
             Err(format!("{key:?} is {value}, expected a number of 0 or more"))
         }
         Some(_) => Ok(()),
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -869,24 +869,26 @@
 
 /// Proposes the next version at an initiator that agrees with itself alone.
 fn propose(w: &mut World, base: u64, attempts: f64) {
-    use flaxstand_consensus::agreement::{Reply, Wish, Word};
-    use flaxstand_consensus::book::Version;
+    use flaxstand_consensus::participant::{OperatorReply, OperatorRequest, PeerMessage};
+    use flaxstand_consensus::replicated_state::Version;
     use flaxstand_consensus::rules::Value;
     let operator = w.core.accepted(1, w.now).expect("it is let in");
     let hello = Hello { role: Role::Client, versions: (VERSION, VERSION), id: 0, epoch: 0, name: "test" };
     w.core.received(operator, &bytes_of(&Frame::Hello(hello)), w.now);
     let mut version = Version::default();
     version.rules.values.insert("site.max-attempts".into(), Value::Number(attempts));
-    let bytes = postcard::to_stdvec(&Word::Wish(Wish::Propose(base, version))).unwrap();
+    let bytes =
+        postcard::to_stdvec(&PeerMessage::OperatorRequest(OperatorRequest::Propose(base, version))).unwrap();
     w.core.received(operator, &bytes_of(&Frame::Agreement { bytes: &bytes }), w.now);
     w.run(5);
-    let agreed = postcard::to_stdvec(&Word::Reply(Reply::Agreed(base + 1))).unwrap();
+    let agreed =
+        postcard::to_stdvec(&PeerMessage::OperatorReply(OperatorReply::Committed(base + 1))).unwrap();
     assert!(w.said[&operator].contains(&Said::Agreement(agreed)), "{:?}", w.said[&operator]);
 }
 
 #[test]
 fn what_waits_to_leave_when_the_rules_change_never_leaves() {
-    use flaxstand_consensus::agreement::Found;
+    use flaxstand_consensus::participant::StoredReplica;
     let mut c = config();
     c.agreeing = Some(Agreeing {
         keepers: vec![(c.name.clone(), "127.0.0.1:9".parse().unwrap())],
@@ -897,7 +899,7 @@
         started_with: Default::default(),
     });
     let mut w = World::new(c, 1);
-    w.core.agree(1, Some(Found::default()), None, w.now);
+    w.core.agree(1, Some(StoredReplica::default()), None, w.now);
     w.run(3000);
     propose(&mut w, 0, 3.0);
     w.run(2000);
--- a/crates/flaxstand-gateway/tests/settings.rs
+++ b/crates/flaxstand-gateway/tests/settings.rs
@@ -118,7 +118,7 @@
     let daemon = read_daemon("test.kdl", &agreeing(three, "    set \"plan.basic.limit-rate\" 3\n")).unwrap();
     let agreeing_with = daemon.agreement.expect("a block").agreeing;
     assert_eq!(agreeing_with.keepers.len(), 3);
-    assert_eq!(agreeing_with.started_with.floor.len(), 1);
+    assert_eq!(agreeing_with.started_with.fallback.len(), 1);
     let two = "    keeper \"left\" at=\"127.0.0.1:1\"\n    keeper \"b\" at=\"127.0.0.1:2\"\n";
     let stranger = three.replace("left", "right");
     for (keepers, floor, line, words) in [
--- a/crates/flaxstand-simulation/src/agreed.rs
+++ b/crates/flaxstand-simulation/src/agreed.rs
@@ -3,8 +3,10 @@
 
 use crate::process::{RehearsalError, io_error};
 use crate::relay::{Flow, Relay};
-use flaxstand_consensus::agreement::{Reply, Report as Told, Terms, Wish, Word};
-use flaxstand_consensus::book::Version;
+use flaxstand_consensus::participant::{
+    OperatorReply, OperatorRequest, PeerMessage, RolloutBounds, StatusReport,
+};
+use flaxstand_consensus::replicated_state::Version;
 use flaxstand_consensus::rules::{Rules, Value};
 use flaxstand_gateway::machine::Micros;
 use flaxstand_proto::{Frame, Hello, Inbox, Role, VERSION, VERSION_OLDEST, encode};
@@ -44,7 +46,7 @@
 pub struct Acted {
     /// Seconds of the host's calendar.
     pub at: f64,
-    /// `Floor`, `Alone(v)`, `Between(v, w)`, or `Gone`.
+    /// `Fallback`, `Version(v)`, `Transition(v, w)`, or `Gone`.
     pub what: String,
     /// The stage that it knew.
     pub stage: u64,
@@ -77,7 +79,7 @@
     let mut spans = Vec::new();
     for (at, a) in acted.iter().enumerate() {
         let until = acted.get(at + 1).map_or(end, |next| next.at);
-        if a.what == "Floor" || a.what == "Gone" {
+        if a.what == "Fallback" || a.what == "Gone" {
             continue;
         }
         let mut pieces = vec![(a.at, until)];
@@ -112,13 +114,13 @@
 ///
 /// # Errors
 /// It can't be reached, or does not answer in time.
-pub fn ask(to: SocketAddr, wish: &Wish) -> io::Result<Option<Reply>> {
+pub fn ask(to: SocketAddr, wish: &OperatorRequest) -> io::Result<Option<OperatorReply>> {
     let mut stream = TcpStream::connect_timeout(&to, PATIENCE)?;
     stream.set_read_timeout(Some(PATIENCE))?;
     let (role, versions) = (Role::Client, (VERSION_OLDEST, VERSION));
     let mut bytes = Vec::new();
     encode(&Frame::Hello(Hello { role, versions, id: 0, epoch: 0, name: "laboratory" }), &mut bytes);
-    let word = postcard::to_stdvec(&Word::Wish(wish.clone())).map_err(io::Error::other)?;
+    let word = postcard::to_stdvec(&PeerMessage::OperatorRequest(wish.clone())).map_err(io::Error::other)?;
     encode(&Frame::Agreement { bytes: &word }, &mut bytes);
     stream.write_all(&bytes)?;
     let (mut inbox, mut buffer, mut found) = (Inbox::default(), [0; 64 * 1024], None);
@@ -129,7 +131,7 @@
         }
         let fed = inbox.feed(&buffer[..count], |frame| {
             if let Frame::Agreement { bytes } = frame
-                && let Ok(Word::Reply(reply)) = postcard::from_bytes(bytes)
+                && let Ok(PeerMessage::OperatorReply(reply)) = postcard::from_bytes(bytes)
             {
                 found = Some(reply);
             }
@@ -145,17 +147,19 @@
 pub fn propose(listen: &[SocketAddr], rules: &Rules, text: &str, patience: Duration) -> Option<u64> {
     let started = Instant::now();
     while started.elapsed() < patience {
-        let book = |at: &SocketAddr| match ask(*at, &Wish::Book) {
-            Ok(Some(Reply::Book(Some(book)))) => Some(*book),
+        let book = |at: &SocketAddr| match ask(*at, &OperatorRequest::ReplicatedState) {
+            Ok(Some(OperatorReply::ReplicatedState(Some(book)))) => Some(*book),
             _ => None,
         };
         let newest = listen.iter().filter_map(book).max_by_key(|(index, _)| *index);
-        let base = newest.map_or(0, |(_, book)| book.acting.number);
+        let base = newest.map_or(0, |(_, book)| book.in_force.number);
         let at = (calendar() * 1e6) as u64;
         let version =
             Version { number: 0, rules: rules.clone(), text: text.to_owned(), by: "the day".into(), at };
         for to in listen {
-            if let Ok(Some(Reply::Agreed(number))) = ask(*to, &Wish::Propose(base, version.clone())) {
+            if let Ok(Some(OperatorReply::Committed(number))) =
+                ask(*to, &OperatorRequest::Propose(base, version.clone()))
+            {
                 return Some(number);
             }
         }
@@ -278,11 +282,11 @@
     pub fn alike(&self) -> Option<u64> {
         let started = Instant::now();
         while started.elapsed() < ALIKE {
-            let report = |at: &SocketAddr| match ask(*at, &Wish::Status) {
-                Ok(Some(Reply::Status(told))) => Some(told),
+            let report = |at: &SocketAddr| match ask(*at, &OperatorRequest::Status) {
+                Ok(Some(OperatorReply::Status(told))) => Some(told),
                 _ => None,
             };
-            let all: Option<Vec<Box<Told>>> = self.listen.iter().map(report).collect();
+            let all: Option<Vec<Box<StatusReport>>> = self.listen.iter().map(report).collect();
             if let Some(all) = all
                 && let Some(first) = all.first()
                 && all.iter().all(|t| t.versions == first.versions && t.lease_ms > 0)
@@ -340,7 +344,7 @@
             all.push(spans(&acted, &pauses, calendar()));
         }
         let (longest, who) = contradiction(&all);
-        let terms = Terms::of(accord.lease.ms(), accord.clock_error, accord.election.ms());
+        let terms = RolloutBounds::of(accord.lease.ms(), accord.clock_error, accord.election.ms());
         let version = notes.iter().find(|n| n.first() == Some(&"alike")).and_then(|n| n.get(1)?.parse().ok());
         let (contradiction_ms, allowed_ms) = (longest * 1000.0, terms.contradiction_ms);
         Ok(Agreed { version, passages, contradiction_ms, who, allowed_ms })
--- a/crates/flaxstand-simulation/src/day.rs
+++ b/crates/flaxstand-simulation/src/day.rs
@@ -6,7 +6,7 @@
 use crate::node::Habits;
 use flaxstand::api::{DeduplicationScope, Effect};
 use flaxstand_audit::{Group, Terms};
-use flaxstand_consensus::rules::{Value, safe};
+use flaxstand_consensus::rules::{Value, narrowing_of};
 use flaxstand_gateway::machine::Micros;
 use flaxstand_gateway::settings::{Block, SettingsError, SiteFile, Source, read_floor, read_site};
 use std::collections::BTreeMap;
@@ -532,7 +532,7 @@
         "restart-initiator" => Trouble::RestartInitiator,
         "cut-initiator" => Trouble::CutInitiator,
         "pause-initiator" => Trouble::PauseInitiator,
-        "change" => Trouble::Change(b.sets("set", |key, _| match safe(key) {
+        "change" => Trouble::Change(b.sets("set", |key, _| match narrowing_of(key) {
             Some(_) => Ok(()),
             None => Err(format!("{key:?} is no key of the rules, see docs/agreement.md")),
         })),
--- a/crates/flaxstand-simulation/src/scale/hollow.rs
+++ b/crates/flaxstand-simulation/src/scale/hollow.rs
@@ -15,8 +15,8 @@
 use super::node_list::FIRST_REVISION;
 use super::traffic::{FrameCounter, Traffic};
 use crate::rehearse::StandIn;
-use flaxstand_consensus::agreement::Agreement;
-use flaxstand_consensus::member::Acting;
+use flaxstand_consensus::member::ActiveRules;
+use flaxstand_consensus::participant::Participant;
 use flaxstand_gateway::core::{Config, Core};
 use flaxstand_gateway::driver::{Driver, Options};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Control, Machine, Micros};
@@ -117,7 +117,7 @@
     links: BTreeMap<u64, Link>,
     due: Option<Micros>,
     revision: Option<u64>,
-    acting: Option<Acting>,
+    active_rules: Option<ActiveRules>,
     /// Its restart among those of the report, until it is ready.
     restart: Option<usize>,
     saved: SavedState,
@@ -194,7 +194,7 @@
         let core = Core::new(config.clone(), saved.list.as_deref(), now);
         let mut core =
             core.or_else(|_| Core::new(config, None, now)).expect("without a saved list nothing can fail");
-        let book = saved.book.as_ref().and_then(|bytes| Agreement::read_saved(bytes).ok());
+        let book = saved.book.as_ref().and_then(|bytes| Participant::read_saved(bytes).ok());
         core.agree(NO_LISTENER, None, book, now);
         core
     }
@@ -228,7 +228,7 @@
             links: BTreeMap::new(),
             due: None,
             revision: None,
-            acting: None,
+            active_rules: None,
             restart: None,
             saved,
         });
@@ -245,7 +245,7 @@
         hollow.life = (hollow.life + 1) & ((1 << LIFE_BITS) - 1);
         hollow.core = core;
         hollow.revision = None;
-        hollow.acting = None;
+        hollow.active_rules = None;
         hollow.restart = Some(self.report.restarts.len());
         self.report.restarts.push(Restarted { at: now.0, ready: None });
         self.touched.insert(member);
@@ -305,13 +305,13 @@
             hollow.revision = revision;
             self.report.revisions.extend(revision.map(|number| Arrival { initiator, number, at: now.0 }));
         }
-        let acting = hollow.core.agreement().map(|agreement| agreement.acting(now));
-        if acting != hollow.acting {
-            if acting == Some(Acting::Floor) && hollow.acting.is_some() {
+        let active_rules = hollow.core.agreement().map(|agreement| agreement.active_rules(now));
+        if active_rules != hollow.active_rules {
+            if active_rules == Some(ActiveRules::Fallback) && hollow.active_rules.is_some() {
                 self.report.floors += 1;
             }
-            hollow.acting = acting;
-            if let Some(Acting::Alone(number)) = acting {
+            hollow.active_rules = active_rules;
+            if let Some(ActiveRules::Version(number)) = active_rules {
                 self.report.versions.push(Arrival { initiator, number, at: now.0 });
             }
         }
@@ -399,7 +399,7 @@
 
 impl Hollow {
     fn has_lease(&self) -> bool {
-        matches!(self.acting, Some(Acting::Alone(_) | Acting::Between(..)))
+        matches!(self.active_rules, Some(ActiveRules::Version(_) | ActiveRules::Transition(..)))
     }
 
     fn has_list(&self) -> bool {
@@ -407,7 +407,7 @@
     }
 
     fn is_ready(&self) -> bool {
-        self.has_list() && (self.acting.is_none() || self.has_lease())
+        self.has_list() && (self.active_rules.is_none() || self.has_lease())
     }
 }
 
--- a/crates/flaxstand-simulation/src/scale/lags.rs
+++ b/crates/flaxstand-simulation/src/scale/lags.rs
@@ -89,7 +89,7 @@
         let mut facts = LogFacts::default();
         for line in log.lines() {
             if let Some(acted) = acted_of(line) {
-                let version = acted.what.strip_prefix("Alone(").and_then(|rest| rest.strip_suffix(')'));
+                let version = acted.what.strip_prefix("Version(").and_then(|rest| rest.strip_suffix(')'));
                 let number = version.and_then(|number| number.parse().ok());
                 let arrival = number.map(|number| Arrival { initiator, number, at: clock_at(acted.at) });
                 facts.versions.extend(arrival);
--- a/crates/flaxstand-simulation/src/scale/run.rs
+++ b/crates/flaxstand-simulation/src/scale/run.rs
@@ -14,7 +14,7 @@
 use crate::agreed::{ask, changed, propose};
 use crate::press::Seen;
 use crate::process::{Process, RehearsalError, SOON, io_error};
-use flaxstand_consensus::agreement::{Reply, Report, Wish};
+use flaxstand_consensus::participant::{OperatorReply, OperatorRequest, StatusReport};
 use flaxstand_consensus::rules::Value;
 use flaxstand_gateway::driver::clock;
 use serde::de::DeserializeOwned;
@@ -130,9 +130,9 @@
 }
 
 /// An initiator's word on how things stand.
-fn status(at: SocketAddr) -> Option<Report> {
-    match ask(at, &Wish::Status) {
-        Ok(Some(Reply::Status(report))) => Some(*report),
+fn status(at: SocketAddr) -> Option<StatusReport> {
+    match ask(at, &OperatorRequest::Status) {
+        Ok(Some(OperatorReply::Status(report))) => Some(*report),
         _ => None,
     }
 }
