--- a/crates/flaxstand-gateway/src/core/config.rs
+++ b/crates/flaxstand-gateway/src/core/config.rs
@@ -2,7 +2,7 @@
 
 use crate::machine::{Address, Micros};
 use flaxstand::api::Settings;
-use flaxstand_overload::ArrivalRules;
+use flaxstand_overload::ConnectionRateLimit;
 use std::collections::BTreeSet;
 
 /// Which policy decides.
@@ -65,7 +65,7 @@
     /// Volumes that were ever used in the process' life. A request of one more is refused.
     pub volumes: usize,
     /// Clients that are greeted a second, and at once. One more is told when its turn is, and closed.
-    pub arrivals: ArrivalRules,
+    pub arrivals: ConnectionRateLimit,
 }
 
 impl Default for Bounds {
@@ -82,7 +82,7 @@
             answer_bytes: 64 << 20,
             nodes: flaxstand_proto::MAX_ENTRIES,
             volumes: 1 << 20,
-            arrivals: ArrivalRules::default(),
+            arrivals: ConnectionRateLimit::default(),
         }
     }
 }
@@ -161,7 +161,7 @@
     /// The write-back buffer, where a class is buffered.
     pub write_back: Option<WriteBack>,
     /// How storms are met; none: they are not.
-    pub storm: Option<flaxstand_overload::Rules>,
+    pub storm: Option<flaxstand_overload::RetryThrottleConfig>,
 }
 
 /// With whom an initiator agrees, and on what terms.
--- a/crates/flaxstand-gateway/src/core/list.rs
+++ b/crates/flaxstand-gateway/src/core/list.rs
@@ -310,10 +310,10 @@
         }
         let moved = node.address != address;
         // A whole list tells mostly what is known.
-        let news = moved || before != (e.readiness, node.incarnation);
+        let take_condition_changes = moved || before != (e.readiness, node.incarnation);
         (node.shard, node.zone, node.size, node.address) = (e.shard, e.zone, e.size, address);
         self.nodes.set_readiness(id, e.readiness, now);
-        if news {
+        if take_condition_changes {
             debug!(node = %e.name, state = ?e.readiness, shard = e.shard, address = e.address, "listed");
         }
         if moved {
--- a/crates/flaxstand-gateway/src/core/list_calls.rs
+++ b/crates/flaxstand-gateway/src/core/list_calls.rs
@@ -84,9 +84,9 @@
 
 impl ListCalls {
     /// How long a call may go without an answer, beyond what it asks the service to wait.
-    fn patience(&self, whole_list: bool) -> Micros {
-        let patience = if whole_list { PATIENCE_WHOLE_LIST } else { PATIENCE };
-        patience[self.unanswered.min(patience.len() - 1)]
+    fn retry_memory(&self, whole_list: bool) -> Micros {
+        let retry_memory = if whole_list { PATIENCE_WHOLE_LIST } else { PATIENCE };
+        retry_memory[self.unanswered.min(retry_memory.len() - 1)]
     }
 
     /// The service is at another address: what was learnt of its calls holds no longer.
@@ -127,7 +127,7 @@
     /// How a new connection to the list service is spoken on, and by when it has to stand.
     pub(super) fn new_list_connection(&mut self, now: Micros) -> (Protocol, Micros) {
         self.list_call_made(Micros(0), now);
-        let by = now.after(self.list.calls.patience(self.list.revision.is_none()));
+        let by = now.after(self.list.calls.retry_memory(self.list.revision.is_none()));
         self.list.calls.dial_by = Some(by);
         (Protocol::ListClient(ListConnection::new()), by)
     }
@@ -145,8 +145,8 @@
         self.list.calls.progress = None;
         let wait = self.list_call_wait(now);
         self.list_call_made(wait, now);
-        let patience = self.list.calls.patience(self.list.revision.is_none());
-        self.look_for_silence(now.after(wait).after(patience));
+        let retry_memory = self.list.calls.retry_memory(self.list.revision.is_none());
+        self.look_for_silence(now.after(wait).after(retry_memory));
         let call = list_call(self.list.revision.map(|revision| (revision, wait.0 / 1000)));
         let host = self.config.list.to_string();
         self.plumbing.put(conn, |bytes| write_request(bytes, "GET", &call, &[("Host", &host)], None));
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -55,7 +55,7 @@
 use decider::{Decider, module_settings};
 use first_byte::ListTrust;
 use flaxstand::api::{Class, Event, RequestId, VolumeId};
-use flaxstand_overload::Arrivals;
+use flaxstand_overload::ConnectionRateLimiter;
 use flaxstand_proto::Parting;
 use list::ListPeer;
 use node_table::NodeTable;
@@ -93,7 +93,7 @@
     back: Option<Back>,
     agreed: Option<Agreed>,
     gate: Option<Gate>,
-    arrivals: Arrivals,
+    arrivals: ConnectionRateLimiter,
     rng: Pcg64Mcg,
     plumbing: Plumbing,
     clients: usize,
@@ -152,7 +152,7 @@
             back: None,
             agreed: None,
             gate,
-            arrivals: Arrivals::new(config.bounds.arrivals, now),
+            arrivals: ConnectionRateLimiter::new(config.bounds.arrivals, now),
             list,
             list_trust: ListTrust::default(),
             config,
--- a/crates/flaxstand-gateway/src/core/storms.rs
+++ b/crates/flaxstand-gateway/src/core/storms.rs
@@ -4,7 +4,9 @@
 use super::requests::{Held, Owner, Verdict};
 use crate::machine::Micros;
 use flaxstand::api::{Class, RequestId, Settings};
-use flaxstand_overload::{Damper, Judged, Rules, Treatment, Try};
+use flaxstand_overload::{
+    AttemptCounts, ClientAttempt, RetryThrottle, RetryThrottleConfig, ThrottleDecision,
+};
 use flaxstand_proto::{Frame, Refusal, Scope};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -16,7 +18,7 @@
 /// The damper with what the core needs around it.
 #[derive(Debug)]
 pub(super) struct Gate {
-    damper: Damper,
+    throttle: RetryThrottle,
     rng: Pcg64Mcg,
     /// Where the module's classes for repeats begin.
     classes: usize,
@@ -24,16 +26,16 @@
 }
 
 /// What the module is told of repeats: after the classes so far, one for each of the site's, of less worth.
-pub(super) fn with_repeats(settings: &mut Settings, site_classes: usize, rules: &Rules) {
-    let less = |c: &Class| Class { priority_weight: c.priority_weight * rules.repeat_worth, ..c.clone() };
+pub(super) fn with_repeats(settings: &mut Settings, site_classes: usize, rules: &RetryThrottleConfig) {
+    let less = |c: &Class| Class { priority_weight: c.priority_weight * rules.retry_weight, ..c.clone() };
     let own: Vec<Class> = settings.classes[..site_classes].iter().map(less).collect();
     settings.classes.extend(own);
 }
 
 impl Gate {
-    pub(super) fn new(rules: Rules, classes: usize, seed: u64, now: Micros) -> Self {
+    pub(super) fn new(rules: RetryThrottleConfig, classes: usize, seed: u64, now: Micros) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        Gate { damper: Damper::new(rules), rng, classes, look_at: now }
+        Gate { throttle: RetryThrottle::new(rules), rng, classes, look_at: now }
     }
 
     fn draw(&mut self) -> f64 {
@@ -41,8 +43,8 @@
     }
 }
 
-fn try_of(held: &Held) -> Try {
-    Try {
+fn try_of(held: &Held) -> ClientAttempt {
+    ClientAttempt {
         volume: held.volume,
         plan: held.plan,
         class: held.class,
@@ -58,15 +60,15 @@
         let (class, this) = (usize::from(held.class), try_of(held));
         let Some(gate) = &mut self.gate else { return Some(class) };
         let draw = gate.draw();
-        match gate.damper.came(&this, now, draw) {
-            Treatment::Full => Some(class),
-            Treatment::Lessened => {
+        match gate.throttle.came(&this, now, draw) {
+            ThrottleDecision::Full => Some(class),
+            ThrottleDecision::Lessened => {
                 if let Some(held) = self.requests.get_mut(&id) {
                     held.repeats = true;
                 }
                 Some(gate.classes + class)
             }
-            Treatment::TurnedAway { wait, scope } => {
+            ThrottleDecision::TurnedAway { wait, scope } => {
                 debug!(request = id.0, wait_us = wait.0, %scope, "a repeat in a storm: turned away");
                 self.counts.damped += 1;
                 let scope = match scope {
@@ -94,7 +96,7 @@
     pub(super) fn advice(&mut self, module: Micros) -> Micros {
         let Some(gate) = self.gate.as_mut().filter(|_| module > Micros(0)) else { return module };
         let draw = gate.draw();
-        gate.damper.advice(draw).min(module)
+        gate.throttle.advice(draw).min(module)
     }
 
     /// A client's request is over: the damper learns how.
@@ -105,8 +107,8 @@
         }
         let this = try_of(held);
         match held.verdict {
-            Verdict::Served => gate.damper.served(&this, now),
-            Verdict::NotRun(_) | Verdict::Failed => gate.damper.turned_away(&this, now),
+            Verdict::Served => gate.throttle.served(&this, now),
+            Verdict::NotRun(_) | Verdict::Failed => gate.throttle.turned_away(&this, now),
             Verdict::None => {}
         }
     }
@@ -120,8 +122,8 @@
     }
 
     /// How repeats were told, where storms are met.
-    pub fn repeats_judged(&self) -> Option<Judged> {
-        self.gate.as_ref().map(|g| g.damper.judged())
+    pub fn repeats_judged(&self) -> Option<AttemptCounts> {
+        self.gate.as_ref().map(|g| g.throttle.attempt_counts())
     }
 
     /// Tells the log when a plan's weather changes. Asked for at each settling.
@@ -129,7 +131,7 @@
         let plans = self.config.site.plans.len() as u16;
         let Some(gate) = self.gate.as_mut().filter(|g| g.look_at <= now) else { return };
         gate.look_at = now.after(LOOK);
-        for report in gate.damper.news(plans, now) {
+        for report in gate.throttle.take_condition_changes(plans, now) {
             info!("{report}");
         }
     }
--- a/crates/flaxstand-gateway/src/settings/mod.rs
+++ b/crates/flaxstand-gateway/src/settings/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::core::{Agreeing, Bounds, Config, Policy, Wire};
 use crate::machine::{Address, Micros};
-use flaxstand_overload::ArrivalRules;
+use flaxstand_overload::ConnectionRateLimit;
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -185,7 +185,7 @@
         // More than a list can tell could not be saved whole for the next start.
         nodes: b.whole("nodes", 1..=flaxstand_proto::MAX_ENTRIES as u64, Some(d.nodes as u64)) as usize,
         volumes: whole("volumes", d.volumes),
-        arrivals: ArrivalRules {
+        arrivals: ConnectionRateLimit {
             rate: b.number("arrivals-a-second", 0.1..=1e6, Some(d.arrivals.rate)),
             burst: b.number("arrivals-at-once", 1.0..=1e6, Some(d.arrivals.burst)),
             ..d.arrivals
--- a/crates/flaxstand-gateway/src/settings/site.rs
+++ b/crates/flaxstand-gateway/src/settings/site.rs
@@ -4,7 +4,7 @@
 use crate::core::{ClassInfo, Site, Waits, WriteBack};
 use crate::machine::Micros;
 use flaxstand::api::{Class, DeduplicationScope, Effect, Plan, RetryBudget, Settings};
-use flaxstand_overload::Rules as Storm;
+use flaxstand_overload::RetryThrottleConfig;
 use std::collections::BTreeSet;
 
 /// Figures of the rules that the module keeps by itself, and that an audit asks for.
@@ -171,15 +171,15 @@
     waits
 }
 
-fn read_storm(b: Option<&Block<'_>>, advice_most: f64) -> Option<Storm> {
-    let d = Storm { advice_most: Micros::from_ms(advice_most), ..Storm::default() };
+fn read_storm(b: Option<&Block<'_>>, max_advice: f64) -> Option<RetryThrottleConfig> {
+    let d = RetryThrottleConfig { max_advice: Micros::from_ms(max_advice), ..RetryThrottleConfig::default() };
     let Some(b) = b else { return Some(d) };
     let damping = b.flag("damping", true);
-    let rules = Storm {
-        repeat_worth: b.number("repeat-worth", 0.0..=1.0, Some(d.repeat_worth)),
-        repeat_share: b.number("repeat-share", 0.0..=10.0, Some(d.repeat_share)),
-        repeat_floor: b.number("repeat-floor", 0.0..=1e6, Some(d.repeat_floor)),
-        patience: Micros::from_ms(b.number("patience-ms", POSITIVE_MS, Some(d.patience.ms()))),
+    let rules = RetryThrottleConfig {
+        retry_weight: b.number("repeat-worth", 0.0..=1.0, Some(d.retry_weight)),
+        retry_share: b.number("repeat-share", 0.0..=10.0, Some(d.retry_share)),
+        retry_floor: b.number("repeat-floor", 0.0..=1e6, Some(d.retry_floor)),
+        retry_memory: Micros::from_ms(b.number("patience-ms", POSITIVE_MS, Some(d.retry_memory.ms()))),
         remembered: b.whole("remembered", 1..=1 << 24, Some(d.remembered as u64)) as usize,
         ..d
     };
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -679,8 +679,10 @@
 /// A site that meets storms, and a client that presses again and again on a node that is not there.
 fn stormy() -> flaxstand_gateway::core::Config {
     let mut c = config();
-    c.site.storm =
-        Some(flaxstand_overload::Rules { repeat_floor: 2.0, ..flaxstand_overload::Rules::default() });
+    c.site.storm = Some(flaxstand_overload::RetryThrottleConfig {
+        retry_floor: 2.0,
+        ..flaxstand_overload::RetryThrottleConfig::default()
+    });
     c
 }
 
--- a/crates/flaxstand-overload/src/arrivals.rs
+++ b/crates/flaxstand-overload/src/connection_rate.rs
@@ -5,35 +5,35 @@
 
 /// Greetings a second, and at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ArrivalRules {
+pub struct ConnectionRateLimit {
     /// A second.
     pub rate: f64,
     /// At once.
     pub burst: f64,
     /// Longest wait that one is told.
-    pub wait_most: Micros,
+    pub max_wait: Micros,
 }
 
-impl Default for ArrivalRules {
+impl Default for ConnectionRateLimit {
     fn default() -> Self {
-        ArrivalRules { rate: 200.0, burst: 100.0, wait_most: Micros(5_000_000) }
+        ConnectionRateLimit { rate: 200.0, burst: 100.0, max_wait: Micros(5_000_000) }
     }
 }
 
 /// Paces the greetings of clients.
 #[derive(Debug)]
-pub struct Arrivals {
-    rules: ArrivalRules,
+pub struct ConnectionRateLimiter {
+    rules: ConnectionRateLimit,
     tokens: f64,
     at: Micros,
     /// Told to come back, and not expected earlier than now.
     promised: f64,
 }
 
-impl Arrivals {
+impl ConnectionRateLimiter {
     /// Nobody has come yet.
-    pub fn new(rules: ArrivalRules, now: Micros) -> Self {
-        Arrivals { tokens: rules.burst, rules, at: now, promised: 0.0 }
+    pub fn new(rules: ConnectionRateLimit, now: Micros) -> Self {
+        ConnectionRateLimiter { tokens: rules.burst, rules, at: now, promised: 0.0 }
     }
 
     fn fill(&mut self, now: Micros) {
@@ -54,7 +54,7 @@
         }
         self.promised += 1.0;
         let turn = (self.promised + draw) / self.rules.rate.max(1e-3);
-        Some(Micros::from_ms(turn * 1000.0).min(self.rules.wait_most))
+        Some(Micros::from_ms(turn * 1000.0).min(self.rules.max_wait))
     }
 }
 
@@ -63,7 +63,7 @@
     use super::*;
 
     /// 243 come at once, and each comes back when told: all are in within what the rate takes, none in a crowd.
-    fn crowd(a: &mut Arrivals, from: Micros) -> (u64, usize) {
+    fn crowd(a: &mut ConnectionRateLimiter, from: Micros) -> (u64, usize) {
         let mut due: Vec<(Micros, u64)> = (0..243).map(|n| (from, n)).collect();
         let (mut last, mut at_once) = (from, 0);
         let mut in_step = std::collections::BTreeMap::<u64, usize>::new();
@@ -87,7 +87,7 @@
 
     #[test]
     fn a_crowd_is_taken_in_bounded_steps_also_twice_in_a_row() {
-        let mut a = Arrivals::new(ArrivalRules::default(), Micros(0));
+        let mut a = ConnectionRateLimiter::new(ConnectionRateLimit::default(), Micros(0));
         let (took, most) = crowd(&mut a, Micros(1_000_000));
         assert!((700_000..1_500_000).contains(&took), "{took} us for the 143 beyond the first hundred");
         assert!(most <= 125, "{most} within 100 ms");
@@ -97,7 +97,7 @@
 
     #[test]
     fn few_are_never_kept_waiting() {
-        let mut a = Arrivals::new(ArrivalRules::default(), Micros(0));
+        let mut a = ConnectionRateLimiter::new(ConnectionRateLimit::default(), Micros(0));
         for n in 0..1000 {
             assert_eq!(a.comes(Micros(n * 10_000), 0.5), None);
         }
--- a/crates/flaxstand-overload/src/weather.rs
+++ b/crates/flaxstand-overload/src/load_condition.rs
@@ -3,7 +3,7 @@
 //! A storm is work that brings nothing: most tries repeat others. A surge is many first tries, and must not be
 //! damped as a storm: those clients ask for the first time.
 
-use crate::repeats::Kind;
+use crate::retry_detection::AttemptKind;
 use flaxstand_proto::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -45,7 +45,7 @@
 
 /// What it is like.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Weather {
+pub enum LoadCondition {
     /// As usual.
     #[default]
     Calm,
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Part {
     first: u32,
-    repeats: u32,
+    retry_detection: u32,
     served: u32,
     turned_away: u32,
 }
@@ -72,7 +72,7 @@
     /// First tries in a window, usually; none before the first is full.
     usual: Option<f64>,
     filled: u64,
-    weather: Weather,
+    load_condition: LoadCondition,
 }
 
 impl Window {
@@ -87,7 +87,7 @@
             if self.filled >= PARTS as u64 {
                 let first = f64::from(self.sum(|p| p.first));
                 // A surge or a storm is not what is usual.
-                let weight = if self.weather == Weather::Calm { USUAL } else { 0.0 };
+                let weight = if self.load_condition == LoadCondition::Calm { USUAL } else { 0.0 };
                 self.usual = Some(self.usual.map_or(first, |u| u + weight * (first - u)));
             }
             let next = (self.filled % PARTS as u64) as usize;
@@ -105,31 +105,31 @@
         self.parts.iter().map(of).sum()
     }
 
-    fn look(&mut self, now: Micros) -> Weather {
+    fn look(&mut self, now: Micros) -> LoadCondition {
         self.roll(now);
-        let (first, repeats) = (self.sum(|p| p.first), self.sum(|p| p.repeats));
-        let tries = first + repeats;
-        let share = f64::from(repeats) / f64::from(tries.max(1));
+        let (first, retry_detection) = (self.sum(|p| p.first), self.sum(|p| p.retry_detection));
+        let tries = first + retry_detection;
+        let share = f64::from(retry_detection) / f64::from(tries.max(1));
         let times = f64::from(first) / self.usual.unwrap_or(f64::from(first)).max(1.0);
-        let was = self.weather;
-        let storm = share >= if was == Weather::Storm { STORM.1 } else { STORM.0 };
-        let surge = times >= if was == Weather::Surge { SURGE.1 } else { SURGE.0 };
-        self.weather = match (tries >= LEAST, storm, surge) {
-            (true, true, _) => Weather::Storm,
-            (true, false, true) => Weather::Surge,
-            _ => Weather::Calm,
+        let was = self.load_condition;
+        let storm = share >= if was == LoadCondition::Storm { STORM.1 } else { STORM.0 };
+        let surge = times >= if was == LoadCondition::Surge { SURGE.1 } else { SURGE.0 };
+        self.load_condition = match (tries >= LEAST, storm, surge) {
+            (true, true, _) => LoadCondition::Storm,
+            (true, false, true) => LoadCondition::Surge,
+            _ => LoadCondition::Calm,
         };
-        self.weather
+        self.load_condition
     }
 }
 
 /// What is said of a scope, with its reasons.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WeatherReport {
+pub struct LoadConditionReport {
     /// Of what.
     pub scope: Scope,
     /// What it is like.
-    pub weather: Weather,
+    pub load_condition: LoadCondition,
     /// Tries in the last two seconds that were first, and that repeat others.
     pub tries: (u32, u32),
     /// Served in that time, and turned away.
@@ -138,35 +138,35 @@
     pub usual: f64,
 }
 
-impl fmt::Display for WeatherReport {
+impl fmt::Display for LoadConditionReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (first, repeats) = self.tries;
+        let (first, retry_detection) = self.tries;
         let (served, away) = self.ended;
-        let share = 100.0 * f64::from(repeats) / f64::from((first + repeats).max(1));
-        match self.weather {
-            Weather::Storm => write!(
+        let share = 100.0 * f64::from(retry_detection) / f64::from((first + retry_detection).max(1));
+        match self.load_condition {
+            LoadCondition::Storm => write!(
                 f,
                 "storm: {share:.0}% of the tries of {} in the last 2 s repeat a try that was refused or given up \
                  ({served} served, {away} turned away)",
                 self.scope
             ),
-            Weather::Surge => write!(
+            LoadCondition::Surge => write!(
                 f,
                 "surge: {first} first tries of {} in the last 2 s, {:.0} are usual; {share:.0}% repeat others",
                 self.scope, self.usual
             ),
-            Weather::Calm => write!(f, "calm: {first} first tries of {} in the last 2 s", self.scope),
+            LoadCondition::Calm => write!(f, "calm: {first} first tries of {} in the last 2 s", self.scope),
         }
     }
 }
 
 /// Windows of all scopes.
 #[derive(Debug, Default)]
-pub struct Station {
+pub struct LoadMonitor {
     windows: BTreeMap<Scope, Window>,
 }
 
-impl Station {
+impl LoadMonitor {
     fn each(&mut self, plan: u16, volume: u64, now: Micros, mut with: impl FnMut(&mut Part)) {
         for scope in [Scope::All, Scope::Plan(plan), Scope::Volume(volume)] {
             if !self.windows.contains_key(&scope) && self.windows.len() >= SCOPES {
@@ -184,10 +184,10 @@
     }
 
     /// A try came.
-    pub fn came(&mut self, plan: u16, volume: u64, kind: Kind, now: Micros) {
+    pub fn came(&mut self, plan: u16, volume: u64, kind: AttemptKind, now: Micros) {
         self.each(plan, volume, now, |part| match kind {
-            Kind::First => part.first += 1,
-            Kind::Repeat => part.repeats += 1,
+            AttemptKind::First => part.first += 1,
+            AttemptKind::Repeat => part.retry_detection += 1,
         });
     }
 
@@ -202,18 +202,18 @@
     }
 
     /// What it is like.
-    pub fn weather(&mut self, scope: Scope, now: Micros) -> Weather {
-        self.windows.get_mut(&scope).map_or(Weather::Calm, |w| w.look(now))
+    pub fn load_condition(&mut self, scope: Scope, now: Micros) -> LoadCondition {
+        self.windows.get_mut(&scope).map_or(LoadCondition::Calm, |w| w.look(now))
     }
 
     /// The same with its reasons; none of a scope that nothing is known of.
-    pub fn report(&mut self, scope: Scope, now: Micros) -> Option<WeatherReport> {
+    pub fn report(&mut self, scope: Scope, now: Micros) -> Option<LoadConditionReport> {
         let w = self.windows.get_mut(&scope)?;
-        let weather = w.look(now);
-        Some(WeatherReport {
+        let load_condition = w.look(now);
+        Some(LoadConditionReport {
             scope,
-            weather,
-            tries: (w.sum(|p| p.first), w.sum(|p| p.repeats)),
+            load_condition,
+            tries: (w.sum(|p| p.first), w.sum(|p| p.retry_detection)),
             ended: (w.sum(|p| p.served), w.sum(|p| p.turned_away)),
             usual: w.usual.unwrap_or(0.0),
         })
@@ -240,14 +240,14 @@
     use super::*;
 
     /// So many first tries and repeats a second, for so long, from a moment on.
-    fn come(s: &mut Station, from: u64, seconds: u64, first: u64, repeats: u64) -> Micros {
+    fn come(s: &mut LoadMonitor, from: u64, seconds: u64, first: u64, retry_detection: u64) -> Micros {
         for ms in from..from + seconds * 1000 {
             let now = Micros(ms * 1000);
             let due = |rate: u64| (ms + 1) * rate / 1000 - ms * rate / 1000;
-            (0..due(first)).for_each(|_| s.came(1, 7, Kind::First, now));
-            (0..due(repeats)).for_each(|_| s.came(1, 7, Kind::Repeat, now));
+            (0..due(first)).for_each(|_| s.came(1, 7, AttemptKind::First, now));
+            (0..due(retry_detection)).for_each(|_| s.came(1, 7, AttemptKind::Repeat, now));
             if ms % 50 == 0 {
-                s.weather(Scope::Plan(1), now);
+                s.load_condition(Scope::Plan(1), now);
             }
         }
         Micros((from + seconds * 1000) * 1000)
@@ -255,53 +255,53 @@
 
     #[test]
     fn a_storm_is_told_with_its_reason_and_ends() {
-        let mut s = Station::default();
+        let mut s = LoadMonitor::default();
         let now = come(&mut s, 1000, 5, 100, 5);
-        assert_eq!(s.weather(Scope::Plan(1), now), Weather::Calm);
+        assert_eq!(s.load_condition(Scope::Plan(1), now), LoadCondition::Calm);
         let now = come(&mut s, 6000, 3, 56, 144);
         let report = s.report(Scope::Plan(1), now).unwrap();
-        assert_eq!(report.weather, Weather::Storm);
+        assert_eq!(report.load_condition, LoadCondition::Storm);
         let said = report.to_string();
         assert!(said.starts_with("storm: 72% of the tries of plan 1 in the last 2 s repeat"), "{said}");
-        assert_eq!(s.weather(Scope::Volume(7), now), Weather::Storm);
-        assert_eq!(s.weather(Scope::Plan(2), now), Weather::Calm, "another plan");
+        assert_eq!(s.load_condition(Scope::Volume(7), now), LoadCondition::Storm);
+        assert_eq!(s.load_condition(Scope::Plan(2), now), LoadCondition::Calm, "another plan");
         let now = come(&mut s, 9000, 3, 100, 5);
-        assert_eq!(s.weather(Scope::Plan(1), now), Weather::Calm);
+        assert_eq!(s.load_condition(Scope::Plan(1), now), LoadCondition::Calm);
     }
 
     #[test]
     fn honest_new_demand_is_a_surge_and_no_storm() {
-        let mut s = Station::default();
+        let mut s = LoadMonitor::default();
         come(&mut s, 1000, 5, 100, 5);
         let now = come(&mut s, 6000, 3, 400, 40);
         let report = s.report(Scope::All, now).unwrap();
-        assert_eq!(report.weather, Weather::Surge);
+        assert_eq!(report.load_condition, LoadCondition::Surge);
         assert!(
             report.to_string().starts_with("surge: 720 first tries of all in the last 2 s, 221 are usual"),
             "{report}"
         );
         // It lasts: for a minute it stays a surge, and never is a storm.
         let now = come(&mut s, 9000, 5, 400, 40);
-        assert_ne!(s.weather(Scope::All, now), Weather::Storm);
+        assert_ne!(s.load_condition(Scope::All, now), LoadCondition::Storm);
     }
 
     #[test]
     fn few_tries_say_nothing_and_silence_is_calm() {
-        let mut s = Station::default();
+        let mut s = LoadMonitor::default();
         let now = come(&mut s, 1000, 1, 1, 4);
-        assert_eq!(s.weather(Scope::All, now), Weather::Calm);
+        assert_eq!(s.load_condition(Scope::All, now), LoadCondition::Calm);
         let now = come(&mut s, 2000, 3, 10, 90);
-        assert_eq!(s.weather(Scope::All, now), Weather::Storm);
-        assert_eq!(s.weather(Scope::All, now.after(Micros(3_000_000))), Weather::Calm);
+        assert_eq!(s.load_condition(Scope::All, now), LoadCondition::Storm);
+        assert_eq!(s.load_condition(Scope::All, now.after(Micros(3_000_000))), LoadCondition::Calm);
         assert_eq!(s.active(now), 1);
         assert_eq!(s.active(now.after(Micros(3_000_000))), 0);
     }
 
     #[test]
     fn scopes_are_bounded() {
-        let mut s = Station::default();
+        let mut s = LoadMonitor::default();
         for volume in 0..SCOPES as u64 * 2 {
-            s.came(0, volume, Kind::First, Micros(volume * 1000));
+            s.came(0, volume, AttemptKind::First, Micros(volume * 1000));
         }
         assert!(s.windows.len() <= SCOPES + 1);
         assert!(
