--- a/crates/flaxstand-audit/src/record.rs
+++ b/crates/flaxstand-audit/src/record.rs
@@ -180,6 +180,7 @@
         /// Work it does in a microsecond once warm, in microseconds of a core of speed 1.
         power: f64,
         /// Share of that at its start.
+        #[serde(rename = "cold_from")]
         initial_capacity: f64,
         /// When it is warm; 0: it is so from its start.
         warm_after: u64,
--- a/crates/flaxstand-bench-adapter/src/wire.rs
+++ b/crates/flaxstand-bench-adapter/src/wire.rs
@@ -91,6 +91,7 @@
     volume: Option<String>,
     price_units: Option<f64>,
     shard: Option<i64>,
+    #[serde(rename = "writers")]
     volume_initiators: Option<u32>,
 }
 
--- a/crates/flaxstand-cli/src/args.rs
+++ b/crates/flaxstand-cli/src/args.rs
@@ -249,7 +249,7 @@
         number: u64,
         /// Is it on its node, or is it to go again
         #[arg(value_enum)]
-        verdict: Word,
+        verdict: ParkedDecisionArgument,
     },
     /// Make a damaged log usable: what can be read goes to a new segment, the old ones are set aside
     Salvage {
@@ -339,7 +339,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-pub enum Word {
+pub enum ParkedDecisionArgument {
     /// It is on its node
     Done,
     /// It is not, and goes out as if it never had
--- a/crates/flaxstand-cli/src/buffer.rs
+++ b/crates/flaxstand-cli/src/buffer.rs
@@ -1,15 +1,15 @@
 //! `flaxstand buffer`.
 
 use crate::Failure;
-use crate::args::{BufferTask, By, Which, Word};
+use crate::args::{BufferTask, By, ParkedDecisionArgument, Which};
 use crate::caller::Caller;
 use crate::daemon::{self, Purpose};
 use flaxstand_gateway::machine::Micros;
 use flaxstand_proto::Frame;
-use flaxstand_storage::Folder;
+use flaxstand_storage::SegmentFolder;
 use flaxstand_write_back::offline::decide;
-use flaxstand_write_back::record::Wall;
-use flaxstand_write_back::{Live, Recovered, Seq, Verdict, Write, recover, salvage};
+use flaxstand_write_back::record::WallClock;
+use flaxstand_write_back::{LiveRecord, ParkedDecision, Recovered, Seq, Write, recover, salvage};
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -29,7 +29,7 @@
             Ok(())
         }
         BufferTask::Verify { folder } => {
-            let mut storage = Folder::look(&folder).map_err(|e| told(&folder, &e))?;
+            let mut storage = SegmentFolder::look(&folder).map_err(|e| told(&folder, &e))?;
             match recover(&mut storage) {
                 Ok(r) => {
                     let (segments, bytes) = (r.segments.len(), r.segments.iter().map(|s| s.1).sum::<u64>());
@@ -66,17 +66,17 @@
         }
         BufferTask::Decide { folder, number, verdict } => {
             let verdict = match verdict {
-                Word::Done => Verdict::Done,
-                Word::Again => Verdict::Again,
+                ParkedDecisionArgument::Done => ParkedDecision::Done,
+                ParkedDecisionArgument::Again => ParkedDecision::Again,
             };
-            let mut storage = Folder::open(&folder).map_err(|e| told(&folder, &e))?;
+            let mut storage = SegmentFolder::open(&folder).map_err(|e| told(&folder, &e))?;
             match decide(&mut storage, Seq(number), verdict).map_err(|e| told(&folder, &e))? {
                 true => Ok(()),
                 false => Err(told(&folder, &format!("no write {number} waits for an operator"))),
             }
         }
         BufferTask::Salvage { folder } => {
-            let mut storage = Folder::open(&folder).map_err(|e| told(&folder, &e))?;
+            let mut storage = SegmentFolder::open(&folder).map_err(|e| told(&folder, &e))?;
             if recover(&mut storage).is_ok() {
                 println!("the log is sound: nothing is changed");
                 return Ok(());
@@ -94,26 +94,26 @@
 
 /// What a log holds, whether or not a process has it.
 fn look(folder: &Path) -> Result<Recovered, Failure> {
-    let mut storage = Folder::look(folder).map_err(|e| told(folder, &e))?;
+    let mut storage = SegmentFolder::look(folder).map_err(|e| told(folder, &e))?;
     recover(&mut storage).map_err(|e| told(folder, &e))
 }
 
-fn is_parked(live: &Live) -> bool {
-    matches!(live, Live::Write { parked: true, .. })
+fn is_parked(live: &LiveRecord) -> bool {
+    matches!(live, LiveRecord::Write { parked: true, .. })
 }
 
-fn age(taken: Wall) -> Micros {
+fn age(taken: WallClock) -> Micros {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Wall(now.as_micros() as u64).since(taken).unwrap_or_default()
+    WallClock(now.as_micros() as u64).since(taken).unwrap_or_default()
 }
 
 fn figures(r: &Recovered) -> String {
-    let writes: Vec<(Wall, &Write)> = r
+    let writes: Vec<(WallClock, &Write)> = r
         .live
         .values()
         .filter_map(|live| match live {
-            Live::Write { taken, write, .. } => Some((*taken, write)),
-            Live::Barrier { .. } => None,
+            LiveRecord::Write { taken, write, .. } => Some((*taken, write)),
+            LiveRecord::Barrier { .. } => None,
         })
         .collect();
     let object = serde_json::json!({
@@ -136,17 +136,17 @@
     parsed.iter().map(|(name, value)| format!("{name:<22} {value}\n")).collect()
 }
 
-fn line(seq: Seq, live: &Live, json: bool) -> Option<String> {
-    let Live::Write { taken, started, parked, write } = live else { return None };
+fn line(seq: Seq, live: &LiveRecord, json: bool) -> Option<String> {
+    let LiveRecord::Write { taken, started, parked, write } = live else { return None };
     let state = match (parked, started) {
         (true, _) => "parked",
         (false, Some(_)) => "started",
         (false, None) => "waiting",
     };
-    let (place, bytes, age) = (write.place, write.payload.len(), age(*taken).ms());
+    let (extent_id, bytes, age) = (write.extent_id, write.payload.len(), age(*taken).ms());
     Some(if json {
         let object = serde_json::json!({
-            "number": seq.0, "volume": place.volume, "extent": place.extent, "class": write.class,
+            "number": seq.0, "volume": extent_id.volume, "extent": extent_id.extent, "class": write.class,
             "shard": write.shard, "operation": write.operation, "at": write.at, "bytes": bytes,
             "age_us": (age * 1000.0) as u64, "state": state,
         });
@@ -154,7 +154,7 @@
     } else {
         format!(
             "{:>8}  volume {:x}  extent {:x}  class {}  operation {}  {bytes} bytes  {age:.0} ms  {state}",
-            seq.0, place.volume, place.extent, write.class, write.operation
+            seq.0, extent_id.volume, extent_id.extent, write.class, write.operation
         )
     })
 }
--- a/crates/flaxstand-cli/src/daemon.rs
+++ b/crates/flaxstand-cli/src/daemon.rs
@@ -8,7 +8,7 @@
 use flaxstand_gateway::driver::{Driver, Options, Reload, clock};
 use flaxstand_gateway::machine::{Control, Machine as _, Micros, Reloaded};
 use flaxstand_gateway::settings::{Daemon, read_daemon};
-use flaxstand_storage::{Folder, Storage};
+use flaxstand_storage::{SegmentFolder, Storage};
 use flaxstand_write_back::{Recovered, recover};
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
@@ -158,7 +158,7 @@
     let failed = |why: &dyn std::fmt::Display| {
         Failure::System(format!("{}: {why}; see `flaxstand buffer verify`", folder.display()))
     };
-    let mut storage = Folder::open(folder).map_err(|e| failed(&e))?;
+    let mut storage = SegmentFolder::open(folder).map_err(|e| failed(&e))?;
     let recovered = recover(&mut storage).map_err(|e| failed(&e))?;
     Ok((Box::new(storage), recovered))
 }
@@ -180,7 +180,7 @@
 /// before is lost, and it asks to be taken in.
 fn open_keeper(folder: &Path) -> Result<(Box<dyn Storage>, StoredReplica), Failure> {
     let failed = |e| system(&format!("cannot use {}", folder.display()))(e);
-    let mut storage = Folder::open(folder).map_err(failed)?;
+    let mut storage = SegmentFolder::open(folder).map_err(failed)?;
     let segments = storage.segments().map_err(failed)?;
     let state = match flaxstand_consensus::recover(&mut storage).map_err(failed)? {
         flaxstand_consensus::Recovered::State(state) => Some(*state),
--- a/crates/flaxstand-cli/src/platform.rs
+++ b/crates/flaxstand-cli/src/platform.rs
@@ -6,7 +6,7 @@
 use crate::Failure;
 use crate::daemon::{run_to_end, system};
 use flaxstand::api::{ListScope, Settings};
-use flaxstand_gateway::core::{Bounds, ClassInfo, Config, Core, Policy, Site, Waits, Wire};
+use flaxstand_gateway::core::{Bounds, ClassInfo, Config, Core, Policy, Site, Timeouts, Wire};
 use flaxstand_gateway::driver::{Driver, Options, Reload, clock};
 use flaxstand_gateway::machine::{Address, Micros, Reloaded};
 use flaxstand_platform::{Configuration, Limits};
@@ -56,11 +56,11 @@
     let settings = Settings { notification_terms, ..c.settings.settings().map_err(Failure::System)? };
     let ms =
         |told: Option<f64>, factor: f64, default| told.map_or(default, |ms| Micros::from_ms(ms * factor));
-    let d = Waits::default();
+    let d = Timeouts::default();
     let longest = settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
     let killed = longest.min(DEADLINE_MOST) + KILL_AFTER;
     let watch = if settings.poll_within > 0.0 { settings.poll_within / 2.0 } else { WATCH_MOST };
-    let waits = Waits {
+    let waits = Timeouts {
         dial: ms(c.settings.dial_timeout_ms(), 1.0, d.dial),
         // Well before the node closes it: what crosses that on its way is lost.
         idle: ms(c.settings.keepalive_ms(), 0.6, d.idle),
--- a/crates/flaxstand-cli/tests/program.rs
+++ b/crates/flaxstand-cli/tests/program.rs
@@ -4,7 +4,7 @@
 
 use common::message;
 use flaxstand_proto::{
-    Entry, Extent, Frame, Hello, Inbox, List, Parting, Refusal, Role, State, Submit, VERSION, encode,
+    CloseReason, Entry, Extent, Frame, Hello, Inbox, List, Refusal, Role, State, Submit, VERSION, encode,
 };
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -250,11 +250,11 @@
     assert_eq!(answer, Some(Refusal::Load), "no node is known: refused before its time is up");
     daemon.signal(Signal::HUP);
     daemon.signal(Signal::TERM);
-    let parting = client.until(|f| match f {
-        Frame::Bye { parting, .. } => Some(*parting),
+    let close_reason = client.until(|f| match f {
+        Frame::Bye { close_reason, .. } => Some(*close_reason),
         _ => None,
     });
-    assert_eq!(parting, Some(Parting::Stopping));
+    assert_eq!(close_reason, Some(CloseReason::Stopping));
     let (code, log) = daemon.ended();
     assert_eq!(code, Some(0), "{log}");
     assert!(log.contains("new bounds") && log.contains("stopped"), "{log}");
@@ -284,10 +284,10 @@
     let mut bad = Client::connect(&folder.socket());
     bad.stream.write_all(&[0xff; 64]).unwrap();
     let said = bad.until(|f| match f {
-        Frame::Bye { parting, .. } => Some(*parting),
+        Frame::Bye { close_reason, .. } => Some(*close_reason),
         _ => None,
     });
-    assert_eq!(said, Some(Parting::Protocol));
+    assert_eq!(said, Some(CloseReason::Protocol));
     let mut good = Client::connect(&folder.socket());
     good.hello(100);
     assert!(good.welcomed());
--- a/crates/flaxstand-client/src/core.rs
+++ b/crates/flaxstand-client/src/core.rs
@@ -3,7 +3,7 @@
 
 use crate::retry::Pace;
 use flaxstand_proto::{
-    Frame, Hello, Inbox, Micros, Outbox, Parting, Refusal, Role, Scope, Submit, VERSION, VERSION_OLDEST,
+    CloseReason, Frame, Hello, Inbox, Micros, Outbox, Refusal, Role, Scope, Submit, VERSION, VERSION_OLDEST,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
@@ -346,12 +346,12 @@
                 self.link = Link::Up;
                 self.pace.connected();
             }
-            Frame::Bye { parting: Parting::Version | Parting::WrongPeer, .. } => {
+            Frame::Bye { close_reason: CloseReason::Version | CloseReason::WrongPeer, .. } => {
                 // No other connection will fare better.
                 let all: Vec<CallId> = self.calls.keys().copied().collect();
                 all.into_iter().for_each(|id| self.give_up(id, Why::Protocol));
             }
-            Frame::Bye { parting: Parting::Protocol, .. } => {
+            Frame::Bye { close_reason: CloseReason::Protocol, .. } => {
                 // One of those that are out is what it does not take; sent again it would be so again.
                 let out: Vec<CallId> = self.by_try.values().copied().collect();
                 out.into_iter().for_each(|id| self.give_up(id, Why::Protocol));
--- a/crates/flaxstand-client/tests/client.rs
+++ b/crates/flaxstand-client/tests/client.rs
@@ -342,7 +342,7 @@
 fn a_turn_that_was_told_is_kept() {
     let mut d = Desk::new(config());
     d.call(call(1, Safety::Repeatable, 60_000));
-    d.say(&Frame::Bye { parting: Parting::Turn, wait: 800_000, text: "many come at once" });
+    d.say(&Frame::Bye { close_reason: CloseReason::Turn, wait: 800_000, text: "many come at once" });
     let at = d.now;
     d.lose();
     d.run(5000);
@@ -353,12 +353,12 @@
 fn what_the_initiator_does_not_take_is_not_sent_again_and_again() {
     let mut d = Desk::new(config());
     let id = d.call(call(1, Safety::Repeatable, 60_000));
-    d.say(&Frame::Bye { parting: Parting::Protocol, wait: 0, text: "class 7 of 3" });
+    d.say(&Frame::Bye { close_reason: CloseReason::Protocol, wait: 0, text: "class 7 of 3" });
     d.lose();
     assert_eq!(d.gave_up(id).why, Why::Protocol);
     let id = d.call(call(2, Safety::Repeatable, 60_000));
     d.run(1000);
-    d.say(&Frame::Bye { parting: Parting::Version, wait: 0, text: "versions" });
+    d.say(&Frame::Bye { close_reason: CloseReason::Version, wait: 0, text: "versions" });
     d.lose();
     assert_eq!(d.gave_up(id).why, Why::Protocol);
     let calls = d.connects.len();
--- a/crates/flaxstand-consensus/src/journal.rs
+++ b/crates/flaxstand-consensus/src/journal.rs
@@ -9,7 +9,7 @@
 use crate::log::{Entry, Log};
 use crate::replica_id::{Incarnation, LastSeen, ReplicaId};
 use flaxstand_proto::Micros;
-use flaxstand_storage::{Batch, Storage, StoreOp};
+use flaxstand_storage::{Batch, Storage, StorageOp};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::io;
@@ -279,8 +279,8 @@
                 let bytes = frame(number, &records);
                 let segment = self.segments.last().copied()?;
                 let len = bytes.len();
-                ops.push(StoreOp::Append(segment, bytes));
-                ops.push(StoreOp::Sync(segment));
+                ops.push(StorageOp::Append(segment, bytes));
+                ops.push(StorageOp::Sync(segment));
                 len
             }
             None => {
@@ -288,13 +288,13 @@
                 let segment = self.next_segment;
                 self.next_segment += 1;
                 let bytes = frame(number, &[Record::State(Box::new(state.clone()))]);
-                ops.push(StoreOp::Create(segment));
-                ops.push(StoreOp::Append(segment, bytes));
-                ops.push(StoreOp::Sync(segment));
-                ops.push(StoreOp::SyncFolder);
+                ops.push(StorageOp::Create(segment));
+                ops.push(StorageOp::Append(segment, bytes));
+                ops.push(StorageOp::Sync(segment));
+                ops.push(StorageOp::SyncFolder);
                 // Only now: the state is always in one of them.
-                ops.extend(self.segments.iter().copied().map(StoreOp::Remove));
-                ops.push(StoreOp::SyncFolder);
+                ops.extend(self.segments.iter().copied().map(StorageOp::Remove));
+                ops.push(StorageOp::SyncFolder);
                 self.segments.push(segment);
                 self.grown = Some(0);
                 0
--- a/crates/flaxstand-consensus/tests/capacity/fleet.rs
+++ b/crates/flaxstand-consensus/tests/capacity/fleet.rs
@@ -9,7 +9,7 @@
 use flaxstand_consensus::rules::{Rules, Value};
 use flaxstand_consensus::{InjectedFault, Micros};
 use flaxstand_proto::Frame;
-use flaxstand_storage::faulty::Faulty;
+use flaxstand_storage::faulty::FaultyDisk;
 use flaxstand_storage::{Batch, perform};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -75,7 +75,7 @@
 
 struct Host {
     agreement: Option<Participant>,
-    disk: Faulty,
+    disk: FaultyDisk,
     storing: Option<Batch>,
     /// The moment for which its timer is set.
     timer: Option<Micros>,
@@ -92,7 +92,7 @@
     fn new(disk_seed: u64) -> Host {
         Host {
             agreement: None,
-            disk: Faulty::new(disk_seed),
+            disk: FaultyDisk::new(disk_seed),
             storing: None,
             timer: None,
             active_rules: ActiveRules::Fallback,
--- a/crates/flaxstand-consensus/tests/members/main.rs
+++ b/crates/flaxstand-consensus/tests/members/main.rs
@@ -7,7 +7,7 @@
 use flaxstand_consensus::replicated_state::{Change, MAX_MEMBERS, ReplicatedState, Version};
 use flaxstand_consensus::rules::Rules;
 use flaxstand_consensus::{InjectedFault, Micros, Recovered, ReplicaRole, Status, recover};
-use flaxstand_storage::faulty::Faulty;
+use flaxstand_storage::faulty::FaultyDisk;
 use flaxstand_storage::{Storage as _, perform};
 use proptest::prelude::*;
 
@@ -21,7 +21,7 @@
 /// An agreement with one keeper, whose disk takes no time.
 struct OneKeeper {
     agreement: Participant,
-    disk: Faulty,
+    disk: FaultyDisk,
     now: Micros,
 }
 
@@ -30,7 +30,7 @@
     fn leading() -> OneKeeper {
         let now = Micros(1_000);
         let agreement = Participant::new(OneKeeper::config(1), Some(StoredReplica::default()), None, 0, now);
-        let mut replica = OneKeeper { agreement, disk: Faulty::new(1), now };
+        let mut replica = OneKeeper { agreement, disk: FaultyDisk::new(1), now };
         replica.lead();
         let agreed = replica.operator_asks(OperatorRequest::Propose(0, Version::default()));
         assert_eq!(agreed, Some(OperatorReply::Committed(1)));
--- a/crates/flaxstand-consensus/tests/participants/rig.rs
+++ b/crates/flaxstand-consensus/tests/participants/rig.rs
@@ -8,7 +8,7 @@
 use flaxstand_consensus::replicated_state::Version;
 use flaxstand_consensus::rules::{Rules, Value};
 use flaxstand_consensus::{InjectedFault, Micros, Recovered, recover};
-use flaxstand_storage::faulty::Faulty;
+use flaxstand_storage::faulty::FaultyDisk;
 use flaxstand_storage::{Batch, Storage as _, perform};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -27,7 +27,7 @@
 struct Host {
     agreement: Option<Participant>,
     replica: bool,
-    disk: Faulty,
+    disk: FaultyDisk,
     /// The file of what was agreed on.
     replicated_state: Option<Vec<u8>>,
     storing: Option<(Micros, Batch)>,
@@ -103,7 +103,7 @@
                 Host {
                     agreement: None,
                     replica: i < voters,
-                    disk: Faulty::new(seed ^ (i as u64) << 32),
+                    disk: FaultyDisk::new(seed ^ (i as u64) << 32),
                     replicated_state: None,
                     storing: None,
                     stopped_until: Micros(0),
--- a/crates/flaxstand-consensus/tests/recorded/stored.rs
+++ b/crates/flaxstand-consensus/tests/recorded/stored.rs
@@ -11,8 +11,8 @@
     Micros, Recovered, Replica, Snapshot, State, recover,
 };
 use flaxstand_fixture::{Fixtures, values_of};
-use flaxstand_storage::faulty::Faulty;
-use flaxstand_storage::{Folder, Storage, perform};
+use flaxstand_storage::faulty::FaultyDisk;
+use flaxstand_storage::{SegmentFolder, Storage, perform};
 use std::collections::BTreeMap;
 
 const SEGMENT: u64 = 1;
@@ -62,7 +62,7 @@
 
 /// The segment as a journal writes it, with a torn end.
 fn write_segment() -> Vec<u8> {
-    let mut disk = Faulty::new(1);
+    let mut disk = FaultyDisk::new(1);
     let mut journal = Journal::new(Vec::new());
     let state = first_state();
     journal.renew(state.log.last());
@@ -81,7 +81,7 @@
 }
 
 fn recovered() -> State {
-    let mut folder = Folder::look(fixtures().path("keeper").as_path()).expect("the folder is there");
+    let mut folder = SegmentFolder::look(fixtures().path("keeper").as_path()).expect("the folder is there");
     match recover(&mut folder).expect("it can be read") {
         Recovered::State(state) => *state,
         other => panic!("{other:?}"),
@@ -108,7 +108,7 @@
 fn one_byte_changed_before_an_intact_frame_is_damage() {
     let mut bytes = fixtures().read(SEGMENT_FILE);
     bytes[40] ^= 1;
-    let mut disk = Faulty::new(1);
+    let mut disk = FaultyDisk::new(1);
     disk.create(SEGMENT).expect("in memory");
     disk.append(SEGMENT, &bytes).expect("in memory");
     assert!(matches!(recover(&mut disk), Ok(Recovered::Damaged(_))));
--- a/crates/flaxstand-consensus/tests/replicas/main.rs
+++ b/crates/flaxstand-consensus/tests/replicas/main.rs
@@ -13,7 +13,7 @@
     let count = if seed % 3 == 2 { 5 } else { 3 };
     let mut w = World::new(count, seed, injected_fault);
     w.run(ms(400));
-    let mut copies: Vec<(usize, flaxstand_storage::faulty::Faulty)> = Vec::new();
+    let mut copies: Vec<(usize, flaxstand_storage::faulty::FaultyDisk)> = Vec::new();
     for _ in 0..40 {
         let (a, b) = (w.below(count as u64) as usize, w.below(count as u64) as usize);
         let all_intact = w.intact();
--- a/crates/flaxstand-consensus/tests/replicas/rig.rs
+++ b/crates/flaxstand-consensus/tests/replicas/rig.rs
@@ -4,7 +4,7 @@
 use flaxstand_consensus::{
     Committed, Config, InjectedFault, Message, MessageBody, Micros, Recovered, Replica, ReplicaId, recover,
 };
-use flaxstand_storage::faulty::{Faults, Faulty};
+use flaxstand_storage::faulty::{Faults, FaultyDisk};
 use flaxstand_storage::{Batch, Storage as _, perform};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -16,7 +16,7 @@
 
 pub struct Node {
     pub replica: Option<Replica>,
-    pub disk: Faulty,
+    pub disk: FaultyDisk,
     /// The batch that is under way, and when it is done.
     storing: Option<(Micros, Batch)>,
     /// A stopped process: it gets nothing done until then.
@@ -69,7 +69,7 @@
         let nodes = (0..count)
             .map(|i| Node {
                 replica: None,
-                disk: Faulty::new(seed ^ (i as u64) << 40),
+                disk: FaultyDisk::new(seed ^ (i as u64) << 40),
                 storing: None,
                 stopped_until: Micros(0),
                 owner: vec![0; 8],
@@ -146,11 +146,11 @@
     pub fn wipe(&mut self, at: usize) {
         self.forgets(at);
         self.kill(at, true);
-        self.nodes[at].disk = Faulty::new(self.rng.next_u64());
+        self.nodes[at].disk = FaultyDisk::new(self.rng.next_u64());
     }
 
     /// Its folder is put back to what it was.
-    pub fn put_back(&mut self, at: usize, old: Faulty) {
+    pub fn put_back(&mut self, at: usize, old: FaultyDisk) {
         self.forgets(at);
         self.kill(at, true);
         self.nodes[at].disk = old;
--- a/crates/flaxstand-gateway/examples/list_costs.rs
+++ b/crates/flaxstand-gateway/examples/list_costs.rs
@@ -165,11 +165,11 @@
         core.settle(now);
         for command in core.take_commands() {
             match command {
-                Command::Save(bytes) => {
+                Command::SaveList(bytes) => {
                     whole += 1;
                     saved += bytes.len() as u64;
                 }
-                Command::AppendSaved(bytes) => saved += bytes.len() as u64,
+                Command::AppendList(bytes) => saved += bytes.len() as u64,
                 _ => {}
             }
         }
@@ -186,7 +186,7 @@
     let began = processor_time();
     core.settle(now);
     let spent = processor_time() - began;
-    let saves = |command: &Command| matches!(command, Command::Save(_));
+    let saves = |command: &Command| matches!(command, Command::SaveList(_));
     assert!(core.take_commands().iter().any(saves), "the list is saved whole after a save that failed");
     spent
 }
--- a/crates/flaxstand-gateway/src/core/agreement.rs
+++ b/crates/flaxstand-gateway/src/core/agreement.rs
@@ -11,7 +11,7 @@
 use flaxstand_consensus::participant::{Config, Destination, Participant, PeerMessage, StoredReplica};
 use flaxstand_consensus::replica::InjectedFault;
 use flaxstand_consensus::replicated_state::ReplicatedState;
-use flaxstand_proto::{Frame, Hello, Inbox, Parting, Role, VERSION, VERSION_OLDEST, Welcome};
+use flaxstand_proto::{CloseReason, Frame, Hello, Inbox, Role, VERSION, VERSION_OLDEST, Welcome};
 use std::collections::{BTreeMap, VecDeque};
 use tracing::{debug, info, warn};
 
@@ -123,7 +123,7 @@
         let (oldest, newest) = hello.versions;
         if oldest > VERSION || newest < VERSION_OLDEST {
             return Err((
-                Parting::Version,
+                CloseReason::Version,
                 format!("versions {oldest} to {newest}, {VERSION} is spoken here"),
             ));
         }
@@ -132,7 +132,10 @@
             Role::Initiator if known => Fellow::Initiator(hello.name.to_owned()),
             Role::Client => Fellow::Operator,
             role => {
-                return Err((Parting::WrongPeer, format!("{role:?} {:?} is not in the list", hello.name)));
+                return Err((
+                    CloseReason::WrongPeer,
+                    format!("{role:?} {:?} is not in the list", hello.name),
+                ));
             }
         };
         debug!(conn = conn.0, ?fellow, "a fellow is here");
@@ -153,11 +156,11 @@
     /// One that was called answers.
     pub(super) fn fellow_welcomed(&mut self, conn: ConnId, w: &Welcome<'_>) -> Result<(), Fault> {
         let Some(Conn { peer: Peer::Fellow(Fellow::Called(name)), .. }) = self.plumbing.get(conn) else {
-            return Err((Parting::Protocol, "a welcome that nobody waits for".into()));
+            return Err((CloseReason::Protocol, "a welcome that nobody waits for".into()));
         };
         if w.role != Role::Initiator || w.name != name {
             return Err((
-                Parting::WrongPeer,
+                CloseReason::WrongPeer,
                 format!("expected initiator {name:?}, met {:?} {:?}", w.role, w.name),
             ));
         }
@@ -176,11 +179,11 @@
 
     pub(super) fn fellow_said(&mut self, conn: ConnId, bytes: &[u8], now: Micros) -> Result<(), Fault> {
         let word: PeerMessage =
-            postcard::from_bytes(bytes).map_err(|e| (Parting::Protocol, format!("no word: {e}")))?;
+            postcard::from_bytes(bytes).map_err(|e| (CloseReason::Protocol, format!("no word: {e}")))?;
         let from = match self.plumbing.get(conn).map(|c| &c.peer) {
             Some(Peer::Fellow(Fellow::Initiator(name) | Fellow::Called(name))) => Some(name.clone()),
             Some(Peer::Fellow(Fellow::Operator)) => None,
-            _ => return Err((Parting::Protocol, "a word of a stranger".into())),
+            _ => return Err((CloseReason::Protocol, "a word of a stranger".into())),
         };
         if let Some(agreed) = &mut self.agreed {
             agreed.agreement.heard(conn.0, from.as_deref(), word, now);
@@ -225,10 +228,10 @@
         }
         let rules = agreed.agreement.take_rules_change(now);
         if let Some(batch) = agreed.agreement.batch(now) {
-            self.plumbing.command(Command::Keep(batch));
+            self.plumbing.command(Command::StoreConsensus(batch));
         }
         if let Some(book) = agreed.agreement.take_unsaved() {
-            self.plumbing.command(Command::SaveBook(book));
+            self.plumbing.command(Command::SaveReplicatedState(book));
         }
         let words = agreed.agreement.take_outgoing();
         if let Some(rules) = rules {
--- a/crates/flaxstand-gateway/src/core/client_places.rs
+++ b/crates/flaxstand-gateway/src/core/client_places.rs
@@ -20,7 +20,7 @@
     /// Those that may ask.
     waiting: BTreeSet<(Micros, ConnId)>,
     /// Those whose last answer was an error, or said so: what they send is dropped.
-    parting: BTreeSet<(Micros, ConnId)>,
+    close_reason: BTreeSet<(Micros, ConnId)>,
 }
 
 impl ClientPlaces {
@@ -32,17 +32,17 @@
     /// It had its last answer.
     pub(super) fn part(&mut self, conn: ConnId, queued: Micros, now: Micros) {
         self.remove(conn, queued);
-        self.parting.insert((now, conn));
+        self.close_reason.insert((now, conn));
     }
 
     /// It is no more.
     pub(super) fn remove(&mut self, conn: ConnId, queued: Micros) {
         self.waiting.remove(&(queued, conn));
-        self.parting.remove(&(queued, conn));
+        self.close_reason.remove(&(queued, conn));
     }
 
-    fn queue(&mut self, parting: bool) -> &mut BTreeSet<(Micros, ConnId)> {
-        if parting { &mut self.parting } else { &mut self.waiting }
+    fn queue(&mut self, close_reason: bool) -> &mut BTreeSet<(Micros, ConnId)> {
+        if close_reason { &mut self.close_reason } else { &mut self.waiting }
     }
 }
 
@@ -69,15 +69,15 @@
         longest.is_some()
     }
 
-    fn longest_waiting(&mut self, parting: bool, now: Micros) -> Option<ConnId> {
-        let least = if parting { Micros(0) } else { RESTING };
+    fn longest_waiting(&mut self, close_reason: bool, now: Micros) -> Option<ConnId> {
+        let least = if close_reason { Micros(0) } else { RESTING };
         let mut from = (Micros(0), ConnId(0));
         loop {
-            let (queued, conn) = *self.places.queue(parting).range(from..).next()?;
+            let (queued, conn) = *self.places.queue(close_reason).range(from..).next()?;
             if now.since(queued) < least {
                 return None;
             }
-            if self.requeue_if_stale(parting, queued, conn) {
+            if self.requeue_if_stale(close_reason, queued, conn) {
                 continue;
             }
             if self.plumbing.get(conn).is_some_and(|c| gives_way(c, now)) {
@@ -88,7 +88,7 @@
     }
 
     /// Queues a connection by since when it waits, if it is queued by an earlier moment.
-    fn requeue_if_stale(&mut self, parting: bool, queued: Micros, conn: ConnId) -> bool {
+    fn requeue_if_stale(&mut self, close_reason: bool, queued: Micros, conn: ConnId) -> bool {
         self.plumbing.count_walked();
         let Some(Conn { protocol: Protocol::HttpServer(http), .. }) = self.plumbing.get_mut(conn) else {
             return false;
@@ -98,7 +98,7 @@
             return false;
         }
         http.queued = since;
-        let queue = self.places.queue(parting);
+        let queue = self.places.queue(close_reason);
         queue.remove(&(queued, conn));
         queue.insert((since, conn));
         true
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -7,14 +7,14 @@
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::{Event, RequestId, VolumeId};
 use flaxstand_proto::{
-    Frame, Hello, Inbox, Parting, Refusal, Role, Scope, Submit, VERSION, VERSION_OLDEST, Welcome, encode,
+    CloseReason, Frame, Hello, Inbox, Refusal, Role, Scope, Submit, VERSION, VERSION_OLDEST, Welcome, encode,
 };
 use rand_core::RngCore as _;
 use std::collections::BTreeMap;
 use tracing::{debug, info, warn};
 
 /// A protocol fault: what is said to the peer before the connection is closed.
-pub(super) type Fault = (Parting, String);
+pub(super) type Fault = (CloseReason, String);
 
 /// A client's connection.
 #[derive(Debug, Default)]
@@ -33,22 +33,22 @@
         let refusal = match self.phase {
             _ if self.on_platform() => return self.http_accepted(now),
             Phase::Running if self.clients >= self.config.bounds.clients => {
-                Some((Parting::Bound, Micros(0), "as many clients as may be"))
+                Some((CloseReason::Bound, Micros(0), "as many clients as may be"))
             }
             Phase::Running => {
                 let draw = (self.rng.next_u32() >> 8) as f64 / f64::from(1 << 24);
                 let turn = self.arrivals.comes(now, draw);
-                turn.map(|wait| (Parting::Turn, wait, "many come at once"))
+                turn.map(|wait| (CloseReason::Turn, wait, "many come at once"))
             }
             Phase::Leaving | Phase::Stopping | Phase::Stopped => {
-                Some((Parting::Stopping, Micros(0), "stopping"))
+                Some((CloseReason::Stopping, Micros(0), "stopping"))
             }
         };
-        if let Some((parting, wait, text)) = refusal {
+        if let Some((close_reason, wait, text)) = refusal {
             info!(clients = self.clients, wait_us = wait.0, text, "client turned away");
             let mut bytes = Vec::new();
             let wait = u32::try_from(wait.0).unwrap_or(u32::MAX);
-            encode(&Frame::Bye { parting, wait, text }, &mut bytes);
+            encode(&Frame::Bye { close_reason, wait, text }, &mut bytes);
             return Err(bytes);
         }
         self.clients += 1;
@@ -63,13 +63,13 @@
 
     pub(super) fn client_greeted(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), Fault> {
         if hello.role != Role::Client {
-            return Err((Parting::Protocol, format!("a client was expected, not {:?}", hello.role)));
+            return Err((CloseReason::Protocol, format!("a client was expected, not {:?}", hello.role)));
         }
         let (oldest, newest) = hello.versions;
         if oldest > VERSION || newest < VERSION_OLDEST {
             let text =
                 format!("versions {oldest} to {newest}, this initiator speaks {VERSION_OLDEST} to {VERSION}");
-            return Err((Parting::Version, text));
+            return Err((CloseReason::Version, text));
         }
         self.plumbing.is_at(conn, Stage::Open);
         let welcome = Welcome {
@@ -92,7 +92,7 @@
         origin: Option<Origin>,
         now: Micros,
     ) -> Result<(), Fault> {
-        let fault = |text: String| Err((Parting::Protocol, text));
+        let fault = |text: String| Err((CloseReason::Protocol, text));
         let site = &self.config.site;
         let max_units = site.settings.max_units;
         if usize::from(s.class) >= site.classes.len() {
@@ -129,7 +129,7 @@
     ) -> Result<Option<(RequestId, Micros)>, Fault> {
         let Some(Conn { peer: Peer::Client(client), .. }) = self.plumbing.get(conn) else { return Ok(None) };
         if client.owed.contains_key(&client_id) {
-            return Err((Parting::Protocol, format!("number {client_id} is in use")));
+            return Err((CloseReason::Protocol, format!("number {client_id} is in use")));
         }
         self.counts.taken += 1;
         let bounds = &self.config.bounds;
@@ -188,7 +188,7 @@
         let Peer::Client(client) = &mut c.peer else { return };
         if c.outbox.len() > bounds.client_bytes_most {
             warn!(conn = conn.0, bytes = c.outbox.len(), "client does not read its answers: disconnected");
-            self.hang_up(conn, Parting::Bound, "answers are not read", now);
+            self.hang_up(conn, CloseReason::Bound, "answers are not read", now);
         } else if c.outbox.len() > bounds.client_bytes && !client.paused {
             debug!(conn = conn.0, bytes = c.outbox.len(), "client is not read until it has read");
             client.paused = true;
--- a/crates/flaxstand-gateway/src/core/config.rs
+++ b/crates/flaxstand-gateway/src/core/config.rs
@@ -89,7 +89,7 @@
 
 /// Waits of the initiator's own connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waits {
+pub struct Timeouts {
     /// A connection that is not open and greeted within this has failed.
     pub dial: Micros,
     /// A client that has not greeted within this is disconnected.
@@ -110,10 +110,10 @@
     pub stop: Micros,
 }
 
-impl Default for Waits {
+impl Default for Timeouts {
     fn default() -> Self {
         let ms = |ms: u64| Micros(ms * 1000);
-        Waits {
+        Timeouts {
             dial: ms(250),
             greeting: ms(2000),
             idle: ms(15_000),
@@ -142,7 +142,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteBack {
     /// The buffer's bounds and waits.
-    pub rules: flaxstand_write_back::Rules,
+    pub rules: flaxstand_write_back::BufferLimits,
     /// Only writes of these volumes are buffered; none: of all.
     pub volumes: Option<BTreeSet<u64>>,
 }
@@ -157,7 +157,7 @@
     /// Names of plans, in the order of the module's.
     pub plans: Vec<String>,
     /// Waits of connections.
-    pub waits: Waits,
+    pub waits: Timeouts,
     /// The write-back buffer, where a class is buffered.
     pub write_back: Option<WriteBack>,
     /// How storms are met; none: they are not.
@@ -166,7 +166,7 @@
 
 /// With whom an initiator agrees, and on what terms.
 #[derive(Clone, Debug)]
-pub struct Agreeing {
+pub struct ConsensusConfig {
     /// Names and addresses of the keepers, the founder first.
     pub keepers: Vec<(String, Address)>,
     /// Names and addresses of all other initiators.
@@ -215,5 +215,5 @@
     /// What its peers speak.
     pub wire: Wire,
     /// With whom it agrees, if it does.
-    pub agreeing: Option<Agreeing>,
+    pub agreeing: Option<ConsensusConfig>,
 }
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -6,7 +6,7 @@
 use super::writeback::Mark;
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::Outcome;
-use flaxstand_proto::{Frame, Hello, Parting, Role, VERSION, VERSION_OLDEST};
+use flaxstand_proto::{CloseReason, Frame, Hello, Role, VERSION, VERSION_OLDEST};
 use tracing::{info, warn};
 
 impl Core {
@@ -22,9 +22,9 @@
     }
 
     /// Closes a connection from here and settles what hung on it.
-    pub(super) fn hang_up(&mut self, conn: ConnId, parting: Parting, text: &str, now: Micros) {
+    pub(super) fn hang_up(&mut self, conn: ConnId, close_reason: CloseReason, text: &str, now: Micros) {
         if self.plumbing.speaks_frames(conn) {
-            self.plumbing.push(conn, &Frame::Bye { parting, wait: 0, text });
+            self.plumbing.push(conn, &Frame::Bye { close_reason, wait: 0, text });
         }
         self.lost(conn, text, true, now);
     }
@@ -73,8 +73,8 @@
         let Some(c) = self.plumbing.get(conn) else { return false };
         let stage = c.stage;
         let fault = match (&c.peer, frame) {
-            (_, Frame::Bye { parting, text, .. }) => {
-                info!(conn = conn.0, ?parting, text, "peer said goodbye");
+            (_, Frame::Bye { close_reason, text, .. }) => {
+                info!(conn = conn.0, ?close_reason, text, "peer said goodbye");
                 self.lost(conn, "peer said goodbye", true, now);
                 return false;
             }
@@ -127,18 +127,24 @@
                 self.list_call_failed(now);
                 Ok(())
             }
-            (_, other) => Err((Parting::Protocol, format!("a frame that has no place here: {other:?}"))),
+            (_, other) => Err((CloseReason::Protocol, format!("a frame that has no place here: {other:?}"))),
         };
-        if let Err((parting, text)) = fault {
-            self.protocol_fault(conn, parting, &text, now);
+        if let Err((close_reason, text)) = fault {
+            self.protocol_fault(conn, close_reason, &text, now);
         }
         self.plumbing.get(conn).is_some()
     }
 
-    pub(super) fn protocol_fault(&mut self, conn: ConnId, parting: Parting, text: &str, now: Micros) {
+    pub(super) fn protocol_fault(
+        &mut self,
+        conn: ConnId,
+        close_reason: CloseReason,
+        text: &str,
+        now: Micros,
+    ) {
         let text: String = text.chars().take(200).collect();
-        warn!(conn = conn.0, ?parting, text, "closing a connection for what its peer sent");
+        warn!(conn = conn.0, ?close_reason, text, "closing a connection for what its peer sent");
         self.counts.protocol_faults += 1;
-        self.hang_up(conn, parting, &text, now);
+        self.hang_up(conn, close_reason, &text, now);
     }
 }
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -287,7 +287,7 @@
         self.places.part(conn, queued, now);
         self.plumbing.partial_bytes -= held;
         // The client reads to the end of what it was sent and closes in its turn (RFC 9112, 9.6).
-        self.plumbing.command(Command::Shut(conn));
+        self.plumbing.command(Command::ShutdownWrite(conn));
         self.plumbing.at(now.after(LINGER), Timer::Quiet(conn));
     }
 
--- a/crates/flaxstand-gateway/src/core/list.rs
+++ b/crates/flaxstand-gateway/src/core/list.rs
@@ -6,11 +6,11 @@
 use super::node_table::NodeName;
 use super::plumbing::{Peer, Protocol, Stage, Timer};
 use super::saved_list::{SavePlan, SavedList, SavedListError};
-use super::{Backoff, Core, Waits, Wire};
+use super::{Backoff, Core, Timeouts, Wire};
 use crate::machine::{Address, ConnId, Micros};
 use flaxstand::api::{Event, ListScope, NodeEntry, NodeId, Readiness};
 use flaxstand_proto::{
-    Entry, Extent, Frame, Inbox, List, Parting, Role, State, VERSION, VERSION_OLDEST, Welcome,
+    CloseReason, Entry, Extent, Frame, Inbox, List, Role, State, VERSION, VERSION_OLDEST, Welcome,
 };
 use std::collections::BTreeSet;
 use tracing::{debug, info, warn};
@@ -52,7 +52,7 @@
 }
 
 impl ListPeer {
-    pub(super) fn new(waits: &Waits) -> Self {
+    pub(super) fn new(waits: &Timeouts) -> Self {
         let backoff = Backoff::new(waits.list_retry.0, waits.list_retry.1);
         ListPeer {
             conn: None,
@@ -95,7 +95,7 @@
             readiness: match e.state {
                 State::Serving => Readiness::Serving,
                 State::Draining => Readiness::Draining,
-                State::Gone => Readiness::Removed,
+                State::Removed => Readiness::Removed,
             },
             started_at: e.age.map(|age| now.ms() - Micros(age).ms()),
             shard: e.shard,
@@ -135,7 +135,7 @@
     pub(super) fn list_greeted(&mut self, conn: ConnId, w: &Welcome<'_>, now: Micros) -> Result<(), Fault> {
         if w.role != Role::List || !(VERSION_OLDEST..=VERSION).contains(&w.version) {
             let text = format!("expected a list service, met {:?} of version {}", w.role, w.version);
-            return Err((Parting::WrongPeer, text));
+            return Err((CloseReason::WrongPeer, text));
         }
         self.plumbing.is_at(conn, Stage::Open);
         (self.list.heard_at, self.list.asked, self.list.received_within_frame) = (now, false, None);
@@ -194,11 +194,11 @@
             return self.look_for_silence(due);
         }
         match self.list_frame_progress(conn, silence) {
-            FrameProgress::Stalled => self.hang_up(conn, Parting::Protocol, "the list stalls", now),
+            FrameProgress::Stalled => self.hang_up(conn, CloseReason::Protocol, "the list stalls", now),
             // It is not asked for what it is about to tell.
             FrameProgress::Arriving => self.look_for_silence(now.after(silence)),
             FrameProgress::NoFrame if self.list.asked => {
-                self.hang_up(conn, Parting::Protocol, "the list service is silent", now);
+                self.hang_up(conn, CloseReason::Protocol, "the list service is silent", now);
             }
             FrameProgress::NoFrame => {
                 self.list.asked = true;
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -45,7 +45,7 @@
 mod writeback;
 
 pub use backoff::Backoff;
-pub use config::{Agreeing, Bounds, ClassInfo, Config, Policy, Site, Waits, Wire, WriteBack};
+pub use config::{Bounds, ClassInfo, Config, ConsensusConfig, Policy, Site, Timeouts, Wire, WriteBack};
 pub use figures::{Counts, Footprint};
 pub use saved_list::{SavedList, SavedListError};
 
@@ -56,7 +56,7 @@
 use first_byte::ListTrust;
 use flaxstand::api::{Class, Event, RequestId, VolumeId};
 use flaxstand_overload::ConnectionRateLimiter;
-use flaxstand_proto::Parting;
+use flaxstand_proto::CloseReason;
 use list::ListPeer;
 use node_table::NodeTable;
 use plumbing::{Conn, Peer, Plumbing, Protocol, Stage, Timer};
@@ -254,7 +254,7 @@
             Timer::Deadline(request) => self.deadline(request, now),
             Timer::Dial(conn) => {
                 if self.plumbing.get(conn).is_some_and(|c| c.stage != Stage::Open) {
-                    self.hang_up(conn, Parting::Protocol, "no greeting in time", now);
+                    self.hang_up(conn, CloseReason::Protocol, "no greeting in time", now);
                 }
             }
             Timer::Quiet(conn) => self.quiet(conn, now),
@@ -322,7 +322,7 @@
             // Until then it acts, and needs its lease.
             self.leave_agreement(now);
             let conns: Vec<ConnId> = self.plumbing.iter().map(|(conn, _)| conn).collect();
-            conns.into_iter().for_each(|conn| self.hang_up(conn, Parting::Stopping, "stopping", now));
+            conns.into_iter().for_each(|conn| self.hang_up(conn, CloseReason::Stopping, "stopping", now));
             // What was learnt of the nodes since the list last changed is kept for the next start.
             if self.nodes.listed() > 0 && !self.on_platform() {
                 self.save_whole(now);
@@ -369,7 +369,7 @@
         if let Some(c) = self.plumbing.get_mut(conn) {
             c.protocol = Protocol::Frames(inbox);
             if let Err(e) = fed {
-                self.protocol_fault(conn, Parting::Protocol, &e.to_string(), now);
+                self.protocol_fault(conn, CloseReason::Protocol, &e.to_string(), now);
             }
         }
     }
--- a/crates/flaxstand-gateway/src/core/nodes.rs
+++ b/crates/flaxstand-gateway/src/core/nodes.rs
@@ -9,7 +9,9 @@
 use super::requests::Owner;
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{AttemptNo, Event, ListScope, NodeId, Outcome, Readiness, RequestId};
-use flaxstand_proto::{Attempt, Code, Done, Frame, Inbox, Parting, Role, VERSION, VERSION_OLDEST, Welcome};
+use flaxstand_proto::{
+    Attempt, CloseReason, Code, Done, Frame, Inbox, Role, VERSION, VERSION_OLDEST, Welcome,
+};
 use tracing::{debug, info};
 
 impl Core {
@@ -131,17 +133,17 @@
         now: Micros,
     ) -> Result<(), Fault> {
         if !(VERSION_OLDEST..=VERSION).contains(&w.version) {
-            return Err((Parting::Version, format!("version {} was not offered", w.version)));
+            return Err((CloseReason::Version, format!("version {} was not offered", w.version)));
         }
         let idle = self.config.site.waits.idle;
         let Some(node) = self.node(at) else { return Ok(()) };
         if w.role != Role::Node || NodeName::Number(w.id) != node.name {
             let text = format!("expected node {}, met {:?} {}", node.name, w.role, w.id);
-            return Err((Parting::WrongPeer, text));
+            return Err((CloseReason::WrongPeer, text));
         }
         if w.epoch < node.incarnation {
             let text = format!("expected incarnation {} of node {}, met {}", node.incarnation, w.id, w.epoch);
-            return Err((Parting::WrongPeer, text));
+            return Err((CloseReason::WrongPeer, text));
         }
         node.idle_since = now;
         let waiting = std::mem::take(&mut node.waiting);
@@ -213,7 +215,7 @@
                 self.served(id, attempt, shard, d.payload, now);
             }
             Code::Error => self.end_attempt(id, attempt, Outcome::Error, now),
-            Code::Full => self.end_attempt(id, attempt, Outcome::Rejected, now),
+            Code::Rejected => self.end_attempt(id, attempt, Outcome::Rejected, now),
         }
     }
 
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -7,7 +7,7 @@
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{Action, AttemptEnd, AttemptNo, Event, NodeId, Outcome, RequestId};
 use flaxstand_proto::{Frame, Refusal, Scope, Submit};
-use flaxstand_write_back::{Place, TryId, Write};
+use flaxstand_write_back::{ExtentId, Write, WriteOutId};
 use tracing::{debug, error};
 
 /// An attempt that is out, or waits for its node's connection.
@@ -29,7 +29,7 @@
     /// A client, by its connection and its own number for the request.
     Client(ConnId, u64),
     /// The write-back buffer.
-    Buffer(TryId),
+    Buffer(WriteOutId),
 }
 
 /// Who has the request now.
@@ -64,7 +64,7 @@
     /// An attempt of it has ended that may still run.
     pub(super) ran: bool,
     /// A read: what is buffered of this place is laid over the node's answer.
-    pub(super) merge: Option<Place>,
+    pub(super) merge: Option<ExtentId>,
     /// Parts of a streamed answer that is to be laid over, and of which attempt.
     pub(super) gathered: (AttemptNo, Vec<u8>),
     pub(super) operation: u64,
@@ -152,14 +152,14 @@
     }
 
     /// A write-out of the buffer's.
-    pub(super) fn write_out(id: TryId, w: Write, expires_at: Micros) -> Self {
+    pub(super) fn write_out(id: WriteOutId, w: Write, expires_at: Micros) -> Self {
         Held {
             operation: w.operation,
             class: w.class,
             plan: w.plan,
             write: true,
-            volume: w.place.volume,
-            extent: Some(w.place.extent),
+            volume: w.extent_id.volume,
+            extent: Some(w.extent_id.extent),
             shard: Some(w.shard),
             units: w.units,
             volume_initiators: w.volume_initiators,
--- a/crates/flaxstand-gateway/src/core/saved_list.rs
+++ b/crates/flaxstand-gateway/src/core/saved_list.rs
@@ -66,7 +66,7 @@
         (self.saved_at, self.revision) = (list.since, list.revision);
         for entry in list.entries {
             let node = entry.node;
-            let slot = (entry.state != State::Gone).then_some((entry, list.since));
+            let slot = (entry.state != State::Removed).then_some((entry, list.since));
             match self.slot_of.get(&node) {
                 Some(place) => self.slots[*place] = slot,
                 None => {
@@ -213,7 +213,7 @@
         }
         self.list.save.appended += bytes.len();
         self.counts.saved_bytes += bytes.len() as u64;
-        self.plumbing.command(Command::AppendSaved(bytes));
+        self.plumbing.command(Command::AppendList(bytes));
     }
 
     /// Saves all of the list, and the pace of every node.
@@ -223,7 +223,7 @@
         *save = SavePlan { whole: Some(bytes.len()), paces_at: Some(now), ..SavePlan::default() };
         self.counts.saved_bytes += bytes.len() as u64;
         self.counts.whole_saves += 1;
-        self.plumbing.command(Command::Save(bytes));
+        self.plumbing.command(Command::SaveList(bytes));
     }
 
     fn encode_whole(&self, now: Micros) -> Vec<u8> {
@@ -292,6 +292,6 @@
     match readiness {
         Readiness::Serving => State::Serving,
         Readiness::Draining => State::Draining,
-        Readiness::Removed => State::Gone,
+        Readiness::Removed => State::Removed,
     }
 }
--- a/crates/flaxstand-gateway/src/core/writeback.rs
+++ b/crates/flaxstand-gateway/src/core/writeback.rs
@@ -11,13 +11,14 @@
 use flaxstand::api::{
     Arrival, Class, ClassId, Effect, Event, Key, PlanId, RequestId, Settings, ShardId, VolumeId,
 };
-use flaxstand_proto::{Frame, Parting, Refusal, Scope, Submit};
-use flaxstand_write_back::buffer::Buffering;
-use flaxstand_write_back::image::EXTENT_MOST;
-use flaxstand_write_back::record::Wall;
-use flaxstand_write_back::writeout::{Level, RepeatBudget};
+use flaxstand_proto::{CloseReason, Frame, Refusal, Scope, Submit};
+use flaxstand_write_back::buffer::BufferingMode;
+use flaxstand_write_back::image::MAX_EXTENT_BYTES;
+use flaxstand_write_back::record::WallClock;
+use flaxstand_write_back::writeout::{Urgency, WriteOutRetryBudget};
 use flaxstand_write_back::{
-    Action, Buffer, Config, Expired, Offer, Place, ReadBack, Recovered, Status, Ticket, TryEnd, TryId, Write,
+    Action, BufferedRead, Config, Expired, ExtentId, Recovered, Status, Write, WriteBackBuffer, WriteHandle,
+    WriteOutId, WriteOutResult, WriteRequest,
 };
 use std::collections::BTreeMap;
 use tracing::{debug, info};
@@ -25,21 +26,21 @@
 /// The buffer with what the core knows of its write-outs.
 #[derive(Debug)]
 pub(super) struct Back {
-    pub(super) buffer: Buffer,
+    pub(super) buffer: WriteBackBuffer,
     settings: WriteBack,
     /// Classes of the site; the module's own for write-outs follow them.
     classes: usize,
-    tries: BTreeMap<TryId, RequestId>,
+    tries: BTreeMap<WriteOutId, RequestId>,
 }
 
 /// What write-outs are to the module, by urgency: worth in parts of their class's, aim in multiples of it. At
 /// the last they are worth as much as anything is.
-fn write_out_class(class: &Class, level: Level, most: f64) -> Class {
+fn write_out_class(class: &Class, level: Urgency, most: f64) -> Class {
     let (priority_weight, latency_objective) = match level {
-        Level::Idle => (class.priority_weight * 0.05, 4.0),
-        Level::Rising => (class.priority_weight * 0.3, 2.0),
-        Level::High => (class.priority_weight, 1.0),
-        Level::Urgent => (most, 1.0),
+        Urgency::Idle => (class.priority_weight * 0.05, 4.0),
+        Urgency::Rising => (class.priority_weight * 0.3, 2.0),
+        Urgency::High => (class.priority_weight, 1.0),
+        Urgency::Urgent => (most, 1.0),
     };
     let latency_objective = class.latency_objective * latency_objective;
     // No client waits for it: it is worth as much after the aim as before.
@@ -56,7 +57,7 @@
 /// them and each urgency.
 pub(super) fn with_write_outs(settings: &Settings) -> Settings {
     let most = settings.classes.iter().map(|c| c.priority_weight).fold(0.0, f64::max);
-    let of = |class| Level::ALL.map(|level| write_out_class(class, level, most));
+    let of = |class| Urgency::ALL.map(|level| write_out_class(class, level, most));
     let own: Vec<Class> = settings.classes.iter().flat_map(of).collect();
     let mut settings = settings.clone();
     settings.classes.extend(own);
@@ -66,11 +67,11 @@
 fn buffer_config(w: &WriteBack, core: &Core) -> Config {
     let site = &core.config.site;
     let buffering = |(info, class): (&super::ClassInfo, &Class)| match (info.buffered, class.effect) {
-        (true, Effect::Idempotent) => Buffering::Repeatable,
-        (true, Effect::IdempotencyKey { window, .. }) => Buffering::Keyed(Micros::from_ms(window)),
-        (true, Effect::AtMostOnce) | (false, _) => Buffering::Never,
+        (true, Effect::Idempotent) => BufferingMode::Repeatable,
+        (true, Effect::IdempotencyKey { window, .. }) => BufferingMode::Keyed(Micros::from_ms(window)),
+        (true, Effect::AtMostOnce) | (false, _) => BufferingMode::Never,
     };
-    let span = |b: flaxstand::api::RetryBudget| RepeatBudget {
+    let span = |b: flaxstand::api::RetryBudget| WriteOutRetryBudget {
         floor: b.floor,
         ratio: b.ratio,
         span: Micros::from_ms(b.span),
@@ -81,7 +82,7 @@
         key_cooldown: Micros::from_ms(site.settings.key_cooldown),
         classes: site.classes.iter().zip(&site.settings.classes).map(buffering).collect(),
         repeats: site.settings.retry_budget.map(span),
-        calendar: Wall(core.config.calendar),
+        calendar: WallClock(core.config.calendar),
     }
 }
 
@@ -90,13 +91,13 @@
     /// this, or without such settings, every write goes through.
     pub fn attach(&mut self, recovered: Recovered, now: Micros) {
         let Some(settings) = self.config.site.write_back.clone() else { return };
-        let buffer = Buffer::new(buffer_config(&settings, self), recovered, now);
+        let buffer = WriteBackBuffer::new(buffer_config(&settings, self), recovered, now);
         let classes = self.config.site.classes.len();
         self.back = Some(Back { buffer, settings, classes, tries: BTreeMap::new() });
         self.undecided = true;
     }
 
-    /// How a batch went that `Command::Store` asked for.
+    /// How a batch went that `Command::StoreWriteBack` asked for.
     pub(super) fn batch_stored(&mut self, well: bool, now: Micros) {
         if let Some(back) = &mut self.back {
             back.buffer.stored(well, now);
@@ -112,10 +113,10 @@
     pub(super) fn range_fault(s: &Submit<'_>) -> Result<(), Fault> {
         let Some(at) = s.at else { return Ok(()) };
         let end = at as usize + s.payload.len();
-        let fault = |text: String| Err((Parting::Protocol, text));
+        let fault = |text: String| Err((CloseReason::Protocol, text));
         match (s.write, s.extent) {
-            (true, Some(_)) if end <= EXTENT_MOST => Ok(()),
-            (true, Some(_)) => fault(format!("a write up to byte {end}, extents have {EXTENT_MOST}")),
+            (true, Some(_)) if end <= MAX_EXTENT_BYTES => Ok(()),
+            (true, Some(_)) => fault(format!("a write up to byte {end}, extents have {MAX_EXTENT_BYTES}")),
             _ => fault("a byte to begin at, which only a write of an extent has".into()),
         }
     }
@@ -123,19 +124,19 @@
     /// A request that was taken: to the buffer if that concerns it. True: the module must not hear of it yet.
     pub(super) fn offer(&mut self, id: RequestId, s: &Submit<'_>, now: Micros) -> bool {
         let Some(back) = &mut self.back else { return false };
-        let ticket = Ticket(id.0);
-        let place = s.extent.map(|extent| Place { volume: s.volume, extent });
+        let handle = WriteHandle(id.0);
+        let extent_id = s.extent.map(|extent| ExtentId { volume: s.volume, extent });
         if !s.write {
-            let Some(place) = place else { return false };
-            match back.buffer.read(ticket, place) {
-                ReadBack::Plain => return false,
-                ReadBack::Merge => {
+            let Some(extent_id) = extent_id else { return false };
+            match back.buffer.read(handle, extent_id) {
+                BufferedRead::Plain => return false,
+                BufferedRead::Merge => {
                     if let Some(held) = self.requests.get_mut(&id) {
-                        held.merge = Some(place);
+                        held.merge = Some(extent_id);
                     }
                     return false;
                 }
-                ReadBack::Whole { shard, data } => {
+                BufferedRead::Whole { shard, data } => {
                     self.counts.served += 1;
                     self.counts.read_back += 1;
                     self.answer(id, Verdict::Served, now, |id| Frame::Served { id, shard, payload: &data });
@@ -148,10 +149,12 @@
         }
         // A new object has no node yet, and the volume may be one that is not buffered.
         let may = back.settings.volumes.as_ref().is_none_or(|v| v.contains(&s.volume));
-        match (place, s.shard) {
-            (Some(place), Some(shard)) if may && back.buffer.buffering(s.class) != Buffering::Never => {
+        match (extent_id, s.shard) {
+            (Some(extent_id), Some(shard))
+                if may && back.buffer.buffering(s.class) != BufferingMode::Never =>
+            {
                 let write = Write {
-                    place,
+                    extent_id,
                     class: s.class,
                     plan: s.plan,
                     volume_initiators: s.volume_initiators.max(1),
@@ -161,9 +164,9 @@
                     at: s.at,
                     payload: s.payload.to_vec(),
                 };
-                back.buffer.offer(Offer { ticket, write }, now);
+                back.buffer.offer(WriteRequest { handle, write }, now);
             }
-            _ => back.buffer.pass(ticket, s.volume, place, now),
+            _ => back.buffer.pass(handle, s.volume, extent_id, now),
         }
         true
     }
@@ -194,8 +197,8 @@
             return Ok(());
         };
         match mark {
-            Mark::Barrier(volume) => back.buffer.barrier(Ticket(id.0), volume, now),
-            Mark::Flush(volume) => back.buffer.flush(Ticket(id.0), volume),
+            Mark::Barrier(volume) => back.buffer.barrier(WriteHandle(id.0), volume, now),
+            Mark::Flush(volume) => back.buffer.flush(WriteHandle(id.0), volume),
         }
         Ok(())
     }
@@ -214,17 +217,17 @@
     }
 
     fn carry_out(&mut self, action: Action, now: Micros) {
-        let request = |ticket: Ticket| RequestId(ticket.0);
+        let request = |handle: WriteHandle| RequestId(handle.0);
         match action {
-            Action::Store(batch) => self.plumbing.command(Command::Store(batch)),
-            Action::Buffered(ticket) => self.buffered(request(ticket), now),
-            Action::Through(ticket) => self.through(request(ticket)),
-            Action::Refused { ticket, wait } => self.refused_here(request(ticket), wait, now),
-            Action::Barred(ticket) => {
-                self.answer(request(ticket), Verdict::Served, now, |id| Frame::Barred { id });
+            Action::Store(batch) => self.plumbing.command(Command::StoreWriteBack(batch)),
+            Action::Buffered(handle) => self.buffered(request(handle), now),
+            Action::Through(handle) => self.through(request(handle)),
+            Action::Refused { handle, wait } => self.refused_here(request(handle), wait, now),
+            Action::Barred(handle) => {
+                self.answer(request(handle), Verdict::Served, now, |id| Frame::Barred { id });
             }
-            Action::Flushed(ticket) => {
-                self.answer(request(ticket), Verdict::Served, now, |id| Frame::Flushed { id });
+            Action::Flushed(handle) => {
+                self.answer(request(handle), Verdict::Served, now, |id| Frame::Flushed { id });
             }
             Action::Send { id, write, level, until } => self.write_out(id, write, level, until, now),
             Action::Withdraw(id) => self.withdraw(id, now),
@@ -255,15 +258,22 @@
     }
 
     /// A write-out becomes a request.
-    fn write_out(&mut self, id: TryId, write: Write, level: Level, until: Option<Micros>, now: Micros) {
+    fn write_out(
+        &mut self,
+        id: WriteOutId,
+        write: Write,
+        level: Urgency,
+        until: Option<Micros>,
+        now: Micros,
+    ) {
         let Some(back) = &mut self.back else { return };
-        let class = back.classes + usize::from(write.class) * Level::ALL.len() + level as usize;
+        let class = back.classes + usize::from(write.class) * Urgency::ALL.len() + level as usize;
         let deadline = Micros::from_ms(self.brain_classes[class].deadline);
         let expires_at = until.map_or(now.after(deadline), |until| now.after(deadline).min(until));
         self.next_request += 1;
         let request = RequestId(self.next_request);
         back.tries.insert(id, request);
-        self.volumes.insert(VolumeId(write.place.volume));
+        self.volumes.insert(VolumeId(write.extent_id.volume));
         debug!(request = request.0, attempt = id.0, ?level, operation = write.operation, "write-out");
         let held = Held::write_out(id, write, expires_at);
         self.events.push_back(Event::RequestArrived(held.arrival(request, class)));
@@ -272,12 +282,12 @@
     }
 
     /// A write-out that waits with the module at too low a worth is taken back, if none of it has left.
-    fn withdraw(&mut self, id: TryId, now: Micros) {
+    fn withdraw(&mut self, id: WriteOutId, now: Micros) {
         let Some(back) = &mut self.back else { return };
         let Some(request) = back.tries.get(&id).copied() else { return };
         if self.requests.get(&request).is_some_and(|r| r.attempts == 0) {
             back.tries.remove(&id);
-            back.buffer.try_ended(id, TryEnd::Withdrawn, now);
+            back.buffer.try_ended(id, WriteOutResult::Withdrawn, now);
             if let Some(held) = self.requests.remove(&request) {
                 self.plumbing.cancel(held.expires_at, Timer::Deadline(request));
             }
@@ -289,7 +299,7 @@
     pub(super) fn expire_here(&mut self, id: RequestId, now: Micros) -> bool {
         let here = self.requests.get(&id).is_some_and(|r| r.with == With::Buffer && r.owner.is_some());
         let Some(back) = self.back.as_mut().filter(|_| here) else { return false };
-        match back.buffer.expire(Ticket(id.0), now) {
+        match back.buffer.expire(WriteHandle(id.0), now) {
             Expired::Buffered => self.buffered(id, now),
             // Let through, and not yet told to the module: it has not run either.
             Expired::Refuse | Expired::Elsewhere => {
@@ -311,18 +321,18 @@
                     return;
                 }
                 let end = match held.verdict {
-                    Verdict::Served => TryEnd::Confirmed { lingers: unsure },
-                    Verdict::NotRun(_) | Verdict::Failed | Verdict::None if unsure => TryEnd::Unsure,
-                    Verdict::NotRun(wait) => TryEnd::NotRun { wait },
-                    Verdict::Failed | Verdict::None => TryEnd::NotRun { wait: Micros(0) },
+                    Verdict::Served => WriteOutResult::Confirmed { lingers: unsure },
+                    Verdict::NotRun(_) | Verdict::Failed | Verdict::None if unsure => WriteOutResult::Unsure,
+                    Verdict::NotRun(wait) => WriteOutResult::NotRun { wait },
+                    Verdict::Failed | Verdict::None => WriteOutResult::NotRun { wait: Micros(0) },
                 };
                 back.buffer.try_ended(try_id, end, now);
             }
             Owner::Client(..) => match held.with {
-                With::Module { through: true } => back.buffer.through_ended(Ticket(id.0), unsure, now),
-                With::Buffer => back.buffer.gone(Ticket(id.0), now),
+                With::Module { through: true } => back.buffer.through_ended(WriteHandle(id.0), unsure, now),
+                With::Buffer => back.buffer.gone(WriteHandle(id.0), now),
                 With::Module { through: false } if held.merge.is_some() => {
-                    back.buffer.gone(Ticket(id.0), now)
+                    back.buffer.gone(WriteHandle(id.0), now)
                 }
                 With::Module { through: false } => {}
             },
@@ -333,7 +343,7 @@
     pub(super) fn merged(&mut self, id: RequestId, payload: &[u8], now: Micros) -> Vec<u8> {
         let mut data = payload.to_vec();
         if let Some(back) = &mut self.back {
-            back.buffer.merge(Ticket(id.0), &mut data, now);
+            back.buffer.merge(WriteHandle(id.0), &mut data, now);
         }
         data
     }
--- a/crates/flaxstand-gateway/src/driver/mod.rs
+++ b/crates/flaxstand-gateway/src/driver/mod.rs
@@ -103,7 +103,7 @@
     /// Given up for a moment when descriptors run out, to take a client and tell it goodbye.
     spare: Option<OwnedFd>,
     /// Refused connections: closed at once over what their peer has sent, they would be reset, and the refusal lost.
-    parting: VecDeque<(Micros, OwnedFd)>,
+    close_reason: VecDeque<(Micros, OwnedFd)>,
     signals: Vec<(PipeReader, Signal)>,
     disk: Option<Disk>,
     keeper: Option<Disk>,
@@ -160,7 +160,7 @@
             listeners: Vec::new(),
             sockets: BTreeMap::new(),
             spare: spare(),
-            parting: VecDeque::new(),
+            close_reason: VecDeque::new(),
             signals,
             disk,
             keeper,
@@ -213,8 +213,8 @@
     }
 
     fn turn(&mut self) -> Option<Micros> {
-        while self.parting.front().is_some_and(|(at, _)| self.now.since(*at) >= PARTING_KEPT) {
-            self.parting.pop_front();
+        while self.close_reason.front().is_some_and(|(at, _)| self.now.since(*at) >= PARTING_KEPT) {
+            self.close_reason.pop_front();
         }
         loop {
             let mut next = self.machine.settle(self.now);
@@ -374,7 +374,7 @@
         match command {
             Command::Connect { conn, address } => self.connect(conn, &address),
             Command::Flush(conn) => self.flush(conn),
-            Command::Shut(conn) => {
+            Command::ShutdownWrite(conn) => {
                 if let Some(socket) = self.sockets.get_mut(&conn) {
                     socket.ends = true;
                     self.flush(conn);
@@ -388,11 +388,11 @@
                     let _ = write(&socket.fd, &last);
                 }
             }
-            Command::Save(bytes) => {
+            Command::SaveList(bytes) => {
                 self.save(|path| replace(path, &bytes));
             }
-            Command::AppendSaved(bytes) => self.save(|path| append(path, &bytes)),
-            Command::Append(sink, bytes) => {
+            Command::AppendList(bytes) => self.save(|path| append(path, &bytes)),
+            Command::AppendOutput(sink, bytes) => {
                 let file = match sink {
                     Sink::Record => &mut self.options.record,
                     Sink::Data => &mut self.options.data,
@@ -403,19 +403,19 @@
                     warn!(%error, ?sink, "cannot append");
                 }
             }
-            Command::Store(batch) => {
+            Command::StoreWriteBack(batch) => {
                 let sent = self.disk.as_ref().is_some_and(|disk| disk.batches.send(batch).is_ok());
                 if !sent {
                     self.machine.stored(false, self.now);
                 }
             }
-            Command::Keep(batch) => {
+            Command::StoreConsensus(batch) => {
                 let sent = self.keeper.as_ref().is_some_and(|disk| disk.batches.send(batch).is_ok());
                 if !sent {
                     self.machine.kept(false, self.now);
                 }
             }
-            Command::SaveBook(bytes) => {
+            Command::SaveReplicatedState(bytes) => {
                 if let Some(path) = &self.options.book
                     && let Err(error) = replace_durably(path, &bytes)
                 {
@@ -523,10 +523,10 @@
             Err(last) => {
                 let _ = write(&fd, &last);
                 let _ = net::shutdown(&fd, net::Shutdown::Write);
-                if self.parting.len() >= PARTING {
-                    self.parting.pop_front();
+                if self.close_reason.len() >= PARTING {
+                    self.close_reason.pop_front();
                 }
-                self.parting.push_back((self.now, fd));
+                self.close_reason.push_back((self.now, fd));
             }
         }
     }
--- a/crates/flaxstand-gateway/src/machine.rs
+++ b/crates/flaxstand-gateway/src/machine.rs
@@ -77,19 +77,19 @@
         last: Vec<u8>,
     },
     /// Send nothing more on this connection once all that waits is written; its peer may still send, and is read.
-    Shut(ConnId),
+    ShutdownWrite(ConnId),
     /// Put these bytes into the machine's saved state, in place of what is there.
-    Save(Vec<u8>),
+    SaveList(Vec<u8>),
     /// Add these bytes to the machine's saved state, behind what is there. A crash may leave a part of them.
-    AppendSaved(Vec<u8>),
+    AppendList(Vec<u8>),
     /// Add these bytes to one of the machine's files. A stand-in's records, written before its answers.
-    Append(Sink, Vec<u8>),
+    AppendOutput(Sink, Vec<u8>),
     /// Carry this batch out on the machine's log; `stored` follows. One at a time.
-    Store(flaxstand_storage::Batch),
+    StoreWriteBack(flaxstand_storage::Batch),
     /// Carry this batch out on the keeper's folder, beside the machine's log; `kept` follows. One at a time.
-    Keep(flaxstand_storage::Batch),
+    StoreConsensus(flaxstand_storage::Batch),
     /// Put these bytes, durably, into the file of what was agreed on, in place of what is there.
-    SaveBook(Vec<u8>),
+    SaveReplicatedState(Vec<u8>),
     /// Take no more connections.
     StopListening,
     /// Write a line to standard output.
--- a/crates/flaxstand-gateway/src/settings/mod.rs
+++ b/crates/flaxstand-gateway/src/settings/mod.rs
@@ -8,7 +8,7 @@
 pub use rules::{read_floor, rules_of, settings_of};
 pub use site::{Rules, SiteFile, read_site};
 
-use crate::core::{Agreeing, Bounds, Config, Policy, Wire};
+use crate::core::{Bounds, Config, ConsensusConfig, Policy, Wire};
 use crate::machine::{Address, Micros};
 use flaxstand_overload::ConnectionRateLimit;
 use std::path::PathBuf;
@@ -41,7 +41,7 @@
     /// What is agreed on is kept there.
     pub folder: PathBuf,
     /// For the core.
-    pub agreeing: Agreeing,
+    pub agreeing: ConsensusConfig,
 }
 
 /// Reads a settings file. `name` is for messages.
@@ -168,7 +168,7 @@
     Agreement {
         listen,
         folder,
-        agreeing: Agreeing { keepers, others, lease, election, clock_error, started_with },
+        agreeing: ConsensusConfig { keepers, others, lease, election, clock_error, started_with },
     }
 }
 
--- a/crates/flaxstand-gateway/src/settings/site.rs
+++ b/crates/flaxstand-gateway/src/settings/site.rs
@@ -1,7 +1,7 @@
 //! The part of a settings file that all initiators of a site share. A day of the laboratory has the same.
 
 use super::reader::Block;
-use crate::core::{ClassInfo, Site, Waits, WriteBack};
+use crate::core::{ClassInfo, Site, Timeouts, WriteBack};
 use crate::machine::Micros;
 use flaxstand::api::{Class, DeduplicationScope, Effect, Plan, RetryBudget, Settings};
 use flaxstand_overload::RetryThrottleConfig;
@@ -77,7 +77,7 @@
             b.finish();
             read
         }
-        None => (empty, Waits::default()),
+        None => (empty, Timeouts::default()),
     };
     for (block, plan) in plan_blocks.iter().zip(&settings.plans) {
         if plan.limit_rate > 0.0 && plan.limit_burst < settings.max_units {
@@ -153,11 +153,11 @@
     s
 }
 
-fn read_waits(b: &Block<'_>) -> Waits {
-    let d = Waits::default();
+fn read_waits(b: &Block<'_>) -> Timeouts {
+    let d = Timeouts::default();
     let Some(b) = b.block("waits") else { return d };
     let wait = |key, default: Micros| Micros::from_ms(b.number(key, POSITIVE_MS, Some(default.ms())));
-    let waits = Waits {
+    let waits = Timeouts {
         dial: wait("dial-ms", d.dial),
         greeting: wait("greeting-ms", d.greeting),
         idle: wait("idle-ms", d.idle),
@@ -188,11 +188,11 @@
 }
 
 fn read_write_back(b: &Block<'_>) -> WriteBack {
-    let d = flaxstand_write_back::Rules::default();
+    let d = flaxstand_write_back::BufferLimits::default();
     let wait = |key, default: Micros| Micros::from_ms(b.number(key, MS, Some(default.ms())));
     let bytes = |key, default| b.whole(key, 1..=1 << 40, Some(default));
     let volumes = b.wholes("volumes", 0..=u64::MAX >> 1);
-    let rules = flaxstand_write_back::Rules {
+    let rules = flaxstand_write_back::BufferLimits {
         bytes: bytes("bytes", d.bytes),
         volume_bytes: bytes("volume-bytes", d.volume_bytes),
         age: Micros::from_ms(b.number("age-ms", POSITIVE_MS, Some(d.age.ms()))),
--- a/crates/flaxstand-gateway/tests/client_places.rs
+++ b/crates/flaxstand-gateway/tests/client_places.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Client {
     conn: ConnId,
-    parting: bool,
+    close_reason: bool,
     since: u64,
     asked: bool,
     half: bool,
@@ -74,13 +74,13 @@
 
 /// The rule in plain words: errors first, then who has waited longest; 250 ms for its first request, 100 ms for more.
 fn gives_way(clients: &[Client], now: u64) -> Option<ConnId> {
-    let least = |c: &Client| match (c.parting, c.asked) {
+    let least = |c: &Client| match (c.close_reason, c.asked) {
         (true, _) => 0,
         (false, false) => 250_000,
         (false, true) => 100_000,
     };
     let may = |c: &&Client| now - c.since >= least(c) && (!c.asked || !c.half);
-    clients.iter().filter(may).min_by_key(|c| (!c.parting, c.since, c.conn)).map(|c| c.conn)
+    clients.iter().filter(may).min_by_key(|c| (!c.close_reason, c.since, c.conn)).map(|c| c.conn)
 }
 
 /// Time closes some, and a request that does not end is answered with an error: taken as it came about.
@@ -88,7 +88,7 @@
     w.run(1);
     clients.retain(|c| !w.closed.contains(&c.conn));
     for c in clients.iter_mut().filter(|c| c.half && w.shut.contains(&c.conn)) {
-        (c.parting, c.half, c.since) = (true, false, w.now.0);
+        (c.close_reason, c.half, c.since) = (true, false, w.now.0);
     }
 }
 
@@ -102,17 +102,17 @@
         for step in steps {
             let now = w.now.0;
             match step {
-                Step::Ask(n) if n < clients.len() && !clients[n].parting && !clients[n].half => {
+                Step::Ask(n) if n < clients.len() && !clients[n].close_reason && !clients[n].half => {
                     ask(&mut w, clients[n].conn);
                     (clients[n].since, clients[n].asked) = (now, true);
                 }
-                Step::Err(n) if n < clients.len() && !clients[n].parting && !clients[n].half => {
+                Step::Err(n) if n < clients.len() && !clients[n].close_reason && !clients[n].half => {
                     w.says(clients[n].conn, b"no request\r\n\r\n");
                     w.turn();
                     let asked = clients[n].asked;
-                    clients[n] = Client { parting: true, since: now, half: false, asked, ..clients[n] };
+                    clients[n] = Client { close_reason: true, since: now, half: false, asked, ..clients[n] };
                 }
-                Step::Half(n) if n < clients.len() && !clients[n].parting && !clients[n].half => {
+                Step::Half(n) if n < clients.len() && !clients[n].close_reason && !clients[n].half => {
                     w.says(clients[n].conn, b"GET /re");
                     w.turn();
                     clients[n].half = true;
@@ -135,7 +135,7 @@
                         clients.iter().map(|c| c.conn).filter(|c| w.closed.contains(c)).collect();
                     prop_assert_eq!(closed, Vec::from_iter(expected));
                     if let Ok(conn) = came {
-                        clients.push(Client { conn, parting: false, since: now, asked: false, half: false });
+                        clients.push(Client { conn, close_reason: false, since: now, asked: false, half: false });
                     }
                 }
                 _ => {}
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -2,7 +2,7 @@
 
 mod harness;
 
-use flaxstand_gateway::core::{Agreeing, Core, SavedList};
+use flaxstand_gateway::core::{ConsensusConfig, Core, SavedList};
 use flaxstand_gateway::machine::{ConnId, Control, Machine};
 use flaxstand_proto::*;
 use harness::*;
@@ -230,7 +230,7 @@
         w.said.values().flatten().all(|s| !matches!(s, Said::Attempt { .. })),
         "nothing is sent to the wrong node"
     );
-    assert!(w.said.values().flatten().any(|s| *s == Said::Bye(Parting::WrongPeer)));
+    assert!(w.said.values().flatten().any(|s| *s == Said::Bye(CloseReason::WrongPeer)));
     w.list = vec![(0, State::Serving, 0, address(1)), (1, State::Serving, 1, address(0))];
     w.revision += 1;
     w.tell_list(w.list_conn());
@@ -266,7 +266,7 @@
     w.called.remove(&node);
     w.starts.insert(0, 1);
     w.run(300);
-    assert!(w.said.values().flatten().any(|s| *s == Said::Bye(Parting::WrongPeer)));
+    assert!(w.said.values().flatten().any(|s| *s == Said::Bye(CloseReason::WrongPeer)));
 }
 
 #[test]
@@ -384,7 +384,7 @@
     let mut w = World::new(c, 2);
     let (a, b) = (w.client(), w.client());
     let goodbye = w.core.accepted(0, w.now).expect_err("a third client");
-    assert!(matches!(decode(&goodbye), Ok(Some((Frame::Bye { parting: Parting::Bound, .. }, _)))));
+    assert!(matches!(decode(&goodbye), Ok(Some((Frame::Bye { close_reason: CloseReason::Bound, .. }, _)))));
     for id in 0..4 {
         w.submit(a, id, READ, Some(1));
     }
@@ -451,7 +451,7 @@
     w.run(1);
     assert!(w.exited);
     assert_eq!(w.answers(client)[1..], [Said::Served(1, 0, vec![])]);
-    assert_eq!(w.said_on(client).last(), Some(&Said::Bye(Parting::Stopping)));
+    assert_eq!(w.said_on(client).last(), Some(&Said::Bye(CloseReason::Stopping)));
 }
 
 #[test]
@@ -514,7 +514,7 @@
         send(&mut w, bad);
         w.run(1);
         assert!(w.closed.contains(&bad), "case {n}");
-        assert_eq!(w.said_on(bad).last(), Some(&Said::Bye(Parting::Protocol)), "case {n}");
+        assert_eq!(w.said_on(bad).last(), Some(&Said::Bye(CloseReason::Protocol)), "case {n}");
         assert_eq!(w.core.counts().protocol_faults, 1);
         w.done(w.node_conn(0), sent, Code::Served, b"");
         w.run(1);
@@ -528,7 +528,7 @@
     let newer = w.core.accepted(0, w.now).unwrap();
     w.tell(newer, &Frame::Hello(Hello { role: Role::Client, versions: (7, 9), id: 1, epoch: 1, name: "" }));
     w.run(1);
-    assert_eq!(w.said_on(newer), [Said::Bye(Parting::Version)]);
+    assert_eq!(w.said_on(newer), [Said::Bye(CloseReason::Version)]);
     let mute = w.core.accepted(0, w.now).unwrap();
     w.run(1999);
     assert!(!w.closed.contains(&mute));
@@ -655,7 +655,7 @@
         match w.core.accepted(0, w.now) {
             Ok(_) => taken += 1,
             Err(goodbye) => match decode(&goodbye) {
-                Ok(Some((Frame::Bye { parting: Parting::Turn, wait, .. }, _))) => told.push(wait),
+                Ok(Some((Frame::Bye { close_reason: CloseReason::Turn, wait, .. }, _))) => told.push(wait),
                 other => panic!("{other:?}"),
             },
         }
@@ -892,7 +892,7 @@
 fn what_waits_to_leave_when_the_rules_change_never_leaves() {
     use flaxstand_consensus::participant::StoredReplica;
     let mut c = config();
-    c.agreeing = Some(Agreeing {
+    c.agreeing = Some(ConsensusConfig {
         keepers: vec![(c.name.clone(), "127.0.0.1:9".parse().unwrap())],
         others: Vec::new(),
         lease: ms(1000),
--- a/crates/flaxstand-gateway/tests/crossed_sockets.rs
+++ b/crates/flaxstand-gateway/tests/crossed_sockets.rs
@@ -232,7 +232,7 @@
     const MUCH: usize = 8 << 20;
     let on_bytes: Act = Box::new(|m| {
         m.write(ConnId(1), &vec![b'y'; MUCH]);
-        m.commands.push(Command::Shut(ConnId(1)));
+        m.commands.push(Command::ShutdownWrite(ConnId(1)));
     });
     let machine = Crossed { on_bytes: Some(on_bytes), ..Crossed::default() };
     let (at, driver) = run(machine);
--- a/crates/flaxstand-gateway/tests/driver.rs
+++ b/crates/flaxstand-gateway/tests/driver.rs
@@ -205,7 +205,7 @@
 fn a_saved_state_is_replaced_or_added_to_and_the_machine_hears_of_what_failed() {
     let path = socket("state");
     let _ = std::fs::remove_file(&path);
-    let (save, more) = (|b: &[u8]| Command::Save(b.to_vec()), |b: &[u8]| Command::AppendSaved(b.to_vec()));
+    let (save, more) = (|b: &[u8]| Command::SaveList(b.to_vec()), |b: &[u8]| Command::AppendList(b.to_vec()));
     let steps = vec![
         // Nothing is there to add to: bytes without a beginning would be no state.
         (more(b"lost"), None),
--- a/crates/flaxstand-gateway/tests/harness/mod.rs
+++ b/crates/flaxstand-gateway/tests/harness/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)]
 
 use flaxstand::api::{Class, DeduplicationScope, Effect, Plan, Settings};
-use flaxstand_gateway::core::{Bounds, ClassInfo, Config, Core, Policy, Site, Waits, Wire};
+use flaxstand_gateway::core::{Bounds, ClassInfo, Config, Core, Policy, Site, Timeouts, Wire};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Machine, Micros};
 use flaxstand_proto::*;
 use flaxstand_storage::Batch;
@@ -72,7 +72,7 @@
             settings,
             classes: vec![info("read", false), info("once", false), info("stream", true)],
             plans: vec!["plan".into()],
-            waits: Waits::default(),
+            waits: Timeouts::default(),
             write_back: None,
             storm: None,
         },
@@ -89,7 +89,7 @@
     c.wire = Wire::Platform;
     c.site.settings.polls_list = true;
     c.site.waits =
-        Waits { idle: ms(18_000), watch: ms(watch), stop_grace: ms(1400), stop: ms(1600), ..c.site.waits };
+        Timeouts { idle: ms(18_000), watch: ms(watch), stop_grace: ms(1400), stop: ms(1600), ..c.site.waits };
     c.site.classes[2].stream = false;
     c
 }
@@ -118,7 +118,7 @@
 pub enum Said {
     Hello,
     Welcome,
-    Bye(Parting),
+    Bye(CloseReason),
     Served(u64, u32, Vec<u8>),
     Refused(u64, Refusal),
     Failed(u64),
@@ -140,7 +140,7 @@
     match *frame {
         Frame::Hello(_) => Said::Hello,
         Frame::Welcome(_) => Said::Welcome,
-        Frame::Bye { parting, .. } => Said::Bye(parting),
+        Frame::Bye { close_reason, .. } => Said::Bye(close_reason),
         Frame::Served { id, shard, payload } => Said::Served(id, shard, payload.to_vec()),
         Frame::Refused { id, refusal, .. } => Said::Refused(id, refusal),
         Frame::Failed { id } => Said::Failed(id),
@@ -326,7 +326,7 @@
         match command {
             Command::Connect { conn, address } => self.dial(conn, address),
             Command::Flush(conn) => self.drain(conn),
-            Command::Shut(conn) => {
+            Command::ShutdownWrite(conn) => {
                 self.drain(conn);
                 self.shut.insert(conn);
             }
@@ -335,14 +335,14 @@
                 self.closed.insert(conn);
                 self.called.remove(&conn);
             }
-            Command::Save(bytes) => self.saved = Some(bytes),
-            Command::AppendSaved(bytes) => self.saved.get_or_insert_default().extend(bytes),
+            Command::SaveList(bytes) => self.saved = Some(bytes),
+            Command::AppendList(bytes) => self.saved.get_or_insert_default().extend(bytes),
             Command::Exit => self.exited = true,
-            Command::Store(batch) => self.batches.push_back(batch),
+            Command::StoreWriteBack(batch) => self.batches.push_back(batch),
             // A disk that is done at once.
-            Command::Keep(_) => self.core.kept(true, self.now),
-            Command::SaveBook(_) => {}
-            Command::StopListening | Command::Print(_) | Command::Append(..) => {}
+            Command::StoreConsensus(_) => self.core.kept(true, self.now),
+            Command::SaveReplicatedState(_) => {}
+            Command::StopListening | Command::Print(_) | Command::AppendOutput(..) => {}
         }
     }
 
@@ -428,7 +428,7 @@
             let state = match state {
                 State::Serving => "up",
                 State::Draining => "draining",
-                State::Gone => "removed",
+                State::Removed => "removed",
             };
             let comma = if at > 0 { "," } else { "" };
             let _ = write!(
--- a/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
@@ -193,7 +193,7 @@
                 }
             }
             Command::Flush(conn) => self.flush(host, core, conn, leaves),
-            Command::Shut(conn) => {
+            Command::ShutdownWrite(conn) => {
                 self.flush(host, core, conn, leaves);
                 self.hosts[host].idle_clients.retain(|idle| *idle != conn);
             }
--- a/crates/flaxstand-gateway/tests/list_growth.rs
+++ b/crates/flaxstand-gateway/tests/list_growth.rs
@@ -100,7 +100,7 @@
         let mut w = listed(nodes);
         let before = work(&w);
         tell_changes(&mut w, &[7], State::Draining);
-        tell_changes(&mut w, &[7], State::Gone);
+        tell_changes(&mut w, &[7], State::Removed);
         since(&w, before)
     };
     let small = change(SMALL);
--- a/crates/flaxstand-gateway/tests/recorded.rs
+++ b/crates/flaxstand-gateway/tests/recorded.rs
@@ -3,11 +3,11 @@
 mod harness;
 
 use flaxstand_fixture::{Fixtures, hex, values_of};
-use flaxstand_gateway::core::{Bounds, Config, SavedList, Waits, WriteBack};
+use flaxstand_gateway::core::{Bounds, Config, SavedList, Timeouts, WriteBack};
 use flaxstand_gateway::machine::{ConnId, Control, Machine};
 use flaxstand_gateway::settings::{read_daemon, read_rules};
 use flaxstand_proto::{Code, Entry, Extent, Frame, List, State};
-use flaxstand_storage::faulty::Faulty;
+use flaxstand_storage::faulty::FaultyDisk;
 use flaxstand_write_back::recover;
 use harness::{PATH, READ, Said, World, address, ask_as, config, entry, ms, on_platform};
 use std::fmt::Write as _;
@@ -101,7 +101,7 @@
     let sent = *w.attempts(3).last().expect("it was sent");
     w.done(w.node_conn(3), sent, Code::Served, b"");
     w.run(5);
-    for (node, state) in [(1, State::Draining), (2, State::Gone), (0, State::Draining)] {
+    for (node, state) in [(1, State::Draining), (2, State::Removed), (0, State::Draining)] {
         let at = address(node);
         let changed =
             Entry { age: Some(5_000_000), zone: 2, size: 150, ..entry(node, state, node as u32, &at) };
@@ -236,7 +236,7 @@
     c.site.write_back = Some(WriteBack::default());
     c.site.classes[0].buffered = true;
     let mut w = World::new(c, 1);
-    let recovered = recover(&mut Faulty::new(1)).expect("an empty log");
+    let recovered = recover(&mut FaultyDisk::new(1)).expect("an empty log");
     w.core.attach(recovered, w.now);
     w.run(5);
     let client = w.client();
@@ -257,7 +257,7 @@
 #[test]
 fn a_conversation_in_frames_is_the_recorded_one() {
     let mut c = config();
-    c.site.waits = Waits { stop: ms(500), ..c.site.waits };
+    c.site.waits = Timeouts { stop: ms(500), ..c.site.waits };
     let mut w = World::new(c, 3);
     let client = w.client();
     (1..=3).for_each(|id| w.submit(client, id, READ, Some(id as u32 - 1)));
--- a/crates/flaxstand-gateway/tests/saved_list.rs
+++ b/crates/flaxstand-gateway/tests/saved_list.rs
@@ -55,7 +55,7 @@
     let mut w = World::new(quiet(), 3);
     let whole = saved(&w).to_vec();
     tell_one(&mut w, 1, State::Draining);
-    tell_one(&mut w, 2, State::Gone);
+    tell_one(&mut w, 2, State::Removed);
     assert!(saved(&w).starts_with(&whole), "the whole was not written again");
     assert_eq!(states(saved(&w)), [(0, State::Serving), (1, State::Draining)]);
     let mut next = World::cut_off(quiet(), 3, saved(&w));
@@ -207,7 +207,7 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let state = prop_oneof![Just(State::Serving), Just(State::Draining), Just(State::Gone)];
+    let state = prop_oneof![Just(State::Serving), Just(State::Draining), Just(State::Removed)];
     prop_oneof![
         12 => (0..12_u64, state, 1..4_u64, 1..900_u64)
             .prop_map(|(node, state, incarnation, port)| Step::Told { node, state, incarnation, port }),
@@ -260,7 +260,7 @@
                 }
                 Step::Pass(millis) => w.run(millis),
             }
-            held.retain(|_, (_, state, _)| *state != State::Gone);
+            held.retain(|_, (_, state, _)| *state != State::Removed);
             let read = SavedList::read(saved(&w)).expect("a saved list");
             prop_assert_eq!(read.torn, 0);
             let read: BTreeMap<u64, Held> =
--- a/crates/flaxstand-gateway/tests/writeback.rs
+++ b/crates/flaxstand-gateway/tests/writeback.rs
@@ -5,9 +5,9 @@
 use flaxstand_gateway::core::{Config, Core, WriteBack};
 use flaxstand_gateway::machine::{ConnId, Control, Machine as _, Micros};
 use flaxstand_proto::*;
-use flaxstand_storage::faulty::{Faults, Faulty};
+use flaxstand_storage::faulty::{Faults, FaultyDisk};
 use flaxstand_storage::{Storage as _, perform};
-use flaxstand_write_back::{Rules, recover};
+use flaxstand_write_back::{BufferLimits, recover};
 use harness::*;
 
 const ORDER: u16 = 0;
@@ -17,7 +17,8 @@
     let mut c = config();
     c.site.classes[0].buffered = true;
     c.site.settings.key_cooldown = 20.0;
-    let rules = Rules { linger: Micros(0), record_linger: ms(5), age: ms(2000), ..Rules::default() };
+    let rules =
+        BufferLimits { linger: Micros(0), record_linger: ms(5), age: ms(2000), ..BufferLimits::default() };
     c.site.write_back = Some(WriteBack { rules, volumes: None });
     c
 }
@@ -25,17 +26,17 @@
 /// A world whose core buffers, and its disk.
 struct Desk {
     w: World,
-    disk: Faulty,
+    disk: FaultyDisk,
     client: ConnId,
 }
 
 impl Desk {
     fn new(config: Config) -> Self {
-        Self::on(Faulty::new(1), config)
+        Self::on(FaultyDisk::new(1), config)
     }
 
     /// A core that starts with what a disk holds.
-    fn on(mut disk: Faulty, config: Config) -> Self {
+    fn on(mut disk: FaultyDisk, config: Config) -> Self {
         let mut w = World::new(config, 2);
         w.core.attach(recover(&mut disk).expect("the log is sound"), w.now);
         w.run(30);
--- a/crates/flaxstand-proto/src/codec.rs
+++ b/crates/flaxstand-proto/src/codec.rs
@@ -211,11 +211,11 @@
 }
 
 choice!(role, Role, "role", Client, Initiator, Node, List);
-choice!(code, Code, "code", Served, Error, Full);
+choice!(code, Code, "code", Served, Error, Rejected);
 choice!(refusal, Refusal, "refusal", Load, Held, Client, Stopping, Unbuffered, Buffer, Storm);
 choice!(scope, Scope, "scope", Request, Volume, All);
-choice!(parting, Parting, "parting", Version, Protocol, WrongPeer, Bound, Stopping, Turn);
-choice!(state, State, "state", Serving, Draining, Gone);
+choice!(close_reason, CloseReason, "parting", Version, Protocol, WrongPeer, Bound, Stopping, Turn);
+choice!(state, State, "state", Serving, Draining, Removed);
 choice!(extent, Extent, "extent of the list", Full, Changes);
 
 fn kind(frame: &Frame<'_>) -> u8 {
@@ -283,8 +283,8 @@
             w.u64(h.epoch);
             w.text(h.name);
         }
-        Frame::Bye { parting, wait, text } => {
-            w.u8(*parting as u8);
+        Frame::Bye { close_reason, wait, text } => {
+            w.u8(*close_reason as u8);
             w.u32(*wait);
             w.text(text);
         }
@@ -452,7 +452,7 @@
             epoch: r.u64("epoch")?,
             name: r.text("name")?,
         }),
-        3 => Frame::Bye { parting: parting(r)?, wait: r.u32("wait")?, text: r.text("text")? },
+        3 => Frame::Bye { close_reason: close_reason(r)?, wait: r.u32("wait")?, text: r.text("text")? },
         16 => Frame::Submit(Submit {
             id: r.u64("id")?,
             operation: r.u64("operation")?,
--- a/crates/flaxstand-proto/src/frame.rs
+++ b/crates/flaxstand-proto/src/frame.rs
@@ -32,7 +32,7 @@
     /// An error while it ran, or before: it may have run.
     Error = 2,
     /// Turned away unseen: the queue is full or the node drains.
-    Full = 3,
+    Rejected = 3,
 }
 
 /// Why a request was refused. A refused request has not run: trying again is harmless.
@@ -70,7 +70,7 @@
 /// Why a connection is closed by its peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Parting {
+pub enum CloseReason {
     /// No common version.
     Version = 1,
     /// A frame that does not belong here, or a malformed one.
@@ -94,7 +94,7 @@
     /// Finishes its work; nothing new.
     Draining = 2,
     /// Removed.
-    Gone = 3,
+    Removed = 3,
 }
 
 /// What a list frame holds.
@@ -277,7 +277,7 @@
     /// Says why the connection is closed next.
     Bye {
         /// The cause.
-        parting: Parting,
+        close_reason: CloseReason,
         /// Come back no earlier than this, microseconds; 0: no advice.
         wait: u32,
         /// In words, at most 255 bytes.
--- a/crates/flaxstand-proto/tests/frames.rs
+++ b/crates/flaxstand-proto/tests/frames.rs
@@ -45,7 +45,7 @@
     vec![
         Frame::Hello(Hello { role: Role::Client, versions: (1, 3), id: 4, epoch: 5, name: "checkout" }),
         Frame::Welcome(Welcome { version: 1, role: Role::Node, id: 4, epoch: 5, name: "" }),
-        Frame::Bye { parting: Parting::Turn, wait: 250_000, text: "too many clients" },
+        Frame::Bye { close_reason: CloseReason::Turn, wait: 250_000, text: "too many clients" },
         submit(b"seat 12"),
         Frame::Served { id: 1, shard: 2, payload: b"x" },
         Frame::Refused { id: 1, wait: 250_000, refusal: Refusal::Load, scope: Scope::Volume },
@@ -74,7 +74,7 @@
             payload: b"",
         }),
         Frame::Cancel { request: 1, attempt: 0 },
-        Frame::Done(Done { request: 1, attempt: 0, code: Code::Full, report, payload: b"y" }),
+        Frame::Done(Done { request: 1, attempt: 0, code: Code::Rejected, report, payload: b"y" }),
         Frame::Chunk { request: 1, attempt: 0, payload: b"z" },
         Frame::Probe { token: 11 },
         Frame::Probed { token: 11, report },
--- a/crates/flaxstand-proto/tests/recorded_frames.rs
+++ b/crates/flaxstand-proto/tests/recorded_frames.rs
@@ -61,19 +61,19 @@
 
 fn greetings() -> Vec<(&'static str, Frame<'static>)> {
     let hello = |role| Frame::Hello(Hello { role, versions: (1, 3), id: 4, epoch: 5, name: "checkout" });
-    let bye = |parting| Frame::Bye { parting, wait: 250_000, text: "too many clients" };
+    let bye = |close_reason| Frame::Bye { close_reason, wait: 250_000, text: "too many clients" };
     vec![
         ("hello of a client", hello(Role::Client)),
         ("hello of an initiator", hello(Role::Initiator)),
         ("hello of a node", hello(Role::Node)),
         ("hello of the list service", hello(Role::List)),
         ("welcome", Frame::Welcome(Welcome { version: 3, role: Role::Node, id: 4, epoch: 5, name: "n" })),
-        ("bye: version", bye(Parting::Version)),
-        ("bye: protocol", bye(Parting::Protocol)),
-        ("bye: wrong peer", bye(Parting::WrongPeer)),
-        ("bye: bound", bye(Parting::Bound)),
-        ("bye: stopping", bye(Parting::Stopping)),
-        ("bye: turn", bye(Parting::Turn)),
+        ("bye: version", bye(CloseReason::Version)),
+        ("bye: protocol", bye(CloseReason::Protocol)),
+        ("bye: wrong peer", bye(CloseReason::WrongPeer)),
+        ("bye: bound", bye(CloseReason::Bound)),
+        ("bye: stopping", bye(CloseReason::Stopping)),
+        ("bye: turn", bye(CloseReason::Turn)),
     ]
 }
 
@@ -117,7 +117,7 @@
         ("cancel", Frame::Cancel { request: 1, attempt: 2 }),
         ("done: served", done(Code::Served)),
         ("done: error", done(Code::Error)),
-        ("done: full", done(Code::Full)),
+        ("done: full", done(Code::Rejected)),
         ("chunk", Frame::Chunk { request: 1, attempt: 2, payload: b"z" }),
         ("probe", Frame::Probe { token: 11 }),
         ("probed", Frame::Probed { token: 11, report: Report::default() }),
@@ -125,7 +125,7 @@
 }
 
 fn lists() -> Vec<(&'static str, Frame<'static>)> {
-    let bare = Entry { age: None, service_time: None, size: 0, ..entry(State::Gone) };
+    let bare = Entry { age: None, service_time: None, size: 0, ..entry(State::Removed) };
     let list = |extent, entries| Frame::List(List { extent, since: 6, revision: 7, entries });
     vec![
         ("get list", Frame::GetList),
--- a/crates/flaxstand-simulation/src/list.rs
+++ b/crates/flaxstand-simulation/src/list.rs
@@ -90,7 +90,7 @@
         let Some(watcher) = self.watchers.get_mut(&conn) else { return };
         let absent: Vec<u64> = watcher.told.keys().filter(|n| !self.nodes.contains_key(n)).copied().collect();
         for node in absent {
-            note(links, watcher, node, 0, State::Gone, now);
+            note(links, watcher, node, 0, State::Removed, now);
         }
         for n in self.nodes.values() {
             note(links, watcher, n.node, n.incarnation, n.state, now);
@@ -100,7 +100,7 @@
     fn tell_change(&mut self, links: &mut Links, changed: &Listed, now: Micros) {
         let since = self.revision;
         self.revision += 1;
-        if changed.state == State::Gone {
+        if changed.state == State::Removed {
             self.nodes.remove(&changed.node);
         } else {
             self.nodes.insert(changed.node, changed.clone());
@@ -124,7 +124,7 @@
             state: match *state {
                 "serving" => State::Serving,
                 "draining" => State::Draining,
-                "gone" => State::Gone,
+                "gone" => State::Removed,
                 _ => return None,
             },
             shard: shard.parse().ok()?,
@@ -143,7 +143,7 @@
     let state = match state {
         State::Serving => ListState::Serving,
         State::Draining => ListState::Draining,
-        State::Gone => ListState::Gone,
+        State::Removed => ListState::Gone,
     };
     let (initiator, epoch) = (watcher.initiator, watcher.epoch);
     links.record(&Record::Told { at: now.0, initiator, epoch, node, incarnation, state });
--- a/crates/flaxstand-simulation/src/measure_buffer.rs
+++ b/crates/flaxstand-simulation/src/measure_buffer.rs
@@ -4,9 +4,9 @@
 use crate::measure::Bench;
 use crate::press::Seen;
 use crate::process::{RehearsalError, io_error, stop};
-use flaxstand_storage::{Folder, perform};
-use flaxstand_write_back::record::{Record, Wall};
-use flaxstand_write_back::{Micros, Place, Seq, Write, recover};
+use flaxstand_storage::{SegmentFolder, perform};
+use flaxstand_write_back::record::{Record, WallClock};
+use flaxstand_write_back::{ExtentId, Micros, Seq, Write, recover};
 use serde::Serialize;
 use std::fmt::Write as _;
 use std::path::Path;
@@ -21,7 +21,7 @@
     /// Acknowledged as buffered; else they went through.
     pub buffered: bool,
     /// How many.
-    pub volume_initiators: u32,
+    pub writers: u32,
     /// What they saw.
     pub seen: Seen,
     /// Syncs of data for each write, word of what is done included.
@@ -32,7 +32,7 @@
 
 /// A log read back.
 #[derive(Clone, Debug, Serialize)]
-pub struct ReadBack {
+pub struct BufferedRead {
     /// Its size, MiB.
     pub mib: u64,
     /// Writes that live in it.
@@ -45,9 +45,9 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Measured {
     /// Writers.
-    pub volume_initiators: Vec<Writers>,
+    pub writers: Vec<Writers>,
     /// Logs.
-    pub read_back: Vec<ReadBack>,
+    pub read_back: Vec<BufferedRead>,
 }
 
 impl Measured {
@@ -57,13 +57,13 @@
             "{:8} {:>8} {:>10} {:>8} {:>8} {:>13} {:>13}\n",
             "writes", "writers", "writes/s", "p50 us", "p99 us", "syncs/write", "bytes/byte"
         );
-        for w in &self.volume_initiators {
+        for w in &self.writers {
             let rate = w.seen.served as f64 / w.seen.seconds.max(1e-9);
             let how = if w.buffered { "buffered" } else { "through" };
             let _ = writeln!(
                 out,
                 "{how:8} {:>8} {rate:>10.0} {:>8} {:>8} {:>13.3} {:>13.2}",
-                w.volume_initiators, w.seen.p50_us, w.seen.p99_us, w.syncs_a_write, w.amplification
+                w.writers, w.seen.p50_us, w.seen.p99_us, w.syncs_a_write, w.amplification
             );
         }
         for r in &self.read_back {
@@ -87,22 +87,17 @@
         + "buffer {\n    bytes 1000000000\n    volume-bytes 1000000000\n}\n"
 }
 
-fn volume_initiators(
-    bench: &Bench<'_>,
-    buffered: bool,
-    volume_initiators: u32,
-    seconds: f64,
-) -> Result<Writers, RehearsalError> {
+fn writers(bench: &Bench<'_>, buffered: bool, writers: u32, seconds: f64) -> Result<Writers, RehearsalError> {
     let log = bench.folder.join("log");
     let _ = std::fs::remove_dir_all(&log);
     let (_echo, _list, initiator) =
         bench.stage_with(10, false, |list| settings(bench.folder, list, buffered))?;
-    let more = ["--window=1".into(), format!("--clients={volume_initiators}"), format!("--write={BYTES}")];
+    let more = ["--window=1".into(), format!("--clients={writers}"), format!("--write={BYTES}")];
     let mut press = bench.press(10, &more, seconds)?;
     let seen = press.expect("seen", Duration::from_secs_f64(seconds * 2.0 + 10.0))?;
     let seen: Seen =
         serde_json::from_str(&seen).map_err(|e| RehearsalError::Process(format!("press: {e}")))?;
-    let mut measured = Writers { buffered, volume_initiators, seen, syncs_a_write: 0.0, amplification: 0.0 };
+    let mut measured = Writers { buffered, writers, seen, syncs_a_write: 0.0, amplification: 0.0 };
     if buffered {
         let address = format!("--initiator=unix:{}/measured.sock", bench.folder.display());
         let out = std::process::Command::new(bench.program)
@@ -119,22 +114,22 @@
     Ok(measured)
 }
 
-fn read_back(folder: &Path, mib: u64) -> Result<ReadBack, RehearsalError> {
+fn read_back(folder: &Path, mib: u64) -> Result<BufferedRead, RehearsalError> {
     let failed = |what: &str| io_error(what.to_owned());
     let path = folder.join("read-back");
     let _ = std::fs::remove_dir_all(&path);
-    let mut storage = Folder::open(&path).map_err(failed("a log"))?;
+    let mut storage = SegmentFolder::open(&path).map_err(failed("a log"))?;
     let mut log = recover(&mut storage).map_err(|e| RehearsalError::Process(e.to_string()))?.log;
     let now = Micros(0);
     let mut seq = 0;
     while log.bytes() < mib << 20 {
         for _ in 0..256 {
             seq += 1;
-            let place = Place { volume: seq % 64, extent: seq };
+            let extent_id = ExtentId { volume: seq % 64, extent: seq };
             let payload = vec![seq as u8; BYTES as usize];
             let (class, plan, volume_initiators, shard, units) = (0, 0, 1, 0, 1);
             let write = Write {
-                place,
+                extent_id,
                 class,
                 plan,
                 volume_initiators,
@@ -144,7 +139,7 @@
                 at: None,
                 payload,
             };
-            let (taken, started, parked) = (Wall(1), None, false);
+            let (taken, started, parked) = (WallClock(1), None, false);
             log.append(&Record::Write { seq: Seq(seq), taken, started, parked, write }, now);
         }
         while let Some(batch) = log.batch(now, now) {
@@ -154,11 +149,11 @@
     }
     drop(storage);
     let begun = Instant::now();
-    let mut storage = Folder::open(&path).map_err(failed("a log"))?;
+    let mut storage = SegmentFolder::open(&path).map_err(failed("a log"))?;
     let recovered = recover(&mut storage).map_err(|e| RehearsalError::Process(e.to_string()))?;
     let ms = begun.elapsed().as_secs_f64() * 1000.0;
     let _ = std::fs::remove_dir_all(&path);
-    Ok(ReadBack { mib, writes: recovered.live.len(), ms })
+    Ok(BufferedRead { mib, writes: recovered.live.len(), ms })
 }
 
 /// Takes every figure, on the disk that holds `folder`.
@@ -171,7 +166,7 @@
     let mut all = Measured::default();
     for count in [1, 8, 64] {
         for buffered in [false, true] {
-            all.volume_initiators.push(volume_initiators(&bench, buffered, count, seconds)?);
+            all.writers.push(writers(&bench, buffered, count, seconds)?);
         }
     }
     for mib in [16, 64, 256] {
--- a/crates/flaxstand-simulation/src/node.rs
+++ b/crates/flaxstand-simulation/src/node.rs
@@ -218,7 +218,7 @@
         // A repeat of what ran here costs next to nothing and changes nothing.
         let work = if self.ran.contains_key(&a.operation) { 1.0 } else { work };
         if self.faults.full || !self.model.take(Job { id, work, key, write: a.write }, now) {
-            self.answer(links, id, Code::Full, now);
+            self.answer(links, id, Code::Rejected, now);
         } else if random(&mut self.rng) < self.faults.errors {
             self.model.cancel(id);
             self.answer(links, id, Code::Error, now);
@@ -258,7 +258,7 @@
         let Some(work) = self.work.remove(&id) else { return };
         let lost = self.faults.hang || random(&mut self.rng) < self.faults.drop;
         let end = match code {
-            Code::Full => End::Full,
+            Code::Rejected => End::Full,
             _ if lost => End::Lost,
             Code::Served => End::Served,
             Code::Error => End::Error,
--- a/crates/flaxstand-simulation/src/scale/hollow.rs
+++ b/crates/flaxstand-simulation/src/scale/hollow.rs
@@ -334,20 +334,20 @@
                 self.commands.push(Command::Connect { conn: number(conn), address });
             }
             Command::Flush(conn) => self.commands.push(Command::Flush(number(conn))),
-            Command::Shut(conn) => self.commands.push(Command::Shut(number(conn))),
+            Command::ShutdownWrite(conn) => self.commands.push(Command::ShutdownWrite(number(conn))),
             Command::Close { conn, last } => {
                 self.members[member].links.remove(&conn.0);
                 self.commands.push(Command::Close { conn: number(conn), last });
             }
-            Command::Save(bytes) => self.members[member].saved.list = Some(bytes),
-            Command::AppendSaved(bytes) => {
+            Command::SaveList(bytes) => self.members[member].saved.list = Some(bytes),
+            Command::AppendList(bytes) => {
                 self.members[member].saved.list.get_or_insert_default().extend(bytes);
             }
-            Command::SaveBook(bytes) => self.members[member].saved.book = Some(bytes),
+            Command::SaveReplicatedState(bytes) => self.members[member].saved.book = Some(bytes),
             // They are no keepers, buffer nothing, have no clients, and end with the process.
-            Command::Append(..)
-            | Command::Store(_)
-            | Command::Keep(_)
+            Command::AppendOutput(..)
+            | Command::StoreWriteBack(_)
+            | Command::StoreConsensus(_)
             | Command::StopListening
             | Command::Print(_)
             | Command::Exit => {}
--- a/crates/flaxstand-simulation/src/shell.rs
+++ b/crates/flaxstand-simulation/src/shell.rs
@@ -229,10 +229,10 @@
         if !self.links.record.is_empty() {
             let mut lines = Vec::new();
             self.links.record.drain(..).for_each(|record| record.write(&mut lines));
-            commands.push(Command::Append(Sink::Record, lines));
+            commands.push(Command::AppendOutput(Sink::Record, lines));
         }
         if !self.links.data.is_empty() {
-            commands.push(Command::Append(Sink::Data, std::mem::take(&mut self.links.data)));
+            commands.push(Command::AppendOutput(Sink::Data, std::mem::take(&mut self.links.data)));
         }
         commands.append(&mut self.links.commands);
         commands
--- a/crates/flaxstand-simulation/src/world.rs
+++ b/crates/flaxstand-simulation/src/world.rs
@@ -21,7 +21,7 @@
 use flaxstand_audit::{Book, Record, audit};
 use flaxstand_gateway::core::{Bounds, Config, Core, Counts, Policy, Wire};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Control, Machine, Micros, Sink};
-use flaxstand_storage::faulty::{Faults, Faulty};
+use flaxstand_storage::faulty::{Faults, FaultyDisk};
 use flaxstand_storage::{Batch, perform};
 use flaxstand_write_back::recover;
 use rand_core::SeedableRng;
@@ -69,7 +69,7 @@
     /// What the process left on disk: a node's data, an initiator's saved list.
     disk: Vec<u8>,
     /// An initiator's write-back log, and the batch that is being stored there.
-    log: Faulty,
+    log: FaultyDisk,
     batch: Option<Batch>,
 }
 
@@ -178,7 +178,7 @@
             life: 0,
             wake: None,
             disk: Vec::new(),
-            log: Faulty::new(day.seed ^ host as u64),
+            log: FaultyDisk::new(day.seed ^ host as u64),
             batch: None,
         };
         let mut world = World {
@@ -513,20 +513,20 @@
                 }
                 self.pipes.remove(&(host, conn));
             }
-            Command::Save(bytes) => self.hosts[host].disk = bytes,
-            Command::AppendSaved(mut bytes) => self.hosts[host].disk.append(&mut bytes),
-            Command::Append(Sink::Data, mut bytes) => self.hosts[host].disk.append(&mut bytes),
-            Command::Append(Sink::Record, _) => {}
-            Command::Store(batch) => {
+            Command::SaveList(bytes) => self.hosts[host].disk = bytes,
+            Command::AppendList(mut bytes) => self.hosts[host].disk.append(&mut bytes),
+            Command::AppendOutput(Sink::Data, mut bytes) => self.hosts[host].disk.append(&mut bytes),
+            Command::AppendOutput(Sink::Record, _) => {}
+            Command::StoreWriteBack(batch) => {
                 // A sync of a disk, not a write into its cache.
                 let takes = Micros::from_ms(between(&mut self.rng, SYNC_MS));
                 self.hosts[host].batch = Some(batch);
                 self.schedule(now.after(takes), host, Event::Stored);
             }
             // Clients that speak HTTP are parted with so, and days on virtual time have none.
-            Command::Shut(_) => {}
+            Command::ShutdownWrite(_) => {}
             // Days on virtual time have no agreement.
-            Command::Keep(_) | Command::SaveBook(_) => {}
+            Command::StoreConsensus(_) | Command::SaveReplicatedState(_) => {}
             Command::StopListening => self.listeners.retain(|_, h| *h != host),
             Command::Print(line) => self.finished |= host == self.clients() && line == "done",
             Command::Exit => self.end(host),
--- a/crates/flaxstand-storage/src/faulty.rs
+++ b/crates/flaxstand-storage/src/faulty.rs
@@ -29,7 +29,7 @@
 
 /// The disk.
 #[derive(Clone, Debug)]
-pub struct Faulty {
+pub struct FaultyDisk {
     segments: BTreeMap<u64, Part>,
     /// Removed, and a loss of power brings them back.
     removed: BTreeMap<u64, Part>,
@@ -40,10 +40,10 @@
     calls: u64,
 }
 
-impl Faulty {
+impl FaultyDisk {
     /// An empty disk whose losses are drawn from a seed.
     pub fn new(seed: u64) -> Self {
-        Faulty {
+        FaultyDisk {
             segments: BTreeMap::new(),
             removed: BTreeMap::new(),
             aside: Vec::new(),
@@ -138,7 +138,7 @@
     }
 }
 
-impl Storage for Faulty {
+impl Storage for FaultyDisk {
     fn segments(&mut self) -> io::Result<Vec<u64>> {
         Ok(self.segments.keys().copied().collect())
     }
--- a/crates/flaxstand-storage/src/folder.rs
+++ b/crates/flaxstand-storage/src/folder.rs
@@ -7,23 +7,23 @@
 use std::path::{Path, PathBuf};
 
 /// A folder of segments.
-pub struct Folder {
+pub struct SegmentFolder {
     path: PathBuf,
     open: BTreeMap<u64, File>,
     /// Held for as long as this lives.
     _lock: Option<File>,
 }
 
-impl Folder {
+impl SegmentFolder {
     /// Opens the folder for this process alone; makes it where it is missing.
     ///
     /// # Errors
     /// It can't be made or written to; `ErrorKind::ResourceBusy`: another process has it.
-    pub fn open(path: &Path) -> io::Result<Folder> {
+    pub fn open(path: &Path) -> io::Result<SegmentFolder> {
         std::fs::create_dir_all(path)?;
         let lock = File::create(path.join("lock"))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Folder { path: path.to_owned(), open: BTreeMap::new(), _lock: Some(lock) }),
+            Ok(()) => Ok(SegmentFolder { path: path.to_owned(), open: BTreeMap::new(), _lock: Some(lock) }),
             Err(TryLockError::WouldBlock) => Err(io::Error::new(
                 io::ErrorKind::ResourceBusy,
                 format!("{} is in use by another process", path.display()),
@@ -36,9 +36,9 @@
     ///
     /// # Errors
     /// It is not there.
-    pub fn look(path: &Path) -> io::Result<Folder> {
+    pub fn look(path: &Path) -> io::Result<SegmentFolder> {
         std::fs::read_dir(path)?;
-        Ok(Folder { path: path.to_owned(), open: BTreeMap::new(), _lock: None })
+        Ok(SegmentFolder { path: path.to_owned(), open: BTreeMap::new(), _lock: None })
     }
 
     fn file(&self, segment: u64) -> PathBuf {
@@ -56,7 +56,7 @@
     }
 }
 
-impl Storage for Folder {
+impl Storage for SegmentFolder {
     fn segments(&mut self) -> io::Result<Vec<u64>> {
         let mut all = Vec::new();
         for entry in std::fs::read_dir(&self.path)? {
--- a/crates/flaxstand-storage/src/lib.rs
+++ b/crates/flaxstand-storage/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod folder;
 pub mod storage;
 
-pub use folder::Folder;
-pub use storage::{Batch, Storage, StoreOp, perform};
+pub use folder::SegmentFolder;
+pub use storage::{Batch, Storage, StorageOp, perform};
--- a/crates/flaxstand-storage/src/storage.rs
+++ b/crates/flaxstand-storage/src/storage.rs
@@ -26,7 +26,7 @@
 
 /// One call of the storage.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoreOp {
+pub enum StorageOp {
     /// See [`Storage::create`].
     Create(u64),
     /// See [`Storage::append`].
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
     /// The calls.
-    pub ops: Vec<StoreOp>,
+    pub ops: Vec<StorageOp>,
 }
 
 /// Carries a batch out, in order, up to the first failure.
@@ -53,11 +53,11 @@
 pub fn perform(storage: &mut dyn Storage, batch: &Batch) -> io::Result<()> {
     for op in &batch.ops {
         match op {
-            StoreOp::Create(segment) => storage.create(*segment)?,
-            StoreOp::Append(segment, bytes) => storage.append(*segment, bytes)?,
-            StoreOp::Sync(segment) => storage.sync(*segment)?,
-            StoreOp::SyncFolder => storage.sync_folder()?,
-            StoreOp::Remove(segment) => storage.remove(*segment)?,
+            StorageOp::Create(segment) => storage.create(*segment)?,
+            StorageOp::Append(segment, bytes) => storage.append(*segment, bytes)?,
+            StorageOp::Sync(segment) => storage.sync(*segment)?,
+            StorageOp::SyncFolder => storage.sync_folder()?,
+            StorageOp::Remove(segment) => storage.remove(*segment)?,
         }
     }
     Ok(())
--- a/crates/flaxstand-write-back/src/buffer.rs
+++ b/crates/flaxstand-write-back/src/buffer.rs
@@ -4,9 +4,9 @@
 use crate::log::{Kind, Log, LogCounts};
 use crate::order::{Entry, Found, Freed, Item, Next, Order, Run, Stage};
 use crate::pressure::{Admission, Space, admit};
-use crate::record::{Place, Record, Seq, Wall, Write};
-use crate::recover::{Live, Recovered};
-use crate::writeout::{Ended, Level, RepeatBudget, WriteOut};
+use crate::record::{ExtentId, Record, Seq, WallClock, Write};
+use crate::recover::{LiveRecord, Recovered};
+use crate::writeout::{Ended, Urgency, WriteOut, WriteOutRetryBudget};
 use flaxstand_proto::Micros;
 use flaxstand_storage::Batch;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,15 +14,15 @@
 
 /// The core's name for a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket(pub u64);
+pub struct WriteHandle(pub u64);
 
 /// A write-out that the core was told to bring about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TryId(pub u64);
+pub struct WriteOutId(pub u64);
 
 /// Whether and how writes of a class may be buffered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Buffering {
+pub enum BufferingMode {
     /// They go through.
     Never,
     /// Repeating one is harmless as long as no later one of its place has run.
@@ -33,7 +33,7 @@
 
 /// Bounds and waits. `docs/write-back.md` describes every figure.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rules {
+pub struct BufferLimits {
     /// Bytes that may live in the buffer, as [`Write::cost`] counts them.
     pub bytes: u64,
     /// The same for one volume.
@@ -52,9 +52,9 @@
     pub flush_here: bool,
 }
 
-impl Default for Rules {
+impl Default for BufferLimits {
     fn default() -> Self {
-        Rules {
+        BufferLimits {
             bytes: 256 << 20,
             volume_bytes: 64 << 20,
             age: Micros(5_000_000),
@@ -71,31 +71,31 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Bounds and waits.
-    pub rules: Rules,
+    pub rules: BufferLimits,
     /// Advised wait with a refusal.
     pub refusal_wait: Micros,
     /// A place rests so long after an attempt that may still run.
     pub key_cooldown: Micros,
     /// By class.
-    pub classes: Vec<Buffering>,
+    pub classes: Vec<BufferingMode>,
     /// Bound on repeats of write-outs.
-    pub repeats: Option<RepeatBudget>,
+    pub repeats: Option<WriteOutRetryBudget>,
     /// The host's calendar when the clock of [`Micros`] was 0.
-    pub calendar: Wall,
+    pub calendar: WallClock,
 }
 
 /// A client's write.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct WriteRequest {
     /// The core's name for it.
-    pub ticket: Ticket,
+    pub handle: WriteHandle,
     /// The write.
     pub write: Write,
 }
 
 /// How a try of a write-out ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryEnd {
+pub enum WriteOutResult {
     /// The node has it. `lingers`: another attempt of it may still run.
     Confirmed {
         /// See above.
@@ -115,36 +115,36 @@
 /// What the core is to do, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Have this stored, then call [`Buffer::stored`].
+    /// Have this stored, then call [`WriteBackBuffer::stored`].
     Store(Batch),
     /// Answer: durable here.
-    Buffered(Ticket),
+    Buffered(WriteHandle),
     /// Let it go to its node as an ordinary request.
-    Through(Ticket),
+    Through(WriteHandle),
     /// Answer: refused, it has not run.
     Refused {
         /// Which.
-        ticket: Ticket,
+        handle: WriteHandle,
         /// Advised wait.
         wait: Micros,
     },
     /// Answer: the barrier stands.
-    Barred(Ticket),
+    Barred(WriteHandle),
     /// Answer: all before the flush is where it should be.
-    Flushed(Ticket),
-    /// Bring this write to its node, then call [`Buffer::try_ended`].
+    Flushed(WriteHandle),
+    /// Bring this write to its node, then call [`WriteBackBuffer::try_ended`].
     Send {
         /// Its name.
-        id: TryId,
+        id: WriteOutId,
         /// The write.
         write: Write,
         /// How urgent it is.
-        level: Level,
+        level: Urgency,
         /// No attempt of it may leave after this, if there is such a moment.
         until: Option<Micros>,
     },
     /// Give it up if no attempt of it has left, and tell so as `Withdrawn`; else let it be.
-    Withdraw(TryId),
+    Withdraw(WriteOutId),
 }
 
 /// What a request is answered whose time is up.
@@ -162,7 +162,7 @@
 
 /// What a read finds here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ReadBack {
+pub enum BufferedRead {
     /// Nothing: the node's answer is right as it is.
     Plain,
     /// Everything.
@@ -172,7 +172,7 @@
         /// The data.
         data: Vec<u8>,
     },
-    /// A part: the node's answer goes to [`Buffer::merge`].
+    /// A part: the node's answer goes to [`WriteBackBuffer::merge`].
     Merge,
 }
 
@@ -219,7 +219,7 @@
     Through(Seq),
     Barrier(Seq),
     Flush,
-    Read(Place),
+    Read(ExtentId),
 }
 
 /// When a run that may have run was sent.
@@ -234,7 +234,7 @@
 #[derive(Debug)]
 struct Try {
     run: Run,
-    level: Level,
+    level: Urgency,
     /// An earlier try of it may have run.
     earlier: Option<Earlier>,
     /// Waits for the log to know that it starts.
@@ -243,22 +243,22 @@
 
 /// The buffer.
 #[derive(Debug)]
-pub struct Buffer {
+pub struct WriteBackBuffer {
     config: Config,
     log: Log,
     order: Order,
     out: WriteOut,
-    tries: BTreeMap<TryId, Try>,
+    tries: BTreeMap<WriteOutId, Try>,
     /// Runs that may have run and wait to go again, by the first write of each.
     unsure: BTreeMap<Seq, Earlier>,
-    roles: BTreeMap<Ticket, Role>,
+    roles: BTreeMap<WriteHandle, Role>,
     /// The volume, or all, and up to where.
-    flushes: BTreeMap<Ticket, (Option<u64>, Seq)>,
+    flushes: BTreeMap<WriteHandle, (Option<u64>, Seq)>,
     /// Durable writes whose acknowledgement is being slowed, and all whose disk is waited for.
     acks: BTreeSet<(Micros, Seq)>,
-    tickets: BTreeMap<Seq, (Ticket, Micros)>,
+    tickets: BTreeMap<Seq, (WriteHandle, Micros)>,
     /// Done, and the log does not know it for sure.
-    unrecorded: BTreeMap<Seq, Place>,
+    unrecorded: BTreeMap<Seq, ExtentId>,
     /// Being copied to the log's end.
     relocating: BTreeSet<Seq>,
     next_seq: u64,
@@ -268,12 +268,12 @@
     status: Status,
 }
 
-impl Buffer {
+impl WriteBackBuffer {
     /// A buffer that goes on with what was read back.
     pub fn new(config: Config, recovered: Recovered, now: Micros) -> Self {
         // Attempts of an earlier life may still run, also where nothing of it is in the log.
         let begins = now.after(config.key_cooldown);
-        let mut buffer = Buffer {
+        let mut buffer = WriteBackBuffer {
             log: recovered.log,
             order: Order::new(begins),
             out: WriteOut::new(config.repeats),
@@ -294,10 +294,10 @@
         };
         for (seq, live) in recovered.live {
             match live {
-                Live::Write { taken, started, parked, write } => {
+                LiveRecord::Write { taken, started, parked, write } => {
                     buffer.replay(seq, taken, started, parked, write, now)
                 }
-                Live::Barrier { volume } => {
+                LiveRecord::Barrier { volume } => {
                     if !buffer.order.add_barrier(seq, volume) {
                         buffer.log.forget(seq);
                     }
@@ -308,12 +308,12 @@
             let (writes, bytes) = (buffer.status.replayed, buffer.order.bytes());
             info!(writes, bytes, torn = recovered.torn, "log read back: its writes go out again");
         }
-        let places: BTreeSet<Place> = buffer.order.writes().map(|(_, e)| e.write.place).collect();
-        for place in places {
-            if let Some(first) = buffer.order.freeze_started(place) {
+        let places: BTreeSet<ExtentId> = buffer.order.writes().map(|(_, e)| e.write.extent_id).collect();
+        for extent_id in places {
+            if let Some(first) = buffer.order.freeze_started(extent_id) {
                 buffer.unsure.insert(first, Earlier::EarlierLife);
             }
-            buffer.consider(place, now);
+            buffer.consider(extent_id, now);
         }
         buffer
     }
@@ -321,8 +321,8 @@
     fn replay(
         &mut self,
         seq: Seq,
-        taken_wall: Wall,
-        started: Option<Wall>,
+        taken_wall: WallClock,
+        started: Option<WallClock>,
         parked: bool,
         write: Write,
         now: Micros,
@@ -331,7 +331,7 @@
         let age = self.wall(now).since(taken_wall).unwrap_or_default();
         let taken = Micros(now.0.saturating_sub(age.0));
         let mut stage = if parked { Stage::Parked } else { Stage::Ready };
-        if self.buffering(write.class) == Buffering::Never && !parked {
+        if self.buffering(write.class) == BufferingMode::Never && !parked {
             warn!(
                 seq = seq.0,
                 class = write.class,
@@ -342,13 +342,13 @@
         self.order.add_write(seq, Entry { write, taken, taken_wall, started, stage });
     }
 
-    fn wall(&self, now: Micros) -> Wall {
-        Wall(self.config.calendar.0.saturating_add(now.0))
+    fn wall(&self, now: Micros) -> WallClock {
+        WallClock(self.config.calendar.0.saturating_add(now.0))
     }
 
     /// Whether a class may be buffered.
-    pub fn buffering(&self, class: u16) -> Buffering {
-        self.config.classes.get(usize::from(class)).copied().unwrap_or(Buffering::Never)
+    pub fn buffering(&self, class: u16) -> BufferingMode {
+        self.config.classes.get(usize::from(class)).copied().unwrap_or(BufferingMode::Never)
     }
 
     fn next_seq(&mut self) -> Seq {
@@ -358,34 +358,36 @@
     }
 
     /// A write that names its shard and extent. It is buffered, goes through, or is refused.
-    pub fn offer(&mut self, offer: Offer, now: Micros) {
-        let Offer { ticket, write } = offer;
-        if self.buffering(write.class) != Buffering::Never && !self.draining {
-            let blocked = !self.order.clear(write.place);
+    pub fn offer(&mut self, offer: WriteRequest, now: Micros) {
+        let WriteRequest { handle, write } = offer;
+        if self.buffering(write.class) != BufferingMode::Never && !self.draining {
+            let blocked = !self.order.clear(write.extent_id);
             let space = Space {
                 used: self.order.bytes(),
                 most: self.config.rules.bytes,
-                volume_used: self.order.volume_bytes(write.place.volume),
+                volume_used: self.order.volume_bytes(write.extent_id.volume),
                 volume_most: self.config.rules.volume_bytes,
             };
             let healthy = !self.log.failing() && self.log.room();
             match admit(space, write.cost(), blocked, healthy, self.config.rules.slow) {
-                Admission::Buffer { slowed } => return self.take(ticket, write, now.after(slowed), now),
+                Admission::WriteBackBuffer { slowed } => {
+                    return self.take(handle, write, now.after(slowed), now);
+                }
                 Admission::Through => self.status.turned_through += 1,
                 Admission::Refuse => {
                     self.status.turned_through += 1;
-                    return self.refuse(ticket);
+                    return self.refuse(handle);
                 }
             }
         }
-        self.pass(ticket, write.place.volume, Some(write.place), now);
+        self.pass(handle, write.extent_id.volume, Some(write.extent_id), now);
     }
 
-    fn refuse(&mut self, ticket: Ticket) {
-        self.actions.push(Action::Refused { ticket, wait: self.config.refusal_wait });
+    fn refuse(&mut self, handle: WriteHandle) {
+        self.actions.push(Action::Refused { handle, wait: self.config.refusal_wait });
     }
 
-    fn take(&mut self, ticket: Ticket, write: Write, ack_at: Micros, now: Micros) {
+    fn take(&mut self, handle: WriteHandle, write: Write, ack_at: Micros, now: Micros) {
         let seq = self.next_seq();
         let taken_wall = self.wall(now);
         let record = Record::Write { seq, taken: taken_wall, started: None, parked: false, write };
@@ -393,44 +395,44 @@
         let Record::Write { write, .. } = record else { unreachable!("made above") };
         self.order
             .add_write(seq, Entry { write, taken: now, taken_wall, started: None, stage: Stage::Logging });
-        self.tickets.insert(seq, (ticket, ack_at));
-        self.roles.insert(ticket, Role::Write(seq));
+        self.tickets.insert(seq, (handle, ack_at));
+        self.roles.insert(handle, Role::Write(seq));
     }
 
-    /// A request that is not buffered but that barriers of its volume concern; `place`: where it writes.
-    pub fn pass(&mut self, ticket: Ticket, volume: u64, place: Option<Place>, now: Micros) {
+    /// A request that is not buffered but that barriers of its volume concern; `extent_id`: where it writes.
+    pub fn pass(&mut self, handle: WriteHandle, volume: u64, extent_id: Option<ExtentId>, now: Micros) {
         if self.order.waiting() >= self.config.rules.waiting {
-            return self.refuse(ticket);
+            return self.refuse(handle);
         }
         let seq = self.next_seq();
-        self.roles.insert(ticket, Role::Through(seq));
-        if self.order.add_through(seq, ticket, volume, place, now) {
+        self.roles.insert(handle, Role::Through(seq));
+        if self.order.add_through(seq, handle, volume, extent_id, now) {
             self.let_through(seq);
-        } else if let Some(place) = place {
-            self.consider(place, now);
+        } else if let Some(extent_id) = extent_id {
+            self.consider(extent_id, now);
         }
     }
 
     /// A barrier on a volume.
-    pub fn barrier(&mut self, ticket: Ticket, volume: u64, now: Micros) {
+    pub fn barrier(&mut self, handle: WriteHandle, volume: u64, now: Micros) {
         if self.order.waiting() >= self.config.rules.waiting {
-            return self.refuse(ticket);
+            return self.refuse(handle);
         }
         let seq = self.next_seq();
         if self.order.add_barrier(seq, volume) {
             self.log.append(&Record::Barrier { seq, volume }, now);
-            self.tickets.insert(seq, (ticket, now));
-            self.roles.insert(ticket, Role::Barrier(seq));
+            self.tickets.insert(seq, (handle, now));
+            self.roles.insert(handle, Role::Barrier(seq));
         } else {
-            self.actions.push(Action::Barred(ticket));
+            self.actions.push(Action::Barred(handle));
         }
     }
 
     /// A flush of a volume, or of all.
-    pub fn flush(&mut self, ticket: Ticket, volume: Option<u64>) {
+    pub fn flush(&mut self, handle: WriteHandle, volume: Option<u64>) {
         let upto = Seq(self.next_seq - 1);
-        self.roles.insert(ticket, Role::Flush);
-        self.flushes.insert(ticket, (volume, upto));
+        self.roles.insert(handle, Role::Flush);
+        self.flushes.insert(handle, (volume, upto));
     }
 
     /// Everything is to go out, and nothing is buffered any more.
@@ -444,61 +446,61 @@
     }
 
     /// A read of a place.
-    pub fn read(&mut self, ticket: Ticket, place: Place) -> ReadBack {
-        match self.order.read(ticket, place) {
-            Found::Nothing => ReadBack::Plain,
-            Found::Whole { shard, data } => ReadBack::Whole { shard, data },
+    pub fn read(&mut self, handle: WriteHandle, extent_id: ExtentId) -> BufferedRead {
+        match self.order.read(handle, extent_id) {
+            Found::Nothing => BufferedRead::Plain,
+            Found::Whole { shard, data } => BufferedRead::Whole { shard, data },
             Found::Part => {
-                self.roles.insert(ticket, Role::Read(place));
-                ReadBack::Merge
+                self.roles.insert(handle, Role::Read(extent_id));
+                BufferedRead::Merge
             }
         }
     }
 
     /// The node's answer to a read that was told to be merged. The read is over.
-    pub fn merge(&mut self, ticket: Ticket, data: &mut Vec<u8>, now: Micros) {
-        if let Some(Role::Read(place)) = self.roles.get(&ticket) {
-            self.order.lay_over(*place, data);
+    pub fn merge(&mut self, handle: WriteHandle, data: &mut Vec<u8>, now: Micros) {
+        if let Some(Role::Read(extent_id)) = self.roles.get(&handle) {
+            self.order.lay_over(*extent_id, data);
         }
-        self.gone(ticket, now);
+        self.gone(handle, now);
     }
 
     /// A request that went through is over. `unsure`: an attempt of it may still run.
-    pub fn through_ended(&mut self, ticket: Ticket, unsure: bool, now: Micros) {
-        let Some(Role::Through(seq)) = self.roles.remove(&ticket) else { return };
+    pub fn through_ended(&mut self, handle: WriteHandle, unsure: bool, now: Micros) {
+        let Some(Role::Through(seq)) = self.roles.remove(&handle) else { return };
         let rest = if unsure { now.after(self.config.key_cooldown) } else { Micros(0) };
         let freed = self.order.finish(seq, rest);
         self.freed(freed, now);
     }
 
     /// Nobody waits for a request any more, and none of it was sent. Of one that was sent, tell
-    /// [`Buffer::through_ended`].
-    pub fn gone(&mut self, ticket: Ticket, now: Micros) {
-        match self.roles.get(&ticket) {
-            Some(Role::Through(_)) => self.through_ended(ticket, false, now),
-            Some(Role::Read(place)) => {
-                let place = *place;
-                self.roles.remove(&ticket);
-                self.order.read_ended(ticket, place);
-                self.consider(place, now);
+    /// [`WriteBackBuffer::through_ended`].
+    pub fn gone(&mut self, handle: WriteHandle, now: Micros) {
+        match self.roles.get(&handle) {
+            Some(Role::Through(_)) => self.through_ended(handle, false, now),
+            Some(Role::Read(extent_id)) => {
+                let extent_id = *extent_id;
+                self.roles.remove(&handle);
+                self.order.read_ended(handle, extent_id);
+                self.consider(extent_id, now);
             }
             Some(Role::Write(seq) | Role::Barrier(seq)) => {
                 if let Some((_, at)) = self.tickets.remove(seq) {
                     self.acks.remove(&(at, *seq));
                 }
-                self.roles.remove(&ticket);
+                self.roles.remove(&handle);
             }
             Some(Role::Flush) => {
-                self.roles.remove(&ticket);
-                self.flushes.remove(&ticket);
+                self.roles.remove(&handle);
+                self.flushes.remove(&handle);
             }
             None => {}
         }
     }
 
     /// A request's time is up: what to answer. It is gone from here then.
-    pub fn expire(&mut self, ticket: Ticket, now: Micros) -> Expired {
-        let expired = match self.roles.get(&ticket) {
+    pub fn expire(&mut self, handle: WriteHandle, now: Micros) -> Expired {
+        let expired = match self.roles.get(&handle) {
             None | Some(Role::Read(_)) => return Expired::Elsewhere,
             Some(Role::Through(seq)) => match self.order.item(*seq) {
                 Some(Item::Through { out: true, .. }) => return Expired::Elsewhere,
@@ -514,7 +516,7 @@
             },
             Some(Role::Barrier(_) | Role::Flush) => Expired::Fail,
         };
-        self.gone(ticket, now);
+        self.gone(handle, now);
         expired
     }
 
@@ -528,9 +530,9 @@
                 Kind::Placed => self.placed(seq, now),
                 Kind::Started => self.started(seq, now),
                 Kind::Done => {
-                    if let Some(place) = self.unrecorded.remove(&seq) {
-                        self.order.recorded(seq, place);
-                        self.consider(place, now);
+                    if let Some(extent_id) = self.unrecorded.remove(&seq) {
+                        self.order.recorded(seq, extent_id);
+                        self.consider(extent_id, now);
                     }
                 }
                 Kind::Parked => {}
@@ -546,18 +548,18 @@
         match self.order.entry_mut(seq) {
             Some(entry) => {
                 entry.stage = Stage::Ready;
-                let place = entry.write.place;
+                let extent_id = entry.write.extent_id;
                 if let Some((_, ack_at)) = waiter {
                     self.acks.insert((ack_at, seq));
                 }
-                self.consider(place, now);
+                self.consider(extent_id, now);
             }
             // A barrier, or one that has been passed by now.
             None => {
-                if let Some((ticket, _)) = waiter {
+                if let Some((handle, _)) = waiter {
                     self.tickets.remove(&seq);
-                    self.roles.remove(&ticket);
-                    self.actions.push(Action::Barred(ticket));
+                    self.roles.remove(&handle);
+                    self.actions.push(Action::Barred(handle));
                 }
             }
         }
@@ -572,20 +574,20 @@
     }
 
     /// Looks at a place's first in line. A place of which nothing is left is dropped, once it has rested.
-    fn consider(&mut self, place: Place, now: Micros) {
-        match self.order.next(place, now) {
+    fn consider(&mut self, extent_id: ExtentId, now: Micros) {
+        match self.order.next(extent_id, now) {
             Next::Nothing => {
-                if self.order.waits_for_log(place) {
+                if self.order.waits_for_log(extent_id) {
                     self.log.hurry();
                 }
-                if let Some(until) = self.order.tidy(place, now) {
-                    self.out.rest(place, until);
+                if let Some(until) = self.order.tidy(extent_id, now) {
+                    self.out.rest(extent_id, until);
                 }
             }
-            Next::Rest(until) => self.out.rest(place, until),
+            Next::Rest(until) => self.out.rest(extent_id, until),
             Next::Write(seq) => {
                 if let Some(shard) = self.order.entry(seq).map(|e| e.write.shard) {
-                    self.out.line_up(shard, seq, place);
+                    self.out.line_up(shard, seq, extent_id);
                 }
             }
             Next::Through(seq) => self.let_through(seq),
@@ -600,14 +602,14 @@
         for seq in freed.barriers {
             self.log.append(&Record::Done { seq }, now);
             self.log.forget(seq);
-            if let Some((ticket, _)) = self.tickets.remove(&seq) {
+            if let Some((handle, _)) = self.tickets.remove(&seq) {
                 // All before it is over: that it is durable matters to nobody now.
-                self.roles.remove(&ticket);
-                self.actions.push(Action::Barred(ticket));
+                self.roles.remove(&handle);
+                self.actions.push(Action::Barred(handle));
             }
         }
         freed.throughs.into_iter().for_each(|seq| self.let_through(seq));
-        freed.places.into_iter().for_each(|place| self.consider(place, now));
+        freed.places.into_iter().for_each(|extent_id| self.consider(extent_id, now));
     }
 
     /// Somebody waits for what is buffered: a flush, a request behind a barrier, or the end.
@@ -622,18 +624,19 @@
             let (order, linger) = (&self.order, self.config.rules.linger);
             let due = |seq: Seq| waited_for || order.entry(seq).is_none_or(|e| now.since(e.taken) >= linger);
             let level = |seq: Seq| level(&self.config, order, seq, waited_for, now);
-            let Some((shard, seq, place, level)) = self.out.pick(now, level, due) else { return };
-            if self.order.next(place, now) != Next::Write(seq) || !self.start(seq, place, level, now) {
+            let Some((shard, seq, extent_id, level)) = self.out.pick(now, level, due) else { return };
+            if self.order.next(extent_id, now) != Next::Write(seq) || !self.start(seq, extent_id, level, now)
+            {
                 self.out.ended(shard, Ended::Withdrawn, now);
             }
         }
     }
 
     /// Begins a write-out. False: not now.
-    fn start(&mut self, seq: Seq, place: Place, level: Level, now: Micros) -> bool {
+    fn start(&mut self, seq: Seq, extent_id: ExtentId, level: Urgency, now: Micros) -> bool {
         let Some(entry) = self.order.entry(seq) else { return false };
         let (class, started) = (entry.write.class, entry.started);
-        let keyed = matches!(self.buffering(class), Buffering::Keyed(_));
+        let keyed = matches!(self.buffering(class), BufferingMode::Keyed(_));
         if let Some(started) = started
             && self.window_left(class, started, now).is_none()
         {
@@ -643,14 +646,14 @@
         let earlier = self.unsure.get(&seq).copied();
         let repeat = earlier == Some(Earlier::ThisLife);
         if !self.out.count_try(repeat, now) {
-            self.out.rest(place, now.after(Micros(100_000)));
+            self.out.rest(extent_id, now.after(Micros(100_000)));
             return false;
         }
-        let Some(run) = self.order.take_run(place, keyed) else { return false };
+        let Some(run) = self.order.take_run(extent_id, keyed) else { return false };
         self.unsure.remove(&seq);
         self.next_try += 1;
         self.status.repeats += u64::from(repeat);
-        let id = TryId(self.next_try);
+        let id = WriteOutId(self.next_try);
         let last = run.seqs.last().copied().unwrap_or(seq);
         let at = self.wall(now);
         let marking = self.order.entry_mut(last).is_some_and(|e| e.started.is_none());
@@ -670,18 +673,18 @@
     }
 
     /// What is left of a key's window; none: it is over, or the calendar can't tell.
-    fn window_left(&self, class: u16, started: Wall, now: Micros) -> Option<Micros> {
-        let Buffering::Keyed(window) = self.buffering(class) else { return Some(Micros(u64::MAX)) };
+    fn window_left(&self, class: u16, started: WallClock, now: Micros) -> Option<Micros> {
+        let BufferingMode::Keyed(window) = self.buffering(class) else { return Some(Micros(u64::MAX)) };
         let gone = self.wall(now).since(started)?;
         (gone < window).then(|| window.since(gone))
     }
 
-    fn send(&mut self, id: TryId, now: Micros) {
+    fn send(&mut self, id: WriteOutId, now: Micros) {
         let Some(t) = self.tries.get_mut(&id) else { return };
         t.marking = false;
         let (seq, class, level, write) = (t.run.seqs[0], t.run.write.class, t.level, t.run.write.clone());
         let started = self.order.entry(seq).and_then(|e| e.started);
-        let left = started.filter(|_| matches!(self.buffering(class), Buffering::Keyed(_)));
+        let left = started.filter(|_| matches!(self.buffering(class), BufferingMode::Keyed(_)));
         let until = left.map(|s| now.after(self.window_left(class, s, now).unwrap_or_default()));
         self.actions.push(Action::Send { id, write, level, until });
     }
@@ -698,12 +701,12 @@
     }
 
     /// How a try ended.
-    pub fn try_ended(&mut self, id: TryId, end: TryEnd, now: Micros) {
+    pub fn try_ended(&mut self, id: WriteOutId, end: WriteOutResult, now: Micros) {
         let Some(t) = self.tries.remove(&id) else { return };
-        let (shard, place) = (t.run.write.shard, t.run.write.place);
+        let (shard, extent_id) = (t.run.write.shard, t.run.write.extent_id);
         let first = t.run.seqs[0];
         match end {
-            TryEnd::Confirmed { lingers } => {
+            WriteOutResult::Confirmed { lingers } => {
                 self.out.ended(shard, Ended::Well, now);
                 self.status.write_outs += 1;
                 let rest = if lingers || t.earlier.is_some() {
@@ -717,43 +720,46 @@
                     self.log.append(&Record::Done { seq: *seq }, now);
                     self.log.forget(*seq);
                     self.relocating.remove(seq);
-                    self.unrecorded.insert(*seq, place);
+                    self.unrecorded.insert(*seq, extent_id);
                     self.status.written_out += 1;
                     freed = self.order.finish(*seq, rest);
                 }
                 self.freed(freed, now);
             }
-            TryEnd::NotRun { .. } | TryEnd::Withdrawn => {
-                let how =
-                    if let TryEnd::NotRun { wait } = end { Ended::Badly(wait) } else { Ended::Withdrawn };
+            WriteOutResult::NotRun { .. } | WriteOutResult::Withdrawn => {
+                let how = if let WriteOutResult::NotRun { wait } = end {
+                    Ended::Badly(wait)
+                } else {
+                    Ended::Withdrawn
+                };
                 self.out.ended(shard, how, now);
                 // What may have run before may still have.
                 if let Some(earlier) = t.earlier {
                     self.unsure.insert(first, earlier);
                 }
                 self.order.give_back(t.run, t.earlier.is_some(), now);
-                self.consider(place, now);
+                self.consider(extent_id, now);
             }
-            TryEnd::Unsure => {
+            WriteOutResult::Unsure => {
                 self.out.ended(shard, Ended::Badly(Micros(0)), now);
                 self.unsure.insert(first, Earlier::ThisLife);
                 self.order.give_back(t.run, true, now.after(self.config.key_cooldown));
-                self.consider(place, now);
+                self.consider(extent_id, now);
             }
         }
     }
 
     /// Everything of this moment has been told. Returns when to call again at the latest.
     pub fn settle(&mut self, now: Micros) -> Option<Micros> {
-        for place in self.out.rested(now) {
-            self.consider(place, now);
+        for extent_id in self.out.rested(now) {
+            self.consider(extent_id, now);
         }
         while let Some((at, seq)) = self.acks.first().copied().filter(|(at, _)| *at <= now) {
             self.acks.remove(&(at, seq));
-            if let Some((ticket, _)) = self.tickets.remove(&seq) {
-                self.roles.remove(&ticket);
+            if let Some((handle, _)) = self.tickets.remove(&seq) {
+                self.roles.remove(&handle);
                 self.status.acknowledged += 1;
-                self.actions.push(Action::Buffered(ticket));
+                self.actions.push(Action::Buffered(handle));
             }
         }
         self.complete_flushes();
@@ -778,22 +784,22 @@
 
     fn complete_flushes(&mut self) {
         let here = self.config.rules.flush_here;
-        let complete = |(_, (volume, upto)): &(&Ticket, &(Option<u64>, Seq))| match here {
+        let complete = |(_, (volume, upto)): &(&WriteHandle, &(Option<u64>, Seq))| match here {
             true => self.order.durable(*volume, *upto),
             false => self.order.over(*volume, *upto),
         };
-        let done: Vec<Ticket> = self.flushes.iter().filter(complete).map(|(t, _)| *t).collect();
-        for ticket in done {
-            self.flushes.remove(&ticket);
-            self.roles.remove(&ticket);
-            self.actions.push(Action::Flushed(ticket));
+        let done: Vec<WriteHandle> = self.flushes.iter().filter(complete).map(|(t, _)| *t).collect();
+        for handle in done {
+            self.flushes.remove(&handle);
+            self.roles.remove(&handle);
+            self.actions.push(Action::Flushed(handle));
         }
     }
 
     /// Write-outs that wait with the module at too low a worth are taken back; they go again at once.
     fn rise(&mut self, now: Micros) {
         let waited_for = self.waited_for();
-        let risen: Vec<(TryId, Level)> = self
+        let risen: Vec<(WriteOutId, Urgency)> = self
             .tries
             .iter()
             .filter(|(_, t)| !t.marking)
@@ -859,9 +865,9 @@
 }
 
 /// How urgent a write is now.
-fn level(config: &Config, order: &Order, seq: Seq, waited_for: bool, now: Micros) -> Level {
+fn level(config: &Config, order: &Order, seq: Seq, waited_for: bool, now: Micros) -> Urgency {
     let fill = order.bytes() as f64 / config.rules.bytes.max(1) as f64;
     let age = order.entry(seq).map_or(Micros(0), |e| now.since(e.taken));
     let part = fill.max(age.0 as f64 / config.rules.age.0.max(1) as f64);
-    Level::of(part, waited_for)
+    Urgency::of(part, waited_for)
 }
--- a/crates/flaxstand-write-back/src/image.rs
+++ b/crates/flaxstand-write-back/src/image.rs
@@ -3,7 +3,7 @@
 use crate::record::Write;
 
 /// Longest extent that writes may make, bytes: what fits into a frame.
-pub const EXTENT_MOST: usize = 1 << 20;
+pub const MAX_EXTENT_BYTES: usize = 1 << 20;
 
 /// Lays a write over an extent's data. Bytes that no write reached are zero.
 pub fn lay(data: &mut Vec<u8>, write: &Write) {
@@ -56,19 +56,19 @@
         }
     };
     let units = later.units.max(earlier.units);
-    (payload.len() <= EXTENT_MOST).then(|| Write { at, payload, units, ..later.clone() })
+    (payload.len() <= MAX_EXTENT_BYTES).then(|| Write { at, payload, units, ..later.clone() })
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::record::Place;
+    use crate::record::ExtentId;
     use proptest::prelude::*;
 
     fn write(at: Option<u32>, payload: Vec<u8>) -> Write {
-        let place = Place { volume: 1, extent: 1 };
+        let extent_id = ExtentId { volume: 1, extent: 1 };
         Write {
-            place,
+            extent_id,
             class: 0,
             plan: 0,
             volume_initiators: 1,
--- a/crates/flaxstand-write-back/src/lib.rs
+++ b/crates/flaxstand-write-back/src/lib.rs
@@ -1,6 +1,6 @@
 //! The write-back buffer: a write is acknowledged when it is durable on this host, and goes out to its node
 //! later. `docs/write-back.md` states what is promised. Nothing here touches a file or
-//! reads a clock: the initiator's core owns a [`Buffer`], its driver carries out the batches (`flaxstand-storage`).
+//! reads a clock: the initiator's core owns a [`WriteBackBuffer`], its driver carries out the batches (`flaxstand-storage`).
 //!
 //! - [`buffer`]: ties the parts together; what the core calls
 //! - [`order`]: what may go to a node now: places, barriers, rests
@@ -21,8 +21,11 @@
 pub mod recover;
 pub mod writeout;
 
-pub use buffer::{Action, Buffer, Config, Expired, Offer, ReadBack, Rules, Status, Ticket, TryEnd, TryId};
+pub use buffer::{
+    Action, BufferLimits, BufferedRead, Config, Expired, Status, WriteBackBuffer, WriteHandle, WriteOutId,
+    WriteOutResult, WriteRequest,
+};
 pub use flaxstand_proto::Micros;
-pub use offline::Verdict;
-pub use record::{Place, Seq, Write};
-pub use recover::{Live, RecoverError, Recovered, recover, salvage};
+pub use offline::ParkedDecision;
+pub use record::{ExtentId, Seq, Write};
+pub use recover::{LiveRecord, RecoverError, Recovered, recover, salvage};
--- a/crates/flaxstand-write-back/src/log.rs
+++ b/crates/flaxstand-write-back/src/log.rs
@@ -7,7 +7,7 @@
 
 use crate::record::{BATCH_HEAD, HEADER, Header, Record, Seq, VERSION, encode_batch};
 use flaxstand_proto::Micros;
-use flaxstand_storage::{Batch, StoreOp};
+use flaxstand_storage::{Batch, StorageOp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A segment is closed once it is as long as this, bytes.
@@ -188,7 +188,7 @@
         }
         let removals = self.removable();
         if !removals.is_empty() && !self.stuck {
-            let removal = |n: &u64| [StoreOp::Remove(*n), StoreOp::SyncFolder];
+            let removal = |n: &u64| [StorageOp::Remove(*n), StorageOp::SyncFolder];
             // One after the other: a later segment must not go for good before an earlier one, whose writes
             // it says are done.
             let ops = removals.iter().flat_map(removal).collect();
@@ -214,17 +214,17 @@
                 let number = self.next_segment;
                 self.next_segment += 1;
                 let header = Header { version: VERSION, number, before: self.last() };
-                ops.push(StoreOp::Create(number));
-                ops.push(StoreOp::Append(number, header.encode()));
+                ops.push(StorageOp::Create(number));
+                ops.push(StorageOp::Append(number, header.encode()));
                 // Its own sync: a batch never lies behind a header that may be lost.
-                ops.push(StoreOp::Sync(number));
-                ops.push(StoreOp::SyncFolder);
+                ops.push(StorageOp::Sync(number));
+                ops.push(StorageOp::SyncFolder);
                 (number, HEADER as u64)
             }
         };
         len += bytes.len() as u64;
-        ops.push(StoreOp::Append(segment, bytes));
-        ops.push(StoreOp::Sync(segment));
+        ops.push(StorageOp::Append(segment, bytes));
+        ops.push(StorageOp::Sync(segment));
         self.flight = Some(Flight::Records { segment, bytes: len, queue });
         Batch { ops }
     }
--- a/crates/flaxstand-write-back/src/order.rs
+++ b/crates/flaxstand-write-back/src/order.rs
@@ -6,9 +6,9 @@
 //! - before the next goes to a place, the log knows for sure that the one before is done: a replay after a
 //!   crash repeats at most the last that went there, and never lays old data over newer.
 
-use crate::buffer::Ticket;
+use crate::buffer::WriteHandle;
 use crate::image::{merged, whole};
-use crate::record::{Place, Seq, Wall, Write};
+use crate::record::{ExtentId, Seq, WallClock, Write};
 use flaxstand_proto::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -31,9 +31,9 @@
     /// When it was taken.
     pub taken: Micros,
     /// The same on the host's calendar.
-    pub taken_wall: Wall,
+    pub taken_wall: WallClock,
     /// When its first attempt may have run, once that is durable.
-    pub started: Option<Wall>,
+    pub started: Option<WallClock>,
     /// How far it has come.
     pub stage: Stage,
 }
@@ -46,11 +46,11 @@
     /// A write that goes through, or another request that its volume's barriers concern.
     Through {
         /// The core's name for it.
-        ticket: Ticket,
+        handle: WriteHandle,
         /// The volume.
         volume: u64,
         /// Where it writes; none: it names no extent.
-        place: Option<Place>,
+        extent_id: Option<ExtentId>,
         /// It was let go.
         out: bool,
     },
@@ -91,7 +91,7 @@
     /// Done, and the log does not know it for sure yet.
     unrecorded: BTreeSet<Seq>,
     /// Reads that will be laid over with what was here.
-    readers: BTreeSet<Ticket>,
+    readers: BTreeSet<WriteHandle>,
     /// Writes that were done while such reads were out.
     kept: BTreeMap<Seq, Write>,
 }
@@ -120,7 +120,7 @@
 pub struct Order {
     items: BTreeMap<Seq, Item>,
     volumes: BTreeMap<u64, Volume>,
-    lanes: BTreeMap<Place, Lane>,
+    lanes: BTreeMap<ExtentId, Lane>,
     /// Buffered writes that are not over.
     buffered: BTreeSet<Seq>,
     parked: BTreeSet<Seq>,
@@ -137,7 +137,7 @@
     /// Barriers that are passed by it.
     pub barriers: Vec<Seq>,
     /// Places whose first in line is to be looked at.
-    pub places: BTreeSet<Place>,
+    pub places: BTreeSet<ExtentId>,
     /// Requests without a place that may go through now.
     pub throughs: Vec<Seq>,
 }
@@ -191,8 +191,8 @@
         self.items.get(&seq)
     }
     /// All that is for a place is over, and the log knows.
-    pub fn clear(&self, place: Place) -> bool {
-        self.lanes.get(&place).is_none_or(|l| l.queue.is_empty() && l.unrecorded.is_empty())
+    pub fn clear(&self, extent_id: ExtentId) -> bool {
+        self.lanes.get(&extent_id).is_none_or(|l| l.queue.is_empty() && l.unrecorded.is_empty())
     }
     /// Whether all of a volume, or of all, up to a number is over.
     pub fn over(&self, volume: Option<u64>, upto: Seq) -> bool {
@@ -218,8 +218,8 @@
 
     /// A buffered write.
     pub fn add_write(&mut self, seq: Seq, entry: Entry) {
-        let place = entry.write.place;
-        let volume = self.volumes.entry(place.volume).or_default();
+        let extent_id = entry.write.extent_id;
+        let volume = self.volumes.entry(extent_id.volume).or_default();
         volume.open.insert(seq);
         volume.bytes += entry.write.cost();
         self.bytes += entry.write.cost();
@@ -227,7 +227,7 @@
         if entry.stage == Stage::Parked {
             self.parked.insert(seq);
         }
-        self.lanes.entry(place).or_default().queue.push_back(seq);
+        self.lanes.entry(extent_id).or_default().queue.push_back(seq);
         self.items.insert(seq, Item::Write(entry));
     }
 
@@ -235,18 +235,18 @@
     pub fn add_through(
         &mut self,
         seq: Seq,
-        ticket: Ticket,
+        handle: WriteHandle,
         volume: u64,
-        place: Option<Place>,
+        extent_id: Option<ExtentId>,
         now: Micros,
     ) -> bool {
         self.volumes.entry(volume).or_default().open.insert(seq);
-        self.items.insert(seq, Item::Through { ticket, volume, place, out: false });
+        self.items.insert(seq, Item::Through { handle, volume, extent_id, out: false });
         self.waiting.insert(seq);
-        match place {
-            Some(place) => {
-                self.lanes.entry(place).or_default().queue.push_back(seq);
-                self.next(place, now) == Next::Through(seq)
+        match extent_id {
+            Some(extent_id) => {
+                self.lanes.entry(extent_id).or_default().queue.push_back(seq);
+                self.next(extent_id, now) == Next::Through(seq)
             }
             None => !self.fenced(seq, volume),
         }
@@ -267,10 +267,10 @@
     }
 
     /// What a place's first in line may do.
-    pub fn next(&self, place: Place, now: Micros) -> Next {
-        let Some(lane) = self.lanes.get(&place) else { return Next::Nothing };
+    pub fn next(&self, extent_id: ExtentId, now: Micros) -> Next {
+        let Some(lane) = self.lanes.get(&extent_id) else { return Next::Nothing };
         let Some(seq) = lane.queue.front().copied() else { return Next::Nothing };
-        if lane.busy || self.fenced(seq, place.volume) {
+        if lane.busy || self.fenced(seq, extent_id.volume) {
             return Next::Nothing;
         }
         // The log must know first that all before it is done: a replay never takes a place back, and no node
@@ -288,40 +288,42 @@
     }
 
     /// What is for a place waits for the log to know what is done there.
-    pub fn waits_for_log(&self, place: Place) -> bool {
-        self.lanes.get(&place).is_some_and(|lane| !lane.unrecorded.is_empty() && !lane.queue.is_empty())
+    pub fn waits_for_log(&self, extent_id: ExtentId) -> bool {
+        self.lanes.get(&extent_id).is_some_and(|lane| !lane.unrecorded.is_empty() && !lane.queue.is_empty())
     }
 
     /// Lets it go through. Returns the core's name for it.
-    pub fn let_through(&mut self, seq: Seq) -> Option<Ticket> {
+    pub fn let_through(&mut self, seq: Seq) -> Option<WriteHandle> {
         self.waiting.remove(&seq);
-        let Some(Item::Through { out, place, ticket, .. }) = self.items.get_mut(&seq) else { return None };
+        let Some(Item::Through { out, extent_id, handle, .. }) = self.items.get_mut(&seq) else {
+            return None;
+        };
         *out = true;
-        if let Some(lane) = place.and_then(|p| self.lanes.get_mut(&p)) {
+        if let Some(lane) = extent_id.and_then(|p| self.lanes.get_mut(&p)) {
             lane.busy = true;
         }
-        Some(*ticket)
+        Some(*handle)
     }
 
     /// Takes the first writes of a place as one: those that follow each other durable and may be merged.
     /// One that may have run goes again as it was. `alone`: its effect forbids merging.
-    pub fn take_run(&mut self, place: Place, alone: bool) -> Option<Run> {
-        let lane = self.lanes.get(&place)?;
+    pub fn take_run(&mut self, extent_id: ExtentId, alone: bool) -> Option<Run> {
+        let lane = self.lanes.get(&extent_id)?;
         let run = match &lane.frozen {
             Some(run) => run.clone(),
-            None => self.merged_run(place, lane, alone)?,
+            None => self.merged_run(extent_id, lane, alone)?,
         };
-        self.lanes.get_mut(&place)?.busy = true;
+        self.lanes.get_mut(&extent_id)?.busy = true;
         Some(run)
     }
 
-    fn merged_run(&self, place: Place, lane: &Lane, alone: bool) -> Option<Run> {
+    fn merged_run(&self, extent_id: ExtentId, lane: &Lane, alone: bool) -> Option<Run> {
         let first = *lane.queue.front()?;
         let mut run = Run { seqs: vec![first], write: self.entry(first)?.write.clone() };
         for seq in lane.queue.iter().skip(1) {
             let Some(e) = self.entry(*seq).filter(|e| e.stage == Stage::Ready) else { break };
             let differs = e.write.class != run.write.class || e.write.shard != run.write.shard;
-            if alone || differs || self.fenced(*seq, place.volume) {
+            if alone || differs || self.fenced(*seq, extent_id.volume) {
                 break;
             }
             let Some(write) = merged(&run.write, &e.write) else { break };
@@ -334,8 +336,8 @@
     /// After a start: what may be out of a place since an earlier life goes first, as it went then. Returns its
     /// first write. It is the run up to the last write that was marked as started: one that was known not
     /// to have run was marked again only as part of a longer one.
-    pub fn freeze_started(&mut self, place: Place) -> Option<Seq> {
-        let lane = self.lanes.get(&place)?;
+    pub fn freeze_started(&mut self, extent_id: ExtentId) -> Option<Seq> {
+        let lane = self.lanes.get(&extent_id)?;
         let started = |seq: &&Seq| self.entry(**seq).is_some_and(|e| e.started.is_some());
         let last = lane.queue.iter().rfind(started).copied()?;
         let mut run: Option<Run> = None;
@@ -351,14 +353,14 @@
             });
         }
         let first = run.as_ref()?.seqs[0];
-        self.lanes.get_mut(&place)?.frozen = run;
+        self.lanes.get_mut(&extent_id)?.frozen = run;
         Some(first)
     }
 
     /// What was out of a place is over without being done. `may_have_run`: it goes again as it was, after
     /// a rest. Nothing of the place goes before `not_before`.
     pub fn give_back(&mut self, run: Run, may_have_run: bool, not_before: Micros) {
-        if let Some(lane) = self.lanes.get_mut(&run.write.place) {
+        if let Some(lane) = self.lanes.get_mut(&run.write.extent_id) {
             lane.busy = false;
             lane.not_before = lane.not_before.max(not_before);
             if may_have_run {
@@ -371,9 +373,9 @@
     pub fn park(&mut self, seq: Seq) {
         if let Some(e) = self.entry_mut(seq) {
             e.stage = Stage::Parked;
-            let place = e.write.place;
+            let extent_id = e.write.extent_id;
             self.parked.insert(seq);
-            if let Some(lane) = self.lanes.get_mut(&place) {
+            if let Some(lane) = self.lanes.get_mut(&extent_id) {
                 (lane.busy, lane.frozen) = (false, None);
             }
         }
@@ -383,36 +385,36 @@
     pub fn finish(&mut self, seq: Seq, rest_until: Micros) -> Freed {
         let mut freed = Freed::default();
         self.waiting.remove(&seq);
-        let (volume, place) = match self.items.remove(&seq) {
+        let (volume, extent_id) = match self.items.remove(&seq) {
             Some(Item::Write(entry)) => {
-                let place = entry.write.place;
+                let extent_id = entry.write.extent_id;
                 let cost = entry.write.cost();
                 self.bytes -= cost;
                 self.buffered.remove(&seq);
                 self.parked.remove(&seq);
-                if let Some(v) = self.volumes.get_mut(&place.volume) {
+                if let Some(v) = self.volumes.get_mut(&extent_id.volume) {
                     v.bytes -= cost;
                 }
-                let lane = self.lanes.entry(place).or_default();
+                let lane = self.lanes.entry(extent_id).or_default();
                 lane.unrecorded.insert(seq);
                 lane.frozen = None;
                 if !lane.readers.is_empty() {
                     lane.kept.insert(seq, entry.write);
                 }
-                (place.volume, Some(place))
+                (extent_id.volume, Some(extent_id))
             }
-            Some(Item::Through { volume, place, .. }) => (volume, place),
+            Some(Item::Through { volume, extent_id, .. }) => (volume, extent_id),
             Some(Item::Barrier { .. }) | None => return freed,
         };
-        if let Some(place) = place
-            && let Some(lane) = self.lanes.get_mut(&place)
+        if let Some(extent_id) = extent_id
+            && let Some(lane) = self.lanes.get_mut(&extent_id)
         {
             if lane.queue.front() == Some(&seq) {
                 lane.busy = false;
             }
             lane.queue.retain(|s| *s != seq);
             lane.not_before = lane.not_before.max(rest_until);
-            freed.places.insert(place);
+            freed.places.insert(extent_id);
         }
         if let Some(v) = self.volumes.get_mut(&volume) {
             v.open.remove(&seq);
@@ -434,8 +436,10 @@
             let until = v.barriers.first().copied().unwrap_or(Seq(u64::MAX));
             for seq in v.open.range(first..until) {
                 match self.items.get(seq) {
-                    Some(Item::Write(e)) => drop(freed.places.insert(e.write.place)),
-                    Some(Item::Through { place: Some(place), .. }) => drop(freed.places.insert(*place)),
+                    Some(Item::Write(e)) => drop(freed.places.insert(e.write.extent_id)),
+                    Some(Item::Through { extent_id: Some(extent_id), .. }) => {
+                        drop(freed.places.insert(*extent_id))
+                    }
                     Some(Item::Through { .. }) => freed.throughs.push(*seq),
                     Some(Item::Barrier { .. }) | None => {}
                 }
@@ -447,19 +451,19 @@
     }
 
     /// The log knows that a write is done.
-    pub fn recorded(&mut self, seq: Seq, place: Place) {
-        if let Some(lane) = self.lanes.get_mut(&place) {
+    pub fn recorded(&mut self, seq: Seq, extent_id: ExtentId) {
+        if let Some(lane) = self.lanes.get_mut(&extent_id) {
             lane.unrecorded.remove(&seq);
         }
     }
 
     /// Drops what is known of a place if that is nothing. If it only rests: until when.
-    pub fn tidy(&mut self, place: Place, now: Micros) -> Option<Micros> {
-        let lane = self.lanes.get(&place).filter(|l| l.empty())?;
+    pub fn tidy(&mut self, extent_id: ExtentId, now: Micros) -> Option<Micros> {
+        let lane = self.lanes.get(&extent_id).filter(|l| l.empty())?;
         if lane.not_before > now {
             return Some(lane.not_before);
         }
-        self.lanes.remove(&place);
+        self.lanes.remove(&extent_id);
         None
     }
 
@@ -471,31 +475,31 @@
 
     /// What a read of a place finds here: nothing; all of it with its shard; or a part, to be laid over the
     /// node's answer by [`Order::lay_over`].
-    pub fn read(&mut self, ticket: Ticket, place: Place) -> Found {
-        let Some(lane) = self.lanes.get(&place) else { return Found::Nothing };
+    pub fn read(&mut self, handle: WriteHandle, extent_id: ExtentId) -> Found {
+        let Some(lane) = self.lanes.get(&extent_id) else { return Found::Nothing };
         let seen = self.seen(lane);
         let Some(last) = seen.clone().next_back() else { return Found::Nothing };
         if let Some(data) = whole(seen) {
             return Found::Whole { shard: last.shard, data };
         }
-        if let Some(lane) = self.lanes.get_mut(&place) {
-            lane.readers.insert(ticket);
+        if let Some(lane) = self.lanes.get_mut(&extent_id) {
+            lane.readers.insert(handle);
         }
         Found::Part
     }
 
     /// Lays what was and is here over a node's answer.
-    pub fn lay_over(&self, place: Place, data: &mut Vec<u8>) {
-        if let Some(lane) = self.lanes.get(&place) {
+    pub fn lay_over(&self, extent_id: ExtentId, data: &mut Vec<u8>) {
+        if let Some(lane) = self.lanes.get(&extent_id) {
             let kept = lane.kept.values();
             kept.chain(self.seen(lane)).for_each(|w| crate::image::lay(data, w));
         }
     }
 
     /// A read that found a part here is over.
-    pub fn read_ended(&mut self, ticket: Ticket, place: Place) {
-        if let Some(lane) = self.lanes.get_mut(&place) {
-            lane.readers.remove(&ticket);
+    pub fn read_ended(&mut self, handle: WriteHandle, extent_id: ExtentId) {
+        if let Some(lane) = self.lanes.get_mut(&extent_id) {
+            lane.readers.remove(&handle);
             if lane.readers.is_empty() {
                 lane.kept.clear();
             }
--- a/crates/flaxstand-write-back/src/pressure.rs
+++ b/crates/flaxstand-write-back/src/pressure.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It is buffered; its acknowledgement leaves no earlier than after this.
-    Buffer {
+    WriteBackBuffer {
         /// From when it came.
         slowed: Micros,
     },
@@ -49,12 +49,12 @@
     let fill = space.fill();
     if healthy && fits && fill < THROUGH {
         let part = ((fill - FREELY) / (THROUGH - FREELY)).max(0.0);
-        return Admission::Buffer { slowed: Micros((slow_most.0 as f64 * part) as u64) };
+        return Admission::WriteBackBuffer { slowed: Micros((slow_most.0 as f64 * part) as u64) };
     }
     // Through, it would have to wait for what is before it: then the space that is left serves it better.
     match (blocked, healthy && fits) {
         (false, _) => Admission::Through,
-        (true, true) => Admission::Buffer { slowed: slow_most },
+        (true, true) => Admission::WriteBackBuffer { slowed: slow_most },
         (true, false) => Admission::Refuse,
     }
 }
@@ -71,12 +71,12 @@
     #[test]
     fn slower_then_through_then_refused() {
         let admit = |used, blocked| admit(space(used, 0), 10, blocked, true, SLOW);
-        assert_eq!(admit(0, false), Admission::Buffer { slowed: Micros(0) });
-        assert_eq!(admit(499, false), Admission::Buffer { slowed: Micros(0) });
-        let Admission::Buffer { slowed } = admit(650, false) else { panic!("still taken") };
+        assert_eq!(admit(0, false), Admission::WriteBackBuffer { slowed: Micros(0) });
+        assert_eq!(admit(499, false), Admission::WriteBackBuffer { slowed: Micros(0) });
+        let Admission::WriteBackBuffer { slowed } = admit(650, false) else { panic!("still taken") };
         assert!((45..=55).contains(&slowed.0), "half-way: {slowed:?}");
         assert_eq!(admit(800, false), Admission::Through);
-        assert_eq!(admit(800, true), Admission::Buffer { slowed: SLOW });
+        assert_eq!(admit(800, true), Admission::WriteBackBuffer { slowed: SLOW });
         assert_eq!(admit(995, true), Admission::Refuse);
         assert_eq!(admit(995, false), Admission::Through);
     }
--- a/crates/flaxstand-write-back/src/record.rs
+++ b/crates/flaxstand-write-back/src/record.rs
@@ -29,7 +29,7 @@
 
 /// Where data lies: an extent of a volume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct ExtentId {
     /// The volume.
     pub volume: u64,
     /// The extent.
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
     /// Where to.
-    pub place: Place,
+    pub extent_id: ExtentId,
     /// Index of its class.
     pub class: u16,
     /// Index of its volume's plan.
@@ -68,11 +68,11 @@
 
 /// A moment of the host's calendar, microseconds since 1970. It outlives a restart; it may be set back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Wall(pub u64);
+pub struct WallClock(pub u64);
 
-impl Wall {
+impl WallClock {
     /// Time since `earlier`; none if the calendar says that is later.
-    pub fn since(self, earlier: Wall) -> Option<Micros> {
+    pub fn since(self, earlier: WallClock) -> Option<Micros> {
         self.0.checked_sub(earlier.0).map(Micros)
     }
 }
@@ -85,9 +85,9 @@
         /// Its place in the order.
         seq: Seq,
         /// When it was taken.
-        taken: Wall,
+        taken: WallClock,
         /// When its first attempt may have run, if one may.
-        started: Option<Wall>,
+        started: Option<WallClock>,
         /// It waits for an operator.
         parked: bool,
         /// The write.
@@ -105,7 +105,7 @@
         /// The write.
         seq: Seq,
         /// When.
-        at: Wall,
+        at: WallClock,
     },
     /// It may have run and must not be repeated: an operator decides.
     Parked {
@@ -147,8 +147,8 @@
                 out.extend_from_slice(&taken.0.to_le_bytes());
                 out.extend_from_slice(&started.map_or(0, |s| s.0.max(1)).to_le_bytes());
                 out.push(u8::from(*parked));
-                out.extend_from_slice(&w.place.volume.to_le_bytes());
-                out.extend_from_slice(&w.place.extent.to_le_bytes());
+                out.extend_from_slice(&w.extent_id.volume.to_le_bytes());
+                out.extend_from_slice(&w.extent_id.extent.to_le_bytes());
                 out.extend_from_slice(&w.class.to_le_bytes());
                 out.extend_from_slice(&w.plan.to_le_bytes());
                 out.extend_from_slice(&w.volume_initiators.to_le_bytes());
@@ -172,11 +172,11 @@
         Some(match kind {
             1 => Record::Write {
                 seq,
-                taken: Wall(r.u64()?),
-                started: Some(r.u64()?).filter(|s| *s > 0).map(Wall),
+                taken: WallClock(r.u64()?),
+                started: Some(r.u64()?).filter(|s| *s > 0).map(WallClock),
                 parked: r.u8()? != 0,
                 write: Write {
-                    place: Place { volume: r.u64()?, extent: r.u64()? },
+                    extent_id: ExtentId { volume: r.u64()?, extent: r.u64()? },
                     class: r.u16()?,
                     plan: r.u16()?,
                     volume_initiators: r.u16()?,
@@ -195,7 +195,7 @@
                 },
             },
             2 => Record::Barrier { seq, volume: r.u64()? },
-            3 => Record::Started { seq, at: Wall(r.u64()?) },
+            3 => Record::Started { seq, at: WallClock(r.u64()?) },
             4 => Record::Parked { seq },
             5 => Record::Done { seq },
             _ => return None,
@@ -319,10 +319,10 @@
     use super::*;
 
     fn write(at: Option<u32>) -> Record {
-        let place = Place { volume: 7, extent: 9 };
+        let extent_id = ExtentId { volume: 7, extent: 9 };
         let payload = vec![1, 2, 3];
         let write = Write {
-            place,
+            extent_id,
             class: 1,
             plan: 2,
             volume_initiators: 3,
@@ -332,7 +332,7 @@
             at,
             payload,
         };
-        Record::Write { seq: Seq(8), taken: Wall(10), started: Some(Wall(11)), parked: true, write }
+        Record::Write { seq: Seq(8), taken: WallClock(10), started: Some(WallClock(11)), parked: true, write }
     }
 
     #[test]
@@ -341,7 +341,7 @@
             write(None),
             write(Some(0)),
             Record::Barrier { seq: Seq(1), volume: 2 },
-            Record::Started { seq: Seq(3), at: Wall(4) },
+            Record::Started { seq: Seq(3), at: WallClock(4) },
             Record::Parked { seq: Seq(5) },
             Record::Done { seq: Seq(u64::MAX) },
         ];
--- a/crates/flaxstand-write-back/src/recover.rs
+++ b/crates/flaxstand-write-back/src/recover.rs
@@ -2,7 +2,7 @@
 
 use crate::log::Log;
 use crate::record::{
-    HEADER, Header, Record, Seq, VERSION, VERSION_OLDEST, Wall, Write, decode_batch, next_batch,
+    HEADER, Header, Record, Seq, VERSION, VERSION_OLDEST, WallClock, Write, decode_batch, next_batch,
 };
 use flaxstand_storage::Storage;
 use std::collections::BTreeMap;
@@ -37,13 +37,13 @@
 
 /// What lives in a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Live {
+pub enum LiveRecord {
     /// A write that is not known to be on its node.
     Write {
         /// When it was taken.
-        taken: Wall,
+        taken: WallClock,
         /// When its first attempt may have run, where that is recorded.
-        started: Option<Wall>,
+        started: Option<WallClock>,
         /// It waits for an operator.
         parked: bool,
         /// The write.
@@ -62,7 +62,7 @@
     /// The log, ready to go on.
     pub log: Log,
     /// What lives in it, in order.
-    pub live: BTreeMap<Seq, Live>,
+    pub live: BTreeMap<Seq, LiveRecord>,
     /// The highest number given to anything in it.
     pub last: Seq,
     /// Segments with their valid lengths, bytes.
@@ -164,7 +164,7 @@
 
 #[derive(Default)]
 struct State {
-    live: BTreeMap<Seq, Live>,
+    live: BTreeMap<Seq, LiveRecord>,
     placed: BTreeMap<Seq, u64>,
     last: Seq,
     batch: u64,
@@ -177,20 +177,20 @@
         self.last = self.last.max(record.seq());
         match record {
             Record::Write { seq, taken, started, parked, write } => {
-                self.live.insert(seq, Live::Write { taken, started, parked, write });
+                self.live.insert(seq, LiveRecord::Write { taken, started, parked, write });
                 self.placed.insert(seq, segment);
             }
             Record::Barrier { seq, volume } => {
-                self.live.insert(seq, Live::Barrier { volume });
+                self.live.insert(seq, LiveRecord::Barrier { volume });
                 self.placed.insert(seq, segment);
             }
             Record::Started { seq, at } => {
-                if let Some(Live::Write { started, .. }) = self.live.get_mut(&seq) {
+                if let Some(LiveRecord::Write { started, .. }) = self.live.get_mut(&seq) {
                     *started = started.or(Some(at));
                 }
             }
             Record::Parked { seq } => {
-                if let Some(Live::Write { parked, .. }) = self.live.get_mut(&seq) {
+                if let Some(LiveRecord::Write { parked, .. }) = self.live.get_mut(&seq) {
                     *parked = true;
                 }
             }
@@ -230,10 +230,10 @@
     storage.append(number, &header.encode())?;
     for (seq, live) in state.live {
         let record = match live {
-            Live::Write { taken, started, parked, write } => {
+            LiveRecord::Write { taken, started, parked, write } => {
                 Record::Write { seq, taken, started, parked, write }
             }
-            Live::Barrier { volume } => Record::Barrier { seq, volume },
+            LiveRecord::Barrier { volume } => Record::Barrier { seq, volume },
         };
         let mut body = Vec::new();
         record.encode(&mut body);
--- a/crates/flaxstand-write-back/src/writeout.rs
+++ b/crates/flaxstand-write-back/src/writeout.rs
@@ -5,13 +5,13 @@
 //! wants; as space or time runs out it is worth ever more. Whether and when an attempt leaves, and to which
 //! node, is the module's decision as for any request.
 
-use crate::record::{Place, Seq};
+use crate::record::{ExtentId, Seq};
 use flaxstand_proto::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How urgent a write-out is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Level {
+pub enum Urgency {
     /// There is room and time: what nothing else wants.
     #[default]
     Idle,
@@ -23,35 +23,35 @@
     Urgent,
 }
 
-impl Level {
+impl Urgency {
     /// All, from the least.
-    pub const ALL: [Level; 4] = [Level::Idle, Level::Rising, Level::High, Level::Urgent];
+    pub const ALL: [Urgency; 4] = [Urgency::Idle, Urgency::Rising, Urgency::High, Urgency::Urgent];
 
     /// By the part of space or time that is gone, and whether somebody waits for it.
-    pub fn of(part: f64, waited_for: bool) -> Level {
+    pub fn of(part: f64, waited_for: bool) -> Urgency {
         let level = match part {
-            p if p < 0.25 => Level::Idle,
-            p if p < 0.5 => Level::Rising,
-            p if p < 0.75 => Level::High,
-            _ => Level::Urgent,
+            p if p < 0.25 => Urgency::Idle,
+            p if p < 0.5 => Urgency::Rising,
+            p if p < 0.75 => Urgency::High,
+            _ => Urgency::Urgent,
         };
-        level.max(if waited_for { Level::High } else { Level::Idle })
+        level.max(if waited_for { Urgency::High } else { Urgency::Idle })
     }
 
     /// Write-outs of one shard that may be with the module or out at once.
     fn window(self) -> usize {
         match self {
-            Level::Idle => 4,
-            Level::Rising => 8,
-            Level::High => 16,
-            Level::Urgent => 32,
+            Urgency::Idle => 4,
+            Urgency::Rising => 8,
+            Urgency::High => 16,
+            Urgency::Urgent => 32,
         }
     }
 }
 
 /// Bound on repeats of attempts that may have run: so many, and a share of the first tries, in a span.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatBudget {
+pub struct WriteOutRetryBudget {
     /// Allowed however few first tries there are.
     pub floor: f64,
     /// Allowed for each first try.
@@ -65,7 +65,7 @@
 
 #[derive(Debug, Default)]
 struct Line {
-    waiting: BTreeSet<(Seq, Place)>,
+    waiting: BTreeSet<(Seq, ExtentId)>,
     out: usize,
     hold: Micros,
     hold_until: Micros,
@@ -87,35 +87,35 @@
 pub struct WriteOut {
     lines: BTreeMap<u32, Line>,
     /// Places that rest, by when that ends.
-    rests: BTreeSet<(Micros, Place)>,
-    budget: Option<RepeatBudget>,
+    rests: BTreeSet<(Micros, ExtentId)>,
+    budget: Option<WriteOutRetryBudget>,
     first_tries: VecDeque<Micros>,
     repeats: VecDeque<Micros>,
 }
 
 impl WriteOut {
     /// No lines yet.
-    pub fn new(budget: Option<RepeatBudget>) -> Self {
+    pub fn new(budget: Option<WriteOutRetryBudget>) -> Self {
         let (lines, rests, first_tries, repeats) = Default::default();
         WriteOut { lines, rests, budget, first_tries, repeats }
     }
 
     /// The place's first write may go.
-    pub fn line_up(&mut self, shard: u32, seq: Seq, place: Place) {
-        self.lines.entry(shard).or_default().waiting.insert((seq, place));
+    pub fn line_up(&mut self, shard: u32, seq: Seq, extent_id: ExtentId) {
+        self.lines.entry(shard).or_default().waiting.insert((seq, extent_id));
     }
 
     /// The place is to be looked at again then.
-    pub fn rest(&mut self, place: Place, until: Micros) {
-        self.rests.insert((until, place));
+    pub fn rest(&mut self, extent_id: ExtentId, until: Micros) {
+        self.rests.insert((until, extent_id));
     }
 
     /// Places whose rest is over.
-    pub fn rested(&mut self, now: Micros) -> Vec<Place> {
+    pub fn rested(&mut self, now: Micros) -> Vec<ExtentId> {
         let mut over = Vec::new();
-        while let Some((until, place)) = self.rests.first().copied().filter(|(until, _)| *until <= now) {
-            self.rests.remove(&(until, place));
-            over.push(place);
+        while let Some((until, extent_id)) = self.rests.first().copied().filter(|(until, _)| *until <= now) {
+            self.rests.remove(&(until, extent_id));
+            over.push(extent_id);
         }
         over
     }
@@ -125,25 +125,25 @@
     pub fn pick(
         &mut self,
         now: Micros,
-        level_of: impl Fn(Seq) -> Level,
+        level_of: impl Fn(Seq) -> Urgency,
         due: impl Fn(Seq) -> bool,
-    ) -> Option<(u32, Seq, Place, Level)> {
-        let mut best: Option<(Seq, Place, u32, Level)> = None;
+    ) -> Option<(u32, Seq, ExtentId, Urgency)> {
+        let mut best: Option<(Seq, ExtentId, u32, Urgency)> = None;
         for (shard, line) in &self.lines {
-            let Some((seq, place)) = line.waiting.first().copied() else { continue };
+            let Some((seq, extent_id)) = line.waiting.first().copied() else { continue };
             if line.hold_until > now || best.is_some_and(|(b, ..)| b <= seq) || !due(seq) {
                 continue;
             }
             let level = level_of(seq);
             if line.out < level.window() {
-                best = Some((seq, place, *shard, level));
+                best = Some((seq, extent_id, *shard, level));
             }
         }
-        let (seq, place, shard, level) = best?;
+        let (seq, extent_id, shard, level) = best?;
         let line = self.lines.get_mut(&shard)?;
-        line.waiting.remove(&(seq, place));
+        line.waiting.remove(&(seq, extent_id));
         line.out += 1;
-        Some((shard, seq, place, level))
+        Some((shard, seq, extent_id, level))
     }
 
     /// A try that was picked is over.
@@ -209,23 +209,23 @@
 mod tests {
     use super::*;
 
-    fn place(extent: u64) -> Place {
-        Place { volume: 1, extent }
+    fn extent_id(extent: u64) -> ExtentId {
+        ExtentId { volume: 1, extent }
     }
     const NOW: Micros = Micros(1_000_000);
 
-    fn pick(out: &mut WriteOut, level: Level) -> Option<Seq> {
+    fn pick(out: &mut WriteOut, level: Urgency) -> Option<Seq> {
         out.pick(NOW, |_| level, |_| true).map(|p| p.1)
     }
 
     #[test]
     fn the_oldest_goes_first_and_a_full_shard_holds_up_no_other() {
         let mut out = WriteOut::new(None);
-        (1..=9).for_each(|n| out.line_up(0, Seq(n), place(n)));
-        out.line_up(7, Seq(10), place(10));
-        let picked: Vec<_> = std::iter::from_fn(|| pick(&mut out, Level::Idle)).collect();
+        (1..=9).for_each(|n| out.line_up(0, Seq(n), extent_id(n)));
+        out.line_up(7, Seq(10), extent_id(10));
+        let picked: Vec<_> = std::iter::from_fn(|| pick(&mut out, Urgency::Idle)).collect();
         assert_eq!(picked, [1, 2, 3, 4, 10].map(Seq));
-        assert_eq!(pick(&mut out, Level::Rising), Some(Seq(5)), "more may be out as it becomes urgent");
+        assert_eq!(pick(&mut out, Urgency::Rising), Some(Seq(5)), "more may be out as it becomes urgent");
         out.ended(0, Ended::Well, NOW);
         assert_eq!(out.out(), 5);
     }
@@ -236,12 +236,12 @@
         let mut waits = Vec::new();
         let mut now = NOW;
         for n in 0..12 {
-            out.line_up(0, Seq(n), place(n));
-            let picked = out.pick(now, |_| Level::Urgent, |_| true);
+            out.line_up(0, Seq(n), extent_id(n));
+            let picked = out.pick(now, |_| Urgency::Urgent, |_| true);
             assert!(picked.is_some());
             out.ended(0, Ended::Badly(Micros(0)), now);
-            out.line_up(0, Seq(n), place(n));
-            assert_eq!(out.pick(now, |_| Level::Urgent, |_| true), None, "it is left alone");
+            out.line_up(0, Seq(n), extent_id(n));
+            assert_eq!(out.pick(now, |_| Urgency::Urgent, |_| true), None, "it is left alone");
             let until = out.wake(now).expect("it is tried again");
             waits.push(until.since(now));
             now = until;
@@ -252,7 +252,7 @@
 
     #[test]
     fn repeats_keep_to_the_budget() {
-        let budget = RepeatBudget { floor: 1.0, ratio: 0.5, span: Micros(1000) };
+        let budget = WriteOutRetryBudget { floor: 1.0, ratio: 0.5, span: Micros(1000) };
         let mut out = WriteOut::new(Some(budget));
         assert!(out.count_try(true, NOW));
         assert!(!out.count_try(true, NOW), "the floor is used up");
@@ -264,8 +264,8 @@
 
     #[test]
     fn urgency_rises_with_what_is_gone() {
-        assert_eq!([0.0, 0.3, 0.6, 0.9].map(|p| Level::of(p, false)), Level::ALL);
-        assert_eq!(Level::of(0.0, true), Level::High);
-        assert_eq!(Level::of(0.9, true), Level::Urgent);
+        assert_eq!([0.0, 0.3, 0.6, 0.9].map(|p| Urgency::of(p, false)), Urgency::ALL);
+        assert_eq!(Urgency::of(0.0, true), Urgency::High);
+        assert_eq!(Urgency::of(0.9, true), Urgency::Urgent);
     }
 }
--- a/crates/flaxstand-write-back/tests/promises/main.rs
+++ b/crates/flaxstand-write-back/tests/promises/main.rs
@@ -4,7 +4,7 @@
 mod rig;
 
 use flaxstand_storage::faulty::Faults;
-use flaxstand_write_back::{Micros, Place};
+use flaxstand_write_back::{ExtentId, Micros};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -14,10 +14,10 @@
 /// What happens next.
 #[derive(Clone, Debug)]
 enum Step {
-    Write { place: Place, class: u16, at: Option<u32>, len: usize },
+    Write { extent_id: ExtentId, class: u16, at: Option<u32>, len: usize },
     Barrier(u64),
     Flush(Option<u64>),
-    Read(Place),
+    Read(ExtentId),
     Disk,
     Node(usize, Fate),
     Late(usize),
@@ -42,7 +42,7 @@
     }
 
     fn transitions(_: &u64) -> BoxedStrategy<Step> {
-        let place = || (0..2u64, 0..3u64).prop_map(|(volume, extent)| Place { volume, extent });
+        let extent_id = || (0..2u64, 0..3u64).prop_map(|(volume, extent)| ExtentId { volume, extent });
         let class = prop_oneof![5 => Just(REPEATABLE), 2 => Just(KEYED), 1 => Just(THROUGH)];
         let at = prop_oneof![2 => Just(None), 3 => (0..6u32).prop_map(Some)];
         let fate = prop_oneof![
@@ -53,11 +53,11 @@
             2 => Just(Fate::Late),
         ];
         prop_oneof![
-            20 => (place(), class, at, 1..6usize)
-                .prop_map(|(place, class, at, len)| Step::Write { place, class, at, len }),
+            20 => (extent_id(), class, at, 1..6usize)
+                .prop_map(|(extent_id, class, at, len)| Step::Write { extent_id, class, at, len }),
             2 => (0..2u64).prop_map(Step::Barrier),
             1 => proptest::option::of(0..2u64).prop_map(Step::Flush),
-            4 => place().prop_map(Step::Read),
+            4 => extent_id().prop_map(Step::Read),
             14 => Just(Step::Disk),
             14 => (0..8usize, fate).prop_map(|(which, fate)| Step::Node(which, fate)),
             2 => (0..4usize).prop_map(Step::Late),
@@ -95,10 +95,10 @@
 
     fn apply(mut rig: Rig, _: &u64, step: Step) -> Rig {
         match step {
-            Step::Write { place, class, at, len } => rig.write(place, class, at, len),
+            Step::Write { extent_id, class, at, len } => rig.write(extent_id, class, at, len),
             Step::Barrier(volume) => rig.barrier(volume),
             Step::Flush(volume) => rig.flush(volume),
-            Step::Read(place) => rig.read(place),
+            Step::Read(extent_id) => rig.read(extent_id),
             Step::Disk => rig.disk(),
             Step::Node(which, fate) => rig.node(which, fate),
             Step::Late(which) => rig.late(which),
@@ -189,18 +189,18 @@
 fn every_storage_call_may_be_the_last() {
     let day = |rig: &mut Rig| {
         for round in 0..6u64 {
-            let place = |extent| Place { volume: round % 2, extent };
-            rig.write(place(0), REPEATABLE, None, 4);
-            rig.write(place(1), KEYED, Some(1), 2);
-            rig.write(place(0), REPEATABLE, Some(2), 4);
+            let extent_id = |extent| ExtentId { volume: round % 2, extent };
+            rig.write(extent_id(0), REPEATABLE, None, 4);
+            rig.write(extent_id(1), KEYED, Some(1), 2);
+            rig.write(extent_id(0), REPEATABLE, Some(2), 4);
             rig.disk();
             rig.barrier(round % 2);
-            rig.write(place(2), REPEATABLE, None, 3);
+            rig.write(extent_id(2), REPEATABLE, None, 3);
             rig.disk();
             rig.pass(Micros(60_000));
             rig.node(0, Fate::Late);
             rig.node(0, Fate::Confirmed);
-            rig.write(place(1), THROUGH, None, 2);
+            rig.write(extent_id(1), THROUGH, None, 2);
             rig.disk();
             rig.flush(Some(round % 2));
             for _ in 0..6 {
--- a/crates/flaxstand-write-back/tests/promises/model.rs
+++ b/crates/flaxstand-write-back/tests/promises/model.rs
@@ -4,7 +4,7 @@
 //! Data is cells of four bytes; a write fills its cells with its own number, so that a node's data tells
 //! who wrote what. Numbers are given in the order in which writes were offered, and so order them.
 
-use flaxstand_write_back::{Place, Write};
+use flaxstand_write_back::{ExtentId, Write};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a client was told of a write.
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Debug)]
 struct Written {
-    place: Place,
+    extent_id: ExtentId,
     cells: std::ops::Range<usize>,
     whole: bool,
     told: Told,
@@ -35,7 +35,7 @@
 }
 
 /// A node's data: cells by place.
-pub type Data = BTreeMap<Place, Vec<u32>>;
+pub type Data = BTreeMap<ExtentId, Vec<u32>>;
 
 /// Cells of an extent's bytes.
 pub fn cells(bytes: &[u8]) -> Vec<u32> {
@@ -46,8 +46,8 @@
     pub fn offered(&mut self, number: u32, write: &Write) {
         let from = write.at.unwrap_or(0) as usize / 4;
         let cells = from..from + write.payload.len() / 4;
-        let (place, whole) = (write.place, write.at.is_none());
-        self.writes.insert(number, Written { place, cells, whole, told: Told::Unknown });
+        let (extent_id, whole) = (write.extent_id, write.at.is_none());
+        self.writes.insert(number, Written { extent_id, cells, whole, told: Told::Unknown });
     }
 
     pub fn told(&mut self, number: u32, told: Told) {
@@ -61,9 +61,9 @@
     }
 
     /// Numbers that a cell may hold: of the last kept write that covers it, or of a later one that is not refused.
-    fn may_hold(&self, place: Place, cell: usize, upto: u32) -> BTreeSet<u32> {
+    fn may_hold(&self, extent_id: ExtentId, cell: usize, upto: u32) -> BTreeSet<u32> {
         let mut may = BTreeSet::from([0]);
-        for (number, w) in self.writes.range(..=upto).filter(|(_, w)| w.place == place) {
+        for (number, w) in self.writes.range(..=upto).filter(|(_, w)| w.extent_id == extent_id) {
             let value = match w.cells.contains(&cell) {
                 true => *number,
                 // A write of the whole extent ends it after its last cell.
@@ -79,38 +79,42 @@
         may
     }
 
-    fn longest(&self, place: Place) -> usize {
-        self.writes.values().filter(|w| w.place == place).map(|w| w.cells.end).max().unwrap_or(0)
+    fn longest(&self, extent_id: ExtentId) -> usize {
+        self.writes.values().filter(|w| w.extent_id == extent_id).map(|w| w.cells.end).max().unwrap_or(0)
     }
 
     /// What a place holds is what it may. `upto`: writes offered later do not count.
-    pub fn check_place(&self, place: Place, data: &[u32], upto: u32, why: &str) {
-        for cell in 0..self.longest(place).max(data.len()) {
+    pub fn check_place(&self, extent_id: ExtentId, data: &[u32], upto: u32, why: &str) {
+        for cell in 0..self.longest(extent_id).max(data.len()) {
             let found = data.get(cell).copied().unwrap_or(0);
-            let may = self.may_hold(place, cell, upto);
-            assert!(may.contains(&found), "{why}: cell {cell} of {place:?} holds {found}, may hold {may:?}");
+            let may = self.may_hold(extent_id, cell, upto);
+            assert!(
+                may.contains(&found),
+                "{why}: cell {cell} of {extent_id:?} holds {found}, may hold {may:?}"
+            );
         }
     }
 
     /// Every place holds what it may, once all is over.
     pub fn check_all(&self, data: &Data) {
-        let places: BTreeSet<Place> = self.writes.values().map(|w| w.place).collect();
+        let places: BTreeSet<ExtentId> = self.writes.values().map(|w| w.extent_id).collect();
         let none = Vec::new();
-        for place in places {
-            self.check_place(place, data.get(&place).unwrap_or(&none), u32::MAX, "at the end");
+        for extent_id in places {
+            self.check_place(extent_id, data.get(&extent_id).unwrap_or(&none), u32::MAX, "at the end");
         }
     }
 
     /// All kept writes of a volume (or of all) up to a number are on the node, or newer ones in their place.
     pub fn check_reached(&self, data: &Data, volume: Option<u64>, upto: u32, why: &str) {
-        let concerned =
-            |(_, w): &(&u32, &Written)| volume.is_none_or(|v| v == w.place.volume) && w.told == Told::Kept;
+        let concerned = |(_, w): &(&u32, &Written)| {
+            volume.is_none_or(|v| v == w.extent_id.volume) && w.told == Told::Kept
+        };
         for (number, w) in self.writes.range(..=upto).filter(concerned) {
-            let held = data.get(&w.place);
+            let held = data.get(&w.extent_id);
             for cell in w.cells.clone() {
                 let found = held.and_then(|d| d.get(cell)).copied().unwrap_or(0);
                 // A later whole write that is shorter leaves nothing in this cell.
-                let cut = found == 0 && self.cut_later(*number, w.place, cell);
+                let cut = found == 0 && self.cut_later(*number, w.extent_id, cell);
                 assert!(
                     found >= *number || cut,
                     "{why}: write {number} is not there: cell {cell} holds {found}"
@@ -119,8 +123,10 @@
         }
     }
 
-    fn cut_later(&self, number: u32, place: Place, cell: usize) -> bool {
-        self.writes.range(number + 1..).any(|(_, w)| w.place == place && w.whole && w.cells.end <= cell)
+    fn cut_later(&self, number: u32, extent_id: ExtentId, cell: usize) -> bool {
+        self.writes
+            .range(number + 1..)
+            .any(|(_, w)| w.extent_id == extent_id && w.whole && w.cells.end <= cell)
     }
 
     /// A node takes a write: all before each barrier that lies before it must be there.
