--- a/crates/flaxstand-write-back/tests/promises/rig.rs
+++ b/crates/flaxstand-write-back/tests/promises/rig.rs
@@ -2,13 +2,13 @@
 //! they are told.
 
 use crate::model::{Data, Promises, Told, cells};
-use flaxstand_storage::faulty::{Faults, Faulty};
-use flaxstand_storage::{Batch, Storage as _, StoreOp, perform};
-use flaxstand_write_back::buffer::Buffering;
+use flaxstand_storage::faulty::{Faults, FaultyDisk};
+use flaxstand_storage::{Batch, Storage as _, StorageOp, perform};
+use flaxstand_write_back::buffer::BufferingMode;
 use flaxstand_write_back::image::lay;
 use flaxstand_write_back::offline;
-use flaxstand_write_back::record::Wall;
-use flaxstand_write_back::writeout::RepeatBudget;
+use flaxstand_write_back::record::WallClock;
+use flaxstand_write_back::writeout::WriteOutRetryBudget;
 use flaxstand_write_back::*;
 use std::collections::BTreeMap;
 
@@ -89,8 +89,8 @@
             }
         }
         let last = cells(&write.payload).into_iter().max().unwrap_or(0);
-        promises.check_barriers(&self.data, last, write.place.volume);
-        let held = self.data.entry(write.place).or_default();
+        promises.check_barriers(&self.data, last, write.extent_id.volume);
+        let held = self.data.entry(write.extent_id).or_default();
         let mut bytes: Vec<u8> = held.iter().flat_map(|c| c.to_le_bytes()).collect();
         lay(&mut bytes, write);
         *held = cells(&bytes);
@@ -105,18 +105,18 @@
 }
 
 pub struct Rig {
-    pub buffer: Buffer,
-    pub disk: Faulty,
+    pub buffer: WriteBackBuffer,
+    pub disk: FaultyDisk,
     pub node: Node,
     pub promises: Promises,
     pub now: Micros,
     plant: Plant,
     config: Config,
     batch: Option<Batch>,
-    tries: BTreeMap<TryId, Write>,
-    throughs: BTreeMap<Ticket, Write>,
-    asked: BTreeMap<Ticket, Asked>,
-    offered: BTreeMap<Ticket, Write>,
+    tries: BTreeMap<WriteOutId, Write>,
+    throughs: BTreeMap<WriteHandle, Write>,
+    asked: BTreeMap<WriteHandle, Asked>,
+    offered: BTreeMap<WriteHandle, Write>,
     next: u64,
     pub numbers: u32,
     pub crashes: u64,
@@ -124,7 +124,7 @@
 }
 
 pub fn config(plant: Plant) -> Config {
-    let rules = Rules {
+    let rules = BufferLimits {
         bytes: 6_000,
         volume_bytes: 4_000,
         age: Micros(500_000),
@@ -139,23 +139,27 @@
         refusal_wait: Micros(1000),
         key_cooldown: if plant == Plant::NoRest { Micros(0) } else { KEY_REST },
         classes: vec![
-            Buffering::Repeatable,
-            if plant == Plant::WindowIgnored { Buffering::Repeatable } else { Buffering::Keyed(WINDOW) },
-            Buffering::Never,
+            BufferingMode::Repeatable,
+            if plant == Plant::WindowIgnored {
+                BufferingMode::Repeatable
+            } else {
+                BufferingMode::Keyed(WINDOW)
+            },
+            BufferingMode::Never,
         ],
-        repeats: Some(RepeatBudget { floor: 5.0, ratio: 0.5, span: Micros(1_000_000) }),
-        calendar: Wall(1_000_000_000),
+        repeats: Some(WriteOutRetryBudget { floor: 5.0, ratio: 0.5, span: Micros(1_000_000) }),
+        calendar: WallClock(1_000_000_000),
     }
 }
 
 impl Rig {
     pub fn new(seed: u64, plant: Plant) -> Self {
-        let mut disk = Faulty::new(seed);
+        let mut disk = FaultyDisk::new(seed);
         let (config, now) = (config(plant), Micros(1_000_000));
         let recovered = recover(&mut disk).expect("an empty disk");
         let (data, keys, ran) = Default::default();
         Rig {
-            buffer: Buffer::new(config.clone(), recovered, now),
+            buffer: WriteBackBuffer::new(config.clone(), recovered, now),
             disk,
             node: Node { data, keys, ran, late: Vec::new() },
             promises: Promises::default(),
@@ -174,9 +178,9 @@
         }
     }
 
-    fn ticket(&mut self) -> Ticket {
+    fn handle(&mut self) -> WriteHandle {
         self.next += 1;
-        Ticket(self.next)
+        WriteHandle(self.next)
     }
 
     fn count(&mut self, what: &'static str) {
@@ -184,61 +188,61 @@
     }
 
     /// A client writes `len` cells from cell `at` on, or the whole extent.
-    pub fn write(&mut self, place: Place, class: u16, at: Option<u32>, len: usize) {
+    pub fn write(&mut self, extent_id: ExtentId, class: u16, at: Option<u32>, len: usize) {
         self.numbers += 1;
         let number = self.numbers;
         let payload: Vec<u8> = (0..len).flat_map(|_| number.to_le_bytes()).collect();
         let write = Write {
-            place,
+            extent_id,
             class,
             plan: 0,
             volume_initiators: 1,
-            shard: (place.extent % 2) as u32,
+            shard: (extent_id.extent % 2) as u32,
             units: 1,
             operation: number.into(),
             at: at.map(|cell| cell * 4),
             payload,
         };
-        let ticket = self.ticket();
+        let handle = self.handle();
         self.promises.offered(number, &write);
-        self.asked.insert(ticket, Asked::Write(number));
-        self.offered.insert(ticket, write.clone());
-        self.buffer.offer(Offer { ticket, write }, self.now);
+        self.asked.insert(handle, Asked::Write(number));
+        self.offered.insert(handle, write.clone());
+        self.buffer.offer(WriteRequest { handle, write }, self.now);
         self.settle();
     }
 
     pub fn barrier(&mut self, volume: u64) {
-        let ticket = self.ticket();
-        self.asked.insert(ticket, Asked::Barrier { volume, last: self.numbers });
+        let handle = self.handle();
+        self.asked.insert(handle, Asked::Barrier { volume, last: self.numbers });
         if self.plant == Plant::BarrierIgnored {
             self.promises.barrier_stands(volume, self.numbers);
             return;
         }
-        self.buffer.barrier(ticket, volume, self.now);
+        self.buffer.barrier(handle, volume, self.now);
         self.settle();
     }
 
     pub fn flush(&mut self, volume: Option<u64>) {
-        let ticket = self.ticket();
-        self.asked.insert(ticket, Asked::Flush { volume, last: self.numbers });
-        self.buffer.flush(ticket, volume);
+        let handle = self.handle();
+        self.asked.insert(handle, Asked::Flush { volume, last: self.numbers });
+        self.buffer.flush(handle, volume);
         self.settle();
     }
 
     /// A read that is answered at once: by the buffer, or by the node and the buffer together.
-    pub fn read(&mut self, place: Place) {
-        let ticket = self.ticket();
-        let data = match self.buffer.read(ticket, place) {
-            ReadBack::Plain => self.node.data.get(&place).cloned().unwrap_or_default(),
-            ReadBack::Whole { data, .. } => cells(&data),
-            ReadBack::Merge => {
-                let held = self.node.data.get(&place).into_iter().flatten();
+    pub fn read(&mut self, extent_id: ExtentId) {
+        let handle = self.handle();
+        let data = match self.buffer.read(handle, extent_id) {
+            BufferedRead::Plain => self.node.data.get(&extent_id).cloned().unwrap_or_default(),
+            BufferedRead::Whole { data, .. } => cells(&data),
+            BufferedRead::Merge => {
+                let held = self.node.data.get(&extent_id).into_iter().flatten();
                 let mut bytes: Vec<u8> = held.flat_map(|c| c.to_le_bytes()).collect();
-                self.buffer.merge(ticket, &mut bytes, self.now);
+                self.buffer.merge(handle, &mut bytes, self.now);
                 cells(&bytes)
             }
         };
-        self.promises.check_place(place, &data, u32::MAX, "a read");
+        self.promises.check_place(extent_id, &data, u32::MAX, "a read");
         self.settle();
     }
 
@@ -252,44 +256,44 @@
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, told: Told) {
-        match self.asked.remove(&ticket) {
+    fn answer(&mut self, handle: WriteHandle, told: Told) {
+        match self.asked.remove(&handle) {
             Some(Asked::Write(number)) => self.promises.told(number, told),
             other => panic!("{told:?} of {other:?}"),
         }
-        self.offered.remove(&ticket);
+        self.offered.remove(&handle);
     }
 
     fn take(&mut self, action: Action) {
         match action {
             Action::Store(batch) => assert!(self.batch.replace(batch).is_none(), "two batches at once"),
-            Action::Buffered(ticket) => {
-                assert_ne!(self.offered[&ticket].class, THROUGH, "its class may not be buffered");
+            Action::Buffered(handle) => {
+                assert_ne!(self.offered[&handle].class, THROUGH, "its class may not be buffered");
                 self.count("buffered");
-                self.answer(ticket, Told::Kept);
+                self.answer(handle, Told::Kept);
             }
-            Action::Refused { ticket, .. } => {
+            Action::Refused { handle, .. } => {
                 self.count("refused");
-                match self.asked.get(&ticket) {
-                    Some(Asked::Write(_)) => self.answer(ticket, Told::Refused),
-                    _ => drop(self.asked.remove(&ticket)),
+                match self.asked.get(&handle) {
+                    Some(Asked::Write(_)) => self.answer(handle, Told::Refused),
+                    _ => drop(self.asked.remove(&handle)),
                 }
             }
-            Action::Through(ticket) => {
-                let write = self.offered.get(&ticket).expect("it was offered").clone();
+            Action::Through(handle) => {
+                let write = self.offered.get(&handle).expect("it was offered").clone();
                 self.node.attempted(&write, self.now);
-                self.throughs.insert(ticket, write);
+                self.throughs.insert(handle, write);
             }
-            Action::Barred(ticket) => {
+            Action::Barred(handle) => {
                 self.count("barred");
-                match self.asked.remove(&ticket) {
+                match self.asked.remove(&handle) {
                     Some(Asked::Barrier { volume, last }) => self.promises.barrier_stands(volume, last),
                     other => panic!("a barrier in answer to {other:?}"),
                 }
             }
-            Action::Flushed(ticket) => {
+            Action::Flushed(handle) => {
                 self.count("flushed");
-                match self.asked.remove(&ticket) {
+                match self.asked.remove(&handle) {
                     Some(Asked::Flush { volume, last }) => {
                         self.promises.check_reached(&self.node.data, volume, last, "a flush");
                     }
@@ -312,7 +316,7 @@
         let Some(batch) = self.batch.take() else { return };
         let well = match self.plant {
             Plant::SyncLeftOut => {
-                let sync = |op: &StoreOp| matches!(op, StoreOp::Sync(_));
+                let sync = |op: &StorageOp| matches!(op, StorageOp::Sync(_));
                 let ops = batch.ops.into_iter().filter(|op| !sync(op)).collect();
                 perform(&mut self.disk, &Batch { ops }).is_ok()
             }
@@ -349,23 +353,23 @@
             Some(id) => {
                 self.tries.remove(&id);
                 let end = match fate {
-                    Fate::Confirmed => TryEnd::Confirmed { lingers: false },
-                    Fate::Refused => TryEnd::NotRun { wait: Micros(1000) },
-                    _ => TryEnd::Unsure,
+                    Fate::Confirmed => WriteOutResult::Confirmed { lingers: false },
+                    Fate::Refused => WriteOutResult::NotRun { wait: Micros(1000) },
+                    _ => WriteOutResult::Unsure,
                 };
                 self.buffer.try_ended(id, end, self.now);
             }
             None => {
                 let at = which - self.tries.len();
-                let ticket = *self.throughs.keys().nth(at).expect("counted");
-                self.throughs.remove(&ticket);
+                let handle = *self.throughs.keys().nth(at).expect("counted");
+                self.throughs.remove(&handle);
                 match fate {
-                    Fate::Confirmed => self.answer(ticket, Told::Kept),
-                    Fate::Refused => self.answer(ticket, Told::Refused),
+                    Fate::Confirmed => self.answer(handle, Told::Kept),
+                    Fate::Refused => self.answer(handle, Told::Refused),
                     // "Failed": its client knows nothing.
-                    _ => drop((self.asked.remove(&ticket), self.offered.remove(&ticket))),
+                    _ => drop((self.asked.remove(&handle), self.offered.remove(&handle))),
                 }
-                self.buffer.through_ended(ticket, !matches!(fate, Fate::Confirmed | Fate::Refused), self.now);
+                self.buffer.through_ended(handle, !matches!(fate, Fate::Confirmed | Fate::Refused), self.now);
             }
         }
         self.settle();
@@ -390,18 +394,18 @@
 
     /// The oldest request's client waits no longer.
     pub fn expire(&mut self) {
-        let Some(ticket) = self.asked.keys().next().copied() else { return };
-        match self.buffer.expire(ticket, self.now) {
+        let Some(handle) = self.asked.keys().next().copied() else { return };
+        match self.buffer.expire(handle, self.now) {
             Expired::Elsewhere => {}
-            Expired::Buffered => self.answer(ticket, Told::Kept),
+            Expired::Buffered => self.answer(handle, Told::Kept),
             Expired::Refuse => {
                 self.count("refused in time");
-                self.answer(ticket, Told::Refused);
+                self.answer(handle, Told::Refused);
             }
             Expired::Fail => {
                 self.count("failed");
-                self.asked.remove(&ticket);
-                self.offered.remove(&ticket);
+                self.asked.remove(&handle);
+                self.offered.remove(&handle);
             }
         }
         self.settle();
@@ -426,7 +430,7 @@
             self.skip_tail();
         }
         let recovered = recover(&mut self.disk).expect("what a crash leaves can be read");
-        self.buffer = Buffer::new(self.config.clone(), recovered, self.now);
+        self.buffer = WriteBackBuffer::new(self.config.clone(), recovered, self.now);
         self.settle();
     }
 
@@ -454,10 +458,10 @@
         self.crash(false);
         let live = recover(&mut self.disk).expect("the log is sound").live;
         for (seq, live) in live {
-            let Live::Write { parked: true, write, .. } = live else { continue };
+            let LiveRecord::Write { parked: true, write, .. } = live else { continue };
             self.count("parked");
             let ran = self.node.keys.get(&write.operation).is_some_and(|(_, ran)| *ran);
-            let verdict = if ran { Verdict::Done } else { Verdict::Again };
+            let verdict = if ran { ParkedDecision::Done } else { ParkedDecision::Again };
             if !ran {
                 self.node.keys.remove(&write.operation);
             }
--- a/crates/flaxstand-write-back/tests/recorded_log.rs
+++ b/crates/flaxstand-write-back/tests/recorded_log.rs
@@ -2,14 +2,14 @@
 //! back to the same content, goes out from there, and is decided on by operators.
 
 use flaxstand_fixture::{Fixtures, values_of};
-use flaxstand_storage::faulty::Faulty;
-use flaxstand_storage::{Folder, Storage, perform};
-use flaxstand_write_back::buffer::Buffering;
+use flaxstand_storage::faulty::FaultyDisk;
+use flaxstand_storage::{SegmentFolder, Storage, perform};
+use flaxstand_write_back::buffer::BufferingMode;
 use flaxstand_write_back::offline::decide;
-use flaxstand_write_back::record::{Header, Record, Wall, encode_batch};
+use flaxstand_write_back::record::{Header, Record, WallClock, encode_batch};
 use flaxstand_write_back::{
-    Action, Buffer, Config, Live, Micros, Place, Recovered, Rules, Seq, TryEnd, Verdict, Write, recover,
-    salvage,
+    Action, BufferLimits, Config, ExtentId, LiveRecord, Micros, ParkedDecision, Recovered, Seq, Write,
+    WriteBackBuffer, WriteOutResult, recover, salvage,
 };
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
 const SEGMENTS: [(u64, &str); 2] = [(1, "log/0000000000000001.log"), (2, "log/0000000000000002.log")];
 const REPEATABLE: u16 = 0;
 const KEYED: u16 = 1;
-const TAKEN: Wall = Wall(1_700_000_000_000_000);
+const TAKEN: WallClock = WallClock(1_700_000_000_000_000);
 /// The start of a batch whose end never reached the disk.
 const TORN: &[u8] = b"BTCH\x40\x00\x00\x00torn";
 
@@ -27,7 +27,7 @@
 
 fn write(volume: u64, extent: u64, class: u16, at: Option<u32>) -> Write {
     Write {
-        place: Place { volume, extent },
+        extent_id: ExtentId { volume, extent },
         class,
         plan: 1,
         volume_initiators: 2,
@@ -40,27 +40,27 @@
 }
 
 fn taken(seq: u64, write: Write) -> Record {
-    Record::Write { seq: Seq(seq), taken: Wall(TAKEN.0 + seq), started: None, parked: false, write }
+    Record::Write { seq: Seq(seq), taken: WallClock(TAKEN.0 + seq), started: None, parked: false, write }
 }
 
 fn first_batches() -> Vec<Vec<Record>> {
     vec![
         vec![taken(1, write(7, 1, REPEATABLE, None)), taken(2, write(7, 2, KEYED, Some(8)))],
         vec![
-            Record::Started { seq: Seq(2), at: Wall(TAKEN.0 + 50) },
+            Record::Started { seq: Seq(2), at: WallClock(TAKEN.0 + 50) },
             Record::Barrier { seq: Seq(3), volume: 7 },
         ],
     ]
 }
 
 fn second_batches() -> Vec<Vec<Record>> {
-    let started = Some(Wall(TAKEN.0 + 60));
+    let started = Some(WallClock(TAKEN.0 + 60));
     let carried =
         Record::Write { seq: Seq(6), taken: TAKEN, started, parked: true, write: write(9, 5, KEYED, None) };
     vec![
         vec![taken(4, write(8, 3, KEYED, None)), taken(5, write(8, 4, REPEATABLE, Some(0))), carried],
         vec![
-            Record::Started { seq: Seq(4), at: Wall(TAKEN.0 + 70) },
+            Record::Started { seq: Seq(4), at: WallClock(TAKEN.0 + 70) },
             Record::Parked { seq: Seq(4) },
             Record::Done { seq: Seq(1) },
         ],
@@ -87,8 +87,8 @@
 }
 
 /// The recorded segments on a disk in memory.
-fn disk() -> Faulty {
-    let mut disk = Faulty::new(1);
+fn disk() -> FaultyDisk {
+    let mut disk = FaultyDisk::new(1);
     for (number, file) in SEGMENTS {
         disk.create(number).expect("in memory");
         disk.append(number, &fixtures().read(file)).expect("in memory");
@@ -104,12 +104,12 @@
 
 fn config() -> Config {
     Config {
-        rules: Rules::default(),
+        rules: BufferLimits::default(),
         refusal_wait: Micros(1000),
         key_cooldown: Micros(0),
-        classes: vec![Buffering::Repeatable, Buffering::Keyed(Micros(60_000_000))],
+        classes: vec![BufferingMode::Repeatable, BufferingMode::Keyed(Micros(60_000_000))],
         repeats: None,
-        calendar: Wall(TAKEN.0 + 1_000_000),
+        calendar: WallClock(TAKEN.0 + 1_000_000),
     }
 }
 
@@ -122,13 +122,13 @@
 
 #[test]
 fn a_recorded_log_is_read_to_what_lives_in_it() {
-    let mut folder = Folder::look(&fixtures().path("log")).expect("the folder is there");
+    let mut folder = SegmentFolder::look(&fixtures().path("log")).expect("the folder is there");
     let recovered = recover(&mut folder).expect("it is sound");
     fixtures().assert_text("live.txt", &live_of(&recovered));
     assert_eq!((recovered.last, recovered.records, recovered.torn), (Seq(6), 10, TORN.len() as u64));
     let numbers: Vec<u64> = recovered.live.keys().map(|seq| seq.0).collect();
     assert_eq!(numbers, [2, 3, 4, 5, 6]);
-    let parked = |live: &Live| matches!(live, Live::Write { parked: true, .. });
+    let parked = |live: &LiveRecord| matches!(live, LiveRecord::Write { parked: true, .. });
     assert_eq!(recovered.live.values().filter(|live| parked(live)).count(), 2);
 }
 
@@ -137,7 +137,7 @@
 fn what_was_acknowledged_goes_out_and_the_log_is_empty_of_it_then() {
     let mut disk = disk();
     let recovered = recover(&mut disk).expect("it is sound");
-    let mut buffer = Buffer::new(config(), recovered, Micros(0));
+    let mut buffer = WriteBackBuffer::new(config(), recovered, Micros(0));
     let (mut sent, mut now) = (BTreeSet::new(), Micros(0));
     for _ in 0..200 {
         now = now.after(Micros(20_000));
@@ -146,8 +146,8 @@
             match action {
                 Action::Store(batch) => buffer.stored(perform(&mut disk, &batch).is_ok(), now),
                 Action::Send { id, write, .. } => {
-                    sent.insert((write.place.volume, write.place.extent));
-                    buffer.try_ended(id, TryEnd::Confirmed { lingers: false }, now);
+                    sent.insert((write.extent_id.volume, write.extent_id.extent));
+                    buffer.try_ended(id, WriteOutResult::Confirmed { lingers: false }, now);
                 }
                 _ => {}
             }
@@ -161,9 +161,9 @@
 #[test]
 fn an_operator_decides_on_what_is_parked() {
     let mut disk = disk();
-    assert!(decide(&mut disk, Seq(4), Verdict::Done).expect("it is sound"));
-    assert!(decide(&mut disk, Seq(6), Verdict::Again).expect("it is sound"));
-    assert!(!decide(&mut disk, Seq(5), Verdict::Done).expect("it is sound"), "it is not parked");
+    assert!(decide(&mut disk, Seq(4), ParkedDecision::Done).expect("it is sound"));
+    assert!(decide(&mut disk, Seq(6), ParkedDecision::Again).expect("it is sound"));
+    assert!(!decide(&mut disk, Seq(5), ParkedDecision::Done).expect("it is sound"), "it is not parked");
     fixtures().assert_text("decided.txt", &live_of(&recover(&mut disk).expect("it is sound")));
 }
 
