--- a/crates/flaxstand-write-back/src/order.rs
+++ b/crates/flaxstand-write-back/src/order.rs
@@ -438,7 +438,7 @@
                 match self.items.get(seq) {
                     Some(Item::Write(e)) => drop(freed.places.insert(e.write.extent_id)),
                     Some(Item::Through { extent_id: Some(extent_id), .. }) => {
-                        drop(freed.places.insert(*extent_id))
+                        freed.places.insert(*extent_id);
                     }
                     Some(Item::Through { .. }) => freed.throughs.push(*seq),
                     Some(Item::Barrier { .. }) | None => {}
