--- /dev/null
+++ b/crates/flaxstand-audit/src/checks.rs
@@ -0,0 +1,35 @@
+//! One check for each rule. Each counts what it looked at, so that a verdict over nothing can be told from a verdict.
+
+mod answers;
+mod data;
+mod drains;
+mod durability;
+mod effects;
+mod limits;
+mod order;
+mod retry_budget;
+mod slow_start;
+
+use crate::audit_rules::AuditRules;
+use crate::ledger::AttemptLedger;
+use crate::verdict::Verdict;
+
+/// Checks every rule.
+pub fn audit(ledger: &AttemptLedger, rules: &AuditRules) -> Verdict {
+    let mut verdict = Verdict::default();
+    answers::check_answers(ledger, rules, &mut verdict);
+    effects::check_effects(ledger, rules, &mut verdict);
+    drains::check_drains(ledger, rules, &mut verdict);
+    slow_start::check_slow_start(ledger, rules, &mut verdict);
+    order::check_order(ledger, rules, &mut verdict);
+    retry_budget::check_retry_budget(ledger, rules, &mut verdict);
+    limits::check_limits(ledger, rules, &mut verdict);
+    data::check_data(ledger, &mut verdict);
+    durability::check_durability(ledger, rules, &mut verdict);
+    verdict.breaches.sort_by_key(|breach| (breach.at, breach.rule));
+    verdict
+}
+
+fn ms(microseconds: u64) -> String {
+    format!("{:.1} ms", microseconds as f64 / 1000.0)
+}
--- a/crates/flaxstand-audit/src/book.rs
+++ b/crates/flaxstand-audit/src/ledger.rs
@@ -5,7 +5,7 @@
 
 /// A client's try.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct ClientAttempt {
     /// Connection and number.
     pub key: (u64, u64),
     /// When it was written.
@@ -72,13 +72,13 @@
     pub units: u32,
     /// In the order in which they came.
     pub attempts: Vec<Attempt>,
-    /// The try that it is, by its place in [`Book::tries`].
+    /// The try that it is, by its place in [`AttemptLedger::client_attempts`].
     pub of: Option<usize>,
 }
 
 /// One start of a node.
 #[derive(Clone, Debug)]
-pub struct Life {
+pub struct NodeProcess {
     /// When.
     pub at: u64,
     /// The shard.
@@ -95,30 +95,30 @@
 
 /// All that was recorded.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct AttemptLedger {
     /// Every record, in the order of time.
     pub records: Vec<Record>,
     /// Tries in the order of time.
-    pub tries: Vec<Try>,
+    pub client_attempts: Vec<ClientAttempt>,
     /// Requests that reached a node.
     pub requests: BTreeMap<RequestKey, Request>,
     /// By node and incarnation.
-    pub lives: BTreeMap<(u64, u64), Life>,
+    pub processes: BTreeMap<(u64, u64), NodeProcess>,
     /// Ends of clients' connections, and whether the client closed them.
     pub lost: BTreeMap<u64, (u64, bool)>,
     /// Kills of initiators.
     pub kills: Vec<(u64, u32)>,
     /// When a life of an initiator first heard of a start of a node.
-    pub told: BTreeMap<Hearing, u64>,
+    pub notified: BTreeMap<Notification, u64>,
 }
 
 /// Initiator and life, node and start.
-pub type Hearing = (u32, u64, u64, u64);
+pub type Notification = (u32, u64, u64, u64);
 
-impl Book {
+impl AttemptLedger {
     /// Orders records, which come in the order of time.
     pub fn new(records: Vec<Record>) -> Self {
-        let mut book = Book::default();
+        let mut ledger = AttemptLedger::default();
         let mut index: BTreeMap<(u64, u64), usize> = BTreeMap::new();
         let mut by_op: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
         for record in &records {
@@ -136,18 +136,28 @@
                     until,
                     ..
                 } => {
-                    index.insert((client, id), book.tries.len());
-                    by_op.entry(op).or_default().push(book.tries.len());
+                    index.insert((client, id), ledger.client_attempts.len());
+                    by_op.entry(op).or_default().push(ledger.client_attempts.len());
                     let (key, place, answers) = ((client, id), (volume, extent), Vec::new());
-                    book.tries.push(Try { key, at, op, initiator, class, place, write, until, answers });
+                    ledger.client_attempts.push(ClientAttempt {
+                        key,
+                        at,
+                        op,
+                        initiator,
+                        class,
+                        place,
+                        write,
+                        until,
+                        answers,
+                    });
                 }
                 Record::Lost { at, client, by_client } => {
-                    book.lost.entry(client).or_insert((at, by_client));
+                    ledger.lost.entry(client).or_insert((at, by_client));
                 }
                 Record::Told { at, initiator, epoch, node, incarnation, .. } => {
-                    book.told.entry((initiator, epoch, node, incarnation)).or_insert(at);
+                    ledger.notified.entry((initiator, epoch, node, incarnation)).or_insert(at);
                 }
-                Record::Killed { at, initiator } => book.kills.push((at, initiator)),
+                Record::Killed { at, initiator } => ledger.kills.push((at, initiator)),
                 Record::NodeUp {
                     at,
                     node,
@@ -158,27 +168,29 @@
                     initial_capacity,
                     warm_after,
                 } => {
-                    let life = Life { at, shard, zone, power, initial_capacity, warm_after };
-                    book.lives.insert((node, incarnation), life);
+                    let process = NodeProcess { at, shard, zone, power, initial_capacity, warm_after };
+                    ledger.processes.insert((node, incarnation), process);
                 }
                 Record::Arrived { initiator, epoch, request, op, class, plan, volume, units, .. } => {
                     let key = (initiator, epoch, request);
                     let (attempts, of) = (Vec::new(), None);
                     let new = Request { op, class, plan, volume, units, attempts, of };
-                    book.requests.entry(key).or_insert(new).attempts.push(attempt(record));
+                    ledger.requests.entry(key).or_insert(new).attempts.push(attempt(record));
                 }
                 _ => {}
             }
         }
-        book.ends(&records, &index);
-        for ((initiator, ..), request) in &mut book.requests {
+        ledger.ends(&records, &index);
+        for ((initiator, ..), request) in &mut ledger.requests {
             let first = request.attempts.first().map_or(0, |a| a.at);
-            let mut tries = by_op.get(&request.op).into_iter().flatten().copied();
-            let here = |t: &usize| book.tries[*t].initiator == *initiator && book.tries[*t].at <= first;
-            request.of = tries.rfind(here);
+            let mut client_attempts = by_op.get(&request.op).into_iter().flatten().copied();
+            let here = |t: &usize| {
+                ledger.client_attempts[*t].initiator == *initiator && ledger.client_attempts[*t].at <= first
+            };
+            request.of = client_attempts.rfind(here);
         }
-        book.records = records;
-        book
+        ledger.records = records;
+        ledger
     }
 
     /// Second pass: what ends tries and attempts, whatever the order of files.
@@ -196,7 +208,7 @@
             match *record {
                 Record::Answered { at, client, id, answer } => {
                     if let Some(t) = index.get(&(client, id)) {
-                        self.tries[*t].answers.push((at, answer));
+                        self.client_attempts[*t].answers.push((at, answer));
                     }
                 }
                 Record::Ended { at, node, initiator, epoch, request, attempt, end } => {
--- a/crates/flaxstand-audit/src/lib.rs
+++ b/crates/flaxstand-audit/src/lib.rs
@@ -1,15 +1,21 @@
 //! The seven rules, checked from records that clients, storage nodes and the list service wrote: what
 //! passed over their sockets, with times of one clock. The initiator has no part in it.
 //!
-//! [`record`] is what they write, [`book`] puts it in order, [`rules`] holds one check for each rule, and
-//! [`audit`] runs them all; `promises` is what the write-back buffer's answers are held to.
+//! [`record`] is what they write, [`ledger`] puts it in order, [`audit_rules`] says what is asked, [`checks`] holds
+//! one check for each rule, [`verdict`] is what they find.
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
-pub mod book;
-mod promises;
+pub mod audit_rules;
+pub mod checks;
+pub mod ledger;
 pub mod record;
-pub mod rules;
+pub mod verdict;
 
-pub use book::Book;
+pub use audit_rules::{
+    AuditRules, ClassRules, DeduplicationScope, Effect, PlanLimit, RetryBudgetRules, SlowStartRules,
+};
+pub use checks::audit;
+pub use ledger::AttemptLedger;
 pub use record::{Answer, End, ListState, Mark, Record, read_folder};
-pub use rules::{Breach, Effect, Group, Rule, Terms, Verdict, audit};
+pub use verdict::{Breach, Rule, Verdict};
--- a/crates/flaxstand-audit/tests/planted.rs
+++ b/crates/flaxstand-audit/tests/breaches.rs
@@ -1,29 +1,32 @@
-//! Every check can fail: a sound record passes, and each planted breach is caught under its rule's name,
+//! Every check can fail: a sound record passes, and each breach made on purpose is caught under its rule's name,
 //! with its operation, node and moment.
 
 use flaxstand_audit::{
-    Answer, Book, Effect, End, Group, ListState, Mark, Record, Rule, Terms, Verdict, audit,
+    Answer, AttemptLedger, AuditRules, ClassRules, DeduplicationScope, Effect, End, ListState, Mark,
+    PlanLimit, Record, RetryBudgetRules, Rule, SlowStartRules, Verdict, audit,
 };
 
 const MS: u64 = 1000;
 
-fn terms() -> Terms {
-    Terms {
-        // Safe; unsafe and in order; keyed within a zone; keyed within all; buffered.
+fn class(effect: Effect) -> ClassRules {
+    ClassRules { effect, in_order: false, is_buffered: false }
+}
+
+fn rules() -> AuditRules {
+    AuditRules {
         classes: vec![
-            (Effect::Idempotent, false),
-            (Effect::AtMostOnce, true),
-            (Effect::IdempotencyKey(Group::Zone, 1000 * MS), false),
-            (Effect::IdempotencyKey(Group::All, 1000 * MS), false),
-            (Effect::Idempotent, false),
+            class(Effect::Idempotent),
+            ClassRules { in_order: true, ..class(Effect::AtMostOnce) },
+            class(Effect::IdempotencyKey(DeduplicationScope::Zone, 1000 * MS)),
+            class(Effect::IdempotencyKey(DeduplicationScope::All, 1000 * MS)),
+            ClassRules { is_buffered: true, ..class(Effect::Idempotent) },
         ],
-        buffered: vec![false, false, false, false, true],
-        limits: vec![(0.0, 0.0, 0.0), (10.0, 20.0, 2.0)],
+        limits: vec![PlanLimit::default(), PlanLimit { rate: 10.0, burst: 20.0, slack: 2.0 }],
         max_concurrent_attempts: 1,
         drain_grace: 250 * MS,
-        fall: (2.0, 1000 * MS, 3.0),
+        slow_start: SlowStartRules { overload_multiple: 2.0, window: 1000 * MS, min_units: 3.0 },
         key_cooldown: 100 * MS,
-        budget: Some((1.0, 0.5, 5000 * MS)),
+        retry_budget: Some(RetryBudgetRules { floor: 1.0, ratio: 0.5, window: 5000 * MS }),
         transit: 10 * MS,
     }
 }
@@ -89,7 +92,7 @@
     Record::Ended { at: at * MS, node, initiator: 0, epoch: 1, request: op, attempt, end }
 }
 
-fn told(at: u64, node: u64, state: ListState) -> Record {
+fn notified(at: u64, node: u64, state: ListState) -> Record {
     Record::Told { at: at * MS, initiator: 0, epoch: 1, node, incarnation: 1, state }
 }
 
@@ -107,7 +110,7 @@
     let mut all = vec![up(0, 0, false), up(1, 0, false), up(2, 1, false)];
     all.extend(records);
     all.sort_by_key(Record::at);
-    audit(&Book::new(all), &terms())
+    audit(&AttemptLedger::new(all), &rules())
 }
 
 #[track_caller]
@@ -135,7 +138,7 @@
 }
 
 #[test]
-fn an_answer_twice_none_or_late() {
+fn a_second_missing_or_late_answer_is_found() {
     caught([sound(0, 1, 0), vec![answered(40, 1, REFUSED)]].concat(), Rule::Answers, Some(1), "twice");
     caught(vec![submitted(0, 1, 0, 0)], Rule::Answers, Some(1), "never answered");
     caught(vec![submitted(0, 1, 0, 0), answered(1001, 1, REFUSED)], Rule::Answers, Some(1), "gave up");
@@ -143,7 +146,7 @@
 }
 
 #[test]
-fn a_client_hung_up_on_by_a_running_initiator() {
+fn a_connection_closed_by_a_running_initiator_is_found() {
     let lost = |by_client| Record::Lost { at: 500 * MS, client: 1, by_client };
     caught(vec![submitted(0, 1, 0, 0), lost(false)], Rule::Answers, Some(1), "hung up");
     kept(vec![submitted(0, 1, 0, 0), lost(true)]);
@@ -151,13 +154,13 @@
 }
 
 #[test]
-fn something_sent_after_the_final_answer() {
+fn an_attempt_after_the_final_answer_is_found() {
     let late = vec![arrived(60, 1, 0, 1, 0), ended(70, 1, 1, 0, End::Served)];
     caught([sound(0, 1, 0), late].concat(), Rule::Answers, Some(1), "after its final answer");
 }
 
 #[test]
-fn an_unsafe_request_sent_again_or_refused_though_it_may_have_run() {
+fn a_non_idempotent_request_retried_or_rejected_after_it_may_have_run_is_found() {
     let first = vec![submitted(0, 1, 1, 0), arrived(1, 1, 1, 0, 0), ended(9, 1, 0, 0, End::Error)];
     let again = vec![arrived(30, 1, 1, 1, 0), ended(40, 1, 1, 0, End::Served), answered(41, 1, SERVED)];
     caught([first.clone(), again].concat(), Rule::Effects, Some(1), "sent again though");
@@ -167,7 +170,7 @@
 }
 
 #[test]
-fn a_keyed_request_sent_again_outside_its_group_or_too_late() {
+fn a_retry_outside_its_deduplication_scope_or_window_is_found() {
     let first = vec![submitted(0, 1, 2, 0), arrived(1, 1, 2, 0, 0), ended(9, 1, 0, 0, End::Error)];
     let again = |at, node| {
         let end = ended(at + 9, 1, 1, node, End::Served);
@@ -198,7 +201,7 @@
 }
 
 #[test]
-fn two_attempts_out_at_once() {
+fn two_attempts_in_flight_at_once_are_found() {
     let both = vec![
         submitted(0, 1, 0, 0),
         arrived(1, 1, 0, 0, 0),
@@ -213,7 +216,7 @@
 }
 
 #[test]
-fn a_third_attempt_out_where_two_may_be() {
+fn a_third_attempt_in_flight_where_two_are_allowed_is_found() {
     let audited = |attempts: u32| {
         let mut all = vec![up(0, 0, false), submitted(0, 1, 0, 0)];
         for no in 0..attempts {
@@ -222,7 +225,10 @@
         }
         all.push(answered(151, 1, SERVED));
         all.sort_by_key(Record::at);
-        audit(&Book::new(all), &Terms { max_concurrent_attempts: 2, budget: None, ..terms() })
+        audit(
+            &AttemptLedger::new(all),
+            &AuditRules { max_concurrent_attempts: 2, retry_budget: None, ..rules() },
+        )
     };
     assert!(audited(2).kept(), "{:?}", audited(2).breaches);
     let third = audited(3);
@@ -231,22 +237,22 @@
 }
 
 #[test]
-fn a_send_after_a_drains_grace() {
-    let drain = vec![told(0, 0, ListState::Serving), told(100, 0, ListState::Draining)];
+fn a_send_after_the_grace_of_a_drain_is_found() {
+    let drain = vec![notified(0, 0, ListState::Serving), notified(100, 0, ListState::Draining)];
     kept([drain.clone(), sound(300, 1, 0)].concat());
     caught([drain.clone(), sound(400, 1, 0)].concat(), Rule::Drains, Some(1), "drains or is gone");
-    let back = vec![told(390, 0, ListState::Serving)];
+    let back = vec![notified(390, 0, ListState::Serving)];
     kept([drain, back, sound(400, 1, 0)].concat());
-    let gone = vec![told(100, 0, ListState::Gone)];
+    let gone = vec![notified(100, 0, ListState::Gone)];
     caught([gone, sound(400, 1, 0)].concat(), Rule::Drains, Some(1), "drains or is gone");
 }
 
 #[test]
-fn a_cold_node_over_its_allowance() {
+fn an_overloaded_node_that_is_warming_up_is_found() {
     let cold = |count: u64, gap: u64, heard: bool| {
         let mut all = vec![up(9, 0, true)];
         if heard {
-            all.push(told(0, 9, ListState::Serving));
+            all.push(notified(0, 9, ListState::Serving));
         }
         for op in 1..=count {
             let at = op * gap;
@@ -263,7 +269,7 @@
 }
 
 #[test]
-fn order_crossed_within_a_key() {
+fn reordered_requests_of_one_key_are_found() {
     let crossed = vec![
         submitted(0, 1, 1, 0),
         submitted(5, 2, 1, 0),
@@ -289,7 +295,7 @@
 }
 
 #[test]
-fn further_attempts_over_the_budget() {
+fn retries_beyond_the_budget_are_found() {
     let tried = |op: u64| {
         let at = op * 20;
         vec![
@@ -306,7 +312,7 @@
 }
 
 #[test]
-fn a_limit_passed() {
+fn a_plan_limit_that_is_passed_is_found() {
     let limited = |count: u64, gap: u64| -> Vec<Record> {
         let one = |op: u64| {
             sound(op * gap, op, 0).into_iter().map(|record| match record {
@@ -353,7 +359,7 @@
 }
 
 #[test]
-fn data_that_no_one_wrote_or_that_was_replaced() {
+fn a_read_of_data_that_no_one_wrote_or_that_was_replaced_is_found() {
     let write = |at: u64, op: u64| {
         let mut all = sound(at, op, 0);
         if let Record::Submitted { write, .. } = &mut all[0] {
@@ -410,33 +416,33 @@
 }
 
 #[test]
-fn an_acknowledged_write_that_never_reached_its_node_or_was_taken_back() {
+fn an_acknowledged_write_lost_or_reverted_is_found() {
     let two = || [buffered(0, 1, 70), buffered(10, 2, 70)].concat();
     kept([two(), vec![stored(20, 1, 70), stored(30, 2, 70)]].concat());
     // The second took the first's place before it went out.
     kept([two(), vec![stored(30, 2, 70)]].concat());
-    caught(two(), Rule::Promises, Some(2), "does not hold it");
-    caught([two(), vec![stored(20, 1, 70)]].concat(), Rule::Promises, Some(2), "does not hold it");
+    caught(two(), Rule::Durability, Some(2), "does not hold it");
+    caught([two(), vec![stored(20, 1, 70)]].concat(), Rule::Durability, Some(2), "does not hold it");
     let back = [two(), vec![stored(20, 2, 70), stored(30, 1, 70), stored(40, 2, 70)]].concat();
-    caught(back, Rule::Promises, Some(1), "which is newer");
+    caught(back, Rule::Durability, Some(1), "which is newer");
     let strange = [two(), vec![stored(20, 2, 70), stored(30, 9, 70)]].concat();
-    caught(strange, Rule::Promises, Some(9), "no one wrote");
+    caught(strange, Rule::Durability, Some(9), "no one wrote");
 }
 
 #[test]
-fn a_barrier_passed_and_a_flush_answered_too_early() {
+fn a_write_past_a_barrier_and_a_flush_answered_too_early_are_found() {
     let all = |mark: Vec<Record>| [buffered(0, 1, 70), mark, buffered(20, 2, 71)].concat();
     let barrier = || all(mark(10, Mark::Barrier, 12));
     kept([barrier(), vec![stored(30, 1, 70), stored(40, 2, 71)]].concat());
     let passed = [barrier(), vec![stored(30, 2, 71), stored(40, 1, 70)]].concat();
-    caught(passed, Rule::Promises, Some(2), "before a barrier");
+    caught(passed, Rule::Durability, Some(2), "before a barrier");
     // Without a barrier any of the two may come first.
     kept([buffered(0, 1, 70), buffered(20, 2, 71), vec![stored(30, 2, 71), stored(40, 1, 70)]].concat());
     let flush = || all(mark(10, Mark::Flush, 35));
     kept([flush(), vec![stored(30, 1, 70), stored(40, 2, 71)]].concat());
     let early = [flush(), vec![stored(36, 1, 70), stored(40, 2, 71)]].concat();
-    caught(early, Rule::Promises, Some(1), "flush was answered");
+    caught(early, Rule::Durability, Some(1), "flush was answered");
     let unmade = vec![Record::MarkStands { at: MS, client: 1, id: 5 }];
     let unmade = [unmade, buffered(0, 1, 70), vec![stored(5, 1, 70)]].concat();
-    caught(unmade, Rule::Promises, None, "no one made");
+    caught(unmade, Rule::Durability, None, "no one made");
 }
--- a/crates/flaxstand-cli/src/kit.rs
+++ b/crates/flaxstand-cli/src/kit.rs
@@ -4,7 +4,7 @@
 use crate::args::{Files, Measured, Press, Rehearsal, Role};
 use crate::scale;
 use crate::settings::tell_terms;
-use flaxstand_audit::Book;
+use flaxstand_audit::AttemptLedger;
 use flaxstand_gateway::settings::{SettingsError, read_daemon};
 use flaxstand_simulation::day::{Day, DayError};
 use flaxstand_simulation::experiment::Experiment;
@@ -110,11 +110,11 @@
         let played = world::play(&day, seconds, r.policy);
         if let Some(folder) = &r.keep {
             let mut lines = Vec::new();
-            played.book.records.iter().for_each(|record| record.write(&mut lines));
+            played.ledger.records.iter().for_each(|record| record.write(&mut lines));
             let kept = std::fs::create_dir_all(folder);
             kept.and_then(|()| std::fs::write(folder.join("records.jsonl"), lines)).map_err(system)?;
         }
-        return told_report(&day, &played.book, &played.report, r.json.as_deref(), r.html.as_deref());
+        return told_report(&day, &played.ledger, &played.report, r.json.as_deref(), r.html.as_deref());
     }
     let program = std::env::current_exe().map_err(system)?;
     let folder = r.keep.clone().unwrap_or_else(rehearse::fresh_folder);
@@ -128,25 +128,25 @@
             eprintln!("flaxstand: logs and records are in {}", folder.display());
         }
     }
-    let (report, book) = played.map_err(system)?;
-    told_report(&plan.day, &book, &report, r.json.as_deref(), r.html.as_deref())
+    let (report, ledger) = played.map_err(system)?;
+    told_report(&plan.day, &ledger, &report, r.json.as_deref(), r.html.as_deref())
 }
 
 pub fn report(day: &Path, folder: &Path, json: Option<&Path>, html: Option<&Path>) -> Result<(), Failure> {
     let (day, _) = read_day(day)?;
-    let (report, book) = rehearse::audited(&day, folder).map_err(system)?;
-    told_report(&day, &book, &report, json, html)
+    let (report, ledger) = rehearse::audited(&day, folder).map_err(system)?;
+    told_report(&day, &ledger, &report, json, html)
 }
 
 fn told_report(
     day: &Day,
-    book: &Book,
+    ledger: &AttemptLedger,
     report: &Report,
     to: Option<&Path>,
     html: Option<&Path>,
 ) -> Result<(), Failure> {
     if let Some(path) = html {
-        write(path, &flaxstand_simulation::html::page(day, book, report).map_err(system)?)?;
+        write(path, &flaxstand_simulation::html::page(day, ledger, report).map_err(system)?)?;
     }
     told_result(serde_json::to_string_pretty(report), &report.text(), to)?;
     if report.kept() { Ok(()) } else { Err(Failure::Rule) }
--- a/crates/flaxstand-simulation/src/day.rs
+++ b/crates/flaxstand-simulation/src/day.rs
@@ -5,7 +5,9 @@
 use crate::model::Spec;
 use crate::node::Habits;
 use flaxstand::api::{DeduplicationScope, Effect};
-use flaxstand_audit::{Group, Terms};
+use flaxstand_audit::{
+    AuditRules, ClassRules, DeduplicationScope as AuditScope, PlanLimit, RetryBudgetRules, SlowStartRules,
+};
 use flaxstand_consensus::rules::{Value, narrowing_of};
 use flaxstand_gateway::machine::Micros;
 use flaxstand_gateway::settings::{Block, SettingsError, SiteFile, Source, read_floor, read_site};
@@ -348,32 +350,35 @@
     }
 
     /// What the audit asks for.
-    pub fn terms(&self) -> Terms {
-        let s = &self.site.site.settings;
-        let us = |ms: f64| Micros::from_ms(ms).0;
-        let effect = |e: &Effect| match *e {
-            Effect::Idempotent => flaxstand_audit::Effect::Idempotent,
-            Effect::AtMostOnce => flaxstand_audit::Effect::AtMostOnce,
-            Effect::IdempotencyKey { group, window } => {
-                let group = match group {
-                    DeduplicationScope::All => Group::All,
-                    DeduplicationScope::Zone => Group::Zone,
-                    DeduplicationScope::Shard => Group::Shard,
-                };
-                flaxstand_audit::Effect::IdempotencyKey(group, us(window))
-            }
-        };
-        let slack = |i: usize| self.site.rules.limit_slack.get(i).copied().unwrap_or(0.0);
-        let limit = |(i, p): (usize, &flaxstand::api::Plan)| (p.limit_rate, p.limit_burst, slack(i));
-        Terms {
-            classes: s.classes.iter().map(|c| (effect(&c.effect), c.in_order)).collect(),
-            buffered: self.site.site.classes.iter().map(|c| c.buffered).collect(),
-            limits: s.plans.iter().enumerate().map(limit).collect(),
-            max_concurrent_attempts: s.max_concurrent_attempts as usize,
+    pub fn audit_rules(&self) -> AuditRules {
+        let settings = &self.site.site.settings;
+        let micros = |ms: f64| Micros::from_ms(ms).0;
+        let classes = settings.classes.iter().zip(&self.site.site.classes).map(|(class, info)| ClassRules {
+            effect: audited_effect(class.effect),
+            in_order: class.in_order,
+            is_buffered: info.buffered,
+        });
+        let limits = settings.plans.iter().enumerate().map(|(index, plan)| PlanLimit {
+            rate: plan.limit_rate,
+            burst: plan.limit_burst,
+            slack: self.site.rules.limit_slack.get(index).copied().unwrap_or(0.0),
+        });
+        AuditRules {
+            classes: classes.collect(),
+            limits: limits.collect(),
+            max_concurrent_attempts: settings.max_concurrent_attempts as usize,
             drain_grace: self.site.rules.drain_grace.0,
-            fall: (s.overload_multiple, us(s.slow_start_window), s.slow_start_min_units),
-            key_cooldown: us(s.key_cooldown),
-            budget: s.retry_budget.map(|b| (b.floor, b.ratio, us(b.span))),
+            slow_start: SlowStartRules {
+                overload_multiple: settings.overload_multiple,
+                window: micros(settings.slow_start_window),
+                min_units: settings.slow_start_min_units,
+            },
+            key_cooldown: micros(settings.key_cooldown),
+            retry_budget: settings.retry_budget.map(|budget| RetryBudgetRules {
+                floor: budget.floor,
+                ratio: budget.ratio,
+                window: micros(budget.span),
+            }),
             transit: self.transit.0,
         }
     }
@@ -390,6 +395,21 @@
     }
 }
 
+fn audited_effect(effect: Effect) -> flaxstand_audit::Effect {
+    match effect {
+        Effect::Idempotent => flaxstand_audit::Effect::Idempotent,
+        Effect::AtMostOnce => flaxstand_audit::Effect::AtMostOnce,
+        Effect::IdempotencyKey { group, window } => {
+            let scope = match group {
+                DeduplicationScope::All => AuditScope::All,
+                DeduplicationScope::Zone => AuditScope::Zone,
+                DeduplicationScope::Shard => AuditScope::Shard,
+            };
+            flaxstand_audit::Effect::IdempotencyKey(scope, Micros::from_ms(window).0)
+        }
+    }
+}
+
 fn read_net(root: &Block<'_>) -> (f64, f64) {
     const DEFAULT: (f64, f64) = (0.05, 0.2);
     let Some(b) = root.block("net") else { return DEFAULT };
--- a/crates/flaxstand-simulation/src/html.rs
+++ b/crates/flaxstand-simulation/src/html.rs
@@ -4,7 +4,7 @@
 use crate::day::Day;
 use crate::experiment::{Difference, Outcome};
 use crate::report::{Report, operations};
-use flaxstand_audit::{Answer, Book, Record};
+use flaxstand_audit::{Answer, AttemptLedger, Record};
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -32,13 +32,13 @@
 }
 
 impl Axis {
-    fn of(book: &Book) -> Axis {
+    fn of(ledger: &AttemptLedger) -> Axis {
         let at = |r: &Record| match r {
             Record::Submitted { at, .. } | Record::Unreachable { at, .. } => Some(*at),
             _ => None,
         };
-        let start = book.records.iter().find_map(at).unwrap_or(0);
-        let end = book.records.iter().rev().find_map(at).unwrap_or(start);
+        let start = ledger.records.iter().find_map(at).unwrap_or(0);
+        let end = ledger.records.iter().rev().find_map(at).unwrap_or(start);
         Axis { start, seconds: ((end - start) as f64 / 1e6).max(1.0) }
     }
     fn bin(&self, at: u64) -> usize {
@@ -93,9 +93,9 @@
     names.zip(points).map(|(name, points)| Line { name, points }).collect()
 }
 
-fn service(day: &Day, book: &Book, axis: &Axis) -> Drawn {
+fn service(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Drawn {
     let mut counts = by_class::<(u32, u32)>(day);
-    for o in operations(book).values() {
+    for o in operations(ledger).values() {
         let latency_objective =
             day.site.site.settings.classes[usize::from(o.class)].latency_objective * 1000.0;
         let place = &mut counts[usize::from(o.class)][axis.bin(o.first)];
@@ -110,9 +110,9 @@
     lines(axis, 1.02, "share in time", &named(day, counts.iter().map(points).collect()))
 }
 
-fn latency(day: &Day, book: &Book, axis: &Axis) -> Drawn {
+fn latency(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Drawn {
     let mut lags = by_class::<Vec<u64>>(day);
-    for o in operations(book).values() {
+    for o in operations(ledger).values() {
         if let Some(at) = o.served {
             lags[usize::from(o.class)][axis.bin(o.first)].push(at.saturating_sub(o.first));
         }
@@ -130,9 +130,9 @@
     lines(axis, top * 1.05, "ms, 95th percentile", &all)
 }
 
-fn refusals(day: &Day, book: &Book, axis: &Axis) -> Drawn {
+fn refusals(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Drawn {
     let mut counts = by_class::<f64>(day);
-    for t in &book.tries {
+    for t in &ledger.client_attempts {
         if let Some((at, Answer::Refused { .. } | Answer::Failed)) = t.answers.first() {
             counts[usize::from(t.class)][axis.bin(*at)] += BINS as f64 / axis.seconds;
         }
@@ -144,12 +144,12 @@
 }
 
 /// Requests at each node, in the mean of each bin.
-fn heat(day: &Day, book: &Book, axis: &Axis) -> Drawn {
+fn heat(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Drawn {
     let shards = day.fleet.nodes.max(1) as usize;
     let mut load = vec![vec![0.0; BINS]; shards];
     let width = axis.seconds / BINS as f64;
-    for a in book.requests.values().flat_map(|r| &r.attempts) {
-        let Some(life) = book.lives.get(&(a.node, a.incarnation)) else { continue };
+    for a in ledger.requests.values().flat_map(|r| &r.attempts) {
+        let Some(life) = ledger.processes.get(&(a.node, a.incarnation)) else { continue };
         let until = a.end.map(|(at, _)| at).or(a.over).unwrap_or(a.at);
         let second = |at: u64| at.saturating_sub(axis.start) as f64 / 1e6;
         let (from, to) = (second(a.at), second(until));
@@ -298,19 +298,22 @@
 ///
 /// # Errors
 /// A plot can't be drawn.
-pub fn page(day: &Day, book: &Book, report: &Report) -> Drawn {
-    let axis = Axis::of(book);
+pub fn page(day: &Day, ledger: &AttemptLedger, report: &Report) -> Drawn {
+    let axis = Axis::of(ledger);
     let mut plots: BTreeMap<u32, (&str, String)> = BTreeMap::new();
     plots.insert(
         0,
-        ("Service: share of what clients wanted that was served within its aim", service(day, book, &axis)?),
+        (
+            "Service: share of what clients wanted that was served within its aim",
+            service(day, ledger, &axis)?,
+        ),
     );
     if !day.faults.is_empty() {
         plots.insert(1, ("What went wrong", faults(day, &axis)?));
     }
-    plots.insert(2, ("Latency of what was served, from its first try", latency(day, book, &axis)?));
-    plots.insert(3, ("Refusals and failures", refusals(day, book, &axis)?));
-    plots.insert(4, ("Requests at each node (stronger: more)", heat(day, book, &axis)?));
+    plots.insert(2, ("Latency of what was served, from its first try", latency(day, ledger, &axis)?));
+    plots.insert(3, ("Refusals and failures", refusals(day, ledger, &axis)?));
+    plots.insert(4, ("Requests at each node (stronger: more)", heat(day, ledger, &axis)?));
     let title = escape(&day.name);
     let mut out = opening(&title);
     let (initiators, nodes) = (day.site.site.settings.initiators, day.fleet.nodes);
--- a/crates/flaxstand-simulation/src/rehearse.rs
+++ b/crates/flaxstand-simulation/src/rehearse.rs
@@ -13,7 +13,7 @@
 use crate::report::{Report, report};
 use crate::script::{Step, script};
 use crate::shell::{Peer, Shell};
-use flaxstand_audit::{Book, Record, audit, read_folder};
+use flaxstand_audit::{AttemptLedger, Record, audit, read_folder};
 use flaxstand_gateway::driver::{Driver, Options, clock};
 use flaxstand_gateway::machine::{Address, Micros};
 use flaxstand_gateway::settings::rules_of;
@@ -239,7 +239,7 @@
 /// # Errors
 /// A process can't be started or ends by itself, or records can't be read. A broken rule is no error: the
 /// report tells of it.
-pub fn rehearse(plan: &Plan) -> Result<(Report, Book), RehearsalError> {
+pub fn rehearse(plan: &Plan) -> Result<(Report, AttemptLedger), RehearsalError> {
     std::fs::create_dir_all(&plan.folder).map_err(io_error("the rehearsal's folder"))?;
     let record = plan.folder.join("rehearsal.jsonl");
     let record = File::create_new(&record).map_err(io_error(record.display().to_string()))?;
@@ -318,15 +318,15 @@
 ///
 /// # Errors
 /// They can't be read.
-pub fn audited(day: &Day, folder: &Path) -> Result<(Report, Book), RehearsalError> {
-    let book = Book::new(read_folder(folder)?);
-    let verdict = audit(&book, &day.terms());
-    let mut report = report(day, &book, verdict);
+pub fn audited(day: &Day, folder: &Path) -> Result<(Report, AttemptLedger), RehearsalError> {
+    let ledger = AttemptLedger::new(read_folder(folder)?);
+    let verdict = audit(&ledger, &day.audit_rules());
+    let mut report = report(day, &ledger, verdict);
     if let Some(accord) = &day.accord {
         let count = day.site.site.settings.initiators as usize;
         report.agreement = Some(Agreed::read(folder, count, accord)?);
     }
-    Ok((report, book))
+    Ok((report, ledger))
 }
 
 /// What a stand-in's process is told.
--- a/crates/flaxstand-simulation/src/report.rs
+++ b/crates/flaxstand-simulation/src/report.rs
@@ -3,7 +3,7 @@
 use crate::agreed::Agreed;
 use crate::day::Day;
 use crate::recovery::{Recovery, recovery};
-use flaxstand_audit::{Answer, Book, Record, Verdict};
+use flaxstand_audit::{Answer, AttemptLedger, Record, Verdict};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -72,10 +72,10 @@
     last: Option<Answer>,
 }
 
-pub(crate) fn operations(book: &Book) -> BTreeMap<u64, Operation> {
+pub(crate) fn operations(ledger: &AttemptLedger) -> BTreeMap<u64, Operation> {
     let mut all: BTreeMap<u64, Operation> = BTreeMap::new();
     let new = |class, plan, first| Operation { class, plan, first, tries: 0, served: None, last: None };
-    for record in &book.records {
+    for record in &ledger.records {
         match *record {
             Record::Submitted { at, op, class, plan, .. } => {
                 all.entry(op).or_insert_with(|| new(class, plan, at)).tries += 1;
@@ -86,7 +86,7 @@
             _ => {}
         }
     }
-    for t in &book.tries {
+    for t in &ledger.client_attempts {
         let Some(o) = all.get_mut(&t.op) else { continue };
         o.last = t.answers.first().map(|(_, a)| *a);
         if let Some((at, Answer::Served { .. } | Answer::Buffered)) = t.answers.first() {
@@ -97,7 +97,7 @@
 }
 
 /// The report of a day.
-pub fn report(day: &Day, book: &Book, audit: Verdict) -> Report {
+pub fn report(day: &Day, ledger: &AttemptLedger, audit: Verdict) -> Report {
     let site = &day.site.site;
     // Up to an hour, in microseconds, to three digits.
     let histogram = || Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3).expect("its bounds are sound");
@@ -108,11 +108,11 @@
     let mut classes = named(site.classes.iter().map(|c| &c.name).collect());
     let mut plans = named(site.plans.iter().collect());
     let mut attempts: BTreeMap<u64, u64> = BTreeMap::new();
-    for request in book.requests.values() {
+    for request in ledger.requests.values() {
         *attempts.entry(request.op).or_default() += request.attempts.len() as u64;
     }
     let (mut priority_weight, mut wanted) = (0.0, 0.0);
-    let operations = operations(book);
+    let operations = operations(ledger);
     for (op, o) in &operations {
         let class = &site.settings.classes[usize::from(o.class)];
         let lag = o.served.map(|at| at.saturating_sub(o.first));
--- a/crates/flaxstand-simulation/src/world.rs
+++ b/crates/flaxstand-simulation/src/world.rs
@@ -18,7 +18,7 @@
 use crate::script::{Step, script};
 use crate::shell::Shell;
 use crate::{between, random};
-use flaxstand_audit::{Book, Record, audit};
+use flaxstand_audit::{AttemptLedger, Record, audit};
 use flaxstand_gateway::core::{Bounds, Config, Core, Counts, Policy, Wire};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Control, Machine, Micros, Sink};
 use flaxstand_storage::faulty::{Faults, FaultyDisk};
@@ -101,7 +101,7 @@
     /// The report.
     pub report: Report,
     /// Everything that was recorded, in order.
-    pub book: Book,
+    pub ledger: AttemptLedger,
     /// Counts of the initiators at the day's end, by index; of their last lives.
     pub counts: Vec<Counts>,
     /// Events handed over.
@@ -163,10 +163,10 @@
     let counts = world.counts();
     let World { mut records, events, most_at_once, .. } = world;
     records.sort_by_key(Record::at);
-    let book = Book::new(records);
-    let verdict = audit(&book, &day.terms());
-    let report = report(day, &book, verdict);
-    Played { report, book, counts, events, most_at_once, lasted }
+    let ledger = AttemptLedger::new(records);
+    let verdict = audit(&ledger, &day.audit_rules());
+    let report = report(day, &ledger, verdict);
+    Played { report, ledger, counts, events, most_at_once, lasted }
 }
 
 impl<'a> World<'a> {
--- a/crates/flaxstand-simulation/tests/recorded.rs
+++ b/crates/flaxstand-simulation/tests/recorded.rs
@@ -141,7 +141,7 @@
             let day = Day { seed, ..Day::load(&root().join("days").join(name)).expect("a day").0 };
             let played = play(&day, seconds, Policy::Module);
             let mut bytes = Vec::new();
-            let records: &[Record] = &played.book.records;
+            let records: &[Record] = &played.ledger.records;
             records.iter().for_each(|record| record.write(&mut bytes));
             let (events, service) = (played.events, played.report.service);
             let _ = writeln!(
--- a/crates/flaxstand-simulation/tests/world.rs
+++ b/crates/flaxstand-simulation/tests/world.rs
@@ -32,11 +32,11 @@
         (runs.next().unwrap(), runs.collect::<Vec<_>>())
     });
     kept(&first);
-    assert!(first.book.records.len() > 10_000);
-    let record = bytes(&first.book.records);
-    assert!(others.iter().all(|o| bytes(&o.book.records) == record));
+    assert!(first.ledger.records.len() > 10_000);
+    let record = bytes(&first.ledger.records);
+    assert!(others.iter().all(|o| bytes(&o.ledger.records) == record));
     let other_seed = play(&Day { seed: bad.seed + 1, ..bad }, 15.0, Policy::Module);
-    assert_ne!(bytes(&other_seed.book.records), record);
+    assert_ne!(bytes(&other_seed.ledger.records), record);
 }
 
 #[test]
@@ -62,16 +62,16 @@
     let trouble = day("barrier-trouble.kdl");
     let played = play(&trouble, 30.0, Policy::Module);
     kept(&played);
-    let asked = played.report.audit.checked.get(&flaxstand_audit::Rule::Promises.to_string());
+    let asked = played.report.audit.checked.get(&flaxstand_audit::Rule::Durability.to_string());
     assert!(asked.is_some_and(|n| *n > 1000), "{asked:?}");
-    assert_eq!(bytes(&play(&trouble, 30.0, Policy::Module).book.records), bytes(&played.book.records));
+    assert_eq!(bytes(&play(&trouble, 30.0, Policy::Module).ledger.records), bytes(&played.ledger.records));
 }
 
 #[test]
 fn a_page_holds_every_plot_and_nothing_from_outside() {
     let bad = day("bad-day.kdl");
     let played = play(&bad, 5.0, Policy::Module);
-    let page = flaxstand_simulation::html::page(&bad, &played.book, &played.report).unwrap();
+    let page = flaxstand_simulation::html::page(&bad, &played.ledger, &played.report).unwrap();
     assert_eq!(page.matches("<svg").count(), 5);
     for class in &bad.site.site.classes {
         assert!(page.matches(&class.name[..]).count() >= 4, "{} is named in plots and figures", class.name);
@@ -81,7 +81,7 @@
     let mut empty = day("quiet.kdl");
     empty.traffic.rate = 0.0;
     let played = play(&empty, 1.0, Policy::Module);
-    assert!(flaxstand_simulation::html::page(&empty, &played.book, &played.report).is_ok());
+    assert!(flaxstand_simulation::html::page(&empty, &played.ledger, &played.report).is_ok());
 }
 
 #[test]
@@ -94,7 +94,7 @@
     kept(&first);
     assert!(first.most_at_once >= 243, "{} at once", first.most_at_once);
     let second = play(&large, 1.5, Policy::Module);
-    assert_eq!(bytes(&first.book.records), bytes(&second.book.records));
+    assert_eq!(bytes(&first.ledger.records), bytes(&second.ledger.records));
 }
 
 /// Nodes die inside an answer, initiators between two outputs of one turn: whatever the seed.
@@ -118,7 +118,7 @@
     crash.faults.push(again);
     let played = play(&crash, 12.0, Policy::Module);
     kept(&played);
-    let up = played.book.lives.keys().filter(|(node, _)| *node == 1).count();
+    let up = played.ledger.processes.keys().filter(|(node, _)| *node == 1).count();
     assert_eq!(up, 2, "its start at dawn, and one return");
     let mut roll = day("initiator-roll.kdl");
     let again = flaxstand_simulation::day::Fault { at: 3.2, length: 0.1, ..roll.faults[0].clone() };
