--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -37,7 +37,7 @@
             }
             Phase::Running => {
                 let draw = (self.rng.next_u32() >> 8) as f64 / f64::from(1 << 24);
-                let turn = self.arrivals.comes(now, draw);
+                let turn = self.arrivals.admit(now, draw);
                 turn.map(|wait| (CloseReason::Turn, wait, "many come at once"))
             }
             Phase::Leaving | Phase::Stopping | Phase::Stopped => {
--- a/crates/flaxstand-gateway/src/core/storms.rs
+++ b/crates/flaxstand-gateway/src/core/storms.rs
@@ -5,7 +5,7 @@
 use crate::machine::Micros;
 use flaxstand::api::{Class, RequestId, Settings};
 use flaxstand_overload::{
-    AttemptCounts, ClientAttempt, RetryThrottle, RetryThrottleConfig, ThrottleDecision,
+    ClientAttempt, RetryDetectionCounts, RetryThrottle, RetryThrottleConfig, ThrottleDecision,
 };
 use flaxstand_proto::{Frame, Refusal, Scope};
 use rand_core::{RngCore, SeedableRng};
@@ -60,15 +60,15 @@
         let (class, this) = (usize::from(held.class), try_of(held));
         let Some(gate) = &mut self.gate else { return Some(class) };
         let draw = gate.draw();
-        match gate.throttle.came(&this, now, draw) {
-            ThrottleDecision::Full => Some(class),
-            ThrottleDecision::Lessened => {
+        match gate.throttle.admit(&this, now, draw) {
+            ThrottleDecision::FullWeight => Some(class),
+            ThrottleDecision::RetryWeight => {
                 if let Some(held) = self.requests.get_mut(&id) {
                     held.repeats = true;
                 }
                 Some(gate.classes + class)
             }
-            ThrottleDecision::TurnedAway { wait, scope } => {
+            ThrottleDecision::Rejected { retry_after: wait, scope } => {
                 debug!(request = id.0, wait_us = wait.0, %scope, "a repeat in a storm: turned away");
                 self.counts.damped += 1;
                 let scope = match scope {
@@ -96,7 +96,7 @@
     pub(super) fn advice(&mut self, module: Micros) -> Micros {
         let Some(gate) = self.gate.as_mut().filter(|_| module > Micros(0)) else { return module };
         let draw = gate.draw();
-        gate.throttle.advice(draw).min(module)
+        gate.throttle.retry_after(draw).min(module)
     }
 
     /// A client's request is over: the damper learns how.
@@ -107,8 +107,8 @@
         }
         let this = try_of(held);
         match held.verdict {
-            Verdict::Served => gate.throttle.served(&this, now),
-            Verdict::NotRun(_) | Verdict::Failed => gate.throttle.turned_away(&this, now),
+            Verdict::Served => gate.throttle.record_served(&this, now),
+            Verdict::NotRun(_) | Verdict::Failed => gate.throttle.record_rejected(&this, now),
             Verdict::None => {}
         }
     }
@@ -122,8 +122,8 @@
     }
 
     /// How repeats were told, where storms are met.
-    pub fn repeats_judged(&self) -> Option<AttemptCounts> {
-        self.gate.as_ref().map(|g| g.throttle.attempt_counts())
+    pub fn repeats_judged(&self) -> Option<RetryDetectionCounts> {
+        self.gate.as_ref().map(|g| g.throttle.detection_counts())
     }
 
     /// Tells the log when a plan's weather changes. Asked for at each settling.
--- a/crates/flaxstand-overload/src/load_condition.rs
+++ b/crates/flaxstand-overload/src/load_condition.rs
@@ -1,35 +1,45 @@
-//! Calm, a surge of real demand, or a storm: by what came in the last two seconds, beside what usually comes.
+//! Whether load is calm, a surge of new demand or a retry storm, from the attempts of the last two seconds
+//! compared with the usual number.
 //!
-//! A storm is work that brings nothing: most tries repeat others. A surge is many first tries, and must not be
-//! damped as a storm: those clients ask for the first time.
+//! In a storm most attempts are retries, and serving them completes little work. A surge is many first
+//! attempts: these clients ask for the first time and must not be throttled.
 
 use crate::retry_detection::AttemptKind;
 use flaxstand_proto::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A window's parts, and the length of one.
-const PARTS: usize = 10;
-const PART: Micros = Micros(200_000);
-/// Tries in a window below which nothing is said.
-const LEAST: u32 = 10;
-/// Share of repeats at which a storm begins, and below which it is over.
-const STORM: (f64, f64) = (0.4, 0.2);
-/// Times the usual number of first tries at which a surge begins, and below which it is over.
-const SURGE: (f64, f64) = (1.6, 1.2);
-/// Weight of a window in what is usual: about a minute's memory.
-const USUAL: f64 = 0.2 / 60.0;
-/// Scopes whose windows are kept; of more, the one that was quiet for longest is dropped.
-const SCOPES: usize = 4096;
-
-/// What is looked at together.
+/// Buckets of a window.
+const BUCKETS: usize = 10;
+/// Time that a bucket covers.
+const BUCKET_DURATION: Micros = Micros(200_000);
+/// Length of a window, seconds: [`BUCKETS`] times [`BUCKET_DURATION`].
+pub(crate) const WINDOW_SECONDS: f64 = 2.0;
+/// Attempts in a window below which it is calm whatever they are: too few to judge by.
+const MIN_ATTEMPTS: u32 = 10;
+/// Share of retries among a window's attempts at which a storm begins.
+const STORM_BEGINS_AT: f64 = 0.4;
+/// Share of retries below which a storm is over. Below where it begins, so that it doesn't flap.
+const STORM_ENDS_BELOW: f64 = 0.2;
+/// First attempts, as a multiple of the usual number, at which a surge begins.
+const SURGE_BEGINS_AT: f64 = 1.6;
+/// Multiple below which a surge is over. Below where it begins, so that it doesn't flap.
+const SURGE_ENDS_BELOW: f64 = 1.2;
+/// Weight of a new bucket in the moving average of usual first attempts: about a minute's memory.
+const USUAL_WEIGHT: f64 = 0.2 / 60.0;
+/// Most buckets that are aged one by one after a pause: 400 windows.
+const MAX_AGED_BUCKETS: u64 = BUCKETS as u64 * 400;
+/// Most scopes that windows are kept for; of more, the volume that was idle for longest is dropped.
+pub const MAX_SCOPES: usize = 4096;
+
+/// Attempts that are judged together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// Everything.
+    /// All of this initiator.
     All,
-    /// A plan's volumes.
+    /// Those of a plan's volumes, by the plan's index.
     Plan(u16),
-    /// A volume.
+    /// Those of one volume.
     Volume(u64),
 }
 
@@ -43,270 +53,258 @@
     }
 }
 
-/// What it is like.
+/// Condition of a scope's load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadCondition {
     /// As usual.
     #[default]
     Calm,
-    /// Much more first tries than usual.
+    /// Many more first attempts than usual.
     Surge,
-    /// Most tries repeat others.
+    /// A large share of the attempts are retries.
     Storm,
 }
 
-#[derive(Clone, Copy, Debug, Default)]
-struct Part {
-    first: u32,
-    retry_detection: u32,
-    served: u32,
-    turned_away: u32,
+/// Attempts and their ends that were counted in one bucket, or in a whole window.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct AttemptCounts {
+    /// First attempts that arrived.
+    pub first_attempts: u32,
+    /// Retries that arrived.
+    pub retries: u32,
+    /// Attempts that were served.
+    pub served: u32,
+    /// Attempts that were rejected or abandoned.
+    pub rejected: u32,
+}
+
+impl AttemptCounts {
+    fn attempts(&self) -> u32 {
+        self.first_attempts + self.retries
+    }
+
+    /// Share of retries among the attempts, 0 to 1.
+    fn retry_share(&self) -> f64 {
+        f64::from(self.retries) / f64::from(self.attempts().max(1))
+    }
 }
 
-/// Counts of the last two seconds.
+/// Sliding window over the last two seconds of one scope.
 #[derive(Clone, Debug, Default)]
 struct Window {
-    parts: [Part; PARTS],
-    /// Number of the part that is being filled.
-    at: u64,
-    /// First tries in a window, usually; none before the first is full.
-    usual: Option<f64>,
-    filled: u64,
-    load_condition: LoadCondition,
+    buckets: [AttemptCounts; BUCKETS],
+    /// Number of the bucket that is being filled, counted from the clock's 0.
+    current: u64,
+    /// Moving average of first attempts in a window; `None` before the first window is complete.
+    usual_first_attempts: Option<f64>,
+    completed_buckets: u64,
+    condition: LoadCondition,
 }
 
 impl Window {
-    fn roll(&mut self, now: Micros) {
-        let at = now.0 / PART.0;
-        if at <= self.at {
+    fn starting_at(now: Micros) -> Window {
+        Window { current: bucket_number(now), ..Window::default() }
+    }
+
+    fn advance(&mut self, now: Micros) {
+        let number = bucket_number(now);
+        if number <= self.current {
             return;
         }
-        let passed = (at - self.at).min(PARTS as u64 * 400);
+        let passed = (number - self.current).min(MAX_AGED_BUCKETS);
         for _ in 0..passed {
-            self.filled += 1;
-            if self.filled >= PARTS as u64 {
-                let first = f64::from(self.sum(|p| p.first));
-                // A surge or a storm is not what is usual.
-                let weight = if self.load_condition == LoadCondition::Calm { USUAL } else { 0.0 };
-                self.usual = Some(self.usual.map_or(first, |u| u + weight * (first - u)));
-            }
-            let next = (self.filled % PARTS as u64) as usize;
-            self.parts[next] = Part::default();
+            self.complete_bucket();
         }
-        self.at = at;
+        self.current = number;
     }
 
-    fn part(&mut self, now: Micros) -> &mut Part {
-        self.roll(now);
-        &mut self.parts[(self.filled % PARTS as u64) as usize]
+    fn complete_bucket(&mut self) {
+        self.completed_buckets += 1;
+        if self.completed_buckets >= BUCKETS as u64 {
+            self.update_usual();
+        }
+        let next = self.current_index();
+        self.buckets[next] = AttemptCounts::default();
     }
 
-    fn sum(&self, of: impl Fn(&Part) -> u32) -> u32 {
-        self.parts.iter().map(of).sum()
+    /// Only calm windows count: what a surge or a storm brings is not usual.
+    fn update_usual(&mut self) {
+        let first_attempts = f64::from(self.counts().first_attempts);
+        let weight = if self.condition == LoadCondition::Calm { USUAL_WEIGHT } else { 0.0 };
+        let usual = self
+            .usual_first_attempts
+            .map_or(first_attempts, |usual| usual + weight * (first_attempts - usual));
+        self.usual_first_attempts = Some(usual);
     }
 
-    fn look(&mut self, now: Micros) -> LoadCondition {
-        self.roll(now);
-        let (first, retry_detection) = (self.sum(|p| p.first), self.sum(|p| p.retry_detection));
-        let tries = first + retry_detection;
-        let share = f64::from(retry_detection) / f64::from(tries.max(1));
-        let times = f64::from(first) / self.usual.unwrap_or(f64::from(first)).max(1.0);
-        let was = self.load_condition;
-        let storm = share >= if was == LoadCondition::Storm { STORM.1 } else { STORM.0 };
-        let surge = times >= if was == LoadCondition::Surge { SURGE.1 } else { SURGE.0 };
-        self.load_condition = match (tries >= LEAST, storm, surge) {
-            (true, true, _) => LoadCondition::Storm,
-            (true, false, true) => LoadCondition::Surge,
-            _ => LoadCondition::Calm,
+    fn current_index(&self) -> usize {
+        (self.completed_buckets % BUCKETS as u64) as usize
+    }
+
+    fn current_bucket(&mut self, now: Micros) -> &mut AttemptCounts {
+        self.advance(now);
+        let index = self.current_index();
+        &mut self.buckets[index]
+    }
+
+    /// Sums over the window.
+    fn counts(&self) -> AttemptCounts {
+        let sum = |count: fn(&AttemptCounts) -> u32| self.buckets.iter().map(count).sum();
+        AttemptCounts {
+            first_attempts: sum(|bucket| bucket.first_attempts),
+            retries: sum(|bucket| bucket.retries),
+            served: sum(|bucket| bucket.served),
+            rejected: sum(|bucket| bucket.rejected),
+        }
+    }
+
+    /// The rule: a storm by the share of retries, else a surge by the multiple of usual first attempts, else
+    /// calm; each begins at one threshold and ends below a lower one.
+    fn evaluate(&mut self, now: Micros) -> LoadCondition {
+        self.advance(now);
+        let counts = self.counts();
+        let first_attempts = f64::from(counts.first_attempts);
+        let multiple_of_usual = first_attempts / self.usual_first_attempts.unwrap_or(first_attempts).max(1.0);
+        let storm_threshold =
+            if self.condition == LoadCondition::Storm { STORM_ENDS_BELOW } else { STORM_BEGINS_AT };
+        let surge_threshold =
+            if self.condition == LoadCondition::Surge { SURGE_ENDS_BELOW } else { SURGE_BEGINS_AT };
+        self.condition = if counts.attempts() < MIN_ATTEMPTS {
+            LoadCondition::Calm
+        } else if counts.retry_share() >= storm_threshold {
+            LoadCondition::Storm
+        } else if multiple_of_usual >= surge_threshold {
+            LoadCondition::Surge
+        } else {
+            LoadCondition::Calm
         };
-        self.load_condition
+        self.condition
     }
 }
 
-/// What is said of a scope, with its reasons.
+fn bucket_number(now: Micros) -> u64 {
+    now.0 / BUCKET_DURATION.0
+}
+
+/// A scope's condition with the counts that it follows from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadConditionReport {
-    /// Of what.
+    /// Scope that is reported on.
     pub scope: Scope,
-    /// What it is like.
-    pub load_condition: LoadCondition,
-    /// Tries in the last two seconds that were first, and that repeat others.
-    pub tries: (u32, u32),
-    /// Served in that time, and turned away.
-    pub ended: (u32, u32),
-    /// First tries in two seconds, usually.
-    pub usual: f64,
+    /// Its condition.
+    pub condition: LoadCondition,
+    /// Counts of the last two seconds.
+    pub counts: AttemptCounts,
+    /// Usual number of first attempts in two seconds.
+    pub usual_first_attempts: f64,
 }
 
 impl fmt::Display for LoadConditionReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (first, retry_detection) = self.tries;
-        let (served, away) = self.ended;
-        let share = 100.0 * f64::from(retry_detection) / f64::from((first + retry_detection).max(1));
-        match self.load_condition {
+        let AttemptCounts { first_attempts, served, rejected, .. } = self.counts;
+        let percent = 100.0 * f64::from(self.counts.retries) / f64::from(self.counts.attempts().max(1));
+        let scope = self.scope;
+        match self.condition {
             LoadCondition::Storm => write!(
                 f,
-                "storm: {share:.0}% of the tries of {} in the last 2 s repeat a try that was refused or given up \
-                 ({served} served, {away} turned away)",
-                self.scope
+                "storm: {percent:.0}% of the tries of {scope} in the last 2 s repeat a try that was refused or \
+                 given up ({served} served, {rejected} turned away)"
             ),
             LoadCondition::Surge => write!(
                 f,
-                "surge: {first} first tries of {} in the last 2 s, {:.0} are usual; {share:.0}% repeat others",
-                self.scope, self.usual
+                "surge: {first_attempts} first tries of {scope} in the last 2 s, {:.0} are usual; \
+                 {percent:.0}% repeat others",
+                self.usual_first_attempts
             ),
-            LoadCondition::Calm => write!(f, "calm: {first} first tries of {} in the last 2 s", self.scope),
+            LoadCondition::Calm => {
+                write!(f, "calm: {first_attempts} first tries of {scope} in the last 2 s")
+            }
         }
     }
 }
 
-/// Windows of all scopes.
+/// Keeps a sliding window of each scope.
 #[derive(Debug, Default)]
 pub struct LoadMonitor {
     windows: BTreeMap<Scope, Window>,
 }
 
 impl LoadMonitor {
-    fn each(&mut self, plan: u16, volume: u64, now: Micros, mut with: impl FnMut(&mut Part)) {
-        for scope in [Scope::All, Scope::Plan(plan), Scope::Volume(volume)] {
-            if !self.windows.contains_key(&scope) && self.windows.len() >= SCOPES {
-                let quiet = self.windows.iter().filter(|(s, _)| matches!(s, Scope::Volume(_)));
-                if let Some(scope) = quiet.min_by_key(|(_, w)| w.at).map(|(s, _)| *s) {
-                    self.windows.remove(&scope);
-                }
-            }
-            let window = self
-                .windows
-                .entry(scope)
-                .or_insert_with(|| Window { at: now.0 / PART.0, ..Window::default() });
-            with(window.part(now));
-        }
-    }
-
-    /// A try came.
-    pub fn came(&mut self, plan: u16, volume: u64, kind: AttemptKind, now: Micros) {
-        self.each(plan, volume, now, |part| match kind {
-            AttemptKind::First => part.first += 1,
-            AttemptKind::Repeat => part.retry_detection += 1,
+    /// Counts an attempt that arrived.
+    pub fn record_arrival(&mut self, plan: u16, volume: u64, kind: AttemptKind, now: Micros) {
+        self.update_buckets(plan, volume, now, |bucket| match kind {
+            AttemptKind::First => bucket.first_attempts += 1,
+            AttemptKind::Retry => bucket.retries += 1,
         });
     }
 
-    /// A try was served.
-    pub fn served(&mut self, plan: u16, volume: u64, now: Micros) {
-        self.each(plan, volume, now, |part| part.served += 1);
+    /// Counts an attempt that was served.
+    pub fn record_served(&mut self, plan: u16, volume: u64, now: Micros) {
+        self.update_buckets(plan, volume, now, |bucket| bucket.served += 1);
     }
 
-    /// A try was refused or given up.
-    pub fn turned_away(&mut self, plan: u16, volume: u64, now: Micros) {
-        self.each(plan, volume, now, |part| part.turned_away += 1);
+    /// Counts an attempt that was rejected or abandoned.
+    pub fn record_rejected(&mut self, plan: u16, volume: u64, now: Micros) {
+        self.update_buckets(plan, volume, now, |bucket| bucket.rejected += 1);
     }
 
-    /// What it is like.
-    pub fn load_condition(&mut self, scope: Scope, now: Micros) -> LoadCondition {
-        self.windows.get_mut(&scope).map_or(LoadCondition::Calm, |w| w.look(now))
-    }
-
-    /// The same with its reasons; none of a scope that nothing is known of.
-    pub fn report(&mut self, scope: Scope, now: Micros) -> Option<LoadConditionReport> {
-        let w = self.windows.get_mut(&scope)?;
-        let load_condition = w.look(now);
-        Some(LoadConditionReport {
-            scope,
-            load_condition,
-            tries: (w.sum(|p| p.first), w.sum(|p| p.retry_detection)),
-            ended: (w.sum(|p| p.served), w.sum(|p| p.turned_away)),
-            usual: w.usual.unwrap_or(0.0),
-        })
+    fn update_buckets(&mut self, plan: u16, volume: u64, now: Micros, update: impl Fn(&mut AttemptCounts)) {
+        for scope in [Scope::All, Scope::Plan(plan), Scope::Volume(volume)] {
+            self.make_space_for(scope);
+            let window = self.windows.entry(scope).or_insert_with(|| Window::starting_at(now));
+            update(window.current_bucket(now));
+        }
     }
 
-    /// Served in the last two seconds.
-    pub fn goodput(&mut self, scope: Scope, now: Micros) -> u32 {
-        self.windows.get_mut(&scope).map_or(0, |w| {
-            w.roll(now);
-            w.sum(|p| p.served)
-        })
+    /// Guards against memory that grows with the number of volumes ever seen.
+    fn make_space_for(&mut self, scope: Scope) {
+        if self.windows.contains_key(&scope) || self.windows.len() < MAX_SCOPES {
+            return;
+        }
+        let volumes = self.windows.iter().filter(|(scope, _)| matches!(scope, Scope::Volume(_)));
+        let longest_idle = volumes.min_by_key(|(_, window)| window.current).map(|(scope, _)| *scope);
+        if let Some(scope) = longest_idle {
+            self.windows.remove(&scope);
+        }
     }
 
-    /// Volumes that something came for in the last two seconds.
-    pub fn active(&self, now: Micros) -> usize {
-        let at = now.0 / PART.0;
-        let recent = |(s, w): &(&Scope, &Window)| matches!(s, Scope::Volume(_)) && w.at + PARTS as u64 > at;
-        self.windows.iter().filter(recent).count()
+    /// A scope's condition now; calm if nothing is known of it.
+    pub fn condition(&mut self, scope: Scope, now: Micros) -> LoadCondition {
+        self.windows.get_mut(&scope).map_or(LoadCondition::Calm, |window| window.evaluate(now))
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// So many first tries and repeats a second, for so long, from a moment on.
-    fn come(s: &mut LoadMonitor, from: u64, seconds: u64, first: u64, retry_detection: u64) -> Micros {
-        for ms in from..from + seconds * 1000 {
-            let now = Micros(ms * 1000);
-            let due = |rate: u64| (ms + 1) * rate / 1000 - ms * rate / 1000;
-            (0..due(first)).for_each(|_| s.came(1, 7, AttemptKind::First, now));
-            (0..due(retry_detection)).for_each(|_| s.came(1, 7, AttemptKind::Repeat, now));
-            if ms % 50 == 0 {
-                s.load_condition(Scope::Plan(1), now);
-            }
-        }
-        Micros((from + seconds * 1000) * 1000)
+    /// The same with the counts that it follows from; `None` if nothing is known of the scope.
+    pub fn report(&mut self, scope: Scope, now: Micros) -> Option<LoadConditionReport> {
+        let window = self.windows.get_mut(&scope)?;
+        let condition = window.evaluate(now);
+        let usual_first_attempts = window.usual_first_attempts.unwrap_or(0.0);
+        Some(LoadConditionReport { scope, condition, counts: window.counts(), usual_first_attempts })
     }
 
-    #[test]
-    fn a_storm_is_told_with_its_reason_and_ends() {
-        let mut s = LoadMonitor::default();
-        let now = come(&mut s, 1000, 5, 100, 5);
-        assert_eq!(s.load_condition(Scope::Plan(1), now), LoadCondition::Calm);
-        let now = come(&mut s, 6000, 3, 56, 144);
-        let report = s.report(Scope::Plan(1), now).unwrap();
-        assert_eq!(report.load_condition, LoadCondition::Storm);
-        let said = report.to_string();
-        assert!(said.starts_with("storm: 72% of the tries of plan 1 in the last 2 s repeat"), "{said}");
-        assert_eq!(s.load_condition(Scope::Volume(7), now), LoadCondition::Storm);
-        assert_eq!(s.load_condition(Scope::Plan(2), now), LoadCondition::Calm, "another plan");
-        let now = come(&mut s, 9000, 3, 100, 5);
-        assert_eq!(s.load_condition(Scope::Plan(1), now), LoadCondition::Calm);
+    /// Attempts served in the last two seconds.
+    pub fn goodput(&mut self, scope: Scope, now: Micros) -> u32 {
+        self.windows.get_mut(&scope).map_or(0, |window| {
+            window.advance(now);
+            window.counts().served
+        })
     }
 
-    #[test]
-    fn honest_new_demand_is_a_surge_and_no_storm() {
-        let mut s = LoadMonitor::default();
-        come(&mut s, 1000, 5, 100, 5);
-        let now = come(&mut s, 6000, 3, 400, 40);
-        let report = s.report(Scope::All, now).unwrap();
-        assert_eq!(report.load_condition, LoadCondition::Surge);
-        assert!(
-            report.to_string().starts_with("surge: 720 first tries of all in the last 2 s, 221 are usual"),
-            "{report}"
-        );
-        // It lasts: for a minute it stays a surge, and never is a storm.
-        let now = come(&mut s, 9000, 5, 400, 40);
-        assert_ne!(s.load_condition(Scope::All, now), LoadCondition::Storm);
+    /// Number of volumes with an event in the last two seconds.
+    pub fn active_volumes(&self, now: Micros) -> usize {
+        let number = bucket_number(now);
+        let is_active = |(scope, window): &(&Scope, &Window)| {
+            matches!(scope, Scope::Volume(_)) && window.current + BUCKETS as u64 > number
+        };
+        self.windows.iter().filter(is_active).count()
     }
 
-    #[test]
-    fn few_tries_say_nothing_and_silence_is_calm() {
-        let mut s = LoadMonitor::default();
-        let now = come(&mut s, 1000, 1, 1, 4);
-        assert_eq!(s.load_condition(Scope::All, now), LoadCondition::Calm);
-        let now = come(&mut s, 2000, 3, 10, 90);
-        assert_eq!(s.load_condition(Scope::All, now), LoadCondition::Storm);
-        assert_eq!(s.load_condition(Scope::All, now.after(Micros(3_000_000))), LoadCondition::Calm);
-        assert_eq!(s.active(now), 1);
-        assert_eq!(s.active(now.after(Micros(3_000_000))), 0);
+    /// Number of scopes that a window is kept for, at most [`MAX_SCOPES`] and one.
+    pub fn scopes(&self) -> usize {
+        self.windows.len()
     }
 
-    #[test]
-    fn scopes_are_bounded() {
-        let mut s = LoadMonitor::default();
-        for volume in 0..SCOPES as u64 * 2 {
-            s.came(0, volume, AttemptKind::First, Micros(volume * 1000));
-        }
-        assert!(s.windows.len() <= SCOPES + 1);
-        assert!(
-            s.windows.contains_key(&Scope::All)
-                && s.windows.contains_key(&Scope::Volume(SCOPES as u64 * 2 - 1))
-        );
+    /// Whether a window is kept for a scope.
+    pub fn is_tracked(&self, scope: Scope) -> bool {
+        self.windows.contains_key(&scope)
     }
 }
