--- a/crates/flaxstand-index/src/fading.rs
+++ b/crates/flaxstand-index/src/decaying.rs
@@ -2,12 +2,12 @@
 
 /// A sum that fades exponentially with a time constant of `TIME` units of the caller's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct FadingSum<const TIME: u64> {
+pub struct DecayingSum<const TIME: u64> {
     value: f64,
     at: f64,
 }
 
-impl<const TIME: u64> FadingSum<TIME> {
+impl<const TIME: u64> DecayingSum<TIME> {
     /// What is left of the sum at a moment that is no earlier than the last addition.
     pub fn get(&self, now: f64) -> f64 {
         if self.value == 0.0 {
@@ -18,6 +18,6 @@
 
     /// Adds a term at a moment that is no earlier than the last addition.
     pub fn add(&mut self, amount: f64, now: f64) {
-        *self = FadingSum { value: self.get(now) + amount, at: now };
+        *self = DecayingSum { value: self.get(now) + amount, at: now };
     }
 }
--- a/crates/flaxstand-index/src/lib.rs
+++ b/crates/flaxstand-index/src/lib.rs
@@ -1,7 +1,7 @@
 //! Generic indexes and sums whose cost follows what changes, not what they hold.
 //!
 //! - [`ExactSum`]: a sum that does not depend on the order of additions and removals.
-//! - [`FadingSum`]: a sum whose terms lose weight as time passes.
+//! - [`DecayingSum`]: a sum whose terms lose weight as time passes.
 //! - [`lower_median`] and [`place_by_weight`]: places in lists of numbers.
 //! - [`SortedSamples`]: a multiset of numbers with order statistics and capped means.
 //! - [`Table`]: records by key, with secondary indexes and a set of active records.
@@ -10,13 +10,13 @@
 //! being active, is the caller's to say.
 #![forbid(unsafe_code)]
 
-mod fading;
+mod decaying;
 mod order;
 mod samples;
 mod sum;
 mod table;
 
-pub use fading::FadingSum;
+pub use decaying::DecayingSum;
 pub use order::{lower_median, place_by_weight};
 pub use samples::SortedSamples;
 pub use sum::ExactSum;
--- a/crates/flaxstand-index/tests/fading.rs
+++ b/crates/flaxstand-index/tests/decaying.rs
@@ -1,11 +1,11 @@
-//! The fading sum against the sum of its faded terms.
+//! The decaying sum against the sum of its faded terms.
 
-use flaxstand_index::FadingSum;
+use flaxstand_index::DecayingSum;
 
 #[test]
 fn each_term_fades_with_the_time_constant() {
     let terms = [(3.0, 10.0), (1.5, 10.0), (-0.5, 400.0), (8.0, 2500.0)];
-    let mut sum = FadingSum::<2000>::default();
+    let mut sum = DecayingSum::<2000>::default();
     for (amount, at) in terms {
         sum.add(amount, at);
     }
@@ -19,5 +19,5 @@
 
 #[test]
 fn an_empty_sum_is_nothing_at_any_time() {
-    assert_eq!(FadingSum::<1>::default().get(f64::MAX), 0.0);
+    assert_eq!(DecayingSum::<1>::default().get(f64::MAX), 0.0);
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -47,8 +47,8 @@
 pub enum Effect {
     /// A second execution is harmless.
     Idempotent,
-    /// Requests carry an idempotency key: nodes drop a second one for `window` after the first attempt that may
-    /// have been executed.
+    /// Requests carry an idempotency key: nodes drop a second one for `window` after the first attempt that
+    /// may have been executed.
     IdempotencyKey {
         /// Which nodes know of the first attempt.
         group: DeduplicationScope,
@@ -202,7 +202,8 @@
     pub started_at: Option<Millis>,
     /// Its nominal size relative to others; 0: not stated.
     pub size: f64,
-    /// Unloaded service time of a unit there, ms, as an earlier process of this host learnt it; none: unknown.
+    /// Unloaded service time of a unit there, ms, as an earlier process of this host learnt it; none:
+    /// unknown.
     pub service_time: Option<Millis>,
     /// Its zone.
     pub zone: ZoneId,
@@ -322,7 +323,8 @@
     ProbeEnded(NodeId, Outcome),
     /// Nobody waits for this request any more.
     ClientGone(RequestId),
-    /// Settings that hold from now on, also for what is queued or in flight. Classes and plans keep their numbers.
+    /// Settings that hold from now on, also for what is queued or in flight. Classes and plans keep their
+    /// numbers.
     SettingsChanged(Box<Settings>),
     /// A timer fired, or all that happened at this moment has been told: decide.
     Evaluate,
@@ -337,7 +339,8 @@
         request: RequestId,
         /// Where to.
         node: NodeId,
-        /// Its first byte must leave before this, or it ends as [`Outcome::NotSent`]: a connection may come up late.
+        /// Its first byte must leave before this, or it ends as [`Outcome::NotSent`]: a connection may come
+        /// up late.
         until: Millis,
     },
     /// Cancel an attempt; it ends as cancelled unless it ends otherwise first.
--- /dev/null
+++ b/src/evaluation_timer.rs
@@ -0,0 +1,34 @@
+//! When the scheduler asks to be evaluated again.
+
+use crate::api::{Action, Millis};
+
+/// Interval between two evaluations while a request waits, ms.
+pub(crate) const EVALUATION_INTERVAL: Millis = 10.0;
+/// Interval while attempts are in flight and none waits, as a share of the tightest latency objective.
+const IDLE_INTERVAL_SHARE: f64 = 1.0 / 4.0;
+
+/// The timer that was asked for last.
+#[derive(Default)]
+pub(crate) struct EvaluationTimer {
+    due_at: Option<Millis>,
+}
+
+impl EvaluationTimer {
+    /// Asks for an evaluation, unless one is due by then; no later than `next_poll_at`.
+    pub(crate) fn schedule(
+        &mut self,
+        is_waiting: bool,
+        latency_objective: Millis,
+        next_poll_at: Option<Millis>,
+        now: Millis,
+    ) -> Option<Action> {
+        let interval = if is_waiting { EVALUATION_INTERVAL } else { latency_objective * IDLE_INTERVAL_SHARE };
+        let next = now + interval;
+        let at = next.min(next_poll_at.unwrap_or(next));
+        if self.due_at.is_some_and(|due_at| now < due_at && due_at <= at) {
+            return None;
+        }
+        self.due_at = Some(at);
+        Some(Action::SetTimer { after: at - now })
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,32 @@
 //! flaxstand: a host-side scheduler for a shared disk pool.
 //!
-//! [`api`] is the interface (settings, events, actions, ids); [`scheduler`] holds every decision, but for how long
-//! the node list may be acted on, which is decided in `list_freshness`.
-//! Neither does I/O, reads a clock or keeps global state.
+//! [`api`] is the interface (settings, events, actions, ids); [`scheduler`] takes events and hands out
+//! actions. Each rule stands in a module of its own, named for the decision it makes. None of them does I/O,
+//! reads a clock or keeps global state.
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
+mod admission;
 pub mod api;
-mod list_freshness;
+mod concurrency_limit;
+mod deadlines;
+mod dispatch;
+mod endpoint_freshness;
+mod endpoint_polling;
+mod estimates;
+mod evaluation_timer;
+mod hedging;
+mod in_flight;
+mod key_order;
+mod loss_detection;
+mod node;
+mod node_health;
+mod placement;
+mod random;
+mod recent;
+mod request;
+mod request_table;
+mod retries;
 pub mod scheduler;
+mod service_time;
+mod slow_start;
