--- a/crates/flaxstand-gateway/src/core/first_byte.rs
+++ b/crates/flaxstand-gateway/src/core/first_byte.rs
@@ -6,8 +6,9 @@
 use super::Core;
 use super::plumbing::{Conn, Protocol, Stage, Timer};
 use super::pool::Carried;
+use super::requests::AttemptId;
 use crate::machine::{ConnId, Micros};
-use flaxstand::api::{AttemptNo, NodeId, Outcome, RequestId};
+use flaxstand::api::{NodeId, Outcome};
 use std::collections::BTreeSet;
 use tracing::{info, warn};
 
@@ -22,9 +23,9 @@
 
 impl Core {
     /// Whether the first byte of an attempt may leave now. Asked in the turn in which it would.
-    pub(super) fn may_begin(&self, id: RequestId, attempt: AttemptNo, now: Micros) -> bool {
-        let Some(held) = self.requests.get(&id) else { return false };
-        let Some(flight) = self.flight(id, attempt) else { return false };
+    pub(super) fn may_begin(&self, attempt: AttemptId, now: Micros) -> bool {
+        let Some(held) = self.requests.get(&attempt.request) else { return false };
+        let Some(flight) = self.flight(attempt) else { return false };
         let in_time = now < flight.until && now < held.expires_at;
         held.owner.is_some() && in_time && self.node_takes_work(flight.node, now)
     }
@@ -107,13 +108,10 @@
 
     /// Pooled connections to a node that stand, and of which nothing has been written of what they carry.
     fn not_begun(&self, at: NodeId) -> Vec<(ConnId, Carried)> {
-        let Some(node) = self.nodes.get(at) else { return Vec::new() };
-        let handed = |(id, attempt): &(RequestId, AttemptNo)| {
-            let (conn, _) = self.flight(*id, *attempt)?.handed?;
-            Some((conn, Carried::Attempt(*id, *attempt)))
-        };
-        let attempts = node.out.iter().filter_map(handed);
-        let probes = node.probe_links.iter().map(|(token, conn)| (*conn, Carried::Probe(at, *token)));
+        let handed = |attempt| Some((self.flight(attempt)?.handed?.conn, Carried::Attempt(attempt)));
+        let attempts = self.upstream.in_flight(at).into_iter().filter_map(handed);
+        let probes =
+            self.upstream.probe_connections(at).map(|(token, conn)| (conn, Carried::Probe(at, token)));
         let waits = |(conn, carried): &(ConnId, Carried)| match self.plumbing.get(*conn) {
             Some(Conn { stage: Stage::Open, protocol: Protocol::HttpClient(link), .. }) => {
                 !link.begun && link.carries() == Some(*carried)
@@ -126,10 +124,10 @@
     /// A repeat that has waited to be written until its window was over does not begin.
     pub(super) fn begin_ends(&mut self, conn: ConnId, now: Micros) {
         let carried = self.link(conn).filter(|link| !link.begun).and_then(|link| link.carries());
-        if let Some(Carried::Attempt(id, attempt)) = carried
-            && !self.may_begin(id, attempt, now)
+        if let Some(Carried::Attempt(attempt)) = carried
+            && !self.may_begin(attempt, now)
         {
-            let carried = Carried::Attempt(id, attempt);
+            let carried = Carried::Attempt(attempt);
             self.close_under(conn, carried, "its window is over", Outcome::NotSent, now);
         }
     }
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -18,7 +18,7 @@
 //! places differ:
 //!
 //! - [`http_server`]: clients that ask one request at a time of a connection; [`client_places`]: who gives way
-//! - [`pool`]: connections to a node that carry one request each
+//! - [`pool`]: connections to a node that carry one request each; [`upstream_pool`]: which there are, and what for
 //! - [`list_calls`]: the list, told by calls that wait; [`platform_list`]: what they tell
 
 mod agreement;
@@ -42,6 +42,7 @@
 mod requests;
 mod saved_list;
 mod storms;
+mod upstream_pool;
 mod writeback;
 
 pub use backoff::Backoff;
@@ -66,6 +67,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use storms::Gate;
 use tracing::{info, warn};
+use upstream_pool::UpstreamPool;
 use writeback::Back;
 
 /// How far the process is in its life.
@@ -101,12 +103,8 @@
     places: ClientPlaces,
     requests: BTreeMap<RequestId, Held>,
     next_request: u64,
-    next_probe: u64,
     nodes: NodeTable,
-    /// Connections to nodes that carry one request each.
-    links: usize,
-    /// Those of them that carry nothing, by since when.
-    idle_links: BTreeSet<(Micros, ConnId)>,
+    upstream: UpstreamPool,
     /// Ids under which clients of the platform have requests here.
     open_ids: BTreeSet<String>,
     /// Names of zones, in the order of the module's.
@@ -161,10 +159,8 @@
             places: ClientPlaces::default(),
             requests: BTreeMap::new(),
             next_request: 0,
-            next_probe: 0,
             nodes: NodeTable::default(),
-            links: 0,
-            idle_links: BTreeSet::new(),
+            upstream: UpstreamPool::default(),
             open_ids: BTreeSet::new(),
             zones: Vec::new(),
             class_names,
@@ -192,7 +188,7 @@
     /// Counts since the start.
     pub fn counts(&self) -> Counts {
         Counts {
-            nodes_visited: self.nodes.visited(),
+            nodes_visited: self.nodes.visited() + self.upstream.visited(),
             connections_walked: self.plumbing.walked(),
             ..self.counts
         }
--- a/crates/flaxstand-gateway/src/core/node_table.rs
+++ b/crates/flaxstand-gateway/src/core/node_table.rs
@@ -2,8 +2,8 @@
 //! serve, which are long gone) is kept up at each change, so that no caller has to walk them for it; what is
 //! looked at is counted, so that tests can hold callers to that.
 
-use crate::machine::{Address, ConnId, Micros};
-use flaxstand::api::{AttemptNo, NodeEntry, NodeId, Readiness, RequestId, ShardId, ZoneId};
+use crate::machine::{Address, Micros};
+use flaxstand::api::{NodeEntry, NodeId, Readiness, ShardId, ZoneId};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -38,20 +38,8 @@
     /// Hundredths; 0: not told.
     pub(super) size: u32,
     pub(super) address: Address,
-    pub(super) conn: Option<ConnId>,
-    /// Pooled connections that wait for a request, the longest idle first.
-    pub(super) idle: Vec<ConnId>,
     /// When the list took it out.
     gone_at: Micros,
-    /// Attempts that wait for the connection, in the order of sending.
-    pub(super) waiting: Vec<(RequestId, AttemptNo)>,
-    /// Attempts without an end, those that wait included.
-    pub(super) out: BTreeSet<(RequestId, AttemptNo)>,
-    /// The probe that is out, by its token, and when it ends unanswered.
-    pub(super) probe: Option<(u64, Micros)>,
-    /// Pooled connections that carry probes, by the probe's token.
-    pub(super) probe_links: BTreeMap<u64, ConnId>,
-    pub(super) idle_since: Micros,
 }
 
 impl NodePeer {
@@ -65,14 +53,7 @@
             zone: 0,
             size: 0,
             address,
-            conn: None,
-            idle: Vec::new(),
             gone_at: Micros(0),
-            waiting: Vec::new(),
-            out: BTreeSet::new(),
-            probe: None,
-            probe_links: BTreeMap::new(),
-            idle_since: Micros(0),
         }
     }
 
--- a/crates/flaxstand-gateway/src/core/pool.rs
+++ b/crates/flaxstand-gateway/src/core/pool.rs
@@ -3,10 +3,10 @@
 //! spoilt, or brings more than belongs to it, is not used again. Giving up an attempt closes its connection.
 
 use super::Core;
-use super::node_table::NodePeer;
 use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
+use super::requests::{AttemptId, HandedOver};
 use crate::machine::{ConnId, Micros};
-use flaxstand::api::{AttemptNo, NodeId, Outcome, Readiness, RequestId};
+use flaxstand::api::{NodeId, Outcome, Readiness, RequestId};
 use flaxstand_http::{Answer, Answers, write_request};
 use flaxstand_platform::{HEALTH, field, outcome_of};
 use std::fmt::Display;
@@ -28,7 +28,7 @@
 /// What a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Carried {
-    Attempt(RequestId, AttemptNo),
+    Attempt(AttemptId),
     Probe(NodeId, u64),
 }
 
@@ -93,29 +93,25 @@
 
     /// Sends by the newest idle connection to the node, by one that has rested if there is one, or by a new one.
     pub(super) fn carry(&mut self, at: NodeId, what: Carried, now: Micros) {
-        let Some(NodePeer { address, idle, .. }) = self.nodes.get(at) else { return };
-        let address = address.clone();
+        let Some(address) = self.nodes.get(at).map(|node| node.address.clone()) else { return };
         let rested = |conn: &ConnId| match self.plumbing.get(*conn).map(|c| &c.protocol) {
             Some(Protocol::HttpClient(link)) => now.since(link.since) >= REST,
             _ => false,
         };
-        let newest = idle.len().checked_sub(1);
-        if let Some(index) = idle.iter().rposition(rested).or(newest)
-            && let Some(conn) = self.node(at).map(|node| node.idle.remove(index))
-        {
+        if let Some(conn) = self.upstream.take_idle(at, rested) {
             self.use_again(conn, at, what);
             return self.write_carried(conn, now);
         }
-        if self.links >= self.config.bounds.links && !self.close_longest_idle(now) {
-            debug!(links = self.links, "no connection to be had");
+        if self.upstream.pooled() >= self.config.bounds.links && !self.close_longest_idle(now) {
+            debug!(links = self.upstream.pooled(), "no connection to be had");
             return self.end_carried(what, Outcome::NotSent, now);
         }
-        self.links += 1;
+        self.upstream.pooled_opened();
         let (protocol, by) =
             (Protocol::HttpClient(Link::new(what, now)), now.after(self.config.site.waits.dial));
         let conn = self.plumbing.dial(Peer::Node(at), protocol, address, by);
         match what {
-            Carried::Attempt(id, attempt) => self.note_handed(id, attempt, conn, u64::MAX),
+            Carried::Attempt(attempt) => self.note_handed(attempt, conn, u64::MAX),
             Carried::Probe(..) => self.note_probe(at, what, conn),
         }
     }
@@ -125,23 +121,21 @@
         let Some(link) = self.link(conn) else { return };
         let idle_since = link.since;
         (link.carries, link.rested) = (Some(what), true);
-        self.idle_links.remove(&(idle_since, conn));
+        self.upstream.mark_busy(conn, idle_since);
         self.note_probe(at, what, conn);
     }
 
     /// Which connection carries a probe.
     fn note_probe(&mut self, at: NodeId, what: Carried, conn: ConnId) {
-        if let Carried::Probe(_, token) = what
-            && let Some(node) = self.node(at)
-        {
-            node.probe_links.insert(token, conn);
+        if let Carried::Probe(_, token) = what {
+            self.upstream.set_probe_connection(at, token, conn);
         }
     }
 
     /// What a connection carried has ended without being served.
     fn end_carried(&mut self, what: Carried, outcome: Outcome, now: Micros) {
         match what {
-            Carried::Attempt(id, attempt) => self.end_attempt(id, attempt, outcome, now),
+            Carried::Attempt(attempt) => self.end_attempt(attempt, outcome, now),
             Carried::Probe(at, token) => self.probed(at, token, outcome),
         }
     }
@@ -155,7 +149,7 @@
         // It may have come up late: what held when it was called may hold no longer.
         let Some(carried) = link.carries else { return };
         let may = match carried {
-            Carried::Attempt(id, attempt) => self.may_begin(id, attempt, now),
+            Carried::Attempt(attempt) => self.may_begin(attempt, now),
             Carried::Probe(..) => self.node_takes_work(at, now),
         };
         if may {
@@ -176,7 +170,8 @@
         let host = self.nodes.get(*at).map(|n| n.address.to_string()).unwrap_or_default();
         let host: (&str, &dyn Display) = ("Host", &host);
         match link.carries {
-            Some(Carried::Attempt(id, attempt)) => {
+            Some(Carried::Attempt(attempt)) => {
+                let id = attempt.request;
                 let Some(held) = self.requests.get_mut(&id) else { return };
                 let Some(origin) = held.origin.take() else { return };
                 let payload = std::mem::take(&mut held.payload);
@@ -194,8 +189,8 @@
                 if let Some(held) = self.requests.get_mut(&id) {
                     (held.origin, held.payload) = (Some(origin), payload);
                 }
-                self.note_handed(id, attempt, conn, ends);
-                let until = self.flight(id, attempt).map(|f| f.until);
+                self.note_handed(attempt, conn, ends);
+                let until = self.flight(attempt).map(|f| f.until);
                 let expires_at = self.requests.get(&id).map(|r| r.expires_at);
                 if let Some(until) = until.filter(|until| Some(*until) < expires_at) {
                     self.plumbing.at(until, Timer::Begin(conn));
@@ -274,9 +269,9 @@
             self.lost(conn, "it is not kept", true, now)
         }
         match (carried, outcome_of(answer)) {
-            (Carried::Attempt(id, attempt), Outcome::Served) => {
+            (Carried::Attempt(attempt), Outcome::Served) => {
                 // Which shard it is from, no client on this wire is told.
-                self.served(id, attempt, 0, &answer.body, now);
+                self.served(attempt, 0, &answer.body, now);
             }
             (carried, outcome) => self.end_carried(carried, outcome, now),
         }
@@ -291,12 +286,10 @@
         };
         (link.carries, link.since) = (None, now);
         let at = *at;
-        match self.node(at).filter(|n| n.readiness() != Readiness::Removed) {
-            Some(node) => {
-                node.idle.push(conn);
-                self.idle_links.insert((now, conn));
-            }
-            None => self.lost(conn, "node is gone", true, now),
+        if self.nodes.get(at).is_some_and(|node| node.readiness() != Readiness::Removed) {
+            self.upstream.mark_idle(at, conn, now);
+        } else {
+            self.lost(conn, "node is gone", true, now);
         }
     }
 
@@ -310,15 +303,11 @@
         cause: &str,
         now: Micros,
     ) {
-        self.links -= 1;
-        self.idle_links.remove(&(link.since, conn));
-        if let Some(node) = self.node(at) {
-            node.idle.retain(|idle| *idle != conn);
-        }
+        self.upstream.pooled_closed(at, conn, link.since);
         match link.carries {
-            Some(Carried::Attempt(id, attempt)) => {
-                debug!(request = id.0, cause, "an attempt's connection is lost");
-                self.broken_off(id, attempt, conn, written, now);
+            Some(Carried::Attempt(attempt)) => {
+                debug!(request = attempt.request.0, cause, "an attempt's connection is lost");
+                self.broken_off(attempt, conn, written, now);
             }
             Some(carried) => self.end_carried(carried, Outcome::ConnectFailed, now),
             None => {}
@@ -328,28 +317,28 @@
     /// Gives an attempt up: its connection is closed, and nothing else of the node's.
     pub(super) fn hang_up_attempt(
         &mut self,
-        conn: ConnId,
-        ends: u64,
-        (id, attempt): (RequestId, AttemptNo),
+        handed: HandedOver,
+        attempt: AttemptId,
         outcome: Outcome,
         now: Micros,
     ) {
+        let HandedOver { conn, ends } = handed;
         let left = self.plumbing.get(conn).is_some_and(|c| c.outbox.written() >= ends);
         let outcome = if left { outcome } else { Outcome::ConnectFailed };
-        self.close_under(conn, Carried::Attempt(id, attempt), "given up", outcome, now);
+        self.close_under(conn, Carried::Attempt(attempt), "given up", outcome, now);
     }
 
     /// Its client has gone: an attempt that has not wholly left does not follow it. Its connection is closed; one
     /// that is still coming up is kept, and carries nothing.
     pub(super) fn call_back(&mut self, id: RequestId, now: Micros) {
         let Some(held) = self.requests.get(&id).filter(|_| self.on_platform()) else { return };
-        let leaving = |(conn, ends): (ConnId, u64)| {
-            self.plumbing.get(conn).is_some_and(|c| c.stage == Stage::Open && c.outbox.written() < ends)
+        let leaving = |handed: &HandedOver| {
+            let conn = self.plumbing.get(handed.conn);
+            conn.is_some_and(|c| c.stage == Stage::Open && c.outbox.written() < handed.ends)
         };
-        let handed =
-            held.flights.iter().filter_map(|f| Some((f.attempt, f.handed.filter(|h| leaving(*h))?.0)));
-        for (attempt, conn) in handed.collect::<Vec<_>>() {
-            let carried = Carried::Attempt(id, attempt);
+        let handed = held.flights.iter().filter_map(|f| Some((f.attempt, f.handed.filter(leaving)?.conn)));
+        for (number, conn) in handed.collect::<Vec<_>>() {
+            let carried = Carried::Attempt(AttemptId { request: id, number });
             self.close_under(conn, carried, "its client has gone", Outcome::NotSent, now);
         }
     }
@@ -397,7 +386,7 @@
     }
 
     fn close_longest_idle(&mut self, now: Micros) -> bool {
-        let longest = self.idle_links.first().map(|(_, conn)| *conn);
+        let longest = self.upstream.longest_idle();
         if let Some(conn) = longest {
             self.lost(conn, "its place is needed", true, now);
         }
@@ -413,19 +402,18 @@
 
     fn close_long_idle(&mut self, now: Micros) {
         let idle = self.config.site.waits.idle;
-        let long = |(since, _): &&(Micros, ConnId)| now.since(*since) >= idle;
-        let long: Vec<ConnId> = self.idle_links.iter().take_while(long).map(|(_, conn)| *conn).collect();
-        for conn in long {
+        for conn in self.upstream.idle_for(idle, now) {
             self.lost(conn, "idle", true, now);
         }
     }
 
     fn forget_long_gone(&mut self, now: Micros) {
         for id in self.nodes.gone_for(REMEMBERED, now) {
-            if self.nodes.get(id).is_none_or(|node| !node.out.is_empty()) {
+            if self.upstream.has_in_flight(id) {
                 continue;
             }
             self.drop_idle(id, now);
+            self.upstream.remove_node(id);
             if let Some(node) = self.nodes.remove(id) {
                 info!(node = %node.name, "forgotten");
             }
@@ -434,7 +422,9 @@
 
     /// Closes a node's idle connections: its address is no longer what they lead to.
     pub(super) fn drop_idle(&mut self, at: NodeId, now: Micros) {
-        let idle = self.node(at).map(|n| std::mem::take(&mut n.idle)).unwrap_or_default();
-        idle.into_iter().for_each(|conn| self.lost(conn, "its node has moved or is gone", true, now));
+        self.upstream
+            .take_all_idle(at)
+            .into_iter()
+            .for_each(|conn| self.lost(conn, "its node has moved or is gone", true, now));
     }
 }
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -18,9 +18,22 @@
     pub(super) sent: Micros,
     /// Its first byte must leave before this.
     pub(super) until: Micros,
-    /// The connection it was handed to, and where in that one's stream it ends; the last place there is
-    /// while that is not known.
-    pub(super) handed: Option<(ConnId, u64)>,
+    pub(super) handed: Option<HandedOver>,
+}
+
+/// Names an attempt among all requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct AttemptId {
+    pub(super) request: RequestId,
+    pub(super) number: AttemptNo,
+}
+
+/// The connection that an attempt was handed to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct HandedOver {
+    pub(super) conn: ConnId,
+    /// Where in its stream the attempt ends, bytes; the last place there is while that is not known.
+    pub(super) ends: u64,
 }
 
 /// Whom an answer is owed.
@@ -179,7 +192,7 @@
                     self.send(request, node, Micros::from_ms(until), now);
                 }
                 Action::Cancel { request, attempt } => {
-                    self.call_off(request, attempt, Outcome::Cancelled, now);
+                    self.call_off(AttemptId { request, number: attempt }, Outcome::Cancelled, now);
                 }
                 Action::Probe { node } => self.probe(node, now),
                 Action::Reject { request, retry_after } => {
@@ -215,31 +228,24 @@
     }
 
     /// An attempt that is out, or waits for its node's connection.
-    pub(super) fn flight(&self, id: RequestId, attempt: AttemptNo) -> Option<&Flight> {
-        self.requests.get(&id)?.flights.iter().find(|f| f.attempt == attempt)
+    pub(super) fn flight(&self, id: AttemptId) -> Option<&Flight> {
+        self.requests.get(&id.request)?.flights.iter().find(|f| f.attempt == id.number)
     }
 
     /// An attempt is in a connection's outbox, and ends there.
-    pub(super) fn note_handed(&mut self, id: RequestId, attempt: AttemptNo, conn: ConnId, ends: u64) {
-        let flights = self.requests.get_mut(&id).map(|r| &mut r.flights);
-        if let Some(flight) = flights.and_then(|f| f.iter_mut().find(|f| f.attempt == attempt)) {
-            flight.handed = Some((conn, ends));
+    pub(super) fn note_handed(&mut self, id: AttemptId, conn: ConnId, ends: u64) {
+        let flights = self.requests.get_mut(&id.request).map(|r| &mut r.flights);
+        if let Some(flight) = flights.and_then(|f| f.iter_mut().find(|f| f.attempt == id.number)) {
+            flight.handed = Some(HandedOver { conn, ends });
         }
     }
 
     /// An attempt's connection is no more, after so many bytes were written: if its last was not among them it
     /// can't have run, else it may have.
-    pub(super) fn broken_off(
-        &mut self,
-        id: RequestId,
-        attempt: AttemptNo,
-        conn: ConnId,
-        written: u64,
-        now: Micros,
-    ) {
-        let handed = self.flight(id, attempt).and_then(|f| f.handed);
-        let left = handed.is_some_and(|(c, ends)| c == conn && ends <= written);
-        self.end_attempt(id, attempt, if left { Outcome::Reset } else { Outcome::ConnectFailed }, now);
+    pub(super) fn broken_off(&mut self, id: AttemptId, conn: ConnId, written: u64, now: Micros) {
+        let handed = self.flight(id).and_then(|f| f.handed);
+        let left = handed.is_some_and(|handed| handed.conn == conn && handed.ends <= written);
+        self.end_attempt(id, if left { Outcome::Reset } else { Outcome::ConnectFailed }, now);
     }
 
     /// An attempt, at the module's word.
@@ -254,15 +260,17 @@
         debug!(request = request.0, attempt = attempt.0, node = node.0, "sent");
         let listed = self.nodes.get(node);
         let holds = listed.is_some_and(|n| held.shard.is_none_or(|shard| shard == n.shard));
-        if !self.may_begin(request, attempt, now) || !holds {
-            self.end_attempt(request, attempt, Outcome::NotSent, now);
+        let id = AttemptId { request, number: attempt };
+        if !self.may_begin(id, now) || !holds {
+            self.end_attempt(id, Outcome::NotSent, now);
         } else {
-            self.send_attempt(request, attempt, node, now);
+            self.send_attempt(id, node, now);
         }
     }
 
     /// An attempt has ended without being served: the module decides what comes next.
-    pub(super) fn end_attempt(&mut self, id: RequestId, attempt: AttemptNo, outcome: Outcome, now: Micros) {
+    pub(super) fn end_attempt(&mut self, ended: AttemptId, outcome: Outcome, now: Micros) {
+        let AttemptId { request: id, number: attempt } = ended;
         let Some(held) = self.requests.get_mut(&id) else { return };
         let Some(at) = held.flights.iter().position(|f| f.attempt == attempt) else { return };
         let flight = held.flights.swap_remove(at);
@@ -284,19 +292,13 @@
         if is_final && self.requests[&id].owner.is_some() {
             self.fail(id, now);
         }
-        self.node_flight_ended(flight.node, id, attempt, now);
+        self.node_flight_ended(flight.node, ended, now);
         self.forget(id, now);
     }
 
     /// An attempt was served: its client has the answer before the module hears of it.
-    pub(super) fn served(
-        &mut self,
-        id: RequestId,
-        attempt: AttemptNo,
-        shard: u32,
-        payload: &[u8],
-        now: Micros,
-    ) {
+    pub(super) fn served(&mut self, ended: AttemptId, shard: u32, payload: &[u8], now: Micros) {
+        let AttemptId { request: id, number: attempt } = ended;
         let Some(held) = self.requests.get_mut(&id) else { return };
         let Some(at) = held.flights.iter().position(|f| f.attempt == attempt) else { return };
         let flight = held.flights.swap_remove(at);
@@ -321,7 +323,7 @@
             latency,
             is_final: true,
         }));
-        self.node_flight_ended(flight.node, id, attempt, now);
+        self.node_flight_ended(flight.node, ended, now);
         self.forget(id, now);
     }
 
@@ -357,15 +359,15 @@
     }
 
     /// An attempt is not waited for any longer, and its node told; one never handed over has not run.
-    pub(super) fn call_off(&mut self, id: RequestId, attempt: AttemptNo, outcome: Outcome, now: Micros) {
-        let Some(handed) = self.flight(id, attempt).map(|f| f.handed) else { return };
-        if let Some((conn, ends)) = handed.filter(|_| self.on_platform()) {
-            return self.hang_up_attempt(conn, ends, (id, attempt), outcome, now);
+    pub(super) fn call_off(&mut self, id: AttemptId, outcome: Outcome, now: Micros) {
+        let Some(handed) = self.flight(id).map(|f| f.handed) else { return };
+        if let Some(handed) = handed.filter(|_| self.on_platform()) {
+            return self.hang_up_attempt(handed, id, outcome, now);
         }
-        if let Some((conn, _)) = handed {
-            self.plumbing.push(conn, &Frame::Cancel { request: id.0, attempt: attempt.0 });
+        if let Some(HandedOver { conn, .. }) = handed {
+            self.plumbing.push(conn, &Frame::Cancel { request: id.request.0, attempt: id.number.0 });
         }
-        self.end_attempt(id, attempt, if handed.is_some() { outcome } else { Outcome::ConnectFailed }, now);
+        self.end_attempt(id, if handed.is_some() { outcome } else { Outcome::ConnectFailed }, now);
     }
 
     /// The client is about to give up: what is out is not waited for any longer, and what the module has
@@ -379,7 +381,9 @@
             return;
         }
         let flights: Vec<AttemptNo> = held.flights.iter().map(|f| f.attempt).collect();
-        flights.into_iter().for_each(|attempt| self.call_off(id, attempt, Outcome::TimedOut, now));
+        for number in flights {
+            self.call_off(AttemptId { request: id, number }, Outcome::TimedOut, now);
+        }
         self.tell(now);
         let owed = |core: &Core| core.requests.get(&id).is_some_and(|r| r.owner.is_some());
         if owed(self) {
