--- a/crates/flaxstand-cli/src/platform.rs
+++ b/crates/flaxstand-cli/src/platform.rs
@@ -100,7 +100,7 @@
     let configuration = read(&path).map_err(Failure::System)?;
     let mut core =
         Core::new(config(&configuration)?, None, clock()).map_err(|e| Failure::System(e.to_string()))?;
-    core.take_platform_list(ListScope::Cached, &configuration.known, clock());
+    core.apply_platform_listing(ListScope::Cached, &configuration.known, clock());
     let options = Options { reload: Some(reload(path)), ..Options::default() };
     let mut driver = Driver::new(core, options).map_err(system("cannot start"))?;
     let listen = Address::Tcp(configuration.listen);
--- a/crates/flaxstand-gateway/examples/list_costs.rs
+++ b/crates/flaxstand-gateway/examples/list_costs.rs
@@ -95,7 +95,7 @@
     core.settle(now);
     spent(|| {
         let listing: Listing = serde_json::from_str(text).expect("a list");
-        core.take_platform_list(ListScope::Full, &listing, now);
+        core.apply_platform_listing(ListScope::Full, &listing, now);
         core.settle(now);
     })
 }
@@ -198,7 +198,7 @@
         core.accepted(0, now).expect("there is room");
     }
     let all: Vec<u64> = (0..listed).collect();
-    core.take_platform_list(ListScope::Full, &listing(1, &all, TargetState::Up), now);
+    core.apply_platform_listing(ListScope::Full, &listing(1, &all, TargetState::Up), now);
     core.settle(now);
     core.take_commands();
     let began = processor_time();
@@ -206,7 +206,7 @@
         now = now.after(Micros(1_000));
         let node = (change * 7919) % listed;
         let state = if change % 2 == 0 { TargetState::Draining } else { TargetState::Up };
-        core.take_platform_list(ListScope::Changes, &listing(2 + change, &[node], state), now);
+        core.apply_platform_listing(ListScope::Changes, &listing(2 + change, &[node], state), now);
         core.settle(now);
         core.take_commands();
     }
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -63,8 +63,8 @@
                 self.node_lost(conn, node, gone.stage, gone.outbox.written(), cause, now)
             }
             (Peer::Fellow(fellow), _) => self.fellow_lost(&fellow, cause, now),
-            (Peer::List, Protocol::ListClient(_)) => self.list_connection_lost(cause, now),
-            (Peer::List, _) => self.list_lost(gone.stage, cause, now),
+            (Peer::Discovery, Protocol::DiscoveryPoll) => self.discovery_poll_lost(cause, now),
+            (Peer::Discovery, _) => self.discovery_watch_lost(gone.stage, cause, now),
         }
     }
 
@@ -118,13 +118,15 @@
                 self.probed(node, token, Outcome::Served);
                 Ok(())
             }
-            (Peer::List, Frame::Welcome(w)) if stage == Stage::Greeting => self.list_greeted(conn, &w, now),
-            (Peer::List, Frame::List(l)) if stage == Stage::Open => {
-                self.listed(conn, &l, now);
+            (Peer::Discovery, Frame::Welcome(w)) if stage == Stage::Greeting => {
+                self.discovery_greeted(conn, &w, now)
+            }
+            (Peer::Discovery, Frame::List(l)) if stage == Stage::Open => {
+                self.endpoint_list_received(conn, &l, now);
                 Ok(())
             }
-            (Peer::List, Frame::ListFailed) if stage == Stage::Open => {
-                self.list_call_failed(now);
+            (Peer::Discovery, Frame::ListFailed) if stage == Stage::Open => {
+                self.discovery_failed(now);
                 Ok(())
             }
             (_, other) => Err((CloseReason::Protocol, format!("a frame that has no place here: {other:?}"))),
--- /dev/null
+++ b/crates/flaxstand-gateway/src/core/endpoint_table/apply.rs
@@ -0,0 +1,135 @@
+//! Applies an update of the endpoint list to the table.
+
+use super::{EndpointName, EndpointTable};
+use crate::core::discovery::{EndpointEntry, EndpointUpdate};
+use crate::machine::{Address, Micros};
+use flaxstand::api::{ListScope, NodeEntry, NodeId, Readiness};
+use std::collections::BTreeSet;
+use tracing::{debug, warn};
+
+/// What an update changed.
+#[derive(Debug, Default)]
+pub(in crate::core) struct AppliedUpdate {
+    /// Entries for the decision module, in the order of the update.
+    pub(in crate::core) entries: Vec<NodeEntry>,
+    /// All nodes that the update states or removed.
+    pub(in crate::core) touched: BTreeSet<NodeId>,
+    /// Nodes that listen at another address now, in the order of the update.
+    pub(in crate::core) moved: Vec<NodeId>,
+}
+
+impl EndpointTable {
+    /// Applies an update. Entries that can't be used are left out, with a warning. The table holds at most
+    /// `max_endpoints`. What a full or cached list leaves out is removed.
+    pub(in crate::core) fn apply(
+        &mut self,
+        update: EndpointUpdate,
+        max_endpoints: usize,
+        now: Micros,
+    ) -> AppliedUpdate {
+        let mut applied = AppliedUpdate::default();
+        for entry in update.entries {
+            self.apply_entry(entry, max_endpoints, &mut applied, now);
+        }
+        applied.touched = applied.entries.iter().map(|entry| entry.node).collect();
+        if update.scope != ListScope::Changes {
+            let mut absent = self.remove_absent(&applied.touched, now);
+            applied.touched.append(&mut absent);
+        }
+        applied
+    }
+
+    /// Takes endpoints out of service whose entries can't be read. Returns those that were serving.
+    pub(in crate::core) fn drain_unreadable(&mut self, uids: &[String], now: Micros) -> BTreeSet<NodeId> {
+        let listed = uids.iter().filter_map(|uid| self.id_of(&EndpointName::Uid(uid.clone())));
+        let serving: BTreeSet<NodeId> = listed.filter(|id| self.serves(*id)).collect();
+        for id in &serving {
+            self.set_readiness(*id, Readiness::Draining, now);
+        }
+        serving
+    }
+
+    /// Removes what a full list leaves out. Returns those that were listed until now.
+    fn remove_absent(&mut self, listed: &BTreeSet<NodeId>, now: Micros) -> BTreeSet<NodeId> {
+        let before = self.iter().filter(|(_, endpoint)| endpoint.readiness() != Readiness::Removed);
+        let absent: BTreeSet<NodeId> = before.map(|(id, _)| id).filter(|id| !listed.contains(id)).collect();
+        for id in &absent {
+            self.set_readiness(*id, Readiness::Removed, now);
+        }
+        absent
+    }
+
+    fn apply_entry(
+        &mut self,
+        mut entry: EndpointEntry,
+        max_endpoints: usize,
+        applied: &mut AppliedUpdate,
+        now: Micros,
+    ) -> Option<()> {
+        let known = self.id_of(&entry.name);
+        let address = self.address_of(&mut entry, known)?;
+        let id = match known {
+            Some(id) => id,
+            None => self.insert_listed(&entry, &address, max_endpoints)?,
+        };
+        let endpoint = self.get_mut(id)?;
+        let before = (endpoint.readiness(), endpoint.incarnation);
+        if entry.incarnation > endpoint.incarnation {
+            // Fixed at the first report of this start, by the list or by the node: a staler age that comes later
+            // must not make it look like another.
+            endpoint.incarnation = entry.incarnation;
+            endpoint.started_at = entry.started_at;
+        }
+        let is_moved = endpoint.address != address;
+        // A full list states mostly what is known.
+        let is_changed = is_moved || before != (entry.readiness, endpoint.incarnation);
+        endpoint.shard = entry.shard;
+        endpoint.zone = entry.zone;
+        endpoint.size = entry.size;
+        endpoint.address = address;
+        self.set_readiness(id, entry.readiness, now);
+        if is_changed {
+            let (node, state) = (&entry.name, entry.readiness);
+            debug!(%node, ?state, shard = entry.shard, address = entry.address, "endpoint changed");
+        }
+        if is_moved {
+            applied.moved.push(id);
+        }
+        // The service time is handed on with its entry and not stored: it holds for that start of the node alone.
+        let stored = self.get(id)?.entry(id);
+        applied.entries.push(NodeEntry { service_time: entry.service_time, ..stored });
+        Some(())
+    }
+
+    /// Where an entry says that its node listens. A known endpoint whose address can't be read stays at the one it had
+    /// and takes no new requests there; the rest of the entry holds all the same.
+    fn address_of(&self, entry: &mut EndpointEntry, known: Option<NodeId>) -> Option<Address> {
+        let cause = match entry.address.parse() {
+            Ok(address) => return Some(address),
+            Err(cause) => cause,
+        };
+        let Some(known) = known.and_then(|id| self.get(id)) else {
+            warn!(node = %entry.name, %cause, "endpoint is ignored");
+            return None;
+        };
+        if entry.readiness == Readiness::Serving {
+            warn!(node = %entry.name, %cause, "endpoint is draining: its address can't be read");
+            entry.readiness = Readiness::Draining;
+        }
+        Some(known.address.clone())
+    }
+
+    fn insert_listed(
+        &mut self,
+        entry: &EndpointEntry,
+        address: &Address,
+        max_endpoints: usize,
+    ) -> Option<NodeId> {
+        if self.len() >= max_endpoints {
+            // Parsed by the measurement of list lags.
+            warn!(node = %entry.name, bound = max_endpoints, "a listed node beyond the bound is left out");
+            return None;
+        }
+        Some(self.insert(entry.name.clone(), address.clone()))
+    }
+}
--- a/crates/flaxstand-gateway/src/core/node_table.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_table/mod.rs
@@ -1,6 +1,8 @@
-//! The nodes that the list tells or lately told, by id and by name. What is asked of all of them (does any
-//! serve, which are long gone) is kept up at each change, so that no caller has to walk them for it; what is
-//! looked at is counted, so that tests can hold callers to that.
+//! The endpoints that are listed or lately were, by id and by name. What is asked of all of them (does any serve, which
+//! were removed long ago) is maintained at each change, so that no caller has to walk them for it; visits are counted,
+//! so that tests can hold callers to that. [`apply`]: how an update of the list changes the table.
+
+mod apply;
 
 use crate::machine::{Address, ConnId, Micros};
 use flaxstand::api::{AttemptNo, NodeEntry, NodeId, Readiness, RequestId, ShardId, ZoneId};
@@ -8,41 +10,41 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What a list calls a node.
+/// What the list calls an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum NodeName {
+pub(super) enum EndpointName {
     Number(u64),
     Uid(String),
 }
 
-impl fmt::Display for NodeName {
+impl fmt::Display for EndpointName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NodeName::Number(number) => write!(f, "{number}"),
-            NodeName::Uid(uid) => f.write_str(uid),
+            EndpointName::Number(number) => write!(f, "{number}"),
+            EndpointName::Uid(uid) => f.write_str(uid),
         }
     }
 }
 
-/// A node that is listed, or lately was.
+/// A storage node that is listed or lately was, and what is in use of it here.
 #[derive(Debug)]
-pub(super) struct NodePeer {
+pub(super) struct Endpoint {
     /// Its name in the list.
-    pub(super) name: NodeName,
+    pub(super) name: EndpointName,
     pub(super) incarnation: u64,
-    /// Milliseconds on our clock; fixed for an incarnation from when it was first heard of.
+    /// Milliseconds on our clock; fixed for an incarnation from its first report.
     pub(super) started_at: Option<f64>,
     readiness: Readiness,
     pub(super) shard: u32,
     pub(super) zone: u32,
-    /// Hundredths; 0: not told.
+    /// Its size against others', hundredths; 0: not stated.
     pub(super) size: u32,
     pub(super) address: Address,
     pub(super) conn: Option<ConnId>,
     /// Pooled connections that wait for a request, the longest idle first.
     pub(super) idle: Vec<ConnId>,
-    /// When the list took it out.
-    gone_at: Micros,
+    /// When the list removed it.
+    removed_at: Micros,
     /// Attempts that wait for the connection, in the order of sending.
     pub(super) waiting: Vec<(RequestId, AttemptNo)>,
     /// Attempts without an end, those that wait included.
@@ -54,9 +56,9 @@
     pub(super) idle_since: Micros,
 }
 
-impl NodePeer {
-    fn new(name: NodeName, address: Address) -> Self {
-        NodePeer {
+impl Endpoint {
+    fn new(name: EndpointName, address: Address) -> Self {
+        Endpoint {
             name,
             incarnation: 0,
             started_at: None,
@@ -67,7 +69,7 @@
             address,
             conn: None,
             idle: Vec::new(),
-            gone_at: Micros(0),
+            removed_at: Micros(0),
             waiting: Vec::new(),
             out: BTreeSet::new(),
             probe: None,
@@ -76,12 +78,12 @@
         }
     }
 
-    /// What the list says of it.
+    /// Whether it takes requests, by the list.
     pub(super) fn readiness(&self) -> Readiness {
         self.readiness
     }
 
-    /// What the module is told of it.
+    /// Its entry for the decision module.
     pub(super) fn entry(&self, node: NodeId) -> NodeEntry {
         NodeEntry {
             node,
@@ -95,67 +97,67 @@
     }
 }
 
-/// All nodes that are listed, or lately were.
+/// All endpoints that are listed or lately were.
 #[derive(Debug, Default)]
-pub(super) struct NodeTable {
-    nodes: BTreeMap<NodeId, NodePeer>,
-    ids: BTreeMap<NodeName, NodeId>,
+pub(super) struct EndpointTable {
+    nodes: BTreeMap<NodeId, Endpoint>,
+    ids: BTreeMap<EndpointName, NodeId>,
     next_id: u32,
     serving: usize,
-    /// Nodes that are not listed any more, by when the list took them out.
-    gone: BTreeSet<(Micros, NodeId)>,
+    /// Endpoints that are no longer listed, by when the list removed them.
+    removed: BTreeSet<(Micros, NodeId)>,
     visited: Cell<u64>,
 }
 
-impl NodeTable {
-    /// A node.
-    pub(super) fn get(&self, id: NodeId) -> Option<&NodePeer> {
+impl EndpointTable {
+    /// An endpoint.
+    pub(super) fn get(&self, id: NodeId) -> Option<&Endpoint> {
         self.visit();
         self.nodes.get(&id)
     }
 
-    /// The same, to change it.
-    pub(super) fn get_mut(&mut self, id: NodeId) -> Option<&mut NodePeer> {
+    /// An endpoint, to change it.
+    pub(super) fn get_mut(&mut self, id: NodeId) -> Option<&mut Endpoint> {
         self.visit();
         self.nodes.get_mut(&id)
     }
 
-    /// The node of this name.
-    pub(super) fn id_of(&self, name: &NodeName) -> Option<NodeId> {
+    /// The id of the endpoint of this name.
+    pub(super) fn id_of(&self, name: &EndpointName) -> Option<NodeId> {
         self.ids.get(name).copied()
     }
 
-    /// A node that is new. It is gone until [`NodeTable::set_readiness`] says otherwise.
-    pub(super) fn insert(&mut self, name: NodeName, address: Address) -> NodeId {
+    /// Adds an endpoint. It counts as removed until [`EndpointTable::set_readiness`] says otherwise.
+    pub(super) fn insert(&mut self, name: EndpointName, address: Address) -> NodeId {
         let id = NodeId(self.next_id);
         self.next_id += 1;
         self.ids.insert(name.clone(), id);
-        let node = NodePeer::new(name, address);
-        self.gone.insert((node.gone_at, id));
+        let node = Endpoint::new(name, address);
+        self.removed.insert((node.removed_at, id));
         self.nodes.insert(id, node);
         id
     }
 
-    /// Forgets a node.
-    pub(super) fn remove(&mut self, id: NodeId) -> Option<NodePeer> {
+    /// Forgets an endpoint.
+    pub(super) fn remove(&mut self, id: NodeId) -> Option<Endpoint> {
         self.set_readiness(id, Readiness::Removed, Micros(0));
         let node = self.nodes.remove(&id)?;
-        self.gone.remove(&(node.gone_at, id));
+        self.removed.remove(&(node.removed_at, id));
         self.ids.remove(&node.name);
         Some(node)
     }
 
-    /// What the list says of a node from now on.
+    /// The list states another readiness of an endpoint.
     pub(super) fn set_readiness(&mut self, id: NodeId, readiness: Readiness, now: Micros) {
         self.visit();
         let Some(node) = self.nodes.get_mut(&id) else { return };
         match (node.readiness == Readiness::Removed, readiness == Readiness::Removed) {
             (false, true) => {
-                node.gone_at = now;
-                self.gone.insert((now, id));
+                node.removed_at = now;
+                self.removed.insert((now, id));
             }
             (true, false) => {
-                self.gone.remove(&(node.gone_at, id));
+                self.removed.remove(&(node.removed_at, id));
             }
             _ => {}
         }
@@ -164,41 +166,41 @@
         node.readiness = readiness;
     }
 
-    /// Whether a node serves.
+    /// Whether an endpoint takes new requests.
     pub(super) fn serves(&self, id: NodeId) -> bool {
         self.get(id).is_some_and(|node| node.readiness == Readiness::Serving)
     }
 
-    /// Whether any does.
+    /// Whether any endpoint takes new requests.
     pub(super) fn any_serves(&self) -> bool {
         self.serving > 0
     }
 
     /// How many are listed.
     pub(super) fn listed(&self) -> usize {
-        self.nodes.len() - self.gone.len()
+        self.nodes.len() - self.removed.len()
     }
 
-    /// How many are held, those lately gone included.
+    /// How many are in the table, those lately removed included.
     pub(super) fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// All of them. For what concerns the whole list; every node counts as looked at.
-    pub(super) fn iter(&self) -> impl Iterator<Item = (NodeId, &NodePeer)> {
+    /// All of them. For what concerns the whole list; every endpoint counts as visited.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (NodeId, &Endpoint)> {
         self.nodes.iter().map(|(id, node)| {
             self.visit();
             (*id, node)
         })
     }
 
-    /// Nodes that the list took out so long ago or longer, the longest gone first.
+    /// Endpoints that the list removed so long ago or longer, the earliest first.
     pub(super) fn gone_for(&self, age: Micros, now: Micros) -> Vec<NodeId> {
-        let old = |(gone_at, _): &&(Micros, NodeId)| now.since(*gone_at) >= age;
-        self.gone.iter().take_while(old).map(|(_, id)| *id).collect()
+        let old = |(removed_at, _): &&(Micros, NodeId)| now.since(*removed_at) >= age;
+        self.removed.iter().take_while(old).map(|(_, id)| *id).collect()
     }
 
-    /// How often a node was looked at since the start.
+    /// How often an endpoint was visited since the start.
     pub(super) fn visited(&self) -> u64 {
         self.visited.get()
     }
--- a/crates/flaxstand-gateway/src/core/first_byte.rs
+++ b/crates/flaxstand-gateway/src/core/first_byte.rs
@@ -70,7 +70,7 @@
     }
 
     fn log_list_trust(&self, trusted: bool) {
-        let revision = self.list.revision;
+        let revision = self.discovery.revision();
         if trusted {
             info!(revision, "the list of nodes is heard again: requests are sent");
         } else {
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -5,21 +5,22 @@
 //! - [`plumbing`]: connections, moments, commands; [`dispatch`]: what comes on a connection goes to whom
 //! - [`clients`]: who submits, and the bounds on them
 //! - [`requests`]: a request's life from its arrival to its one answer
-//! - [`node_table`]: what is listed; [`nodes`]: connections to storage nodes, attempts on them
+//! - [`endpoint_table`]: what is listed; [`nodes`]: connections to storage nodes, attempts on them
 //! - [`first_byte`]: the gate that the first byte of an attempt passes
 //! - [`storms`]: repeats told from first tries, and damped
 //! - [`agreement`]: words between initiators, and the rules that hold now
 //! - [`writeback`]: the write-back buffer's place between clients and the module
 //! - [`decider`]: the decision module, or a baseline in its place
 //! - [`figures`]: what is counted and held
-//! - [`list`]: the node list and its breaks; [`saved_list`]: its copy for the next start
+//! - [`discovery`]: the client of the discovery service, and the list cached for the next start;
+//!   [`endpoint_events`]: where its updates are applied
 //!
 //! Peers speak frames, or the platform's HTTP/1.1 ([`Wire`]). A request's life is the same for both; three
 //! places differ:
 //!
 //! - [`http_server`]: clients that ask one request at a time of a connection; [`client_places`]: who gives way
 //! - [`pool`]: connections to a node that carry one request each
-//! - [`list_calls`]: the list, told by calls that wait; [`platform_list`]: what they tell
+//! - [`discovery::platform_poll`]: the endpoint list, by calls that wait for changes
 
 mod agreement;
 mod backoff;
@@ -27,38 +28,36 @@
 mod clients;
 mod config;
 mod decider;
+mod discovery;
 mod dispatch;
+mod endpoint_events;
+mod endpoint_table;
 mod figures;
 mod first_byte;
 mod http_server;
-mod list;
-mod list_calls;
-mod node_table;
 mod nodes;
 mod pipe;
-mod platform_list;
 mod plumbing;
 mod pool;
 mod requests;
-mod saved_list;
 mod storms;
 mod writeback;
 
 pub use backoff::Backoff;
 pub use config::{Bounds, ClassInfo, Config, ConsensusConfig, Policy, Site, Timeouts, Wire, WriteBack};
+pub use discovery::{SavedList, SavedListError};
 pub use figures::{Counts, Footprint};
-pub use saved_list::{SavedList, SavedListError};
 
 use crate::machine::{Command, ConnId, Control, Machine, Micros};
 use agreement::Agreed;
 use client_places::ClientPlaces;
 use decider::{Decider, module_settings};
+use discovery::EndpointDiscovery;
+use endpoint_table::EndpointTable;
 use first_byte::ListTrust;
 use flaxstand::api::{Class, Event, RequestId, VolumeId};
 use flaxstand_overload::ConnectionRateLimiter;
 use flaxstand_proto::CloseReason;
-use list::ListPeer;
-use node_table::NodeTable;
 use plumbing::{Conn, Peer, Plumbing, Protocol, Stage, Timer};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -102,19 +101,17 @@
     requests: BTreeMap<RequestId, Held>,
     next_request: u64,
     next_probe: u64,
-    nodes: NodeTable,
+    nodes: EndpointTable,
     /// Connections to nodes that carry one request each.
     links: usize,
     /// Those of them that carry nothing, by since when.
     idle_links: BTreeSet<(Micros, ConnId)>,
     /// Ids under which clients of the platform have requests here.
     open_ids: BTreeSet<String>,
-    /// Names of zones, in the order of the module's.
-    zones: Vec<String>,
     /// Names of classes, in the order of the module's.
     class_names: Vec<String>,
     volumes: BTreeSet<VolumeId>,
-    list: ListPeer,
+    discovery: EndpointDiscovery,
     list_trust: ListTrust,
     /// Events for the module that its own actions caused, or that came since it last decided.
     events: VecDeque<Event>,
@@ -143,7 +140,7 @@
         });
         let brain_classes = settings.classes.clone();
         let decider = Decider::new(&config, settings, now);
-        let list = ListPeer::new(&config.site.waits);
+        let discovery = EndpointDiscovery::new(&config.site.waits);
         let class_names = config.site.classes.iter().map(|c| c.name.clone()).collect();
         let mut core = Core {
             rng: Pcg64Mcg::seed_from_u64(config.seed.wrapping_add(config.epoch)),
@@ -153,7 +150,7 @@
             agreed: None,
             gate,
             arrivals: ConnectionRateLimiter::new(config.bounds.arrivals, now),
-            list,
+            discovery,
             list_trust: ListTrust::default(),
             config,
             plumbing: Plumbing::default(),
@@ -162,11 +159,10 @@
             requests: BTreeMap::new(),
             next_request: 0,
             next_probe: 0,
-            nodes: NodeTable::default(),
+            nodes: EndpointTable::default(),
             links: 0,
             idle_links: BTreeSet::new(),
             open_ids: BTreeSet::new(),
-            zones: Vec::new(),
             class_names,
             volumes: BTreeSet::new(),
             events: VecDeque::new(),
@@ -178,7 +174,7 @@
             counts: Counts::default(),
         };
         if let Some(saved) = saved {
-            core.take_saved_list(saved, now)?;
+            core.apply_saved_list(saved, now)?;
         }
         if core.on_platform() {
             core.plumbing.at(now, Timer::Sweep);
@@ -210,9 +206,10 @@
         }
     }
 
-    /// Revision of the list that the service told last in this life; none: it has told none yet.
+    /// Revision of the endpoint list that the discovery service sent last since the process started; none: it has sent
+    /// none yet.
     pub fn list_revision(&self) -> Option<u64> {
-        self.list.revision.filter(|_| self.list.told)
+        self.discovery.notified_revision()
     }
 
     /// Requests held now.
@@ -263,8 +260,8 @@
             Timer::GraceEnds => self.stop_accepting(now),
             Timer::Idle(conn) => self.idle(conn, now),
             Timer::Probe(node, token) => self.probe_times_out(node, token, now),
-            Timer::DiscoveryCall => self.call_list(now),
-            Timer::ListSilence => self.list_silent(now),
+            Timer::DiscoveryCall => self.connect_discovery(now),
+            Timer::DiscoveryStalled => self.check_discovery_stalled(now),
             Timer::ListTrust => self.list_trust_due(),
             // Looked at in every turn.
             Timer::Agreement => {}
@@ -325,7 +322,7 @@
             conns.into_iter().for_each(|conn| self.hang_up(conn, CloseReason::Stopping, "stopping", now));
             // What was learnt of the nodes since the list last changed is kept for the next start.
             if self.nodes.listed() > 0 && !self.on_platform() {
-                self.save_whole(now);
+                self.save_all_endpoints(now);
             }
             self.plumbing.command(Command::Exit);
             let (buffer, repeats) = (self.buffer_status(now), self.repeats_judged());
@@ -347,7 +344,7 @@
         }
         c.stage = Stage::Open;
         match c.peer {
-            Peer::List => self.write_list_call(conn, now),
+            Peer::Discovery => self.discovery_connected(conn, now),
             _ => self.link_stands(conn, now),
         }
     }
@@ -362,7 +359,7 @@
             Protocol::Frames(inbox) => inbox,
             Protocol::HttpServer(_) => return self.http_received(conn, bytes, now),
             Protocol::HttpClient(_) => return self.link_received(conn, bytes, now),
-            Protocol::ListClient(_) => return self.list_received(conn, bytes, now),
+            Protocol::DiscoveryPoll => return self.discovery_received(conn, bytes, now),
         };
         let mut inbox = std::mem::take(inbox);
         let fed = inbox.feed(bytes, |frame| self.frame(conn, frame, now));
@@ -376,7 +373,7 @@
 
     fn finished(&mut self, conn: ConnId, now: Micros) -> bool {
         self.link_ended(conn, now);
-        self.list_ended(conn, now);
+        self.discovery_ended(conn, now);
         self.client_finished(conn)
     }
 
@@ -422,7 +419,7 @@
     }
 
     fn save_failed(&mut self, now: Micros) {
-        self.list.save.failed(now);
+        self.discovery.record_save_failure(now);
     }
 
     fn control(&mut self, control: Control, now: Micros) {
@@ -433,7 +430,7 @@
                 self.config.bounds = reloaded.bounds;
                 if self.config.list != reloaded.list {
                     self.config.list = reloaded.list;
-                    self.list_moved(now);
+                    self.discovery_moved(now);
                 }
             }
             // Only where the driver reads it: whoever started the process is gone.
@@ -452,7 +449,7 @@
         self.tell(now);
         self.watch_list_trust(now);
         if !self.on_platform() {
-            self.save_list(now);
+            self.save_endpoint_changes(now);
         }
         let woken = self.wakes.first().is_some_and(|at| *at <= now);
         // Many requests share one look at all that is held: decisions come at most once a tick.
--- a/crates/flaxstand-gateway/src/core/nodes.rs
+++ b/crates/flaxstand-gateway/src/core/nodes.rs
@@ -3,7 +3,7 @@
 
 use super::Core;
 use super::clients::Fault;
-use super::node_table::{NodeName, NodePeer};
+use super::endpoint_table::{Endpoint, EndpointName};
 use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
 use super::pool::Carried;
 use super::requests::Owner;
@@ -15,7 +15,7 @@
 use tracing::{debug, info};
 
 impl Core {
-    pub(super) fn node(&mut self, node: NodeId) -> Option<&mut NodePeer> {
+    pub(super) fn node(&mut self, node: NodeId) -> Option<&mut Endpoint> {
         self.nodes.get_mut(node)
     }
 
@@ -137,7 +137,7 @@
         }
         let idle = self.config.site.waits.idle;
         let Some(node) = self.node(at) else { return Ok(()) };
-        if w.role != Role::Node || NodeName::Number(w.id) != node.name {
+        if w.role != Role::Node || EndpointName::Number(w.id) != node.name {
             let text = format!("expected node {}, met {:?} {}", node.name, w.role, w.id);
             return Err((CloseReason::WrongPeer, text));
         }
@@ -154,7 +154,7 @@
             info!(node = %node.name, incarnation = w.epoch, "met a start that the list has not told yet");
             (node.incarnation, node.started_at) = (w.epoch, Some(now.ms()));
             let entry = node.entry(at);
-            self.list.save.learnt(at);
+            self.discovery.record_restart(at);
             self.events.push_back(Event::EndpointList(ListScope::Changes, vec![entry]));
         }
         self.plumbing.is_at(conn, Stage::Open);
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/plumbing.rs
@@ -5,7 +5,6 @@
 use super::agreement::Fellow;
 use super::clients::Client;
 use super::http_server::HttpServer;
-use super::list_calls::ListConnection;
 use super::pool::Link;
 use crate::machine::{Address, Command, ConnId, Micros};
 use flaxstand::api::{NodeId, RequestId};
@@ -18,7 +17,8 @@
 pub(super) enum Peer {
     Client(Client),
     Node(NodeId),
-    List,
+    /// The discovery service.
+    Discovery,
     /// Another initiator, or an operator, about what is agreed on.
     Fellow(Fellow),
 }
@@ -52,8 +52,8 @@
     HttpServer(HttpServer),
     /// HTTP that we ask of a node.
     HttpClient(Link),
-    /// HTTP that we ask of the list service.
-    ListClient(ListConnection),
+    /// HTTP that we ask of the discovery service; discovery has the reader.
+    DiscoveryPoll,
 }
 
 #[derive(Debug)]
@@ -83,10 +83,10 @@
     Sweep,
     /// The time is over in which a stop changes nothing yet.
     GraceEnds,
-    /// Call the list service.
+    /// Call the discovery service.
     DiscoveryCall,
-    /// Has the list service been silent for too long?
-    ListSilence,
+    /// The discovery service may have stalled.
+    DiscoveryStalled,
     /// The list held may have grown too old to act on.
     ListTrust,
     /// The agreement has something to do.
@@ -238,7 +238,7 @@
                 self.unread_bytes -= gone.outbox.len();
             }
             Protocol::HttpClient(link) => self.answer_bytes -= link.held(),
-            Protocol::Frames(_) | Protocol::ListClient(_) => {}
+            Protocol::Frames(_) | Protocol::DiscoveryPoll => {}
         }
         Some(gone)
     }
--- a/crates/flaxstand-gateway/src/core/pool.rs
+++ b/crates/flaxstand-gateway/src/core/pool.rs
@@ -3,7 +3,7 @@
 //! spoilt, or brings more than belongs to it, is not used again. Giving up an attempt closes its connection.
 
 use super::Core;
-use super::node_table::NodePeer;
+use super::endpoint_table::Endpoint;
 use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{AttemptNo, NodeId, Outcome, Readiness, RequestId};
@@ -93,7 +93,7 @@
 
     /// Sends by the newest idle connection to the node, by one that has rested if there is one, or by a new one.
     pub(super) fn carry(&mut self, at: NodeId, what: Carried, now: Micros) {
-        let Some(NodePeer { address, idle, .. }) = self.nodes.get(at) else { return };
+        let Some(Endpoint { address, idle, .. }) = self.nodes.get(at) else { return };
         let address = address.clone();
         let rested = |conn: &ConnId| match self.plumbing.get(*conn).map(|c| &c.protocol) {
             Some(Protocol::HttpClient(link)) => now.since(link.since) >= REST,
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -204,7 +204,7 @@
                         self.wakes.pop_last();
                     }
                 }
-                Action::PollList => self.subscribe(now),
+                Action::PollList => self.request_endpoint_changes(now),
             }
         }
     }
@@ -311,7 +311,7 @@
             self.answer(id, Verdict::Served, now, |id| Frame::Served { id, shard, payload });
         }
         if !self.on_platform() {
-            self.list.save.used(flight.node);
+            self.discovery.record_use(flight.node);
         }
         let outcome = Outcome::Served;
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
--- a/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
@@ -100,7 +100,7 @@
         self.hosts[host].life += 1;
         let known = self.service.revision().saturating_sub(revisions_behind).max(FIRST_REVISION);
         let mut core = Core::new(self.config(host), None, self.now).expect("there is no saved list");
-        core.take_platform_list(ListScope::Cached, &self.service.listing_at(known), self.now);
+        core.apply_platform_listing(ListScope::Cached, &self.service.listing_at(known), self.now);
         self.audit.host_starts(host, known, self.now);
         let started = &mut self.hosts[host];
         (started.core, started.wake, started.busy_until) = (Some(Box::new(core)), Some(self.now), self.now);
--- a/crates/flaxstand-gateway/tests/list_growth.rs
+++ b/crates/flaxstand-gateway/tests/list_growth.rs
@@ -74,7 +74,7 @@
     w.revision += 1;
     let targets = nodes.map(|node| target(node, state)).collect();
     let listing = Listing { rev: w.revision, all: false, targets };
-    w.core.take_platform_list(ListScope::Changes, &listing, w.now);
+    w.core.apply_platform_listing(ListScope::Changes, &listing, w.now);
     w.turn();
 }
 
--- a/crates/flaxstand-gateway/tests/platform_growth.rs
+++ b/crates/flaxstand-gateway/tests/platform_growth.rs
@@ -313,7 +313,7 @@
 fn listed_core(targets: u64, text: &str) -> Core {
     let mut core = Core::new(site_config(targets), None, ms(1_000_000)).expect("no saved list");
     let listing: Listing = serde_json::from_str(text).expect("a list");
-    core.take_platform_list(ListScope::Full, &listing, ms(1_000_000));
+    core.apply_platform_listing(ListScope::Full, &listing, ms(1_000_000));
     core
 }
 
@@ -340,9 +340,9 @@
         let (draining, up) = (told("draining"), told("up"));
         let before = (core.counts(), allocations());
         let lines = line_counter::lines_of(|| {
-            core.take_platform_list(ListScope::Changes, &draining, ms(1_000_010));
+            core.apply_platform_listing(ListScope::Changes, &draining, ms(1_000_010));
             core.settle(ms(1_000_020));
-            core.take_platform_list(ListScope::Changes, &up, ms(1_000_030));
+            core.apply_platform_listing(ListScope::Changes, &up, ms(1_000_030));
             core.settle(ms(1_000_040));
         });
         let counts = core.counts();
