--- a/tests/plain/scheduler.rs
+++ b/tests/plain/scheduler.rs
@@ -1,816 +1,937 @@
-//! Every decision of one initiator. The interface (settings, events, actions, ids) is in `src/api.rs`.
+//! A second implementation of the decisions in `src/`, kept deliberately independent: the reference of
+//! `tests/equivalence.rs`. One file, no indexes; each evaluation walks and sorts all listed nodes.
 //!
-//! Ordinary path: a new object is placed by a draw proportional to fitness, all else follows its fixed
-//! node, and held requests leave earliest due first under a per-node bound. `docs/design.md` names each
-//! exception and the condition under which it acts.
+//! It shares no code with `src/` but the interface: a fault in a shared part would be the same in both and go
+//! unseen. Change it by hand, from the rule, and never by copying from `src/`.
 
 use crate::api::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests out at one node, most (design page: q_ceil and the starting bound).
-const DEPTH_MOST: f64 = 8.0;
-/// Queue that a unit of the most worth may join, in tightest aims; what earns less joins shorter ones.
-const QUEUE_JOINED: f64 = 2.5;
-/// Aggression factor of the usage term (design page).
-const AGGRESSION: f64 = 1.05;
-/// Units sent lately that make a node one this host uses: a unit counts for about five seconds.
-const USED: f64 = 0.1;
-/// Least fitness of a node that may be drawn (design page).
-const FITNESS_FLOOR: f64 = 0.01;
-/// How far back "lately" reaches for the usage term, ms: many requests, yet shorter than a trouble.
-const LATELY: Millis = 2000.0;
-/// Wait in a node's queue that is let be, in tightest aims: waiting belongs here, where order is chosen.
-const QUEUE_SHARE: f64 = 0.06;
-/// Part of its own work by which an attempt may last longer unqueued: works differ by themselves.
-const NOISE: f64 = 0.5;
-/// What a node's bound keeps of itself when its queue was longer than that.
-const CUT: f64 = 0.75;
-/// Weight of the newest answer in running means.
-const NEWEST: f64 = 0.2;
-/// Word of a node's queue fades with this time constant, ms: a host of many hears of a node seldom, and
-/// a queue that nobody feeds is gone within a second or so.
-const WORD_FADES: Millis = 1000.0;
-/// An attempt out for so many usual lags, and the tightest aim, makes a node suspect; pauses stay below.
-const SUSPECT_LAGS: f64 = 4.0;
-/// Part of the expected lag within which a request may well be answered.
-const HOPE: f64 = 0.7;
-/// Most that one lag counts against what was expected of it.
-const MOST_STRETCH: f64 = 10.0;
-/// Lost answers seen lately from which a host looks for more: one is enough for about six seconds.
-const LOSSES: f64 = 0.05;
-/// Failures in a row after which a node gets single canaries only.
-const TRIP: u32 = 2;
-/// First and longest wait between canaries, ms; it doubles up to about the time in which a list notices.
-const CANARY: (Millis, Millis) = (50.0, 400.0);
-/// Share used of the cold rule's allowance; the rest is for handshakes and what a restarted host forgot.
-const COLD_SHARE: f64 = 0.7;
-/// Longest wait between two looks at what is held, ms.
-const LOOK: Millis = 10.0;
-/// A held request is ended this long before its client leaves, ms, beyond one look and one tick.
-const END_MARGIN: Millis = 4.0;
-/// Part of its client's time for which a request is held without an attempt.
-const HOLD: f64 = 0.5;
-/// How long a client that was given up is expected back, ms, and the part of its worth that a repeat has.
-const PATIENCE: Millis = 2000.0;
-const REPEAT: f64 = 0.3;
-/// First and longest wait before a failed call of the list is made again, ms. A call that is turned away
-/// costs the service too: calls of a whole fleet each second may keep it from answering.
-const ASK_AGAIN: (Millis, Millis) = (200.0, 1300.0);
-
-/// A sum that fades with time constant `LATELY`.
+/// The most attempts in flight at one node.
+const MAX_CONCURRENCY: f64 = 8.0;
+/// Queue that a request of the largest weight may join, in tightest latency objectives.
+const MAX_QUEUE_SHARE: f64 = 2.5;
+/// Aggression factor of the usage term.
+const USAGE_AGGRESSION: f64 = 1.05;
+/// Units sent recently that make a node one that this initiator uses.
+const IN_USE_UNITS: f64 = 0.1;
+/// The least fitness of a node that may be drawn.
+const MIN_FITNESS: f64 = 0.01;
+/// Time constant of sums of what happened recently, ms.
+const RECENT_TIME: Millis = 2000.0;
+/// Queue delay at a node that is tolerated, in tightest latency objectives.
+const TOLERATED_QUEUE_SHARE: f64 = 0.06;
+/// Share of its own service time by which an attempt may take longer unqueued.
+const SERVICE_TIME_VARIATION: f64 = 0.5;
+/// What is left of a node's concurrency limit when its queue was longer than tolerated.
+const DECREASE_FACTOR: f64 = 0.75;
+/// Weight of a new sample in running means.
+const NEW_SAMPLE_WEIGHT: f64 = 0.2;
+/// Time constant with which a reported queue delay fades, ms.
+const REPORT_FADE_TIME: Millis = 1000.0;
+/// A node is unresponsive when an attempt has been in flight for this multiple of its expected latency.
+const UNRESPONSIVE_LATENCY_FACTOR: f64 = 4.0;
+/// Share of the expected latency within which a request may well be answered.
+const OPTIMISM_FACTOR: f64 = 0.7;
+/// The most that one latency counts, as a multiple of the latency expected.
+const MAX_LATENCY_RATIO: f64 = 10.0;
+/// Recent losses of answers from which more are expected.
+const FREQUENT_LOSSES: f64 = 0.05;
+/// Consecutive failures after which a node is ejected.
+const EJECT_AFTER_FAILURES: u32 = 2;
+/// The shortest back-off between trial requests, ms.
+const MIN_TRIAL_BACKOFF: Millis = 50.0;
+/// The longest back-off between trial requests, ms.
+const MAX_TRIAL_BACKOFF: Millis = 400.0;
+/// Share used of what a warming node tolerates.
+const SLOW_START_SHARE: f64 = 0.7;
+/// The longest time between two evaluations while a request waits, ms.
+const EVALUATION_INTERVAL: Millis = 10.0;
+/// A held request is ended this long before its client leaves, ms, beyond one evaluation interval and one
+/// tick.
+const FINAL_ANSWER_MARGIN: Millis = 4.0;
+/// Share of its client's time for which a request is held without an attempt.
+const HOLD_SHARE: f64 = 0.5;
+/// A client that was not served is expected to retry within this, ms.
+const CLIENT_RETRY_TIMEOUT: Millis = 2000.0;
+/// Factor on the weight of a client's retry.
+const CLIENT_RETRY_WEIGHT: f64 = 0.3;
+/// The shortest back-off of a failed poll, ms.
+const MIN_POLL_BACKOFF: Millis = 200.0;
+/// The longest back-off of a failed poll, ms.
+const MAX_POLL_BACKOFF: Millis = 1300.0;
+
+/// A sum that decays with time constant `RECENT_TIME`.
 #[derive(Clone, Copy, Default)]
-struct Fading {
+struct DecayingSum {
     value: f64,
     at: Millis,
 }
 
-impl Fading {
+impl DecayingSum {
     fn get(&self, now: Millis) -> f64 {
-        self.value * (-(now - self.at) / LATELY).exp()
+        self.value * (-(now - self.at) / RECENT_TIME).exp()
     }
     fn add(&mut self, amount: f64, now: Millis) {
-        *self = Fading { value: self.get(now) + amount, at: now };
+        *self = DecayingSum { value: self.get(now) + amount, at: now };
     }
 }
 
 /// Mean work of a request, in units: what it counts is its size rounded up to whole units.
-fn work(units: f64) -> f64 {
+fn mean_work(units: f64) -> f64 {
     (units - 0.5).max(0.5)
 }
 
-/// The tightest aim, ms, and the most worth of a request, for its class and plan.
-fn scales(s: &Settings) -> (Millis, f64) {
-    let latency_objective = s.classes.iter().map(|c| c.latency_objective).fold(Millis::INFINITY, Millis::min);
-    let priority_factor = s.plans.iter().map(|p| p.priority_factor).fold(0.0, f64::max);
-    (latency_objective, s.classes.iter().map(|c| c.priority_weight * priority_factor).fold(0.0, f64::max))
+/// The tightest latency objective, ms, and the largest weight of a request, for its class and plan.
+fn objective_and_max_weight(settings: &Settings) -> (Millis, f64) {
+    let latency_objective =
+        settings.classes.iter().map(|c| c.latency_objective).fold(Millis::INFINITY, Millis::min);
+    let priority_factor = settings.plans.iter().map(|p| p.priority_factor).fold(0.0, f64::max);
+    (
+        latency_objective,
+        settings.classes.iter().map(|c| c.priority_weight * priority_factor).fold(0.0, f64::max),
+    )
 }
 
 fn random(rng: &mut Pcg64Mcg) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// An attempt that is out.
-struct Out {
+/// An attempt that is in flight.
+struct InFlightAttempt {
     request: RequestId,
-    attempt: AttemptNo,
-    sent: Millis,
+    number: AttemptNo,
+    sent_at: Millis,
     units: f64,
-    /// Lag that was expected, ms.
+    /// Latency that was expected, ms.
     expected: Millis,
     /// When an answer or a probe sent later came: nodes take work in turn, so it had begun by then.
-    passed: Option<Millis>,
+    overtaken_at: Option<Millis>,
 }
 
-/// One storage node: readiness, warmth, health, requests out, pace.
+/// One storage node.
 #[derive(Default)]
 struct Node {
     entry: NodeEntry,
-    out: Vec<Out>,
-    depth: f64,
-    last_cut: Millis,
-    last_sent: Millis,
-    /// When the list first named the process that runs now, or it seemed to have started.
-    told_at: Millis,
-    /// When it seemed to have started, unheard by the list, and until when that is believed.
-    seems: (Millis, Millis),
-    /// Unloaded time of a unit, ms: falls fast, rises slowly.
-    unit_time: Option<f64>,
-    /// Part of the lag that was wait in the node's queue, ms, and when that was heard.
-    queued: Millis,
-    queued_at: Millis,
-    fails: u32,
-    next_canary: Millis,
-    /// When the probe that is out was sent, and from when on another may be.
-    probe: Option<Millis>,
-    next_probe: Millis,
-    /// Units sent lately, for the usage term.
-    sent: Fading,
-    /// Sends while cold: when, units.
-    cold_sends: VecDeque<(Millis, f64)>,
+    in_flight: Vec<InFlightAttempt>,
+    concurrency_limit: f64,
+    last_decrease_at: Millis,
+    last_sent_at: Millis,
+    /// When the list first named the process that runs now, or its restart was inferred.
+    noticed_at: Millis,
+    /// A restart that the list did not tell of, and until when it is believed.
+    inferred_restart_at: Millis,
+    inferred_until: Millis,
+    /// Service time of a unit, ms: falls fast, rises slowly.
+    unit_service_time: Option<f64>,
+    /// Queue delay as last reported, ms, and when.
+    reported_queue_delay: Millis,
+    reported_at: Millis,
+    consecutive_failures: u32,
+    next_trial_at: Millis,
+    /// When the probe in flight was sent, and from when on another may be.
+    probe_sent_at: Option<Millis>,
+    next_probe_at: Millis,
+    /// Units sent recently, for the usage term.
+    recent_units: DecayingSum,
+    /// Sends within the slow-start window: when, units.
+    recent_sends: VecDeque<(Millis, f64)>,
 }
 
 impl Node {
     fn new(entry: &NodeEntry, now: Millis) -> Self {
-        let (depth, unit_time) = (DEPTH_MOST / 2.0, entry.service_time);
-        Node { entry: entry.clone(), depth, told_at: now, unit_time, ..Node::default() }
+        let (concurrency_limit, unit_service_time) = (MAX_CONCURRENCY / 2.0, entry.service_time);
+        Node {
+            entry: entry.clone(),
+            concurrency_limit,
+            noticed_at: now,
+            unit_service_time,
+            ..Node::default()
+        }
     }
 
-    /// The list speaks; a fresh start makes all that was learned of the old process void.
-    fn told(&mut self, entry: &NodeEntry, now: Millis) {
+    /// Takes an entry of the list; a new process makes all void that was learnt of the old one.
+    fn apply_entry(&mut self, entry: &NodeEntry, now: Millis) {
         if entry.started_at.is_some() && entry.started_at != self.entry.started_at {
-            let out = std::mem::take(&mut self.out);
-            *self = Node { out, depth: 1.0, ..Node::new(entry, now) };
+            let in_flight = std::mem::take(&mut self.in_flight);
+            *self = Node { in_flight, concurrency_limit: 1.0, ..Node::new(entry, now) };
         }
         self.entry = entry.clone();
     }
 
     /// Its nominal size against the mean of those listed.
-    fn relative_size(&self, usual: &Usual) -> f64 {
-        if self.entry.size > 0.0 && usual.size > 0.0 { self.entry.size / usual.size } else { 1.0 }
+    fn relative_size(&self, fleet: &FleetEstimates) -> f64 {
+        if self.entry.size > 0.0 && fleet.node_size > 0.0 { self.entry.size / fleet.node_size } else { 1.0 }
     }
 
-    /// Share of its capacity that the node surely has; 1 once warm.
-    fn warmth(&self, s: &Settings, now: Millis) -> f64 {
-        match (now < self.seems.1).then_some(self.seems.0).or(self.entry.started_at) {
-            Some(at) if now < at + s.warm_up_time => {
-                s.initial_capacity + (1.0 - s.initial_capacity) * ((now - at).max(0.0) / s.warm_up_time)
+    /// Share of its capacity that the node has at least; 1 once warm.
+    fn capacity_share(&self, settings: &Settings, now: Millis) -> f64 {
+        match (now < self.inferred_until).then_some(self.inferred_restart_at).or(self.entry.started_at) {
+            Some(at) if now < at + settings.warm_up_time => {
+                settings.initial_capacity
+                    + (1.0 - settings.initial_capacity) * ((now - at).max(0.0) / settings.warm_up_time)
             }
             _ => 1.0,
         }
     }
 
-    /// Guards the rule on cold nodes: each window, this host's part, at one core's pace of a usual node.
-    /// A request larger than the part waits as many windows as it fills parts; the first wait begins at
-    /// a `phase` of its own, or hundreds of hosts would send their first together.
-    fn cold_allows(&self, units: f64, usual: &Usual, s: &Settings, now: Millis) -> bool {
-        let warmth = self.warmth(s, now);
-        if warmth >= 1.0 || s.slow_start_window <= 0.0 {
+    /// Slow start: within each window, this initiator's share, at the pace of a usual node. A request larger
+    /// than the share waits as many windows as it fills shares, first from the initiator's phase on.
+    fn slow_start_allows(
+        &self,
+        units: f64,
+        fleet: &FleetEstimates,
+        settings: &Settings,
+        now: Millis,
+    ) -> bool {
+        let capacity_share = self.capacity_share(settings, now);
+        if capacity_share >= 1.0 || settings.slow_start_window <= 0.0 {
             return true;
         }
-        let since = self.cold_sends.iter().filter(|(at, _)| now - at < s.slow_start_window);
-        let recent: f64 = since.map(|(_, u)| work(*u)).sum();
-        let units = work(units);
-        let borne = (s.overload_multiple * warmth * s.slow_start_window / usual.unit_time)
-            .max(s.slow_start_min_units * work(1.0));
-        // What a former life of this host sent here is not known: its part grows over the first window.
-        let anew = self.entry.started_at.is_some_and(|at| at < usual.started);
-        let known = if anew { ((now - usual.started) / s.slow_start_window).min(1.0) } else { 1.0 };
-        let part = known * COLD_SHARE * borne * self.relative_size(usual) / usual.hosts;
-        let wait = s.slow_start_window * units / part;
-        recent + units <= part
-            || now >= self.last_sent + wait && now >= self.told_at + usual.phase * wait && recent == 0.0
+        let within = self.recent_sends.iter().filter(|(at, _)| now - at < settings.slow_start_window);
+        let recent: f64 = within.map(|(_, u)| mean_work(*u)).sum();
+        let units = mean_work(units);
+        let tolerated = (settings.overload_multiple * capacity_share * settings.slow_start_window
+            / fleet.unit_service_time)
+            .max(settings.slow_start_min_units * mean_work(1.0));
+        // What an earlier process of this host sent is not known: the share grows over the first window.
+        let started_before_host = self.entry.started_at.is_some_and(|at| at < fleet.started_at);
+        let known = if started_before_host {
+            ((now - fleet.started_at) / settings.slow_start_window).min(1.0)
+        } else {
+            1.0
+        };
+        let share =
+            known * SLOW_START_SHARE * tolerated * self.relative_size(fleet) / fleet.initiators_per_node;
+        let wait = settings.slow_start_window * units / share;
+        recent + units <= share
+            || now >= self.last_sent_at + wait && now >= self.noticed_at + fleet.phase * wait && recent == 0.0
     }
 
-    /// Whether an attempt not overtaken has been out far longer than usual: the node hangs, died unheard,
-    /// lost its power to something else, or an answer was lost.
-    fn silent(&self, usual: &Usual, now: Millis) -> bool {
-        let queue = self.queued.max(usual.queue);
-        self.out.iter().any(|o| now - o.sent > self.patience(queue, o, usual) && o.passed.is_none())
+    /// Whether an attempt not overtaken has been in flight far longer than usual.
+    fn is_unresponsive(&self, fleet: &FleetEstimates, now: Millis) -> bool {
+        let queue_delay = self.reported_queue_delay.max(fleet.queue_delay);
+        self.in_flight.iter().any(|o| {
+            now - o.sent_at > self.response_timeout(queue_delay, o, fleet) && o.overtaken_at.is_none()
+        })
     }
 
-    /// A silent node gets canaries, ever more rarely.
-    fn canary_due(&self, now: Millis) -> bool {
-        let oldest = self.out.iter().map(|o| o.sent).fold(now, Millis::min);
-        now - self.last_sent >= (self.last_sent - oldest).max(CANARY.1)
+    /// An unresponsive node gets trial requests, ever more rarely.
+    fn trial_is_due(&self, now: Millis) -> bool {
+        let oldest = self.in_flight.iter().map(|o| o.sent_at).fold(now, Millis::min);
+        now - self.last_sent_at >= (self.last_sent_at - oldest).max(MAX_TRIAL_BACKOFF)
     }
 
-    /// How long an attempt may be out behind such a queue before more is wrong than the queue.
-    fn patience(&self, queue: Millis, out: &Out, usual: &Usual) -> Millis {
-        (SUSPECT_LAGS * (self.own(out, usual) + queue)).max(usual.latency_objective)
+    /// How long an attempt may be in flight behind such a queue before more is wrong than the queue.
+    fn response_timeout(
+        &self,
+        queue_delay: Millis,
+        attempt: &InFlightAttempt,
+        fleet: &FleetEstimates,
+    ) -> Millis {
+        (UNRESPONSIVE_LATENCY_FACTOR * (self.max_service_time(attempt, fleet) + queue_delay))
+            .max(fleet.latency_objective)
     }
 
-    /// Something sent at `sent` was answered: what was sent before and is still out was overtaken.
-    fn pass(&mut self, sent: Millis, now: Millis) {
-        let older = self.out.iter_mut().filter(|o| o.sent < sent && o.passed.is_none());
-        older.for_each(|o| o.passed = Some(now));
+    /// Something sent at `sent_at` was answered: what was sent before and is in flight was overtaken.
+    fn mark_overtaken(&mut self, sent_at: Millis, now: Millis) {
+        let older = self.in_flight.iter_mut().filter(|o| o.sent_at < sent_at && o.overtaken_at.is_none());
+        older.for_each(|o| o.overtaken_at = Some(now));
     }
 
-    /// Whether an attempt was overtaken so long ago that its own work should be done: its answer is lost.
-    fn lost(&self, out: &Out, usual: &Usual, now: Millis) -> bool {
-        out.passed.is_some_and(|at| now - at > self.own(out, usual))
+    /// Whether an attempt was overtaken so long ago that it should have been served: its answer is lost.
+    fn is_presumed_lost(&self, attempt: &InFlightAttempt, fleet: &FleetEstimates, now: Millis) -> bool {
+        attempt.overtaken_at.is_some_and(|at| now - at > self.max_service_time(attempt, fleet))
     }
 
-    /// Whether a probe would tell a lost answer from a queue: one attempt is out for longer than it should.
-    fn probe_due(&self, usual: &Usual, now: Millis) -> bool {
-        let heard = self.heard(usual, now);
-        let overdue = |o: &Out| o.passed.is_none() && now - o.sent > self.own(o, usual) + heard;
+    /// Whether a probe would tell a lost answer from a queue: an attempt is overdue.
+    fn probe_is_due(&self, fleet: &FleetEstimates, now: Millis) -> bool {
+        let estimate = self.estimated_queue_delay(fleet, now);
+        let is_overdue = |o: &InFlightAttempt| {
+            o.overtaken_at.is_none() && now - o.sent_at > self.max_service_time(o, fleet) + estimate
+        };
         let serves = self.entry.readiness == Readiness::Serving;
-        serves && self.probe.is_none() && now >= self.next_probe && self.out.iter().any(overdue)
+        serves
+            && self.probe_sent_at.is_none()
+            && now >= self.next_probe_at
+            && self.in_flight.iter().any(is_overdue)
     }
 
-    fn suspect(&self, usual: &Usual, now: Millis) -> bool {
-        self.fails >= TRIP || self.silent(usual, now)
+    fn is_outlier(&self, fleet: &FleetEstimates, now: Millis) -> bool {
+        self.consecutive_failures >= EJECT_AFTER_FAILURES || self.is_unresponsive(fleet, now)
     }
 
-    /// Depth bound and health: room for one more attempt. What is lost keeps no place.
-    fn room(&self, usual: &Usual, now: Millis) -> bool {
-        if self.fails >= TRIP {
-            return self.out.is_empty() && now >= self.next_canary;
+    /// Concurrency limit and health: whether one more attempt may be sent. One presumed lost takes no room.
+    fn has_capacity(&self, fleet: &FleetEstimates, now: Millis) -> bool {
+        if self.consecutive_failures >= EJECT_AFTER_FAILURES {
+            return self.in_flight.is_empty() && now >= self.next_trial_at;
         }
-        let out = self.out.iter().filter(|o| !self.lost(o, usual, now)).count();
-        (out as f64) < self.depth.floor() && (!self.silent(usual, now) || self.canary_due(now))
+        let waited_for = self.in_flight.iter().filter(|o| !self.is_presumed_lost(o, fleet, now)).count();
+        (waited_for as f64) < self.concurrency_limit.floor()
+            && (!self.is_unresponsive(fleet, now) || self.trial_is_due(now))
     }
 
-    /// Wait in the node's queue, ms, as last heard: old word fades to what is heard of all nodes.
-    fn heard(&self, usual: &Usual, now: Millis) -> Millis {
-        usual.queue + (self.queued - usual.queue) * self.fresh(now)
+    /// Queue delay, ms, as last reported: an old report fades to that of a usual node.
+    fn estimated_queue_delay(&self, fleet: &FleetEstimates, now: Millis) -> Millis {
+        fleet.queue_delay + (self.reported_queue_delay - fleet.queue_delay) * self.freshness_weight(now)
     }
 
-    /// Wait in the node's queue, ms, as last heard and as the attempts that are out show it. Guards against
-    /// queues that others make: old word fades to what is heard of all nodes. An attempt out far longer
-    /// than that shows a sick node or a lost answer, no queue.
-    fn queue(&self, usual: &Usual, now: Millis) -> Millis {
-        let queued = |o: &&Out| now - o.sent < SUSPECT_LAGS * (self.own(o, usual) + usual.queue);
-        let heard = self.heard(usual, now);
-        self.out.iter().filter(queued).map(|o| self.shown_by(o, usual, now)).fold(heard, f64::max)
+    /// Queue delay, ms, as last reported and as the attempts in flight imply it. An attempt in flight far
+    /// longer than that shows an unhealthy node or a lost answer, no queue.
+    fn queue_delay(&self, fleet: &FleetEstimates, now: Millis) -> Millis {
+        let may_be_queued = |o: &&InFlightAttempt| {
+            now - o.sent_at
+                < UNRESPONSIVE_LATENCY_FACTOR * (self.max_service_time(o, fleet) + fleet.queue_delay)
+        };
+        let estimate = self.estimated_queue_delay(fleet, now);
+        self.in_flight
+            .iter()
+            .filter(may_be_queued)
+            .map(|o| self.implied_queue_delay(o, fleet, now))
+            .fold(estimate, f64::max)
     }
 
-    /// Word of the queue from the last attempt sent, if it was sent lately and says anything yet. One word
-    /// a node: what long stays out without an answer must not outvote what was answered, nor does it count
-    /// once it is out for far longer than the queue that was heard here.
-    fn word(&self, usual: &Usual, now: Millis) -> Option<Millis> {
-        let lately = now - self.last_sent < 2.0 * LATELY;
-        let Some(last) = self.out.iter().find(|o| o.sent == self.last_sent) else {
-            return lately.then_some(self.queued);
+    /// Queue delay that the attempt sent last implies, if it was sent recently and tells anything yet. One
+    /// report a node, and none of an attempt that has been in flight for far longer than the queue reported
+    /// here.
+    fn reported_queue_delay(&self, fleet: &FleetEstimates, now: Millis) -> Option<Millis> {
+        let was_sent_to = now - self.last_sent_at < 2.0 * RECENT_TIME;
+        let Some(last) = self.in_flight.iter().find(|o| o.sent_at == self.last_sent_at) else {
+            return was_sent_to.then_some(self.reported_queue_delay);
         };
-        let word = self.shown_by(last, usual, now);
-        let says = now - last.sent < self.patience(self.queued, last, usual);
-        (lately && word > 0.0 && says).then_some(word)
+        let implied = self.implied_queue_delay(last, fleet, now);
+        let is_within_bounds =
+            now - last.sent_at < self.response_timeout(self.reported_queue_delay, last, fleet);
+        (was_sent_to && implied > 0.0 && is_within_bounds).then_some(implied)
     }
 
-    /// How much the last word of the queue still says.
-    fn fresh(&self, now: Millis) -> f64 {
-        (-(now - self.queued_at) / WORD_FADES).exp()
+    /// How much the last report of the queue delay still counts.
+    fn freshness_weight(&self, now: Millis) -> f64 {
+        (-(now - self.reported_at) / REPORT_FADE_TIME).exp()
     }
 
-    /// Unloaded time of a unit here, ms; a usual node's as long as none was served.
-    fn service_time(&self, usual: &Usual) -> Millis {
-        self.unit_time.map_or(usual.unit_time, |t| t.max(usual.unit_time))
+    /// Service time of a unit here, ms; that of a usual node as long as none was served.
+    fn service_time(&self, fleet: &FleetEstimates) -> Millis {
+        self.unit_service_time.map_or(fleet.unit_service_time, |t| t.max(fleet.unit_service_time))
     }
 
-    /// Time that a request's own work takes here without a queue, ms.
-    fn cost(&self, units: f64, usual: &Usual) -> Millis {
-        work(units) * self.service_time(usual)
+    /// Time that a request takes here without queueing, ms.
+    fn expected_service_time(&self, units: f64, fleet: &FleetEstimates) -> Millis {
+        mean_work(units) * self.service_time(fleet)
     }
 
-    /// The most of its own work that an attempt may take without a queue.
-    fn own(&self, out: &Out, usual: &Usual) -> Millis {
-        (1.0 + NOISE) * self.cost(out.units, usual)
+    /// The longest that an attempt may take without queueing, ms.
+    fn max_service_time(&self, attempt: &InFlightAttempt, fleet: &FleetEstimates) -> Millis {
+        (1.0 + SERVICE_TIME_VARIATION) * self.expected_service_time(attempt.units, fleet)
     }
 
-    /// The wait that an attempt without an answer shows; none where one sent later was answered, since
-    /// nodes take work in turn: that one is lost or long, not queued.
-    fn shown_by(&self, out: &Out, usual: &Usual, now: Millis) -> Millis {
-        if out.passed.is_some() { 0.0 } else { now - out.sent - self.own(out, usual) }
+    /// The queue delay that an unanswered attempt implies; none once overtaken: it is lost or long, not
+    /// queued.
+    fn implied_queue_delay(&self, attempt: &InFlightAttempt, fleet: &FleetEstimates, now: Millis) -> Millis {
+        if attempt.overtaken_at.is_some() {
+            0.0
+        } else {
+            now - attempt.sent_at - self.max_service_time(attempt, fleet)
+        }
     }
 
-    /// Word of a wait in the node's queue; the older the last word, the more the new one counts.
-    fn heard_queue(&mut self, wait: Millis, now: Millis) {
-        let weight = (1.0 - self.fresh(now)).max(NEWEST);
-        self.queued += weight * (wait - self.queued);
-        self.queued_at = now;
+    /// Takes a report of the queue delay; the older the last one, the more this one counts.
+    fn record_queue_delay(&mut self, wait: Millis, now: Millis) {
+        let weight = (1.0 - self.freshness_weight(now)).max(NEW_SAMPLE_WEIGHT);
+        self.reported_queue_delay += weight * (wait - self.reported_queue_delay);
+        self.reported_at = now;
     }
 
-    fn note_sent(
+    fn record_sent(
         &mut self,
-        of: (RequestId, AttemptNo),
+        request: RequestId,
+        number: AttemptNo,
         units: f64,
-        usual: &Usual,
+        fleet: &FleetEstimates,
         slow_start_window: Millis,
         now: Millis,
     ) {
-        let (request, attempt) = of;
-        let expected = self.queue(usual, now) + self.cost(units, usual);
-        self.out.push(Out { request, attempt, sent: now, units, expected, passed: None });
-        self.sent.add(units, now);
-        self.last_sent = now;
-        self.cold_sends.push_back((now, units));
-        self.cold_sends.retain(|(at, _)| now - at < slow_start_window);
+        let expected = self.queue_delay(fleet, now) + self.expected_service_time(units, fleet);
+        self.in_flight.push(InFlightAttempt {
+            request,
+            number,
+            sent_at: now,
+            units,
+            expected,
+            overtaken_at: None,
+        });
+        self.recent_units.add(units, now);
+        self.last_sent_at = now;
+        self.recent_sends.push_back((now, units));
+        self.recent_sends.retain(|(at, _)| now - at < slow_start_window);
     }
 
-    /// A probe's lag is the wait in the queue, and what was sent before it has begun by its end.
-    fn note_probed(&mut self, outcome: Outcome, now: Millis) {
-        let Some(sent) = self.probe.take() else { return };
+    /// A probe's latency is the queue delay, and what was sent before it has begun by its end.
+    fn record_probe_end(&mut self, outcome: Outcome, now: Millis) {
+        let Some(sent_at) = self.probe_sent_at.take() else { return };
         if outcome == Outcome::Served {
-            self.pass(sent, now);
-            self.heard_queue(now - sent, now);
+            self.mark_overtaken(sent_at, now);
+            self.record_queue_delay(now - sent_at, now);
         } else {
-            self.next_probe = now + CANARY.1;
+            self.next_probe_at = now + MAX_TRIAL_BACKOFF;
         }
     }
 
-    /// Learns from an attempt's end: health from failures, pace and depth from the lag.
-    fn note_ended(&mut self, index: usize, ended: &AttemptEnd, usual: &Usual, now: Millis) {
-        let filled = self.out.len() as f64 + 1.0 > self.depth;
-        let shown = self.queue(usual, now);
-        let patience = self.patience(self.queued.max(usual.queue), &self.out[index], usual);
-        let out = self.out.swap_remove(index);
-        // Guards against pushing over what went silent and comes back cold before the list tells: all hosts
-        // hold requests for it, and their connections break at one moment.
-        if ended.outcome == Outcome::Reset && ended.latency > patience && now >= self.seems.1 {
-            (self.seems, self.told_at) = ((now, now + LATELY * (0.5 + usual.phase)), now);
+    /// Learns from an attempt's end: health from failures, service time and concurrency limit from latency.
+    fn record_attempt_end(&mut self, index: usize, ended: &AttemptEnd, fleet: &FleetEstimates, now: Millis) {
+        let limit_was_reached = self.in_flight.len() as f64 + 1.0 > self.concurrency_limit;
+        let queue_delay = self.queue_delay(fleet, now);
+        let timeout = self.response_timeout(
+            self.reported_queue_delay.max(fleet.queue_delay),
+            &self.in_flight[index],
+            fleet,
+        );
+        let attempt = self.in_flight.swap_remove(index);
+        // A node that was unresponsive may come back cold before the list tells: all initiators hold requests for
+        // it, and their connections break at one moment.
+        if ended.outcome == Outcome::Reset && ended.latency > timeout && now >= self.inferred_until {
+            self.inferred_restart_at = now;
+            self.inferred_until = now + RECENT_TIME * (0.5 + fleet.phase);
+            self.noticed_at = now;
         }
         match ended.outcome {
             Outcome::Served => {
-                self.fails = 0;
-                self.pass(out.sent, now);
-                let service_time = ended.latency / work(out.units);
-                let weight =
-                    if self.unit_time.is_none_or(|t| service_time < t) { NEWEST } else { NEWEST / 100.0 };
-                self.unit_time =
-                    Some(self.unit_time.map_or(service_time, |t| t + weight * (service_time - t)));
-                let queued = ended.latency - self.cost(out.units, usual);
-                self.heard_queue((queued - NOISE * (ended.latency - queued)).max(0.0), now);
-                if queued <= QUEUE_SHARE * usual.latency_objective + NOISE * (ended.latency - queued) {
-                    if filled {
-                        self.depth = (self.depth + 1.0 / self.depth).min(DEPTH_MOST);
+                self.consecutive_failures = 0;
+                self.mark_overtaken(attempt.sent_at, now);
+                let service_time = ended.latency / mean_work(attempt.units);
+                let weight = if self.unit_service_time.is_none_or(|t| service_time < t) {
+                    NEW_SAMPLE_WEIGHT
+                } else {
+                    NEW_SAMPLE_WEIGHT / 100.0
+                };
+                self.unit_service_time =
+                    Some(self.unit_service_time.map_or(service_time, |t| t + weight * (service_time - t)));
+                let answer_queue_delay = ended.latency - self.expected_service_time(attempt.units, fleet);
+                self.record_queue_delay(
+                    (answer_queue_delay - SERVICE_TIME_VARIATION * (ended.latency - answer_queue_delay))
+                        .max(0.0),
+                    now,
+                );
+                if answer_queue_delay
+                    <= TOLERATED_QUEUE_SHARE * fleet.latency_objective
+                        + SERVICE_TIME_VARIATION * (ended.latency - answer_queue_delay)
+                {
+                    if limit_was_reached {
+                        self.concurrency_limit =
+                            (self.concurrency_limit + 1.0 / self.concurrency_limit).min(MAX_CONCURRENCY);
                     }
-                } else if now - self.last_cut > ended.latency {
-                    self.depth = (self.depth * CUT).max(1.0);
-                    self.last_cut = now;
+                } else if now - self.last_decrease_at > ended.latency {
+                    self.concurrency_limit = (self.concurrency_limit * DECREASE_FACTOR).max(1.0);
+                    self.last_decrease_at = now;
                 }
             }
-            // Its queue holds more than any aim allows.
+            // Its queue holds more than any latency objective allows.
             Outcome::Rejected => {
-                self.depth = (self.depth * CUT).max(1.0);
-                (self.queued, self.queued_at) = (shown.max(usual.latency_objective), now);
+                self.concurrency_limit = (self.concurrency_limit * DECREASE_FACTOR).max(1.0);
+                (self.reported_queue_delay, self.reported_at) =
+                    (queue_delay.max(fleet.latency_objective), now);
             }
             Outcome::NotSent => {}
-            // An impatient client says nothing about the node's health, nor does an answer lost.
-            Outcome::TimedOut if ended.latency < patience => (self.queued, self.queued_at) = (shown, now),
-            Outcome::TimedOut | Outcome::Cancelled if out.passed.is_some() => {}
+            // A client that left early says nothing about the node's health, nor does an answer that was
+            // lost.
+            Outcome::TimedOut if ended.latency < timeout => {
+                (self.reported_queue_delay, self.reported_at) = (queue_delay, now)
+            }
+            Outcome::TimedOut | Outcome::Cancelled if attempt.overtaken_at.is_some() => {}
             _ => {
-                self.fails = (self.fails + 1).min(16);
-                let wait = CANARY.0 * f64::from(1 << self.fails.saturating_sub(TRIP).min(8));
-                self.next_canary = now + wait.min(CANARY.1);
+                self.consecutive_failures = (self.consecutive_failures + 1).min(16);
+                let wait = MIN_TRIAL_BACKOFF
+                    * f64::from(1 << self.consecutive_failures.saturating_sub(EJECT_AFTER_FAILURES).min(8));
+                self.next_trial_at = now + wait.min(MAX_TRIAL_BACKOFF);
             }
         }
     }
 }
 
-/// One volume: this host's part of its reserve and of its limit.
-struct Volume {
+/// One volume: this initiator's part of its reserve and of its limit.
+struct VolumeQuota {
     plan: PlanId,
-    volume_initiators: f64,
-    /// Reserve units that still earn full worth.
+    initiators: f64,
+    /// Units that still have full weight.
     reserve: f64,
     /// Limit units that may still be sent.
-    limit: f64,
-    filled_at: Millis,
-    /// Units sent beyond the reserve lately.
-    beyond: Fading,
+    limit_tokens: f64,
+    refilled_at: Millis,
+    /// Units sent beyond the reserve recently.
+    recent_over_reserve: DecayingSum,
 }
 
-impl Volume {
-    /// The reserve and the limit count over all hosts: an even part of each is ours. The limit's is empty
-    /// at our start, since what this host sent before a restart is unknown.
-    fn fill(&mut self, s: &Settings, now: Millis) {
-        let rate = s.plans[self.plan.0].reserve_rate / self.volume_initiators;
-        self.reserve = (self.reserve + rate * (now - self.filled_at) / 1000.0).min(rate + s.max_units);
-        self.limit = self.limit_at(s, now);
-        self.filled_at = now;
+impl VolumeQuota {
+    /// An even part of reserve and limit is this initiator's. The limit's bucket is empty at its start, since
+    /// what it sent before a restart is unknown.
+    fn refill(&mut self, settings: &Settings, now: Millis) {
+        let rate = settings.plans[self.plan.0].reserve_rate / self.initiators;
+        self.reserve =
+            (self.reserve + rate * (now - self.refilled_at) / 1000.0).min(rate + settings.max_units);
+        self.limit_tokens = self.tokens_at(settings, now);
+        self.refilled_at = now;
     }
 
-    /// Guards the rule on limits: units that this host may send at a moment from the last filling on, if it
-    /// sends none until then.
-    fn limit_at(&self, s: &Settings, at: Millis) -> f64 {
-        let plan = &s.plans[self.plan.0];
+    /// Units that the limit allows at a moment from the last refill on, if none is sent until then.
+    fn tokens_at(&self, settings: &Settings, at: Millis) -> f64 {
+        let plan = &settings.plans[self.plan.0];
         if plan.limit_rate <= 0.0 {
             return f64::INFINITY;
         }
         let filled =
-            self.limit + plan.limit_rate / self.volume_initiators * (at - self.filled_at).max(0.0) / 1000.0;
-        filled.min(plan.limit_burst / self.volume_initiators)
+            self.limit_tokens + plan.limit_rate / self.initiators * (at - self.refilled_at).max(0.0) / 1000.0;
+        filled.min(plan.limit_burst / self.initiators)
     }
 
-    /// Worth of a unit that would be `ahead` units beyond the reserve: the share's as long as the volume
-    /// takes no more than it is sized for, then falling to the least as it takes more. How much the
-    /// node's queue lets pass of that ends up as the level of the shares.
-    fn beyond_worth(&self, ahead: f64, s: &Settings, now: Millis) -> f64 {
-        let sized = s.plans[self.plan.0].base_rate * LATELY / 1000.0;
-        let part = (sized / (self.beyond.get(now) + ahead).max(sized)).min(1.0);
-        s.spare_weight + (s.shared_weight - s.spare_weight) * part
+    /// Weight of a unit that is `units_over` units beyond the reserve: that of the share as long as the
+    /// volume takes no more than it is sized for, then falling to that of spare capacity.
+    fn over_reserve_weight(&self, units_over: f64, settings: &Settings, now: Millis) -> f64 {
+        let sized_for = settings.plans[self.plan.0].base_rate * RECENT_TIME / 1000.0;
+        let within_share =
+            (sized_for / (self.recent_over_reserve.get(now) + units_over).max(sized_for)).min(1.0);
+        settings.spare_weight + (settings.shared_weight - settings.spare_weight) * within_share
     }
 }
 
-/// What is known of an attempt's effect.
+/// What is known of an attempt's execution.
 #[derive(Clone, Copy, PartialEq)]
-enum Ran {
-    Out,
-    Never,
-    Maybe,
+enum Execution {
+    InFlight,
+    NotExecuted,
+    Unknown,
 }
 
 struct Attempt {
     node: NodeId,
     shard: ShardId,
     zone: ZoneId,
-    sent: Millis,
-    ran: Ran,
+    sent_at: Millis,
+    execution: Execution,
 }
 
-/// One request: attempts, due time, what may have run.
+/// One request: attempts, due time, what may have been executed.
 struct Request {
-    a: Arrival,
-    due: Millis,
+    arrival: Arrival,
+    due_at: Millis,
     /// Until when it may be held without an attempt.
     hold_until: Millis,
     attempts: Vec<Attempt>,
-    /// Where it waits: its fixed node, or for a new object the one drawn.
+    /// Where it waits: the node of its shard, or for a new object the one drawn.
     node: Option<NodeId>,
-    over: bool,
-    streaming: bool,
-    /// It asks for an item that was given up here lately.
-    repeats: bool,
+    is_over: bool,
+    is_streaming: bool,
+    /// Its client asks again for an item that was not served here recently.
+    is_client_retry: bool,
 }
 
 impl Request {
-    fn out(&self) -> impl Iterator<Item = AttemptNo> {
+    fn in_flight(&self) -> impl Iterator<Item = AttemptNo> {
         let numbered = self.attempts.iter().enumerate();
-        numbered.filter(|(_, t)| t.ran == Ran::Out).map(|(no, _)| AttemptNo(no as u32))
+        numbered.filter(|(_, t)| t.execution == Execution::InFlight).map(|(no, _)| AttemptNo(no as u32))
     }
-    fn held(&self) -> bool {
-        !self.over && self.out().next().is_none()
+    fn is_held(&self) -> bool {
+        !self.is_over && self.in_flight().next().is_none()
     }
-    fn may_have_run(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|t| t.ran != Ran::Never)
+    fn first_possibly_executed(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|t| t.execution != Execution::NotExecuted)
     }
-    /// Until when another attempt may leave: its client waits, and a group of nodes drops repeats.
-    fn until(&self, effect: Effect, tick: Millis) -> Millis {
-        let Effect::IdempotencyKey { window, .. } = effect else { return self.a.expires_at };
-        let ends = self.may_have_run().map_or(Millis::INFINITY, |first| first.sent + window - tick);
-        ends.min(self.a.expires_at)
+    /// Until when another attempt may leave: its client waits, and nodes deduplicate.
+    fn may_be_sent_until(&self, effect: Effect, tick: Millis) -> Millis {
+        let Effect::IdempotencyKey { window, .. } = effect else { return self.arrival.expires_at };
+        let window_end =
+            self.first_possibly_executed().map_or(Millis::INFINITY, |first| first.sent_at + window - tick);
+        window_end.min(self.arrival.expires_at)
     }
-    /// Guards the rule on effects: whether another attempt at this node is harmless.
+    /// Whether another attempt at this node is harmless.
     fn effect_allows(&self, node: &Node, effect: Effect, tick: Millis, now: Millis) -> bool {
-        let Some(first) = self.may_have_run() else { return true };
+        let Some(first) = self.first_possibly_executed() else { return true };
         match effect {
             Effect::Idempotent => true,
             Effect::AtMostOnce => false,
             Effect::IdempotencyKey { group, .. } => {
-                let inside = match group {
+                let is_deduplicated = match group {
                     DeduplicationScope::All => true,
                     DeduplicationScope::Zone => first.zone == node.entry.zone,
                     DeduplicationScope::Shard => first.shard == node.entry.shard,
                 };
-                inside && now < self.until(effect, tick)
+                is_deduplicated && now < self.may_be_sent_until(effect, tick)
             }
         }
     }
-    /// Whether it may be told that trying again is harmless.
-    fn may_refuse(&self, effect: Effect) -> bool {
-        let all = matches!(
+    /// Whether its client may be told that a retry is harmless.
+    fn is_safe_for_client_to_retry(&self, effect: Effect) -> bool {
+        let is_safe_anywhere = matches!(
             effect,
             Effect::Idempotent | Effect::IdempotencyKey { group: DeduplicationScope::All, .. }
         );
-        all || self.may_have_run().is_none()
+        is_safe_anywhere || self.first_possibly_executed().is_none()
     }
 }
 
 /// Requests of one key that take turns.
 #[derive(Default)]
-struct Line {
+struct KeyQueue {
     waiting: VecDeque<RequestId>,
-    rest_until: Millis,
+    cooldown_until: Millis,
 }
 
-/// A held request as the release sees it.
-struct Waiting {
+/// A held request as the order at one node sees it.
+struct RankedRequest {
     id: RequestId,
-    due: Millis,
+    due_at: Millis,
     expires_at: Millis,
-    /// Time that it takes the node, and time from its sending to its answer.
-    cost: Millis,
+    /// Time that it takes the node, and time from its sending to its answer, ms.
+    expected_service_time: Millis,
     latency: Millis,
-    /// Longest queue at the node that it may join, ms: by its part of full worth, in time or late.
-    joins: Millis,
+    /// The longest queue at the node that it may join, ms.
+    max_queue_delay: Millis,
 }
 
-/// What holds of a usual node, pooled over those heard from: a host of many hears of each seldom.
-struct Usual {
-    /// The tightest aim, ms.
+/// What holds of a usual node, and of the initiators that share the nodes.
+struct FleetEstimates {
+    /// The tightest latency objective, ms.
     latency_objective: Millis,
-    /// Wait in its queue, ms.
-    queue: Millis,
-    /// Unloaded time of a unit, ms.
-    unit_time: Millis,
-    /// Answers lost lately: of what was overtaken long ago none came, or a copy's came first.
-    losses: Fading,
+    /// Delay in its queue, ms.
+    queue_delay: Millis,
+    /// Service time of a unit, ms.
+    unit_service_time: Millis,
+    /// Answers lost recently.
+    recent_losses: DecayingSum,
     /// Its nominal size: the mean of those that are ready.
-    size: f64,
-    /// By how much lags pass what was expected of them, as a part of it, a running mean: grows where nodes
-    /// are slowed unseen, and fades, or a host that refuses all would never learn better.
-    excess: Fading,
-    /// Hosts that send to it, and this host's place among them in time, 0 to 1.
-    hosts: f64,
+    node_size: f64,
+    /// Running mean of (latency / expected latency - 1); fades to none.
+    excess_latency: DecayingSum,
+    /// Initiators that send to it, and this one's place among them in time, 0 to 1.
+    initiators_per_node: f64,
     phase: f64,
-    /// When this host started.
-    started: Millis,
+    /// When this initiator started.
+    started_at: Millis,
 }
 
-impl Usual {
-    /// What an attempt's end tells of all nodes: answers get lost, lags come out longer than expected.
-    fn learn(&mut self, out: &Out, lost: bool, ended: &AttemptEnd, now: Millis) {
-        let timed_out = ended.outcome == Outcome::TimedOut;
-        if lost && ended.attempt.0 == 0 && (timed_out || ended.outcome == Outcome::Cancelled) {
-            self.losses.add(1.0, now);
+impl FleetEstimates {
+    /// What an attempt's end tells of all nodes: whether answers get lost, latency against what was expected.
+    fn record_attempt_end(
+        &mut self,
+        attempt: &InFlightAttempt,
+        presumed_lost: bool,
+        ended: &AttemptEnd,
+        now: Millis,
+    ) {
+        let has_timed_out = ended.outcome == Outcome::TimedOut;
+        if presumed_lost && ended.attempt.0 == 0 && (has_timed_out || ended.outcome == Outcome::Cancelled) {
+            self.recent_losses.add(1.0, now);
         }
-        let late = timed_out && out.passed.is_none() && self.losses.get(now) < LOSSES;
-        if late || ended.outcome == Outcome::Served {
-            let ratio = (ended.latency / out.expected.max(1.0)).min(MOST_STRETCH);
-            self.excess.add(NEWEST * (ratio - self.stretch(now)), now);
+        let was_queued =
+            has_timed_out && attempt.overtaken_at.is_none() && self.recent_losses.get(now) < FREQUENT_LOSSES;
+        if was_queued || ended.outcome == Outcome::Served {
+            let ratio = (ended.latency / attempt.expected.max(1.0)).min(MAX_LATENCY_RATIO);
+            self.excess_latency.add(NEW_SAMPLE_WEIGHT * (ratio - self.latency_ratio(now)), now);
         }
     }
-    /// Lags against what was expected of them.
-    fn stretch(&self, now: Millis) -> f64 {
-        1.0 + self.excess.get(now)
+    /// Latencies as a multiple of what was expected of them.
+    fn latency_ratio(&self, now: Millis) -> f64 {
+        1.0 + self.excess_latency.get(now)
     }
 }
 
 /// The decisions of one initiator.
 pub struct Scheduler {
-    s: Settings,
+    settings: Settings,
     rng: Pcg64Mcg,
-    usual: Usual,
+    fleet: FleetEstimates,
     nodes: BTreeMap<NodeId, Node>,
-    volumes: BTreeMap<VolumeId, Volume>,
+    volumes: BTreeMap<VolumeId, VolumeQuota>,
     requests: BTreeMap<RequestId, Request>,
-    lines: BTreeMap<Key, Line>,
-    /// Items whose request was given up, by when its client left: whoever asks again repeats.
-    given_up: BTreeMap<(VolumeId, Key), Millis>,
-    /// For the budget: when requests were taken, and when attempts beyond a first were sent.
-    taken: VecDeque<Millis>,
-    further: VecDeque<(Millis, RequestId, AttemptNo)>,
-    /// Most worth of a request, for its class and plan.
+    key_queues: BTreeMap<Key, KeyQueue>,
+    /// Items whose request was not served, by when its client left.
+    unserved_items: BTreeMap<(VolumeId, Key), Millis>,
+    /// For the retry budget: when requests arrived, and when retries were sent.
+    arrivals: VecDeque<Millis>,
+    retries: VecDeque<(Millis, RequestId, AttemptNo)>,
+    /// The largest weight of a request, for its class and plan.
     max_priority_weight: f64,
-    wake_at: Option<Millis>,
-    ask_at: Option<Millis>,
-    asks_failed: u32,
+    timer_due_at: Option<Millis>,
+    next_poll_at: Option<Millis>,
+    failed_polls: u32,
 }
 
 impl Scheduler {
-    /// A brain that has just started and knows nothing.
+    /// A scheduler that has just started and knows nothing.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
-        let (latency_objective, max_priority_weight) = scales(&settings);
-        let (nodes, volumes, requests, lines, given_up, taken, further) = Default::default();
+        let (latency_objective, max_priority_weight) = objective_and_max_weight(&settings);
+        let (nodes, volumes, requests, key_queues, unserved_items, arrivals, retries) = Default::default();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let unit_time = latency_objective / settings.mean_units.max(1.0) / 4.0;
-        let (hosts, phase) = (f64::from(settings.initiators), random(&mut rng));
-        let (losses, excess) = Default::default();
-        let (queue, size, started) = (0.0, 0.0, now);
-        let usual =
-            Usual { latency_objective, queue, unit_time, losses, size, excess, hosts, phase, started };
+        let unit_service_time = latency_objective / settings.mean_units.max(1.0) / 4.0;
+        let (initiators_per_node, phase) = (f64::from(settings.initiators), random(&mut rng));
+        let (recent_losses, excess_latency) = Default::default();
+        let (queue_delay, node_size, started_at) = (0.0, 0.0, now);
+        let fleet = FleetEstimates {
+            latency_objective,
+            queue_delay,
+            unit_service_time,
+            recent_losses,
+            node_size,
+            excess_latency,
+            initiators_per_node,
+            phase,
+            started_at,
+        };
         Scheduler {
             rng,
-            usual,
+            fleet,
             nodes,
             volumes,
             requests,
-            lines,
-            given_up,
-            taken,
-            further,
+            key_queues,
+            unserved_items,
+            arrivals,
+            retries,
             max_priority_weight,
-            wake_at: None,
-            ask_at: settings.polls_list.then_some(now),
-            asks_failed: 0,
-            s: settings,
+            timer_due_at: None,
+            next_poll_at: settings.polls_list.then_some(now),
+            failed_polls: 0,
+            settings,
         }
     }
 
     /// Takes one event; what is to be done is added to `actions`.
     pub fn handle(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList(scope, entries) => self.listed(scope, &entries, now),
+            Event::EndpointList(scope, entries) => self.apply_endpoint_list(scope, &entries, now),
             // It knows no terms of the list: equal decisions are asked for where none are stated.
             Event::DiscoveryCall(_) => {}
-            Event::RequestArrived(arrival) => self.arrived(arrival, now),
+            Event::RequestArrived(arrival) => self.take_request(arrival, now),
             Event::ResponseStarted(id) => {
-                self.requests.entry(id).and_modify(|r| r.streaming = true);
+                self.requests.entry(id).and_modify(|request| request.is_streaming = true);
             }
-            Event::AttemptEnded(ended) => self.ended(&ended, now, actions),
+            Event::AttemptEnded(ended) => self.handle_attempt_end(&ended, now, actions),
             Event::ProbeEnded(id, outcome) => {
-                self.nodes.entry(id).and_modify(|n| n.note_probed(outcome, now));
+                self.nodes.entry(id).and_modify(|n| n.record_probe_end(outcome, now));
             }
-            Event::ClientGone(id) => self.over(id),
-            Event::SettingsChanged(s) => {
-                (self.usual.latency_objective, self.max_priority_weight) = scales(&s);
-                self.s = *s;
+            Event::ClientGone(id) => self.end_request(id),
+            Event::SettingsChanged(settings) => {
+                (self.fleet.latency_objective, self.max_priority_weight) =
+                    objective_and_max_weight(&settings);
+                self.settings = *settings;
             }
-            Event::Evaluate => self.decide(now, actions),
+            Event::Evaluate => self.evaluate(now, actions),
         }
     }
 
-    /// What was learnt of a node's pace, for a later life: unloaded time of a unit, ms.
+    /// Service time of a unit that was learnt at a node, ms.
     pub fn service_time_of(&self, node: NodeId) -> Option<Millis> {
-        self.nodes.get(&node)?.unit_time
+        self.nodes.get(&node)?.unit_service_time
     }
 
-    fn listed(&mut self, scope: ListScope, entries: &[NodeEntry], now: Millis) {
+    fn apply_endpoint_list(&mut self, scope: ListScope, entries: &[NodeEntry], now: Millis) {
         if scope == ListScope::Failed {
-            let wait = (ASK_AGAIN.0 * f64::from(1 << self.asks_failed.min(5))).min(ASK_AGAIN.1);
-            self.asks_failed += 1;
-            self.ask_at = Some(now + wait * (0.5 + 0.5 * random(&mut self.rng)));
+            let wait = (MIN_POLL_BACKOFF * f64::from(1 << self.failed_polls.min(5))).min(MAX_POLL_BACKOFF);
+            self.failed_polls += 1;
+            self.next_poll_at = Some(now + wait * (0.5 + 0.5 * random(&mut self.rng)));
             return;
         }
-        self.asks_failed = 0;
+        self.failed_polls = 0;
         if scope != ListScope::Changes {
             self.nodes.values_mut().for_each(|n| n.entry.readiness = Readiness::Removed);
         }
         for entry in entries {
-            self.nodes.entry(entry.node).or_insert_with(|| Node::new(entry, now)).told(entry, now);
+            self.nodes.entry(entry.node).or_insert_with(|| Node::new(entry, now)).apply_entry(entry, now);
         }
-        self.nodes.retain(|_, n| n.entry.readiness != Readiness::Removed || !n.out.is_empty());
+        self.nodes.retain(|_, n| n.entry.readiness != Readiness::Removed || !n.in_flight.is_empty());
     }
 
-    fn arrived(&mut self, a: Arrival, now: Millis) {
-        self.taken.push_back(now);
-        let class = &self.s.classes[a.class.0];
-        let stretch = class.objective_stretch * a.units * self.usual.unit_time;
-        // A client that leaves before the aim has passed must be answered before it leaves.
-        let due = (now + (class.latency_objective + stretch).min(class.deadline)).min(a.expires_at);
-        if let (true, Some(key)) = (class.in_order, a.key) {
-            self.lines.entry(key).or_default().waiting.push_back(a.id);
+    fn take_request(&mut self, arrival: Arrival, now: Millis) {
+        self.arrivals.push_back(now);
+        let class = &self.settings.classes[arrival.class.0];
+        let stretch = class.objective_stretch * arrival.units * self.fleet.unit_service_time;
+        // A client that leaves before the objective has passed must be answered before it leaves.
+        let due_at = (now + (class.latency_objective + stretch).min(class.deadline)).min(arrival.expires_at);
+        if let (true, Some(key)) = (class.in_order, arrival.key) {
+            self.key_queues.entry(key).or_default().waiting.push_back(arrival.id);
         }
-        let (plan, reserve, filled_at) = (a.plan, self.s.max_units, self.usual.started);
-        let new = || Volume {
+        let (plan, reserve, refilled_at) = (arrival.plan, self.settings.max_units, self.fleet.started_at);
+        let new = || VolumeQuota {
             plan,
-            volume_initiators: 1.0,
+            initiators: 1.0,
             reserve,
-            limit: 0.0,
-            filled_at,
-            beyond: Fading::default(),
+            limit_tokens: 0.0,
+            refilled_at,
+            recent_over_reserve: DecayingSum::default(),
         };
-        let volume = self.volumes.entry(a.volume).or_insert_with(new);
-        volume.volume_initiators = volume.volume_initiators.max(f64::from(a.volume_initiators));
-        let hold_until = now + HOLD * (a.expires_at - now);
-        let given_up = a.key.and_then(|key| self.given_up.remove(&(a.volume, key)));
-        let repeats = given_up.is_some_and(|at| now < at + PATIENCE);
-        let (attempts, node, over, streaming) = (Vec::new(), None, false, false);
-        let r = Request { a, due, hold_until, attempts, node, over, streaming, repeats };
-        self.requests.insert(r.a.id, r);
+        let volume = self.volumes.entry(arrival.volume).or_insert_with(new);
+        volume.initiators = volume.initiators.max(f64::from(arrival.volume_initiators));
+        let hold_until = now + HOLD_SHARE * (arrival.expires_at - now);
+        let unserved_at = arrival.key.and_then(|key| self.unserved_items.remove(&(arrival.volume, key)));
+        let is_client_retry = unserved_at.is_some_and(|at| now < at + CLIENT_RETRY_TIMEOUT);
+        let (attempts, node, is_over, is_streaming) = (Vec::new(), None, false, false);
+        let request =
+            Request { arrival, due_at, hold_until, attempts, node, is_over, is_streaming, is_client_retry };
+        self.requests.insert(request.arrival.id, request);
     }
 
-    fn ended(&mut self, ended: &AttemptEnd, now: Millis, actions: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&ended.request) else { return };
-        let Some(attempt) = r.attempts.get_mut(ended.attempt.0 as usize) else { return };
-        attempt.ran = match ended.outcome {
-            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => Ran::Never,
-            _ => Ran::Maybe,
+    fn handle_attempt_end(&mut self, ended: &AttemptEnd, now: Millis, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&ended.request) else { return };
+        let Some(attempt) = request.attempts.get_mut(ended.attempt.0 as usize) else { return };
+        attempt.execution = match ended.outcome {
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => Execution::NotExecuted,
+            _ => Execution::Unknown,
         };
-        let (class, id) = (&self.s.classes[r.a.class.0], ended.request);
-        let this = |o: &Out| o.request == id && o.attempt == ended.attempt;
+        let (class, id) = (&self.settings.classes[request.arrival.class.0], ended.request);
+        let is_this_attempt = |o: &InFlightAttempt| o.request == id && o.number == ended.attempt;
         if let Some(node) = self.nodes.get_mut(&attempt.node)
-            && let Some(index) = node.out.iter().position(this)
+            && let Some(index) = node.in_flight.iter().position(is_this_attempt)
         {
-            let lost = node.lost(&node.out[index], &self.usual, now);
-            self.usual.learn(&node.out[index], lost, ended, now);
-            node.note_ended(index, ended, &self.usual, now);
+            let presumed_lost = node.is_presumed_lost(&node.in_flight[index], &self.fleet, now);
+            self.fleet.record_attempt_end(&node.in_flight[index], presumed_lost, ended, now);
+            node.record_attempt_end(index, ended, &self.fleet, now);
         }
         if ended.outcome == Outcome::NotSent {
-            self.further.retain(|(_, request, no)| (*request, *no) != (id, ended.attempt));
+            self.retries.retain(|(_, request, no)| (*request, *no) != (id, ended.attempt));
         }
-        let unsure = matches!(ended.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        if let (true, Some(key)) = (class.in_order && unsure, r.a.key) {
-            self.lines.entry(key).or_default().rest_until = now + self.s.key_cooldown;
+        let may_still_run = matches!(ended.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+        if let (true, Some(key)) = (class.in_order && may_still_run, request.arrival.key) {
+            self.key_queues.entry(key).or_default().cooldown_until = now + self.settings.key_cooldown;
         }
-        let spent = r.attempts.len() >= self.s.max_attempts as usize;
-        let (over, streaming, expired) = (r.over, r.streaming, now >= r.a.expires_at);
-        let repeat = class.effect != Effect::AtMostOnce || r.may_have_run().is_none();
+        let is_spent = request.attempts.len() >= self.settings.max_attempts as usize;
+        let (is_over, is_streaming, is_expired) =
+            (request.is_over, request.is_streaming, now >= request.arrival.expires_at);
+        let is_retryable = class.effect != Effect::AtMostOnce || request.first_possibly_executed().is_none();
         // A new object that failed is drawn again.
-        r.node = None;
-        if ended.is_final || over {
-            // What is still out of it would keep its key's turn, and a place under the bound.
-            if self.s.may_cancel && !over {
-                actions.extend(r.out().map(|attempt| Action::Cancel { request: id, attempt }));
+        request.node = None;
+        if ended.is_final || is_over {
+            // What is still in flight would keep its key's turn, and count against a concurrency limit.
+            if self.settings.may_cancel && !is_over {
+                actions.extend(request.in_flight().map(|attempt| Action::Cancel { request: id, attempt }));
             }
-            self.over(id);
-        } else if !streaming && (expired || r.held() && (spent || !repeat)) {
-            self.finish(id, expired, actions);
+            self.end_request(id);
+        } else if !is_streaming && (is_expired || request.is_held() && (is_spent || !is_retryable)) {
+            self.end_unserved(id, is_expired, actions);
         }
     }
 
-    fn over(&mut self, id: RequestId) {
-        self.requests.entry(id).and_modify(|r| r.over = true);
+    fn end_request(&mut self, id: RequestId) {
+        self.requests.entry(id).and_modify(|request| request.is_over = true);
         self.forget(id);
     }
 
-    /// Drops a request that is over once nothing of it is out; only then its key's turn passes on.
+    /// Forgets a request that is over once nothing of it is in flight; only then its key's turn passes on.
     fn forget(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get(&id) else { return };
-        if !r.over || r.out().next().is_some() {
+        let Some(request) = self.requests.get(&id) else { return };
+        if !request.is_over || request.in_flight().next().is_some() {
             return;
         }
-        if let (true, Some(key)) = (self.s.classes[r.a.class.0].in_order, r.a.key)
-            && let Some(line) = self.lines.get_mut(&key)
+        if let (true, Some(key)) =
+            (self.settings.classes[request.arrival.class.0].in_order, request.arrival.key)
+            && let Some(queue) = self.key_queues.get_mut(&key)
         {
-            line.waiting.retain(|w| *w != id);
+            queue.waiting.retain(|w| *w != id);
         }
         self.requests.remove(&id);
     }
 
-    /// The one place that gives final answers: refused where that promise holds, else failed.
-    fn finish(&mut self, id: RequestId, expired: bool, actions: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id) else { return };
-        if r.over || r.streaming {
+    /// The one place that gives final answers: rejected where a client's retry is harmless, else failed.
+    fn end_unserved(&mut self, id: RequestId, is_expired: bool, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if request.is_over || request.is_streaming {
             return;
         }
-        if let Some(key) = r.a.key {
-            self.given_up.insert((r.a.volume, key), r.a.expires_at);
+        if let Some(key) = request.arrival.key {
+            self.unserved_items.insert((request.arrival.volume, key), request.arrival.expires_at);
         }
-        if !expired && r.may_refuse(self.s.classes[r.a.class.0].effect) {
-            actions.push(Action::Reject { request: id, retry_after: self.s.max_retry_after });
+        if !is_expired
+            && request.is_safe_for_client_to_retry(self.settings.classes[request.arrival.class.0].effect)
+        {
+            actions.push(Action::Reject { request: id, retry_after: self.settings.max_retry_after });
         } else {
             actions.push(Action::Fail { request: id });
         }
-        self.over(id);
+        self.end_request(id);
     }
 
-    fn decide(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.ask_at.take_if(|at| now >= *at).is_some() {
+    fn evaluate(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        if self.next_poll_at.take_if(|at| now >= *at).is_some() {
             actions.push(Action::PollList);
         }
-        self.look_at_all(now);
-        self.volumes.values_mut().for_each(|v| v.fill(&self.s, now));
-        self.lines.retain(|_, line| !line.waiting.is_empty() || now < line.rest_until);
-        self.given_up.retain(|_, at| now < *at + PATIENCE);
-        self.expire(now, actions);
-        self.place(now);
-        self.release(now, actions);
-        if !self.requests.is_empty() || self.ask_at.is_some() {
-            let copies = self.s.max_concurrent_attempts > 1 && self.seeks_lost(now);
-            let waits = copies || self.requests.values().any(Request::held);
-            let look = now + if waits { LOOK } else { self.usual.latency_objective / 4.0 };
-            let at = look.min(self.ask_at.unwrap_or(look));
-            if self.wake_at.is_none_or(|w| w <= now || w > at) {
-                self.wake_at = Some(at);
+        self.refresh_estimates(now);
+        self.volumes.values_mut().for_each(|v| v.refill(&self.settings, now));
+        self.key_queues.retain(|_, queue| !queue.waiting.is_empty() || now < queue.cooldown_until);
+        self.unserved_items.retain(|_, at| now < *at + CLIENT_RETRY_TIMEOUT);
+        self.end_expired_requests(now, actions);
+        self.place_requests(now);
+        self.send_held_requests(now, actions);
+        if !self.requests.is_empty() || self.next_poll_at.is_some() {
+            let may_hedge = self.settings.max_concurrent_attempts > 1 && self.hedging_is_enabled(now);
+            let is_waiting = may_hedge || self.requests.values().any(Request::is_held);
+            let next =
+                now + if is_waiting { EVALUATION_INTERVAL } else { self.fleet.latency_objective / 4.0 };
+            let at = next.min(self.next_poll_at.unwrap_or(next));
+            if self.timer_due_at.is_none_or(|due_at| due_at <= now || due_at > at) {
+                self.timer_due_at = Some(at);
                 actions.push(Action::SetTimer { after: at - now });
             }
         }
     }
 
     /// Held requests get their final answer before the client leaves, one never sent while it can still ask
-    /// again; at once where by then a cold node's part or the volume's limit would still not let them go.
-    fn expire(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let margin = LOOK + self.s.tick + END_MARGIN;
-        let ending = |r: &Request| {
-            let first = r.attempts.is_empty();
-            let last = if first { r.hold_until } else { r.a.expires_at } - margin;
-            let cold = |n: &Node| !n.cold_allows(r.a.units, &self.usual, &self.s, last);
-            let full = || self.volumes[&r.a.volume].limit_at(&self.s, last) < r.a.units;
-            let never = || first && (full() || r.node.and_then(|id| self.nodes.get(&id)).is_some_and(cold));
-            r.held() && (now >= last || never())
+    /// elsewhere; at once where by then slow start or the volume's limit would still not let them go.
+    fn end_expired_requests(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        let margin = EVALUATION_INTERVAL + self.settings.tick + FINAL_ANSWER_MARGIN;
+        let is_due = |request: &Request| {
+            let is_first = request.attempts.is_empty();
+            let latest_at = if is_first { request.hold_until } else { request.arrival.expires_at } - margin;
+            let is_too_cold = |n: &Node| {
+                !n.slow_start_allows(request.arrival.units, &self.fleet, &self.settings, latest_at)
+            };
+            let is_over_limit = || {
+                self.volumes[&request.arrival.volume].tokens_at(&self.settings, latest_at)
+                    < request.arrival.units
+            };
+            let can_not_be_sent = || {
+                is_first
+                    && (is_over_limit()
+                        || request.node.and_then(|id| self.nodes.get(&id)).is_some_and(is_too_cold))
+            };
+            request.is_held() && (now >= latest_at || can_not_be_sent())
         };
-        let ids: Vec<_> = self.requests.values().filter(|r| ending(r)).map(|r| r.a.id).collect();
-        ids.into_iter().for_each(|id| self.finish(id, false, actions));
+        let ids: Vec<_> = self
+            .requests
+            .values()
+            .filter(|request| is_due(request))
+            .map(|request| request.arrival.id)
+            .collect();
+        ids.into_iter().for_each(|id| self.end_unserved(id, false, actions));
     }
 
-    /// What the nodes show together. A host that sends to a part of the nodes takes it that so large a
-    /// part of the others sends to each too: over all hosts these guesses add up. At its start it counts all.
-    fn look_at_all(&mut self, now: Millis) {
-        let mut words: Vec<Millis> = self.nodes.values().filter_map(|n| n.word(&self.usual, now)).collect();
-        words.sort_by(f64::total_cmp);
-        self.usual.queue = words.get(words.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
-        let mut known: Vec<Millis> = self.nodes.values().filter_map(|n| n.unit_time).collect();
+    /// What the nodes show together. An initiator that uses a part of the nodes takes it that as large a part
+    /// of the others uses each node; shortly after its start it counts all.
+    fn refresh_estimates(&mut self, now: Millis) {
+        let mut reports: Vec<Millis> =
+            self.nodes.values().filter_map(|n| n.reported_queue_delay(&self.fleet, now)).collect();
+        reports.sort_by(f64::total_cmp);
+        self.fleet.queue_delay = reports.get(reports.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
+        let mut known: Vec<Millis> = self.nodes.values().filter_map(|n| n.unit_service_time).collect();
         known.sort_by(f64::total_cmp);
         if let Some(middle) = known.get(known.len() / 2).copied() {
-            // A first answer that came late says little of the pace.
-            self.usual.unit_time =
+            // A first answer that came late says little of the service time.
+            self.fleet.unit_service_time =
                 known.iter().map(|t| t.min(2.0 * middle)).sum::<Millis>() / known.len() as f64;
         }
-        let ready = self.nodes.values().filter(|n| n.entry.readiness == Readiness::Serving);
-        self.usual.size =
-            ready.clone().map(|n| n.entry.size).sum::<f64>() / ready.clone().count().max(1) as f64;
-        let used = ready.clone().filter(|n| n.sent.get(now) > USED).count().max(1) as f64;
-        let share =
-            if now < self.usual.started + 2.0 * LATELY { 1.0 } else { used / ready.count().max(1) as f64 };
-        self.usual.hosts = 1.0 + share * f64::from(self.s.initiators.saturating_sub(1));
+        let serving = self.nodes.values().filter(|n| n.entry.readiness == Readiness::Serving);
+        self.fleet.node_size =
+            serving.clone().map(|n| n.entry.size).sum::<f64>() / serving.clone().count().max(1) as f64;
+        let in_use = serving.clone().filter(|n| n.recent_units.get(now) > IN_USE_UNITS).count().max(1) as f64;
+        let share = if now < self.fleet.started_at + 2.0 * RECENT_TIME {
+            1.0
+        } else {
+            in_use / serving.count().max(1) as f64
+        };
+        self.fleet.initiators_per_node = 1.0 + share * f64::from(self.settings.initiators.saturating_sub(1));
     }
 
     /// Gives every held request the node it waits for: its shard's, or one drawn by fitness.
-    fn place(&mut self, now: Millis) {
+    fn place_requests(&mut self, now: Millis) {
         let mut by_shard: BTreeMap<ShardId, NodeId> = BTreeMap::new();
         for (id, node) in self.nodes.iter().filter(|(_, n)| n.entry.readiness == Readiness::Serving) {
             let newest = by_shard.entry(node.entry.shard).or_insert(*id);
@@ -819,224 +940,289 @@
             }
         }
         let mut waiting: BTreeMap<NodeId, f64> = BTreeMap::new();
-        let mut fresh = Vec::new();
-        for (id, r) in self.requests.iter_mut().filter(|(_, r)| r.held()) {
-            let kept = r.may_have_run().filter(|_| self.s.classes[r.a.class.0].effect != Effect::Idempotent);
-            match r.a.shard.or(kept.map(|t| t.shard)) {
+        let mut new_objects = Vec::new();
+        for (id, request) in self.requests.iter_mut().filter(|(_, request)| request.is_held()) {
+            let executed = request
+                .first_possibly_executed()
+                .filter(|_| self.settings.classes[request.arrival.class.0].effect != Effect::Idempotent);
+            match request.arrival.shard.or(executed.map(|t| t.shard)) {
                 Some(shard) => {
-                    r.node = by_shard.get(&shard).copied();
-                    if let Some(node) = r.node {
+                    request.node = by_shard.get(&shard).copied();
+                    if let Some(node) = request.node {
                         *waiting.entry(node).or_default() += 1.0;
                     }
                 }
-                None => fresh.push((r.due, *id)),
+                None => new_objects.push((request.due_at, *id)),
             }
         }
-        fresh.sort_by(|x, y| x.0.total_cmp(&y.0).then(x.1.cmp(&y.1)));
-        for (_, id) in fresh {
+        new_objects.sort_by(|x, y| x.0.total_cmp(&y.0).then(x.1.cmp(&y.1)));
+        for (_, id) in new_objects {
             let Some(node) = self.draw(&waiting, now) else { break };
             *waiting.entry(node).or_default() += 1.0;
-            self.requests.entry(id).and_modify(|r| r.node = Some(node));
+            self.requests.entry(id).and_modify(|request| request.node = Some(node));
         }
     }
 
-    /// The design's draw over ready nodes; suspects only if all are, a cold node by what it surely can do.
+    /// The draw over serving nodes; outliers only if all are, a warming node by the capacity that it has.
     fn draw(&mut self, waiting: &BTreeMap<NodeId, f64>, now: Millis) -> Option<NodeId> {
-        let ready: Vec<_> =
+        let serving: Vec<_> =
             self.nodes.iter().filter(|(_, n)| n.entry.readiness == Readiness::Serving).collect();
-        let well: Vec<_> = ready.iter().filter(|(_, n)| !n.suspect(&self.usual, now)).copied().collect();
-        let allowed = if well.is_empty() { ready } else { well };
-        let total: f64 = self.nodes.values().map(|n| n.sent.get(now)).sum();
+        let healthy: Vec<_> =
+            serving.iter().filter(|(_, n)| !n.is_outlier(&self.fleet, now)).copied().collect();
+        let candidates = if healthy.is_empty() { serving } else { healthy };
+        let total: f64 = self.nodes.values().map(|n| n.recent_units.get(now)).sum();
         let fitness = |id: &NodeId, n: &Node| {
-            let size = n.relative_size(&self.usual);
-            let others = n.queue(&self.usual, now) / n.service_time(&self.usual) / self.s.mean_units.max(1.0);
-            let q = n.out.len() as f64 + waiting.get(id).copied().unwrap_or(0.0) + others;
-            let usage = if total > 0.0 { 100.0 * n.sent.get(now) / total / size } else { 0.0 };
-            (size * (1.0 - q / size / DEPTH_MOST).max(0.0) / AGGRESSION.powf(usage)).max(FITNESS_FLOOR)
+            let size = n.relative_size(&self.fleet);
+            let others = n.queue_delay(&self.fleet, now)
+                / n.service_time(&self.fleet)
+                / self.settings.mean_units.max(1.0);
+            let requests = n.in_flight.len() as f64 + waiting.get(id).copied().unwrap_or(0.0) + others;
+            let usage = if total > 0.0 { 100.0 * n.recent_units.get(now) / total / size } else { 0.0 };
+            (size * (1.0 - requests / size / MAX_CONCURRENCY).max(0.0) / USAGE_AGGRESSION.powf(usage))
+                .max(MIN_FITNESS)
         };
-        let heard: Vec<f64> =
-            allowed.iter().filter(|(_, n)| n.unit_time.is_some()).map(|(id, n)| fitness(id, n)).collect();
-        let average = heard.iter().sum::<f64>() / heard.len().max(1) as f64;
+        let measured: Vec<f64> = candidates
+            .iter()
+            .filter(|(_, n)| n.unit_service_time.is_some())
+            .map(|(id, n)| fitness(id, n))
+            .collect();
+        let average = measured.iter().sum::<f64>() / measured.len().max(1) as f64;
         let weigh = |(id, n): &(&NodeId, &Node)| {
-            let unheard = n.unit_time.is_none() && !heard.is_empty();
-            let plain = if unheard { average.min(fitness(id, n)) } else { fitness(id, n) };
-            (**id, plain * n.warmth(&self.s, now))
+            let is_unmeasured = n.unit_service_time.is_none() && !measured.is_empty();
+            let max_fitness = if is_unmeasured { average.min(fitness(id, n)) } else { fitness(id, n) };
+            (**id, max_fitness * n.capacity_share(&self.settings, now))
         };
-        let weights: Vec<(NodeId, f64)> = allowed.iter().map(weigh).collect();
+        let weights: Vec<(NodeId, f64)> = candidates.iter().map(weigh).collect();
         let mut point = random(&mut self.rng) * weights.iter().map(|(_, w)| w).sum::<f64>();
-        let passes = |(_, weight): &&(NodeId, f64)| {
+        let holds_point = |(_, weight): &&(NodeId, f64)| {
             point -= weight;
             point < 0.0
         };
-        weights.iter().find(passes).or(weights.last()).map(|(id, _)| *id)
+        weights.iter().find(holds_point).or(weights.last()).map(|(id, _)| *id)
     }
 
-    fn release(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    fn send_held_requests(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let mut held: BTreeMap<NodeId, Vec<RequestId>> = BTreeMap::new();
-        for (id, r) in self.requests.iter().filter(|(_, r)| r.held()) {
-            if let Some(node) = r.node.filter(|id| self.nodes.contains_key(id)) {
+        for (id, request) in self.requests.iter().filter(|(_, request)| request.is_held()) {
+            if let Some(node) = request.node.filter(|id| self.nodes.contains_key(id)) {
                 held.entry(node).or_default().push(*id);
             }
         }
         for (node, mut ids) in held {
-            // Nothing passes the gate without room: asked first, so that a full node costs no walk.
-            while self.nodes[&node].room(&self.usual, now) {
+            // The node's capacity is asked first, so that a full node costs no walk.
+            while self.nodes[&node].has_capacity(&self.fleet, now) {
                 ids.retain(|id| {
-                    self.requests.get(id).is_some_and(Request::held) && self.may_send(*id, node, now)
+                    self.requests.get(id).is_some_and(Request::is_held) && self.may_send(*id, node, now)
                 });
-                let Some(next) = self.choose(&ids, node, now, actions) else { break };
+                let Some(next) = self.choose_next(&ids, node, now, actions) else { break };
                 self.send(next, node, now, actions);
             }
         }
-        self.copy(now, actions);
+        self.recover_lost_attempts(now, actions);
     }
 
-    /// Whether an answer was lost lately, and what is lost may be asked for again while it is out.
-    fn seeks_lost(&self, now: Millis) -> bool {
-        (self.s.max_concurrent_attempts > 1 || self.s.may_cancel) && self.usual.losses.get(now) >= LOSSES
+    /// Whether answers were lost recently, and a request may have another attempt while one is in flight.
+    fn hedging_is_enabled(&self, now: Millis) -> bool {
+        (self.settings.max_concurrent_attempts > 1 || self.settings.may_cancel)
+            && self.fleet.recent_losses.get(now) >= FREQUENT_LOSSES
     }
 
-    /// Guards against lost answers: what is out for longer than it should be is probed for, and what the
-    /// probe or a later answer overtook is sent again, where it can still make its aim.
-    fn copy(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if !self.seeks_lost(now) {
+    /// Nodes with overdue attempts are probed, and what the probe or a later answer overtook is hedged or
+    /// cancelled where another attempt can still make the latency objective.
+    fn recover_lost_attempts(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        if !self.hedging_is_enabled(now) {
             return;
         }
         let mut lost = Vec::new();
         for (id, node) in &mut self.nodes {
-            if self.s.may_probe && self.s.max_concurrent_attempts > 1 && node.probe_due(&self.usual, now) {
-                node.probe = Some(now);
+            if self.settings.may_probe
+                && self.settings.max_concurrent_attempts > 1
+                && node.probe_is_due(&self.fleet, now)
+            {
+                node.probe_sent_at = Some(now);
                 actions.push(Action::Probe { node: *id });
             }
-            lost.extend(node.out.iter().filter(|o| node.lost(o, &self.usual, now)).map(|o| (o.request, *id)));
+            lost.extend(
+                node.in_flight
+                    .iter()
+                    .filter(|o| node.is_presumed_lost(o, &self.fleet, now))
+                    .map(|o| (o.request, *id)),
+            );
         }
         for (id, node) in lost {
-            let makes = |r: &&Request| {
-                let cost = self.nodes[&node].cost(r.a.units, &self.usual);
-                r.out().count() == 1 && !r.over && !r.streaming && now + cost <= r.due
+            let is_worth_recovering = |request: &&Request| {
+                let expected_service_time =
+                    self.nodes[&node].expected_service_time(request.arrival.units, &self.fleet);
+                request.in_flight().count() == 1
+                    && !request.is_over
+                    && !request.is_streaming
+                    && now + expected_service_time <= request.due_at
             };
-            let Some(r) = self.requests.get(&id).filter(makes) else { continue };
-            let class = &self.s.classes[r.a.class.0];
-            let again = class.effect == Effect::Idempotent && r.attempts.len() < self.s.max_attempts as usize;
-            if self.s.max_concurrent_attempts > 1 && self.may_send(id, node, now) {
+            let Some(request) = self.requests.get(&id).filter(is_worth_recovering) else { continue };
+            let class = &self.settings.classes[request.arrival.class.0];
+            let may_be_sent_again = class.effect == Effect::Idempotent
+                && request.attempts.len() < self.settings.max_attempts as usize;
+            if self.settings.max_concurrent_attempts > 1 && self.may_send(id, node, now) {
                 self.send(id, node, now, actions);
-            } else if self.s.max_concurrent_attempts < 2 && again {
-                actions.extend(r.out().map(|attempt| Action::Cancel { request: id, attempt }));
+            } else if self.settings.max_concurrent_attempts < 2 && may_be_sent_again {
+                actions.extend(request.in_flight().map(|attempt| Action::Cancel { request: id, attempt }));
             }
         }
     }
 
-    /// The gate that every send passes: drain, depth and health, cold, attempts, order, limit, effect,
-    /// budget.
+    /// The gate that every send passes.
     fn may_send(&self, id: RequestId, at: NodeId, now: Millis) -> bool {
-        let (Some(r), Some(node)) = (self.requests.get(&id), self.nodes.get(&at)) else { return false };
-        let class = &self.s.classes[r.a.class.0];
-        let first = r.attempts.is_empty();
-        let turn = match r.a.key.filter(|_| class.in_order).and_then(|k| self.lines.get(&k)) {
-            Some(line) => line.waiting.front() == Some(&id) && (!first || now >= line.rest_until),
-            None => true,
-        };
-        let volume = &self.volumes[&r.a.volume];
+        let (Some(request), Some(node)) = (self.requests.get(&id), self.nodes.get(&at)) else { return false };
+        let class = &self.settings.classes[request.arrival.class.0];
+        let is_first = request.attempts.is_empty();
+        let is_turn =
+            match request.arrival.key.filter(|_| class.in_order).and_then(|k| self.key_queues.get(&k)) {
+                Some(queue) => {
+                    queue.waiting.front() == Some(&id) && (!is_first || now >= queue.cooldown_until)
+                }
+                None => true,
+            };
+        let volume = &self.volumes[&request.arrival.volume];
         node.entry.readiness == Readiness::Serving
-            && !r.over
-            && r.out().count() < self.s.max_concurrent_attempts as usize
-            && now < r.a.expires_at
-            && node.room(&self.usual, now)
-            && node.cold_allows(r.a.units, &self.usual, &self.s, now)
-            && r.attempts.len() < self.s.max_attempts as usize
-            && turn
-            && (!first || volume.limit_at(&self.s, now) >= r.a.units)
-            && r.effect_allows(node, class.effect, self.s.tick, now)
-            && (first || self.budget_allows(now))
+            && !request.is_over
+            && request.in_flight().count() < self.settings.max_concurrent_attempts as usize
+            && now < request.arrival.expires_at
+            && node.has_capacity(&self.fleet, now)
+            && node.slow_start_allows(request.arrival.units, &self.fleet, &self.settings, now)
+            && request.attempts.len() < self.settings.max_attempts as usize
+            && is_turn
+            && (!is_first || volume.tokens_at(&self.settings, now) >= request.arrival.units)
+            && request.effect_allows(node, class.effect, self.settings.tick, now)
+            && (is_first || self.retry_budget_allows(now))
     }
 
-    fn budget_allows(&self, now: Millis) -> bool {
-        let Some(b) = self.s.retry_budget else { return true };
+    fn retry_budget_allows(&self, now: Millis) -> bool {
+        let Some(budget) = self.settings.retry_budget else { return true };
         // Counted to the safe side of the window's edge by one tick.
-        let taken = self.taken.iter().filter(|at| now - **at < b.span - self.s.tick).count() as f64;
-        let further = self.further.iter().filter(|(at, ..)| now - at <= b.span + self.s.tick).count() as f64;
-        further + 1.0 <= b.floor + b.ratio * taken
+        let arrivals =
+            self.arrivals.iter().filter(|at| now - **at < budget.span - self.settings.tick).count() as f64;
+        let retries =
+            self.retries.iter().filter(|(at, ..)| now - at <= budget.span + self.settings.tick).count()
+                as f64;
+        retries + 1.0 <= budget.floor + budget.ratio * arrivals
     }
 
-    /// Earliest due first, of what can make its aim. The exception: a request that earns less joins only
-    /// shorter queues at the node, and a late one only if nothing of this host is out there. What can no
-    /// more be answered in its client's time is refused at once.
-    fn choose(
+    /// Earliest due first, of what can make its objective. The exception: a request of less weight joins only
+    /// shorter queues, and a late one only if nothing of this initiator is in flight there. What can no more
+    /// be answered in its client's time gets its final answer.
+    fn choose_next(
         &mut self,
-        of: &[RequestId],
+        ids: &[RequestId],
         at: NodeId,
         now: Millis,
-        acts: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Option<RequestId> {
         let (timely, mut late): (Vec<_>, Vec<_>) =
-            self.rank(of, at, now).into_iter().partition(|w| now + w.latency <= w.due);
-        late.sort_by(|x, y| y.joins.total_cmp(&x.joins));
+            self.rank(ids, at, now).into_iter().partition(|request| now + request.latency <= request.due_at);
+        late.sort_by(|x, y| y.max_queue_delay.total_cmp(&x.max_queue_delay));
         let node = &self.nodes[&at];
-        let queue = node.queue(&self.usual, now);
-        let fills = |w: &&Waiting| now + w.latency <= w.expires_at && node.out.is_empty() && queue <= w.joins;
-        let next = timely.iter().find(|w| queue <= w.joins).or(late.iter().find(fills)).map(|w| w.id);
+        let queue_delay = node.queue_delay(&self.fleet, now);
+        let may_join_late = |request: &&RankedRequest| {
+            now + request.latency <= request.expires_at
+                && node.in_flight.is_empty()
+                && queue_delay <= request.max_queue_delay
+        };
+        let next = timely
+            .iter()
+            .find(|request| queue_delay <= request.max_queue_delay)
+            .or(late.iter().find(may_join_late))
+            .map(|request| request.id);
         let mut wait = 0.0;
-        for w in timely.iter().chain(&late) {
-            if now + wait + w.latency > w.expires_at {
-                self.finish(w.id, false, acts);
+        for request in timely.iter().chain(&late) {
+            if now + wait + request.latency > request.expires_at {
+                self.end_unserved(request.id, false, actions);
             } else {
-                wait += w.cost;
+                wait += request.expected_service_time;
             }
         }
         next
     }
 
-    /// Earliest due first, with the queue that each may join by its volume's tier.
-    fn rank(&self, ids: &[RequestId], at: NodeId, now: Millis) -> Vec<Waiting> {
+    /// Earliest due first, with the queue that each may join by its weight.
+    fn rank(&self, ids: &[RequestId], at: NodeId, now: Millis) -> Vec<RankedRequest> {
         let node = &self.nodes[&at];
-        let queue = node.queue(&self.usual, now);
-        let mut left: BTreeMap<VolumeId, f64> = BTreeMap::new();
-        let mut order: Vec<&Request> = ids.iter().filter_map(|id| self.requests.get(id)).collect();
-        order.sort_by(|x, y| x.due.total_cmp(&y.due).then(x.a.id.cmp(&y.a.id)));
-        let waiting = |r: &Request| {
-            let volume = &self.volumes[&r.a.volume];
-            let reserve = left.entry(r.a.volume).or_insert(volume.reserve);
-            *reserve -= r.a.units;
-            let tier = if *reserve >= 0.0 { 1.0 } else { volume.beyond_worth(-*reserve, &self.s, now) };
-            let cost = node.cost(r.a.units, &self.usual);
-            // One that came with less time than its aim has only this chance.
-            let hope = if r.due >= r.a.expires_at { HOPE } else { 1.0 };
-            let latency = hope * self.usual.stretch(now).max(HOPE) * (queue + cost);
-            let class = &self.s.classes[r.a.class.0];
-            let late = if now + latency > r.due { class.late_value } else { 1.0 };
-            let repeat = if r.repeats { REPEAT } else { 1.0 };
+        let queue_delay = node.queue_delay(&self.fleet, now);
+        let mut reserves: BTreeMap<VolumeId, f64> = BTreeMap::new();
+        let mut by_due: Vec<&Request> = ids.iter().filter_map(|id| self.requests.get(id)).collect();
+        by_due.sort_by(|x, y| x.due_at.total_cmp(&y.due_at).then(x.arrival.id.cmp(&y.arrival.id)));
+        let rank_one = |request: &Request| {
+            let volume = &self.volumes[&request.arrival.volume];
+            let reserve = reserves.entry(request.arrival.volume).or_insert(volume.reserve);
+            *reserve -= request.arrival.units;
+            let reserve_weight = if *reserve >= 0.0 {
+                1.0
+            } else {
+                volume.over_reserve_weight(-*reserve, &self.settings, now)
+            };
+            let expected_service_time = node.expected_service_time(request.arrival.units, &self.fleet);
+            // One that came with less time than its objective has only this chance.
+            let optimism = if request.due_at >= request.arrival.expires_at { OPTIMISM_FACTOR } else { 1.0 };
+            let latency = optimism
+                * self.fleet.latency_ratio(now).max(OPTIMISM_FACTOR)
+                * (queue_delay + expected_service_time);
+            let class = &self.settings.classes[request.arrival.class.0];
+            let late_value = if now + latency > request.due_at { class.late_value } else { 1.0 };
+            let retry_weight = if request.is_client_retry { CLIENT_RETRY_WEIGHT } else { 1.0 };
             let priority_weight =
-                repeat * class.priority_weight * self.s.plans[volume.plan.0].priority_factor
+                retry_weight * class.priority_weight * self.settings.plans[volume.plan.0].priority_factor
                     / self.max_priority_weight;
-            let joins =
-                (QUEUE_SHARE + QUEUE_JOINED * tier * priority_weight) * late * self.usual.latency_objective;
-            Waiting { id: r.a.id, due: r.due, expires_at: r.a.expires_at, cost, latency, joins }
+            let max_queue_delay = (TOLERATED_QUEUE_SHARE
+                + MAX_QUEUE_SHARE * reserve_weight * priority_weight)
+                * late_value
+                * self.fleet.latency_objective;
+            RankedRequest {
+                id: request.arrival.id,
+                due_at: request.due_at,
+                expires_at: request.arrival.expires_at,
+                expected_service_time,
+                latency,
+                max_queue_delay,
+            }
         };
-        order.into_iter().map(waiting).collect()
+        by_due.into_iter().map(rank_one).collect()
     }
 
     fn send(&mut self, id: RequestId, at: NodeId, now: Millis, actions: &mut Vec<Action>) {
-        let (Some(r), Some(node)) = (self.requests.get_mut(&id), self.nodes.get_mut(&at)) else {
+        let (Some(request), Some(node)) = (self.requests.get_mut(&id), self.nodes.get_mut(&at)) else {
             return;
         };
-        let attempt = AttemptNo(r.attempts.len() as u32);
+        let attempt = AttemptNo(request.attempts.len() as u32);
         if attempt.0 > 0 {
-            self.further.push_back((now, id, attempt));
-        } else if let Some(volume) = self.volumes.get_mut(&r.a.volume) {
-            volume.limit -= r.a.units;
-            if volume.reserve >= r.a.units {
-                volume.reserve -= r.a.units;
+            self.retries.push_back((now, id, attempt));
+        } else if let Some(volume) = self.volumes.get_mut(&request.arrival.volume) {
+            volume.limit_tokens -= request.arrival.units;
+            if volume.reserve >= request.arrival.units {
+                volume.reserve -= request.arrival.units;
             } else {
-                volume.beyond.add(r.a.units, now);
+                volume.recent_over_reserve.add(request.arrival.units, now);
             }
         }
-        let span = self.s.retry_budget.map_or(0.0, |b| b.span) + self.s.tick;
-        self.taken.retain(|at| now - at <= span);
-        self.further.retain(|(at, ..)| now - at <= span);
+        let span = self.settings.retry_budget.map_or(0.0, |b| b.span) + self.settings.tick;
+        self.arrivals.retain(|at| now - at <= span);
+        self.retries.retain(|(at, ..)| now - at <= span);
         let (shard, zone) = (node.entry.shard, node.entry.zone);
-        let until = r.until(self.s.classes[r.a.class.0].effect, self.s.tick);
-        r.attempts.push(Attempt { node: at, shard, zone, sent: now, ran: Ran::Out });
-        node.note_sent((id, attempt), r.a.units, &self.usual, self.s.slow_start_window, now);
+        let until = request
+            .may_be_sent_until(self.settings.classes[request.arrival.class.0].effect, self.settings.tick);
+        request.attempts.push(Attempt {
+            node: at,
+            shard,
+            zone,
+            sent_at: now,
+            execution: Execution::InFlight,
+        });
+        node.record_sent(
+            id,
+            attempt,
+            request.arrival.units,
+            &self.fleet,
+            self.settings.slow_start_window,
+            now,
+        );
         actions.push(Action::Send { request: id, node: at, until });
     }
 }
