--- a/crates/flaxstand-cli/src/daemon.rs
+++ b/crates/flaxstand-cli/src/daemon.rs
@@ -2,8 +2,8 @@
 
 use crate::Failure;
 use crate::kit::{read, told};
-use flaxstand_consensus::participant::{Participant, StoredReplica};
-use flaxstand_consensus::replicated_state::ReplicatedState;
+use flaxstand_consensus::participant::StoredReplica;
+use flaxstand_consensus::replicated_state::IndexedState;
 use flaxstand_gateway::core::Core;
 use flaxstand_gateway::driver::{Driver, Options, Reload, clock};
 use flaxstand_gateway::machine::{Control, Machine as _, Micros, Reloaded};
@@ -165,9 +165,9 @@
 
 /// What was agreed on in an earlier life. A file that makes no sense is set aside: it is learnt anew, and until then
 /// the floor of the settings holds.
-fn read_book(path: &Path) -> Result<Option<(u64, ReplicatedState)>, Failure> {
+fn read_book(path: &Path) -> Result<Option<IndexedState>, Failure> {
     match std::fs::read(path) {
-        Ok(bytes) => match Participant::read_saved(&bytes) {
+        Ok(bytes) => match IndexedState::read(&bytes) {
             Ok(book) => Ok(Some(book)),
             Err(cause) => set_aside(path, "damaged", &cause).map(|()| None),
         },
@@ -183,9 +183,9 @@
     let mut storage = SegmentFolder::open(folder).map_err(failed)?;
     let segments = storage.segments().map_err(failed)?;
     let state = match flaxstand_consensus::recover(&mut storage).map_err(failed)? {
-        flaxstand_consensus::Recovered::State(state) => Some(*state),
-        flaxstand_consensus::Recovered::Nothing => None,
-        flaxstand_consensus::Recovered::Damaged(cause) => {
+        flaxstand_consensus::RecoveredState::Intact(state) => Some(*state),
+        flaxstand_consensus::RecoveredState::Empty => None,
+        flaxstand_consensus::RecoveredState::Damaged(cause) => {
             warn!(cause, folder = %folder.display(), "a keeper's folder is damaged: coming back as a new keeper");
             None
         }
--- a/crates/flaxstand-cli/src/settings.rs
+++ b/crates/flaxstand-cli/src/settings.rs
@@ -5,7 +5,7 @@
 use crate::caller::Caller;
 use crate::kit::{read, told};
 use flaxstand_consensus::participant::{OperatorReply, OperatorRequest, PeerMessage, StatusReport};
-use flaxstand_consensus::replicated_state::{ReplicatedState, Version};
+use flaxstand_consensus::replicated_state::{IndexedState, ReplicatedState, Version};
 use flaxstand_consensus::rules::{ChangeKind, Rules};
 use flaxstand_gateway::machine::Address;
 use flaxstand_gateway::settings::{read_daemon, read_rules};
@@ -36,27 +36,24 @@
         }
         SettingsTask::Status { json } => status(&site, json),
         SettingsTask::History => {
-            for take_rules_change in &site.book()?.1.history {
-                let at = take_rules_change.at / 1_000_000;
-                println!(
-                    "{at}  stage {}  version {}  {}",
-                    take_rules_change.stage, take_rules_change.number, take_rules_change.what
-                );
+            for step in &site.book()?.state.history {
+                let at = step.at / 1_000_000;
+                println!("{at}  stage {}  version {}  {}", step.stage, step.number, step.description);
             }
             Ok(())
         }
         SettingsTask::Show { number } => {
-            let book = site.book()?.1;
+            let book = site.book()?.state;
             print!("{}", version(&book, number.unwrap_or(book.in_force.number))?.text);
             Ok(())
         }
         SettingsTask::Withdraw { number } => {
-            site.operator_request(&OperatorRequest::Withdraw(number, operator(), calendar()))?;
+            site.operator_request(&OperatorRequest::Withdraw { number, by: operator(), at: calendar() })?;
             println!("version {number} is withdrawn");
             Ok(())
         }
         SettingsTask::Revert { number } => {
-            let book = site.book()?.1;
+            let book = site.book()?.state;
             let old = version(&book, number)?;
             propose(&site, old.rules.clone(), old.text.clone(), false, None)
         }
@@ -78,7 +75,7 @@
 }
 
 fn version(book: &ReplicatedState, number: u64) -> Result<&Version, Failure> {
-    let kept = book.before.iter().chain([&book.in_force]).chain(&book.next);
+    let kept = book.previous.iter().chain([&book.in_force]).chain(&book.next);
     let all: Vec<&Version> = kept.filter(|v| v.number > 0).collect();
     all.iter().find(|v| v.number == number).copied().ok_or_else(|| {
         let numbers: Vec<String> = all.iter().map(|v| v.number.to_string()).collect();
@@ -131,14 +128,14 @@
     }
 
     /// The newest book that anybody has.
-    fn book(&self) -> Result<(u64, ReplicatedState), Failure> {
+    fn book(&self) -> Result<IndexedState, Failure> {
         let known = self.all.iter().filter_map(|(_, address)| {
             match Self::ask(address, &OperatorRequest::ReplicatedState) {
                 Ok(OperatorReply::ReplicatedState(book)) => book.map(|b| *b),
                 _ => None,
             }
         });
-        let newest = known.max_by_key(|(index, _)| *index);
+        let newest = known.max_by_key(|known| known.index);
         newest.ok_or_else(|| Failure::System("no initiator knows what was agreed on".into()))
     }
 
@@ -157,14 +154,14 @@
 fn tell_steps(from: &Rules, to: &Rules) {
     let show =
         |v: &Option<flaxstand_consensus::rules::Value>| v.as_ref().map_or("none".into(), ToString::to_string);
-    for step in from.steps(to) {
+    for step in from.changes(to) {
         let meaning = match step.kind {
             ChangeKind::Narrows => "narrows: acted on as soon as it is heard",
             ChangeKind::Widens => "widens: acted on once nobody acts on the old value any more",
             ChangeKind::Blocks => "has no value between: nothing of the kind is done until it is in force",
             ChangeKind::Unordered => "contradicts nothing",
         };
-        println!("{}: {} -> {}  {meaning}", step.key, show(&step.values.0), show(&step.values.1));
+        println!("{}: {} -> {}  {meaning}", step.key, show(&step.before), show(&step.after));
     }
     for (key, value) in &to.fallback {
         if from.fallback.get(key) != Some(value) {
@@ -180,7 +177,7 @@
     dry_run: bool,
     wait_for: Option<f64>,
 ) -> Result<(), Failure> {
-    let acting = site.book().map(|(_, book)| book.in_force).unwrap_or_default();
+    let acting = site.book().map(|book| book.state.in_force).unwrap_or_default();
     if acting.number > 0 {
         tell_steps(&acting.rules, &rules);
         let objections = rules.objections(&acting.rules);
@@ -197,7 +194,7 @@
         return Ok(());
     }
     let version = Version { number: 0, rules, text, by: operator(), at: calendar() };
-    let number = site.operator_request(&OperatorRequest::Propose(acting.number, version))?;
+    let number = site.operator_request(&OperatorRequest::Propose { base: acting.number, version })?;
     println!("version {number} is agreed on");
     match wait_for {
         Some(seconds) => wait(site, Duration::from_secs_f64(seconds.clamp(0.0, 1e6))),
@@ -212,10 +209,10 @@
         let leader =
             reports.iter().filter_map(|(_, r)| r.as_ref().ok()).find(|r| r.leader.as_ref() == Some(&r.name));
         if let Some(leader) = leader
-            && leader.versions.1.is_none()
+            && leader.versions.next.is_none()
             && leader.blockers.is_empty()
         {
-            println!("version {} is in force", leader.versions.0);
+            println!("version {} is in force", leader.versions.in_force);
             return Ok(());
         }
         if started.elapsed() >= longest {
@@ -254,11 +251,11 @@
     match leader {
         None => println!("no keeper leads: leases run out, and then the floor holds"),
         Some(l) => {
-            println!("{} leads in term {}; voters: {}", l.name, l.term, l.electorate.join(" "));
-            if !l.silent.is_empty() {
-                println!("keepers that are not heard: {}", l.silent.join(" "));
+            println!("{} leads in term {}; voters: {}", l.name, l.term, l.voters.join(" "));
+            if !l.unresponsive.is_empty() {
+                println!("keepers that are not heard: {}", l.unresponsive.join(" "));
             }
-            match l.versions {
+            match (l.versions.in_force, l.versions.next) {
                 (0, _) => println!("no version yet: all act on the floor of their files"),
                 (v, None) => println!("version {v} is in force"),
                 (v, Some(next)) => println!("version {v} is in force, version {next} under way"),
@@ -280,7 +277,7 @@
          {} ms of its proposal where a leader lives, {} ms where it is lost",
         path.display(),
         terms.contradiction_ms,
-        terms.passage_ms,
-        terms.passage_without_leader_ms
+        terms.rollout_ms,
+        terms.rollout_without_leader_ms
     );
 }
--- a/crates/flaxstand-cli/tests/agreement/fleet.rs
+++ b/crates/flaxstand-cli/tests/agreement/fleet.rs
@@ -165,7 +165,7 @@
 
     pub fn book(&self, i: usize) -> Option<ReplicatedState> {
         match self.say(i, &OperatorRequest::ReplicatedState)? {
-            OperatorReply::ReplicatedState(book) => book.map(|b| b.1),
+            OperatorReply::ReplicatedState(book) => book.map(|known| known.state),
             _ => None,
         }
     }
@@ -208,7 +208,7 @@
     /// Proposes by whichever keeper leads, until it is taken. The version's number.
     #[track_caller]
     pub fn propose(&self, base: u64, text: &str) -> u64 {
-        let operator_request = OperatorRequest::Propose(base, version(text));
+        let operator_request = OperatorRequest::Propose { base, version: version(text) };
         self.until("a proposal to be agreed on", |f| {
             (0..f.keepers).find_map(|i| match f.say(i, &operator_request)? {
                 OperatorReply::Committed(number) => Some(number),
--- a/crates/flaxstand-cli/tests/agreement/main.rs
+++ b/crates/flaxstand-cli/tests/agreement/main.rs
@@ -159,7 +159,7 @@
     let mut f = agreed("folders", 3, 4);
     let leader = f.leader();
     let [wiped, old] = [(leader + 1) % 3, (leader + 2) % 3];
-    let voters = |f: &Fleet| f.report(f.leader()).unwrap().electorate;
+    let voters = |f: &Fleet| f.report(f.leader()).unwrap().voters;
     // Its disk is lost: it comes back as another, and is given a vote again.
     f.kill(wiped);
     std::fs::remove_dir_all(f.own_folder(wiped)).unwrap();
@@ -203,8 +203,12 @@
     let f = agreed("two", 3, 4);
     let leader = f.leader();
     f.until("the passage before to be over", |f| f.report(leader)?.blockers.is_empty().then_some(()));
-    let say =
-        |limit| f.say(leader, &OperatorRequest::Propose(1, fleet::version(&shared(limit, "repeatable"))));
+    let say = |limit| {
+        f.say(
+            leader,
+            &OperatorRequest::Propose { base: 1, version: fleet::version(&shared(limit, "repeatable")) },
+        )
+    };
     let (one, two) = std::thread::scope(|s| {
         let one = s.spawn(|| say(80));
         let two = s.spawn(|| say(70));
@@ -217,7 +221,9 @@
     // One that can't come in force, since a member holds it up, is withdrawn.
     f.links.around(3, Flow::Stall);
     assert_eq!(f.propose(2, &shared(400, "repeatable")), 3);
-    let withdrawn = f.say(leader, &OperatorRequest::Withdraw(3, "a test".into(), 0)).expect("an answer");
+    let withdrawn = f
+        .say(leader, &OperatorRequest::Withdraw { number: 3, by: "a test".into(), at: 0 })
+        .expect("an answer");
     if withdrawn == OperatorReply::Committed(3) {
         f.until_acting(&[0, 1, 2], "Version(2)");
         f.links.heal();
@@ -275,7 +281,7 @@
     );
     let out = f.command(0, &["propose", narrow.to_str().unwrap(), "--dry-run"]);
     assert!(text(&out.stdout).contains("class.read.effect: \"repeatable\" -> \"once\"  narrows"));
-    assert_eq!(f.book(0).unwrap().last, 1, "nothing was proposed so far");
+    assert_eq!(f.book(0).unwrap().last_number, 1, "nothing was proposed so far");
     let wide = f.put("wide.kdl", &shared(200, "repeatable"));
     let since = f.pause(3);
     let out = f.command(0, &["propose", wide.to_str().unwrap()]);
--- a/crates/flaxstand-consensus/src/lease_manager.rs
+++ b/crates/flaxstand-consensus/src/lease_manager.rs
@@ -1,133 +1,70 @@
-//! The lease manager: the leader's part in leases and transitions. It grants leases, knows who has confirmed which
-//! stage, and says when the next stage may begin: once every member has confirmed the present one, or has no lease
-//! for an older one any more. A new leader knows of no lease that others granted, and waits until all must have ended.
+//! The lease manager: the leader's part in leases and rollouts (leases after Gray and Cheriton). It grants
+//! leases and records which member confirmed which stage.
+//!
+//! - `messages`: lease requests and responses
+//! - `member_lease`: what the leader knows of one member
+//! - `rollout_gate`: when the next stage may begin
+
+mod member_lease;
+mod messages;
+mod rollout_gate;
+
+pub use messages::{LeaseRequest, LeaseResponse};
+pub use rollout_gate::Blocker;
 
 use crate::replica::InjectedFault;
-use crate::replicated_state::{Change, ReplicatedState};
+use crate::replicated_state::{IndexedState, ReplicatedState};
 use flaxstand_proto::Micros;
+use member_lease::MemberLease;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Members that the history names where they did not confirm, most.
-const NAMED_MOST: usize = 8;
-
-/// A member asks for a lease.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaseRequest {
-    /// Its name.
-    pub name: String,
-    /// Which start of it.
-    pub epoch: u64,
-    /// Its number among its requests.
-    pub seq: u64,
-    /// Index of the replicated state that it has.
-    pub index: u64,
-    /// The stage that it acts on, with a lease or without.
-    pub stage: u64,
-    /// What that stage means to it.
-    pub digest: u64,
-    /// Why it can't act on the version under way.
-    pub cannot: Option<String>,
-    /// It gives its lease back.
-    pub leaves: bool,
-}
-
-/// The leader's response.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaseResponse {
-    /// Whose request.
-    pub name: String,
-    /// Which start of it.
-    pub epoch: u64,
-    /// The request's number.
-    pub seq: u64,
-    /// How long the lease is from when it was asked for, microseconds; none: it gets none now.
-    pub lease: Option<u64>,
-    /// The stage that the lease is for.
-    pub stage: u64,
-    /// The replicated state and its index, where the member has an older one.
-    pub replicated_state: Option<(u64, ReplicatedState)>,
-}
-
-/// What keeps the next stage from beginning.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Blocker {
-    /// The member, or all that a leader before granted leases to.
-    pub who: String,
-    /// Why.
-    pub why: String,
-    /// In how long that ends by itself, milliseconds; none: it does not.
-    pub ends_ms: Option<u64>,
-}
-
-/// What comes of a lease request.
+/// What a leader decides on a lease request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
-    /// What the member is told.
+    /// What the member is sent.
     pub response: LeaseResponse,
-    /// It is no member yet and wants to be one.
-    pub joins: bool,
-    /// It does not act on the present stage as it is here: its copy of the replicated state may be another's.
-    pub differs: bool,
+    /// It is no member yet and asks to be one.
+    pub wants_to_join: bool,
+    /// It did not confirm the present stage: its copy of the replicated state may be another cluster's.
+    pub is_unconfirmed: bool,
 }
 
-/// What the leader knows of one member, moments by its own clock.
-#[derive(Clone, Debug, Default)]
-struct MemberLease {
-    epoch: u64,
+/// A member as its leader sees it, for operators. Sent, and shown as JSON, as a tuple.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(String, bool, bool, u64)", into = "(String, bool, bool, u64)")]
+pub struct MemberStatus {
+    /// Its name.
+    pub name: String,
+    /// It has a lease of any stage.
+    pub has_lease: bool,
     /// It confirmed the present stage.
-    confirmed: bool,
-    cannot: Option<String>,
-    /// Until when it may act on an older stage.
-    older_stage_until: Micros,
-    /// Until when it may act on the present one.
-    present_stage_until: Micros,
-    /// Until when a process of that name that started before may act on anything: it may have been stopped, not ended.
-    earlier_start_until: Micros,
-    heard_at: Micros,
+    pub has_confirmed: bool,
+    /// How long ago its last request came, milliseconds.
+    pub last_contact_ms: u64,
 }
 
-impl MemberLease {
-    /// Until when the member, or an earlier start of it, may act on a stage before the present one.
-    fn older_until(&self) -> Micros {
-        self.older_stage_until.max(self.earlier_start_until)
-    }
-
-    /// Until when this start of it has a lease of any stage.
-    fn leased_until(&self) -> Micros {
-        self.older_stage_until.max(self.present_stage_until)
-    }
-
-    /// A later start of the member: what an earlier one may still act on is kept.
-    fn restart(&mut self, epoch: u64) {
-        let earlier_start_until = self.earlier_start_until.max(self.leased_until());
-        *self = MemberLease { epoch, earlier_start_until, ..MemberLease::default() };
-    }
-
-    /// Another stage begins.
-    fn next_stage(&mut self) {
-        self.older_stage_until = self.leased_until();
-        self.present_stage_until = Micros(0);
-        self.confirmed = false;
-        self.cannot = None;
+impl From<(String, bool, bool, u64)> for MemberStatus {
+    fn from((name, has_lease, has_confirmed, last_contact_ms): (String, bool, bool, u64)) -> MemberStatus {
+        MemberStatus { name, has_lease, has_confirmed, last_contact_ms }
     }
+}
 
-    /// The member gives its lease back.
-    fn release(&mut self) {
-        self.older_stage_until = Micros(0);
-        self.present_stage_until = Micros(0);
-        self.confirmed = false;
+impl From<MemberStatus> for (String, bool, bool, u64) {
+    fn from(status: MemberStatus) -> (String, bool, bool, u64) {
+        (status.name, status.has_lease, status.has_confirmed, status.last_contact_ms)
     }
 }
 
-/// A leader's lease manager.
+/// A leader's lease manager. Its leases live in memory: a new leader waits until all that others granted have
+/// ended.
 #[derive(Debug)]
 pub struct LeaseManager {
-    /// Leases of leaders before may last until then.
+    /// Leases of earlier leaders may last until then.
     earlier_leaders_until: Micros,
     /// How long a lease is for its member.
     span: Micros,
-    /// How long it is here: the same with the clocks' error.
+    /// How long it counts here: the same with the clocks' error on top.
     counted_span: Micros,
     stage: u64,
     leases: BTreeMap<String, MemberLease>,
@@ -137,12 +74,15 @@
 }
 
 impl LeaseManager {
-    /// Of a leader that begins to lead now. Leases last `span`; clocks' rates differ by at most `error` of it.
-    pub fn new(span: Micros, error: f64, injected_fault: InjectedFault, now: Micros) -> LeaseManager {
-        let counted_span = Micros((span.0 as f64 * (1.0 + 2.0 * error)).ceil() as u64);
-        let waits = injected_fault != InjectedFault::StrangersIgnored;
+    /// Of a leader that begins to lead now. Leases last `span`; two clocks differ by at most `clock_error` of
+    /// it over that time.
+    pub fn new(span: Micros, clock_error: f64, injected_fault: InjectedFault, now: Micros) -> LeaseManager {
+        // Twice: the member's clock may be slow by the error, and the clock here fast by it.
+        let counted_span = Micros((span.0 as f64 * (1.0 + 2.0 * clock_error)).ceil() as u64);
+        // Guards against a stage that begins while a member acts on a lease of the leader before.
+        let awaits_earlier_leaders = injected_fault != InjectedFault::EarlierLeadersIgnored;
         LeaseManager {
-            earlier_leaders_until: if waits { now.after(counted_span) } else { now },
+            earlier_leaders_until: if awaits_earlier_leaders { now.after(counted_span) } else { now },
             span,
             counted_span,
             stage: 0,
@@ -152,175 +92,117 @@
         }
     }
 
-    /// The replicated state is at another stage: leases so far were for an older one.
-    pub fn at_stage(&mut self, stage: u64) {
+    /// The replicated state is at this stage. If that is another than before, leases so far were for an older
+    /// one.
+    pub fn set_stage(&mut self, stage: u64) {
         if stage != self.stage {
             self.stage = stage;
-            self.leases.values_mut().for_each(MemberLease::next_stage);
+            self.leases.values_mut().for_each(MemberLease::begin_stage);
         }
     }
 
-    /// Decides on a request. A member whose copy of the replicated state is older than `index` is sent `replicated_state`;
-    /// `leads_until`: until when nobody else can lead.
+    /// Decides on a request.
+    ///
+    /// A member whose copy of the replicated state is older than `index` is sent `state`. Until `leads_until`
+    /// no other replica can lead: guards against a lease that a later leader does not wait for.
     pub fn decide(
         &mut self,
         request: &LeaseRequest,
         index: u64,
-        replicated_state: &ReplicatedState,
+        state: &ReplicatedState,
         leads_until: Micros,
         now: Micros,
     ) -> Decision {
-        self.at_stage(replicated_state.stage);
-        let is_member = replicated_state.members.contains_key(&request.name);
+        self.set_stage(state.stage);
+        let is_member = state.members.contains_key(&request.name);
         let lease = self.leases.entry(request.name.clone()).or_default();
         let mut response = LeaseResponse {
             name: request.name.clone(),
             epoch: request.epoch,
             seq: request.seq,
             lease: None,
-            stage: replicated_state.stage,
-            replicated_state: None,
+            stage: state.stage,
+            newer_state: None,
         };
         if lease.epoch > request.epoch {
-            // A later start of its name took its place.
-            return Decision { response, joins: false, differs: false };
+            // A later start of the member took its place.
+            return Decision { response, wants_to_join: false, is_unconfirmed: false };
         }
         if lease.epoch != request.epoch {
             lease.restart(request.epoch);
         }
-        lease.heard_at = now;
-        let confirms = confirms(request, replicated_state, self.injected_fault);
-        lease.confirmed = confirms == Ok(true);
-        let differs = !lease.confirmed;
-        lease.cannot = confirms.err();
-        if request.leaves {
+        lease.last_contact_at = now;
+        let confirmation = Confirmation::of(request, state, self.injected_fault);
+        lease.has_confirmed = confirmation == Confirmation::Confirmed;
+        let is_unconfirmed = !lease.has_confirmed;
+        lease.unable_reason = confirmation.unable_reason();
+        let may_grant =
+            is_member && now < leads_until && lease.unable_reason.is_none() && state.in_force.number > 0;
+        if request.releases_lease {
             lease.release();
-        } else if is_member
-            && now < leads_until
-            && lease.cannot.is_none()
-            && replicated_state.in_force.number > 0
-        {
+        } else if may_grant {
             response.lease = Some(self.span.0);
-            lease.present_stage_until = lease.present_stage_until.max(now.after(self.counted_span));
-        }
-        response.replicated_state = (request.index < index).then(|| (index, replicated_state.clone()));
-        Decision { response, joins: !is_member && !request.leaves, differs }
-    }
-
-    /// What keeps the next stage from beginning.
-    pub fn blockers(&self, replicated_state: &ReplicatedState, now: Micros) -> Vec<Blocker> {
-        let everyone = replicated_state.needs_everyone();
-        let mut all = Vec::new();
-        if now < self.earlier_leaders_until {
-            all.push(Blocker {
-                who: "the change of leader".to_owned(),
-                why: "leases that the leader before gave may not have ended".to_owned(),
-                ends_ms: Some(ms_until(self.earlier_leaders_until, now)),
-            });
+            // Counted from the grant, with the clocks' error on top; the member counts from its request,
+            // which is earlier. So a lease ends at its member first.
+            lease.grant(now.after(self.counted_span));
         }
-        all.extend(
-            replicated_state
-                .members
-                .keys()
-                .filter_map(|name| self.blocked_by(name, replicated_state, everyone, now)),
-        );
-        all
-    }
-
-    /// Whether a member keeps the next stage from beginning. `everyone`: that stage needs each member's own word.
-    fn blocked_by(
-        &self,
-        name: &str,
-        replicated_state: &ReplicatedState,
-        everyone: bool,
-        now: Micros,
-    ) -> Option<Blocker> {
-        let lease = self.leases.get(name).filter(|_| self.stage == replicated_state.stage);
-        let confirmed = lease.is_some_and(|lease| lease.confirmed);
-        if confirmed && lease.is_some_and(|lease| now >= lease.earlier_start_until) {
-            return None;
+        if request.state_index < index {
+            response.newer_state = Some(IndexedState { index, state: state.clone() });
         }
-        let older_until = lease.map_or(Micros(0), MemberLease::older_until);
-        let (why, ends_ms) = if let Some(why) = lease.and_then(|lease| lease.cannot.clone()) {
-            (why, None)
-        } else if everyone && !confirmed {
-            ("the floor changes: its own word is needed".to_owned(), None)
-        } else if now < older_until && self.injected_fault != InjectedFault::LeasesNotAwaited {
-            let why = "it may act on what was before until its lease ends".to_owned();
-            (why, Some(ms_until(older_until, now)))
-        } else {
-            return None;
-        };
-        Some(Blocker { who: name.to_owned(), why, ends_ms })
+        let wants_to_join = !is_member && !request.releases_lease;
+        Decision { response, wants_to_join, is_unconfirmed }
     }
 
-    /// The change that puts the version under way in force, if there is one and nothing blocks it.
-    pub fn change_in_force(
-        &mut self,
-        replicated_state: &ReplicatedState,
-        calendar: u64,
-        now: Micros,
-    ) -> Option<Change> {
-        let next = replicated_state.next.as_ref()?;
-        self.members_examined += replicated_state.members.len() as u64;
-        if !self.blockers(replicated_state, now).is_empty() {
-            return None;
-        }
-        Some(Change::InForce { number: next.number, why: self.who_confirmed(replicated_state), at: calendar })
-    }
-
-    /// How many confirmed, and who did not, for the history.
-    fn who_confirmed(&self, replicated_state: &ReplicatedState) -> String {
-        let confirmed = |name: &&String| self.leases.get(*name).is_some_and(|lease| lease.confirmed);
-        let (with, without): (Vec<&String>, Vec<&String>) =
-            replicated_state.members.keys().partition(confirmed);
-        let mut text = format!("confirmed by {}", with.len());
-        if !without.is_empty() {
-            let named: Vec<&str> = without.iter().take(NAMED_MOST).map(|name| name.as_str()).collect();
-            text += &format!(", without a lease: {} ({})", without.len(), named.join(" "));
-        }
-        text
-    }
-
-    /// How many members were looked at so far to decide whether a version may come into force: for tests of how
-    /// the work of a change grows with the members.
+    /// How many members were examined so far to decide whether a version may come into force: for tests of
+    /// how the work of a rollout grows with the members.
     #[doc(hidden)]
     pub fn members_examined(&self) -> u64 {
         self.members_examined
     }
 
-    /// Each that asked: its name, whether it has a lease, whether it confirmed the present stage, and when it was
-    /// last heard, ms ago.
-    pub fn members(&self, now: Micros) -> Vec<(String, bool, bool, u64)> {
-        let of = |(name, lease): (&String, &MemberLease)| {
-            let leased = now < lease.leased_until();
-            (name.clone(), leased, lease.confirmed, now.since(lease.heard_at).0 / 1000)
+    /// Each initiator that has asked for a lease.
+    pub fn members(&self, now: Micros) -> Vec<MemberStatus> {
+        let status = |(name, lease): (&String, &MemberLease)| MemberStatus {
+            name: name.clone(),
+            has_lease: now < lease.leased_until(),
+            has_confirmed: lease.has_confirmed,
+            last_contact_ms: now.since(lease.last_contact_at).0 / 1000,
         };
-        self.leases.iter().map(of).collect()
+        self.leases.iter().map(status).collect()
     }
 }
 
 /// Whether a request confirms the present stage.
-///
-/// # Errors
-/// The member can't act on it; why, in words for operators.
-fn confirms(
-    request: &LeaseRequest,
-    replicated_state: &ReplicatedState,
-    injected_fault: InjectedFault,
-) -> Result<bool, String> {
-    if let Some(why) = &request.cannot {
-        return Err(why.clone());
-    }
-    if request.stage != replicated_state.stage {
-        return Ok(false);
-    }
-    if request.digest != replicated_state.digest() && injected_fault != InjectedFault::DigestNotCompared {
-        return Err("it understands the rules otherwise: another build".to_owned());
-    }
-    Ok(true)
+#[derive(Debug, PartialEq, Eq)]
+enum Confirmation {
+    /// The member acts on the present stage, or on the fallback rules, and knows what the stage means.
+    Confirmed,
+    /// It is at another stage.
+    NotYet,
+    /// It can't act on the present stage: why, in words for operators.
+    Unable(String),
 }
 
-fn ms_until(moment: Micros, now: Micros) -> u64 {
-    moment.since(now).0.div_ceil(1000)
+impl Confirmation {
+    fn of(request: &LeaseRequest, state: &ReplicatedState, injected_fault: InjectedFault) -> Confirmation {
+        if let Some(reason) = &request.unable_reason {
+            return Confirmation::Unable(reason.clone());
+        }
+        if request.stage != state.stage {
+            return Confirmation::NotYet;
+        }
+        // Guards against a build that reads the same rules otherwise.
+        let compares_digests = injected_fault != InjectedFault::DigestNotCompared;
+        if request.digest != state.digest() && compares_digests {
+            return Confirmation::Unable("it understands the rules otherwise: another build".to_owned());
+        }
+        Confirmation::Confirmed
+    }
+
+    fn unable_reason(self) -> Option<String> {
+        match self {
+            Confirmation::Unable(reason) => Some(reason),
+            Confirmation::Confirmed | Confirmation::NotYet => None,
+        }
+    }
 }
--- a/crates/flaxstand-consensus/src/lib.rs
+++ b/crates/flaxstand-consensus/src/lib.rs
@@ -1,19 +1,24 @@
-//! The agreed log. A small electorate of initiators, the keepers, agrees on an ordered log of changes after the
-//! published description of Raft (Ongaro's thesis): pre-vote, check-quorum, commitment in the leader's own term
-//! only, snapshots, one change of the electorate at a time. `docs/agreement.md` says what is promised.
+//! What initiators agree on: a replicated log after Raft (Ongaro's thesis), the numbered versions of the
+//! rules that it holds, leases on them, and their staged rollout. `docs/agreement.md` says what is promised.
 //!
-//! Nothing here touches a socket, a file or a clock. The owner hands over messages, moments and word of what
-//! became durable, and takes messages to send, batches to store and what was agreed on.
+//! Raft as implemented here: pre-vote, check-quorum, commitment in the leader's own term only, snapshots, one
+//! change of the voters at a time. A small electorate of initiators has a replica; all initiators are
+//! members.
 //!
-//! - [`participant`]: one initiator: its keeper, if it is one, its membership, and the ways between; what the owner calls
+//! Nothing here touches a socket, a file or a clock. The owner hands in messages, moments and the outcome of
+//! batches, and takes messages to send, batches to store and what was committed.
+//!
+//! - [`participant`]: one initiator: its replica, if it has one, its membership, and the routing between;
+//!   what the owner calls
 //! - [`member`]: leases as their holder sees them; [`lease_manager`]: as the leader does
-//! - [`replicated_state`]: the replicated state; [`rules`]: its rules, and which of two values is safe beside the other
+//! - [`replicated_state`]: the replicated state; [`rules`]: its rules, and which of two values is the
+//!   narrower
 //! - [`replica`]: one replica of the log: elections, replication, recovery
-//! - [`log`]: entries and the snapshot before them
-//! - [`replica_id`]: what names a replica, its starts
-//! - [`message`]: what keepers say to each other
-//! - [`journal`]: what must be durable before it is told, and reading it back
+//! - [`log`]: entries and the snapshot before them; [`message`]: messages between replicas
+//! - [`replica_id`]: the identity of a replica, and its incarnations
+//! - [`journal`]: what must be durable before it is sent, and reading it back
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 pub mod journal;
 pub mod lease_manager;
@@ -27,8 +32,8 @@
 pub mod rules;
 
 pub use flaxstand_proto::Micros;
-pub use journal::{Journal, Recovered, State, recover};
-pub use log::{Entry, EntryPayload, Log, Snapshot};
+pub use journal::{DurableState, Journal, RecoveredState, recover};
+pub use log::{Entry, EntryPayload, Log, LogPosition, Snapshot};
 pub use message::{Message, MessageBody};
 pub use replica::{Committed, Config, InjectedFault, ProposeError, Replica, ReplicaRole, Status};
 pub use replica_id::{Incarnation, ReplicaId};
--- a/crates/flaxstand-consensus/src/member.rs
+++ b/crates/flaxstand-consensus/src/member.rs
@@ -1,30 +1,30 @@
-//! A member: any initiator, keepers included. It acts on the book's rules as long as it has a lease for the book's
-//! stage, and on the floor otherwise.
+//! A member: any initiator, with a replica or without. It acts on the replicated state's rules as long as it
+//! has a lease for the state's stage, and on the fallback rules otherwise.
 //!
-//! A lease counts from the moment at which it was *asked for*, on a clock that goes on through a stopped process and
-//! does not follow the calendar; whoever gave it counts from when he gave it, which is later, and adds the clocks'
-//! stated error. So it never runs out here after it ran out there.
+//! A lease counts from the moment of its *request*, on a clock that goes on while the process is stopped and
+//! does not follow the calendar. The leader counts from the grant, which is later, and adds the clocks'
+//! stated error: a lease never ends here after it ended there.
 
 use crate::lease_manager::{LeaseRequest, LeaseResponse};
 use crate::replica::InjectedFault;
-use crate::replicated_state::ReplicatedState;
+use crate::replicated_state::{IndexedState, ReplicatedState};
 use crate::rules::Rules;
 use flaxstand_proto::Micros;
 use std::collections::BTreeMap;
 
 /// Requests whose responses may still come, most. The oldest is forgotten then.
-const PENDING_MOST: usize = 16;
-/// A lease is renewed so many times in its span.
-const RENEWALS: u64 = 4;
+const MAX_PENDING_REQUESTS: usize = 16;
+/// How many times a lease is renewed in its span.
+const RENEWALS_PER_LEASE: u64 = 4;
 
-/// What a member acts on.
+/// What a member acts on. Log lines and scripts hold these names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ActiveRules {
     /// The fallback rules: it has no lease.
     Fallback,
-    /// What the version in force and the one that is being rolled out both allow.
+    /// The narrower of the version in force (first number) and the one being rolled out (second number).
     Transition(u64, u64),
-    /// The version in force.
+    /// The version in force, by its number.
     Version(u64),
 }
 
@@ -34,167 +34,191 @@
     name: String,
     epoch: u64,
     replicated_state: Option<ReplicatedState>,
-    /// The book's index in the log.
-    index: u64,
-    /// Until when it acts on the book. A lease for an older stage holds for the newer one too: who acts on that
-    /// contradicts nobody who may act on the older, and the older is no longer acted on here.
-    lease: Option<Micros>,
+    /// The log index of that state; 0 without one.
+    state_index: u64,
+    /// Until when it acts on the state. A lease for an older stage holds for a newer one too: who acts on the
+    /// newer contradicts nobody who may act on the older, and the older is no longer acted on here.
+    lease_until: Option<Micros>,
     /// By number: when each request was sent whose response may still come.
     pending: BTreeMap<u64, Micros>,
     next_request: u64,
     request_at: Micros,
-    span: Micros,
-    leaving: bool,
-    /// The book that has to be saved before its stage is confirmed.
-    unsaved: bool,
+    lease_span: Micros,
+    is_leaving: bool,
+    /// The state has to be saved before its stage is confirmed.
+    is_unsaved: bool,
     injected_fault: InjectedFault,
 }
 
 impl Member {
-    /// A member that starts, with the book it saved in an earlier life. `span` is how long a lease is expected to
-    /// be, until the first tells.
+    /// A member that starts, with the state that it saved before. `lease_span` is how long a lease is
+    /// expected to be, until the first response tells.
     pub fn new(
         name: String,
         epoch: u64,
-        saved: Option<(u64, ReplicatedState)>,
-        span: Micros,
+        saved: Option<IndexedState>,
+        lease_span: Micros,
         injected_fault: InjectedFault,
         now: Micros,
     ) -> Member {
-        let (index, replicated_state) =
-            saved.map_or((0, None), |(index, replicated_state)| (index, Some(replicated_state)));
+        let state_index = saved.as_ref().map_or(0, |saved| saved.index);
         Member {
             name,
             epoch,
-            replicated_state,
-            index,
-            lease: None,
+            replicated_state: saved.map(|saved| saved.state),
+            state_index,
+            lease_until: None,
             pending: BTreeMap::new(),
             next_request: 1,
             request_at: now,
-            span,
-            leaving: false,
-            unsaved: false,
+            lease_span,
+            is_leaving: false,
+            is_unsaved: false,
             injected_fault,
         }
     }
 
-    /// The book, and its index.
-    pub fn replicated_state(&self) -> Option<(u64, &ReplicatedState)> {
-        self.replicated_state.as_ref().map(|b| (self.index, b))
+    /// The replicated state as it is known here.
+    pub fn replicated_state(&self) -> Option<&ReplicatedState> {
+        self.replicated_state.as_ref()
     }
 
-    /// A newer book.
-    pub fn learn(&mut self, index: u64, replicated_state: &ReplicatedState) {
-        let older = self.injected_fault == InjectedFault::OlderBookTaken && index < self.index;
-        if index > self.index || self.replicated_state.is_none() || older {
-            self.unsaved |= self.replicated_state.as_ref() != Some(replicated_state);
-            (self.index, self.replicated_state) = (index, Some(replicated_state.clone()));
+    /// The same with its index.
+    pub fn indexed_state(&self) -> Option<IndexedState> {
+        let state = self.replicated_state.clone()?;
+        Some(IndexedState { index: self.state_index, state })
+    }
+
+    /// The stage of the replicated state; 0 without one.
+    pub fn stage(&self) -> u64 {
+        self.replicated_state.as_ref().map_or(0, |state| state.stage)
+    }
+
+    /// Takes a replicated state in place of an older one. Guards against a late response that takes the rules
+    /// back to an earlier stage.
+    pub fn update_state(&mut self, index: u64, state: &ReplicatedState) {
+        let accepts_older =
+            self.injected_fault == InjectedFault::OlderStateAccepted && index < self.state_index;
+        if index > self.state_index || self.replicated_state.is_none() || accepts_older {
+            self.is_unsaved |= self.replicated_state.as_ref() != Some(state);
+            self.state_index = index;
+            self.replicated_state = Some(state.clone());
         }
     }
 
-    /// The book that is to be saved now, if it changed: before anything later is said.
-    pub fn take_unsaved(&mut self) -> Option<(u64, &ReplicatedState)> {
-        let unsaved = std::mem::take(&mut self.unsaved);
-        self.replicated_state.as_ref().filter(|_| unsaved).map(|b| (self.index, b))
+    /// The state that is to be saved now, if it changed: before anything later is sent.
+    pub fn take_unsaved(&mut self) -> Option<IndexedState> {
+        let is_unsaved = std::mem::take(&mut self.is_unsaved);
+        if is_unsaved { self.indexed_state() } else { None }
     }
 
     /// What it acts on at a moment.
     pub fn active_rules(&self, now: Micros) -> ActiveRules {
-        let unchecked = self.injected_fault == InjectedFault::LeaseNotChecked;
-        let leased = self.lease.is_some_and(|until| now < until || unchecked);
-        match &self.replicated_state {
-            Some(replicated_state) if leased && replicated_state.in_force.number > 0 => {
-                match &replicated_state.next {
-                    Some(next) if self.injected_fault == InjectedFault::OneStep => {
-                        ActiveRules::Version(next.number)
-                    }
-                    Some(next) => ActiveRules::Transition(replicated_state.in_force.number, next.number),
-                    None => ActiveRules::Version(replicated_state.in_force.number),
-                }
+        let Some(state) = self.replicated_state.as_ref().filter(|_| self.has_lease(now)) else {
+            return ActiveRules::Fallback;
+        };
+        let in_force = state.in_force.number;
+        match &state.next {
+            _ if in_force == 0 => ActiveRules::Fallback,
+            Some(next) if self.injected_fault == InjectedFault::TransitionSkipped => {
+                ActiveRules::Version(next.number)
             }
-            _ => ActiveRules::Fallback,
+            Some(next) => ActiveRules::Transition(in_force, next.number),
+            None => ActiveRules::Version(in_force),
         }
     }
 
-    /// The rules that it acts on, given the rules it was started with.
+    fn has_lease(&self, now: Micros) -> bool {
+        let ignores_expiry = self.injected_fault == InjectedFault::LeaseExpiryIgnored;
+        self.lease_until.is_some_and(|until| now < until || ignores_expiry)
+    }
+
+    /// The rules that it acts on, given the rules of its own settings.
     pub fn rules(&self, started_with: &Rules, now: Micros) -> Rules {
-        match (self.active_rules(now), &self.replicated_state) {
-            (ActiveRules::Fallback, Some(replicated_state)) if replicated_state.in_force.number > 0 => {
-                let fallback = replicated_state.in_force.rules.fallback_rules();
-                // Of a floor that is being changed the narrower of both.
-                replicated_state
-                    .next
-                    .as_ref()
-                    .map_or(fallback.clone(), |next| fallback.narrower(&next.rules.fallback_rules()))
-            }
-            (ActiveRules::Fallback, _) => started_with.fallback_rules(),
-            (_, Some(replicated_state)) => replicated_state.rules(),
-            (_, None) => started_with.fallback_rules(),
+        let Some(state) = &self.replicated_state else { return started_with.fallback_rules() };
+        if self.active_rules(now) != ActiveRules::Fallback {
+            return state.rules();
+        }
+        if state.in_force.number == 0 {
+            return started_with.fallback_rules();
+        }
+        let fallback = state.in_force.rules.fallback_rules();
+        match &state.next {
+            // While the fallback rules change, the narrower of both.
+            Some(next) => fallback.narrower(&next.rules.fallback_rules()),
+            None => fallback,
         }
     }
 
-    /// Until when that holds if nothing comes.
+    /// Until when the lease holds if no response comes; none: it never had one, or gave it back.
     pub fn lease_until(&self) -> Option<Micros> {
-        self.lease
+        self.lease_until
     }
 
-    /// Gives the lease back at the next request, and acts on the floor from now on.
-    pub fn leave(&mut self, now: Micros) {
-        self.leaving = true;
-        self.lease = None;
+    /// Gives the lease back with the next request, and acts on the fallback rules from now on.
+    pub fn release_lease(&mut self, now: Micros) {
+        self.is_leaving = true;
+        self.lease_until = None;
         self.request_at = now;
     }
 
-    /// The lease request that is due now, if one is. To be sent at once.
+    /// The lease request that is due now, if one is. To be sent at once. None while the state is not saved:
+    /// guards against a stage that is confirmed and forgotten.
     pub fn lease_request(&mut self, now: Micros) -> Option<LeaseRequest> {
-        if now < self.request_at || self.unsaved {
+        if now < self.request_at || self.is_unsaved {
             return None;
         }
-        self.request_at = now.after(Micros(self.span.0 / RENEWALS));
+        self.request_at = now.after(Micros(self.lease_span.0 / RENEWALS_PER_LEASE));
         let seq = self.next_request;
         self.next_request += 1;
         self.pending.insert(seq, now);
-        while self.pending.len() > PENDING_MOST {
+        while self.pending.len() > MAX_PENDING_REQUESTS {
             self.pending.pop_first();
         }
-        let unknown = self.replicated_state.as_ref().map(|b| {
-            let next = b.next.as_ref().unwrap_or(&b.in_force);
-            next.rules.unknown().join(", ")
-        });
         Some(LeaseRequest {
             name: self.name.clone(),
             epoch: self.epoch,
             seq,
-            index: self.index,
-            stage: self.replicated_state.as_ref().map_or(0, |b| b.stage),
+            state_index: self.state_index,
+            stage: self.stage(),
             digest: self.replicated_state.as_ref().map_or(0, ReplicatedState::digest),
-            cannot: unknown.filter(|keys| !keys.is_empty()).map(|keys| format!("it does not know {keys}")),
-            leaves: self.leaving,
+            unable_reason: self.unable_reason(),
+            releases_lease: self.is_leaving,
         })
     }
 
+    /// Why it can't act on the newest version, in words for operators: a newer build made keys that it does
+    /// not know.
+    fn unable_reason(&self) -> Option<String> {
+        let state = self.replicated_state.as_ref()?;
+        let newest = state.next.as_ref().unwrap_or(&state.in_force);
+        let unknown_keys = newest.rules.unknown_keys().join(", ");
+        (!unknown_keys.is_empty()).then(|| format!("it does not know {unknown_keys}"))
+    }
+
     /// When the next request is due, or the lease ends.
-    pub fn wake(&self, now: Micros) -> Micros {
-        // One that ran out ends nothing any more.
-        let ends = self.lease.filter(|until| now < *until);
+    pub fn wake_at(&self, now: Micros) -> Micros {
+        // A lease that has ended already wakes nobody.
+        let ends = self.lease_until.filter(|until| now < *until);
         ends.map_or(self.request_at, |until| self.request_at.min(until))
     }
 
-    /// A response came: a lease for the stage that it names, if that is the book's here by now.
-    pub fn lease_response(&mut self, response: &LeaseResponse, now: Micros) {
+    /// Handles a response: a lease for the stage that it names, if that is the stage here by now.
+    pub fn handle_lease_response(&mut self, response: &LeaseResponse, now: Micros) {
         let Some(requested_at) = self.pending.remove(&response.seq) else { return };
-        if response.epoch != self.epoch || self.leaving {
+        if response.epoch != self.epoch || self.is_leaving {
             return;
         }
-        if let Some((index, replicated_state)) = &response.replicated_state {
-            self.learn(*index, replicated_state);
-        }
-        let stage = self.replicated_state.as_ref().map_or(0, |b| b.stage);
-        if let Some(span) = response.lease.map(Micros).filter(|_| response.stage == stage && stage > 0) {
-            self.span = span;
-            let from = if self.injected_fault == InjectedFault::LeaseFromAnswer { now } else { requested_at };
-            self.lease = self.lease.max(Some(from.after(span)));
+        if let Some(newer) = &response.newer_state {
+            self.update_state(newer.index, &newer.state);
         }
+        let stage = self.stage();
+        let Some(span) = response.lease.map(Micros).filter(|_| response.stage == stage && stage > 0) else {
+            return;
+        };
+        self.lease_span = span;
+        let counts_from_response = self.injected_fault == InjectedFault::LeaseFromResponse;
+        let counted_from = if counts_from_response { now } else { requested_at };
+        self.lease_until = self.lease_until.max(Some(counted_from.after(span)));
     }
 }
--- a/crates/flaxstand-consensus/src/participant.rs
+++ b/crates/flaxstand-consensus/src/participant.rs
@@ -1,111 +1,122 @@
-//! The agreement of one initiator: its keeper, if it is one, its membership, and the ways between. What the owner
-//! (the gateway's core, or a test) calls; messages in, messages out, no I/O.
+//! The agreement of one initiator: its replica, if it has one, its membership, and the routing between. What
+//! the owner (the gateway's core, or a test) calls; messages in, messages out, no I/O.
 //!
-//! A member's lease requests go to its *upstream*: a keeper, or a neighbour where it reaches none. Each passes on
-//! what it can't decide on, the leader responds, and responses go back the way the requests came. An upstream that
-//! does not answer is left for the next.
+//! A member's lease requests go to its *upstream*: an initiator with a replica, or a neighbour where it
+//! reaches none. Each forwards what it can't decide on, the leader responds, and responses go back the way
+//! the requests came. An upstream that does not respond is left for the next.
 //!
-//! - `protocol`: what initiators and operators say to each other
-//! - `routing`: the way of lease requests and responses
-//! - `replication`: the replicated state, and what a leader does by itself
-//! - `admission`: which hosts a leader lets join
-//! - `operators`: what operators ask for
-//! - `terms`: what follows from the settings
+//! - `protocol`: messages between initiators and with operators
+//! - `upstreams`, `routing`: the way of lease requests and responses
+//! - `applied`, `replication`: the replicated state, and what a leader does by itself
+//! - `admission`: which initiators a leader admits as members
+//! - `operators`: requests of operators, and the status report
+//! - `rollout_bounds`: bounds that follow from the settings
 
 mod admission;
+mod applied;
 mod operators;
 mod protocol;
 mod replication;
+mod rollout_bounds;
 mod routing;
-mod terms;
+mod upstreams;
 
-pub use protocol::{Destination, OperatorReply, OperatorRequest, PeerMessage, StatusReport};
-pub use terms::RolloutBounds;
+pub use protocol::{Destination, OperatorReply, OperatorRequest, PeerMessage, StatusReport, VersionNumbers};
+pub use rollout_bounds::RolloutBounds;
 
-use crate::journal::State;
+use crate::journal::DurableState;
 use crate::lease_manager::LeaseManager;
 use crate::member::{ActiveRules, Member};
 use crate::replica::{Config as ReplicaConfig, InjectedFault, Replica, Status};
-use crate::replicated_state::ReplicatedState;
+use crate::replicated_state::{IndexedState, ReplicatedState};
 use crate::rules::Rules;
 use admission::Admission;
+use applied::Applied;
 use flaxstand_proto::Micros;
 use flaxstand_storage::Batch;
-use replication::Applied;
-use routing::{HOPS_MOST, RequestId, Route, Upstreams};
+use routing::{MAX_HOPS, Routes};
 use std::collections::{BTreeMap, VecDeque};
 use tracing::{info, warn};
+use upstreams::Upstreams;
 
-/// What one initiator is told.
+/// The configuration of one initiator's part in the agreement.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Its name.
     pub name: String,
-    /// Which start of it: grows.
+    /// Which start of it; grows with each.
     pub epoch: u64,
-    /// Names of the keepers, the founder first.
+    /// Names of the initiators with a replica, the one that bootstraps the cluster first. The same
+    /// everywhere.
     pub voters: Vec<String>,
-    /// Names of other initiators that it may ask where it reaches no keeper.
+    /// Names of other initiators that it may ask where it reaches no replica.
     pub neighbours: Vec<String>,
-    /// How long a lease is.
+    /// How long a lease is; at least twice `election_timeout`. The same everywhere.
     pub lease: Micros,
-    /// By what part of it two clocks may differ over a lease.
+    /// By what part of a lease two clocks may differ over it, 0 to 0.1. The same everywhere.
     pub clock_error: f64,
-    /// How long keepers hear no leader before they elect one.
-    pub election: Micros,
+    /// How long replicas have no contact with a leader before they elect one.
+    pub election_timeout: Micros,
     /// Seed of random numbers, another one at each start.
     pub seed: u64,
-    /// The rules in its own file: their floor is what it acts on until it has a book.
+    /// The rules of its own settings: it acts on their fallback rules until it has a replicated state.
     pub started_with: Rules,
-    /// A fault that tests plant.
+    /// A fault that tests inject.
     #[doc(hidden)]
     pub injected_fault: InjectedFault,
 }
 
+/// The rules that the owner was told to act on, and their stage.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Notified {
+    active_rules: ActiveRules,
+    stage: u64,
+}
+
 /// The agreement of one initiator.
 #[derive(Debug)]
 pub struct Participant {
     config: Config,
     replica: Option<Replica>,
+    /// Of a leader.
     leases: Option<LeaseManager>,
     member: Member,
-    /// Of a keeper: the replicated state.
+    /// Of an initiator with a replica: the replicated state.
     applied: Applied,
     admission: Admission,
-    /// Requests of others that were passed on.
-    routes: BTreeMap<RequestId, Route>,
-    /// By index of the entry that it waits for: an operator's connection.
-    operator_requests: BTreeMap<u64, u64>,
+    routes: Routes,
     upstreams: Upstreams,
-    /// When the upstream answered last, or was taken.
-    answered_at: Micros,
+    /// By index of the entry that it waits for: an operator's connection.
+    pending_operations: BTreeMap<u64, u64>,
     outgoing: VecDeque<(Destination, PeerMessage)>,
-    /// What the owner was told to act on, and of which stage.
-    acted: Option<(ActiveRules, u64)>,
+    /// None before the first call of [`Participant::take_rules_change`].
+    notified: Option<Notified>,
     /// The host's calendar when the clock was 0, microseconds since 1970.
-    calendar: u64,
+    calendar_at_start: u64,
 }
 
-/// What was found in the folder of a keeper.
+/// What was found in the folder of a replica.
 #[derive(Debug, Default)]
 pub struct StoredReplica {
     /// Its state; none: it is new, or its disk was lost.
-    pub state: Option<State>,
+    pub state: Option<DurableState>,
     /// Segments in the folder.
     pub segments: Vec<u64>,
 }
 
 impl Participant {
-    /// The agreement of an initiator that starts. `found`: a keeper's folder. `saved`: the book that it saved.
+    /// The agreement of an initiator that starts. `stored`: the folder of its replica; none: it has no
+    /// replica. `saved`: the replicated state that it saved before. `calendar`: the host's calendar when the
+    /// clock was 0, microseconds since 1970.
     pub fn new(
         config: Config,
-        found: Option<StoredReplica>,
-        saved: Option<(u64, ReplicatedState)>,
+        stored: Option<StoredReplica>,
+        saved: Option<IndexedState>,
         calendar: u64,
         now: Micros,
     ) -> Participant {
-        let replica = found.map(|found| start_keeper(&config, found, now));
-        let upstreams = Upstreams::new(&config.name, &config.voters, &config.neighbours);
+        let replica = stored.map(|stored| start_replica(&config, stored, now));
+        let upstreams = Upstreams::new(&config.name, &config.voters, &config.neighbours, now);
         let member =
             Member::new(config.name.clone(), config.epoch, saved, config.lease, config.injected_fault, now);
         Participant {
@@ -114,113 +125,104 @@
             member,
             applied: Applied::default(),
             admission: Admission::new(),
-            routes: BTreeMap::new(),
-            operator_requests: BTreeMap::new(),
+            routes: Routes::default(),
             upstreams,
-            answered_at: now,
+            pending_operations: BTreeMap::new(),
             outgoing: VecDeque::new(),
-            acted: None,
-            calendar,
+            notified: None,
+            calendar_at_start: calendar,
             config,
         }
     }
 
-    /// A word came, on the connection that the owner numbered so. `from`: the initiator that said it, none for an
-    /// operator.
-    pub fn heard(&mut self, conn: u64, from: Option<&str>, word: PeerMessage, now: Micros) {
-        match (word, from) {
+    /// Handles a message that came on the connection that the owner numbered so. `from`: the initiator at its
+    /// other end, none for an operator.
+    pub fn receive(&mut self, connection: u64, from: Option<&str>, message: PeerMessage, now: Micros) {
+        match (message, from) {
             (PeerMessage::Replica(message), Some(name)) if message.from.name == name => {
                 if let Some(replica) = &mut self.replica {
                     replica.receive(message, now);
                 }
             }
-            (PeerMessage::LeaseRequest(hops, request), Some(_)) if hops <= HOPS_MOST => {
-                self.lease_requested(Some(conn), hops, request, now);
+            (PeerMessage::LeaseRequest { hops, request }, Some(_)) if hops <= MAX_HOPS => {
+                self.handle_lease_request(connection, hops, request, now);
             }
-            (PeerMessage::LeaseResponse(response), Some(_)) => self.lease_response(*response, now),
-            (PeerMessage::OperatorRequest(operator_request), None) => {
-                self.operator_asked(conn, operator_request, now)
+            (PeerMessage::LeaseResponse(response), Some(_)) => self.handle_lease_response(*response, now),
+            (PeerMessage::OperatorRequest(request), None) => {
+                self.handle_operator_request(connection, request, now);
             }
-            (word, from) => warn!(?from, ?word, "a message that has no place here"),
+            (message, from) => warn!(?from, ?message, "a message that has no place here"),
         }
-        self.settle(now);
+        self.apply_committed(now);
     }
 
-    /// Word of the time.
+    /// Time has passed.
     pub fn tick(&mut self, now: Micros) {
         if let Some(replica) = &mut self.replica
-            && replica.wake() <= now
+            && replica.wake_at() <= now
         {
             replica.tick(now);
         }
-        self.settle(now);
+        self.apply_committed(now);
         self.renew_lease(now);
-        self.expire_routes(now);
+        self.routes.expire(self.config.lease, now);
     }
 
-    /// When `tick` is to be called at the latest.
-    pub fn wake(&self, now: Micros) -> Micros {
-        let replica = self.replica.as_ref().map(Replica::wake);
-        replica.into_iter().chain([self.member.wake(now)]).min().expect("one at least")
+    /// When [`Participant::tick`] is to be called at the latest.
+    pub fn wake_at(&self, now: Micros) -> Micros {
+        let member_at = self.member.wake_at(now);
+        self.replica.as_ref().map_or(member_at, |replica| replica.wake_at().min(member_at))
     }
 
-    /// What a keeper has to store next.
-    pub fn batch(&mut self, now: Micros) -> Option<Batch> {
-        self.replica.as_mut()?.batch(now)
+    /// The next batch that a replica has to store. One at a time; [`Participant::batch_stored`] follows.
+    pub fn next_batch(&mut self, now: Micros) -> Option<Batch> {
+        self.replica.as_mut()?.next_batch(now)
     }
 
-    /// How that went.
-    pub fn stored(&mut self, well: bool, now: Micros) {
+    /// Records how the batch ended.
+    pub fn batch_stored(&mut self, succeeded: bool, now: Micros) {
         if let Some(replica) = &mut self.replica {
-            replica.stored(well, now);
+            replica.batch_stored(succeeded, now);
         }
-        self.settle(now);
+        self.apply_committed(now);
     }
 
-    /// The book to be saved in place of the one before, if it changed: at once, before words go out.
+    /// The replicated state to be saved in place of the one before, if it changed: at once, before messages
+    /// go out.
     pub fn take_unsaved(&mut self) -> Option<Vec<u8>> {
-        let (index, replicated_state) = self.member.take_unsaved()?;
-        Some(postcard::to_stdvec(&(index, replicated_state)).expect("plain values can be written"))
-    }
-
-    /// Reads what `take_unsaved` made.
-    ///
-    /// # Errors
-    /// It is no saved book.
-    pub fn read_saved(bytes: &[u8]) -> Result<(u64, ReplicatedState), postcard::Error> {
-        postcard::from_bytes(bytes)
+        self.member.take_unsaved().map(|unsaved| unsaved.bytes())
     }
 
-    /// What is to be said, and to whom.
+    /// Messages to send, and where to.
     pub fn take_outgoing(&mut self) -> Vec<(Destination, PeerMessage)> {
         let mut outgoing: Vec<(Destination, PeerMessage)> = self.outgoing.drain(..).collect();
         if let Some(replica) = &mut self.replica {
-            let messages = replica.take_messages();
+            let messages = replica.take_messages().into_iter();
             outgoing.extend(
                 messages
-                    .into_iter()
                     .map(|message| (Destination::Peer(message.to.clone()), PeerMessage::Replica(message))),
             );
         }
         outgoing
     }
 
-    /// The rules to act on from now on, if they are others than at the last call. To be called in each turn before
-    /// anything is sent: a lease that ran out while the process stood still is noticed here.
+    /// The rules to act on from now on, if they are others than at the last call. To be called in each turn
+    /// before anything is sent: guards against a lease that ended while the process was stopped.
     pub fn take_rules_change(&mut self, now: Micros) -> Option<Rules> {
         let active_rules = self.member.active_rules(now);
-        let stage = self.member.replicated_state().map_or(0, |(_, b)| b.stage);
-        if self.acted == Some((active_rules, stage)) {
+        let stage = self.member.stage();
+        if self.notified == Some(Notified { active_rules, stage }) {
             return None;
         }
-        let cause = match (self.acted, active_rules) {
+        let before = self.notified.map(|notified| notified.active_rules);
+        let cause = match (before, active_rules) {
             (None, _) => "start",
             (Some(_), ActiveRules::Fallback) => "no lease",
-            (Some((ActiveRules::Fallback, _)), _) => "a lease",
+            (Some(ActiveRules::Fallback), _) => "a lease",
             _ => "a passage was agreed on",
         };
-        info!(from = ?self.acted.map(|(a, _)| a), to = ?active_rules, stage, cause, "rules");
-        self.acted = Some((active_rules, stage));
+        info!(from = ?before, to = ?active_rules, stage, cause, "rules");
+        self.notified = Some(Notified { active_rules, stage });
         Some(self.member.rules(&self.config.started_with, now))
     }
 
@@ -229,27 +231,27 @@
         self.member.active_rules(now)
     }
 
-    /// The version whose rules are acted on, for those who note it: 0 on the floor.
+    /// The number of the version in force that it acts on, 0 with the fallback rules.
     pub fn version(&self, now: Micros) -> u64 {
         match self.member.active_rules(now) {
             ActiveRules::Fallback => 0,
-            ActiveRules::Transition(v, _) | ActiveRules::Version(v) => v,
+            ActiveRules::Transition(in_force, _) | ActiveRules::Version(in_force) => in_force,
         }
     }
 
-    /// The lease is given back; the process is about to end.
-    pub fn leave(&mut self, now: Micros) {
-        self.member.leave(now);
+    /// Gives the lease back; the process is about to end.
+    pub fn release_lease(&mut self, now: Micros) {
+        self.member.release_lease(now);
         self.tick(now);
     }
 
-    /// The keeper's state, if it is one.
-    pub fn replica(&self, now: Micros) -> Option<Status> {
-        self.replica.as_ref().map(|k| k.status(now))
+    /// The replica's state, if it has one.
+    pub fn replica_status(&self, now: Micros) -> Option<Status> {
+        self.replica.as_ref().map(|replica| replica.status(now))
     }
 
-    /// The book as it is known here.
-    pub fn replicated_state(&self) -> Option<(u64, &ReplicatedState)> {
+    /// The replicated state as it is known here.
+    pub fn replicated_state(&self) -> Option<&ReplicatedState> {
         self.member.replicated_state()
     }
 
@@ -259,36 +261,36 @@
         self.leases.as_ref().map_or(0, LeaseManager::members_examined)
     }
 
-    /// Lowers the number of members that this initiator admits while it leads: for tests of what happens beyond
-    /// it. `MAX_MEMBERS` can't be raised.
+    /// Lowers the number of members that this initiator admits while it leads: for tests of what happens
+    /// beyond it. `MAX_MEMBERS` can't be raised.
     #[doc(hidden)]
-    pub fn limit_members(&mut self, members_most: usize) {
-        self.admission.limit(members_most);
+    pub fn limit_members(&mut self, max_members: usize) {
+        self.admission.limit(max_members);
     }
 
-    /// Of a leader: until when nobody else can lead.
+    /// Of a leader: until when no other replica can lead.
     fn leads_until(&self, now: Micros) -> Option<Micros> {
         self.replica.as_ref()?.leads_until(now)
     }
 
-    /// Who leads, as far as this keeper knows.
+    /// The leader's name, as far as the replica here knows.
     fn leader(&self) -> Option<String> {
         self.replica.as_ref()?.leader().map(str::to_owned)
     }
 }
 
-/// How many times a leader sends heartbeats in the time after which it is taken for lost.
-const HEARTBEATS: u64 = 5;
+/// How many heartbeats a leader sends in an election timeout.
+const HEARTBEATS_PER_ELECTION_TIMEOUT: u64 = 5;
 
-fn start_keeper(config: &Config, found: StoredReplica, now: Micros) -> Replica {
-    let keeper_config = ReplicaConfig {
+fn start_replica(config: &Config, stored: StoredReplica, now: Micros) -> Replica {
+    let replica_config = ReplicaConfig {
         name: config.name.clone(),
         names: config.voters.clone(),
-        election: config.election,
-        heartbeat: Micros(config.election.0 / HEARTBEATS),
+        election_timeout: config.election_timeout,
+        heartbeat_interval: Micros(config.election_timeout.0 / HEARTBEATS_PER_ELECTION_TIMEOUT),
         seed: config.seed,
         initial_state: ReplicatedState::default().bytes(),
         injected_fault: config.injected_fault,
     };
-    Replica::start(keeper_config, found.state, found.segments, now)
+    Replica::start(replica_config, stored.state, stored.segments, now)
 }
--- a/crates/flaxstand-consensus/src/participant/admission.rs
+++ b/crates/flaxstand-consensus/src/participant/admission.rs
@@ -1,73 +1,73 @@
-//! Which hosts the leader lets join, up to a bound on the number of members.
+//! Which initiators the leader admits as members, up to a bound on their number.
 //!
-//! A host beyond the bound is refused without a log entry. It asks again at its usual pace, and joins once a
-//! member was forgotten.
+//! One beyond the bound is refused without a log entry. It asks again at its usual pace, and is admitted once
+//! a member was forgotten.
 
 use crate::replicated_state::MAX_MEMBERS;
 use std::collections::BTreeSet;
 use tracing::warn;
 
-/// Refused hosts that are remembered, most. Refusals of further hosts are not logged one by one.
-const REFUSED_MOST: usize = 1_024;
+/// Refused initiators that are remembered, most. Refusals of further ones are not logged one by one.
+const MAX_LOGGED_REFUSALS: usize = 1_024;
 
-/// What a leader does with a host that asks to join.
+/// What a leader does with an initiator that asks to join.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
     /// Its `Join` may be proposed.
-    Join,
-    /// Open log entries may take the last places: its next request is decided on.
+    Admit,
+    /// Uncommitted log entries may take the last places: its next request is decided on.
     Later,
     /// There are as many members as may be.
-    Refused,
+    Refuse,
 }
 
 /// Admission of new members by a leader.
 #[derive(Debug)]
 pub(super) struct Admission {
-    members_most: usize,
-    /// Hosts whose refusal was logged.
+    max_members: usize,
+    /// Initiators whose refusal was logged.
     refused: BTreeSet<String>,
 }
 
 impl Admission {
-    /// Admission up to `MAX_MEMBERS`.
+    /// Admission up to [`MAX_MEMBERS`].
     pub(super) fn new() -> Admission {
-        Admission { members_most: MAX_MEMBERS, refused: BTreeSet::new() }
+        Admission { max_members: MAX_MEMBERS, refused: BTreeSet::new() }
     }
 
     /// Lowers the bound; it can't be raised.
-    pub(super) fn limit(&mut self, members_most: usize) {
-        self.members_most = self.members_most.min(members_most);
+    pub(super) fn limit(&mut self, max_members: usize) {
+        self.max_members = self.max_members.min(max_members);
     }
 
-    /// Decides on a host that is no member. `members` are listed already, and `open` log entries are not
-    /// committed yet, each of which may be another's `Join`.
-    pub(super) fn decide(&mut self, name: &str, members: usize, open: u64) -> Verdict {
-        let room = self.members_most.saturating_sub(members) as u64;
-        if room == 0 {
+    /// Decides on an initiator that is no member. There are `members` already, and `uncommitted` log entries,
+    /// each of which may be another's `Join`.
+    pub(super) fn decide(&mut self, name: &str, members: usize, uncommitted: u64) -> Verdict {
+        let capacity = self.max_members.saturating_sub(members) as u64;
+        if capacity == 0 {
             self.log_refusal(name);
-            return Verdict::Refused;
+            return Verdict::Refuse;
         }
-        if open >= room {
+        if uncommitted >= capacity {
             return Verdict::Later;
         }
         self.refused.remove(name);
-        Verdict::Join
+        Verdict::Admit
     }
 
-    /// Logs the first refusal of each host.
+    /// Logs the first refusal of each initiator.
     fn log_refusal(&mut self, name: &str) {
-        if self.refused.len() >= REFUSED_MOST || self.refused.contains(name) {
+        if self.refused.len() >= MAX_LOGGED_REFUSALS || self.refused.contains(name) {
             return;
         }
         self.refused.insert(name.to_owned());
-        let most = self.members_most;
+        let most = self.max_members;
         warn!(
             host = name,
             most, "not admitted: there are as many members as may be; forget one that is gone"
         );
-        if self.refused.len() == REFUSED_MOST {
-            warn!(logged = REFUSED_MOST, "refusals of further hosts are not logged");
+        if self.refused.len() == MAX_LOGGED_REFUSALS {
+            warn!(logged = MAX_LOGGED_REFUSALS, "refusals of further hosts are not logged");
         }
     }
 }
--- a/crates/flaxstand-consensus/src/participant/operators.rs
+++ b/crates/flaxstand-consensus/src/participant/operators.rs
@@ -1,121 +1,170 @@
-//! What operators ask for, and what they are told.
+//! Requests of operators, and the status report.
 
-use super::{Destination, OperatorReply, OperatorRequest, Participant, PeerMessage, StatusReport};
+use super::{
+    Destination, OperatorReply, OperatorRequest, Participant, PeerMessage, StatusReport, VersionNumbers,
+};
 use crate::member::ActiveRules;
 use crate::replica::ProposeError;
 use crate::replicated_state::{Change, MAX_RULES_BYTES, MAX_TEXT_BYTES, Version};
 use flaxstand_proto::Micros;
+use thiserror::Error;
 
-/// Operators' wishes that are not agreed on yet, most.
-const WISHES_MOST: usize = 16;
+/// Changes of operators that are not committed yet, most.
+const MAX_PENDING_OPERATIONS: usize = 16;
+/// Blockers that a refusal names, most.
+const MAX_NAMED_BLOCKERS: usize = 4;
+
+/// Why an operator's change is not proposed. Its text is the reply.
+#[derive(Debug, Error)]
+enum OperationError {
+    /// Only the leader proposes; its name, where it is known.
+    #[error("not the leader")]
+    NotLeader(Option<String>),
+    /// Too many operators wait.
+    #[error("too much is being agreed on: try again later")]
+    TooManyPending,
+    #[error("a file of {0} bytes, at most {MAX_TEXT_BYTES} are taken")]
+    TextTooLarge(usize),
+    #[error("rules of {0} bytes, at most {MAX_RULES_BYTES} are taken")]
+    RulesTooLarge(usize),
+    /// Members may still act on the stage before the present one.
+    #[error("the passage before is not over: {0}")]
+    RolloutNotOver(String),
+    #[error("{0} has a lease: it is there")]
+    MemberHasLease(String),
+    #[error(transparent)]
+    Propose(ProposeError),
+}
+
+impl From<OperationError> for OperatorReply {
+    fn from(error: OperationError) -> OperatorReply {
+        match error {
+            OperationError::NotLeader(leader) => OperatorReply::NotLeader(leader),
+            refused => OperatorReply::Refused(refused.to_string()),
+        }
+    }
+}
 
 impl Participant {
-    /// An operator asks for something, on a connection.
-    pub(super) fn operator_asked(&mut self, connection: u64, operator_request: OperatorRequest, now: Micros) {
-        let change = match operator_request {
-            OperatorRequest::Status => Err(OperatorReply::Status(Box::new(self.report(now)))),
-            OperatorRequest::ReplicatedState => Err(OperatorReply::ReplicatedState(
-                self.member
-                    .replicated_state()
-                    .map(|(index, replicated_state)| Box::new((index, replicated_state.clone()))),
-            )),
-            OperatorRequest::Propose(base, version) => {
-                self.check_version(&version, now).map(|()| Change::Propose { base, version })
+    /// Handles an operator's request. A change is replied to once it is committed.
+    pub(super) fn handle_operator_request(&mut self, connection: u64, request: OperatorRequest, now: Micros) {
+        let change = match request {
+            OperatorRequest::Status => {
+                let report = Box::new(self.report(now));
+                return self.reply(connection, OperatorReply::Status(report));
             }
-            OperatorRequest::Withdraw(number, by, at) => Ok(Change::Withdraw { number, by, at }),
-            OperatorRequest::Forget(name) => self.check_gone(&name, now).map(|()| Change::Forget(name)),
+            OperatorRequest::ReplicatedState => {
+                let state = self.member.indexed_state().map(Box::new);
+                return self.reply(connection, OperatorReply::ReplicatedState(state));
+            }
+            OperatorRequest::Propose { base, version } => Change::Propose { base, version },
+            OperatorRequest::Withdraw { number, by, at } => Change::Withdraw { number, by, at },
+            OperatorRequest::Forget(name) => Change::Forget(name),
         };
-        match change.and_then(|change| self.propose(&change, now)) {
-            Ok(index) => drop(self.operator_requests.insert(index, connection)),
-            Err(reply) => self.reply(connection, reply),
+        let proposed = self.check_change(&change, now).and_then(|()| self.propose(&change, now));
+        match proposed {
+            Ok(index) => {
+                self.pending_operations.insert(index, connection);
+            }
+            Err(error) => self.reply(connection, error.into()),
         }
     }
 
-    /// Proposes a change. Returns its index.
-    fn propose(&mut self, change: &Change, now: Micros) -> Result<u64, OperatorReply> {
-        let leads = self.leads_until(now).is_some();
-        let Some(replica) = self.replica.as_mut().filter(|_| leads) else {
-            return Err(OperatorReply::Elsewhere(self.leader()));
+    pub(super) fn reply(&mut self, connection: u64, reply: OperatorReply) {
+        self.outgoing.push_back((Destination::Connection(connection), PeerMessage::OperatorReply(reply)));
+    }
+
+    /// Proposes a change. Returns the index of its entry.
+    fn propose(&mut self, change: &Change, now: Micros) -> Result<u64, OperationError> {
+        let surely_leads = self.leads_until(now).is_some();
+        let Some(replica) = self.replica.as_mut().filter(|_| surely_leads) else {
+            return Err(OperationError::NotLeader(self.leader()));
         };
-        if self.operator_requests.len() >= WISHES_MOST {
-            return Err(OperatorReply::Refused("too much is being agreed on: try again later".into()));
+        if self.pending_operations.len() >= MAX_PENDING_OPERATIONS {
+            return Err(OperationError::TooManyPending);
         }
         match replica.propose(change.bytes(), now) {
-            Ok((_term, index)) => Ok(index),
-            Err(ProposeError::NotLeader { leader }) => Err(OperatorReply::Elsewhere(leader)),
-            Err(error) => Err(OperatorReply::Refused(error.to_string())),
+            Ok(proposed) => Ok(proposed.index),
+            Err(ProposeError::NotLeader { leader }) => Err(OperationError::NotLeader(leader)),
+            Err(error) => Err(OperationError::Propose(error)),
         }
     }
 
-    pub(super) fn reply(&mut self, connection: u64, reply: OperatorReply) {
-        self.outgoing.push_back((Destination::Connection(connection), PeerMessage::OperatorReply(reply)));
+    /// Whether a change may be proposed now, as far as only a leader knows.
+    fn check_change(&self, change: &Change, now: Micros) -> Result<(), OperationError> {
+        match change {
+            Change::Propose { version, .. } => self.check_version(version, now),
+            Change::Forget(name) => self.check_has_no_lease(name, now),
+            Change::Withdraw { .. } | Change::InForce { .. } | Change::Join(_) => Ok(()),
+        }
     }
 
-    /// Whether a version may be proposed now.
-    fn check_version(&self, version: &Version, now: Micros) -> Result<(), OperatorReply> {
+    fn check_version(&self, version: &Version, now: Micros) -> Result<(), OperationError> {
         let Some(leases) = &self.leases else { return Ok(()) };
-        let refused = |why: String| Err(OperatorReply::Refused(why));
         if version.text.len() > MAX_TEXT_BYTES {
-            return refused(format!(
-                "a file of {} bytes, at most {MAX_TEXT_BYTES} are taken",
-                version.text.len()
-            ));
+            return Err(OperationError::TextTooLarge(version.text.len()));
         }
-        let size = postcard::to_stdvec(&version.rules).map_or(usize::MAX, |b| b.len());
-        if size > MAX_RULES_BYTES {
-            return refused(format!("rules of {size} bytes, at most {MAX_RULES_BYTES} are taken"));
+        let rules_bytes = postcard::to_stdvec(&version.rules).map_or(usize::MAX, |bytes| bytes.len());
+        if rules_bytes > MAX_RULES_BYTES {
+            return Err(OperationError::RulesTooLarge(rules_bytes));
         }
-        // No third stage before everyone has left the first.
-        let blockers = leases.blockers(&self.applied.replicated_state, now);
-        if self.applied.replicated_state.in_force.number > 0
-            && self.applied.replicated_state.next.is_none()
-            && !blockers.is_empty()
-        {
-            let who: Vec<String> =
-                blockers.iter().take(4).map(|b| format!("{} ({})", b.who, b.why)).collect();
-            return refused(format!("the passage before is not over: {}", who.join("; ")));
+        // Guards against a third stage before everyone has left the first.
+        let state = self.applied.state();
+        let blockers = leases.blockers(state, now);
+        let is_after_rollout = state.in_force.number > 0 && state.next.is_none();
+        if is_after_rollout && !blockers.is_empty() {
+            let named = blockers.iter().take(MAX_NAMED_BLOCKERS);
+            let named: Vec<String> = named.map(|b| format!("{} ({})", b.who, b.why)).collect();
+            return Err(OperationError::RolloutNotOver(named.join("; ")));
         }
         Ok(())
     }
 
-    /// Whether a member may be forgotten: not while it has a lease.
-    fn check_gone(&self, name: &str, now: Micros) -> Result<(), OperatorReply> {
+    /// A member with a lease is not forgotten. Guards against a rollout that does not wait for it.
+    fn check_has_no_lease(&self, name: &str, now: Micros) -> Result<(), OperationError> {
         let Some(leases) = &self.leases else { return Ok(()) };
-        match leases.members(now).iter().find(|(n, ..)| n == name) {
-            Some((_, true, ..)) => Err(OperatorReply::Refused(format!("{name} has a lease: it is there"))),
-            _ => Ok(()),
+        let has_lease = leases.members(now).iter().any(|member| member.name == name && member.has_lease);
+        if has_lease {
+            return Err(OperationError::MemberHasLease(name.to_owned()));
         }
+        Ok(())
     }
 
-    /// How things stand.
+    /// The agreement as this initiator sees it.
     pub fn report(&self, now: Micros) -> StatusReport {
-        let replica = self.replica.as_ref().map(|k| k.status(now));
-        let replicated_state = self.member.replicated_state().map(|(_, b)| b);
-        let active_rules = match self.member.active_rules(now) {
-            ActiveRules::Fallback => "the floor".to_owned(),
-            ActiveRules::Transition(v, next) => format!("what versions {v} and {next} both allow"),
-            ActiveRules::Version(v) => format!("version {v}"),
-        };
-        let lease = self.member.lease_until().map_or(0, |until| until.since(now).0 / 1000);
-        StatusReport {
+        let mut report = StatusReport {
             name: self.config.name.clone(),
-            replica: replica.as_ref().map(|k| k.role.report_name().to_owned()),
-            leader: replica.as_ref().and_then(|k| k.leader.clone()),
-            term: replica.as_ref().map_or(0, |k| k.term),
-            electorate: replica
-                .as_ref()
-                .map_or(Vec::new(), |k| k.electorate.iter().map(|m| m.name.clone()).collect()),
-            silent: replica.map_or(Vec::new(), |k| k.silent),
-            active_rules,
-            lease_ms: lease,
-            versions: replicated_state
-                .map_or((0, None), |b| (b.in_force.number, b.next.as_ref().map(|n| n.number))),
-            stage: replicated_state.map_or(0, |b| b.stage),
-            blockers: match (&self.leases, replicated_state) {
-                (Some(leases), Some(_)) => leases.blockers(&self.applied.replicated_state, now),
-                _ => Vec::new(),
-            },
-            members: self.leases.as_ref().map_or(Vec::new(), |leases| leases.members(now)),
+            active_rules: describe(self.member.active_rules(now)),
+            lease_ms: self.member.lease_until().map_or(0, |until| until.since(now).0 / 1000),
+            ..StatusReport::default()
+        };
+        if let Some(status) = self.replica.as_ref().map(|replica| replica.status(now)) {
+            report.replica = Some(status.role.report_name().to_owned());
+            report.leader = status.leader;
+            report.term = status.term;
+            report.voters = status.voters.into_iter().map(|voter| voter.name).collect();
+            report.unresponsive = status.unresponsive;
         }
+        if let Some(state) = self.member.replicated_state() {
+            let next = state.next.as_ref().map(|next| next.number);
+            report.versions = VersionNumbers { in_force: state.in_force.number, next };
+            report.stage = state.stage;
+        }
+        if let Some(leases) = &self.leases {
+            report.members = leases.members(now);
+            if self.member.replicated_state().is_some() {
+                report.blockers = leases.blockers(self.applied.state(), now);
+            }
+        }
+        report
+    }
+}
+
+/// In words for operators.
+fn describe(active_rules: ActiveRules) -> String {
+    match active_rules {
+        ActiveRules::Fallback => "the floor".to_owned(),
+        ActiveRules::Transition(in_force, next) => format!("what versions {in_force} and {next} both allow"),
+        ActiveRules::Version(in_force) => format!("version {in_force}"),
     }
 }
--- a/crates/flaxstand-consensus/src/participant/protocol.rs
+++ b/crates/flaxstand-consensus/src/participant/protocol.rs
@@ -1,89 +1,133 @@
-//! What initiators and operators say to each other. Bytes are postcard's: variants are numbered in their order here,
-//! new ones come last.
+//! Messages between initiators and with operators.
+//!
+//! Bytes are postcard's: variants and fields are numbered by their order here and written without names. New
+//! variants come last; no field may be added. [`StatusReport`] is also shown as JSON, under the names of
+//! `settings status --json`.
 
-use crate::lease_manager::{Blocker, LeaseRequest, LeaseResponse};
+use crate::lease_manager::{Blocker, LeaseRequest, LeaseResponse, MemberStatus};
 use crate::message::Message;
-use crate::replicated_state::{ReplicatedState, Version};
+use crate::replicated_state::{IndexedState, Version};
 use serde::{Deserialize, Serialize};
 
-/// What initiators and operators say to each other.
+/// A message between initiators or with an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Between keepers.
+    /// Between replicas.
     Replica(Message),
-    /// A member's ask, and how many times it was passed on.
-    LeaseRequest(u8, LeaseRequest),
-    /// Its answer.
+    /// A member's lease request.
+    LeaseRequest {
+        /// How many times it was forwarded.
+        hops: u8,
+        /// The request.
+        request: LeaseRequest,
+    },
+    /// The response to one.
     LeaseResponse(Box<LeaseResponse>),
-    /// What an operator wants.
+    /// An operator's request.
     OperatorRequest(OperatorRequest),
-    /// What he is told.
+    /// The reply to one.
     OperatorReply(OperatorReply),
 }
 
-/// What an operator wants.
+/// An operator's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorRequest {
-    /// A new version, made from the one of this number.
-    Propose(u64, Version),
-    /// The version under way not to come in force; who says so, and when.
-    Withdraw(u64, String, u64),
-    /// An initiator that is gone for good not to be waited for.
+    /// Proposes a version.
+    Propose {
+        /// Number of the version in force that it was made from.
+        base: u64,
+        /// The version.
+        version: Version,
+    },
+    /// Gives up the version that is being rolled out.
+    Withdraw {
+        /// Its number.
+        number: u64,
+        /// Who withdraws it.
+        by: String,
+        /// When, microseconds since 1970.
+        at: u64,
+    },
+    /// Removes an initiator that is gone for good from the members.
     Forget(String),
-    /// How things stand.
+    /// Asks for a [`StatusReport`].
     Status,
-    /// The book: versions and history.
+    /// Asks for the replicated state: versions and history.
     ReplicatedState,
 }
 
-/// What an operator is told.
+/// The reply to an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorReply {
-    /// It was agreed on; the version's number, where there is one.
+    /// The change is committed; the version's number, or 0 where it concerns none.
     Committed(u64),
-    /// It was not, and why.
+    /// It changed nothing: why.
     Refused(String),
-    /// Only the leader can say; its name, where one is known.
-    Elsewhere(Option<String>),
-    /// How things stand.
+    /// Only the leader can decide; its name, where one is known.
+    NotLeader(Option<String>),
+    /// The report.
     Status(Box<StatusReport>),
-    /// The book and its index; none: not known here.
-    ReplicatedState(Option<Box<(u64, ReplicatedState)>>),
+    /// The replicated state; none: not known here.
+    ReplicatedState(Option<Box<IndexedState>>),
 }
 
-/// How things stand, as one initiator sees it.
+/// Numbers of versions. Sent, and shown as JSON, as a pair.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u64, Option<u64>)", into = "(u64, Option<u64>)")]
+pub struct VersionNumbers {
+    /// The version in force; 0: there is none yet.
+    pub in_force: u64,
+    /// The version that is being rolled out.
+    pub next: Option<u64>,
+}
+
+impl From<(u64, Option<u64>)> for VersionNumbers {
+    fn from((in_force, next): (u64, Option<u64>)) -> VersionNumbers {
+        VersionNumbers { in_force, next }
+    }
+}
+
+impl From<VersionNumbers> for (u64, Option<u64>) {
+    fn from(numbers: VersionNumbers) -> (u64, Option<u64>) {
+        (numbers.in_force, numbers.next)
+    }
+}
+
+/// The agreement as one initiator sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// Who tells.
+    /// Name of the reporting initiator.
     pub name: String,
-    /// What it is among the keepers; none: it is no keeper.
+    /// Role of its replica, in words for operators; none: it has no replica.
     #[serde(rename = "keeper")]
     pub replica: Option<String>,
-    /// Who leads, where that is known.
+    /// The leader's name, where it is known.
     pub leader: Option<String>,
-    /// The keepers' term.
+    /// The replica's term.
     pub term: u64,
-    /// Who votes.
-    pub electorate: Vec<String>,
-    /// Of a leader: keepers that it does not hear.
-    pub silent: Vec<String>,
-    /// What it acts on, in words.
+    /// Names of the voters.
+    #[serde(rename = "electorate")]
+    pub voters: Vec<String>,
+    /// Of a leader: voters that it has not heard from for an election timeout.
+    #[serde(rename = "silent")]
+    pub unresponsive: Vec<String>,
+    /// What it acts on, in words for operators.
     #[serde(rename = "acting")]
     pub active_rules: String,
-    /// For how long yet, if it hears nothing, milliseconds.
+    /// How long its lease lasts if no response comes, milliseconds.
     pub lease_ms: u64,
-    /// The version in force and the one under way.
-    pub versions: (u64, Option<u64>),
-    /// The stage.
+    /// The versions.
+    pub versions: VersionNumbers,
+    /// The stage of the rollout.
     pub stage: u64,
-    /// Of a leader: who holds the passage up.
+    /// Of a leader: what keeps the next stage from beginning.
     #[serde(rename = "holds")]
     pub blockers: Vec<Blocker>,
-    /// Of a leader: members; whether they have a lease, whether they confirmed, and when they were heard, ms ago.
-    pub members: Vec<(String, bool, bool, u64)>,
+    /// Of a leader: initiators that have asked for a lease.
+    pub members: Vec<MemberStatus>,
 }
 
-/// Where a word goes.
+/// Where a message goes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Destination {
     /// The initiator of this name.
--- a/crates/flaxstand-consensus/src/participant/routing.rs
+++ b/crates/flaxstand-consensus/src/participant/routing.rs
@@ -3,148 +3,143 @@
 use super::admission::Verdict;
 use super::{Destination, Participant, PeerMessage};
 use crate::lease_manager::{LeaseRequest, LeaseResponse};
-use crate::replicated_state::Change;
+use crate::replicated_state::{Change, IndexedState};
 use flaxstand_proto::Micros;
-use tracing::debug;
-
-/// Requests of others that are on their way, most. One more is dropped: its member asks again.
-const ROUTES_MOST: usize = 8192;
-/// How many times a request is passed on, at most: to a neighbour, by it to a keeper, by that to the leader.
-pub(super) const HOPS_MOST: u8 = 3;
-
-/// A request of a member, by the member's name and the request's number.
-pub(super) type RequestId = (String, u64);
+use std::collections::BTreeMap;
+
+/// Forwarded requests whose responses may still come, most. One more is dropped: its member asks again.
+const MAX_ROUTES: usize = 8192;
+/// How many times a request is forwarded, at most: to a neighbour, by it to a replica, by that to the leader.
+/// Guards against requests that go round for ever.
+pub(super) const MAX_HOPS: u8 = 3;
+
+/// A member's request.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RequestId {
+    member: String,
+    seq: u64,
+}
 
-/// Where a request of another came from.
+/// Where a forwarded request came from.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Route {
+struct Route {
     connection: u64,
-    since: Micros,
+    forwarded_at: Micros,
 }
 
-/// Initiators that a member may send its requests to, and the one that it uses.
-#[derive(Debug)]
-pub(super) struct Upstreams {
-    names: Vec<String>,
-    current: usize,
+/// The ways back of forwarded requests.
+#[derive(Debug, Default)]
+pub(super) struct Routes {
+    routes: BTreeMap<RequestId, Route>,
 }
 
-impl Upstreams {
-    /// Keepers, of which members take their first by their names, so that they spread over all; then neighbours,
-    /// for whoever reaches no keeper.
-    pub(super) fn new(own_name: &str, voters: &[String], neighbours: &[String]) -> Upstreams {
-        let others = |names: &[String]| -> Vec<String> {
-            names.iter().filter(|name| *name != own_name).cloned().collect()
-        };
-        let mut names = others(voters);
-        let hash = own_name.bytes().fold(0usize, |sum, byte| sum.wrapping_mul(31) + usize::from(byte));
-        let first = hash % names.len().max(1);
-        names.rotate_left(first);
-        names.extend(others(neighbours));
-        Upstreams { names, current: 0 }
+impl Routes {
+    /// Remembers where a request came from. Returns whether there was capacity for it.
+    fn add(&mut self, request: &LeaseRequest, connection: u64, now: Micros) -> bool {
+        if self.routes.len() >= MAX_ROUTES {
+            return false;
+        }
+        let id = RequestId { member: request.name.clone(), seq: request.seq };
+        self.routes.insert(id, Route { connection, forwarded_at: now });
+        true
     }
 
-    fn current(&self) -> Option<&String> {
-        self.names.get(self.current)
+    /// The connection that a response goes back on.
+    fn take(&mut self, response: &LeaseResponse) -> Option<u64> {
+        let id = RequestId { member: response.name.clone(), seq: response.seq };
+        self.routes.remove(&id).map(|route| route.connection)
     }
 
-    fn next(&mut self) {
-        self.current = (self.current + 1) % self.names.len().max(1);
-        debug!(upstream = self.current(), "another upstream");
+    /// Forgets requests whose responses would come too late for a lease of this length.
+    pub(super) fn expire(&mut self, lease: Micros, now: Micros) {
+        self.routes.retain(|_, route| now.since(route.forwarded_at) < lease);
     }
 }
 
 impl Participant {
-    /// Sends the member's own request, if one is due.
+    /// Sends the member's own request, if one is due. An upstream that has not responded for half a lease is
+    /// left.
     pub(super) fn renew_lease(&mut self, now: Micros) {
         let Some(request) = self.member.lease_request(now) else { return };
-        // An upstream that has not answered for half a lease is left.
-        if now.since(self.answered_at) > Micros(self.config.lease.0 / 2) {
-            self.upstreams.next();
-            self.answered_at = now;
+        self.upstreams.leave_unresponsive(Micros(self.config.lease.0 / 2), now);
+        match self.decide_as_leader(&request, now) {
+            Some(response) => self.handle_lease_response(response, now),
+            None => self.forward(0, request),
         }
-        self.lease_requested(None, 0, request, now);
-    }
-
-    /// Forgets requests whose responses would come too late for a lease.
-    pub(super) fn expire_routes(&mut self, now: Micros) {
-        let lease = self.config.lease;
-        self.routes.retain(|_, route| now.since(route.since) < lease);
     }
 
-    /// A lease request, our own (of no connection) or another's: decided on by the leader, passed on by all others.
-    pub(super) fn lease_requested(
+    /// Handles another member's lease request: decided on by the leader, forwarded by all others.
+    pub(super) fn handle_lease_request(
         &mut self,
-        connection: Option<u64>,
+        connection: u64,
         hops: u8,
         request: LeaseRequest,
         now: Micros,
     ) {
-        if let Some(response) = self.decide(&request, now) {
-            match connection {
-                Some(connection) => self.respond(connection, response),
-                None => self.lease_response(response, now),
-            }
-            return;
+        if let Some(response) = self.decide_as_leader(&request, now) {
+            return self.respond(connection, response);
         }
-        let Some(upstream) = self.upstream() else { return };
-        if let Some(connection) = connection {
-            if self.routes.len() >= ROUTES_MOST {
-                return;
-            }
-            let id = (request.name.clone(), request.seq);
-            self.routes.insert(id, Route { connection, since: now });
+        if self.upstream().is_some() && self.routes.add(&request, connection, now) {
+            self.forward(hops, request);
         }
-        self.outgoing.push_back((Destination::Peer(upstream), PeerMessage::LeaseRequest(hops + 1, request)));
     }
 
-    /// A response, to us or to one whose request was passed on.
-    pub(super) fn lease_response(&mut self, response: LeaseResponse, now: Micros) {
+    /// Sends a request on towards the leader.
+    fn forward(&mut self, hops: u8, request: LeaseRequest) {
+        let Some(upstream) = self.upstream() else { return };
+        let message = PeerMessage::LeaseRequest { hops: hops + 1, request };
+        self.outgoing.push_back((Destination::Peer(upstream), message));
+    }
+
+    /// Handles a response, to this member or to one whose request was forwarded.
+    pub(super) fn handle_lease_response(&mut self, response: LeaseResponse, now: Micros) {
         if response.name == self.config.name {
-            self.answered_at = now;
-            return self.member.lease_response(&response, now);
+            self.upstreams.record_response(now);
+            return self.member.handle_lease_response(&response, now);
         }
-        let id = (response.name.clone(), response.seq);
-        if let Some(route) = self.routes.remove(&id) {
-            self.respond(route.connection, response);
+        if let Some(connection) = self.routes.take(&response) {
+            self.respond(connection, response);
         }
     }
 
     fn respond(&mut self, connection: u64, response: LeaseResponse) {
-        self.outgoing
-            .push_back((Destination::Connection(connection), PeerMessage::LeaseResponse(Box::new(response))));
+        let message = PeerMessage::LeaseResponse(Box::new(response));
+        self.outgoing.push_back((Destination::Connection(connection), message));
     }
 
-    /// A leader's decision on a request; none: we do not lead.
-    fn decide(&mut self, request: &LeaseRequest, now: Micros) -> Option<LeaseResponse> {
+    /// A leader's decision on a request; none: this initiator does not lead.
+    fn decide_as_leader(&mut self, request: &LeaseRequest, now: Micros) -> Option<LeaseResponse> {
         let leads_until = self.leads_until(now)?;
         let leases = self.leases.as_mut()?;
         let applied = &self.applied;
         let mut decision =
-            leases.decide(request, applied.versions_index, &applied.replicated_state, leads_until, now);
-        let no_newer = decision.response.replicated_state.is_none() && request.index < applied.index;
-        if decision.differs && no_newer {
-            // Of an agreement before this one, say: it takes any state of a higher index.
-            decision.response.replicated_state = Some((applied.index, applied.replicated_state.clone()));
+            leases.decide(request, applied.versions_index(), applied.state(), leads_until, now);
+        let response = &mut decision.response;
+        let has_lower_index = request.state_index < applied.index();
+        if decision.is_unconfirmed && response.newer_state.is_none() && has_lower_index {
+            // Its copy may be of a cluster before this one: it takes any state of a higher index.
+            response.newer_state =
+                Some(IndexedState { index: applied.index(), state: applied.state().clone() });
         }
-        if decision.joins && self.applied.replicated_state.stage > 0 {
+        if decision.wants_to_join && self.applied.state().stage > 0 {
             self.admit(&request.name, now);
         }
         Some(decision.response)
     }
 
-    /// Of a leader: proposes a host as a member, if there is room for it.
+    /// Of a leader: proposes an initiator as a member, if there is capacity for it.
     fn admit(&mut self, name: &str, now: Micros) {
         let Some(replica) = &mut self.replica else { return };
-        let open = replica.last() - replica.committed();
-        let members = self.applied.replicated_state.members.len();
-        if self.admission.decide(name, members, open) == Verdict::Join {
-            // Where it is not taken the member's next request proposes it again.
+        let uncommitted = replica.last_index() - replica.commit_index();
+        let members = self.applied.state().members.len();
+        if self.admission.decide(name, members, uncommitted) == Verdict::Admit {
+            // Where it is not appended, the member's next request proposes it again.
             let _ = replica.propose(Change::Join(name.to_owned()).bytes(), now);
         }
     }
 
-    /// Who is to get requests that we can't decide on. A keeper knows who leads; without a leader there is nobody.
+    /// Who gets requests that are not decided on here. A replica knows the leader; without one there is
+    /// nobody.
     fn upstream(&self) -> Option<String> {
         if self.replica.is_some() {
             return self.leader().filter(|leader| *leader != self.config.name);
--- a/crates/flaxstand-consensus/src/replica/election.rs
+++ b/crates/flaxstand-consensus/src/replica/election.rs
@@ -1,142 +1,227 @@
-//! Terms and votes.
+//! Terms and votes (Raft §5.2, §5.4.1), with pre-vote (Ongaro's thesis, §9.6).
 
-use super::progress::LeaderState;
+use super::leader_state::LeaderState;
+use super::quorum::is_majority;
 use super::{InjectedFault, Replica, Role};
-use crate::journal::Record;
-use crate::log::EntryPayload;
+use crate::log::{EntryPayload, LogPosition};
 use crate::message::MessageBody;
 use crate::replica_id::ReplicaId;
 use flaxstand_proto::Micros;
+use rand_core::RngCore;
 use std::collections::BTreeSet;
 use tracing::info;
 
-impl Replica {
-    pub(super) fn majority(&self, of: &BTreeSet<ReplicaId>) -> bool {
-        let electorate = self.state.log.electorate().1;
-        electorate.iter().filter(|m| of.contains(m)).count() > electorate.len() / 2
+/// The leader as a replica knows it, and when the replica campaigns without one.
+#[derive(Clone, Debug)]
+pub(super) struct ElectionState {
+    pub(super) leader: Option<ReplicaId>,
+    /// When a leader's message came last.
+    last_leader_contact: Option<Micros>,
+    /// When the replica campaigns.
+    deadline: Micros,
+    timeout: Micros,
+}
+
+impl ElectionState {
+    pub(super) fn new(timeout: Micros, last_leader_contact: Option<Micros>, now: Micros) -> ElectionState {
+        ElectionState { leader: None, last_leader_contact, deadline: now, timeout }
+    }
+
+    pub(super) fn deadline(&self) -> Micros {
+        self.deadline
+    }
+
+    /// Draws the next deadline: one to two election timeouts from now, so that candidates rarely collide.
+    pub(super) fn reset_deadline(&mut self, rng: &mut impl RngCore, now: Micros) {
+        let timeout = self.timeout.0.max(1);
+        self.deadline = now.after(Micros(timeout + rng.next_u64() % timeout));
     }
 
-    /// Whether it may want to be elected.
-    pub(super) fn may_stand(&self) -> bool {
-        self.state.cluster != 0 && self.recovering.is_none() && self.is_member() && !self.leads()
+    /// A leader's message came. Returns whether it is another leader than before.
+    pub(super) fn record_leader_contact(&mut self, leader: &ReplicaId, now: Micros) -> bool {
+        self.last_leader_contact = Some(now);
+        let is_new = self.leader.as_ref() != Some(leader);
+        if is_new {
+            self.leader = Some(leader.clone());
+        }
+        is_new
+    }
+
+    /// Whether a leader's message came within an election timeout.
+    pub(super) fn has_recent_leader_contact(&self, now: Micros) -> bool {
+        self.last_leader_contact.is_some_and(|at| now.since(at) < self.timeout)
     }
 
-    /// Whether a leader was heard within an election's time: then nobody else is helped to one. Guards the leader
-    /// against keepers that only it does not reach.
+    /// A new instance has heard from nobody.
+    pub(super) fn forget_leader(&mut self) {
+        self.leader = None;
+        self.last_leader_contact = None;
+    }
+}
+
+impl Replica {
+    /// Whether it may become a candidate. A recovering replica may not: it may have voted already.
+    pub(super) fn may_campaign(&self) -> bool {
+        self.state().cluster_id != 0 && !self.recovery.is_recovering() && self.is_voter() && !self.is_leader()
+    }
+
+    /// Whether this replica withholds its vote because a leader is there. Leases rest on it
+    /// ([`Replica::leads_until`]), and it guards a leader against voters that it alone does not reach.
     fn has_leader(&self, now: Micros) -> bool {
-        self.leads() || self.leader_heard.is_some_and(|at| now.since(at) < self.config.election)
+        self.is_leader() || self.election.has_recent_leader_contact(now)
     }
 
-    /// Enters a term that somebody else began, or falls back in its own.
-    pub(super) fn follow(&mut self, term: u64, now: Micros) {
-        if term > self.state.term {
-            (self.state.term, self.state.voted) = (term, None);
-            self.promise(Record::Term(term, None));
-            self.leader = None;
+    /// Enters a term that another replica began, or falls back to follower in its own.
+    pub(super) fn become_follower(&mut self, term: u64, now: Micros) {
+        if term > self.state().term {
+            self.persistent.set_term_and_vote(term, None);
+            self.election.leader = None;
         }
         if !matches!(self.role, Role::Follower) {
-            if self.leads() {
+            if self.is_leader() {
                 info!(term, "no longer leading");
             }
-            self.leader = None;
+            self.election.leader = None;
             self.role = Role::Follower;
-            self.put_off_election(now);
+            self.reset_election_deadline(now);
         }
     }
 
-    /// Wants to be elected: first asks whether it would be, so that one that was cut off does not push the others
-    /// through terms when it comes back.
-    pub(super) fn stand(&mut self, pre: bool, now: Micros) {
-        self.put_off_election(now);
-        self.leader = None;
-        if !pre {
-            self.state.term += 1;
-            self.state.voted = Some(self.state.me.clone());
-            self.promise(Record::Term(self.state.term, self.state.voted.clone()));
-        }
-        let granted = BTreeSet::from([self.state.me.clone()]);
-        let newest = self.state.log.newest();
-        let body = if pre { MessageBody::PreVote(newest) } else { MessageBody::Vote(newest) };
-        self.role = Role::Candidate { pre, granted };
-        let others = self.electorate().into_iter().filter(|m| *m != self.state.me);
-        others.collect::<Vec<_>>().iter().for_each(|m| self.tell(m, body.clone()));
+    /// Asks whether it would be elected, without a new term: a replica that was cut off does not push the
+    /// others through terms when it comes back.
+    pub(super) fn start_pre_vote(&mut self, now: Micros) {
+        self.reset_election_deadline(now);
+        self.election.leader = None;
+        self.role = Role::PreCandidate { granted: BTreeSet::from([self.state().id.clone()]) };
+        self.send_to_other_voters(&MessageBody::PreVoteRequest(self.state().log.last_position()));
+        self.count_votes(now);
+    }
+
+    /// Begins a term, votes for itself and asks for the others' votes.
+    fn start_election(&mut self, now: Micros) {
+        self.reset_election_deadline(now);
+        self.election.leader = None;
+        let id = self.state().id.clone();
+        self.persistent.set_term_and_vote(self.state().term + 1, Some(id.clone()));
+        self.role = Role::Candidate { granted: BTreeSet::from([id]) };
+        self.send_to_other_voters(&MessageBody::VoteRequest(self.state().log.last_position()));
         self.count_votes(now);
     }
 
     fn count_votes(&mut self, now: Micros) {
-        let Role::Candidate { pre, granted } = &self.role else { return };
-        let (pre, granted) = (*pre, granted.clone());
-        if self.majority(&granted) {
-            if pre { self.stand(false, now) } else { self.begin_to_lead(now) }
+        let (Role::PreCandidate { granted } | Role::Candidate { granted }) = &self.role else { return };
+        if !is_majority(self.state().log.voters(), |voter| granted.contains(voter)) {
+            return;
+        }
+        match self.role {
+            Role::PreCandidate { .. } => self.start_election(now),
+            _ => self.become_leader(now),
         }
     }
 
-    fn begin_to_lead(&mut self, now: Micros) {
-        info!(term = self.state.term, "leading");
-        let peers = self.electorate().into_iter().filter(|m| *m != self.state.me);
-        self.role = Role::Leader(LeaderState::new(peers, self.state.log.last(), now));
-        self.leader = Some(self.state.me.clone());
-        // Entries of earlier terms count as committed only behind one of this term.
-        self.write(EntryPayload::Begin);
-        self.spread(now);
+    fn become_leader(&mut self, now: Micros) {
+        let state = self.state();
+        info!(term = state.term, "leading");
+        let others = state.log.voters().iter().filter(|voter| **voter != state.id).cloned();
+        self.role = Role::Leader(LeaderState::new(others, state.log.last_index(), now));
+        self.election.leader = Some(self.state().id.clone());
+        // Entries of earlier terms are committed only behind one of this term (Raft §5.4.2).
+        self.persistent.append_own_entry(EntryPayload::NoOp);
+        self.broadcast_append(now);
     }
 
-    fn newer_than_ours(&self, newest: (u64, u64)) -> bool {
-        newest >= self.state.log.newest() || self.config.injected_fault == InjectedFault::OlderLogElected
+    /// Whether a candidate's log holds all that may be committed: its last entry is at least as new as ours
+    /// (Raft §5.4.1). Guards against a leader that lacks a committed entry.
+    fn is_up_to_date(&self, candidate: LogPosition) -> bool {
+        candidate >= self.state().log.last_position()
+            || self.config.injected_fault == InjectedFault::StaleLogElected
     }
 
-    pub(super) fn asked_pre_vote(&mut self, from: &ReplicaId, term: u64, newest: (u64, u64), now: Micros) {
-        if self.recovering.is_some() {
+    pub(super) fn handle_pre_vote_request(
+        &mut self,
+        from: &ReplicaId,
+        term: u64,
+        candidate_log: LogPosition,
+        now: Micros,
+    ) {
+        if self.recovery.is_recovering() {
             return;
         }
-        let asked = term + 1;
-        let granted = !self.has_leader(now) && asked > self.state.term && self.newer_than_ours(newest);
-        self.tell(from, MessageBody::PreVoted(asked, granted));
+        let next_term = term + 1;
+        let granted =
+            !self.has_leader(now) && next_term > self.state().term && self.is_up_to_date(candidate_log);
+        self.send(from, MessageBody::PreVoteResponse { term: next_term, granted });
     }
 
-    pub(super) fn pre_voted(&mut self, from: ReplicaId, term: u64, asked: u64, granted: bool, now: Micros) {
-        if term > self.state.term {
-            return self.follow(term, now);
+    pub(super) fn handle_pre_vote_response(
+        &mut self,
+        from: ReplicaId,
+        term: u64,
+        asked_term: u64,
+        is_granted: bool,
+        now: Micros,
+    ) {
+        if term > self.state().term {
+            return self.become_follower(term, now);
         }
-        if let Role::Candidate { pre: true, granted: all } = &mut self.role
-            && granted
-            && asked == self.state.term + 1
+        let is_current = asked_term == self.state().term + 1;
+        if let Role::PreCandidate { granted } = &mut self.role
+            && is_granted
+            && is_current
         {
-            all.insert(from);
+            granted.insert(from);
             self.count_votes(now);
         }
     }
 
-    pub(super) fn asked_vote(&mut self, from: &ReplicaId, term: u64, newest: (u64, u64), now: Micros) {
-        if self.recovering.is_some() || self.has_leader(now) && term > self.state.term {
+    pub(super) fn handle_vote_request(
+        &mut self,
+        from: &ReplicaId,
+        term: u64,
+        candidate_log: LogPosition,
+        now: Micros,
+    ) {
+        // A recovering replica may have voted in an incarnation that it does not know: guards against a
+        // second vote in one term.
+        if self.recovery.is_recovering() || self.has_leader(now) && term > self.state().term {
             return;
         }
-        if term > self.state.term {
-            self.follow(term, now);
+        if term > self.state().term {
+            self.become_follower(term, now);
         }
-        let free = self.state.voted.as_ref().is_none_or(|v| v == from);
-        let granted = term == self.state.term && free && self.newer_than_ours(newest);
+        let voted_for = &self.state().voted_for;
+        let is_first_vote = voted_for.is_none();
+        let is_free = voted_for.as_ref().is_none_or(|candidate| candidate == from);
+        let granted = term == self.state().term && is_free && self.is_up_to_date(candidate_log);
         if granted {
-            if self.state.voted.is_none() {
-                self.state.voted = Some(from.clone());
-                if self.config.injected_fault != InjectedFault::VoteNotWritten {
-                    self.promise(Record::Term(term, self.state.voted.clone()));
-                }
+            if is_first_vote {
+                self.vote_for(from.clone());
             }
-            self.put_off_election(now);
+            self.reset_election_deadline(now);
+        }
+        self.send(from, MessageBody::VoteResponse { granted });
+    }
+
+    /// Records the vote. The response waits in the outbox until it is durable: guards against a second vote
+    /// after a restart.
+    fn vote_for(&mut self, candidate: ReplicaId) {
+        if self.config.injected_fault == InjectedFault::VoteNotPersisted {
+            self.persistent.vote_without_record(candidate);
+        } else {
+            self.persistent.set_term_and_vote(self.state().term, Some(candidate));
         }
-        self.tell(from, MessageBody::Voted(granted));
     }
 
-    pub(super) fn voted(&mut self, from: ReplicaId, term: u64, granted: bool, now: Micros) {
-        if term > self.state.term {
-            return self.follow(term, now);
+    pub(super) fn handle_vote_response(&mut self, from: ReplicaId, term: u64, is_granted: bool, now: Micros) {
+        if term > self.state().term {
+            return self.become_follower(term, now);
         }
-        if let Role::Candidate { pre: false, granted: all } = &mut self.role
-            && granted
-            && term == self.state.term
+        let is_current = term == self.state().term;
+        if let Role::Candidate { granted } = &mut self.role
+            && is_granted
+            && is_current
         {
-            all.insert(from);
+            granted.insert(from);
             self.count_votes(now);
         }
     }
--- /dev/null
+++ b/crates/flaxstand-consensus/src/replica/follower.rs
@@ -0,0 +1,122 @@
+//! What a replica does with a leader's requests (Raft §5.3, §7).
+
+use super::{InjectedFault, Replica};
+use crate::log::{Entry, Snapshot};
+use crate::message::MessageBody;
+use crate::replica_id::ReplicaId;
+use flaxstand_proto::Micros;
+use tracing::info;
+
+/// A leader's entries and what stands before them.
+pub(super) struct Append {
+    pub(super) prev_index: u64,
+    pub(super) prev_term: u64,
+    pub(super) entries: Vec<Entry>,
+    /// The leader's commit index.
+    pub(super) commit_index: u64,
+}
+
+/// What became of a leader's request.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum AppendOutcome {
+    /// All entries up to there are in the log as the leader has them.
+    Accepted(u64),
+    /// What came does not follow the log here, or its sender does not lead any more. All entries up to there
+    /// match.
+    Rejected(u64),
+}
+
+impl Replica {
+    /// Whether the message comes from this term's leader, who is followed from now on.
+    fn accept_leader(&mut self, from: &ReplicaId, term: u64, now: Micros) -> bool {
+        if term < self.state().term {
+            return false;
+        }
+        self.become_follower(term, now);
+        if self.election.record_leader_contact(from, now) {
+            info!(leader = from.name, term, "following");
+        }
+        self.reset_election_deadline(now);
+        true
+    }
+
+    pub(super) fn handle_append(
+        &mut self,
+        from: &ReplicaId,
+        term: u64,
+        append: Append,
+        now: Micros,
+    ) -> AppendOutcome {
+        if !self.accept_leader(from, term, now) {
+            return AppendOutcome::Rejected(0);
+        }
+        let Append { prev_index, prev_term, entries, commit_index } = append;
+        let log = &self.state().log;
+        let is_in_snapshot = prev_index < log.snapshot.index;
+        let follows_log = is_in_snapshot || log.term(prev_index) == Some(prev_term);
+        if !follows_log && self.config.injected_fault != InjectedFault::LogGapAccepted {
+            // What is committed here the leader has as well.
+            return AppendOutcome::Rejected(self.commit_index());
+        }
+        let last_sent = prev_index + entries.len() as u64;
+        self.append_missing(prev_index + 1, entries);
+        let match_index = last_sent.max(if is_in_snapshot { self.commit_index() } else { 0 });
+        let known_committed = commit_index.min(match_index).min(self.state().log.last_index());
+        self.commit.advance_to(known_committed);
+        AppendOutcome::Accepted(match_index)
+    }
+
+    /// Appends what is not in the log yet. Entries that are stay, with all that follows them: a late message
+    /// must not take back what a newer one brought.
+    fn append_missing(&mut self, first_index: u64, entries: Vec<Entry>) {
+        let log = &self.state().log;
+        let is_present = |(index, entry): &(u64, Entry)| {
+            *index <= log.snapshot.index || log.term(*index) == Some(entry.term)
+        };
+        let missing: Vec<(u64, Entry)> = (first_index..).zip(entries).skip_while(is_present).collect();
+        let Some((first_missing, _)) = missing.first() else { return };
+        let first_missing = *first_missing;
+        assert!(first_missing > self.commit_index(), "what is agreed on is never taken back");
+        let entries = missing.into_iter().map(|(_, entry)| entry).collect();
+        self.persistent.replace_entries(first_missing, entries);
+    }
+
+    pub(super) fn handle_snapshot(
+        &mut self,
+        from: &ReplicaId,
+        term: u64,
+        snapshot: Snapshot,
+        now: Micros,
+    ) -> AppendOutcome {
+        if !self.accept_leader(from, term, now) {
+            return AppendOutcome::Rejected(0);
+        }
+        if snapshot.index > self.commit_index() {
+            info!(index = snapshot.index, "taking a snapshot in place of entries");
+            self.commit.advance_to(snapshot.index);
+            self.persistent.install_snapshot(snapshot);
+            self.commit.deliver_snapshot(&self.persistent.state().log.snapshot);
+        }
+        AppendOutcome::Accepted(self.commit_index())
+    }
+
+    /// Answers a leader's request, sent at `request_sent_at` by the leader's clock.
+    pub(super) fn respond_to_leader(
+        &mut self,
+        leader: &ReplicaId,
+        outcome: AppendOutcome,
+        request_sent_at: u64,
+    ) {
+        let (AppendOutcome::Accepted(match_index) | AppendOutcome::Rejected(match_index)) = outcome;
+        let body = if self.recovery.is_recovering() {
+            // Guards against an old copy of the folder that confirms what a later incarnation may have
+            // confirmed otherwise.
+            MessageBody::RecoveryProgress(match_index)
+        } else if matches!(outcome, AppendOutcome::Accepted(_)) {
+            MessageBody::AppendAccepted { match_index, request_sent_at }
+        } else {
+            MessageBody::AppendRejected { match_index, request_sent_at }
+        };
+        self.send(leader, body);
+    }
+}
--- /dev/null
+++ b/crates/flaxstand-consensus/src/replica/leader.rs
@@ -0,0 +1,208 @@
+//! What a leader does: sends entries and heartbeats, counts who has them, steps down when no majority
+//! answers.
+
+use super::progress::RecoveringReplica;
+use super::{InjectedFault, MAX_MESSAGE_BYTES, Replica, Role};
+use crate::message::MessageBody;
+use crate::replica_id::ReplicaId;
+use flaxstand_proto::Micros;
+use tracing::{info, warn};
+
+/// The share of an election timeout for which a majority's answers prove leadership: a tenth is left for
+/// clocks.
+const LEADERSHIP_NUMERATOR: u64 = 9;
+const LEADERSHIP_DENOMINATOR: u64 = 10;
+
+impl Replica {
+    /// Sends heartbeats as often as a leader does, or steps down.
+    pub(super) fn tick_leader(&mut self, now: Micros) {
+        // Check-quorum: guards against a leader that was replaced while it was cut off, and would go on.
+        if !self.has_quorum_contact(now) && self.config.injected_fault != InjectedFault::QuorumCheckSkipped {
+            warn!(term = self.state().term, "no majority answers");
+            return self.become_follower(self.state().term, now);
+        }
+        let Role::Leader(leader) = &self.role else { return };
+        if now >= leader.heartbeat_at {
+            self.complete_recoveries(now);
+            self.update_voters(now);
+            self.broadcast_append(now);
+        }
+    }
+
+    fn has_quorum_contact(&self, now: Micros) -> bool {
+        let Role::Leader(leader) = &self.role else { return false };
+        let state = self.state();
+        leader.has_quorum_contact(state.log.voters(), &state.id, self.config.election_timeout, now)
+    }
+
+    /// Whether an entry of this leader's own term is committed. Until then it may not know all that is
+    /// committed (Raft §8).
+    pub(super) fn has_committed_in_term(&self) -> bool {
+        let state = self.state();
+        state.log.term(self.commit_index()) == Some(state.term)
+    }
+
+    /// Until when no other replica can lead, as far as a majority's answers prove: nobody who heard this
+    /// leader grants a vote for an election timeout, counted from when the message came, which is after it
+    /// was sent. None: it does not lead, or may not know yet all that is committed.
+    pub fn leads_until(&self, now: Micros) -> Option<Micros> {
+        let Role::Leader(leader) = &self.role else { return None };
+        if !self.has_committed_in_term() {
+            return None;
+        }
+        let state = self.state();
+        let proven_at = leader.quorum_sent_at(state.log.voters(), &state.id, now)?;
+        let span = self.config.election_timeout.0 * LEADERSHIP_NUMERATOR / LEADERSHIP_DENOMINATOR;
+        Some(proven_at.after(Micros(span)))
+    }
+
+    /// Of a leader: voters that it has not heard from for an election timeout.
+    pub(super) fn unresponsive(&self, now: Micros) -> Vec<String> {
+        let Role::Leader(leader) = &self.role else { return Vec::new() };
+        let state = self.state();
+        let is_responsive = |voter: &ReplicaId| {
+            let peer = leader.peers.get(voter);
+            *voter == state.id
+                || peer.is_some_and(|peer| peer.is_responsive(self.config.election_timeout, now))
+        };
+        let voters = state.log.voters().iter();
+        voters.filter(|voter| !is_responsive(voter)).map(|voter| voter.name.clone()).collect()
+    }
+
+    /// Sends every peer the entries that it lacks; none of them is a heartbeat.
+    pub(super) fn broadcast_append(&mut self, now: Micros) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.heartbeat_at = now.after(self.config.heartbeat_interval);
+        let peers: Vec<ReplicaId> = leader.peers.keys().cloned().collect();
+        for peer in &peers {
+            self.send_append(peer, now);
+        }
+        self.advance_commit_index();
+    }
+
+    fn send_append(&mut self, to: &ReplicaId, now: Micros) {
+        let Role::Leader(leader) = &self.role else { return };
+        let Some(peer) = leader.peers.get(to) else { return };
+        let log = &self.state().log;
+        let prev_index = peer.next_index - 1;
+        let body = match log.term(prev_index) {
+            Some(prev_term) => MessageBody::AppendRequest {
+                prev_index,
+                prev_term,
+                entries: log.entries_after(prev_index, MAX_MESSAGE_BYTES),
+                commit_index: self.commit_index(),
+                sent_at: now.0,
+            },
+            // The entries that it lacks are in the snapshot.
+            None => MessageBody::InstallSnapshot { snapshot: log.snapshot.clone(), sent_at: now.0 },
+        };
+        self.send(to, body);
+    }
+
+    /// The sender has all entries up to `match_index` durable, those sent included.
+    pub(super) fn handle_append_accepted(
+        &mut self,
+        from: &ReplicaId,
+        term: u64,
+        match_index: u64,
+        request_sent_at: Micros,
+        now: Micros,
+    ) {
+        if term > self.state().term {
+            return self.become_follower(term, now);
+        }
+        let is_current = term == self.state().term;
+        let last_index = self.last_index();
+        let queued_records = self.persistent.journal().queued_records();
+        let Role::Leader(leader) = &mut self.role else { return };
+        let Some(peer) = leader.peers.get_mut(from).filter(|_| is_current) else { return };
+        peer.record_response(request_sent_at, now);
+        let has_advanced = peer.advance_match(match_index, queued_records);
+        if has_advanced && peer.match_index < last_index {
+            self.send_append(from, now);
+        }
+        self.advance_commit_index();
+    }
+
+    /// The sender lacks the entry before those sent. Entries up to `match_index` are there.
+    pub(super) fn handle_append_rejected(
+        &mut self,
+        from: &ReplicaId,
+        term: u64,
+        match_index: u64,
+        request_sent_at: Micros,
+        now: Micros,
+    ) {
+        if term > self.state().term {
+            return self.become_follower(term, now);
+        }
+        let is_current = term == self.state().term;
+        let last_index = self.last_index();
+        let Role::Leader(leader) = &mut self.role else { return };
+        let Some(peer) = leader.peers.get_mut(from).filter(|_| is_current) else { return };
+        peer.record_response(request_sent_at, now);
+        peer.back_up(match_index, last_index);
+        self.send_append(from, now);
+        self.advance_commit_index();
+    }
+
+    /// A recovering replica says what it has. It counts for no quorum.
+    pub(super) fn handle_recovery_progress(&mut self, from: &ReplicaId, term: u64, match_index: u64) {
+        let is_current = term == self.state().term;
+        let last_index = self.last_index();
+        let Role::Leader(leader) = &mut self.role else { return };
+        if let Some(peer) = leader.peers.get_mut(from).filter(|_| is_current)
+            && let Some(recovering) = &mut peer.recovering
+        {
+            recovering.match_index = match_index;
+            peer.next_index = match_index.min(last_index) + 1;
+        }
+    }
+
+    /// Tells recovering replicas that are up to date that they take part again.
+    fn complete_recoveries(&mut self, now: Micros) {
+        if !self.has_committed_in_term() {
+            return;
+        }
+        let Role::Leader(leader) = &self.role else { return };
+        let state = self.state();
+        let recovered = leader.recovered_replicas(state.log.voters(), &state.id, self.commit_index());
+        for (replica, incarnation) in recovered {
+            self.send(&replica, MessageBody::RecoveryComplete(incarnation));
+            // The message may be lost: it is sent again if the replica asks again.
+            if let Role::Leader(leader) = &mut self.role
+                && let Some(peer) = leader.peers.get_mut(&replica)
+            {
+                peer.recovering = Some(RecoveringReplica::new(incarnation, now));
+            }
+        }
+    }
+
+    /// Commits what a majority has durable, if its last entry is of this leader's own term: guards against an
+    /// entry of an earlier term that a later leader could still overwrite (Raft §5.4.2, figure 8).
+    pub(super) fn advance_commit_index(&mut self) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        let state = self.persistent.state();
+        let journal = self.persistent.journal();
+        let voters = state.log.voters();
+        let own_index = journal.durable_index();
+        let Some(index) = leader.quorum_match_index(voters, &state.id, own_index, journal.durable_records())
+        else {
+            return;
+        };
+        let is_of_own_term = state.log.term(index) == Some(state.term);
+        let may_commit = is_of_own_term || self.config.injected_fault == InjectedFault::EarlierTermCommitted;
+        if index <= self.commit.commit_index() || !may_commit {
+            return;
+        }
+        self.commit.advance_to(index);
+        // Followers are told at the next tick.
+        leader.heartbeat_at = Micros(0);
+        let is_removed = !voters.contains(&state.id) && state.log.voters_index() <= index;
+        if is_removed {
+            info!("no longer in the electorate");
+            self.role = Role::Follower;
+            self.election.leader = None;
+        }
+    }
+}
--- a/crates/flaxstand-consensus/src/replica/progress.rs
+++ b/crates/flaxstand-consensus/src/replica/progress.rs
@@ -1,94 +1,91 @@
-//! What a leader knows of each other replica: how far its log matches, when it was heard.
+//! What a leader knows of one other replica.
 
-use crate::replica_id::{Incarnation, ReplicaId};
+use crate::replica_id::Incarnation;
 use flaxstand_proto::Micros;
-use std::collections::BTreeMap;
-use tracing::info;
 
-/// Newcomers that a leader speaks to, most.
-const LEARNERS_MOST: usize = 8;
-
-/// A replica that started in this life and may run on an old copy of its folder.
+/// A replica that started in this incarnation and may run on an old copy of its folder.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Unsure {
+pub(super) struct RecoveringReplica {
     pub(super) incarnation: Incarnation,
-    /// When it asked whether a later life of it was seen.
-    pub(super) asked_at: Micros,
-    /// All up to there is in its log since.
-    pub(super) has: u64,
+    /// When it asked whether a later incarnation was seen.
+    pub(super) requested_at: Micros,
+    /// All entries up to there are in its log since.
+    pub(super) match_index: u64,
+}
+
+impl RecoveringReplica {
+    pub(super) fn new(incarnation: Incarnation, now: Micros) -> RecoveringReplica {
+        RecoveringReplica { incarnation, requested_at: now, match_index: 0 }
+    }
 }
 
-/// One replica as its leader sees it.
+/// A replica's progress as its leader sees it.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
-    /// All up to there is durable there.
+    /// All entries up to there are durable there.
     pub(super) match_index: u64,
-    /// That counts once so many records are durable here: until then an old copy of its folder would not be known.
-    pub(super) counts_after: u64,
-    /// What counted last.
-    pub(super) counted_index: u64,
+    /// `match_index` counts for a quorum once this record of the leader's own journal is durable: until then
+    /// an old copy of the replica's folder would not be recognised.
+    counts_after_record: u64,
+    /// What counts for a quorum.
+    pub(super) quorum_match_index: u64,
     /// The entry to send next.
     pub(super) next_index: u64,
-    pub(super) heard_at: Micros,
-    /// When the newest of the messages was written that it answered.
-    pub(super) newest_stamp: Micros,
+    /// When a response, or a request to join, came last.
+    pub(super) last_contact_at: Micros,
+    /// When the newest request was sent that it has answered.
+    pub(super) newest_answered_sent_at: Micros,
     /// It started, and was not brought up to date yet.
-    pub(super) recovering: Option<Unsure>,
+    pub(super) recovering: Option<RecoveringReplica>,
 }
 
 impl Progress {
     pub(super) fn new(next_index: u64, now: Micros) -> Progress {
         Progress {
             match_index: 0,
-            counts_after: 0,
-            counted_index: 0,
+            counts_after_record: 0,
+            quorum_match_index: 0,
             next_index,
-            heard_at: now,
-            newest_stamp: Micros(0),
+            last_contact_at: now,
+            newest_answered_sent_at: Micros(0),
             recovering: None,
         }
     }
-}
 
-/// A leader's view of the others.
-#[derive(Clone, Debug)]
-pub(super) struct LeaderState {
-    pub(super) peers: BTreeMap<ReplicaId, Progress>,
-    /// When the next heartbeat is due.
-    pub(super) heartbeat_at: Micros,
-}
-
-impl LeaderState {
-    pub(super) fn new(peers: impl Iterator<Item = ReplicaId>, last: u64, now: Micros) -> LeaderState {
-        let peers = peers.map(|peer| (peer, Progress::new(last + 1, now))).collect();
-        LeaderState { peers, heartbeat_at: now }
+    /// Whether it was heard from within `timeout`.
+    pub(super) fn is_responsive(&self, timeout: Micros, now: Micros) -> bool {
+        now.since(self.last_contact_at) < timeout
     }
 
-    /// See `Replica::essence`.
-    pub(super) fn essence(&self) -> String {
-        let of = |(peer, progress): (&ReplicaId, &Progress)| {
-            let has = progress.recovering.map(|recovering| recovering.has);
-            format!("{} {} {} {has:?}", peer.name, progress.counted_index, progress.next_index)
-        };
-        format!("leads {:?}", self.peers.iter().map(of).collect::<Vec<_>>())
+    /// It answered, as one that takes part. `request_sent_at` is bounded by the clock here: guards leases
+    /// against an answer that claims a time to come.
+    pub(super) fn record_response(&mut self, request_sent_at: Micros, now: Micros) {
+        self.last_contact_at = now;
+        self.recovering = None;
+        self.newest_answered_sent_at = self.newest_answered_sent_at.max(request_sent_at.min(now));
     }
 
-    /// A replica started and is not sure of itself.
-    pub(super) fn recovering(&mut self, replica: &ReplicaId, incarnation: Incarnation, now: Micros) {
-        if let Some(progress) = self.peers.get_mut(replica)
-            && progress.recovering.is_none_or(|recovering| recovering.incarnation != incarnation)
-        {
-            progress.recovering = Some(Unsure { incarnation, asked_at: now, has: 0 });
+    /// All entries up to an index are durable there. Returns whether that is more than before: a late
+    /// response says less than what came before it.
+    pub(super) fn advance_match(&mut self, match_index: u64, queued_records: u64) -> bool {
+        let has_advanced = match_index > self.match_index;
+        if has_advanced {
+            self.match_index = match_index;
+            self.counts_after_record = queued_records;
         }
+        self.next_index = self.match_index + 1;
+        has_advanced
+    }
+
+    /// It rejected an append; entries up to `match_index` are there.
+    pub(super) fn back_up(&mut self, match_index: u64, last_index: u64) {
+        self.next_index = (match_index.max(self.match_index) + 1).min(last_index + 1);
     }
 
-    /// One that is in no electorate asks to be taken in.
-    pub(super) fn learner(&mut self, replica: ReplicaId, now: Micros) {
-        if let Some(progress) = self.peers.get_mut(&replica) {
-            progress.heard_at = now;
-        } else if self.peers.len() < LEARNERS_MOST {
-            info!(name = replica.name, "a new keeper asks to be taken in");
-            self.peers.insert(replica, Progress::new(1, now));
+    /// Counts `match_index` for a quorum if the leader's journal has reached the record that it waits for.
+    pub(super) fn count_durable(&mut self, durable_records: u64) {
+        if self.counts_after_record <= durable_records {
+            self.quorum_match_index = self.match_index;
         }
     }
 }
--- a/crates/flaxstand-consensus/tests/capacity/fleet.rs
+++ b/crates/flaxstand-consensus/tests/capacity/fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet without faults on virtual time: keepers and plain members with exact clocks, a network that only delays,
-//! and counters of what each host sends, receives and looks at. One seed gives the same counts in every run.
+//! A fleet without faults on virtual time: initiators with a replica and plain members with exact clocks, a
+//! network that only delays, and counters of what each host sends, receives and looks at. One seed gives the
+//! same counts in every run.
 
 use flaxstand_consensus::member::ActiveRules;
 use flaxstand_consensus::participant::{
@@ -17,22 +18,30 @@
 use std::ops::AddAssign;
 use std::time::{Duration, Instant};
 
-/// Keepers of each fleet.
-pub const KEEPERS: usize = 5;
+/// Initiators with a replica in each fleet.
+pub const REPLICAS: usize = 5;
 /// The settings' defaults (docs/agreement.md).
 pub const LEASE: Micros = Micros(3_000_000);
 const ELECTION: Micros = Micros(500_000);
 const CLOCK_ERROR: f64 = 0.001;
 /// Members ask four times in a lease.
-pub const ASK_PERIOD: Micros = Micros(LEASE.0 / 4);
+pub const REQUEST_INTERVAL: Micros = Micros(LEASE.0 / 4);
 /// Bytes of a version's text, about those of a site with a dozen classes.
 pub const TEXT_BYTES: usize = 2_000;
 /// Bytes of each host's name.
 pub const NAME_BYTES: usize = 14;
-/// Delay of a message: the least, and by how much it varies.
-const DELAY: (u64, u64) = (200, 4_000);
-/// Time of a durable write: the least, and by how much it varies.
-const WRITE: (u64, u64) = (100, 2_000);
+/// A time that is drawn, microseconds.
+#[derive(Clone, Copy, Debug)]
+struct Varying {
+    least: u64,
+    /// Drawn on top: less than this.
+    varies: u64,
+}
+
+/// Delay of a message.
+const DELAY: Varying = Varying { least: 200, varies: 4_000 };
+/// Time of a durable write.
+const WRITE: Varying = Varying { least: 100, varies: 2_000 };
 /// The operator's connection; those of hosts are their numbers.
 const OPERATOR: u64 = 1 << 40;
 /// How often an operator proposes anew what was refused.
@@ -61,7 +70,7 @@
     pub received: Count,
     /// Answers that brought this host the whole replicated state.
     pub states_received: u64,
-    /// Members looked at to decide whether a change may come into force.
+    /// Members examined to decide whether a change may come into force.
     pub members_examined: u64,
 }
 
@@ -105,7 +114,7 @@
 }
 
 enum Event {
-    Deliver { from: usize, to: usize, word: PeerMessage },
+    Deliver { from: usize, to: usize, message: PeerMessage },
     Timer(usize),
     Stored(usize),
 }
@@ -123,7 +132,7 @@
     pub replies: Vec<OperatorReply>,
     frame_overhead: u64,
     /// Members that leaders admit.
-    members_most: usize,
+    max_members: usize,
 }
 
 pub fn host_name(host: usize) -> String {
@@ -169,10 +178,10 @@
     }
 
     /// A fleet of which leaders admit some hosts only; those act on the first version.
-    pub fn at_rest_with_members_most(count: usize, members_most: usize, seed: u64) -> Fleet {
-        let mut fleet = Fleet::started_with_members_most(count, members_most, seed);
+    pub fn at_rest_with_max_members(count: usize, max_members: usize, seed: u64) -> Fleet {
+        let mut fleet = Fleet::started_with_max_members(count, max_members, seed);
         fleet.run_until("all that are admitted act on the first version", |f| {
-            f.acting_alone(1) == members_most
+            f.acting_alone(1) == max_members
         });
         fleet.run_for(LEASE);
         fleet
@@ -180,10 +189,10 @@
 
     /// A fleet of `count` hosts, keepers included, where members have just been started.
     pub fn started(count: usize, seed: u64) -> Fleet {
-        Fleet::started_with_members_most(count, MAX_MEMBERS, seed)
+        Fleet::started_with_max_members(count, MAX_MEMBERS, seed)
     }
 
-    fn started_with_members_most(count: usize, members_most: usize, seed: u64) -> Fleet {
+    fn started_with_max_members(count: usize, max_members: usize, seed: u64) -> Fleet {
         let frame_overhead = {
             let mut frame = Vec::new();
             flaxstand_proto::encode(&Frame::Agreement { bytes: &[] }, &mut frame);
@@ -200,17 +209,17 @@
             lost_leases: 0,
             replies: Vec::new(),
             frame_overhead,
-            members_most,
+            max_members,
         };
-        (0..KEEPERS).for_each(|host| fleet.start(host));
+        (0..REPLICAS).for_each(|host| fleet.start(host));
         fleet.run_until("a leader that may take proposals", |f| {
             f.leader().is_some_and(|leader| f.takes_proposals(leader))
         });
         fleet.propose();
-        fleet.run_until("keepers act on the first version", |f| f.acting_alone(1) == KEEPERS);
+        fleet.run_until("keepers act on the first version", |f| f.acting_alone(1) == REPLICAS);
         // Spread evenly over the time between two asks of one member.
-        for host in KEEPERS..count {
-            let next = fleet.now.after(Micros(ASK_PERIOD.0 / count as u64));
+        for host in REPLICAS..count {
+            let next = fleet.now.after(Micros(REQUEST_INTERVAL.0 / count as u64));
             fleet.run_to(next);
             fleet.start(host);
         }
@@ -221,18 +230,18 @@
         let config = Config {
             name: host_name(host),
             epoch: 1,
-            voters: (0..KEEPERS).map(host_name).collect(),
+            voters: (0..REPLICAS).map(host_name).collect(),
             neighbours: Vec::new(),
             lease: LEASE,
             clock_error: CLOCK_ERROR,
-            election: ELECTION,
+            election_timeout: ELECTION,
             seed: self.rng.next_u64(),
             started_with: rules(100.0),
             injected_fault: InjectedFault::None,
         };
-        let found = (host < KEEPERS).then(StoredReplica::default);
-        let mut agreement = Participant::new(config, found, None, 0, self.now);
-        agreement.limit_members(self.members_most);
+        let stored = (host < REPLICAS).then(StoredReplica::default);
+        let mut agreement = Participant::new(config, stored, None, 0, self.now);
+        agreement.limit_members(self.max_members);
         self.hosts[host].agreement = Some(agreement);
         self.settle(host);
     }
@@ -256,7 +265,7 @@
     pub fn propose(&mut self) -> u64 {
         let leader = self.leader().expect("there is a leader");
         let base = self.newest();
-        self.operator_asks(leader, OperatorRequest::Propose(base, version_after(base)));
+        self.operator_asks(leader, OperatorRequest::Propose { base, version: version_after(base) });
         base + 1
     }
 
@@ -274,41 +283,41 @@
     /// An operator proposes a version that was made from none, which is refused once it is agreed on.
     pub fn propose_from_older_version(&mut self) {
         let leader = self.leader().expect("there is a leader");
-        self.operator_asks(leader, OperatorRequest::Propose(0, version_after(0)));
+        self.operator_asks(leader, OperatorRequest::Propose { base: 0, version: version_after(0) });
     }
 
     /// An operator's message to one host.
     pub fn operator_asks(&mut self, host: usize, operator_request: OperatorRequest) {
         let now = self.now;
         let agreement = self.hosts[host].agreement.as_mut().expect("it is up");
-        agreement.heard(OPERATOR, None, PeerMessage::OperatorRequest(operator_request), now);
+        agreement.receive(OPERATOR, None, PeerMessage::OperatorRequest(operator_request), now);
         self.settle(host);
     }
 
     /// The newest version in force that the leader, or else any host, knows of.
     pub fn newest(&self) -> u64 {
         let states = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.replicated_state());
-        states.map(|(_, state)| state.in_force.number).max().unwrap_or(0)
+        states.map(|state| state.in_force.number).max().unwrap_or(0)
     }
 
     /// The keeper that leads.
     pub fn leader(&self) -> Option<usize> {
-        let status = |host: &usize| self.hosts[*host].agreement.as_ref()?.replica(self.now);
-        let leaders = (0..KEEPERS)
+        let status = |host: &usize| self.hosts[*host].agreement.as_ref()?.replica_status(self.now);
+        let leaders = (0..REPLICAS)
             .filter(|host| status(host).is_some_and(|s| s.role == flaxstand_consensus::ReplicaRole::Leader));
         leaders.max_by_key(|host| status(host).map(|s| s.term))
     }
 
     /// Index of the newest entry of any keeper's log.
     pub fn last_entry(&self) -> u64 {
-        let voters = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.replica(self.now));
-        voters.map(|status| status.last).max().unwrap_or(0)
+        let voters = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.replica_status(self.now));
+        voters.map(|status| status.last_index).max().unwrap_or(0)
     }
 
     /// Whether a leader has committed all that it knows of.
     pub fn takes_proposals(&self, leader: usize) -> bool {
-        let replica = self.hosts[leader].agreement.as_ref().and_then(|a| a.replica(self.now));
-        replica.is_some_and(|status| status.committed == status.last)
+        let replica = self.hosts[leader].agreement.as_ref().and_then(|a| a.replica_status(self.now));
+        replica.is_some_and(|status| status.commit_index == status.last_index)
     }
 
     /// Hosts that act on this version alone.
@@ -332,13 +341,13 @@
     /// Bytes of the replicated state as a host has it.
     pub fn state_bytes(&self, host: usize) -> u64 {
         let agreement = self.hosts[host].agreement.as_ref();
-        agreement.and_then(Participant::replicated_state).map_or(0, |(_, state)| state.bytes().len() as u64)
+        agreement.and_then(Participant::replicated_state).map_or(0, |state| state.bytes().len() as u64)
     }
 
     /// Members that a host's replicated state lists.
     pub fn members_listed(&self, host: usize) -> usize {
         let agreement = self.hosts[host].agreement.as_ref();
-        agreement.and_then(Participant::replicated_state).map_or(0, |(_, state)| state.members.len())
+        agreement.and_then(Participant::replicated_state).map_or(0, |state| state.members.len())
     }
 
     /// What passed each host since the counters were set back, with its role now.
@@ -347,7 +356,7 @@
         let with_role = |(number, host): (usize, &Host)| {
             let role = match number {
                 number if Some(number) == leader => HostRole::Leader,
-                number if number < KEEPERS => HostRole::Replica,
+                number if number < REPLICAS => HostRole::Replica,
                 _ => HostRole::Member,
             };
             let examined = self.examined(number).saturating_sub(host.examined_before);
@@ -398,7 +407,7 @@
         };
         self.now = entry.key().0;
         match entry.remove() {
-            Event::Deliver { from, to, word } => self.deliver(from, to, word),
+            Event::Deliver { from, to, message } => self.deliver(from, to, message),
             Event::Timer(host) if self.hosts[host].timer == Some(self.now) => {
                 self.hosts[host].timer = None;
                 self.settle(host);
@@ -414,25 +423,25 @@
         self.events.insert((at, self.next_event), event);
     }
 
-    fn drawn(&mut self, (least, varies): (u64, u64)) -> Micros {
-        Micros(least + self.rng.next_u64() % varies)
+    fn draw(&mut self, time: Varying) -> Micros {
+        Micros(time.least + self.rng.next_u64() % time.varies)
     }
 
-    fn deliver(&mut self, from: usize, to: usize, word: PeerMessage) {
-        let size = self.size(&word);
+    fn deliver(&mut self, from: usize, to: usize, message: PeerMessage) {
+        let size = self.size(&message);
         let now = self.now;
         let host = &mut self.hosts[to];
         let Some(agreement) = &mut host.agreement else { return };
         host.traffic.received += size;
-        if let PeerMessage::LeaseResponse(answer) = &word
-            && answer.replicated_state.is_some()
-            && host_number(&answer.name) == to
+        if let PeerMessage::LeaseResponse(response) = &message
+            && response.newer_state.is_some()
+            && host_number(&response.name) == to
         {
             host.traffic.states_received += 1;
         }
-        let promises_at_start = Instant::now();
-        agreement.heard(from as u64, Some(&host_name(from)), word, now);
-        host.busy += promises_at_start.elapsed();
+        let begun_at = Instant::now();
+        agreement.receive(from as u64, Some(&host_name(from)), message, now);
+        host.busy += begun_at.elapsed();
         self.settle(to);
     }
 
@@ -442,63 +451,63 @@
         if let Some(batch) = host_state.storing.take()
             && let Some(agreement) = &mut host_state.agreement
         {
-            let well = perform(&mut host_state.disk, &batch).is_ok();
-            agreement.stored(well, now);
+            let succeeded = perform(&mut host_state.disk, &batch).is_ok();
+            agreement.batch_stored(succeeded, now);
         }
         self.settle(host);
     }
 
-    fn size(&self, word: &PeerMessage) -> Count {
-        let bytes = postcard::to_stdvec(word).expect("plain values can be written").len() as u64;
+    fn size(&self, message: &PeerMessage) -> Count {
+        let bytes = postcard::to_stdvec(message).expect("plain values can be written").len() as u64;
         Count { messages: 1, bytes: bytes + self.frame_overhead }
     }
 
     /// One turn of a host, as the gateway's core has it.
     fn settle(&mut self, number: usize) {
         let now = self.now;
-        let promises_at_start = Instant::now();
+        let begun_at = Instant::now();
         let host = &mut self.hosts[number];
         let Some(agreement) = &mut host.agreement else { return };
-        if agreement.wake(now) <= now {
+        if agreement.wake_at(now) <= now {
             agreement.tick(now);
         }
         let _rules = agreement.take_rules_change(now);
         let active_rules = agreement.active_rules(now);
-        let batch = if host.storing.is_none() { agreement.batch(now) } else { None };
+        let batch = if host.storing.is_none() { agreement.next_batch(now) } else { None };
         let _saved = agreement.take_unsaved();
         let outgoing = agreement.take_outgoing();
-        let wake = agreement.wake(now).max(Micros(now.0 + 1));
+        let wake = agreement.wake_at(now).max(Micros(now.0 + 1));
         self.count_acting(number, active_rules);
         if let Some(batch) = batch {
             self.hosts[number].storing = Some(batch);
-            let done = now.after(self.drawn(WRITE));
+            let done = now.after(self.draw(WRITE));
             self.schedule(done, Event::Stored(number));
         }
-        for (to, word) in outgoing {
-            self.send(number, to, word);
+        for (to, message) in outgoing {
+            self.send(number, to, message);
         }
         if self.hosts[number].timer != Some(wake) {
             self.hosts[number].timer = Some(wake);
             self.schedule(wake, Event::Timer(number));
         }
-        self.hosts[number].busy += promises_at_start.elapsed();
+        self.hosts[number].busy += begun_at.elapsed();
     }
 
-    fn send(&mut self, from: usize, to: Destination, word: PeerMessage) {
+    fn send(&mut self, from: usize, to: Destination, message: PeerMessage) {
         let to = match to {
             Destination::Peer(name) => host_number(&name),
             Destination::Connection(OPERATOR) => {
-                if let PeerMessage::OperatorReply(reply) = word {
+                if let PeerMessage::OperatorReply(reply) = message {
                     self.replies.push(reply);
                 }
                 return;
             }
             Destination::Connection(connection) => connection as usize,
         };
-        let size = self.size(&word);
+        let size = self.size(&message);
         self.hosts[from].traffic.sent += size;
-        let arrives = self.now.after(self.drawn(DELAY));
-        self.schedule(arrives, Event::Deliver { from, to, word });
+        let arrives = self.now.after(self.draw(DELAY));
+        self.schedule(arrives, Event::Deliver { from, to, message });
     }
 
     fn count_acting(&mut self, number: usize, active_rules: ActiveRules) {
--- a/crates/flaxstand-consensus/tests/capacity/main.rs
+++ b/crates/flaxstand-consensus/tests/capacity/main.rs
@@ -1,9 +1,10 @@
-//! How the costs of the agreement grow with the members, by counts on virtual time: messages, bytes, copies of the
-//! replicated state, members looked at. `docs/CAPACITY.md` has the formulas. A test fails when the *kind* of growth
-//! changes, for the worse or for the better: who mends one changes its test and the page knowingly.
+//! How the costs of the agreement grow with the members, by counts on virtual time: messages, bytes, copies
+//! of the replicated state, members looked at. `docs/CAPACITY.md` has the formulas. A test fails when the
+//! *kind* of growth changes, for the worse or for the better: who mends one changes its test and the page
+//! knowingly.
 //!
-//! `cargo test -p flaxstand-consensus --test capacity -- --nocapture` prints the tables. The measurements of large
-//! fleets are no checks: `--release -- --ignored --nocapture NAME`.
+//! `cargo test -p flaxstand-consensus --test capacity -- --nocapture` prints the tables. The measurements of
+//! large fleets are no checks: `--release -- --ignored --nocapture NAME`.
 
 mod fit;
 mod fleet;
@@ -72,7 +73,8 @@
     assert_growth(what, points, &Growth::Square(coefficient));
 }
 
-/// The checks themselves: each kind of growth is taken for that kind alone. The cube makes 6 % of the largest value.
+/// The checks themselves: each kind of growth is taken for that kind alone. The cube makes 6 % of the largest
+/// value.
 #[test]
 fn the_kinds_of_growth_are_told_apart() {
     let curve = |of: fn(f64) -> f64| SIZES.map(|size| (size as f64, of(size as f64)));
@@ -143,8 +145,8 @@
     assert!(rests().values().all(|costs| costs.leader.members_examined == 0), "no change is under way");
 }
 
-/// Two copies of the whole replicated state go to each member at each change, one as it is proposed and one as it
-/// comes into force, and that state lists all members: 2 * (name + 1) bytes for each pair of members.
+/// Two copies of the whole replicated state go to each member at each change, one as it is proposed and one
+/// as it comes into force, and that state lists all members: 2 * (name + 1) bytes for each pair of members.
 #[test]
 fn a_changes_bytes_at_the_leader_grow_as_the_square_of_the_members_today() {
     let bytes = points(changes(), |change| change.costs.leader.sent.bytes as f64);
@@ -206,8 +208,8 @@
     }
 }
 
-/// A proposal that is refused changes nothing that anybody has to be told: nobody is sent a state, and the leader
-/// sends what it sends at rest and one entry to each other keeper.
+/// A proposal that is refused changes nothing that anybody has to be told: nobody is sent a state, and the
+/// leader sends what it sends at rest and one entry to each other keeper.
 #[test]
 fn a_refused_proposal_brings_nobody_the_state() {
     for (size, costs) in refusals() {
@@ -221,8 +223,9 @@
         let leader = more_than_at_rest(|c| c.leader.sent.bytes);
         println!("{size} members, a refused proposal: the leader sends {leader:.0} bytes more than at rest");
         assert!(member < 1.0, "{size} members: one receives {member} bytes more than at rest");
-        // The entry, at most twice to each other keeper (again until it is known to be there), and its headers.
-        let entries = 2 * (fleet::KEEPERS - 1) * (fleet::TEXT_BYTES + 500);
+        // The entry, at most twice to each other keeper (again until it is known to be there), and its
+        // headers.
+        let entries = 2 * (fleet::REPLICAS - 1) * (fleet::TEXT_BYTES + 500);
         assert!(
             leader <= entries as f64,
             "{size} members: the leader sends {leader} bytes more than at rest"
@@ -241,16 +244,16 @@
     }
 }
 
-/// Hosts beyond the bound on members cost what members cost at rest, or less: their requests write no entries, and
-/// nobody is sent a state for them.
+/// Hosts beyond the bound on members cost what members cost at rest, or less: their requests write no
+/// entries, and nobody is sent a state for them.
 #[test]
 fn hosts_beyond_the_bound_on_members_leave_the_traffic_of_the_others_as_it_was() {
-    let (hosts, members_most) = (SIZES[1], SIZES[0]);
-    let beyond = scenarios::rest_beyond_bound(hosts, members_most);
+    let (hosts, max_members) = (SIZES[1], SIZES[0]);
+    let beyond = scenarios::rest_beyond_bound(hosts, max_members);
     println!("{beyond:?}");
-    assert_eq!(beyond.members_listed, members_most);
-    assert_eq!(beyond.on_version, members_most);
-    assert_eq!(beyond.fallback_rules, hosts - members_most);
+    assert_eq!(beyond.members_listed, max_members);
+    assert_eq!(beyond.on_version, max_members);
+    assert_eq!(beyond.fallback_rules, hosts - max_members);
     assert_eq!(beyond.log_entries, 0);
     assert_eq!(beyond.states_received, 0);
     // As many hosts that are all members.
--- a/crates/flaxstand-consensus/tests/capacity/measurements.rs
+++ b/crates/flaxstand-consensus/tests/capacity/measurements.rs
@@ -59,7 +59,7 @@
 /// More than the replicated state lists: those beyond are refused, and ask again.
 #[test]
 #[ignore = "a measurement, no check: a minute and 3 GB"]
-fn measurement_4600_members_of_which_some_are_beyond_members_most() {
+fn measurement_4600_members_of_which_some_are_beyond_max_members() {
     let size = 4_600;
     let mut fleet = Fleet::started(size, SEED);
     fleet.run_until("as many as are listed act on the first version", |f| f.acting_alone(1) >= MAX_MEMBERS);
@@ -91,8 +91,8 @@
     }
 }
 
-/// Names as long as the settings let them be, and files and rules as large as a proposal may have them: a state
-/// beyond `MAX_STATE_BYTES` ends every keeper at `Replica::compact`.
+/// Names as long as the settings let them be, and files and rules as large as a proposal may have them: a
+/// state beyond `MAX_STATE_BYTES` ends every keeper at `Replica::compact`.
 #[test]
 #[ignore = "a measurement, no check"]
 fn measurement_bytes_of_the_replicated_state_at_its_bounds() {
--- a/crates/flaxstand-consensus/tests/capacity/scenarios.rs
+++ b/crates/flaxstand-consensus/tests/capacity/scenarios.rs
@@ -232,8 +232,8 @@
     pub states_received: u64,
 }
 
-pub fn rest_beyond_bound(count: usize, members_most: usize) -> BeyondBound {
-    let mut fleet = Fleet::at_rest_with_members_most(count, members_most, SEED);
+pub fn rest_beyond_bound(count: usize, max_members: usize) -> BeyondBound {
+    let mut fleet = Fleet::at_rest_with_max_members(count, max_members, SEED);
     let log_before = fleet.last_entry();
     let costs = costs_at_rest(&mut fleet);
     BeyondBound {
@@ -246,8 +246,8 @@
     }
 }
 
-/// Refused proposals until every keeper has put the replicated state in the place of entries, a host that joins,
-/// and the loss of the leader: then how many hosts act on a change that the next leader is told of.
+/// Refused proposals until every keeper has put the replicated state in the place of entries, a host that
+/// joins, and the loss of the leader: then how many hosts act on a change that the next leader is told of.
 pub fn change_after_entries_without_effect(count: usize, refused: usize) -> usize {
     let mut fleet = Fleet::at_rest(count, SEED);
     for _ in 0..refused {
--- a/crates/flaxstand-consensus/tests/members/main.rs
+++ b/crates/flaxstand-consensus/tests/members/main.rs
@@ -1,4 +1,5 @@
-//! The bound on the number of members, at its value in service, and which entries change the replicated state.
+//! The bound on the number of members, at its value in service, and which entries change the replicated
+//! state.
 
 use flaxstand_consensus::lease_manager::{LeaseRequest, LeaseResponse};
 use flaxstand_consensus::participant::{
@@ -6,7 +7,7 @@
 };
 use flaxstand_consensus::replicated_state::{Change, MAX_MEMBERS, ReplicatedState, Version};
 use flaxstand_consensus::rules::Rules;
-use flaxstand_consensus::{InjectedFault, Micros, Recovered, ReplicaRole, Status, recover};
+use flaxstand_consensus::{InjectedFault, Micros, RecoveredState, ReplicaRole, Status, recover};
 use flaxstand_storage::faulty::FaultyDisk;
 use flaxstand_storage::{Storage as _, perform};
 use proptest::prelude::*;
@@ -18,21 +19,22 @@
 const TURN: Micros = Micros(1_000);
 const LEASE: Micros = Micros(3_000_000);
 
-/// An agreement with one keeper, whose disk takes no time.
-struct OneKeeper {
+/// An agreement with one replica, whose disk takes no time.
+struct SingleReplica {
     agreement: Participant,
     disk: FaultyDisk,
     now: Micros,
 }
 
-impl OneKeeper {
+impl SingleReplica {
     /// One that leads, with a first version in force.
-    fn leading() -> OneKeeper {
+    fn leading() -> SingleReplica {
         let now = Micros(1_000);
-        let agreement = Participant::new(OneKeeper::config(1), Some(StoredReplica::default()), None, 0, now);
-        let mut replica = OneKeeper { agreement, disk: FaultyDisk::new(1), now };
+        let agreement =
+            Participant::new(SingleReplica::config(1), Some(StoredReplica::default()), None, 0, now);
+        let mut replica = SingleReplica { agreement, disk: FaultyDisk::new(1), now };
         replica.lead();
-        let agreed = replica.operator_asks(OperatorRequest::Propose(0, Version::default()));
+        let agreed = replica.operator_asks(OperatorRequest::Propose { base: 0, version: Version::default() });
         assert_eq!(agreed, Some(OperatorReply::Committed(1)));
         replica
     }
@@ -45,7 +47,7 @@
             neighbours: Vec::new(),
             lease: LEASE,
             clock_error: 0.001,
-            election: Micros(500_000),
+            election_timeout: Micros(500_000),
             seed: 1,
             started_with: Rules::default(),
             injected_fault: InjectedFault::None,
@@ -54,64 +56,64 @@
 
     /// Its process ends, and another leads with what is on its disk.
     fn restart(&mut self) {
-        let Recovered::State(state) = recover(&mut self.disk).expect("in memory") else {
+        let RecoveredState::Intact(state) = recover(&mut self.disk).expect("in memory") else {
             panic!("its disk holds a state");
         };
         let segments = self.disk.segments().expect("in memory");
-        let found = StoredReplica { state: Some(*state), segments };
-        self.agreement = Participant::new(OneKeeper::config(2), Some(found), None, 0, self.now);
+        let stored = StoredReplica { state: Some(*state), segments };
+        self.agreement = Participant::new(SingleReplica::config(2), Some(stored), None, 0, self.now);
         self.lead();
     }
 
     /// Goes on until it leads and has committed what it knows of.
     fn lead(&mut self) {
         let end = self.now.after(Micros(60_000_000));
-        let ready = |status: &Status| {
-            status.role == ReplicaRole::Leader && status.committed > 0 && status.committed == status.last
+        let is_ready = |status: &Status| {
+            let has_committed_all = status.commit_index > 0 && status.commit_index == status.last_index;
+            status.role == ReplicaRole::Leader && has_committed_all
         };
-        while !ready(&self.status()) {
+        while !is_ready(&self.status()) {
             assert!(self.now < end, "it does not lead: {:?}", self.status());
             self.turn();
         }
     }
 
     fn status(&self) -> Status {
-        self.agreement.replica(self.now).expect("it is a keeper")
+        self.agreement.replica_status(self.now).expect("it has a replica")
     }
 
     fn members(&self) -> usize {
-        self.agreement.replicated_state().map_or(0, |(_, replicated_state)| replicated_state.members.len())
+        self.agreement.replicated_state().map_or(0, |state| state.members.len())
     }
 
-    /// A turn. Returns what was said back to operators and hosts.
+    /// A turn. Returns the messages to operators and hosts.
     fn turn(&mut self) -> Vec<PeerMessage> {
         self.now = self.now.after(TURN);
         self.agreement.tick(self.now);
-        while let Some(batch) = self.agreement.batch(self.now) {
-            let well = perform(&mut self.disk, &batch).is_ok();
-            self.agreement.stored(well, self.now);
+        while let Some(batch) = self.agreement.next_batch(self.now) {
+            let succeeded = perform(&mut self.disk, &batch).is_ok();
+            self.agreement.batch_stored(succeeded, self.now);
         }
         let _saved = self.agreement.take_unsaved();
         let outgoing = self.agreement.take_outgoing();
         outgoing
             .into_iter()
-            .filter_map(|(to, word)| matches!(to, Destination::Connection(_)).then_some(word))
+            .filter_map(|(to, message)| matches!(to, Destination::Connection(_)).then_some(message))
             .collect()
     }
 
     fn operator_asks(&mut self, operator_request: OperatorRequest) -> Option<OperatorReply> {
-        self.agreement.heard(OPERATOR, None, PeerMessage::OperatorRequest(operator_request), self.now);
+        self.agreement.receive(OPERATOR, None, PeerMessage::OperatorRequest(operator_request), self.now);
         let outgoing = self.turn().into_iter().chain(self.turn());
-        outgoing
-            .into_iter()
-            .find_map(|word| if let PeerMessage::OperatorReply(reply) = word { Some(reply) } else { None })
+        outgoing.into_iter().find_map(|message| {
+            if let PeerMessage::OperatorReply(reply) = message { Some(reply) } else { None }
+        })
     }
 
     /// A host asks for a lease, with a copy of the present state under some index, or with none (0).
     fn host_asks(&mut self, name: &str, seq: u64, index: u64) -> LeaseResponse {
         let copy = self.agreement.replicated_state().filter(|_| index > 0);
-        let (stage, digest) =
-            copy.map_or((0, 0), |(_, replicated_state)| (replicated_state.stage, replicated_state.digest()));
+        let (stage, digest) = copy.map_or((0, 0), |state| (state.stage, state.digest()));
         self.host_asks_with(name, seq, index, (stage, digest))
     }
 
@@ -127,15 +129,15 @@
             name: name.to_owned(),
             epoch: 1,
             seq,
-            index,
+            state_index: index,
             stage,
             digest,
-            cannot: None,
-            leaves: false,
+            unable_reason: None,
+            releases_lease: false,
         };
-        self.agreement.heard(HOST, Some(name), PeerMessage::LeaseRequest(1, request), self.now);
+        self.agreement.receive(HOST, Some(name), PeerMessage::LeaseRequest { hops: 1, request }, self.now);
         let outgoing = self.turn().into_iter();
-        let mut responses = outgoing.filter_map(|word| match word {
+        let mut responses = outgoing.filter_map(|message| match message {
             PeerMessage::LeaseResponse(response) => Some(*response),
             _ => None,
         });
@@ -144,8 +146,8 @@
 }
 
 #[test]
-fn beyond_members_most_a_host_is_refused_without_a_log_entry_until_one_is_forgotten() {
-    let mut replica = OneKeeper::leading();
+fn beyond_max_members_a_host_is_refused_without_a_log_entry_until_one_is_forgotten() {
+    let mut replica = SingleReplica::leading();
     let host = |number: usize| format!("host-{number:04}");
     while replica.members() == 0 {
         replica.turn();
@@ -154,48 +156,50 @@
         replica.host_asks(&host(number), 1, 0);
     }
     assert_eq!(replica.members(), MAX_MEMBERS);
-    let full_at = replica.status().last;
+    let full_at = replica.status().last_index;
     let beyond = [host(MAX_MEMBERS), host(MAX_MEMBERS + 1)];
     for name in &beyond {
         let first = replica.host_asks(name, 1, 0);
-        assert_eq!(first.lease, None, "{name} stays on the floor");
-        let (index, _) = first.replicated_state.expect("it is told the state once");
+        assert_eq!(first.lease, None, "{name} stays on the fallback rules");
+        let index = first.newer_state.expect("it is sent the state once").index;
         for seq in 2..=20 {
             let response = replica.host_asks(name, seq, index);
-            assert_eq!((response.lease, response.replicated_state), (None, None), "{name}, request {seq}");
+            assert_eq!((response.lease, response.newer_state), (None, None), "{name}, request {seq}");
         }
     }
-    assert_eq!(replica.status().last, full_at, "no entry was written for them");
+    assert_eq!(replica.status().last_index, full_at, "no entry was written for them");
     assert_eq!(replica.members(), MAX_MEMBERS);
 
-    // Once there is room the first that asks joins, and has a lease at its next request.
+    // Once there is capacity the first that asks joins, and has a lease at its next request.
     assert_eq!(replica.operator_asks(OperatorRequest::Forget(host(1))), Some(OperatorReply::Committed(0)));
-    let leases = |replica: &mut OneKeeper, name| [21, 22].map(|seq| replica.host_asks(name, seq, 0).lease);
+    let leases =
+        |replica: &mut SingleReplica, name| [21, 22].map(|seq| replica.host_asks(name, seq, 0).lease);
     assert_eq!(leases(&mut replica, &beyond[0]), [None, Some(LEASE.0)]);
     assert_eq!(leases(&mut replica, &beyond[1]), [None, None]);
-    assert_eq!(replica.status().last, full_at + 2, "one was forgotten, one joined");
+    assert_eq!(replica.status().last_index, full_at + 2, "one was forgotten, one joined");
 }
 
-/// A snapshot does not tell which entry changed the versions last: a leader that starts from one tells a member the
-/// state once more, and the index that the member is told never goes back. No change is kept from it.
+/// A snapshot does not tell which entry changed the versions last: a leader that starts from one sends a
+/// member the state once more, and the index that the member is sent never goes back. No change is kept from
+/// it.
 #[test]
 fn indices_of_the_state_stay_monotonic_over_a_restart_from_a_snapshot() {
-    let mut replica = OneKeeper::leading();
-    let state = |replica: &mut OneKeeper, seq, index| replica.host_asks("host", seq, index).replicated_state;
-    let (first, _) = state(&mut replica, 1, 0).expect("it has none");
+    let mut replica = SingleReplica::leading();
+    let state = |replica: &mut SingleReplica, seq, index| replica.host_asks("host", seq, index).newer_state;
+    let first = state(&mut replica, 1, 0).expect("it has none").index;
     for number in 0..100 {
         replica.host_asks(&format!("host-{number:04}"), 1, 0);
-        let stale = replica.operator_asks(OperatorRequest::Propose(0, Version::default()));
+        let stale = replica.operator_asks(OperatorRequest::Propose { base: 0, version: Version::default() });
         assert!(matches!(stale, Some(OperatorReply::Refused(_))), "{stale:?}");
     }
     assert_eq!(state(&mut replica, 2, first), None, "nothing that it acts on has changed");
 
     replica.restart();
-    let (from_snapshot, _) = state(&mut replica, 3, first).expect("it may have an older one");
+    let from_snapshot = state(&mut replica, 3, first).expect("it may have an older one").index;
     assert!(from_snapshot > first, "the snapshot took the place of entries: {from_snapshot}, {first}");
     assert_eq!(state(&mut replica, 4, from_snapshot), None);
     // A member may know a higher index, of a leader that started from a later snapshot.
-    let newest = replica.status().committed;
+    let newest = replica.status().commit_index;
     assert_eq!(state(&mut replica, 5, newest), None);
 
     // A new leader takes no proposals until leases of the one before have ended.
@@ -203,35 +207,35 @@
     while replica.now < leases_end {
         replica.turn();
     }
-    let proposed = replica.operator_asks(OperatorRequest::Propose(1, Version::default()));
+    let proposed = replica.operator_asks(OperatorRequest::Propose { base: 1, version: Version::default() });
     assert_eq!(proposed, Some(OperatorReply::Committed(2)));
     for (seq, index) in [(6, first), (7, from_snapshot), (8, newest)] {
-        let (later, changed) = state(&mut replica, seq, index).expect("the versions have changed");
-        assert!(later > newest);
-        assert_eq!(changed.last, 2, "version 2 was proposed");
+        let changed = state(&mut replica, seq, index).expect("the versions have changed");
+        assert!(changed.index > newest);
+        assert_eq!(changed.state.last_number, 2, "version 2 was proposed");
     }
 }
 
-/// A member's copy may be of an agreement that its keepers lost, under a higher index than that of the versions now:
-/// it is sent the state with the newest entry's index, as soon as that is higher.
+/// A member's copy may be of a cluster that lost its disks, under a higher index than that of the versions
+/// now: it is sent the state with the newest entry's index, as soon as that is higher.
 #[test]
-fn a_member_with_a_copy_of_another_agreement_is_sent_the_state_once_the_log_is_longer() {
-    let mut replica = OneKeeper::leading();
-    let of_other_agreement = replica.status().committed + 50;
-    let another = (7, 7);
+fn a_member_with_a_copy_of_another_cluster_is_sent_the_state_once_the_log_is_longer() {
+    let mut replica = SingleReplica::leading();
+    let of_other_cluster = replica.status().commit_index + 50;
+    let another_state = (7, 7);
     let mut seq = 0;
     let sent = loop {
         seq += 1;
-        let newest = replica.status().committed;
-        let response = replica.host_asks_with("host", seq, of_other_agreement, another);
-        match response.replicated_state {
+        let newest = replica.status().commit_index;
+        let response = replica.host_asks_with("host", seq, of_other_cluster, another_state);
+        match response.newer_state {
             Some(state) => break state,
-            None => assert!(newest <= of_other_agreement, "entry {newest} is newer"),
+            None => assert!(newest <= of_other_cluster, "entry {newest} is newer"),
         }
         replica.host_asks(&format!("host-{seq:04}"), 1, 0);
     };
-    assert_eq!(sent.0, of_other_agreement + 1);
-    assert_eq!(replica.host_asks("host", seq + 1, sent.0).replicated_state, None, "it has the state now");
+    assert_eq!(sent.index, of_other_cluster + 1);
+    assert_eq!(replica.host_asks("host", seq + 1, sent.index).newer_state, None, "it has the state now");
 }
 
 /// Versions and names that often repeat, so that many changes are refused.
@@ -249,7 +253,7 @@
 }
 
 proptest! {
-    /// By the stage and the number of members keepers tell whether an entry changed anything, and what.
+    /// By the stage and the number of members replicas tell whether an entry changed anything, and what.
     #[test]
     fn each_change_of_versions_begins_a_stage_and_each_of_the_list_changes_its_length(
         changes in proptest::collection::vec(some_change(), 1..60),
--- a/crates/flaxstand-consensus/tests/participants/rig.rs
+++ b/crates/flaxstand-consensus/tests/participants/harness.rs
@@ -1,13 +1,14 @@
-//! Initiators that agree, on virtual time: clocks of different rates, links that lose and cut, processes that stop
-//! and die, disks that lose what was not synced. What each acts on is compared from outside, at every moment.
+//! Initiators that agree, on virtual time: clocks of different rates, links that lose and cut, processes that
+//! stop and die, disks that lose what was not synced. What each acts on is compared from outside, at every
+//! moment.
 
 use flaxstand_consensus::member::ActiveRules;
 use flaxstand_consensus::participant::{
     Config, Destination, OperatorReply, OperatorRequest, Participant, PeerMessage, StoredReplica,
 };
-use flaxstand_consensus::replicated_state::Version;
+use flaxstand_consensus::replicated_state::{IndexedState, Version};
 use flaxstand_consensus::rules::{Rules, Value};
-use flaxstand_consensus::{InjectedFault, Micros, Recovered, recover};
+use flaxstand_consensus::{InjectedFault, Micros, RecoveredState, recover};
 use flaxstand_storage::faulty::FaultyDisk;
 use flaxstand_storage::{Batch, Storage as _, perform};
 use rand_core::{RngCore, SeedableRng};
@@ -16,7 +17,7 @@
 
 pub const LEASE_MS: u64 = 600;
 /// By what part of a lease clocks may differ. They differ by up to that here.
-pub const ERROR: f64 = 0.02;
+pub const CLOCK_ERROR: f64 = 0.02;
 /// An operator's connection.
 const OPERATOR: u64 = 1 << 40;
 
@@ -26,18 +27,18 @@
 
 struct Host {
     agreement: Option<Participant>,
-    replica: bool,
+    has_replica: bool,
     disk: FaultyDisk,
-    /// The file of what was agreed on.
-    replicated_state: Option<Vec<u8>>,
+    /// The file of the replicated state.
+    saved_state: Option<Vec<u8>>,
     storing: Option<(Micros, Batch)>,
     stopped_until: Micros,
-    /// Its clock: this much at 0, and so fast.
+    /// Its clock: what it shows at moment 0, and its rate.
     clock: (u64, f64),
     starts: u64,
-    /// What it acted on when it last looked: a stopped process sends nothing.
+    /// What it acted on in its last turn: a stopped process sends nothing.
     active_rules: ActiveRules,
-    /// The newest stage that it knew: also over a restart it never goes back.
+    /// The newest stage that it knew. It never goes back, also over a restart.
     stage: u64,
 }
 
@@ -51,25 +52,26 @@
     }
 }
 
-pub struct World {
+pub struct Cluster {
     pub now: Micros,
     hosts: Vec<Host>,
     pub rng: Pcg64Mcg,
     injected_fault: InjectedFault,
     outgoing: BTreeMap<(Micros, u64), (usize, usize, bool, PeerMessage)>,
-    next_word: u64,
+    next_message: u64,
     pub cut: BTreeSet<(usize, usize)>,
     pub lossy: u64,
     pub slowest: u64,
     /// Since when two have acted on rules that contradict each other.
-    clashes: BTreeMap<(usize, usize), Micros>,
-    pub longest_clash: (Micros, String),
-    pub broken: Vec<String>,
-    pub passages: u64,
+    contradictions: BTreeMap<(usize, usize), Micros>,
+    pub longest_contradiction: (Micros, String),
+    pub violations: Vec<String>,
+    pub rules_changes: u64,
     pub replies: Vec<OperatorReply>,
-    /// Words that any one host was sent in any second, most.
-    pub most_words: u64,
-    heard: BTreeMap<(usize, u64), u64>,
+    /// Messages that any one host received in any second, most.
+    pub max_messages_per_second: u64,
+    /// By host and second.
+    received: BTreeMap<(usize, u64), u64>,
 }
 
 pub fn rules(limit: f64, effect: &str) -> Rules {
@@ -85,7 +87,7 @@
     r
 }
 
-/// Versions that allow what one acts on; none: the floor, which all allow.
+/// Versions that allow what one acts on; none: the fallback rules, which all allow.
 fn allowed(active_rules: ActiveRules) -> Option<Vec<u64>> {
     match active_rules {
         ActiveRules::Fallback => None,
@@ -94,17 +96,17 @@
     }
 }
 
-impl World {
-    pub fn new(voters: usize, count: usize, seed: u64, injected_fault: InjectedFault) -> World {
+impl Cluster {
+    pub fn new(voters: usize, count: usize, seed: u64, injected_fault: InjectedFault) -> Cluster {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let hosts = (0..count)
             .map(|i| {
-                let fast = 1.0 + ERROR * ((rng.next_u64() % 2001) as f64 / 1000.0 - 1.0) / 2.0;
+                let fast = 1.0 + CLOCK_ERROR * ((rng.next_u64() % 2001) as f64 / 1000.0 - 1.0) / 2.0;
                 Host {
                     agreement: None,
-                    replica: i < voters,
+                    has_replica: i < voters,
                     disk: FaultyDisk::new(seed ^ (i as u64) << 32),
-                    replicated_state: None,
+                    saved_state: None,
                     storing: None,
                     stopped_until: Micros(0),
                     clock: (rng.next_u64() % 1_000_000_000, fast),
@@ -114,26 +116,26 @@
                 }
             })
             .collect();
-        let mut world = World {
+        let mut cluster = Cluster {
             now: ms(1),
             hosts,
             rng,
             injected_fault,
             outgoing: BTreeMap::new(),
-            next_word: 0,
+            next_message: 0,
             cut: BTreeSet::new(),
             lossy: 0,
             slowest: 4,
-            clashes: BTreeMap::new(),
-            longest_clash: (Micros(0), String::new()),
-            broken: Vec::new(),
-            passages: 0,
+            contradictions: BTreeMap::new(),
+            longest_contradiction: (Micros(0), String::new()),
+            violations: Vec::new(),
+            rules_changes: 0,
             replies: Vec::new(),
-            most_words: 0,
-            heard: BTreeMap::new(),
+            max_messages_per_second: 0,
+            received: BTreeMap::new(),
         };
-        (0..count).for_each(|i| world.start(i));
-        world
+        (0..count).for_each(|i| cluster.start(i));
+        cluster
     }
 
     pub fn below(&mut self, n: u64) -> u64 {
@@ -158,7 +160,7 @@
 
     pub fn start(&mut self, i: usize) {
         let names = |range: std::ops::Range<usize>| range.map(Self::name).collect::<Vec<_>>();
-        let voters = self.hosts.iter().filter(|h| h.replica).count();
+        let voters = self.hosts.iter().filter(|host| host.has_replica).count();
         let (seed, count, injected_fault) = (self.rng.next_u64(), self.count(), self.injected_fault);
         let host = &mut self.hosts[i];
         host.starts += 1;
@@ -169,23 +171,23 @@
             // A few, not all.
             neighbours: names(voters..count).into_iter().take(3).collect(),
             lease: ms(LEASE_MS),
-            clock_error: ERROR,
-            election: ms(150),
+            clock_error: CLOCK_ERROR,
+            election_timeout: ms(150),
             seed,
             started_with: rules(100.0, "repeatable"),
             injected_fault,
         };
-        let found = host.replica.then(|| StoredReplica {
+        let stored = host.has_replica.then(|| StoredReplica {
             state: match recover(&mut host.disk).expect("in memory") {
-                Recovered::State(state) => Some(*state),
-                Recovered::Nothing | Recovered::Damaged(_) => None,
+                RecoveredState::Intact(state) => Some(*state),
+                RecoveredState::Empty | RecoveredState::Damaged(_) => None,
             },
             segments: host.disk.segments().expect("in memory"),
         });
-        let saved = host.replicated_state.as_ref().and_then(|b| Participant::read_saved(b).ok());
+        let saved = host.saved_state.as_ref().and_then(|bytes| IndexedState::read(bytes).ok());
         let now = host.now(self.now);
         host.storing = None;
-        host.agreement = Some(Participant::new(config, found, saved, 0, now));
+        host.agreement = Some(Participant::new(config, stored, saved, 0, now));
         host.active_rules = ActiveRules::Fallback;
     }
 
@@ -207,14 +209,19 @@
         (0..self.count()).filter(|o| *o != i).for_each(|o| self.cut.extend([(i, o), (o, i)]));
     }
 
-    /// An operator's word to every host that is up.
-    pub fn operator_request(&mut self, operator_request: &OperatorRequest) {
+    /// An operator's request to every host that is up.
+    pub fn request_of_all(&mut self, operator_request: &OperatorRequest) {
         for i in 0..self.count() {
             let now = self.hosts[i].now(self.now);
             if self.hosts[i].stopped_until <= self.now
                 && let Some(agreement) = &mut self.hosts[i].agreement
             {
-                agreement.heard(OPERATOR, None, PeerMessage::OperatorRequest(operator_request.clone()), now);
+                agreement.receive(
+                    OPERATOR,
+                    None,
+                    PeerMessage::OperatorRequest(operator_request.clone()),
+                    now,
+                );
             }
         }
     }
@@ -224,13 +231,13 @@
         let effect = ["once", "repeatable"][self.below(2) as usize];
         let base = self.newest();
         let version = Version { rules: rules(limit, effect), by: "a test".into(), ..Version::default() };
-        self.operator_request(&OperatorRequest::Propose(base, version));
+        self.request_of_all(&OperatorRequest::Propose { base, version });
     }
 
     /// The newest version in force that any host knows of.
     pub fn newest(&self) -> u64 {
-        let books = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.replicated_state());
-        books.map(|(_, b)| b.in_force.number).max().unwrap_or(0)
+        let states = self.hosts.iter().filter_map(|host| host.agreement.as_ref()?.replicated_state());
+        states.map(|state| state.in_force.number).max().unwrap_or(0)
     }
 
     /// How many have a lease and act on the newest version alone.
@@ -239,16 +246,16 @@
         self.hosts.iter().filter(|h| newest > 0 && h.active_rules == ActiveRules::Version(newest)).count()
     }
 
-    fn post(&mut self, from: usize, to: usize, back: bool, word: PeerMessage) {
+    fn send(&mut self, from: usize, to: usize, back: bool, message: PeerMessage) {
         if self.cut.contains(&(from, to)) || self.below(1000) < self.lossy {
             return;
         }
         let wait = 200 + self.below(self.slowest * 1000);
-        self.next_word += 1;
-        self.outgoing.insert((self.now.after(Micros(wait)), self.next_word), (from, to, back, word));
+        self.next_message += 1;
+        self.outgoing.insert((self.now.after(Micros(wait)), self.next_message), (from, to, back, message));
     }
 
-    fn turn(&mut self, i: usize) {
+    fn step(&mut self, i: usize) {
         let at = self.now;
         let host = &mut self.hosts[i];
         let now = host.now(at);
@@ -257,43 +264,43 @@
             return;
         }
         if let Some((_, batch)) = host.storing.take_if(|(done, _)| *done <= at) {
-            let well = perform(&mut host.disk, &batch).is_ok();
-            agreement.stored(well, now);
+            let succeeded = perform(&mut host.disk, &batch).is_ok();
+            agreement.batch_stored(succeeded, now);
         }
-        if agreement.wake(now) <= now {
+        if agreement.wake_at(now) <= now {
             agreement.tick(now);
         }
-        let passed = agreement.take_rules_change(now).is_some();
+        let has_changed = agreement.take_rules_change(now).is_some();
         host.active_rules = agreement.active_rules(now);
         if host.storing.is_none()
-            && let Some(batch) = agreement.batch(now)
+            && let Some(batch) = agreement.next_batch(now)
         {
             host.storing = Some((at.after(Micros(100 + self.rng.next_u64() % 2000)), batch));
         }
-        if let Some(replicated_state) = agreement.take_unsaved() {
-            host.replicated_state = Some(replicated_state);
+        if let Some(unsaved) = agreement.take_unsaved() {
+            host.saved_state = Some(unsaved);
         }
-        let stage = agreement.replicated_state().map_or(0, |(_, b)| b.stage);
+        let stage = agreement.replicated_state().map_or(0, |state| state.stage);
         if stage < host.stage {
-            self.broken.push(format!("i{i} went back from stage {} to {stage}", host.stage));
+            self.violations.push(format!("i{i} went back from stage {} to {stage}", host.stage));
         }
         host.stage = stage;
-        self.passages += u64::from(passed);
-        for (to, word) in agreement.take_outgoing() {
+        self.rules_changes += u64::from(has_changed);
+        for (to, message) in agreement.take_outgoing() {
             match to {
-                Destination::Peer(name) => self.post(i, Self::index(&name), false, word),
+                Destination::Peer(name) => self.send(i, Self::index(&name), false, message),
                 Destination::Connection(OPERATOR) => {
-                    if let PeerMessage::OperatorReply(reply) = word {
+                    if let PeerMessage::OperatorReply(reply) = message {
                         self.replies.push(reply);
                     }
                 }
-                Destination::Connection(conn) => self.post(i, conn as usize - 1, true, word),
+                Destination::Connection(conn) => self.send(i, conn as usize - 1, true, message),
             }
         }
     }
 
     /// Two contradict each other if no version allows what both act on.
-    fn compare(&mut self) {
+    fn record_contradictions(&mut self) {
         let active = |h: &Host| h.agreement.is_some() && h.stopped_until <= self.now;
         let all: Vec<(usize, Vec<u64>)> = self
             .hosts
@@ -302,23 +309,23 @@
             .filter(|(_, h)| active(h))
             .filter_map(|(i, h)| Some((i, allowed(h.active_rules)?)))
             .collect();
-        let mut clash = BTreeSet::new();
+        let mut pairs = BTreeSet::new();
         let groups: BTreeMap<Vec<u64>, usize> = all.iter().map(|(i, v)| (v.clone(), *i)).collect();
         // Hosts that act on the same are one.
         for (versions, i) in &groups {
             for (others, j) in &groups {
                 if i < j && !versions.iter().any(|v| others.contains(v)) {
-                    clash.insert((*i, *j));
+                    pairs.insert((*i, *j));
                 }
             }
         }
-        self.clashes.retain(|pair, _| clash.contains(pair));
-        for pair in clash {
-            let since = *self.clashes.entry(pair).or_insert(self.now);
+        self.contradictions.retain(|pair, _| pairs.contains(pair));
+        for pair in pairs {
+            let since = *self.contradictions.entry(pair).or_insert(self.now);
             let long = self.now.since(since).max(Micros(1));
-            if long > self.longest_clash.0 {
+            if long > self.longest_contradiction.0 {
                 let (a, b) = (self.hosts[pair.0].active_rules, self.hosts[pair.1].active_rules);
-                self.longest_clash = (long, format!("i{} on {a:?} and i{} on {b:?}", pair.0, pair.1));
+                self.longest_contradiction = (long, format!("i{} on {a:?} and i{} on {b:?}", pair.0, pair.1));
             }
         }
     }
@@ -328,41 +335,42 @@
         loop {
             let wakes = self.hosts.iter().filter_map(|h| {
                 let agreement = h.agreement.as_ref()?;
-                let wake = h.when(agreement.wake(h.now(self.now)));
+                let wake = h.when(agreement.wake_at(h.now(self.now)));
                 let next = h.storing.as_ref().map_or(wake, |(done, _)| (*done).min(wake));
                 Some(next.max(h.stopped_until))
             });
-            let comes = self.outgoing.first_key_value().map(|((at, _), _)| *at);
-            let Some(next) = wakes.chain(comes).min().filter(|next| *next <= end) else { break };
+            let arrives = self.outgoing.first_key_value().map(|((at, _), _)| *at);
+            let Some(next) = wakes.chain(arrives).min().filter(|next| *next <= end) else { break };
             self.now = next.max(Micros(self.now.0 + 1));
             while let Some(entry) = self.outgoing.first_entry().filter(|e| e.key().0 <= self.now) {
-                let (from, to, back, word) = entry.remove();
+                let (from, to, back, message) = entry.remove();
                 let host = &mut self.hosts[to];
                 if host.stopped_until > self.now {
                     // It lies in the socket until the process goes on.
-                    self.next_word += 1;
+                    self.next_message += 1;
                     let then = Micros(host.stopped_until.0 + 1);
-                    self.outgoing.insert((then, self.next_word), (from, to, back, word));
+                    self.outgoing.insert((then, self.next_message), (from, to, back, message));
                     continue;
                 }
                 let now = host.now(self.now);
                 if let Some(agreement) = &mut host.agreement {
-                    agreement.heard(from as u64 + 1, Some(&Self::name(from)), word, now);
+                    agreement.receive(from as u64 + 1, Some(&Self::name(from)), message, now);
                 }
-                let heard = self.heard.entry((to, self.now.0 / 1_000_000)).or_default();
-                *heard += 1;
-                self.most_words = self.most_words.max(*heard);
+                let received = self.received.entry((to, self.now.0 / 1_000_000)).or_default();
+                *received += 1;
+                self.max_messages_per_second = self.max_messages_per_second.max(*received);
             }
-            (0..self.count()).for_each(|i| self.turn(i));
-            self.compare();
-            if !self.broken.is_empty() {
+            (0..self.count()).for_each(|i| self.step(i));
+            self.record_contradictions();
+            if !self.violations.is_empty() {
                 break;
             }
         }
         self.now = self.now.max(end);
     }
 
-    /// All faults end, what is down starts, and a new version is agreed on; whether it gets into force everywhere.
+    /// All faults end, what is down starts, and a new version is proposed. Returns whether it comes into
+    /// force everywhere.
     pub fn heal(&mut self) -> bool {
         self.cut.clear();
         (self.lossy, self.slowest) = (0, 4);
@@ -380,14 +388,15 @@
             if self.newest() == before {
                 self.propose();
             }
-            if !self.broken.is_empty() {
+            if !self.violations.is_empty() {
                 return false;
             }
         }
         false
     }
 
-    pub fn tell(&self) -> String {
+    /// The status of each host, in words.
+    pub fn describe(&self) -> String {
         let of = |h: &Host| match &h.agreement {
             Some(a) => format!("{:?}", a.report(h.now(self.now))),
             None => "down".into(),
