--- a/crates/flaxstand-consensus/tests/recorded/messages.rs
+++ b/crates/flaxstand-consensus/tests/recorded/messages.rs
@@ -1,11 +1,15 @@
 //! Messages between initiators and with operators, byte for byte.
 
-use flaxstand_consensus::lease_manager::{Blocker, LeaseRequest, LeaseResponse};
-use flaxstand_consensus::participant::{OperatorReply, OperatorRequest, PeerMessage, StatusReport};
+use flaxstand_consensus::lease_manager::{Blocker, LeaseRequest, LeaseResponse, MemberStatus};
+use flaxstand_consensus::participant::{
+    OperatorReply, OperatorRequest, PeerMessage, StatusReport, VersionNumbers,
+};
 use flaxstand_consensus::replica_id::LastSeen;
-use flaxstand_consensus::replicated_state::{Change, ReplicatedState, Version};
+use flaxstand_consensus::replicated_state::{Change, IndexedState, ReplicatedState, Version};
 use flaxstand_consensus::rules::{Rules, Value};
-use flaxstand_consensus::{Entry, EntryPayload, Incarnation, Message, MessageBody, ReplicaId, Snapshot};
+use flaxstand_consensus::{
+    Entry, EntryPayload, Incarnation, LogPosition, Message, MessageBody, ReplicaId, Snapshot,
+};
 use flaxstand_fixture::{Fixtures, hex, unhex};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -27,7 +31,7 @@
     Version { number, rules, text: "site {}".into(), by: "an operator".into(), at: 1_700_000_000_000_000 }
 }
 
-/// A book with one version in force, one under way, and two members.
+/// A state with one version in force, one that is being rolled out, and two members.
 pub fn replicated_state() -> ReplicatedState {
     let mut replicated_state = ReplicatedState::default();
     replicated_state.apply(Change::Propose { base: 0, version: version(0, 50.0) }).expect("the first");
@@ -39,76 +43,89 @@
 
 fn entries() -> Vec<Entry> {
     vec![
-        Entry { term: 3, what: EntryPayload::Begin },
-        Entry { term: 3, what: EntryPayload::Electorate(vec![id("k0", 1), id("k1", 300)]) },
-        Entry { term: 4, what: EntryPayload::Change(Change::Join("i1".into()).bytes()) },
+        Entry { term: 3, payload: EntryPayload::NoOp },
+        Entry { term: 3, payload: EntryPayload::Voters(vec![id("k0", 1), id("k1", 300)]) },
+        Entry { term: 4, payload: EntryPayload::Change(Change::Join("i1".into()).bytes()) },
     ]
 }
 
 fn bodies() -> Vec<(&'static str, MessageBody)> {
     let snapshot =
-        Snapshot { index: 9, term: 2, electorate: vec![id("k0", 1)], state: replicated_state().bytes() };
-    let append = |entries| MessageBody::Append { prev: (9, 2), entries, commit: 8, stamp: 123_456 };
+        Snapshot { index: 9, term: 2, voters: vec![id("k0", 1)], state: replicated_state().bytes() };
+    let append = |entries| MessageBody::AppendRequest {
+        prev_index: 9,
+        prev_term: 2,
+        entries,
+        commit_index: 8,
+        sent_at: 123_456,
+    };
     vec![
-        ("ask fresh", MessageBody::AskFresh),
-        ("fresh", MessageBody::Fresh),
-        ("formed", MessageBody::Formed),
-        ("newcomer", MessageBody::Newcomer),
-        ("ask life", MessageBody::AskLife),
-        ("life seen", MessageBody::LifeSeen(incarnation(2))),
-        ("superseded", MessageBody::Superseded(LastSeen { incarnation: incarnation(3), written: 8 })),
-        ("replaced", MessageBody::Replaced),
-        ("pre-vote", MessageBody::PreVote((2, 9))),
-        ("pre-voted", MessageBody::PreVoted(3, true)),
-        ("vote", MessageBody::Vote((2, 9))),
-        ("voted", MessageBody::Voted(false)),
+        ("ask fresh", MessageBody::BootstrapRequest),
+        ("fresh", MessageBody::BootstrapReady),
+        ("formed", MessageBody::ClusterExists),
+        ("newcomer", MessageBody::JoinRequest),
+        ("ask life", MessageBody::IncarnationRequest),
+        ("life seen", MessageBody::IncarnationResponse(incarnation(2))),
+        (
+            "superseded",
+            MessageBody::Superseded(LastSeen { incarnation: incarnation(3), promises_written: 8 }),
+        ),
+        ("replaced", MessageBody::NoLongerVoter),
+        ("pre-vote", MessageBody::PreVoteRequest(LogPosition { term: 2, index: 9 })),
+        ("pre-voted", MessageBody::PreVoteResponse { term: 3, granted: true }),
+        ("vote", MessageBody::VoteRequest(LogPosition { term: 2, index: 9 })),
+        ("voted", MessageBody::VoteResponse { granted: false }),
         ("append", append(entries())),
         ("heartbeat", append(Vec::new())),
-        ("install", MessageBody::Install(snapshot, 123_456)),
-        ("held", MessageBody::Held(9, 123_456)),
-        ("has", MessageBody::Has(9)),
-        ("up to date", MessageBody::UpToDate(incarnation(4))),
-        ("missing", MessageBody::Missing(7, 123_456)),
+        ("install", MessageBody::InstallSnapshot { snapshot, sent_at: 123_456 }),
+        ("held", MessageBody::AppendAccepted { match_index: 9, request_sent_at: 123_456 }),
+        ("has", MessageBody::RecoveryProgress(9)),
+        ("up to date", MessageBody::RecoveryComplete(incarnation(4))),
+        ("missing", MessageBody::AppendRejected { match_index: 7, request_sent_at: 123_456 }),
     ]
 }
 
 fn message(body: MessageBody) -> Message {
     Message {
-        cluster: 99,
+        cluster_id: 99,
         from: id("k0", 1),
         incarnation: incarnation(1),
-        written: 6,
+        promises_written: 6,
         to: "k1".into(),
-        instance: Some(300),
+        to_instance: Some(300),
         term: 4,
         body,
     }
 }
 
+fn indexed_state() -> IndexedState {
+    IndexedState { index: 4, state: replicated_state() }
+}
+
 fn leases() -> Vec<(&'static str, PeerMessage)> {
     let request = LeaseRequest {
         name: "i1".into(),
         epoch: 2,
         seq: 3,
-        index: 4,
+        state_index: 4,
         stage: 5,
         digest: 6,
-        cannot: Some("it does not know site.new".into()),
-        leaves: true,
+        unable_reason: Some("it does not know site.new".into()),
+        releases_lease: true,
     };
-    let plain = LeaseRequest { cannot: None, leaves: false, ..request.clone() };
+    let plain = LeaseRequest { unable_reason: None, releases_lease: false, ..request.clone() };
     let response = LeaseResponse {
         name: "i1".into(),
         epoch: 2,
         seq: 3,
         lease: Some(3_000_000),
         stage: 5,
-        replicated_state: Some((4, replicated_state())),
+        newer_state: Some(indexed_state()),
     };
-    let short = LeaseResponse { lease: None, replicated_state: None, ..response.clone() };
+    let short = LeaseResponse { lease: None, newer_state: None, ..response.clone() };
     vec![
-        ("lease request", PeerMessage::LeaseRequest(1, request)),
-        ("plain lease request", PeerMessage::LeaseRequest(0, plain)),
+        ("lease request", PeerMessage::LeaseRequest { hops: 1, request }),
+        ("plain lease request", PeerMessage::LeaseRequest { hops: 0, request: plain }),
         ("lease response", PeerMessage::LeaseResponse(Box::new(response))),
         ("short lease response", PeerMessage::LeaseResponse(Box::new(short))),
     ]
@@ -120,40 +137,52 @@
         replica: Some("leader".into()),
         leader: Some("i1".into()),
         term: 4,
-        electorate: vec!["i1".into(), "i2".into()],
-        silent: vec!["i2".into()],
+        voters: vec!["i1".into(), "i2".into()],
+        unresponsive: vec!["i2".into()],
         active_rules: "version 1".into(),
         lease_ms: 900,
-        versions: (1, Some(2)),
+        versions: VersionNumbers { in_force: 1, next: Some(2) },
         stage: 5,
         blockers: vec![Blocker { who: "i2".into(), why: "it has a lease".into(), ends_ms: Some(3) }],
-        members: vec![("i1".into(), true, false, 12)],
+        members: vec![MemberStatus {
+            name: "i1".into(),
+            has_lease: true,
+            has_confirmed: false,
+            last_contact_ms: 12,
+        }],
     }
 }
 
 fn operators() -> Vec<(&'static str, PeerMessage)> {
     vec![
-        ("propose", PeerMessage::OperatorRequest(OperatorRequest::Propose(1, version(0, 30.0)))),
-        ("withdraw", PeerMessage::OperatorRequest(OperatorRequest::Withdraw(2, "an operator".into(), 17))),
+        (
+            "propose",
+            PeerMessage::OperatorRequest(OperatorRequest::Propose { base: 1, version: version(0, 30.0) }),
+        ),
+        (
+            "withdraw",
+            PeerMessage::OperatorRequest(OperatorRequest::Withdraw {
+                number: 2,
+                by: "an operator".into(),
+                at: 17,
+            }),
+        ),
         ("forget", PeerMessage::OperatorRequest(OperatorRequest::Forget("i2".into()))),
         ("status", PeerMessage::OperatorRequest(OperatorRequest::Status)),
         ("book", PeerMessage::OperatorRequest(OperatorRequest::ReplicatedState)),
         ("agreed", PeerMessage::OperatorReply(OperatorReply::Committed(2))),
         ("refused", PeerMessage::OperatorReply(OperatorReply::Refused("it is not under way".into()))),
-        ("elsewhere", PeerMessage::OperatorReply(OperatorReply::Elsewhere(Some("k1".into())))),
+        ("elsewhere", PeerMessage::OperatorReply(OperatorReply::NotLeader(Some("k1".into())))),
         ("report", PeerMessage::OperatorReply(OperatorReply::Status(Box::new(report())))),
         (
             "told book",
-            PeerMessage::OperatorReply(OperatorReply::ReplicatedState(Some(Box::new((
-                4,
-                replicated_state(),
-            ))))),
+            PeerMessage::OperatorReply(OperatorReply::ReplicatedState(Some(Box::new(indexed_state())))),
         ),
         ("no book", PeerMessage::OperatorReply(OperatorReply::ReplicatedState(None))),
     ]
 }
 
-fn outgoing() -> Vec<(&'static str, PeerMessage)> {
+fn messages() -> Vec<(&'static str, PeerMessage)> {
     let voters = bodies().into_iter().map(|(name, body)| (name, PeerMessage::Replica(message(body))));
     voters.chain(leases()).chain(operators()).collect()
 }
@@ -172,16 +201,16 @@
 #[test]
 fn each_message_is_written_and_read_as_recorded() {
     let mut written = String::new();
-    for (name, word) in outgoing() {
-        let bytes = postcard::to_stdvec(&word).expect("plain values");
+    for (name, message) in messages() {
+        let bytes = postcard::to_stdvec(&message).expect("plain values");
         let _ = writeln!(written, "{name}: {}", hex(&bytes));
     }
     let fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
     fixtures.assert_text("messages.txt", &written);
     let recorded = String::from_utf8(fixtures.read("messages.txt")).expect("a text");
-    for (line, (name, word)) in recorded.lines().zip(outgoing()) {
+    for (line, (name, message)) in recorded.lines().zip(messages()) {
         let bytes = unhex(line.rsplit(": ").next().expect("digits"));
-        assert_eq!(postcard::from_bytes::<PeerMessage>(&bytes).as_ref(), Ok(&word), "{name}");
+        assert_eq!(postcard::from_bytes::<PeerMessage>(&bytes).as_ref(), Ok(&message), "{name}");
     }
 }
 
@@ -192,7 +221,8 @@
     let mut replicated_state = replicated_state();
     for (name, change) in changes() {
         let _ = writeln!(written, "{name}: {}", hex(&change.bytes()));
-        let applied = replicated_state.apply(change);
+        // Operators are shown the text of a refusal, not its type.
+        let applied = replicated_state.apply(change).map_err(|error| error.to_string());
         let _ = writeln!(
             written,
             "  gives {applied:?}, digest {:016x}: {}",
--- a/crates/flaxstand-consensus/tests/replicas/rig.rs
+++ b/crates/flaxstand-consensus/tests/replicas/harness.rs
@@ -1,8 +1,10 @@
-//! Keepers on virtual time, each with a disk that does its worst, between links that lose, double, delay and cut.
-//! Everything they tell is checked from outside: who was voted for, who led, what was agreed on.
+//! Replicas on virtual time, each with a disk that loses and tears what was not synced, between links that
+//! lose, double, delay and cut. What they send is checked from outside: who was voted for, who led, what was
+//! committed.
 
 use flaxstand_consensus::{
-    Committed, Config, InjectedFault, Message, MessageBody, Micros, Recovered, Replica, ReplicaId, recover,
+    Committed, Config, InjectedFault, Message, MessageBody, Micros, RecoveredState, Replica, ReplicaId,
+    recover,
 };
 use flaxstand_storage::faulty::{Faults, FaultyDisk};
 use flaxstand_storage::{Batch, Storage as _, perform};
@@ -17,23 +19,23 @@
 pub struct Node {
     pub replica: Option<Replica>,
     pub disk: FaultyDisk,
-    /// The batch that is under way, and when it is done.
+    /// The batch that is being written, and when it is done.
     storing: Option<(Micros, Batch)>,
     /// A stopped process: it gets nothing done until then.
     stopped_until: Micros,
-    /// What its owner made of all that was agreed on.
+    /// What its owner made of all that was committed.
     pub owner: Vec<u8>,
-    upto: u64,
+    applied_index: u64,
     starts: u64,
 }
 
-pub struct World {
+pub struct Cluster {
     pub now: Micros,
     pub nodes: Vec<Node>,
     pub rng: Pcg64Mcg,
     injected_fault: InjectedFault,
     names: Vec<String>,
-    /// On their way: when they come, an order among them, where from, the message.
+    /// In flight: when they arrive, a number that orders those of one moment, the message.
     messages: BTreeMap<(Micros, u64), Message>,
     next_message: u64,
     /// Directed links that pass nothing.
@@ -41,16 +43,16 @@
     /// Of a thousand messages so many are lost, and so many come twice.
     pub lossy: u32,
     pub slowest: u64,
-    /// By incarnation and term: whom it was heard to vote for.
+    /// By instance and term: the candidate that it voted for.
     votes: BTreeMap<(ReplicaId, u64), ReplicaId>,
     /// By term: who led.
     leaders: BTreeMap<u64, ReplicaId>,
-    /// By index: what was agreed on.
-    pub agreed: BTreeMap<u64, Vec<u8>>,
+    /// By index: what was committed.
+    pub committed: BTreeMap<u64, Vec<u8>>,
     /// What was seen that must not be.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub proposed: u64,
-    /// Members whose promises are gone: their disk was lost, or put back.
+    /// Replicas whose promises are gone: their disk was lost, or put back.
     pub lost: BTreeSet<ReplicaId>,
 }
 
@@ -63,8 +65,8 @@
     sum.to_le_bytes().to_vec()
 }
 
-impl World {
-    pub fn new(count: usize, seed: u64, injected_fault: InjectedFault) -> World {
+impl Cluster {
+    pub fn new(count: usize, seed: u64, injected_fault: InjectedFault) -> Cluster {
         let names: Vec<String> = (0..count).map(|i| format!("k{i}")).collect();
         let nodes = (0..count)
             .map(|i| Node {
@@ -73,11 +75,11 @@
                 storing: None,
                 stopped_until: Micros(0),
                 owner: vec![0; 8],
-                upto: 0,
+                applied_index: 0,
                 starts: 0,
             })
             .collect();
-        let mut world = World {
+        let mut cluster = Cluster {
             now: ms(1),
             nodes,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -90,13 +92,13 @@
             slowest: 5,
             votes: BTreeMap::new(),
             leaders: BTreeMap::new(),
-            agreed: BTreeMap::new(),
-            broken: Vec::new(),
+            committed: BTreeMap::new(),
+            violations: Vec::new(),
             proposed: 0,
             lost: BTreeSet::new(),
         };
-        (0..count).for_each(|i| world.start(i));
-        world
+        (0..count).for_each(|i| cluster.start(i));
+        cluster
     }
 
     pub fn below(&mut self, n: u64) -> u64 {
@@ -107,29 +109,29 @@
         let seed = self.rng.next_u64();
         let node = &mut self.nodes[at];
         node.starts += 1;
-        let found = match recover(&mut node.disk).expect("in memory") {
-            Recovered::State(state) => Some(*state),
-            Recovered::Nothing => None,
-            Recovered::Damaged(_) => None,
+        let recovered = match recover(&mut node.disk).expect("in memory") {
+            RecoveredState::Intact(state) => Some(*state),
+            RecoveredState::Empty => None,
+            RecoveredState::Damaged(_) => None,
         };
         let segments = node.disk.segments().expect("in memory");
         let config = Config {
             name: self.names[at].clone(),
             names: self.names.clone(),
-            election: ms(150),
-            heartbeat: ms(30),
+            election_timeout: ms(150),
+            heartbeat_interval: ms(30),
             seed,
             initial_state: vec![0; 8],
             injected_fault: self.injected_fault,
         };
         node.storing = None;
-        node.replica = Some(Replica::start(config, found, segments, self.now));
+        node.replica = Some(Replica::start(config, recovered, segments, self.now));
     }
 
     /// The process dies; with `power`, so does the machine, and what was not synced is gone in part.
     pub fn kill(&mut self, at: usize, power: bool) {
         let node = &mut self.nodes[at];
-        // A batch under way got so far as it got.
+        // A batch in flight is written in part.
         if let Some((_, batch)) = node.storing.take() {
             let dies = self.rng.next_u64() % 6;
             node.disk.set(Faults { dies_at: Some(dies), ..Faults::default() });
@@ -144,31 +146,31 @@
     }
 
     pub fn wipe(&mut self, at: usize) {
-        self.forgets(at);
+        self.record_lost(at);
         self.kill(at, true);
         self.nodes[at].disk = FaultyDisk::new(self.rng.next_u64());
     }
 
-    /// Its folder is put back to what it was.
-    pub fn put_back(&mut self, at: usize, old: FaultyDisk) {
-        self.forgets(at);
+    /// Its folder is put back to an old copy.
+    pub fn restore_copy(&mut self, at: usize, old: FaultyDisk) {
+        self.record_lost(at);
         self.kill(at, true);
         self.nodes[at].disk = old;
     }
 
-    fn forgets(&mut self, at: usize) {
-        self.lost.extend(self.nodes[at].replica.as_ref().map(|k| k.state().me.clone()));
+    fn record_lost(&mut self, at: usize) {
+        self.lost.extend(self.nodes[at].replica.as_ref().map(|k| k.state().id.clone()));
     }
 
     pub fn pause(&mut self, at: usize, wait: Micros) {
         self.nodes[at].stopped_until = self.now.after(wait);
     }
 
-    pub fn disk_fails(&mut self, at: usize, full_at: Option<u64>, sync_fails_at: Option<u64>) {
+    pub fn inject_disk_fault(&mut self, at: usize, full_at: Option<u64>, sync_fails_at: Option<u64>) {
         self.nodes[at].disk.set(Faults { full_at, sync_fails_at, dies_at: None });
     }
 
-    /// Proposes a change at every keeper that thinks it leads.
+    /// Proposes a change at every replica that takes itself for the leader.
     pub fn propose(&mut self) {
         self.proposed += 1;
         let change = self.proposed.to_le_bytes().to_vec();
@@ -188,11 +190,11 @@
     }
 
     fn index(&self, name: &str) -> usize {
-        self.names.iter().position(|n| n == name).expect("a keeper's name")
+        self.names.iter().position(|n| n == name).expect("a replica's name")
     }
 
-    fn post(&mut self, message: Message) {
-        self.look(&message);
+    fn send(&mut self, message: Message) {
+        self.check_promises(&message);
         let link = (self.index(&message.from.name), self.index(&message.to));
         if self.cut.contains(&link) || self.below(1000) < u64::from(self.lossy) {
             return;
@@ -205,23 +207,24 @@
         }
     }
 
-    /// What a message shows.
-    fn look(&mut self, message: &Message) {
+    /// Guards against two votes of a replica in one term, and two leaders in one term.
+    fn check_promises(&mut self, message: &Message) {
         match &message.body {
-            MessageBody::Voted(true) => {
-                let to = ReplicaId { name: message.to.clone(), instance: message.instance.unwrap_or(0) };
+            MessageBody::VoteResponse { granted: true } => {
+                let to = ReplicaId { name: message.to.clone(), instance: message.to_instance.unwrap_or(0) };
                 let key = (message.from.clone(), message.term);
                 match self.votes.insert(key, to.clone()) {
                     Some(before) if before != to => {
-                        self.broken.push(format!("{:?} voted twice in term {}", message.from, message.term));
+                        self.violations
+                            .push(format!("{:?} voted twice in term {}", message.from, message.term));
                     }
                     _ => {}
                 }
             }
-            MessageBody::Append { .. } | MessageBody::Install(..) => {
+            MessageBody::AppendRequest { .. } | MessageBody::InstallSnapshot { .. } => {
                 match self.leaders.insert(message.term, message.from.clone()) {
                     Some(before) if before != message.from => {
-                        self.broken.push(format!("two leaders in term {}", message.term));
+                        self.violations.push(format!("two leaders in term {}", message.term));
                     }
                     _ => {}
                 }
@@ -230,8 +233,8 @@
         }
     }
 
-    /// All that is due now at one keeper.
-    fn turn(&mut self, at: usize) {
+    /// All that is due now at one replica.
+    fn step(&mut self, at: usize) {
         let now = self.now;
         let node = &mut self.nodes[at];
         let Some(replica) = &mut node.replica else { return };
@@ -239,54 +242,55 @@
             return;
         }
         if let Some((_, batch)) = node.storing.take_if(|(done, _)| *done <= now) {
-            let well = perform(&mut node.disk, &batch).is_ok();
-            replica.stored(well, now);
+            let succeeded = perform(&mut node.disk, &batch).is_ok();
+            replica.batch_stored(succeeded, now);
         }
-        if replica.wake() <= now {
+        if replica.wake_at() <= now {
             replica.tick(now);
         }
         if node.storing.is_none()
-            && let Some(batch) = replica.batch(now)
+            && let Some(batch) = replica.next_batch(now)
         {
             let takes = 100 + self.rng.next_u64() % 3000;
             node.storing = Some((now.after(Micros(takes)), batch));
         }
-        for told in replica.take_agreed() {
-            match told {
-                Committed::State(index, state) => (node.upto, node.owner) = (index, state),
-                Committed::Change(index, change) => {
-                    if index <= node.upto {
-                        self.broken.push(format!("index {index} told again after {}", node.upto));
+        for committed in replica.take_committed() {
+            match committed {
+                Committed::Snapshot { index, state } => (node.applied_index, node.owner) = (index, state),
+                Committed::Change { index, change } => {
+                    if index <= node.applied_index {
+                        self.violations
+                            .push(format!("index {index} delivered again after {}", node.applied_index));
                     }
-                    (node.upto, node.owner) = (index, fold(&node.owner, index, &change));
-                    match self.agreed.insert(index, change.clone()) {
+                    (node.applied_index, node.owner) = (index, fold(&node.owner, index, &change));
+                    match self.committed.insert(index, change.clone()) {
                         Some(before) if before != change => {
-                            self.broken.push(format!("two changes agreed on at index {index}"));
+                            self.violations.push(format!("two changes committed at index {index}"));
                         }
                         _ => {}
                     }
                 }
             }
         }
-        if replica.compactable() > 8 {
+        if replica.compactable_entries() > 8 {
             replica.compact(node.owner.clone());
         }
         let messages = replica.take_messages();
-        messages.into_iter().for_each(|message| self.post(message));
+        messages.into_iter().for_each(|message| self.send(message));
     }
 
-    /// Goes on for so long.
+    /// Plays this much virtual time.
     pub fn run(&mut self, time: Micros) {
         let end = self.now.after(time);
         loop {
             let wakes = self.nodes.iter().filter_map(|n| {
                 let replica = n.replica.as_ref()?;
                 let stored =
-                    n.storing.as_ref().map_or(replica.wake(), |(done, _)| (*done).min(replica.wake()));
+                    n.storing.as_ref().map_or(replica.wake_at(), |(done, _)| (*done).min(replica.wake_at()));
                 Some(stored.max(n.stopped_until))
             });
-            let comes = self.messages.first_key_value().map(|((at, _), _)| *at);
-            let Some(next) = wakes.chain(comes).min() else { break };
+            let arrives = self.messages.first_key_value().map(|((at, _), _)| *at);
+            let Some(next) = wakes.chain(arrives).min() else { break };
             if next > end {
                 break;
             }
@@ -306,15 +310,15 @@
                     replica.receive(message, self.now);
                 }
             }
-            (0..self.nodes.len()).for_each(|at| self.turn(at));
-            if !self.broken.is_empty() {
+            (0..self.nodes.len()).for_each(|at| self.step(at));
+            if !self.violations.is_empty() {
                 break;
             }
         }
         self.now = self.now.max(end);
     }
 
-    /// All faults end, what is down starts; goes on until a new change is agreed on everywhere, or the bound.
+    /// All faults end, what is down starts; goes on until a new change is committed everywhere, or gives up.
     pub fn heal(&mut self) -> bool {
         self.cut.clear();
         self.lossy = 0;
@@ -324,20 +328,21 @@
                 self.start(at);
             }
         }
-        let target = self.agreed.keys().next_back().copied().unwrap_or(0);
+        let target = self.committed.keys().next_back().copied().unwrap_or(0);
         for _ in 0..150 {
             self.run(ms(100));
             self.propose();
             self.run(ms(100));
-            if !self.broken.is_empty() {
+            if !self.violations.is_empty() {
                 return false;
             }
-            let level = self.nodes.iter().all(|n| n.upto > target && n.owner == self.nodes[0].owner);
-            let settled = self.nodes.iter().flat_map(|n| &n.replica).all(|k| {
-                k.state().log.electorate().1.len() == self.nodes.len()
-                    && k.state().log.electorate().1.contains(&k.state().me)
+            let is_level =
+                self.nodes.iter().all(|n| n.applied_index > target && n.owner == self.nodes[0].owner);
+            let is_settled = self.nodes.iter().flat_map(|n| &n.replica).all(|k| {
+                k.state().log.voters().len() == self.nodes.len()
+                    && k.state().log.voters().contains(&k.state().id)
             });
-            if level && settled {
+            if is_level && is_settled {
                 return true;
             }
         }
@@ -345,13 +350,13 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.replica.as_ref().is_some_and(Replica::leads);
+        let leads = |n: &Node| n.replica.as_ref().is_some_and(Replica::is_leader);
         let term = |n: &Node| n.replica.as_ref().map_or(0, |k| k.state().term);
         (0..self.nodes.len()).filter(|i| leads(&self.nodes[*i])).max_by_key(|i| term(&self.nodes[*i]))
     }
 
-    /// Goes on until somebody leads whom all that are up follow.
-    pub fn led(&mut self) -> usize {
+    /// Goes on until a replica leads.
+    pub fn run_until_led(&mut self) -> usize {
         for _ in 0..400 {
             self.run(ms(20));
             if let Some(leader) = self.leader() {
@@ -359,20 +364,19 @@
             }
         }
         panic!(
-            "nobody leads: {:?}",
+            "no replica leads: {:?}",
             self.nodes.iter().map(|n| n.replica.as_ref().map(|k| k.status(self.now))).collect::<Vec<_>>()
         );
     }
 
-    /// Whether all are up, and the newest electorate is of full size with none whose promises are gone.
+    /// Whether all are up, and the newest voters are all replicas, with none whose promises are gone.
     pub fn intact(&self) -> bool {
         let newest =
-            self.nodes.iter().flat_map(|n| &n.replica).max_by_key(|k| (k.committed(), k.state().term));
-        let agreed = newest.map(|k| (k.state().log.electorate(), k.committed()));
-        let agreed = agreed.filter(|((since, _), committed)| since <= committed);
-        let electorate = agreed.map_or(Vec::new(), |((_, members), _)| members.to_vec());
-        self.nodes.iter().all(|n| n.replica.is_some())
-            && electorate.len() == self.nodes.len()
-            && !electorate.iter().any(|m| self.lost.contains(m))
+            self.nodes.iter().flat_map(|n| &n.replica).max_by_key(|k| (k.commit_index(), k.state().term));
+        let committed = newest.filter(|replica| replica.state().log.voters_index() <= replica.commit_index());
+        let voters = committed.map_or(Vec::new(), |replica| replica.state().log.voters().to_vec());
+        self.nodes.iter().all(|node| node.replica.is_some())
+            && voters.len() == self.nodes.len()
+            && !voters.iter().any(|voter| self.lost.contains(voter))
     }
 }
--- a/crates/flaxstand-gateway/src/core/agreement.rs
+++ b/crates/flaxstand-gateway/src/core/agreement.rs
@@ -10,7 +10,7 @@
 use flaxstand::api::Event;
 use flaxstand_consensus::participant::{Config, Destination, Participant, PeerMessage, StoredReplica};
 use flaxstand_consensus::replica::InjectedFault;
-use flaxstand_consensus::replicated_state::ReplicatedState;
+use flaxstand_consensus::replicated_state::IndexedState;
 use flaxstand_proto::{CloseReason, Frame, Hello, Inbox, Role, VERSION, VERSION_OLDEST, Welcome};
 use std::collections::{BTreeMap, VecDeque};
 use tracing::{debug, info, warn};
@@ -64,7 +64,7 @@
         &mut self,
         listener: usize,
         found: Option<StoredReplica>,
-        saved: Option<(u64, ReplicatedState)>,
+        saved: Option<IndexedState>,
         now: Micros,
     ) {
         let Some(a) = &self.config.agreeing else { return };
@@ -76,7 +76,7 @@
             neighbours: names(&a.others),
             lease: a.lease,
             clock_error: a.clock_error,
-            election: a.election,
+            election_timeout: a.election,
             seed: self.config.seed ^ self.config.epoch,
             started_with: a.started_with.clone(),
             injected_fault: InjectedFault::None,
@@ -186,7 +186,7 @@
             _ => return Err((CloseReason::Protocol, "a word of a stranger".into())),
         };
         if let Some(agreed) = &mut self.agreed {
-            agreed.agreement.heard(conn.0, from.as_deref(), word, now);
+            agreed.agreement.receive(conn.0, from.as_deref(), word, now);
         }
         Ok(())
     }
@@ -207,14 +207,14 @@
 
     pub(super) fn batch_kept(&mut self, well: bool, now: Micros) {
         if let Some(agreed) = &mut self.agreed {
-            agreed.agreement.stored(well, now);
+            agreed.agreement.batch_stored(well, now);
         }
     }
 
     /// Gives the lease back.
     pub(super) fn leave_agreement(&mut self, now: Micros) {
         if let Some(agreed) = &mut self.agreed {
-            agreed.agreement.leave(now);
+            agreed.agreement.release_lease(now);
         }
         self.settle_agreement(now);
     }
@@ -223,11 +223,11 @@
     /// stood still is noticed here. Then what the agreement has to say and to store.
     pub(super) fn settle_agreement(&mut self, now: Micros) -> Option<Micros> {
         let agreed = self.agreed.as_mut()?;
-        if agreed.agreement.wake(now) <= now {
+        if agreed.agreement.wake_at(now) <= now {
             agreed.agreement.tick(now);
         }
         let rules = agreed.agreement.take_rules_change(now);
-        if let Some(batch) = agreed.agreement.batch(now) {
+        if let Some(batch) = agreed.agreement.next_batch(now) {
             self.plumbing.command(Command::StoreConsensus(batch));
         }
         if let Some(book) = agreed.agreement.take_unsaved() {
@@ -257,7 +257,7 @@
             }
         }
         // At least one moment on: what a turn leads to is the next turn's.
-        self.agreed.as_ref().map(|a| a.agreement.wake(now).max(Micros(now.0 + 1)))
+        self.agreed.as_ref().map(|a| a.agreement.wake_at(now).max(Micros(now.0 + 1)))
     }
 
     /// What was decided on under the rules before and has not left yet, since its node does not read, never leaves:
--- a/crates/flaxstand-gateway/src/settings/rules.rs
+++ b/crates/flaxstand-gateway/src/settings/rules.rs
@@ -1,5 +1,5 @@
 //! The shared part of a settings file as rules that initiators agree on, and back. Key by key as
-//! `flaxstand_consensus::rules::TABLE` has them; what bounds nothing is left out.
+//! `flaxstand_consensus::rules::NARROWING_TABLE` has them; what bounds nothing is left out.
 
 use super::reader::Block;
 use super::site::SiteFile;
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -880,7 +880,8 @@
     let mut version = Version::default();
     version.rules.values.insert("site.max-attempts".into(), Value::Number(attempts));
     let bytes =
-        postcard::to_stdvec(&PeerMessage::OperatorRequest(OperatorRequest::Propose(base, version))).unwrap();
+        postcard::to_stdvec(&PeerMessage::OperatorRequest(OperatorRequest::Propose { base, version }))
+            .unwrap();
     w.core.received(operator, &bytes_of(&Frame::Agreement { bytes: &bytes }), w.now);
     w.run(5);
     let agreed =
--- a/crates/flaxstand-simulation/src/agreed.rs
+++ b/crates/flaxstand-simulation/src/agreed.rs
@@ -151,14 +151,14 @@
             Ok(Some(OperatorReply::ReplicatedState(Some(book)))) => Some(*book),
             _ => None,
         };
-        let newest = listen.iter().filter_map(book).max_by_key(|(index, _)| *index);
-        let base = newest.map_or(0, |(_, book)| book.in_force.number);
+        let newest = listen.iter().filter_map(book).max_by_key(|known| known.index);
+        let base = newest.map_or(0, |known| known.state.in_force.number);
         let at = (calendar() * 1e6) as u64;
         let version =
             Version { number: 0, rules: rules.clone(), text: text.to_owned(), by: "the day".into(), at };
         for to in listen {
             if let Ok(Some(OperatorReply::Committed(number))) =
-                ask(*to, &OperatorRequest::Propose(base, version.clone()))
+                ask(*to, &OperatorRequest::Propose { base, version: version.clone() })
             {
                 return Some(number);
             }
@@ -290,9 +290,9 @@
             if let Some(all) = all
                 && let Some(first) = all.first()
                 && all.iter().all(|t| t.versions == first.versions && t.lease_ms > 0)
-                && first.versions.1.is_none()
+                && first.versions.next.is_none()
             {
-                return Some(first.versions.0);
+                return Some(first.versions.in_force);
             }
             std::thread::sleep(Duration::from_millis(50));
         }
--- a/crates/flaxstand-simulation/src/scale/hollow.rs
+++ b/crates/flaxstand-simulation/src/scale/hollow.rs
@@ -16,7 +16,7 @@
 use super::traffic::{FrameCounter, Traffic};
 use crate::rehearse::StandIn;
 use flaxstand_consensus::member::ActiveRules;
-use flaxstand_consensus::participant::Participant;
+use flaxstand_consensus::replicated_state::IndexedState;
 use flaxstand_gateway::core::{Config, Core};
 use flaxstand_gateway::driver::{Driver, Options};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Control, Machine, Micros};
@@ -194,7 +194,7 @@
         let core = Core::new(config.clone(), saved.list.as_deref(), now);
         let mut core =
             core.or_else(|_| Core::new(config, None, now)).expect("without a saved list nothing can fail");
-        let book = saved.book.as_ref().and_then(|bytes| Participant::read_saved(bytes).ok());
+        let book = saved.book.as_ref().and_then(|bytes| IndexedState::read(bytes).ok());
         core.agree(NO_LISTENER, None, book, now);
         core
     }
