--- a/crates/flaxstand-consensus/src/participant.rs
+++ b/crates/flaxstand-consensus/src/participant.rs
@@ -151,7 +151,7 @@
             (PeerMessage::OperatorRequest(request), None) => {
                 self.handle_operator_request(connection, request, now);
             }
-            (message, from) => warn!(?from, ?message, "a message that has no place here"),
+            (message, from) => warn!(?from, ?message, "an unexpected message is dropped"),
         }
         self.apply_committed(now);
     }
--- a/crates/flaxstand-consensus/src/participant/replication.rs
+++ b/crates/flaxstand-consensus/src/participant/replication.rs
@@ -36,7 +36,7 @@
     fn install_snapshot(&mut self, index: u64, bytes: &[u8]) {
         match ReplicatedState::read(bytes) {
             Ok(state) => self.applied = Applied::of_snapshot(index, state),
-            Err(error) => warn!(%error, index, "a snapshot that is no replicated state"),
+            Err(error) => warn!(%error, index, "a snapshot can't be read as a replicated state"),
         }
     }
 
@@ -44,7 +44,7 @@
         let outcome = self.applied.apply(index, bytes);
         if let Err(error) = &outcome {
             let why = error.to_string();
-            info!(index, why, "a change that changes nothing");
+            info!(index, why, "a committed change has no effect");
         }
         if let Some(connection) = self.pending_operations.remove(&index) {
             let reply = match outcome {
--- a/crates/flaxstand-consensus/src/replica.rs
+++ b/crates/flaxstand-consensus/src/replica.rs
@@ -253,9 +253,9 @@
     pub fn batch_stored(&mut self, succeeded: bool, now: Micros) {
         self.persistent.batch_stored(succeeded, now);
         if !succeeded {
-            // A leader that can't write falls silent and is replaced. All that matters is sent again later.
+            // A leader that can't write stops sending and is replaced. All that matters is sent again later.
             let failures = self.persistent.journal().failures();
-            warn!(failures, "what has to be durable is not: nothing is told");
+            warn!(failures, "a batch was not stored: messages that wait for it are dropped");
             self.outbox.clear();
         }
         self.advance_commit_index();
--- a/crates/flaxstand-consensus/src/replica/bootstrap.rs
+++ b/crates/flaxstand-consensus/src/replica/bootstrap.rs
@@ -51,7 +51,7 @@
         let mut voters: Vec<ReplicaId> = std::mem::take(&mut self.bootstrap.ready).into_iter().collect();
         voters.push(self.state().id.clone());
         voters.sort();
-        info!(electorate = ?voters, "founding the agreement");
+        info!(voters = ?voters, "bootstrapping the agreement");
         let cluster_id = self.rng.next_u64() | 1;
         let state = self.config.initial_state.clone();
         self.persistent
@@ -78,7 +78,7 @@
 
     pub(super) fn handle_cluster_exists(&mut self) {
         if self.state().cluster_id == 0 && !self.bootstrap.cluster_exists {
-            info!("there is an agreement already: asking to be taken in");
+            info!("there is an agreement already: asking to join");
             self.bootstrap.cluster_exists = true;
         }
     }
@@ -95,7 +95,7 @@
                 theirs = message.cluster_id,
                 ours = own_cluster_id,
                 from = message.from.name,
-                "another agreement"
+                "a message of another agreement is dropped"
             );
             return false;
         }
@@ -107,7 +107,7 @@
                 | MessageBody::VoteRequest(_)
         );
         if is_from_voter && message.to_instance == Some(self.state().id.instance) {
-            info!(cluster = message.cluster_id, from = message.from.name, "entering the agreement");
+            info!(cluster = message.cluster_id, from = message.from.name, "joining the agreement");
             self.persistent.join_cluster(message.cluster_id);
             self.bootstrap.ready.clear();
         }
--- a/crates/flaxstand-consensus/src/replica/election.rs
+++ b/crates/flaxstand-consensus/src/replica/election.rs
@@ -79,7 +79,7 @@
         }
         if !matches!(self.role, Role::Follower) {
             if self.is_leader() {
-                info!(term, "no longer leading");
+                info!(term, "no longer the leader");
             }
             self.election.leader = None;
             self.role = Role::Follower;
@@ -121,7 +121,7 @@
 
     fn become_leader(&mut self, now: Micros) {
         let state = self.state();
-        info!(term = state.term, "leading");
+        info!(term = state.term, "became the leader");
         let others = state.log.voters().iter().filter(|voter| **voter != state.id).cloned();
         self.role = Role::Leader(LeaderState::new(others, state.log.last_index(), now));
         self.election.leader = Some(self.state().id.clone());
--- a/crates/flaxstand-consensus/src/replica/follower.rs
+++ b/crates/flaxstand-consensus/src/replica/follower.rs
@@ -34,7 +34,7 @@
         }
         self.become_follower(term, now);
         if self.election.record_leader_contact(from, now) {
-            info!(leader = from.name, term, "following");
+            info!(leader = from.name, term, "following a leader");
         }
         self.reset_election_deadline(now);
         true
@@ -76,7 +76,7 @@
         let missing: Vec<(u64, Entry)> = (first_index..).zip(entries).skip_while(is_present).collect();
         let Some((first_missing, _)) = missing.first() else { return };
         let first_missing = *first_missing;
-        assert!(first_missing > self.commit_index(), "what is agreed on is never taken back");
+        assert!(first_missing > self.commit_index(), "a committed entry is never overwritten");
         let entries = missing.into_iter().map(|(_, entry)| entry).collect();
         self.persistent.replace_entries(first_missing, entries);
     }
@@ -92,7 +92,7 @@
             return AppendOutcome::Rejected(0);
         }
         if snapshot.index > self.commit_index() {
-            info!(index = snapshot.index, "taking a snapshot in place of entries");
+            info!(index = snapshot.index, "installing a snapshot");
             self.commit.advance_to(snapshot.index);
             self.persistent.install_snapshot(snapshot);
             self.commit.deliver_snapshot(&self.persistent.state().log.snapshot);
--- a/crates/flaxstand-consensus/src/replica/leader.rs
+++ b/crates/flaxstand-consensus/src/replica/leader.rs
@@ -196,11 +196,11 @@
             return;
         }
         self.commit.advance_to(index);
-        // Followers are told at the next tick.
+        // Followers get it at the next tick.
         leader.heartbeat_at = Micros(0);
         let is_removed = !voters.contains(&state.id) && state.log.voters_index() <= index;
         if is_removed {
-            info!("no longer in the electorate");
+            info!("no longer a voter");
             self.role = Role::Follower;
             self.election.leader = None;
         }
--- a/crates/flaxstand-consensus/src/replica/leader_state.rs
+++ b/crates/flaxstand-consensus/src/replica/leader_state.rs
@@ -103,7 +103,7 @@
         if let Some(progress) = self.peers.get_mut(&replica) {
             progress.last_contact_at = now;
         } else if self.peers.len() < MAX_PEERS_WITH_LEARNERS {
-            info!(name = replica.name, "a new keeper asks to be taken in");
+            info!(name = replica.name, "a new keeper asks to join");
             self.peers.insert(replica, Progress::new(1, now));
         }
     }
--- a/crates/flaxstand-consensus/src/replica/persistent.rs
+++ b/crates/flaxstand-consensus/src/replica/persistent.rs
@@ -122,7 +122,7 @@
         self.journal.batch_stored(succeeded, now);
     }
 
-    /// A record that may not be forgotten once it was told.
+    /// A record that may not be forgotten once a message has told of it.
     fn record_promise(&mut self, record: Record) {
         self.state.promises_written += 1;
         self.journal.append(record);
--- a/crates/flaxstand-consensus/src/replica/recovery.rs
+++ b/crates/flaxstand-consensus/src/replica/recovery.rs
@@ -79,7 +79,10 @@
         let RecoveryState::Recovering { answered } = &mut self.recovery else { return };
         answered.insert(from.name);
         if others.is_subset(answered) {
-            info!(incarnation = self.state().incarnation.count, "no later life was seen: taking part");
+            info!(
+                incarnation = self.state().incarnation.count,
+                "no later incarnation was seen: recovery complete"
+            );
             self.recovery = RecoveryState::Complete;
         }
     }
@@ -89,7 +92,7 @@
         let is_current = term == self.state().term && incarnation == self.state().incarnation;
         if is_current && self.recovery.is_recovering() {
             self.recovery = RecoveryState::Complete;
-            info!(incarnation = incarnation.count, "brought up to date by a leader: taking part");
+            info!(incarnation = incarnation.count, "brought up to date by a leader: recovery complete");
         }
     }
 
@@ -122,7 +125,7 @@
     pub(super) fn handle_superseded(&mut self, newest: LastSeen) {
         let own = self.state().incarnation;
         if own.superseded_by(newest) {
-            warn!(?own, ?newest, "more was heard of this keeper than it knows");
+            warn!(?own, ?newest, "a later incarnation of this keeper was seen");
             self.renew_instance("its folder is an old copy");
         }
     }
--- a/crates/flaxstand-consensus/tests/capacity/fleet.rs
+++ b/crates/flaxstand-consensus/tests/capacity/fleet.rs
@@ -169,7 +169,8 @@
 }
 
 impl Fleet {
-    /// A fleet of `count` hosts, keepers included, of which all that may act on the first version.
+    /// A fleet of `count` hosts, those with a replica included, of which all that may act on the first
+    /// version.
     pub fn at_rest(count: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet::started(count, seed);
         fleet.run_until("all act on the first version", |f| f.acting_alone(1) == count);
@@ -187,7 +188,7 @@
         fleet
     }
 
-    /// A fleet of `count` hosts, keepers included, where members have just been started.
+    /// A fleet of `count` hosts, those with a replica included, where members have just been started.
     pub fn started(count: usize, seed: u64) -> Fleet {
         Fleet::started_with_max_members(count, MAX_MEMBERS, seed)
     }
@@ -216,7 +217,7 @@
             f.leader().is_some_and(|leader| f.takes_proposals(leader))
         });
         fleet.propose();
-        fleet.run_until("keepers act on the first version", |f| f.acting_alone(1) == REPLICAS);
+        fleet.run_until("those with a replica act on the first version", |f| f.acting_alone(1) == REPLICAS);
         // Spread evenly over the time between two asks of one member.
         for host in REPLICAS..count {
             let next = fleet.now.after(Micros(REQUEST_INTERVAL.0 / count as u64));
@@ -269,7 +270,7 @@
         base + 1
     }
 
-    /// An operator proposes again and again, until the change is agreed on.
+    /// An operator proposes again and again, until the change is committed.
     pub fn propose_until_taken(&mut self) {
         let end = self.now.after(PATIENCE);
         self.replies.clear();
@@ -280,7 +281,7 @@
         }
     }
 
-    /// An operator proposes a version that was made from none, which is refused once it is agreed on.
+    /// An operator proposes a version that was made from none, which is refused once it is committed.
     pub fn propose_from_older_version(&mut self) {
         let leader = self.leader().expect("there is a leader");
         self.operator_asks(leader, OperatorRequest::Propose { base: 0, version: version_after(0) });
@@ -300,7 +301,7 @@
         states.map(|state| state.in_force.number).max().unwrap_or(0)
     }
 
-    /// The keeper that leads.
+    /// The initiator that leads.
     pub fn leader(&self) -> Option<usize> {
         let status = |host: &usize| self.hosts[*host].agreement.as_ref()?.replica_status(self.now);
         let leaders = (0..REPLICAS)
@@ -308,7 +309,7 @@
         leaders.max_by_key(|host| status(host).map(|s| s.term))
     }
 
-    /// Index of the newest entry of any keeper's log.
+    /// Index of the newest entry of any replica's log.
     pub fn last_entry(&self) -> u64 {
         let voters = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.replica_status(self.now));
         voters.map(|status| status.last_index).max().unwrap_or(0)
--- a/crates/flaxstand-consensus/tests/capacity/main.rs
+++ b/crates/flaxstand-consensus/tests/capacity/main.rs
@@ -20,7 +20,7 @@
 use std::ops::Range;
 use std::sync::OnceLock;
 
-/// Hosts of the fleets that are played, keepers included.
+/// Hosts of the fleets that are played, those with a replica included.
 const SIZES: [usize; 4] = [50, 100, 200, 400];
 
 type Played<T> = OnceLock<BTreeMap<usize, T>>;
@@ -125,9 +125,9 @@
     assert_linear("leader, received bytes/s", &per_second(|c| c.leader.received.bytes), 60.0..75.0);
 }
 
-/// Another keeper passes on what a fifth of the members ask, and the answers.
+/// Another replica forwards the requests of a fifth of the members, and the responses.
 #[test]
-fn at_rest_another_keepers_messages_and_bytes_grow_linearly() {
+fn at_rest_another_replicas_messages_and_bytes_grow_linearly() {
     let per_second = |of: fn(&Costs) -> u64| points(rests(), |costs| costs.per_second(of(costs)));
     assert_linear("keeper, sent messages/s", &per_second(|c| c.replica.sent.messages), 0.5..0.57);
     assert_linear("keeper, sent bytes/s", &per_second(|c| c.replica.sent.bytes), 23.0..27.0);
@@ -162,14 +162,14 @@
 }
 
 #[test]
-fn a_changes_messages_at_the_leader_and_bytes_at_a_keeper_grow_no_faster_than_stated() {
+fn a_changes_messages_at_the_leader_and_bytes_at_a_replica_grow_no_faster_than_stated() {
     let leader = points(changes(), |change| change.costs.leader.sent.messages as f64);
     assert_linear("leader, messages sent for a change", &leader, 2.8..3.3);
     let replica = points(changes(), |change| change.costs.replica.sent.bytes as f64);
     assert_square("keeper, bytes sent for a change", &replica, 5.0..7.5);
 }
 
-/// It asks at most four times, and is told the whole state twice: that state's size is all that grows.
+/// It asks at most four times, and is sent the whole state twice: that state's size is all that grows.
 #[test]
 fn a_plain_member_takes_part_in_a_change_with_few_messages_and_two_states_today() {
     for (size, change) in changes() {
@@ -208,8 +208,8 @@
     }
 }
 
-/// A proposal that is refused changes nothing that anybody has to be told: nobody is sent a state, and the
-/// leader sends what it sends at rest and one entry to each other keeper.
+/// A proposal that is refused changes nothing that anybody has to know: nobody is sent a state, and the
+/// leader sends what it sends at rest and one entry to each other replica.
 #[test]
 fn a_refused_proposal_brings_nobody_the_state() {
     for (size, costs) in refusals() {
@@ -223,7 +223,7 @@
         let leader = more_than_at_rest(|c| c.leader.sent.bytes);
         println!("{size} members, a refused proposal: the leader sends {leader:.0} bytes more than at rest");
         assert!(member < 1.0, "{size} members: one receives {member} bytes more than at rest");
-        // The entry, at most twice to each other keeper (again until it is known to be there), and its
+        // The entry, at most twice to each other replica (again until it is known to be there), and its
         // headers.
         let entries = 2 * (fleet::REPLICAS - 1) * (fleet::TEXT_BYTES + 500);
         assert!(
@@ -233,7 +233,7 @@
     }
 }
 
-/// The list of members is the keepers' alone to act on.
+/// Only replicas act on the list of members.
 #[test]
 fn a_host_that_joins_brings_no_other_the_state() {
     for size in [SIZES[0], SIZES[1]] {
--- a/crates/flaxstand-consensus/tests/capacity/measurements.rs
+++ b/crates/flaxstand-consensus/tests/capacity/measurements.rs
@@ -92,7 +92,7 @@
 }
 
 /// Names as long as the settings let them be, and files and rules as large as a proposal may have them: a
-/// state beyond `MAX_STATE_BYTES` ends every keeper at `Replica::compact`.
+/// state beyond `MAX_STATE_BYTES` ends every replica at `Replica::compact`.
 #[test]
 #[ignore = "a measurement, no check"]
 fn measurement_bytes_of_the_replicated_state_at_its_bounds() {
--- a/crates/flaxstand-consensus/tests/capacity/scenarios.rs
+++ b/crates/flaxstand-consensus/tests/capacity/scenarios.rs
@@ -10,7 +10,7 @@
 const REST: Micros = Micros(5 * LEASE.0);
 /// Changes before the one that is counted: as many older versions are kept as ever are.
 pub const CHANGES_BEFORE: usize = 6;
-/// How long after a proposal its leader is lost: it is agreed on, and some members act on it.
+/// How long after a proposal its leader is lost: it is committed, and some members act on it.
 const LOST_AFTER: Micros = Micros(400_000);
 pub const SEED: u64 = 20;
 
@@ -209,7 +209,7 @@
     let newcomer = fleet.add_host();
     fleet.run_for(LEASE);
     assert_eq!(fleet.acting_alone(1), count + 1, "the newcomer has joined");
-    assert_eq!(fleet.members_listed(0), count + 1, "keepers list it");
+    assert_eq!(fleet.members_listed(0), count + 1, "replicas list it");
     let traffic = fleet.traffic();
     let all_states: u64 = traffic.iter().map(|(_, t)| t.states_received).sum();
     let newcomer_states = traffic[newcomer].1.states_received;
@@ -246,8 +246,8 @@
     }
 }
 
-/// Refused proposals until every keeper has put the replicated state in the place of entries, a host that
-/// joins, and the loss of the leader: then how many hosts act on a change that the next leader is told of.
+/// Refused proposals until every replica has put the replicated state in the place of entries, a host that
+/// joins, and the loss of the leader: then how many hosts act on a change that the next leader is sent.
 pub fn change_after_entries_without_effect(count: usize, refused: usize) -> usize {
     let mut fleet = Fleet::at_rest(count, SEED);
     for _ in 0..refused {
