--- a/crates/flaxstand-cli/src/buffer.rs
+++ b/crates/flaxstand-cli/src/buffer.rs
@@ -9,7 +9,7 @@
 use flaxstand_storage::SegmentFolder;
 use flaxstand_write_back::offline::decide;
 use flaxstand_write_back::record::WallClock;
-use flaxstand_write_back::{LiveRecord, ParkedDecision, Recovered, Seq, Write, recover, salvage};
+use flaxstand_write_back::{LiveRecord, LiveWrite, ParkedDecision, Recovered, Seq, Write, recover, salvage};
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -32,7 +32,8 @@
             let mut storage = SegmentFolder::look(&folder).map_err(|e| told(&folder, &e))?;
             match recover(&mut storage) {
                 Ok(r) => {
-                    let (segments, bytes) = (r.segments.len(), r.segments.iter().map(|s| s.1).sum::<u64>());
+                    let (segments, bytes) =
+                        (r.segments.len(), r.segments.iter().map(|s| s.length).sum::<u64>());
                     println!("{segments} segments, {bytes} bytes, {} records: sound", r.records);
                     if r.torn > 0 {
                         println!("{} bytes at the end were never synced and count for nothing", r.torn);
@@ -99,7 +100,7 @@
 }
 
 fn is_parked(live: &LiveRecord) -> bool {
-    matches!(live, LiveRecord::Write { parked: true, .. })
+    matches!(live, LiveRecord::Write(LiveWrite { parked: true, .. }))
 }
 
 fn age(taken: WallClock) -> Micros {
@@ -112,14 +113,14 @@
         .live
         .values()
         .filter_map(|live| match live {
-            LiveRecord::Write { taken, write, .. } => Some((*taken, write)),
+            LiveRecord::Write(live) => Some((live.accepted, &live.write)),
             LiveRecord::Barrier { .. } => None,
         })
         .collect();
     let object = serde_json::json!({
         "writes": writes.len(),
         "bytes": writes.iter().map(|(_, w)| w.cost()).sum::<u64>(),
-        "log_bytes": r.segments.iter().map(|s| s.1).sum::<u64>(),
+        "log_bytes": r.segments.iter().map(|s| s.length).sum::<u64>(),
         "oldest_us": writes.iter().map(|(taken, _)| age(*taken).0).max().unwrap_or(0),
         "parked": r.live.values().filter(|live| is_parked(live)).count(),
         "torn_bytes": r.torn,
@@ -137,13 +138,13 @@
 }
 
 fn line(seq: Seq, live: &LiveRecord, json: bool) -> Option<String> {
-    let LiveRecord::Write { taken, started, parked, write } = live else { return None };
+    let LiveRecord::Write(LiveWrite { accepted, started, parked, write }) = live else { return None };
     let state = match (parked, started) {
         (true, _) => "parked",
         (false, Some(_)) => "started",
         (false, None) => "waiting",
     };
-    let (extent_id, bytes, age) = (write.extent_id, write.payload.len(), age(*taken).ms());
+    let (extent_id, bytes, age) = (write.extent_id, write.payload.len(), age(*accepted).ms());
     Some(if json {
         let object = serde_json::json!({
             "number": seq.0, "volume": extent_id.volume, "extent": extent_id.extent, "class": write.class,
--- a/crates/flaxstand-gateway/src/core/writeback.rs
+++ b/crates/flaxstand-gateway/src/core/writeback.rs
@@ -12,7 +12,7 @@
     Arrival, Class, ClassId, Effect, Event, Key, PlanId, RequestId, Settings, ShardId, VolumeId,
 };
 use flaxstand_proto::{CloseReason, Frame, Refusal, Scope, Submit};
-use flaxstand_write_back::buffer::BufferingMode;
+use flaxstand_write_back::config::BufferingMode;
 use flaxstand_write_back::image::MAX_EXTENT_BYTES;
 use flaxstand_write_back::record::WallClock;
 use flaxstand_write_back::writeout::{Urgency, WriteOutRetryBudget};
--- a/crates/flaxstand-simulation/src/measure_buffer.rs
+++ b/crates/flaxstand-simulation/src/measure_buffer.rs
@@ -139,12 +139,12 @@
                 at: None,
                 payload,
             };
-            let (taken, started, parked) = (WallClock(1), None, false);
-            log.append(&Record::Write { seq: Seq(seq), taken, started, parked, write }, now);
+            let (accepted, started, parked) = (WallClock(1), None, false);
+            log.append(&Record::Write { seq: Seq(seq), accepted, started, parked, write }, now);
         }
-        while let Some(batch) = log.batch(now, now) {
+        while let Some(batch) = log.next_batch(now, now) {
             perform(&mut storage, &batch).map_err(failed("a log"))?;
-            log.stored(true, now);
+            log.batch_stored(true, now);
         }
     }
     drop(storage);
--- /dev/null
+++ b/crates/flaxstand-write-back/src/buffer/submission.rs
@@ -0,0 +1,109 @@
+//! What becomes of a new request: it is buffered, passed through, or rejected.
+
+use super::WriteBackBuffer;
+use super::client_requests::ClientRequest;
+use crate::config::BufferingMode;
+use crate::order::{BufferedWrite, PassThrough, Stage};
+use crate::pressure::{Admission, AdmissionInputs, Space, admit};
+use crate::record::{ExtentId, Record, Seq, Write};
+use crate::request::{Action, WriteHandle, WriteRequest};
+use flaxstand_proto::Micros;
+
+impl WriteBackBuffer {
+    /// Whether and how writes of a class may be buffered.
+    pub fn buffering(&self, class: u16) -> BufferingMode {
+        self.config.mode(class)
+    }
+
+    /// A write that names its shard and extent. It is buffered, passed through, or rejected.
+    pub fn offer(&mut self, request: WriteRequest, now: Micros) {
+        let WriteRequest { handle, write } = request;
+        if self.buffering(write.class) == BufferingMode::Never || self.is_draining {
+            return self.pass(handle, write.extent_id.volume, Some(write.extent_id), now);
+        }
+        match self.admission(&write) {
+            Admission::Buffer { ack_delay } => self.accept(handle, write, now.after(ack_delay), now),
+            Admission::PassThrough => {
+                self.counts.turned_through += 1;
+                self.pass(handle, write.extent_id.volume, Some(write.extent_id), now);
+            }
+            Admission::Reject => {
+                self.counts.turned_through += 1;
+                self.reject(handle);
+            }
+        }
+    }
+
+    fn admission(&self, write: &Write) -> Admission {
+        let limits = &self.config.rules;
+        let space = Space {
+            used: self.order.bytes(),
+            limit: limits.bytes,
+            volume_used: self.order.volume_bytes(write.extent_id.volume),
+            volume_limit: limits.volume_bytes,
+        };
+        admit(AdmissionInputs {
+            space,
+            cost: write.cost(),
+            is_blocked: !self.order.is_settled(write.extent_id),
+            is_log_writable: !self.log.is_failing() && self.log.has_capacity(),
+            max_ack_delay: limits.slow,
+        })
+    }
+
+    fn reject(&mut self, handle: WriteHandle) {
+        self.actions.push(Action::Refused { handle, wait: self.config.refusal_wait });
+    }
+
+    fn accept(&mut self, handle: WriteHandle, write: Write, ack_not_before: Micros, now: Micros) {
+        let seq = self.next_seq();
+        let accepted_wall = self.config.wall_clock(now);
+        self.log.append_write(seq, accepted_wall, &write, now);
+        let (started, stage) = (None, Stage::Logging);
+        self.order.add_write(seq, BufferedWrite { write, accepted: now, accepted_wall, started, stage });
+        self.acknowledgements.add(seq, handle, ack_not_before);
+        self.requests.insert(handle, ClientRequest::Write(seq));
+    }
+
+    /// A request that is not buffered but that barriers of its volume concern. `extent_id`: what it writes.
+    pub fn pass(&mut self, handle: WriteHandle, volume: u64, extent_id: Option<ExtentId>, now: Micros) {
+        if !self.may_wait() {
+            return self.reject(handle);
+        }
+        let seq = self.next_seq();
+        self.requests.insert(handle, ClientRequest::PassThrough(seq));
+        let request = PassThrough { handle, volume, extent_id, is_released: false };
+        if self.order.add_pass_through(seq, request, now) {
+            self.release_pass_through(seq);
+        } else if let Some(extent_id) = extent_id {
+            self.advance_extent(extent_id, now);
+        }
+    }
+
+    /// Guards against requests that pile up without bound behind a barrier or an extent.
+    fn may_wait(&self) -> bool {
+        self.order.waiting() < self.config.rules.waiting
+    }
+
+    /// A barrier on a volume.
+    pub fn barrier(&mut self, handle: WriteHandle, volume: u64, now: Micros) {
+        if !self.may_wait() {
+            return self.reject(handle);
+        }
+        let seq = self.next_seq();
+        if self.order.add_barrier(seq, volume) {
+            self.log.append(&Record::Barrier { seq, volume }, now);
+            self.acknowledgements.add(seq, handle, now);
+            self.requests.insert(handle, ClientRequest::Barrier(seq));
+        } else {
+            self.actions.push(Action::Barred(handle));
+        }
+    }
+
+    /// A flush of a volume, or of all.
+    pub fn flush(&mut self, handle: WriteHandle, volume: Option<u64>) {
+        let up_to = Seq(self.next_seq - 1);
+        self.requests.insert(handle, ClientRequest::Flush);
+        self.flushes.add(handle, volume, up_to);
+    }
+}
--- a/crates/flaxstand-write-back/src/record.rs
+++ b/crates/flaxstand-write-back/src/record.rs
@@ -11,19 +11,30 @@
 use flaxstand_proto::Micros;
 
 /// Oldest version of the log that this build reads.
-pub const VERSION_OLDEST: u16 = 1;
+pub const OLDEST_VERSION: u16 = 1;
 /// Version that it writes.
 pub const VERSION: u16 = 1;
 /// Bytes of a segment's header.
-pub const HEADER: usize = 40;
+pub const HEADER_BYTES: usize = 40;
 /// Bytes of a batch before its body.
-pub const BATCH_HEAD: usize = 20;
+pub const BATCH_HEADER_BYTES: usize = 20;
 /// Longest body of a batch, bytes.
-pub const BATCH_MOST: usize = 64 << 20;
-const MAGIC: &[u8; 4] = b"FLXB";
-const BATCH: &[u8; 4] = b"BTCH";
+pub const MAX_BATCH_BODY_BYTES: usize = 64 << 20;
+const SEGMENT_MAGIC: &[u8; 4] = b"FLXB";
+const BATCH_MAGIC: &[u8; 4] = b"BTCH";
+/// Bytes that a write takes in the buffer beside its data.
+const WRITE_OVERHEAD_BYTES: u64 = 256;
 
-/// Place in the order of everything that an initiator took. From 1.
+/// First byte of a record: its kind.
+mod tag {
+    pub(super) const WRITE: u8 = 1;
+    pub(super) const BARRIER: u8 = 2;
+    pub(super) const STARTED: u8 = 3;
+    pub(super) const PARKED: u8 = 4;
+    pub(super) const DONE: u8 = 5;
+}
+
+/// Number of a write or barrier in the order in which an initiator accepted them. From 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Seq(pub u64);
 
@@ -60,9 +71,9 @@
 }
 
 impl Write {
-    /// What it counts against bounds: its data and a fixed part for everything around it, bytes.
+    /// What it counts against limits: its data and a fixed overhead, bytes.
     pub fn cost(&self) -> u64 {
-        self.payload.len() as u64 + 256
+        self.payload.len() as u64 + WRITE_OVERHEAD_BYTES
     }
 }
 
@@ -77,37 +88,37 @@
     }
 }
 
-/// One thing that must outlive the process.
+/// One fact that must outlive the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// A write was taken.
+    /// A write was accepted.
     Write {
-        /// Its place in the order.
+        /// Its number.
         seq: Seq,
-        /// When it was taken.
-        taken: WallClock,
-        /// When its first attempt may have run, if one may.
+        /// When it was accepted.
+        accepted: WallClock,
+        /// When its first attempt may have been executed, if one may.
         started: Option<WallClock>,
         /// It waits for an operator.
         parked: bool,
         /// The write.
         write: Write,
     },
-    /// A barrier was taken: nothing of the volume after it before all that is before it.
+    /// A barrier was accepted: nothing of the volume after it is sent before all that is before it is done.
     Barrier {
-        /// Its place in the order.
+        /// Its number.
         seq: Seq,
         /// The volume.
         volume: u64,
     },
-    /// An attempt of this write may run from now on.
+    /// An attempt of this write may be executed from now on.
     Started {
         /// The write.
         seq: Seq,
         /// When.
         at: WallClock,
     },
-    /// It may have run and must not be repeated: an operator decides.
+    /// It may have been executed and must not be repeated: an operator decides.
     Parked {
         /// The write.
         seq: Seq,
@@ -120,7 +131,7 @@
 }
 
 impl Record {
-    /// What it is about.
+    /// The write or barrier that it is about.
     pub fn seq(&self) -> Seq {
         match self {
             Record::Write { seq, .. }
@@ -131,78 +142,108 @@
         }
     }
 
-    /// Adds its bytes.
+    /// Appends its bytes.
     pub fn encode(&self, out: &mut Vec<u8>) {
-        let kind = match self {
-            Record::Write { .. } => 1,
-            Record::Barrier { .. } => 2,
-            Record::Started { .. } => 3,
-            Record::Parked { .. } => 4,
-            Record::Done { .. } => 5,
-        };
-        out.push(kind);
-        out.extend_from_slice(&self.seq().0.to_le_bytes());
         match self {
-            Record::Write { taken, started, parked, write: w, .. } => {
-                out.extend_from_slice(&taken.0.to_le_bytes());
-                out.extend_from_slice(&started.map_or(0, |s| s.0.max(1)).to_le_bytes());
-                out.push(u8::from(*parked));
-                out.extend_from_slice(&w.extent_id.volume.to_le_bytes());
-                out.extend_from_slice(&w.extent_id.extent.to_le_bytes());
-                out.extend_from_slice(&w.class.to_le_bytes());
-                out.extend_from_slice(&w.plan.to_le_bytes());
-                out.extend_from_slice(&w.volume_initiators.to_le_bytes());
-                out.extend_from_slice(&w.shard.to_le_bytes());
-                out.extend_from_slice(&w.units.to_le_bytes());
-                out.extend_from_slice(&w.operation.to_le_bytes());
-                out.push(u8::from(w.at.is_some()));
-                out.extend_from_slice(&w.at.unwrap_or(0).to_le_bytes());
-                out.extend_from_slice(&(w.payload.len() as u32).to_le_bytes());
-                out.extend_from_slice(&w.payload);
+            Record::Write { seq, accepted, started, parked, write } => {
+                put_head(tag::WRITE, *seq, out);
+                put_acceptance(*accepted, *started, *parked, out);
+                put_write(write, out);
+            }
+            Record::Barrier { seq, volume } => {
+                put_head(tag::BARRIER, *seq, out);
+                out.extend_from_slice(&volume.to_le_bytes());
             }
-            Record::Barrier { volume, .. } => out.extend_from_slice(&volume.to_le_bytes()),
-            Record::Started { at, .. } => out.extend_from_slice(&at.0.to_le_bytes()),
-            Record::Parked { .. } | Record::Done { .. } => {}
+            Record::Started { seq, at } => {
+                put_head(tag::STARTED, *seq, out);
+                out.extend_from_slice(&at.0.to_le_bytes());
+            }
+            Record::Parked { seq } => put_head(tag::PARKED, *seq, out),
+            Record::Done { seq } => put_head(tag::DONE, *seq, out),
         }
     }
 
-    fn decode(r: &mut Bytes<'_>) -> Option<Record> {
-        let kind = r.u8()?;
-        let seq = Seq(r.u64()?);
+    fn decode(bytes: &mut Bytes<'_>) -> Option<Record> {
+        let kind = bytes.u8()?;
+        let seq = Seq(bytes.u64()?);
         Some(match kind {
-            1 => Record::Write {
+            tag::WRITE => Record::Write {
                 seq,
-                taken: WallClock(r.u64()?),
-                started: Some(r.u64()?).filter(|s| *s > 0).map(WallClock),
-                parked: r.u8()? != 0,
-                write: Write {
-                    extent_id: ExtentId { volume: r.u64()?, extent: r.u64()? },
-                    class: r.u16()?,
-                    plan: r.u16()?,
-                    volume_initiators: r.u16()?,
-                    shard: r.u32()?,
-                    units: r.u32()?,
-                    operation: r.u64()?,
-                    at: {
-                        let there = r.u8()? != 0;
-                        let at = r.u32()?;
-                        there.then_some(at)
-                    },
-                    payload: {
-                        let len = r.u32()?;
-                        r.take(len as usize)?.to_vec()
-                    },
-                },
+                accepted: WallClock(bytes.u64()?),
+                started: Some(bytes.u64()?).filter(|started| *started > 0).map(WallClock),
+                parked: bytes.u8()? != 0,
+                write: take_write(bytes)?,
             },
-            2 => Record::Barrier { seq, volume: r.u64()? },
-            3 => Record::Started { seq, at: WallClock(r.u64()?) },
-            4 => Record::Parked { seq },
-            5 => Record::Done { seq },
+            tag::BARRIER => Record::Barrier { seq, volume: bytes.u64()? },
+            tag::STARTED => Record::Started { seq, at: WallClock(bytes.u64()?) },
+            tag::PARKED => Record::Parked { seq },
+            tag::DONE => Record::Done { seq },
             _ => return None,
         })
     }
 }
 
+/// Appends the bytes of a [`Record::Write`] of a write that is neither started nor parked.
+pub fn encode_new_write(seq: Seq, accepted: WallClock, write: &Write, out: &mut Vec<u8>) {
+    put_head(tag::WRITE, seq, out);
+    put_acceptance(accepted, None, false, out);
+    put_write(write, out);
+}
+
+fn put_head(kind: u8, seq: Seq, out: &mut Vec<u8>) {
+    out.push(kind);
+    out.extend_from_slice(&seq.0.to_le_bytes());
+}
+
+/// A start of 0 stands for none.
+fn put_acceptance(accepted: WallClock, started: Option<WallClock>, parked: bool, out: &mut Vec<u8>) {
+    out.extend_from_slice(&accepted.0.to_le_bytes());
+    out.extend_from_slice(&started.map_or(0, |started| started.0.max(1)).to_le_bytes());
+    out.push(u8::from(parked));
+}
+
+fn put_write(write: &Write, out: &mut Vec<u8>) {
+    out.extend_from_slice(&write.extent_id.volume.to_le_bytes());
+    out.extend_from_slice(&write.extent_id.extent.to_le_bytes());
+    out.extend_from_slice(&write.class.to_le_bytes());
+    out.extend_from_slice(&write.plan.to_le_bytes());
+    out.extend_from_slice(&write.volume_initiators.to_le_bytes());
+    out.extend_from_slice(&write.shard.to_le_bytes());
+    out.extend_from_slice(&write.units.to_le_bytes());
+    out.extend_from_slice(&write.operation.to_le_bytes());
+    out.push(u8::from(write.at.is_some()));
+    out.extend_from_slice(&write.at.unwrap_or(0).to_le_bytes());
+    out.extend_from_slice(&(write.payload.len() as u32).to_le_bytes());
+    out.extend_from_slice(&write.payload);
+}
+
+fn take_write(bytes: &mut Bytes<'_>) -> Option<Write> {
+    Some(Write {
+        extent_id: ExtentId { volume: bytes.u64()?, extent: bytes.u64()? },
+        class: bytes.u16()?,
+        plan: bytes.u16()?,
+        volume_initiators: bytes.u16()?,
+        shard: bytes.u32()?,
+        units: bytes.u32()?,
+        operation: bytes.u64()?,
+        at: take_offset(bytes)?,
+        payload: take_payload(bytes)?,
+    })
+}
+
+/// A flag whether the offset is there, and the offset. The outer `None`: the bytes end too early.
+fn take_offset(bytes: &mut Bytes<'_>) -> Option<Option<u32>> {
+    let is_there = bytes.u8()? != 0;
+    let at = bytes.u32()?;
+    Some(is_there.then_some(at))
+}
+
+fn take_payload(bytes: &mut Bytes<'_>) -> Option<Vec<u8>> {
+    let length = bytes.u32()?;
+    Some(bytes.take(length as usize)?.to_vec())
+}
+
+/// Bytes that are still to be read. Each reader returns `None` where they end too early.
 struct Bytes<'a>(&'a [u8]);
 
 macro_rules! number {
@@ -228,69 +269,96 @@
     }
 }
 
+/// A segment and how much of it counts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SegmentEnd {
+    /// The segment's number.
+    pub number: u64,
+    /// Its valid length, bytes.
+    pub length: u64,
+}
+
 /// A segment's header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Its version.
+    /// Version of the segment's format.
     pub version: u16,
-    /// Its number, from 1.
+    /// The segment's number, from 1.
     pub number: u64,
-    /// The segment before it and how much of that counts, bytes.
-    pub before: Option<(u64, u64)>,
+    /// The segment before it; `None`: it is the first.
+    pub before: Option<SegmentEnd>,
 }
 
 impl Header {
     /// Its bytes.
     pub fn encode(&self) -> Vec<u8> {
-        let mut out = MAGIC.to_vec();
+        let mut out = SEGMENT_MAGIC.to_vec();
         out.extend_from_slice(&self.version.to_le_bytes());
         out.extend_from_slice(&[0; 2]);
-        let (before, len) = self.before.unwrap_or((0, 0));
-        [self.number, before, len].iter().for_each(|n| out.extend_from_slice(&n.to_le_bytes()));
+        let before = self.before.unwrap_or(SegmentEnd { number: 0, length: 0 });
+        for value in [self.number, before.number, before.length] {
+            out.extend_from_slice(&value.to_le_bytes());
+        }
         out.extend_from_slice(&[0; 4]);
         let crc = crc32c::crc32c(&out);
         out.extend_from_slice(&crc.to_le_bytes());
         out
     }
 
-    /// From the first bytes of a segment. None: no header.
+    /// From the first bytes of a segment. `None`: they are no sound header.
     pub fn decode(bytes: &[u8]) -> Option<Header> {
-        let head: &[u8; HEADER] = bytes.first_chunk()?;
-        let mut r = Bytes(&head[..]);
-        let magic = r.take(4)? == MAGIC;
-        let version = r.u16()?;
-        r.u16()?;
-        let (number, before, len) = (r.u64()?, r.u64()?, r.u64()?);
-        r.u32()?;
-        let sound = magic && r.u32()? == crc32c::crc32c(&head[..HEADER - 4]);
-        sound.then_some(Header { version, number, before: (before > 0).then_some((before, len)) })
+        let head: &[u8; HEADER_BYTES] = bytes.first_chunk()?;
+        let mut bytes = Bytes(&head[..]);
+        let is_magic = bytes.take(SEGMENT_MAGIC.len())? == SEGMENT_MAGIC;
+        let version = bytes.u16()?;
+        bytes.u16()?;
+        let number = bytes.u64()?;
+        let before = SegmentEnd { number: bytes.u64()?, length: bytes.u64()? };
+        bytes.u32()?;
+        let is_sound = is_magic && bytes.u32()? == crc32c::crc32c(&head[..HEADER_BYTES - 4]);
+        is_sound.then_some(Header { version, number, before: (before.number > 0).then_some(before) })
     }
 }
 
-/// The bytes of a batch around its records' own.
+/// The bytes of a batch with these records.
 pub fn encode_batch(number: u64, body: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(BATCH_HEAD + body.len());
-    out.extend_from_slice(BATCH);
+    let mut out = Vec::with_capacity(BATCH_HEADER_BYTES + body.len());
+    out.extend_from_slice(BATCH_MAGIC);
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
     out.extend_from_slice(&number.to_le_bytes());
-    let crc = crc32c::crc32c_append(crc32c::crc32c(&out[4..]), body);
+    let crc = batch_crc(&out[BATCH_MAGIC.len()..], body);
     out.extend_from_slice(&crc.to_le_bytes());
     out.extend_from_slice(body);
     out
 }
 
-/// A batch that was read: its number, its records, and its length with its head, bytes. None: no sound
-/// batch begins there.
-pub fn decode_batch(bytes: &[u8]) -> Option<(u64, Vec<Record>, usize)> {
-    let mut r = Bytes(bytes);
-    if r.take(4)? != BATCH {
+/// Checksum of a batch. `head`: its length and number.
+fn batch_crc(head: &[u8], body: &[u8]) -> u32 {
+    crc32c::crc32c_append(crc32c::crc32c(head), body)
+}
+
+/// A batch that was read.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DecodedBatch {
+    /// Its number.
+    pub number: u64,
+    /// Its records, in order.
+    pub records: Vec<Record>,
+    /// Its length with its header, bytes.
+    pub length: usize,
+}
+
+/// Reads the batch that begins with these bytes. `None`: no sound batch begins there.
+pub fn decode_batch(bytes: &[u8]) -> Option<DecodedBatch> {
+    let mut rest = Bytes(bytes);
+    if rest.take(BATCH_MAGIC.len())? != BATCH_MAGIC {
         return None;
     }
-    let len = r.u32()? as usize;
-    let number = r.u64()?;
-    let crc = r.u32()?;
-    let body = r.take(len).filter(|_| len <= BATCH_MOST)?;
-    if crc32c::crc32c_append(crc32c::crc32c(&bytes[4..BATCH_HEAD - 4]), body) != crc {
+    let length = rest.u32()? as usize;
+    let number = rest.u64()?;
+    let crc = rest.u32()?;
+    let body = rest.take(length).filter(|_| length <= MAX_BATCH_BODY_BYTES)?;
+    if batch_crc(&bytes[BATCH_MAGIC.len()..BATCH_HEADER_BYTES - 4], body) != crc {
         return None;
     }
     let mut body = Bytes(body);
@@ -298,13 +366,13 @@
     while !body.0.is_empty() {
         records.push(Record::decode(&mut body)?);
     }
-    Some((number, records, BATCH_HEAD + len))
+    Some(DecodedBatch { number, records, length: BATCH_HEADER_BYTES + length })
 }
 
-/// The first place at or after `from` where a sound batch begins.
+/// Offset of the first sound batch at or after `from`.
 pub fn next_batch(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
-    while let Some(found) = bytes.get(at..)?.windows(4).position(|w| w == BATCH) {
+    while let Some(found) = bytes.get(at..)?.windows(BATCH_MAGIC.len()).position(|w| w == BATCH_MAGIC) {
         at += found;
         if decode_batch(&bytes[at..]).is_some() {
             return Some(at);
@@ -313,67 +381,3 @@
     }
     None
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn write(at: Option<u32>) -> Record {
-        let extent_id = ExtentId { volume: 7, extent: 9 };
-        let payload = vec![1, 2, 3];
-        let write = Write {
-            extent_id,
-            class: 1,
-            plan: 2,
-            volume_initiators: 3,
-            shard: 4,
-            units: 5,
-            operation: 6,
-            at,
-            payload,
-        };
-        Record::Write { seq: Seq(8), taken: WallClock(10), started: Some(WallClock(11)), parked: true, write }
-    }
-
-    #[test]
-    fn every_record_comes_back() {
-        let records = vec![
-            write(None),
-            write(Some(0)),
-            Record::Barrier { seq: Seq(1), volume: 2 },
-            Record::Started { seq: Seq(3), at: WallClock(4) },
-            Record::Parked { seq: Seq(5) },
-            Record::Done { seq: Seq(u64::MAX) },
-        ];
-        let mut body = Vec::new();
-        records.iter().for_each(|r| r.encode(&mut body));
-        let bytes = encode_batch(12, &body);
-        assert_eq!(decode_batch(&bytes), Some((12, records, bytes.len())));
-        for cut in 0..bytes.len() {
-            assert_eq!(decode_batch(&bytes[..cut]), None, "cut at {cut}");
-        }
-        for flipped in 0..bytes.len() {
-            let mut bad = bytes.clone();
-            bad[flipped] ^= 0x10;
-            assert_eq!(decode_batch(&bad), None, "byte {flipped} flipped");
-        }
-    }
-
-    /// A segment as version 1 writes it. A later version must read it still.
-    #[test]
-    fn version_1_is_read() {
-        let header = "464c58420100000002000000000000000100000000000000400000000000000000000000";
-        let mut bytes: Vec<u8> = (0..header.len())
-            .step_by(2)
-            .map(|i| u8::from_str_radix(&header[i..i + 2], 16).unwrap())
-            .collect();
-        let crc = crc32c::crc32c(&bytes);
-        bytes.extend_from_slice(&crc.to_le_bytes());
-        assert_eq!(Header::decode(&bytes), Some(Header { version: 1, number: 2, before: Some((1, 64)) }));
-        let done = [b"BTCH".as_slice(), &9u32.to_le_bytes(), &3u64.to_le_bytes()].concat();
-        let body = [5, 42, 0, 0, 0, 0, 0, 0, 0];
-        let crc = crc32c::crc32c(&[&done[4..], &body[..]].concat());
-        let batch = [&done[..], &crc.to_le_bytes(), &body].concat();
-        assert_eq!(decode_batch(&batch), Some((3, vec![Record::Done { seq: Seq(42) }], batch.len())));
-    }
-}
--- a/crates/flaxstand-write-back/src/recover.rs
+++ b/crates/flaxstand-write-back/src/recover.rs
@@ -1,8 +1,9 @@
-//! Reading a log back. Nothing is written: the next life's first segment says where the last one's ends.
+//! Reading a log back. Nothing is written: the next process's first segment says where the last one's ends.
 
-use crate::log::Log;
+use crate::log::{DurableLog, Log};
 use crate::record::{
-    HEADER, Header, Record, Seq, VERSION, VERSION_OLDEST, WallClock, Write, decode_batch, next_batch,
+    HEADER_BYTES, Header, OLDEST_VERSION, Record, SegmentEnd, Seq, VERSION, WallClock, Write, decode_batch,
+    encode_batch, next_batch,
 };
 use flaxstand_storage::Storage;
 use std::collections::BTreeMap;
@@ -12,13 +13,13 @@
 /// Why a log can't be used. Nothing of it was touched.
 #[derive(Debug, Error)]
 pub enum RecoverError {
-    /// The system says so.
+    /// The system reports a failure.
     #[error("the log can't be read: {0}")]
     Io(#[from] io::Error),
     /// A later build wrote it.
-    #[error("segment {segment:016x} has version {version}, this build reads {VERSION_OLDEST} to {VERSION}")]
+    #[error("segment {segment:016x} has version {version}, this build reads {OLDEST_VERSION} to {VERSION}")]
     Newer {
-        /// Which segment.
+        /// The segment's number.
         segment: u64,
         /// Its version.
         version: u16,
@@ -26,29 +27,33 @@
     /// What once was durable is not there as it was written.
     #[error("segment {segment:016x} is damaged at byte {at}: {how}")]
     Damaged {
-        /// Which segment.
+        /// The segment's number.
         segment: u64,
-        /// Where.
+        /// Offset of the damage.
         at: u64,
         /// What is wrong.
         how: &'static str,
     },
 }
 
+/// A write that is not known to be on its node.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LiveWrite {
+    /// When it was accepted.
+    pub accepted: WallClock,
+    /// When its first attempt may have been executed, where that is recorded.
+    pub started: Option<WallClock>,
+    /// It waits for an operator.
+    pub parked: bool,
+    /// The write.
+    pub write: Write,
+}
+
 /// What lives in a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LiveRecord {
     /// A write that is not known to be on its node.
-    Write {
-        /// When it was taken.
-        taken: WallClock,
-        /// When its first attempt may have run, where that is recorded.
-        started: Option<WallClock>,
-        /// It waits for an operator.
-        parked: bool,
-        /// The write.
-        write: Write,
-    },
+    Write(LiveWrite),
     /// A barrier that is not known to have been passed.
     Barrier {
         /// Its volume.
@@ -65,62 +70,100 @@
     pub live: BTreeMap<Seq, LiveRecord>,
     /// The highest number given to anything in it.
     pub last: Seq,
-    /// Segments with their valid lengths, bytes.
-    pub segments: Vec<(u64, u64)>,
+    /// Segments with their valid lengths, oldest first.
+    pub segments: Vec<SegmentEnd>,
     /// Records read.
     pub records: u64,
     /// Bytes at the end that were never synced, and are cut off.
     pub torn: u64,
 }
 
-/// A sound chain of segments: numbers with valid lengths, from the oldest. None: the length is not told.
-type Chain = Vec<(u64, Option<u64>, Vec<u8>)>;
-
 fn damaged(segment: u64, at: usize, how: &'static str) -> RecoverError {
     RecoverError::Damaged { segment, at: at as u64, how }
 }
 
+/// A segment whose header is sound.
+struct Segment {
+    number: u64,
+    /// Valid length as the next segment's header says it; `None` of the newest.
+    valid_length: Option<u64>,
+    bytes: Vec<u8>,
+}
+
+impl Segment {
+    /// Its valid bytes.
+    fn valid(&self) -> Result<&[u8], RecoverError> {
+        let end = self.valid_length.map_or(self.bytes.len(), |length| length as usize);
+        let too_short = || damaged(self.number, self.bytes.len(), "it is shorter than it was");
+        self.bytes.get(..end).ok_or_else(too_short)
+    }
+
+    /// Reads its batches into `state`. Returns the offset where they end.
+    fn replay(&self, state: &mut ReplayState) -> Result<usize, RecoverError> {
+        let bytes = self.valid()?;
+        let mut at = HEADER_BYTES;
+        while at < bytes.len() {
+            let Some(batch) = decode_batch(&bytes[at..]) else {
+                if self.valid_length.is_some() || next_batch(bytes, at + 1).is_some() {
+                    let how = "a batch is not sound, though later ones are durable";
+                    return Err(damaged(self.number, at, how));
+                }
+                break;
+            };
+            if batch.number <= state.last_batch {
+                return Err(damaged(self.number, at, "a batch is out of turn"));
+            }
+            state.last_batch = batch.number;
+            batch.records.into_iter().for_each(|record| state.apply(record, self.number));
+            at += batch.length;
+        }
+        Ok(at)
+    }
+}
+
 /// What the headers say, followed from the newest segment back.
+#[derive(Default)]
 struct Headers {
-    chain: Chain,
+    /// Segments from the oldest, each named by the next one's header.
+    chain: Vec<Segment>,
     /// Segments that count for nothing.
     void: Vec<u64>,
+    /// Bytes of a newest segment that was never durable.
     torn: u64,
 }
 
-fn headers(storage: &mut dyn Storage, numbers: &[u64]) -> Result<Headers, RecoverError> {
-    let mut chain: Chain = Vec::new();
-    let (mut torn, mut void) = (0, Vec::new());
-    let mut next: Option<(u64, u64)> = None;
+fn read_headers(storage: &mut dyn Storage, numbers: &[u64]) -> Result<Headers, RecoverError> {
+    let mut headers = Headers::default();
+    let mut wanted: Option<SegmentEnd> = None;
     for &number in numbers.iter().rev() {
         // What a segment does not name as the one before it was given up before it was durable.
-        let wanted = next.map_or(0, |(wanted, _)| wanted);
-        if !chain.is_empty() && number > wanted {
-            void.push(number);
+        let wanted_number = wanted.map_or(0, |wanted| wanted.number);
+        if !headers.chain.is_empty() && number > wanted_number {
+            headers.void.push(number);
             continue;
         }
-        if number < wanted {
-            return Err(damaged(wanted, 0, "it is missing, though an older one is there"));
+        if number < wanted_number {
+            return Err(damaged(wanted_number, 0, "it is missing, though an older one is there"));
         }
         let bytes = storage.read(number)?;
-        let Some(header) = Header::decode(&bytes).filter(|h| h.number == number) else {
-            let head = bytes.len().min(HEADER);
-            if chain.is_empty() && next_batch(&bytes, head).is_none() {
-                // Its maker died, or lost power, before its header was durable.
-                torn += bytes.len() as u64;
-                void.push(number);
+        let Some(header) = Header::decode(&bytes).filter(|header| header.number == number) else {
+            let body = bytes.len().min(HEADER_BYTES);
+            if headers.chain.is_empty() && next_batch(&bytes, body).is_none() {
+                // The process died, or power was lost, before its header was durable.
+                headers.torn += bytes.len() as u64;
+                headers.void.push(number);
                 continue;
             }
             return Err(damaged(number, 0, "its header is not sound"));
         };
-        if !(VERSION_OLDEST..=VERSION).contains(&header.version) {
+        if !(OLDEST_VERSION..=VERSION).contains(&header.version) {
             return Err(RecoverError::Newer { segment: number, version: header.version });
         }
-        chain.push((number, next.map(|(_, len)| len), bytes));
-        next = header.before;
+        headers.chain.push(Segment { number, valid_length: wanted.map(|wanted| wanted.length), bytes });
+        wanted = header.before;
     }
-    chain.reverse();
-    Ok(Headers { chain, void, torn })
+    headers.chain.reverse();
+    Ok(headers)
 }
 
 /// Reads a log back.
@@ -129,55 +172,43 @@
 /// It can't be read, is of a newer version, or is damaged where it was durable. Nothing of it is changed.
 pub fn recover(storage: &mut dyn Storage) -> Result<Recovered, RecoverError> {
     let numbers = storage.segments()?;
-    let highest = numbers.last().copied().unwrap_or(0);
-    let Headers { chain, void, mut torn } = headers(storage, &numbers)?;
-    let mut state = State::default();
+    let Headers { chain, void, mut torn } = read_headers(storage, &numbers)?;
+    let mut state = ReplayState::default();
     let mut segments = Vec::new();
-    for (number, told, bytes) in &chain {
-        let end = told.map_or(bytes.len(), |len| len as usize);
-        if end > bytes.len() {
-            return Err(damaged(*number, bytes.len(), "it is shorter than it was"));
-        }
-        let bytes = &bytes[..end];
-        let mut at = HEADER;
-        while at < bytes.len() {
-            let Some((batch, records, len)) = decode_batch(&bytes[at..]) else {
-                if told.is_some() || next_batch(bytes, at + 1).is_some() {
-                    return Err(damaged(*number, at, "a batch is not sound, though later ones are durable"));
-                }
-                break;
-            };
-            if batch <= state.batch {
-                return Err(damaged(*number, at, "a batch is out of turn"));
-            }
-            state.batch = batch;
-            records.into_iter().for_each(|record| state.take(record, *number));
-            at += len;
-        }
-        torn += (bytes.len() - at) as u64;
-        segments.push((*number, at as u64));
+    for segment in &chain {
+        let end = segment.replay(&mut state)?;
+        torn += (segment.valid()?.len() - end) as u64;
+        segments.push(SegmentEnd { number: segment.number, length: end as u64 });
     }
-    let State { live, placed, last, batch, records } = state;
-    let log = Log::new(&segments, placed, void, highest, batch);
+    let log = Log::new(DurableLog {
+        segments: segments.clone(),
+        placed: state.placed,
+        void,
+        last_segment: numbers.last().copied().unwrap_or(0),
+        last_batch: state.last_batch,
+    });
+    let ReplayState { live, last, records, .. } = state;
     Ok(Recovered { log, live, last, segments, records, torn })
 }
 
+/// What the records read so far come to.
 #[derive(Default)]
-struct State {
+struct ReplayState {
     live: BTreeMap<Seq, LiveRecord>,
+    /// Segment of each live write and barrier.
     placed: BTreeMap<Seq, u64>,
     last: Seq,
-    batch: u64,
+    last_batch: u64,
     records: u64,
 }
 
-impl State {
-    fn take(&mut self, record: Record, segment: u64) {
+impl ReplayState {
+    fn apply(&mut self, record: Record, segment: u64) {
         self.records += 1;
         self.last = self.last.max(record.seq());
         match record {
-            Record::Write { seq, taken, started, parked, write } => {
-                self.live.insert(seq, LiveRecord::Write { taken, started, parked, write });
+            Record::Write { seq, accepted, started, parked, write } => {
+                self.live.insert(seq, LiveRecord::Write(LiveWrite { accepted, started, parked, write }));
                 self.placed.insert(seq, segment);
             }
             Record::Barrier { seq, volume } => {
@@ -185,13 +216,13 @@
                 self.placed.insert(seq, segment);
             }
             Record::Started { seq, at } => {
-                if let Some(LiveRecord::Write { started, .. }) = self.live.get_mut(&seq) {
-                    *started = started.or(Some(at));
+                if let Some(LiveRecord::Write(write)) = self.live.get_mut(&seq) {
+                    write.started = write.started.or(Some(at));
                 }
             }
             Record::Parked { seq } => {
-                if let Some(LiveRecord::Write { parked, .. }) = self.live.get_mut(&seq) {
-                    *parked = true;
+                if let Some(LiveRecord::Write(write)) = self.live.get_mut(&seq) {
+                    write.parked = true;
                 }
             }
             Record::Done { seq } => {
@@ -205,47 +236,66 @@
 /// Makes a damaged log usable: everything that can still be read goes to one new segment, the old ones are
 /// set aside. Returns how many writes and barriers were kept.
 ///
-/// What a damaged batch held is lost to the log: its writes are not replayed, or, where it held word of a write's
-/// end, that write is replayed though it had been. An operator decides that this is better than not to start.
+/// What a damaged batch held is lost to the log: its writes are not replayed, or, where it held the record of a
+/// write's completion, that write is replayed though it is done. An operator decides that this is better than
+/// not to start.
 ///
 /// # Errors
 /// The storage fails.
 pub fn salvage(storage: &mut dyn Storage) -> Result<usize, RecoverError> {
     let numbers = storage.segments()?;
-    let mut state = State::default();
+    let mut state = ReplayState::default();
     for number in &numbers {
-        let bytes = storage.read(*number)?;
-        let mut at = 0;
-        while let Some(found) = next_batch(&bytes, at) {
-            let Some((batch, records, len)) = decode_batch(&bytes[found..]) else { break };
-            state.batch = state.batch.max(batch);
-            records.into_iter().for_each(|record| state.take(record, *number));
-            at = found + len;
-        }
+        salvage_segment(&storage.read(*number)?, *number, &mut state);
+    }
+    let salvaged = state.live.len();
+    let new_segment = numbers.last().copied().unwrap_or(0) + 1;
+    write_salvaged(storage, new_segment, state)?;
+    // The new one names none before it: the old ones count for nothing from here on.
+    for old in &numbers {
+        storage.set_aside(*old)?;
     }
-    let kept = state.live.len();
-    let number = numbers.last().copied().unwrap_or(0) + 1;
+    storage.sync_folder()?;
+    Ok(salvaged)
+}
+
+/// Applies every batch that can be read.
+fn salvage_segment(bytes: &[u8], number: u64, state: &mut ReplayState) {
+    let mut at = 0;
+    while let Some(found) = next_batch(bytes, at) {
+        let Some(batch) = decode_batch(&bytes[found..]) else { break };
+        state.last_batch = state.last_batch.max(batch.number);
+        batch.records.into_iter().for_each(|record| state.apply(record, number));
+        at = found + batch.length;
+    }
+}
+
+fn write_salvaged(
+    storage: &mut dyn Storage,
+    number: u64,
+    mut state: ReplayState,
+) -> Result<(), RecoverError> {
     let header = Header { version: VERSION, number, before: None };
     storage.create(number)?;
     storage.append(number, &header.encode())?;
     for (seq, live) in state.live {
-        let record = match live {
-            LiveRecord::Write { taken, started, parked, write } => {
-                Record::Write { seq, taken, started, parked, write }
-            }
-            LiveRecord::Barrier { volume } => Record::Barrier { seq, volume },
-        };
         let mut body = Vec::new();
-        record.encode(&mut body);
-        state.batch += 1;
-        storage.append(number, &crate::record::encode_batch(state.batch, &body))?;
+        live.into_record(seq).encode(&mut body);
+        state.last_batch += 1;
+        storage.append(number, &encode_batch(state.last_batch, &body))?;
     }
     storage.sync(number)?;
     storage.sync_folder()?;
-    // The new one names none before it: the old ones count for nothing from here on.
-    for old in &numbers {
-        storage.set_aside(*old)?;
+    Ok(())
+}
+
+impl LiveRecord {
+    fn into_record(self, seq: Seq) -> Record {
+        match self {
+            LiveRecord::Write(LiveWrite { accepted, started, parked, write }) => {
+                Record::Write { seq, accepted, started, parked, write }
+            }
+            LiveRecord::Barrier { volume } => Record::Barrier { seq, volume },
+        }
     }
-    storage.sync_folder()?;
-    Ok(kept)
 }
--- a/crates/flaxstand-write-back/tests/promises/rig.rs
+++ b/crates/flaxstand-write-back/tests/promises/rig.rs
@@ -4,7 +4,6 @@
 use crate::model::{Data, Promises, Told, cells};
 use flaxstand_storage::faulty::{Faults, FaultyDisk};
 use flaxstand_storage::{Batch, Storage as _, StorageOp, perform};
-use flaxstand_write_back::buffer::BufferingMode;
 use flaxstand_write_back::image::lay;
 use flaxstand_write_back::offline;
 use flaxstand_write_back::record::WallClock;
@@ -435,10 +434,10 @@
     }
 
     fn skip_tail(&mut self) {
-        use flaxstand_write_back::record::{HEADER, next_batch};
+        use flaxstand_write_back::record::{HEADER_BYTES, next_batch};
         let Some(last) = self.disk.segments().expect("in memory").last().copied() else { return };
         let bytes = self.disk.read(last).expect("it is there");
-        let (mut at, mut ends) = (HEADER, Vec::new());
+        let (mut at, mut ends) = (HEADER_BYTES, Vec::new());
         while let Some(found) = next_batch(&bytes, at) {
             ends.push(found);
             at = found + 1;
@@ -458,7 +457,7 @@
         self.crash(false);
         let live = recover(&mut self.disk).expect("the log is sound").live;
         for (seq, live) in live {
-            let LiveRecord::Write { parked: true, write, .. } = live else { continue };
+            let LiveRecord::Write(LiveWrite { parked: true, write, .. }) = live else { continue };
             self.count("parked");
             let ran = self.node.keys.get(&write.operation).is_some_and(|(_, ran)| *ran);
             let verdict = if ran { ParkedDecision::Done } else { ParkedDecision::Again };
--- a/crates/flaxstand-write-back/tests/recorded_log.rs
+++ b/crates/flaxstand-write-back/tests/recorded_log.rs
@@ -4,12 +4,12 @@
 use flaxstand_fixture::{Fixtures, values_of};
 use flaxstand_storage::faulty::FaultyDisk;
 use flaxstand_storage::{SegmentFolder, Storage, perform};
-use flaxstand_write_back::buffer::BufferingMode;
+use flaxstand_write_back::config::BufferingMode;
 use flaxstand_write_back::offline::decide;
-use flaxstand_write_back::record::{Header, Record, WallClock, encode_batch};
+use flaxstand_write_back::record::{Header, Record, SegmentEnd, WallClock, encode_batch};
 use flaxstand_write_back::{
-    Action, BufferLimits, Config, ExtentId, LiveRecord, Micros, ParkedDecision, Recovered, Seq, Write,
-    WriteBackBuffer, WriteOutResult, recover, salvage,
+    Action, BufferLimits, Config, ExtentId, LiveRecord, LiveWrite, Micros, ParkedDecision, Recovered, Seq,
+    Write, WriteBackBuffer, WriteOutResult, recover, salvage,
 };
 use std::collections::BTreeSet;
 
@@ -40,7 +40,7 @@
 }
 
 fn taken(seq: u64, write: Write) -> Record {
-    Record::Write { seq: Seq(seq), taken: WallClock(TAKEN.0 + seq), started: None, parked: false, write }
+    Record::Write { seq: Seq(seq), accepted: WallClock(TAKEN.0 + seq), started: None, parked: false, write }
 }
 
 fn first_batches() -> Vec<Vec<Record>> {
@@ -55,8 +55,13 @@
 
 fn second_batches() -> Vec<Vec<Record>> {
     let started = Some(WallClock(TAKEN.0 + 60));
-    let carried =
-        Record::Write { seq: Seq(6), taken: TAKEN, started, parked: true, write: write(9, 5, KEYED, None) };
+    let carried = Record::Write {
+        seq: Seq(6),
+        accepted: TAKEN,
+        started,
+        parked: true,
+        write: write(9, 5, KEYED, None),
+    };
     vec![
         vec![taken(4, write(8, 3, KEYED, None)), taken(5, write(8, 4, REPEATABLE, Some(0))), carried],
         vec![
@@ -80,7 +85,7 @@
 fn made() -> [Vec<u8>; 2] {
     let version = flaxstand_write_back::record::VERSION;
     let first = segment(&Header { version, number: 1, before: None }, 1, &first_batches());
-    let before = Some((1, first.len() as u64));
+    let before = Some(SegmentEnd { number: 1, length: first.len() as u64 });
     let mut second = segment(&Header { version, number: 2, before }, 3, &second_batches());
     second.extend_from_slice(TORN);
     [first, second]
@@ -128,7 +133,7 @@
     assert_eq!((recovered.last, recovered.records, recovered.torn), (Seq(6), 10, TORN.len() as u64));
     let numbers: Vec<u64> = recovered.live.keys().map(|seq| seq.0).collect();
     assert_eq!(numbers, [2, 3, 4, 5, 6]);
-    let parked = |live: &LiveRecord| matches!(live, LiveRecord::Write { parked: true, .. });
+    let parked = |live: &LiveRecord| matches!(live, LiveRecord::Write(LiveWrite { parked: true, .. }));
     assert_eq!(recovered.live.values().filter(|live| parked(live)).count(), 2);
 }
 
