--- a/crates/flaxstand-gateway/src/core/writeback.rs
+++ b/crates/flaxstand-gateway/src/core/writeback.rs
@@ -15,7 +15,8 @@
 use flaxstand_write_back::config::BufferingMode;
 use flaxstand_write_back::image::MAX_EXTENT_BYTES;
 use flaxstand_write_back::record::WallClock;
-use flaxstand_write_back::writeout::{Urgency, WriteOutRetryBudget};
+use flaxstand_write_back::retry_budget::WriteOutRetryBudget;
+use flaxstand_write_back::writeout::Urgency;
 use flaxstand_write_back::{
     Action, BufferedRead, Config, Expired, ExtentId, Recovered, Status, Write, WriteBackBuffer, WriteHandle,
     WriteOutId, WriteOutResult, WriteRequest,
@@ -67,8 +68,10 @@
 fn buffer_config(w: &WriteBack, core: &Core) -> Config {
     let site = &core.config.site;
     let buffering = |(info, class): (&super::ClassInfo, &Class)| match (info.buffered, class.effect) {
-        (true, Effect::Idempotent) => BufferingMode::Repeatable,
-        (true, Effect::IdempotencyKey { window, .. }) => BufferingMode::Keyed(Micros::from_ms(window)),
+        (true, Effect::Idempotent) => BufferingMode::Idempotent,
+        (true, Effect::IdempotencyKey { window, .. }) => {
+            BufferingMode::IdempotencyKey(Micros::from_ms(window))
+        }
         (true, Effect::AtMostOnce) | (false, _) => BufferingMode::Never,
     };
     let span = |b: flaxstand::api::RetryBudget| WriteOutRetryBudget {
@@ -77,11 +80,11 @@
         span: Micros::from_ms(b.span),
     };
     Config {
-        rules: w.rules.clone(),
-        refusal_wait: Micros::from_ms(site.settings.max_retry_after),
+        limits: w.rules.clone(),
+        retry_after: Micros::from_ms(site.settings.max_retry_after),
         key_cooldown: Micros::from_ms(site.settings.key_cooldown),
         classes: site.classes.iter().zip(&site.settings.classes).map(buffering).collect(),
-        repeats: site.settings.retry_budget.map(span),
+        retry_budget: site.settings.retry_budget.map(span),
         calendar: WallClock(core.config.calendar),
     }
 }
@@ -100,7 +103,7 @@
     /// How a batch went that `Command::StoreWriteBack` asked for.
     pub(super) fn batch_stored(&mut self, well: bool, now: Micros) {
         if let Some(back) = &mut self.back {
-            back.buffer.stored(well, now);
+            back.buffer.batch_stored(well, now);
         }
     }
 
@@ -129,14 +132,14 @@
         if !s.write {
             let Some(extent_id) = extent_id else { return false };
             match back.buffer.read(handle, extent_id) {
-                BufferedRead::Plain => return false,
-                BufferedRead::Merge => {
+                BufferedRead::Miss => return false,
+                BufferedRead::Partial => {
                     if let Some(held) = self.requests.get_mut(&id) {
                         held.merge = Some(extent_id);
                     }
                     return false;
                 }
-                BufferedRead::Whole { shard, data } => {
+                BufferedRead::Complete { shard, data } => {
                     self.counts.served += 1;
                     self.counts.read_back += 1;
                     self.answer(id, Verdict::Served, now, |id| Frame::Served { id, shard, payload: &data });
@@ -164,9 +167,9 @@
                     at: s.at,
                     payload: s.payload.to_vec(),
                 };
-                back.buffer.offer(WriteRequest { handle, write }, now);
+                back.buffer.submit_write(WriteRequest { handle, write }, now);
             }
-            _ => back.buffer.pass(handle, s.volume, extent_id, now),
+            _ => back.buffer.submit_pass_through(handle, s.volume, extent_id, now),
         }
         true
     }
@@ -197,8 +200,8 @@
             return Ok(());
         };
         match mark {
-            Mark::Barrier(volume) => back.buffer.barrier(WriteHandle(id.0), volume, now),
-            Mark::Flush(volume) => back.buffer.flush(WriteHandle(id.0), volume),
+            Mark::Barrier(volume) => back.buffer.submit_barrier(WriteHandle(id.0), volume, now),
+            Mark::Flush(volume) => back.buffer.submit_flush(WriteHandle(id.0), volume),
         }
         Ok(())
     }
@@ -221,16 +224,18 @@
         match action {
             Action::Store(batch) => self.plumbing.command(Command::StoreWriteBack(batch)),
             Action::Buffered(handle) => self.buffered(request(handle), now),
-            Action::Through(handle) => self.through(request(handle)),
-            Action::Refused { handle, wait } => self.refused_here(request(handle), wait, now),
-            Action::Barred(handle) => {
+            Action::PassThrough(handle) => self.through(request(handle)),
+            Action::Rejected { handle, retry_after } => self.refused_here(request(handle), retry_after, now),
+            Action::BarrierSet(handle) => {
                 self.answer(request(handle), Verdict::Served, now, |id| Frame::Barred { id });
             }
             Action::Flushed(handle) => {
                 self.answer(request(handle), Verdict::Served, now, |id| Frame::Flushed { id });
             }
-            Action::Send { id, write, level, until } => self.write_out(id, write, level, until, now),
-            Action::Withdraw(id) => self.withdraw(id, now),
+            Action::SendWriteOut { id, write, urgency, not_after } => {
+                self.write_out(id, write, urgency, not_after, now)
+            }
+            Action::CancelWriteOut(id) => self.withdraw(id, now),
         }
     }
 
@@ -287,7 +292,7 @@
         let Some(request) = back.tries.get(&id).copied() else { return };
         if self.requests.get(&request).is_some_and(|r| r.attempts == 0) {
             back.tries.remove(&id);
-            back.buffer.try_ended(id, WriteOutResult::Withdrawn, now);
+            back.buffer.write_out_ended(id, WriteOutResult::Cancelled, now);
             if let Some(held) = self.requests.remove(&request) {
                 self.plumbing.cancel(held.expires_at, Timer::Deadline(request));
             }
@@ -302,7 +307,7 @@
         match back.buffer.expire(WriteHandle(id.0), now) {
             Expired::Buffered => self.buffered(id, now),
             // Let through, and not yet told to the module: it has not run either.
-            Expired::Refuse | Expired::Elsewhere => {
+            Expired::Reject | Expired::NotHere => {
                 let wait = Micros::from_ms(self.config.site.settings.max_retry_after);
                 self.refused_here(id, wait, now);
             }
@@ -321,18 +326,20 @@
                     return;
                 }
                 let end = match held.verdict {
-                    Verdict::Served => WriteOutResult::Confirmed { lingers: unsure },
-                    Verdict::NotRun(_) | Verdict::Failed | Verdict::None if unsure => WriteOutResult::Unsure,
-                    Verdict::NotRun(wait) => WriteOutResult::NotRun { wait },
-                    Verdict::Failed | Verdict::None => WriteOutResult::NotRun { wait: Micros(0) },
+                    Verdict::Served => WriteOutResult::Confirmed { may_still_run: unsure },
+                    Verdict::NotRun(_) | Verdict::Failed | Verdict::None if unsure => WriteOutResult::Unknown,
+                    Verdict::NotRun(wait) => WriteOutResult::NotExecuted { retry_after: wait },
+                    Verdict::Failed | Verdict::None => WriteOutResult::NotExecuted { retry_after: Micros(0) },
                 };
-                back.buffer.try_ended(try_id, end, now);
+                back.buffer.write_out_ended(try_id, end, now);
             }
             Owner::Client(..) => match held.with {
-                With::Module { through: true } => back.buffer.through_ended(WriteHandle(id.0), unsure, now),
-                With::Buffer => back.buffer.gone(WriteHandle(id.0), now),
+                With::Module { through: true } => {
+                    back.buffer.pass_through_ended(WriteHandle(id.0), unsure, now)
+                }
+                With::Buffer => back.buffer.abandon(WriteHandle(id.0), now),
                 With::Module { through: false } if held.merge.is_some() => {
-                    back.buffer.gone(WriteHandle(id.0), now)
+                    back.buffer.abandon(WriteHandle(id.0), now)
                 }
                 With::Module { through: false } => {}
             },
@@ -343,7 +350,7 @@
     pub(super) fn merged(&mut self, id: RequestId, payload: &[u8], now: Micros) -> Vec<u8> {
         let mut data = payload.to_vec();
         if let Some(back) = &mut self.back {
-            back.buffer.merge(WriteHandle(id.0), &mut data, now);
+            back.buffer.merge_read(WriteHandle(id.0), &mut data, now);
         }
         data
     }
@@ -373,7 +380,7 @@
 
     /// Whether the buffer has nothing more to bring anywhere.
     pub(super) fn buffer_drained(&self) -> bool {
-        self.back.as_ref().is_none_or(|b| b.buffer.drained())
+        self.back.as_ref().is_none_or(|b| b.buffer.is_drained())
     }
 }
 
@@ -390,18 +397,18 @@
     let figures: [(&str, u64); 20] = [
         ("writes", s.writes as u64),
         ("bytes", s.bytes),
-        ("bytes_most", s.bytes_most),
+        ("bytes_most", s.max_bytes),
         ("log_bytes", s.log_bytes),
         ("oldest_us", s.oldest.0),
         ("parked", s.parked as u64),
         ("waiting", s.waiting as u64),
-        ("failing", s.failing.into()),
-        ("out", s.out as u64),
+        ("failing", s.log_failing.into()),
+        ("out", s.write_outs_in_flight as u64),
         ("acknowledged_total", s.acknowledged),
-        ("turned_through_total", s.turned_through),
+        ("turned_through_total", s.not_buffered),
         ("written_out_total", s.written_out),
         ("write_outs_total", s.write_outs),
-        ("repeats_total", s.repeats),
+        ("repeats_total", s.write_out_retries),
         ("replayed_total", s.replayed),
         ("syncs_total", s.log.syncs),
         ("records_total", s.log.records),
--- a/crates/flaxstand-gateway/src/settings/site.rs
+++ b/crates/flaxstand-gateway/src/settings/site.rs
@@ -193,17 +193,23 @@
     let bytes = |key, default| b.whole(key, 1..=1 << 40, Some(default));
     let volumes = b.wholes("volumes", 0..=u64::MAX >> 1);
     let rules = flaxstand_write_back::BufferLimits {
-        bytes: bytes("bytes", d.bytes),
-        volume_bytes: bytes("volume-bytes", d.volume_bytes),
-        age: Micros::from_ms(b.number("age-ms", POSITIVE_MS, Some(d.age.ms()))),
-        linger: wait("linger-ms", d.linger),
-        record_linger: wait("record-linger-ms", d.record_linger),
-        slow: wait("slow-ms", d.slow),
-        waiting: b.whole("waiting", 1..=1 << 24, Some(d.waiting as u64)) as usize,
-        flush_here: b.choice("flush", &[("nodes", false), ("here", true)], Some(false)).unwrap_or(false),
+        max_bytes: bytes("bytes", d.max_bytes),
+        max_volume_bytes: bytes("volume-bytes", d.max_volume_bytes),
+        target_age: Micros::from_ms(b.number("age-ms", POSITIVE_MS, Some(d.target_age.ms()))),
+        merge_delay: wait("linger-ms", d.merge_delay),
+        record_delay: wait("record-linger-ms", d.record_delay),
+        max_ack_delay: wait("slow-ms", d.max_ack_delay),
+        max_waiting: b.whole("waiting", 1..=1 << 24, Some(d.max_waiting as u64)) as usize,
+        flush_when_durable: b
+            .choice("flush", &[("nodes", false), ("here", true)], Some(false))
+            .unwrap_or(false),
     };
-    if rules.linger > rules.age {
-        b.problem(format!("linger-ms is {}, expected at most age-ms, {}", rules.linger.ms(), rules.age.ms()));
+    if rules.merge_delay > rules.target_age {
+        b.problem(format!(
+            "linger-ms is {}, expected at most age-ms, {}",
+            rules.merge_delay.ms(),
+            rules.target_age.ms()
+        ));
     }
     b.finish();
     WriteBack { rules, volumes: (!volumes.is_empty()).then(|| volumes.into_iter().collect()) }
--- a/crates/flaxstand-gateway/tests/writeback.rs
+++ b/crates/flaxstand-gateway/tests/writeback.rs
@@ -17,8 +17,12 @@
     let mut c = config();
     c.site.classes[0].buffered = true;
     c.site.settings.key_cooldown = 20.0;
-    let rules =
-        BufferLimits { linger: Micros(0), record_linger: ms(5), age: ms(2000), ..BufferLimits::default() };
+    let rules = BufferLimits {
+        merge_delay: Micros(0),
+        record_delay: ms(5),
+        target_age: ms(2000),
+        ..BufferLimits::default()
+    };
     c.site.write_back = Some(WriteBack { rules, volumes: None });
     c
 }
--- a/crates/flaxstand-write-back/src/buffer/client_requests.rs
+++ b/crates/flaxstand-write-back/src/buffer/client_requests.rs
@@ -21,25 +21,25 @@
     /// A read of an extent.
     pub fn read(&mut self, handle: WriteHandle, extent_id: ExtentId) -> BufferedRead {
         match self.order.read(handle, extent_id) {
-            Found::Nothing => BufferedRead::Plain,
-            Found::Complete { shard, data } => BufferedRead::Whole { shard, data },
+            Found::Nothing => BufferedRead::Miss,
+            Found::Complete { shard, data } => BufferedRead::Complete { shard, data },
             Found::Partial => {
                 self.requests.insert(handle, ClientRequest::Read(extent_id));
-                BufferedRead::Merge
+                BufferedRead::Partial
             }
         }
     }
 
     /// Merges a node's answer with what is buffered, for a read that found parts here. The read is over.
-    pub fn merge(&mut self, handle: WriteHandle, data: &mut Vec<u8>, now: Micros) {
+    pub fn merge_read(&mut self, handle: WriteHandle, data: &mut Vec<u8>, now: Micros) {
         if let Some(ClientRequest::Read(extent_id)) = self.requests.get(&handle) {
             self.order.overlay(*extent_id, data);
         }
-        self.gone(handle, now);
+        self.abandon(handle, now);
     }
 
     /// A request that was passed through is over. `may_still_run`: an attempt of it may still run.
-    pub fn through_ended(&mut self, handle: WriteHandle, may_still_run: bool, now: Micros) {
+    pub fn pass_through_ended(&mut self, handle: WriteHandle, may_still_run: bool, now: Micros) {
         let Some(ClientRequest::PassThrough(seq)) = self.requests.remove(&handle) else { return };
         let not_before = if may_still_run { now.after(self.config.key_cooldown) } else { Micros(0) };
         let unblocked = self.order.finish(seq, not_before);
@@ -47,10 +47,10 @@
     }
 
     /// Nobody waits for a request any more, and none of it was sent. Of one that was sent, call
-    /// [`WriteBackBuffer::through_ended`].
-    pub fn gone(&mut self, handle: WriteHandle, now: Micros) {
+    /// [`WriteBackBuffer::pass_through_ended`].
+    pub fn abandon(&mut self, handle: WriteHandle, now: Micros) {
         match self.requests.get(&handle) {
-            Some(ClientRequest::PassThrough(_)) => self.through_ended(handle, false, now),
+            Some(ClientRequest::PassThrough(_)) => self.pass_through_ended(handle, false, now),
             Some(ClientRequest::Read(extent_id)) => {
                 let extent_id = *extent_id;
                 self.requests.remove(&handle);
@@ -72,10 +72,10 @@
     /// A request's deadline has passed: what to answer. It is gone from here then.
     pub fn expire(&mut self, handle: WriteHandle, now: Micros) -> Expired {
         let answer = match self.requests.get(&handle) {
-            None | Some(ClientRequest::Read(_)) => return Expired::Elsewhere,
+            None | Some(ClientRequest::Read(_)) => return Expired::NotHere,
             Some(ClientRequest::PassThrough(seq)) => match self.order.item(*seq) {
-                Some(Item::PassThrough(request)) if request.is_released => return Expired::Elsewhere,
-                _ => Expired::Refuse,
+                Some(Item::PassThrough(request)) if request.is_released => return Expired::NotHere,
+                _ => Expired::Reject,
             },
             Some(ClientRequest::Write(seq)) if self.is_logging(*seq) => Expired::Fail,
             // Durable, or on its node already.
@@ -85,7 +85,7 @@
             }
             Some(ClientRequest::Barrier(_) | ClientRequest::Flush) => Expired::Fail,
         };
-        self.gone(handle, now);
+        self.abandon(handle, now);
         answer
     }
 
--- a/crates/flaxstand-write-back/src/buffer/flushes.rs
+++ b/crates/flaxstand-write-back/src/buffer/flushes.rs
@@ -42,7 +42,7 @@
 impl WriteBackBuffer {
     pub(super) fn complete_flushes(&mut self) {
         let order = &self.order;
-        let complete = if self.config.rules.flush_here {
+        let complete = if self.config.limits.flush_when_durable {
             self.flushes.complete(|flush| order.is_durable(flush.volume, flush.up_to))
         } else {
             self.flushes.complete(|flush| order.is_over(flush.volume, flush.up_to))
--- a/crates/flaxstand-write-back/src/buffer/mod.rs
+++ b/crates/flaxstand-write-back/src/buffer/mod.rs
@@ -65,7 +65,7 @@
             log: recovered.log,
             order: Order::new(starts_at),
             scheduler: WriteOutScheduler::default(),
-            retry_limiter: RetryLimiter::new(config.repeats),
+            retry_limiter: RetryLimiter::new(config.retry_budget),
             in_flight: BTreeMap::new(),
             prior_attempts: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -96,14 +96,14 @@
     }
 
     /// Nothing is left but what waits for an operator, and the log knows.
-    pub fn drained(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.order.buffered() == self.order.parked()
             && self.unrecorded.is_empty()
             && self.in_flight.is_empty()
     }
 
     /// The batch of the last [`Action::Store`] was stored, or failed.
-    pub fn stored(&mut self, is_stored: bool, now: Micros) {
+    pub fn batch_stored(&mut self, is_stored: bool, now: Micros) {
         if !is_stored {
             warn!("the log could not be written: a new segment is begun");
         }
@@ -136,7 +136,7 @@
     fn answer_barrier(&mut self, seq: Seq) {
         if let Some(handle) = self.acknowledgements.remove(seq) {
             self.requests.remove(&handle);
-            self.actions.push(Action::Barred(handle));
+            self.actions.push(Action::BarrierSet(handle));
         }
     }
 
@@ -169,7 +169,7 @@
     }
 
     fn release_pass_through(&mut self, seq: Seq) {
-        self.actions.extend(self.order.release_pass_through(seq).map(Action::Through));
+        self.actions.extend(self.order.release_pass_through(seq).map(Action::PassThrough));
     }
 
     fn advance_unblocked(&mut self, unblocked: Unblocked, now: Micros) {
@@ -205,7 +205,7 @@
 
     fn next_wake(&self, now: Micros) -> Option<Micros> {
         // Urgency rises with age alone.
-        let urgency_step = Micros(self.config.rules.age.0 / 8 + 1);
+        let urgency_step = Micros(self.config.limits.target_age.0 / 8 + 1);
         let urgency = (!self.in_flight.is_empty()).then(|| now.after(urgency_step));
         let wakes = [
             self.next_merge_deadline(now),
@@ -219,12 +219,12 @@
 
     /// How long records of completed writes wait for others.
     fn record_delay(&self) -> Micros {
-        if self.is_draining { Micros(0) } else { self.config.rules.record_linger }
+        if self.is_draining { Micros(0) } else { self.config.limits.record_delay }
     }
 
     /// Somebody waits for what is buffered: a flush, a request behind a barrier, or the end of the process.
     fn is_waited_for(&self) -> bool {
-        let flush_waits = !self.config.rules.flush_here && !self.flushes.is_empty();
+        let flush_waits = !self.config.limits.flush_when_durable && !self.flushes.is_empty();
         self.is_draining || self.order.waiting() > 0 || flush_waits
     }
 
@@ -238,13 +238,13 @@
         Status {
             writes: self.order.buffered(),
             bytes: self.order.bytes(),
-            bytes_most: self.config.rules.bytes,
+            max_bytes: self.config.limits.max_bytes,
             log_bytes: self.log.bytes(),
             oldest: self.order.oldest().map_or(Micros(0), |accepted| now.since(accepted)),
             parked: self.order.parked(),
             waiting: self.order.waiting(),
-            failing: self.log.is_failing(),
-            out: self.in_flight.len(),
+            log_failing: self.log.is_failing(),
+            write_outs_in_flight: self.in_flight.len(),
             log: self.log.counts(),
             ..self.counts
         }
--- a/crates/flaxstand-write-back/src/buffer/submission.rs
+++ b/crates/flaxstand-write-back/src/buffer/submission.rs
@@ -16,43 +16,43 @@
     }
 
     /// A write that names its shard and extent. It is buffered, passed through, or rejected.
-    pub fn offer(&mut self, request: WriteRequest, now: Micros) {
+    pub fn submit_write(&mut self, request: WriteRequest, now: Micros) {
         let WriteRequest { handle, write } = request;
         if self.buffering(write.class) == BufferingMode::Never || self.is_draining {
-            return self.pass(handle, write.extent_id.volume, Some(write.extent_id), now);
+            return self.submit_pass_through(handle, write.extent_id.volume, Some(write.extent_id), now);
         }
         match self.admission(&write) {
             Admission::Buffer { ack_delay } => self.accept(handle, write, now.after(ack_delay), now),
             Admission::PassThrough => {
-                self.counts.turned_through += 1;
-                self.pass(handle, write.extent_id.volume, Some(write.extent_id), now);
+                self.counts.not_buffered += 1;
+                self.submit_pass_through(handle, write.extent_id.volume, Some(write.extent_id), now);
             }
             Admission::Reject => {
-                self.counts.turned_through += 1;
+                self.counts.not_buffered += 1;
                 self.reject(handle);
             }
         }
     }
 
     fn admission(&self, write: &Write) -> Admission {
-        let limits = &self.config.rules;
+        let limits = &self.config.limits;
         let space = Space {
             used: self.order.bytes(),
-            limit: limits.bytes,
+            limit: limits.max_bytes,
             volume_used: self.order.volume_bytes(write.extent_id.volume),
-            volume_limit: limits.volume_bytes,
+            volume_limit: limits.max_volume_bytes,
         };
         admit(AdmissionInputs {
             space,
             cost: write.cost(),
             is_blocked: !self.order.is_settled(write.extent_id),
             is_log_writable: !self.log.is_failing() && self.log.has_capacity(),
-            max_ack_delay: limits.slow,
+            max_ack_delay: limits.max_ack_delay,
         })
     }
 
     fn reject(&mut self, handle: WriteHandle) {
-        self.actions.push(Action::Refused { handle, wait: self.config.refusal_wait });
+        self.actions.push(Action::Rejected { handle, retry_after: self.config.retry_after });
     }
 
     fn accept(&mut self, handle: WriteHandle, write: Write, ack_not_before: Micros, now: Micros) {
@@ -66,7 +66,13 @@
     }
 
     /// A request that is not buffered but that barriers of its volume concern. `extent_id`: what it writes.
-    pub fn pass(&mut self, handle: WriteHandle, volume: u64, extent_id: Option<ExtentId>, now: Micros) {
+    pub fn submit_pass_through(
+        &mut self,
+        handle: WriteHandle,
+        volume: u64,
+        extent_id: Option<ExtentId>,
+        now: Micros,
+    ) {
         if !self.may_wait() {
             return self.reject(handle);
         }
@@ -82,11 +88,11 @@
 
     /// Guards against requests that pile up without bound behind a barrier or an extent.
     fn may_wait(&self) -> bool {
-        self.order.waiting() < self.config.rules.waiting
+        self.order.waiting() < self.config.limits.max_waiting
     }
 
     /// A barrier on a volume.
-    pub fn barrier(&mut self, handle: WriteHandle, volume: u64, now: Micros) {
+    pub fn submit_barrier(&mut self, handle: WriteHandle, volume: u64, now: Micros) {
         if !self.may_wait() {
             return self.reject(handle);
         }
@@ -96,12 +102,12 @@
             self.acknowledgements.add(seq, handle, now);
             self.requests.insert(handle, ClientRequest::Barrier(seq));
         } else {
-            self.actions.push(Action::Barred(handle));
+            self.actions.push(Action::BarrierSet(handle));
         }
     }
 
     /// A flush of a volume, or of all.
-    pub fn flush(&mut self, handle: WriteHandle, volume: Option<u64>) {
+    pub fn submit_flush(&mut self, handle: WriteHandle, volume: Option<u64>) {
         let up_to = Seq(self.next_seq - 1);
         self.requests.insert(handle, ClientRequest::Flush);
         self.flushes.add(handle, volume, up_to);
--- a/crates/flaxstand-write-back/src/buffer/write_outs.rs
+++ b/crates/flaxstand-write-back/src/buffer/write_outs.rs
@@ -42,16 +42,16 @@
 impl UrgencyRule<'_> {
     /// The larger of the part of space that is used and of the target age that has passed decides.
     fn urgency(&self, seq: Seq) -> Urgency {
-        let limits = &self.config.rules;
-        let fill = self.order.bytes() as f64 / limits.bytes.max(1) as f64;
+        let limits = &self.config.limits;
+        let fill = self.order.bytes() as f64 / limits.max_bytes.max(1) as f64;
         let age = self.order.buffered_write(seq).map_or(Micros(0), |write| self.now.since(write.accepted));
-        let part = fill.max(age.0 as f64 / limits.age.0.max(1) as f64);
+        let part = fill.max(age.0 as f64 / limits.target_age.0.max(1) as f64);
         Urgency::of(part, self.is_waited_for)
     }
 
     /// A write waits for one that overwrites it, unless somebody waits.
     fn is_due(&self, seq: Seq) -> bool {
-        let is_old = |accepted| self.now.since(accepted) >= self.config.rules.linger;
+        let is_old = |accepted| self.now.since(accepted) >= self.config.limits.merge_delay;
         self.is_waited_for || self.order.buffered_write(seq).is_none_or(|write| is_old(write.accepted))
     }
 }
@@ -94,10 +94,10 @@
             self.scheduler.cool_down(extent_id, now.after(BUDGET_RECHECK_INTERVAL));
             return false;
         }
-        let is_keyed = matches!(self.buffering(class), BufferingMode::Keyed(_));
+        let is_keyed = matches!(self.buffering(class), BufferingMode::IdempotencyKey(_));
         let Some(merged) = self.order.take_merged(extent_id, is_keyed) else { return false };
         self.prior_attempts.remove(&seq);
-        self.counts.repeats += u64::from(is_retry);
+        self.counts.write_out_retries += u64::from(is_retry);
         self.last_write_out += 1;
         let id = WriteOutId(self.last_write_out);
         let awaits_log = self.record_start(merged.last(), now);
@@ -134,14 +134,14 @@
     fn send(&mut self, id: WriteOutId, now: Micros) {
         let Some(out) = self.in_flight.get_mut(&id) else { return };
         out.awaits_log = false;
-        let (first, level, write) = (out.merged.first, out.urgency, out.merged.write.clone());
-        let until = self.key_expires_at(first, write.class, now);
-        self.actions.push(Action::Send { id, write, level, until });
+        let (first, urgency, write) = (out.merged.first, out.urgency, out.merged.write.clone());
+        let not_after = self.key_expires_at(first, write.class, now);
+        self.actions.push(Action::SendWriteOut { id, write, urgency, not_after });
     }
 
     /// Until when attempts may be sent under the key of a write that has started.
     fn key_expires_at(&self, seq: Seq, class: u16, now: Micros) -> Option<Micros> {
-        if !matches!(self.buffering(class), BufferingMode::Keyed(_)) {
+        if !matches!(self.buffering(class), BufferingMode::IdempotencyKey(_)) {
             return None;
         }
         let started = self.order.buffered_write(seq)?.started?;
@@ -160,23 +160,23 @@
     }
 
     /// A write-out ended.
-    pub fn try_ended(&mut self, id: WriteOutId, result: WriteOutResult, now: Micros) {
+    pub fn write_out_ended(&mut self, id: WriteOutId, result: WriteOutResult, now: Micros) {
         let Some(out) = self.in_flight.remove(&id) else { return };
         let shard = out.merged.write.shard;
         match result {
-            WriteOutResult::Confirmed { lingers } => {
+            WriteOutResult::Confirmed { may_still_run } => {
                 self.scheduler.ended(shard, ShardOutcome::Confirmed, now);
-                self.confirm(&out, lingers, now);
+                self.confirm(&out, may_still_run, now);
             }
-            WriteOutResult::NotRun { wait } => {
-                self.scheduler.ended(shard, ShardOutcome::Failed { retry_after: wait }, now);
+            WriteOutResult::NotExecuted { retry_after } => {
+                self.scheduler.ended(shard, ShardOutcome::Failed { retry_after }, now);
                 self.return_not_executed(out, now);
             }
-            WriteOutResult::Withdrawn => {
+            WriteOutResult::Cancelled => {
                 self.scheduler.ended(shard, ShardOutcome::Cancelled, now);
                 self.return_not_executed(out, now);
             }
-            WriteOutResult::Unsure => {
+            WriteOutResult::Unknown => {
                 self.scheduler.ended(shard, ShardOutcome::Failed { retry_after: Micros(0) }, now);
                 self.return_maybe_executed(out, now);
             }
@@ -226,7 +226,7 @@
     pub(super) fn next_merge_deadline(&self, now: Micros) -> Option<Micros> {
         let due_at = |seq| {
             let write = self.order.buffered_write(seq)?;
-            Some(write.accepted.after(self.config.rules.linger))
+            Some(write.accepted.after(self.config.limits.merge_delay))
         };
         self.scheduler.first_of_each_shard().filter_map(due_at).filter(|at| *at > now).min()
     }
@@ -246,7 +246,7 @@
         for (id, urgency) in risen {
             if let Some(out) = self.in_flight.get_mut(&id) {
                 out.urgency = urgency;
-                self.actions.push(Action::Withdraw(id));
+                self.actions.push(Action::CancelWriteOut(id));
             }
         }
     }
--- a/crates/flaxstand-write-back/src/config.rs
+++ b/crates/flaxstand-write-back/src/config.rs
@@ -10,44 +10,44 @@
     /// They are passed through.
     Never,
     /// A repeat is harmless as long as no later write of its extent has been executed.
-    Repeatable,
+    Idempotent,
     /// Nodes drop repeats for this long after the first attempt that may have been executed; none may be sent
     /// later.
-    Keyed(Micros),
+    IdempotencyKey(Micros),
 }
 
 /// Limits and delays. `docs/write-back.md` describes each.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BufferLimits {
     /// Most bytes in the buffer, as [`Write::cost`](crate::Write::cost) counts them.
-    pub bytes: u64,
+    pub max_bytes: u64,
     /// The same for one volume.
-    pub volume_bytes: u64,
+    pub max_volume_bytes: u64,
     /// A write should be on its node after this.
-    pub age: Micros,
+    pub target_age: Micros,
     /// How long a write waits for one that overwrites it.
-    pub linger: Micros,
+    pub merge_delay: Micros,
     /// How long records of completed writes wait for others before they are written.
-    pub record_linger: Micros,
+    pub record_delay: Micros,
     /// Longest delay of an acknowledgement as space runs out.
-    pub slow: Micros,
+    pub max_ack_delay: Micros,
     /// Most requests and barriers that wait here beside buffered writes.
-    pub waiting: usize,
+    pub max_waiting: usize,
     /// A flush is complete once all before it is durable here, instead of on the nodes.
-    pub flush_here: bool,
+    pub flush_when_durable: bool,
 }
 
 impl Default for BufferLimits {
     fn default() -> Self {
         BufferLimits {
-            bytes: 256 << 20,
-            volume_bytes: 64 << 20,
-            age: Micros(5_000_000),
-            linger: Micros(20_000),
-            record_linger: Micros(50_000),
-            slow: Micros(50_000),
-            waiting: 4096,
-            flush_here: false,
+            max_bytes: 256 << 20,
+            max_volume_bytes: 64 << 20,
+            target_age: Micros(5_000_000),
+            merge_delay: Micros(20_000),
+            record_delay: Micros(50_000),
+            max_ack_delay: Micros(50_000),
+            max_waiting: 4096,
+            flush_when_durable: false,
         }
     }
 }
@@ -56,15 +56,15 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Limits and delays.
-    pub rules: BufferLimits,
+    pub limits: BufferLimits,
     /// Retry-After of a rejection.
-    pub refusal_wait: Micros,
+    pub retry_after: Micros,
     /// How long nothing is sent to an extent after an attempt that may still run.
     pub key_cooldown: Micros,
     /// Buffering mode by index of the class.
     pub classes: Vec<BufferingMode>,
     /// Bound on retries of write-outs that may have been executed; `None`: unbounded.
-    pub repeats: Option<WriteOutRetryBudget>,
+    pub retry_budget: Option<WriteOutRetryBudget>,
     /// The host's calendar when the clock of [`Micros`] was 0.
     pub calendar: WallClock,
 }
@@ -83,7 +83,7 @@
     /// Time that is left of an idempotency key's window; unbounded for a class without one. `None`: the window
     /// is over, or the calendar was set back and can't tell.
     pub(crate) fn key_window_left(&self, class: u16, started: WallClock, now: Micros) -> Option<Micros> {
-        let BufferingMode::Keyed(window) = self.mode(class) else { return Some(Micros(u64::MAX)) };
+        let BufferingMode::IdempotencyKey(window) = self.mode(class) else { return Some(Micros(u64::MAX)) };
         let elapsed = self.wall_clock(now).since(started)?;
         (elapsed < window).then(|| window.since(elapsed))
     }
--- a/crates/flaxstand-write-back/src/request.rs
+++ b/crates/flaxstand-write-back/src/request.rs
@@ -28,53 +28,53 @@
     /// The node confirmed it.
     Confirmed {
         /// Another attempt of it may still run.
-        lingers: bool,
+        may_still_run: bool,
     },
     /// It was not executed.
-    NotRun {
+    NotExecuted {
         /// The shard gets no other write-out before this has passed.
-        wait: Micros,
+        retry_after: Micros,
     },
     /// It was cancelled by the buffer; no attempt of it had been sent.
-    Withdrawn,
+    Cancelled,
     /// It may have been executed.
-    Unsure,
+    Unknown,
 }
 
 /// A command to the core. Commands are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Store this batch, then call [`WriteBackBuffer::stored`](crate::WriteBackBuffer::stored).
+    /// Store this batch, then call [`WriteBackBuffer::batch_stored`](crate::WriteBackBuffer::batch_stored).
     Store(Batch),
     /// Answer: the write is durable here.
     Buffered(WriteHandle),
     /// Send it to its node as an ordinary request.
-    Through(WriteHandle),
+    PassThrough(WriteHandle),
     /// Answer: rejected, it has not been executed.
-    Refused {
+    Rejected {
         /// The rejected request.
         handle: WriteHandle,
         /// Retry-After of the rejection.
-        wait: Micros,
+        retry_after: Micros,
     },
     /// Answer: the barrier is in force.
-    Barred(WriteHandle),
+    BarrierSet(WriteHandle),
     /// Answer: the flush is complete.
     Flushed(WriteHandle),
     /// Send this write to its node, then call
-    /// [`WriteBackBuffer::try_ended`](crate::WriteBackBuffer::try_ended).
-    Send {
+    /// [`WriteBackBuffer::write_out_ended`](crate::WriteBackBuffer::write_out_ended).
+    SendWriteOut {
         /// Its name.
         id: WriteOutId,
         /// The write.
         write: Write,
         /// How urgent it is.
-        level: Urgency,
+        urgency: Urgency,
         /// No attempt of it may be sent after this, if there is a bound.
-        until: Option<Micros>,
+        not_after: Option<Micros>,
     },
-    /// Cancel it and report [`WriteOutResult::Withdrawn`], unless an attempt of it has been sent.
-    Withdraw(WriteOutId),
+    /// Cancel it and report [`WriteOutResult::Cancelled`], unless an attempt of it has been sent.
+    CancelWriteOut(WriteOutId),
 }
 
 /// What to answer a request whose deadline has passed.
@@ -83,26 +83,26 @@
     /// The write is durable; only its acknowledgement was delayed.
     Buffered,
     /// It has not been executed and will not be.
-    Refuse,
+    Reject,
     /// It may have been or may yet be executed; or what it waits for has not been seen.
     Fail,
     /// Nothing: it is not here, it was passed through.
-    Elsewhere,
+    NotHere,
 }
 
 /// What a read finds in the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BufferedRead {
     /// Nothing: the node's answer is right as it is.
-    Plain,
+    Miss,
     /// The whole extent.
-    Whole {
+    Complete {
         /// Shard that will hold it.
         shard: u32,
         /// Its data.
         data: Vec<u8>,
     },
     /// Parts of the extent: pass the node's answer to
-    /// [`WriteBackBuffer::merge`](crate::WriteBackBuffer::merge).
-    Merge,
+    /// [`WriteBackBuffer::merge_read`](crate::WriteBackBuffer::merge_read).
+    Partial,
 }
--- a/crates/flaxstand-write-back/src/status.rs
+++ b/crates/flaxstand-write-back/src/status.rs
@@ -11,7 +11,7 @@
     /// Bytes of them.
     pub bytes: u64,
     /// Most bytes that may be buffered.
-    pub bytes_most: u64,
+    pub max_bytes: u64,
     /// Bytes of the log's segments.
     pub log_bytes: u64,
     /// Age of the oldest write that isn't parked.
@@ -21,19 +21,19 @@
     /// Requests and barriers that wait here.
     pub waiting: usize,
     /// The log can't be written.
-    pub failing: bool,
+    pub log_failing: bool,
     /// Write-outs in flight, those that wait in the decision module included.
-    pub out: usize,
+    pub write_outs_in_flight: usize,
     /// Writes acknowledged as buffered, since the start.
     pub acknowledged: u64,
     /// Writes that could have been buffered and were passed through or rejected, since the start.
-    pub turned_through: u64,
+    pub not_buffered: u64,
     /// Writes confirmed by their nodes, those replaced by a later one included, since the start.
     pub written_out: u64,
     /// Write-outs that brought them: fewer, as writes are merged. Since the start.
     pub write_outs: u64,
     /// Write-outs sent again after an attempt that may have been executed, since the start.
-    pub repeats: u64,
+    pub write_out_retries: u64,
     /// Writes found in the log at the start.
     pub replayed: u64,
     /// Counts of the log.
--- a/crates/flaxstand-write-back/src/writeout.rs
+++ b/crates/flaxstand-write-back/src/writeout.rs
@@ -6,7 +6,6 @@
 //! and to which node, the module decides as for any request.
 
 use crate::record::{ExtentId, Seq};
-pub use crate::retry_budget::WriteOutRetryBudget;
 use flaxstand_proto::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/flaxstand-write-back/tests/promises/rig.rs
+++ b/crates/flaxstand-write-back/tests/promises/rig.rs
@@ -7,7 +7,7 @@
 use flaxstand_write_back::image::lay;
 use flaxstand_write_back::offline;
 use flaxstand_write_back::record::WallClock;
-use flaxstand_write_back::writeout::WriteOutRetryBudget;
+use flaxstand_write_back::retry_budget::WriteOutRetryBudget;
 use flaxstand_write_back::*;
 use std::collections::BTreeMap;
 
@@ -123,30 +123,30 @@
 }
 
 pub fn config(plant: Plant) -> Config {
-    let rules = BufferLimits {
-        bytes: 6_000,
-        volume_bytes: 4_000,
-        age: Micros(500_000),
-        linger: Micros(5_000),
-        record_linger: Micros(20_000),
-        slow: Micros(20_000),
-        waiting: 20,
-        flush_here: false,
+    let limits = BufferLimits {
+        max_bytes: 6_000,
+        max_volume_bytes: 4_000,
+        target_age: Micros(500_000),
+        merge_delay: Micros(5_000),
+        record_delay: Micros(20_000),
+        max_ack_delay: Micros(20_000),
+        max_waiting: 20,
+        flush_when_durable: false,
     };
     Config {
-        rules,
-        refusal_wait: Micros(1000),
+        limits,
+        retry_after: Micros(1000),
         key_cooldown: if plant == Plant::NoRest { Micros(0) } else { KEY_REST },
         classes: vec![
-            BufferingMode::Repeatable,
+            BufferingMode::Idempotent,
             if plant == Plant::WindowIgnored {
-                BufferingMode::Repeatable
+                BufferingMode::Idempotent
             } else {
-                BufferingMode::Keyed(WINDOW)
+                BufferingMode::IdempotencyKey(WINDOW)
             },
             BufferingMode::Never,
         ],
-        repeats: Some(WriteOutRetryBudget { floor: 5.0, ratio: 0.5, span: Micros(1_000_000) }),
+        retry_budget: Some(WriteOutRetryBudget { floor: 5.0, ratio: 0.5, span: Micros(1_000_000) }),
         calendar: WallClock(1_000_000_000),
     }
 }
@@ -206,7 +206,7 @@
         self.promises.offered(number, &write);
         self.asked.insert(handle, Asked::Write(number));
         self.offered.insert(handle, write.clone());
-        self.buffer.offer(WriteRequest { handle, write }, self.now);
+        self.buffer.submit_write(WriteRequest { handle, write }, self.now);
         self.settle();
     }
 
@@ -217,14 +217,14 @@
             self.promises.barrier_stands(volume, self.numbers);
             return;
         }
-        self.buffer.barrier(handle, volume, self.now);
+        self.buffer.submit_barrier(handle, volume, self.now);
         self.settle();
     }
 
     pub fn flush(&mut self, volume: Option<u64>) {
         let handle = self.handle();
         self.asked.insert(handle, Asked::Flush { volume, last: self.numbers });
-        self.buffer.flush(handle, volume);
+        self.buffer.submit_flush(handle, volume);
         self.settle();
     }
 
@@ -232,12 +232,12 @@
     pub fn read(&mut self, extent_id: ExtentId) {
         let handle = self.handle();
         let data = match self.buffer.read(handle, extent_id) {
-            BufferedRead::Plain => self.node.data.get(&extent_id).cloned().unwrap_or_default(),
-            BufferedRead::Whole { data, .. } => cells(&data),
-            BufferedRead::Merge => {
+            BufferedRead::Miss => self.node.data.get(&extent_id).cloned().unwrap_or_default(),
+            BufferedRead::Complete { data, .. } => cells(&data),
+            BufferedRead::Partial => {
                 let held = self.node.data.get(&extent_id).into_iter().flatten();
                 let mut bytes: Vec<u8> = held.flat_map(|c| c.to_le_bytes()).collect();
-                self.buffer.merge(handle, &mut bytes, self.now);
+                self.buffer.merge_read(handle, &mut bytes, self.now);
                 cells(&bytes)
             }
         };
@@ -271,19 +271,19 @@
                 self.count("buffered");
                 self.answer(handle, Told::Kept);
             }
-            Action::Refused { handle, .. } => {
+            Action::Rejected { handle, .. } => {
                 self.count("refused");
                 match self.asked.get(&handle) {
                     Some(Asked::Write(_)) => self.answer(handle, Told::Refused),
                     _ => drop(self.asked.remove(&handle)),
                 }
             }
-            Action::Through(handle) => {
+            Action::PassThrough(handle) => {
                 let write = self.offered.get(&handle).expect("it was offered").clone();
                 self.node.attempted(&write, self.now);
                 self.throughs.insert(handle, write);
             }
-            Action::Barred(handle) => {
+            Action::BarrierSet(handle) => {
                 self.count("barred");
                 match self.asked.remove(&handle) {
                     Some(Asked::Barrier { volume, last }) => self.promises.barrier_stands(volume, last),
@@ -299,11 +299,11 @@
                     other => panic!("a flush in answer to {other:?}"),
                 }
             }
-            Action::Send { id, write, .. } => {
+            Action::SendWriteOut { id, write, .. } => {
                 self.node.attempted(&write, self.now);
                 self.tries.insert(id, write);
             }
-            Action::Withdraw(id) => {
+            Action::CancelWriteOut(id) => {
                 // The module never holds anything here: it has left.
                 assert!(self.tries.contains_key(&id));
             }
@@ -325,7 +325,7 @@
         if self.disk.dead() {
             return self.crash(true);
         }
-        self.buffer.stored(well, self.now);
+        self.buffer.batch_stored(well, self.now);
         self.settle();
     }
 
@@ -352,11 +352,11 @@
             Some(id) => {
                 self.tries.remove(&id);
                 let end = match fate {
-                    Fate::Confirmed => WriteOutResult::Confirmed { lingers: false },
-                    Fate::Refused => WriteOutResult::NotRun { wait: Micros(1000) },
-                    _ => WriteOutResult::Unsure,
+                    Fate::Confirmed => WriteOutResult::Confirmed { may_still_run: false },
+                    Fate::Refused => WriteOutResult::NotExecuted { retry_after: Micros(1000) },
+                    _ => WriteOutResult::Unknown,
                 };
-                self.buffer.try_ended(id, end, self.now);
+                self.buffer.write_out_ended(id, end, self.now);
             }
             None => {
                 let at = which - self.tries.len();
@@ -368,7 +368,11 @@
                     // "Failed": its client knows nothing.
                     _ => drop((self.asked.remove(&handle), self.offered.remove(&handle))),
                 }
-                self.buffer.through_ended(handle, !matches!(fate, Fate::Confirmed | Fate::Refused), self.now);
+                self.buffer.pass_through_ended(
+                    handle,
+                    !matches!(fate, Fate::Confirmed | Fate::Refused),
+                    self.now,
+                );
             }
         }
         self.settle();
@@ -395,9 +399,9 @@
     pub fn expire(&mut self) {
         let Some(handle) = self.asked.keys().next().copied() else { return };
         match self.buffer.expire(handle, self.now) {
-            Expired::Elsewhere => {}
+            Expired::NotHere => {}
             Expired::Buffered => self.answer(handle, Told::Kept),
-            Expired::Refuse => {
+            Expired::Reject => {
                 self.count("refused in time");
                 self.answer(handle, Told::Refused);
             }
@@ -478,14 +482,14 @@
             self.disk();
             self.node(0, Fate::Confirmed);
             self.pass(Micros(5_000));
-            if self.buffer.drained() && self.asked.is_empty() && self.batch.is_none() && !self.parked() {
+            if self.buffer.is_drained() && self.asked.is_empty() && self.batch.is_none() && !self.parked() {
                 break;
             }
             if round % 100 == 99 && self.parked() {
                 self.decide();
             }
         }
-        assert!(self.buffer.drained(), "it never drains: {:?}", self.buffer.status(self.now));
+        assert!(self.buffer.is_drained(), "it never drains: {:?}", self.buffer.status(self.now));
         self.promises.check_all(&self.node.data);
         self.crash(true);
         assert_eq!(self.buffer.status(self.now).writes, 0, "a drained log holds nothing");
--- a/crates/flaxstand-write-back/tests/recorded_log.rs
+++ b/crates/flaxstand-write-back/tests/recorded_log.rs
@@ -109,11 +109,11 @@
 
 fn config() -> Config {
     Config {
-        rules: BufferLimits::default(),
-        refusal_wait: Micros(1000),
+        limits: BufferLimits::default(),
+        retry_after: Micros(1000),
         key_cooldown: Micros(0),
-        classes: vec![BufferingMode::Repeatable, BufferingMode::Keyed(Micros(60_000_000))],
-        repeats: None,
+        classes: vec![BufferingMode::Idempotent, BufferingMode::IdempotencyKey(Micros(60_000_000))],
+        retry_budget: None,
         calendar: WallClock(TAKEN.0 + 1_000_000),
     }
 }
@@ -149,10 +149,10 @@
         buffer.settle(now);
         for action in buffer.take_actions() {
             match action {
-                Action::Store(batch) => buffer.stored(perform(&mut disk, &batch).is_ok(), now),
-                Action::Send { id, write, .. } => {
+                Action::Store(batch) => buffer.batch_stored(perform(&mut disk, &batch).is_ok(), now),
+                Action::SendWriteOut { id, write, .. } => {
                     sent.insert((write.extent_id.volume, write.extent_id.extent));
-                    buffer.try_ended(id, WriteOutResult::Confirmed { lingers: false }, now);
+                    buffer.write_out_ended(id, WriteOutResult::Confirmed { may_still_run: false }, now);
                 }
                 _ => {}
             }
