--- /dev/null
+++ b/crates/flaxstand-gateway/src/driver/commands.rs
@@ -0,0 +1,94 @@
+//! Carries out what the machine asks for.
+
+use super::Driver;
+use super::state_files::{append, replace, replace_durably};
+use crate::machine::{Command, Machine, Sink};
+use std::io::{self, Write as _};
+use std::path::Path;
+use tracing::warn;
+
+impl<M: Machine> Driver<M> {
+    pub(super) fn carry_out(&mut self, command: Command) {
+        match command {
+            Command::Connect { conn, address } => self.connect(conn, &address),
+            Command::Flush(conn) => self.flush(conn),
+            Command::ShutdownWrite(conn) => self.shut_down_write(conn),
+            Command::Close { conn, last } => self.close(conn, &last),
+            Command::SaveList(bytes) => self.save(|path| replace(path, &bytes)),
+            Command::AppendList(bytes) => self.save(|path| append(path, &bytes)),
+            Command::AppendOutput(sink, bytes) => self.append_output(sink, &bytes),
+            Command::StoreWriteBack(batch) => {
+                let is_queued = self.write_back_log.as_ref().is_some_and(|log| log.store(batch));
+                if !is_queued {
+                    self.machine.stored(false, self.now);
+                }
+            }
+            Command::StoreConsensus(batch) => {
+                let is_queued = self.consensus_log.as_ref().is_some_and(|log| log.store(batch));
+                if !is_queued {
+                    self.machine.kept(false, self.now);
+                }
+            }
+            Command::SaveReplicatedState(bytes) => self.save_replicated_state(&bytes),
+            Command::StopListening => self.stop_listening(),
+            Command::Print(line) => {
+                let mut out = io::stdout().lock();
+                let _ = writeln!(out, "{line}").and_then(|()| out.flush());
+            }
+            Command::Exit => self.is_done = true,
+        }
+    }
+
+    /// Changes the saved endpoint list, if there is a place for it.
+    fn save(&mut self, change: impl FnOnce(&Path) -> io::Result<()>) {
+        let Some(path) = &self.options.saved else { return };
+        if let Err(error) = change(path) {
+            warn!(%error, path = %path.display(), "cannot save");
+            self.machine.save_failed(self.now);
+        }
+    }
+
+    fn append_output(&mut self, sink: Sink, bytes: &[u8]) {
+        let file = match sink {
+            Sink::Record => &mut self.options.record,
+            Sink::Data => &mut self.options.data,
+        };
+        if let Some(file) = file
+            && let Err(error) = file.write_all(bytes)
+        {
+            warn!(%error, ?sink, "cannot append");
+        }
+    }
+
+    fn save_replicated_state(&mut self, bytes: &[u8]) {
+        if let Some(path) = &self.options.book
+            && let Err(error) = replace_durably(path, bytes)
+        {
+            warn!(%error, path = %path.display(), "cannot save what was agreed on");
+        }
+    }
+
+    /// Batches of the write-back log are done.
+    pub(super) fn write_back_batches_done(&mut self) {
+        let Some(log) = &self.write_back_log else { return };
+        for result in log.take_results() {
+            warn_if_failed(&result);
+            self.machine.stored(result.is_ok(), self.now);
+        }
+    }
+
+    /// Batches of the consensus log are done.
+    pub(super) fn consensus_batches_done(&mut self) {
+        let Some(log) = &self.consensus_log else { return };
+        for result in log.take_results() {
+            warn_if_failed(&result);
+            self.machine.kept(result.is_ok(), self.now);
+        }
+    }
+}
+
+fn warn_if_failed(result: &io::Result<()>) {
+    if let Err(error) = result {
+        warn!(%error, "cannot store");
+    }
+}
--- a/crates/flaxstand-gateway/src/driver/listener.rs
+++ b/crates/flaxstand-gateway/src/driver/listener.rs
@@ -1,4 +1,4 @@
-//! What the driver listens at: TCP, or a socket file that is removed with it.
+//! Listening sockets: TCP, or a socket file that is removed with its listener.
 
 use crate::machine::Address;
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
@@ -9,9 +9,10 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
-/// Connections that the system holds for us until they are accepted, most.
+/// Most connections that the system queues until they are accepted.
 const BACKLOG: i32 = 4096;
 
+/// A listening socket.
 pub(super) enum Listener {
     Tcp(TcpListener),
     Unix(UnixListener, PathBuf),
@@ -30,8 +31,8 @@
         let listener = TcpListener::bind(address)?;
         net::listen(&listener, BACKLOG)?;
         listener.set_nonblocking(true)?;
-        let at = Address::Tcp(listener.local_addr()?);
-        Ok((Listener::Tcp(listener), at))
+        let bound = Address::Tcp(listener.local_addr()?);
+        Ok((Listener::Tcp(listener), bound))
     }
 
     fn bind_unix(path: &Path) -> io::Result<Listener> {
@@ -49,22 +50,22 @@
     /// Its descriptor.
     pub(super) fn fd(&self) -> BorrowedFd<'_> {
         match self {
-            Listener::Tcp(l) => l.as_fd(),
-            Listener::Unix(l, _) => l.as_fd(),
+            Listener::Tcp(listener) => listener.as_fd(),
+            Listener::Unix(listener, _) => listener.as_fd(),
         }
     }
 
-    /// Takes the next connection; it blocks no one.
+    /// Accepts the next connection; its reads and writes don't block.
     pub(super) fn accept(&self) -> io::Result<OwnedFd> {
         match self {
-            Listener::Tcp(l) => {
-                let (stream, _) = l.accept()?;
+            Listener::Tcp(listener) => {
+                let (stream, _) = listener.accept()?;
                 stream.set_nodelay(true)?;
                 stream.set_nonblocking(true)?;
                 Ok(stream.into())
             }
-            Listener::Unix(l, _) => {
-                let (stream, _) = l.accept()?;
+            Listener::Unix(listener, _) => {
+                let (stream, _) = listener.accept()?;
                 stream.set_nonblocking(true)?;
                 Ok(stream.into())
             }
--- a/crates/flaxstand-gateway/src/driver/files.rs
+++ b/crates/flaxstand-gateway/src/driver/state_files.rs
@@ -1,10 +1,10 @@
-//! Files of a machine's state: replaced as a whole, or added to.
+//! Files of a machine's state: replaced as a whole, or appended to.
 
 use std::fs::File;
 use std::io::{self, Write as _};
 use std::path::Path;
 
-/// Puts bytes in a file's place: a reader sees the old ones or the new ones, whole.
+/// Replaces a file: a reader sees the old bytes or the new ones, never a mixture.
 ///
 /// # Errors
 /// The folder can't be written to.
@@ -14,12 +14,12 @@
     std::fs::rename(&next, path)
 }
 
-/// Adds bytes to a file that is there.
+/// Appends bytes to a file that is there.
 pub(super) fn append(path: &Path, bytes: &[u8]) -> io::Result<()> {
     File::options().append(true).open(path)?.write_all(bytes)
 }
 
-/// Puts bytes in a file's place, and they are there after a loss of power.
+/// The same, and the bytes are there after a loss of power.
 pub(super) fn replace_durably(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let next = path.with_extension("next");
     let mut file = File::create(&next)?;
