--- a/crates/flaxstand-gateway/src/core/agreement.rs
+++ b/crates/flaxstand-gateway/src/core/agreement.rs
@@ -241,7 +241,7 @@
             self.brain_classes = settings.classes.clone();
             let mut actions = Vec::new();
             self.decider.handle(Event::SettingsChanged(Box::new(settings)), now, &mut actions);
-            self.undecided = true;
+            self.evaluation.request();
         }
         for (to, word) in words {
             let bytes = match postcard::to_stdvec(&word) {
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -32,7 +32,7 @@
         // The cheapest refusal: nothing is kept of a client that is told to come back.
         let refusal = match self.phase {
             _ if self.on_platform() => return self.http_accepted(now),
-            Phase::Running if self.clients >= self.config.bounds.clients => {
+            Phase::Running if self.clients.len() >= self.config.bounds.clients => {
                 Some((CloseReason::Bound, Micros(0), "as many clients as may be"))
             }
             Phase::Running => {
@@ -45,13 +45,13 @@
             }
         };
         if let Some((close_reason, wait, text)) = refusal {
-            info!(clients = self.clients, wait_us = wait.0, text, "client turned away");
+            info!(clients = self.clients.len(), wait_us = wait.0, text, "client turned away");
             let mut bytes = Vec::new();
             let wait = u32::try_from(wait.0).unwrap_or(u32::MAX);
             encode(&Frame::Bye { close_reason, wait, text }, &mut bytes);
             return Err(bytes);
         }
-        self.clients += 1;
+        self.clients.connected();
         let conn = self.plumbing.open(
             Peer::Client(Client::default()),
             Stage::Greeting,
@@ -111,7 +111,6 @@
         };
         let mut held = Held::new((conn, s.id), s, expires_at);
         if let Some(origin) = origin {
-            self.open_ids.insert(origin.id.clone());
             held.origin = Some(Box::new(origin));
         }
         self.take_request(id, held, s, now);
@@ -133,14 +132,14 @@
         }
         self.counts.taken += 1;
         let bounds = &self.config.bounds;
-        let new_volume = volume.is_some_and(|v| !self.volumes.contains(&v));
+        let new_volume = volume.is_some_and(|v| !self.requests.knows_volume(v));
         let refusal = if matches!(self.phase, Phase::Stopping | Phase::Stopped) {
             Some((Refusal::Stopping, Scope::All))
         } else if self.requests.len() >= bounds.held {
             Some((Refusal::Held, Scope::All))
         } else if client.owed.len() >= bounds.per_client {
             Some((Refusal::Client, Scope::All))
-        } else if new_volume && self.volumes.len() >= bounds.volumes {
+        } else if new_volume && self.requests.volumes() >= bounds.volumes {
             Some((Refusal::Held, Scope::Volume))
         } else {
             None
@@ -154,9 +153,8 @@
             self.client_wrote(conn, now);
             return Ok(None);
         }
-        self.volumes.extend(volume);
-        self.next_request += 1;
-        let id = RequestId(self.next_request);
+        volume.into_iter().for_each(|volume| self.requests.add_volume(volume));
+        let id = self.requests.next_id();
         if let Some(Conn { peer: Peer::Client(client), .. }) = self.plumbing.get_mut(conn) {
             client.owed.insert(client_id, id);
         }
@@ -172,7 +170,7 @@
         self.plumbing.at(expires_at, Timer::Deadline(id));
         let Some(class) = self.gate(id, now) else { return };
         if !self.offer(id, s, now)
-            && let Some(held) = self.requests.get(&id)
+            && let Some(held) = self.requests.get(id)
         {
             self.events.push_back(Event::RequestArrived(held.arrival(id, class)));
         }
@@ -226,12 +224,12 @@
 
     /// Nobody waits for this client's requests any more. Their attempts run on and are still counted.
     pub(super) fn client_lost(&mut self, conn: ConnId, client: &Client, cause: &str, now: Micros) {
-        self.clients -= 1;
+        self.clients.disconnected();
         debug!(conn = conn.0, cause, owed = client.owed.len(), "client gone");
         for id in client.owed.values() {
             self.counts.abandoned += 1;
             self.call_back(*id, now);
-            if let Some(held) = self.requests.get_mut(id) {
+            if let Some(held) = self.requests.get_mut(*id) {
                 held.owner = None;
                 held.payload = Vec::new();
                 if held.with != With::Buffer {
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -52,7 +52,7 @@
             self.plumbing.command(Command::Close { conn, last });
         }
         if let Protocol::HttpServer(http) = &gone.protocol {
-            self.places.remove(conn, http.queued);
+            self.clients.slots.remove(conn, http.queued);
         }
         match (gone.peer, gone.protocol) {
             (Peer::Client(client), _) => self.client_lost(conn, &client, cause, now),
--- a/crates/flaxstand-gateway/src/core/first_byte.rs
+++ b/crates/flaxstand-gateway/src/core/first_byte.rs
@@ -24,8 +24,8 @@
 impl Core {
     /// Whether the first byte of an attempt may leave now. Asked in the turn in which it would.
     pub(super) fn may_begin(&self, attempt: AttemptId, now: Micros) -> bool {
-        let Some(held) = self.requests.get(&attempt.request) else { return false };
-        let Some(flight) = self.flight(attempt) else { return false };
+        let Some(held) = self.requests.get(attempt.request) else { return false };
+        let Some(flight) = self.requests.attempt(attempt) else { return false };
         let in_time = now < flight.until && now < held.expires_at;
         held.owner.is_some() && in_time && self.node_takes_work(flight.node, now)
     }
@@ -108,7 +108,8 @@
 
     /// Pooled connections to a node that stand, and of which nothing has been written of what they carry.
     fn not_begun(&self, at: NodeId) -> Vec<(ConnId, Carried)> {
-        let handed = |attempt| Some((self.flight(attempt)?.handed?.conn, Carried::Attempt(attempt)));
+        let handed =
+            |attempt| Some((self.requests.attempt(attempt)?.handed?.conn, Carried::Attempt(attempt)));
         let attempts = self.upstream.in_flight(at).into_iter().filter_map(handed);
         let probes =
             self.upstream.probe_connections(at).map(|(token, conn)| (conn, Carried::Probe(at, token)));
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -5,8 +5,8 @@
 //! behind a request wait until it is answered and the answer written, so that a client that sends without
 //! reading holds up only itself.
 
-use super::client_places::MUTE;
 use super::clients::Client;
+use super::connection_slots::SILENT_EVICTABLE_AFTER;
 use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
 use super::{Core, Phase};
 use crate::machine::{Command, ConnId, Micros};
@@ -49,21 +49,21 @@
     /// By which moment it is queued among those that may give their place to a new client.
     pub(super) queued: Micros,
     /// Requests that came whole.
-    pub(super) asked: u64,
+    pub(super) requests: u64,
 }
 
 impl HttpServer {
     fn new(now: Micros) -> Self {
-        HttpServer { reader: Requests::default(), flow: Flow::Open, since: now, queued: now, asked: 0 }
+        HttpServer { reader: Requests::default(), flow: Flow::Open, since: now, queued: now, requests: 0 }
     }
 
-    /// Bytes held.
-    pub(super) fn held(&self) -> usize {
+    /// Bytes that were read in part.
+    pub(super) fn partial_bytes(&self) -> usize {
         self.reader.len()
     }
 
     /// Its last answer has been given: what still comes is dropped.
-    pub(super) fn is_parting(&self) -> bool {
+    pub(super) fn is_lingering(&self) -> bool {
         matches!(self.flow, Flow::Lingering(_))
     }
 
@@ -84,27 +84,36 @@
     pub(super) fn http_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         // While the process stops it listens no more; who had connected before that is told so once it has asked.
         let open = self.phase != Phase::Stopped;
-        if !open || self.clients >= self.config.bounds.clients && !self.make_room(now) {
-            debug!(clients = self.clients, "client turned away");
+        if !open || self.clients.len() >= self.config.bounds.clients && !self.evict_client(now) {
+            debug!(clients = self.clients.len(), "client turned away");
             let mut bytes = Vec::new();
             write_answer(&mut bytes, 503, &[], b"no room\n", false);
             return Err(bytes);
         }
-        self.clients += 1;
+        self.clients.connected();
         let protocol = Protocol::HttpServer(HttpServer::new(now));
         let conn = self.plumbing.open(Peer::Client(Client::default()), Stage::Open, protocol);
-        self.places.add(conn, now);
+        self.clients.slots.add(conn, now);
         self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Quiet(conn));
         Ok(conn)
     }
 
+    /// Closes the client that gives its slot to a new one, if there is one.
+    fn evict_client(&mut self, now: Micros) -> bool {
+        let evicted = self.clients.slots.evictable(&mut self.plumbing, now);
+        if let Some(conn) = evicted {
+            self.lost(conn, "its place is needed", true, now);
+        }
+        evicted.is_some()
+    }
+
     pub(super) fn http_received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
         let Some(http) = self.http(conn) else { return };
         match &mut http.flow {
             Flow::Lingering(left) if *left > bytes.len() => *left -= bytes.len(),
             Flow::Lingering(_) => self.lost(conn, "it goes on after an error", true, now),
             Flow::Open | Flow::LastAnswer => {
-                if http.reader.is_empty() && http.asked > 0 {
+                if http.reader.is_empty() && http.requests > 0 {
                     http.since = now;
                 }
                 http.reader.push(bytes);
@@ -142,7 +151,7 @@
             match http.reader.take() {
                 Ok(Some(request)) => {
                     let read = before - http.reader.len();
-                    (http.asked, http.since) = (http.asked + 1, now);
+                    (http.requests, http.since) = (http.requests + 1, now);
                     if !request.keeps {
                         http.flow = Flow::LastAnswer;
                     }
@@ -151,7 +160,7 @@
                 }
                 Ok(None) => {
                     // The first has its time from when the connection stood.
-                    if http.asked > 0 {
+                    if http.requests > 0 {
                         let due = http.since.after(self.config.site.waits.greeting);
                         self.plumbing.at(due, Timer::Quiet(conn));
                     }
@@ -183,14 +192,14 @@
                 return self.respond(conn, bad.status(), &[], format!("{bad}\n").as_bytes(), now);
             }
         };
-        if self.open_ids.contains(r.id) {
+        if self.requests.has_client_id(r.id) {
             debug!(conn = conn.0, id = r.id, "an id that is open");
             self.counts.protocol_faults += 1;
             return self.respond(conn, 409, &[], b"a request with this id is open\n", now);
         }
         let deadline = Micros::from_ms(settings.classes[usize::from(r.class)].deadline).0;
         let submit = Submit {
-            id: self.http(conn).map_or(0, |http| http.asked),
+            id: self.http(conn).map_or(0, |http| http.requests),
             operation: 0,
             class: r.class,
             plan: r.plan,
@@ -280,11 +289,11 @@
     /// Nothing more is read of a client; what still comes is dropped for a while.
     fn linger(&mut self, conn: ConnId, now: Micros) {
         let Some(http) = self.http(conn) else { return };
-        let held = http.held();
+        let held = http.partial_bytes();
         http.reader = Requests::default();
         (http.flow, http.since) = (Flow::Lingering(LINGER_BYTES), now);
         let queued = std::mem::replace(&mut http.queued, now);
-        self.places.part(conn, queued, now);
+        self.clients.slots.start_lingering(conn, queued, now);
         self.plumbing.partial_bytes -= held;
         // The client reads to the end of what it was sent and closes in its turn (RFC 9112, 9.6).
         self.plumbing.command(Command::ShutdownWrite(conn));
@@ -333,7 +342,7 @@
             Flow::Lingering(_) => {}
             _ if !client.owed.is_empty() || waited < most => {}
             // Silent since it stood: nothing was asked that an answer could be for.
-            _ if http.asked == 0 && http.reader.is_empty() => self.lost(conn, "silent", true, now),
+            _ if http.requests == 0 && http.reader.is_empty() => self.lost(conn, "silent", true, now),
             _ if !http.reader.is_empty() => self.turn_away(conn, 408, "the request does not end", now),
             _ => {}
         }
@@ -344,7 +353,7 @@
     pub(super) fn part_with_clients(&mut self, now: Micros) {
         let rests = |c: &Conn| match (&c.peer, &c.protocol) {
             (Peer::Client(client), Protocol::HttpServer(http)) => {
-                let old = http.asked > 0 || now.since(http.since) >= MUTE;
+                let old = http.requests > 0 || now.since(http.since) >= SILENT_EVICTABLE_AFTER;
                 old && client.owed.is_empty()
                     && c.outbox.is_empty()
                     && http.reader.is_empty()
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -17,17 +17,19 @@
 //! Peers speak frames, or the platform's HTTP/1.1 ([`Wire`]). A request's life is the same for both; three
 //! places differ:
 //!
-//! - [`http_server`]: clients that ask one request at a time of a connection; [`client_places`]: who gives way
+//! - [`http_server`]: clients that ask one request at a time of a connection; [`connection_slots`]: who gives way
 //! - [`pool`]: connections to a node that carry one request each; [`upstream_pool`]: which there are, and what for
 //! - [`list_calls`]: the list, told by calls that wait; [`platform_list`]: what they tell
 
 mod agreement;
 mod backoff;
-mod client_places;
+mod client_registry;
 mod clients;
 mod config;
+mod connection_slots;
 mod decider;
 mod dispatch;
+mod evaluation_schedule;
 mod figures;
 mod first_byte;
 mod http_server;
@@ -39,6 +41,7 @@
 mod platform_list;
 mod plumbing;
 mod pool;
+mod request_table;
 mod requests;
 mod saved_list;
 mod storms;
@@ -52,10 +55,11 @@
 
 use crate::machine::{Command, ConnId, Control, Machine, Micros};
 use agreement::Agreed;
-use client_places::ClientPlaces;
+use client_registry::ClientRegistry;
 use decider::{Decider, module_settings};
+use evaluation_schedule::EvaluationSchedule;
 use first_byte::ListTrust;
-use flaxstand::api::{Class, Event, RequestId, VolumeId};
+use flaxstand::api::{Class, Event, RequestId};
 use flaxstand_overload::ConnectionRateLimiter;
 use flaxstand_proto::CloseReason;
 use list::ListPeer;
@@ -63,8 +67,8 @@
 use plumbing::{Conn, Peer, Plumbing, Protocol, Stage, Timer};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use requests::Held;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use request_table::RequestTable;
+use std::collections::VecDeque;
 use storms::Gate;
 use tracing::{info, warn};
 use upstream_pool::UpstreamPool;
@@ -81,8 +85,6 @@
     Stopped,
 }
 
-/// Wakes that the module may have asked for, most. The latest are forgotten first: it counts on the earliest.
-const WAKES_MOST: usize = 256;
 /// Answers leave this long before a stop has lasted long enough.
 const STOP_MARGIN: Micros = Micros(50_000);
 
@@ -98,30 +100,19 @@
     arrivals: ConnectionRateLimiter,
     rng: Pcg64Mcg,
     plumbing: Plumbing,
-    clients: usize,
-    /// Clients that speak HTTP, in the order in which they give way to new ones.
-    places: ClientPlaces,
-    requests: BTreeMap<RequestId, Held>,
-    next_request: u64,
+    clients: ClientRegistry,
+    requests: RequestTable,
     nodes: NodeTable,
     upstream: UpstreamPool,
-    /// Ids under which clients of the platform have requests here.
-    open_ids: BTreeSet<String>,
     /// Names of zones, in the order of the module's.
     zones: Vec<String>,
     /// Names of classes, in the order of the module's.
     class_names: Vec<String>,
-    volumes: BTreeSet<VolumeId>,
     list: ListPeer,
     list_trust: ListTrust,
     /// Events for the module that its own actions caused, or that came since it last decided.
     events: VecDeque<Event>,
-    /// When the module asked to be woken: each of these comes, as on the simulator's wire. Guards against a wake that is
-    /// lost where two are asked for: at the first the module counts on the second, and asks for none.
-    wakes: BTreeSet<Micros>,
-    /// Something was told to the module that it has not decided on.
-    undecided: bool,
-    decided_at: Option<Micros>,
+    evaluation: EvaluationSchedule,
     phase: Phase,
     /// Once a stop was asked for: when the last answer must have left.
     answer_by: Option<Micros>,
@@ -155,20 +146,14 @@
             list_trust: ListTrust::default(),
             config,
             plumbing: Plumbing::default(),
-            clients: 0,
-            places: ClientPlaces::default(),
-            requests: BTreeMap::new(),
-            next_request: 0,
+            clients: ClientRegistry::default(),
+            requests: RequestTable::default(),
             nodes: NodeTable::default(),
             upstream: UpstreamPool::default(),
-            open_ids: BTreeSet::new(),
             zones: Vec::new(),
             class_names,
-            volumes: BTreeSet::new(),
             events: VecDeque::new(),
-            wakes: BTreeSet::new(),
-            undecided: true,
-            decided_at: None,
+            evaluation: EvaluationSchedule::new(),
             phase: Phase::Running,
             answer_by: None,
             counts: Counts::default(),
@@ -199,7 +184,7 @@
         Footprint {
             conns: self.plumbing.len(),
             requests: self.requests.len(),
-            ids: self.open_ids.len(),
+            ids: self.requests.client_ids(),
             nodes: self.nodes.len(),
             timers: self.plumbing.timers(),
             partial_bytes: self.plumbing.partial_bytes + self.plumbing.answer_bytes,
@@ -218,7 +203,7 @@
 
     /// Client connections now.
     pub fn clients(&self) -> usize {
-        self.clients
+        self.clients.len()
     }
 
     fn on_platform(&self) -> bool {
@@ -231,15 +216,14 @@
         // What the actions cause in turn is told at the next turn: the work of one turn is bounded.
         for event in std::mem::take(&mut self.events) {
             self.decider.handle(event, now, &mut actions);
-            self.undecided = true;
+            self.evaluation.request();
         }
         self.perform(&mut actions, now);
     }
 
     /// The module looks at all that it was told.
     fn decide(&mut self, now: Micros) {
-        self.undecided = false;
-        self.decided_at = Some(now);
+        self.evaluation.started(now);
         let mut actions = Vec::new();
         self.decider.handle(Event::Evaluate, now, &mut actions);
         self.perform(&mut actions, now);
@@ -299,14 +283,11 @@
             matches!(c.protocol, Protocol::HttpServer(_))
                 || matches!(c.peer, Peer::Client(_)) && !c.outbox.is_empty()
         };
-        self.requests.values().all(|r| r.owner.is_none())
-            && !self.plumbing.iter().any(owed)
-            && self.buffer_drained()
+        self.requests.owed().next().is_none() && !self.plumbing.iter().any(owed) && self.buffer_drained()
     }
 
     fn stop_ends(&mut self, now: Micros) {
-        let owed: Vec<RequestId> =
-            self.requests.iter().filter(|(_, r)| r.owner.is_some()).map(|(id, _)| *id).collect();
+        let owed: Vec<RequestId> = self.requests.owed().collect();
         warn!(owed = owed.len(), "the stop has lasted long enough: what is still held is failed");
         owed.into_iter().for_each(|id| self.fail(id, now));
         self.exit(now);
@@ -450,23 +431,17 @@
         if !self.on_platform() {
             self.save_list(now);
         }
-        let woken = self.wakes.first().is_some_and(|at| *at <= now);
-        // Many requests share one look at all that is held: decisions come at most once a tick.
         let tick = Micros::from_ms(self.config.site.settings.tick);
-        let next = self.decided_at.map_or(now, |at| at.after(tick));
-        if (self.undecided || woken) && now >= next {
-            self.wakes = self.wakes.split_off(&Micros(now.0 + 1));
+        if self.evaluation.take_due(tick, now) {
             self.decide(now);
         }
         let buffer = self.settle_buffer(now);
         if self.phase == Phase::Stopping && self.stopped() {
             self.exit(now);
         }
-        let tick_due = self.decided_at.map_or(now, |at| at.after(tick)).max(Micros(now.0 + 1));
-        let undecided = (self.undecided || !self.events.is_empty()).then_some(tick_due);
-        let woken = self.wakes.first().map(|at| (*at).max(tick_due));
+        let evaluation = self.evaluation.next_due(!self.events.is_empty(), tick, now);
         let timer = self.plumbing.next_due();
-        [undecided, woken, timer, buffer, agreement].into_iter().flatten().min()
+        [evaluation, timer, buffer, agreement].into_iter().flatten().min()
     }
 
     fn take_commands(&mut self) -> Vec<Command> {
--- a/crates/flaxstand-gateway/src/core/nodes.rs
+++ b/crates/flaxstand-gateway/src/core/nodes.rs
@@ -89,7 +89,7 @@
             self.end_attempt(attempt, Outcome::Rejected, now);
             return;
         }
-        let Some(held) = self.requests.get_mut(&attempt.request) else { return };
+        let Some(held) = self.requests.get_mut(attempt.request) else { return };
         // The connection has its turn for a moment; the payload must not be copied once more.
         let payload = std::mem::take(&mut held.payload);
         let frame = Frame::Attempt(Attempt {
@@ -109,10 +109,10 @@
         });
         let ends = self.plumbing.push(conn, &frame);
         self.counts.attempts += 1;
-        if let Some(held) = self.requests.get_mut(&attempt.request) {
+        if let Some(held) = self.requests.get_mut(attempt.request) {
             held.payload = payload;
         }
-        self.note_handed(attempt, conn, ends);
+        self.requests.record_hand_over(attempt, conn, ends);
     }
 
     pub(super) fn node_greeted(
@@ -183,7 +183,7 @@
     /// Whether this word of an attempt comes from where it was sent; else nobody waits for it any more.
     fn flies(&mut self, conn: ConnId, request: u64, attempt: u32) -> Option<AttemptId> {
         let id = AttemptId { request: RequestId(request), number: AttemptNo(attempt) };
-        if self.flight(id).and_then(|f| f.handed).is_some_and(|handed| handed.conn == conn) {
+        if self.requests.attempt(id).and_then(|f| f.handed).is_some_and(|handed| handed.conn == conn) {
             return Some(id);
         }
         self.counts.late_outcomes += 1;
@@ -206,7 +206,7 @@
 
     pub(super) fn attempt_chunk(&mut self, conn: ConnId, request: u64, attempt: u32, payload: &[u8]) {
         let Some(id) = self.flies(conn, request, attempt) else { return };
-        let Some(held) = self.requests.get_mut(&id.request) else { return };
+        let Some(held) = self.requests.get_mut(id.request) else { return };
         if held.merge.is_some() {
             // Only the whole of it can be laid over; until then the attempt is like any other.
             if held.gathered.0 != id.number {
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/plumbing.rs
@@ -234,10 +234,10 @@
         self.node_conns.remove(&conn);
         match &gone.protocol {
             Protocol::HttpServer(http) => {
-                self.partial_bytes -= http.held();
+                self.partial_bytes -= http.partial_bytes();
                 self.unread_bytes -= gone.outbox.len();
             }
-            Protocol::HttpClient(link) => self.answer_bytes -= link.held(),
+            Protocol::HttpClient(link) => self.answer_bytes -= link.partial_bytes(),
             Protocol::Frames(_) | Protocol::ListClient(_) => {}
         }
         Some(gone)
--- a/crates/flaxstand-gateway/src/core/pool.rs
+++ b/crates/flaxstand-gateway/src/core/pool.rs
@@ -70,8 +70,8 @@
         self.carries
     }
 
-    /// Bytes held.
-    pub(super) fn held(&self) -> usize {
+    /// Bytes of an answer that was read in part.
+    pub(super) fn partial_bytes(&self) -> usize {
         self.reader.len()
     }
 }
@@ -111,7 +111,7 @@
             (Protocol::HttpClient(Link::new(what, now)), now.after(self.config.site.waits.dial));
         let conn = self.plumbing.dial(Peer::Node(at), protocol, address, by);
         match what {
-            Carried::Attempt(attempt) => self.note_handed(attempt, conn, u64::MAX),
+            Carried::Attempt(attempt) => self.requests.record_hand_over(attempt, conn, u64::MAX),
             Carried::Probe(..) => self.note_probe(at, what, conn),
         }
     }
@@ -172,7 +172,7 @@
         match link.carries {
             Some(Carried::Attempt(attempt)) => {
                 let id = attempt.request;
-                let Some(held) = self.requests.get_mut(&id) else { return };
+                let Some(held) = self.requests.get_mut(id) else { return };
                 let Some(origin) = held.origin.take() else { return };
                 let payload = std::mem::take(&mut held.payload);
                 let left = held.expires_at.since(now).ms().max(1.0) / 1000.0;
@@ -186,12 +186,12 @@
                     write_request(bytes, origin.method, &origin.target, &fields, body);
                 });
                 self.counts.attempts += 1;
-                if let Some(held) = self.requests.get_mut(&id) {
+                if let Some(held) = self.requests.get_mut(id) {
                     (held.origin, held.payload) = (Some(origin), payload);
                 }
-                self.note_handed(attempt, conn, ends);
-                let until = self.flight(attempt).map(|f| f.until);
-                let expires_at = self.requests.get(&id).map(|r| r.expires_at);
+                self.requests.record_hand_over(attempt, conn, ends);
+                let until = self.requests.attempt(attempt).map(|f| f.until);
+                let expires_at = self.requests.get(id).map(|r| r.expires_at);
                 if let Some(until) = until.filter(|until| Some(*until) < expires_at) {
                     self.plumbing.at(until, Timer::Begin(conn));
                 }
@@ -331,7 +331,7 @@
     /// Its client has gone: an attempt that has not wholly left does not follow it. Its connection is closed; one
     /// that is still coming up is kept, and carries nothing.
     pub(super) fn call_back(&mut self, id: RequestId, now: Micros) {
-        let Some(held) = self.requests.get(&id).filter(|_| self.on_platform()) else { return };
+        let Some(held) = self.requests.get(id).filter(|_| self.on_platform()) else { return };
         let leaving = |handed: &HandedOver| {
             let conn = self.plumbing.get(handed.conn);
             conn.is_some_and(|c| c.stage == Stage::Open && c.outbox.written() < handed.ends)
--- /dev/null
+++ b/crates/flaxstand-gateway/src/core/request_table.rs
@@ -0,0 +1,110 @@
+//! Requests that are pending, with their attempts, and what identifies them to clients.
+
+use super::requests::{AttemptId, Flight, HandedOver, Held};
+use crate::machine::ConnId;
+use flaxstand::api::{RequestId, VolumeId};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// All requests from their arrival until they are answered and have no attempt in flight.
+#[derive(Debug, Default)]
+pub(super) struct RequestTable {
+    pending: BTreeMap<RequestId, Held>,
+    last_id: u64,
+    /// Ids that clients of the platform gave the requests that are pending.
+    client_ids: BTreeSet<String>,
+    /// Volumes that requests have named since the start.
+    volumes: BTreeSet<VolumeId>,
+}
+
+impl RequestTable {
+    /// A number for one more request. Numbers are not used again.
+    pub(super) fn next_id(&mut self) -> RequestId {
+        self.last_id += 1;
+        RequestId(self.last_id)
+    }
+
+    pub(super) fn insert(&mut self, id: RequestId, request: Held) {
+        if let Some(origin) = &request.origin {
+            self.client_ids.insert(origin.id.clone());
+        }
+        self.pending.insert(id, request);
+    }
+
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<Held> {
+        let request = self.pending.remove(&id)?;
+        if let Some(origin) = &request.origin {
+            self.client_ids.remove(&origin.id);
+        }
+        Some(request)
+    }
+
+    /// Removes a request that is answered and has no attempt in flight; none: it is not.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) -> Option<Held> {
+        let request = self.pending.get(&id)?;
+        if request.owner.is_some() || !request.flights.is_empty() {
+            return None;
+        }
+        self.remove(id)
+    }
+
+    pub(super) fn get(&self, id: RequestId) -> Option<&Held> {
+        self.pending.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut Held> {
+        self.pending.get_mut(&id)
+    }
+
+    /// How many are pending.
+    pub(super) fn len(&self) -> usize {
+        self.pending.len()
+    }
+
+    /// Whether an answer is owed to anyone for this request.
+    pub(super) fn is_owed(&self, id: RequestId) -> bool {
+        self.get(id).is_some_and(|request| request.owner.is_some())
+    }
+
+    /// Requests for which an answer is owed, in the order of arrival.
+    pub(super) fn owed(&self) -> impl Iterator<Item = RequestId> {
+        self.pending.iter().filter(|(_, request)| request.owner.is_some()).map(|(id, _)| *id)
+    }
+
+    /// An attempt that is in flight, or waits for its node's connection.
+    pub(super) fn attempt(&self, id: AttemptId) -> Option<&Flight> {
+        self.get(id.request)?.flights.iter().find(|flight| flight.attempt == id.number)
+    }
+
+    /// An attempt is in a connection's outbox, and ends at this byte of its stream.
+    pub(super) fn record_hand_over(&mut self, id: AttemptId, conn: ConnId, ends: u64) {
+        let flights = self.get_mut(id.request).map(|request| &mut request.flights);
+        if let Some(flight) = flights.and_then(|f| f.iter_mut().find(|f| f.attempt == id.number)) {
+            flight.handed = Some(HandedOver { conn, ends });
+        }
+    }
+
+    /// Whether a client of the platform has a request pending under this id.
+    pub(super) fn has_client_id(&self, id: &str) -> bool {
+        self.client_ids.contains(id)
+    }
+
+    /// How many ids of clients are in use.
+    pub(super) fn client_ids(&self) -> usize {
+        self.client_ids.len()
+    }
+
+    /// Whether a request has named this volume before.
+    pub(super) fn knows_volume(&self, volume: VolumeId) -> bool {
+        self.volumes.contains(&volume)
+    }
+
+    /// How many volumes requests have named.
+    pub(super) fn volumes(&self) -> usize {
+        self.volumes.len()
+    }
+
+    /// A request names a volume.
+    pub(super) fn add_volume(&mut self, volume: VolumeId) {
+        self.volumes.insert(volume);
+    }
+}
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -210,12 +210,7 @@
                     self.answer(request, Verdict::Failed, now, |id| Frame::Failed { id });
                 }
                 Action::SetTimer { after } => {
-                    // Rounded up: woken a moment early, the module would find nothing due, take the wake that it asked
-                    // for as still to come, and not be woken again.
-                    self.wakes.insert(now.after(Micros::from_ms(after)).after(Micros(1)));
-                    if self.wakes.len() > super::WAKES_MOST {
-                        self.wakes.pop_last();
-                    }
+                    self.evaluation.set_timer(Micros::from_ms(after), now);
                 }
                 Action::PollList => self.subscribe(now),
             }
@@ -224,33 +219,20 @@
 
     /// Whether a client waits for it; else the buffer, or nobody.
     fn of_client(&self, id: RequestId) -> bool {
-        self.requests.get(&id).is_some_and(|r| matches!(r.owner, Some(Owner::Client(..))))
-    }
-
-    /// An attempt that is out, or waits for its node's connection.
-    pub(super) fn flight(&self, id: AttemptId) -> Option<&Flight> {
-        self.requests.get(&id.request)?.flights.iter().find(|f| f.attempt == id.number)
-    }
-
-    /// An attempt is in a connection's outbox, and ends there.
-    pub(super) fn note_handed(&mut self, id: AttemptId, conn: ConnId, ends: u64) {
-        let flights = self.requests.get_mut(&id.request).map(|r| &mut r.flights);
-        if let Some(flight) = flights.and_then(|f| f.iter_mut().find(|f| f.attempt == id.number)) {
-            flight.handed = Some(HandedOver { conn, ends });
-        }
+        self.requests.get(id).is_some_and(|r| matches!(r.owner, Some(Owner::Client(..))))
     }
 
     /// An attempt's connection is no more, after so many bytes were written: if its last was not among them it
     /// can't have run, else it may have.
     pub(super) fn broken_off(&mut self, id: AttemptId, conn: ConnId, written: u64, now: Micros) {
-        let handed = self.flight(id).and_then(|f| f.handed);
+        let handed = self.requests.attempt(id).and_then(|f| f.handed);
         let left = handed.is_some_and(|handed| handed.conn == conn && handed.ends <= written);
         self.end_attempt(id, if left { Outcome::Reset } else { Outcome::ConnectFailed }, now);
     }
 
     /// An attempt, at the module's word.
     fn send(&mut self, request: RequestId, node: NodeId, until: Micros, now: Micros) {
-        let Some(held) = self.requests.get_mut(&request) else {
+        let Some(held) = self.requests.get_mut(request) else {
             error!(request = request.0, "the module sends a request that is not held");
             return;
         };
@@ -271,7 +253,7 @@
     /// An attempt has ended without being served: the module decides what comes next.
     pub(super) fn end_attempt(&mut self, ended: AttemptId, outcome: Outcome, now: Micros) {
         let AttemptId { request: id, number: attempt } = ended;
-        let Some(held) = self.requests.get_mut(&id) else { return };
+        let Some(held) = self.requests.get_mut(id) else { return };
         let Some(at) = held.flights.iter().position(|f| f.attempt == attempt) else { return };
         let flight = held.flights.swap_remove(at);
         // A stream that broke can't be tried again: its client has a part of it.
@@ -289,7 +271,7 @@
             latency,
             is_final,
         }));
-        if is_final && self.requests[&id].owner.is_some() {
+        if is_final && self.requests.is_owed(id) {
             self.fail(id, now);
         }
         self.node_flight_ended(flight.node, ended, now);
@@ -299,7 +281,7 @@
     /// An attempt was served: its client has the answer before the module hears of it.
     pub(super) fn served(&mut self, ended: AttemptId, shard: u32, payload: &[u8], now: Micros) {
         let AttemptId { request: id, number: attempt } = ended;
-        let Some(held) = self.requests.get_mut(&id) else { return };
+        let Some(held) = self.requests.get_mut(id) else { return };
         let Some(at) = held.flights.iter().position(|f| f.attempt == attempt) else { return };
         let flight = held.flights.swap_remove(at);
         let latency = now.since(flight.sent).ms();
@@ -335,7 +317,7 @@
         now: Micros,
         frame: impl FnOnce(u64) -> Frame<'a>,
     ) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
+        let Some(held) = self.requests.get_mut(id) else { return };
         let Some(owner) = held.owner.take() else { return };
         held.verdict = verdict;
         held.payload = Vec::new();
@@ -350,7 +332,7 @@
 
     /// Fails a request without the module: it is told that nobody waits any more.
     pub(super) fn fail(&mut self, id: RequestId, now: Micros) {
-        let Some(held) = self.requests.get(&id).filter(|r| r.owner.is_some()) else { return };
+        let Some(held) = self.requests.get(id).filter(|r| r.owner.is_some()) else { return };
         if held.with != With::Buffer {
             self.events.push_back(Event::ClientGone(id));
         }
@@ -360,7 +342,7 @@
 
     /// An attempt is not waited for any longer, and its node told; one never handed over has not run.
     pub(super) fn call_off(&mut self, id: AttemptId, outcome: Outcome, now: Micros) {
-        let Some(handed) = self.flight(id).map(|f| f.handed) else { return };
+        let Some(handed) = self.requests.attempt(id).map(|f| f.handed) else { return };
         if let Some(handed) = handed.filter(|_| self.on_platform()) {
             return self.hang_up_attempt(handed, id, outcome, now);
         }
@@ -376,7 +358,7 @@
         if self.expire_here(id, now) {
             return;
         }
-        let Some(held) = self.requests.get(&id) else { return };
+        let Some(held) = self.requests.get(id) else { return };
         if held.streaming && held.owner.is_some() {
             return;
         }
@@ -385,12 +367,11 @@
             self.call_off(AttemptId { request: id, number }, Outcome::TimedOut, now);
         }
         self.tell(now);
-        let owed = |core: &Core| core.requests.get(&id).is_some_and(|r| r.owner.is_some());
-        if owed(self) {
+        if self.requests.is_owed(id) {
             // It came with less time than an answer's way takes: the module has not looked at it yet.
             self.decide(now);
         }
-        if owed(self) {
+        if self.requests.is_owed(id) {
             error!(request = id.0, "the module gave no answer in time: failed here");
             self.counts.overdue += 1;
             self.fail(id, now);
@@ -399,14 +380,8 @@
 
     /// Drops a request that is answered and has nothing out.
     pub(super) fn forget(&mut self, id: RequestId, now: Micros) {
-        let over = |held: &Held| held.owner.is_none() && held.flights.is_empty();
-        if self.requests.get(&id).is_some_and(over)
-            && let Some(held) = self.requests.remove(&id)
-        {
+        if let Some(held) = self.requests.remove_if_finished(id) {
             self.plumbing.cancel(held.expires_at, Timer::Deadline(id));
-            if let Some(origin) = &held.origin {
-                self.open_ids.remove(&origin.id);
-            }
             self.tell_gate(&held, now);
             self.over(id, &held, now);
         }
--- a/crates/flaxstand-gateway/src/core/storms.rs
+++ b/crates/flaxstand-gateway/src/core/storms.rs
@@ -56,14 +56,14 @@
 impl Core {
     /// A client's try is taken: as what, or it is refused at once. Returns the module's class for it.
     pub(super) fn gate(&mut self, id: RequestId, now: Micros) -> Option<usize> {
-        let held = self.requests.get(&id)?;
+        let held = self.requests.get(id)?;
         let (class, this) = (usize::from(held.class), try_of(held));
         let Some(gate) = &mut self.gate else { return Some(class) };
         let draw = gate.draw();
         match gate.throttle.came(&this, now, draw) {
             ThrottleDecision::Full => Some(class),
             ThrottleDecision::Lessened => {
-                if let Some(held) = self.requests.get_mut(&id) {
+                if let Some(held) = self.requests.get_mut(id) {
                     held.repeats = true;
                 }
                 Some(gate.classes + class)
@@ -77,7 +77,7 @@
                     flaxstand_overload::Scope::All => Scope::All,
                 };
                 // The damper knows of it already.
-                if let Some(held) = self.requests.get_mut(&id) {
+                if let Some(held) = self.requests.get_mut(id) {
                     held.told = true;
                 }
                 let (wait, refusal) = (u32::try_from(wait.0).unwrap_or(u32::MAX), Refusal::Storm);
--- a/crates/flaxstand-gateway/src/core/writeback.rs
+++ b/crates/flaxstand-gateway/src/core/writeback.rs
@@ -94,7 +94,7 @@
         let buffer = WriteBackBuffer::new(buffer_config(&settings, self), recovered, now);
         let classes = self.config.site.classes.len();
         self.back = Some(Back { buffer, settings, classes, tries: BTreeMap::new() });
-        self.undecided = true;
+        self.evaluation.request();
     }
 
     /// How a batch went that `Command::StoreWriteBack` asked for.
@@ -131,7 +131,7 @@
             match back.buffer.read(handle, extent_id) {
                 BufferedRead::Plain => return false,
                 BufferedRead::Merge => {
-                    if let Some(held) = self.requests.get_mut(&id) {
+                    if let Some(held) = self.requests.get_mut(id) {
                         held.merge = Some(extent_id);
                     }
                     return false;
@@ -144,7 +144,7 @@
                 }
             }
         }
-        if let Some(held) = self.requests.get_mut(&id) {
+        if let Some(held) = self.requests.get_mut(id) {
             held.with = With::Buffer;
         }
         // A new object has no node yet, and the volume may be one that is not buffered.
@@ -249,9 +249,9 @@
 
     /// The buffer lets a client's request go to its node.
     fn through(&mut self, id: RequestId) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
+        let Some(held) = self.requests.get_mut(id) else { return };
         held.with = With::Module { through: true };
-        if let Some(held) = self.requests.get(&id) {
+        if let Some(held) = self.requests.get(id) {
             let arrival = held.arrival(id, self.brain_class(held));
             self.events.push_back(Event::RequestArrived(arrival));
         }
@@ -270,10 +270,9 @@
         let class = back.classes + usize::from(write.class) * Urgency::ALL.len() + level as usize;
         let deadline = Micros::from_ms(self.brain_classes[class].deadline);
         let expires_at = until.map_or(now.after(deadline), |until| now.after(deadline).min(until));
-        self.next_request += 1;
-        let request = RequestId(self.next_request);
+        let request = self.requests.next_id();
         back.tries.insert(id, request);
-        self.volumes.insert(VolumeId(write.extent_id.volume));
+        self.requests.add_volume(VolumeId(write.extent_id.volume));
         debug!(request = request.0, attempt = id.0, ?level, operation = write.operation, "write-out");
         let held = Held::write_out(id, write, expires_at);
         self.events.push_back(Event::RequestArrived(held.arrival(request, class)));
@@ -285,10 +284,10 @@
     fn withdraw(&mut self, id: WriteOutId, now: Micros) {
         let Some(back) = &mut self.back else { return };
         let Some(request) = back.tries.get(&id).copied() else { return };
-        if self.requests.get(&request).is_some_and(|r| r.attempts == 0) {
+        if self.requests.get(request).is_some_and(|r| r.attempts == 0) {
             back.tries.remove(&id);
             back.buffer.try_ended(id, WriteOutResult::Withdrawn, now);
-            if let Some(held) = self.requests.remove(&request) {
+            if let Some(held) = self.requests.remove(request) {
                 self.plumbing.cancel(held.expires_at, Timer::Deadline(request));
             }
             self.events.push_back(Event::ClientGone(request));
@@ -297,7 +296,7 @@
 
     /// A request's time is up while the buffer has it. False: the buffer does not.
     pub(super) fn expire_here(&mut self, id: RequestId, now: Micros) -> bool {
-        let here = self.requests.get(&id).is_some_and(|r| r.with == With::Buffer && r.owner.is_some());
+        let here = self.requests.get(id).is_some_and(|r| r.with == With::Buffer && r.owner.is_some());
         let Some(back) = self.back.as_mut().filter(|_| here) else { return false };
         match back.buffer.expire(WriteHandle(id.0), now) {
             Expired::Buffered => self.buffered(id, now),
