--- /dev/null
+++ b/crates/flaxstand-gateway/src/core/admission.rs
@@ -0,0 +1,130 @@
+//! Admission of clients' attempts while the load is more than can be served: retries are told from first attempts,
+//! and given less weight or rejected.
+
+use super::requests::{Held, Owner, Verdict};
+use crate::machine::Micros;
+use flaxstand::api::{Class, RequestId, Settings};
+use flaxstand_overload::{
+    AttemptCounts, ClientAttempt, RetryThrottle, RetryThrottleConfig, ThrottleDecision,
+};
+use flaxstand_proto::Scope;
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use tracing::{debug, info};
+
+/// How often changes of the load condition are logged.
+const LOG_INTERVAL: Micros = Micros(500_000);
+
+/// What becomes of a client's attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Admission {
+    /// It goes on as a first attempt.
+    FirstAttempt,
+    /// It goes on as a retry, with less priority.
+    Retry,
+    /// It is rejected: to come back after `wait`, as is everything of this scope.
+    Rejected { wait: Micros, scope: Scope },
+}
+
+/// Decides which attempts of clients go on to the module, by its retry throttle.
+#[derive(Debug)]
+pub(super) struct AdmissionGate {
+    throttle: RetryThrottle,
+    rng: Pcg64Mcg,
+    /// Where the module's classes for retries begin.
+    first_retry_class: usize,
+    next_log_at: Micros,
+}
+
+/// Adds the module's classes for retries: after the classes so far, one for each of the site's, of less priority.
+pub(super) fn add_retry_classes(settings: &mut Settings, site_classes: usize, rules: &RetryThrottleConfig) {
+    let retry_class =
+        |c: &Class| Class { priority_weight: c.priority_weight * rules.retry_weight, ..c.clone() };
+    let retry_classes: Vec<Class> = settings.classes[..site_classes].iter().map(retry_class).collect();
+    settings.classes.extend(retry_classes);
+}
+
+impl AdmissionGate {
+    /// A gate whose classes for retries begin at `first_retry_class` of the module's.
+    pub(super) fn new(rules: RetryThrottleConfig, first_retry_class: usize, seed: u64, now: Micros) -> Self {
+        let rng = Pcg64Mcg::seed_from_u64(seed);
+        AdmissionGate { throttle: RetryThrottle::new(rules), rng, first_retry_class, next_log_at: now }
+    }
+
+    /// A number in 0..1.
+    fn draw(&mut self) -> f64 {
+        (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    /// Decides on an attempt that has arrived.
+    pub(super) fn admit(&mut self, id: RequestId, request: &Held, now: Micros) -> Admission {
+        let draw = self.draw();
+        match self.throttle.came(&client_attempt(request), now, draw) {
+            ThrottleDecision::Full => Admission::FirstAttempt,
+            ThrottleDecision::Lessened => Admission::Retry,
+            ThrottleDecision::TurnedAway { wait, scope } => {
+                debug!(request = id.0, wait_us = wait.0, %scope, "retry rejected under overload");
+                let scope = match scope {
+                    flaxstand_overload::Scope::Volume(_) => Scope::Volume,
+                    flaxstand_overload::Scope::Plan(_) => Scope::Volume,
+                    flaxstand_overload::Scope::All => Scope::All,
+                };
+                Admission::Rejected { wait, scope }
+            }
+        }
+    }
+
+    /// The Retry-After in place of the module's, which is the same for all.
+    pub(super) fn retry_after(&mut self, of_module: Micros) -> Micros {
+        if of_module == Micros(0) {
+            return of_module;
+        }
+        let draw = self.draw();
+        self.throttle.advice(draw).min(of_module)
+    }
+
+    /// A client's request has ended: the throttle learns how.
+    pub(super) fn record_end(&mut self, request: &Held, now: Micros) {
+        let is_of_client = matches!(request.owner_was, Owner::Client(..));
+        if request.told || request.mark || !is_of_client {
+            return;
+        }
+        let attempt = client_attempt(request);
+        match request.verdict {
+            Verdict::Served => self.throttle.served(&attempt, now),
+            Verdict::NotRun(_) | Verdict::Failed => self.throttle.turned_away(&attempt, now),
+            Verdict::None => {}
+        }
+    }
+
+    /// The module's class of a retry of a class of the site's.
+    pub(super) fn retry_class(&self, site_class: usize) -> usize {
+        self.first_retry_class + site_class
+    }
+
+    /// How many attempts were taken for retries, and how many for first attempts.
+    pub(super) fn attempt_counts(&self) -> AttemptCounts {
+        self.throttle.attempt_counts()
+    }
+
+    /// Logs plans whose load condition has changed since the last look.
+    pub(super) fn log_condition_changes(&mut self, plans: u16, now: Micros) {
+        if self.next_log_at > now {
+            return;
+        }
+        self.next_log_at = now.after(LOG_INTERVAL);
+        for report in self.throttle.take_condition_changes(plans, now) {
+            info!("{report}");
+        }
+    }
+}
+
+fn client_attempt(request: &Held) -> ClientAttempt {
+    ClientAttempt {
+        volume: request.volume,
+        plan: request.plan,
+        class: request.class,
+        extent: request.extent,
+        marked: request.try_no > 0,
+    }
+}
--- /dev/null
+++ b/crates/flaxstand-gateway/src/core/buffered_requests.rs
@@ -0,0 +1,245 @@
+//! Requests on their way through the write-back buffer. Every write (where writes are buffered at all) goes to the
+//! buffer first; what it passes on, and its own write-outs, are ordinary requests to the module.
+
+use super::Core;
+use super::clients::Fault;
+use super::plumbing::Timer;
+use super::requests::{Held, Verdict, With};
+use super::write_back::{Mark, WriteBackCoordinator};
+use super::write_back_status::status_json;
+use crate::machine::{Command, ConnId, Micros};
+use flaxstand::api::{Event, RequestId, VolumeId};
+use flaxstand_proto::{CloseReason, Frame, Refusal, Scope, Submit};
+use flaxstand_write_back::image::MAX_EXTENT_BYTES;
+use flaxstand_write_back::writeout::Urgency;
+use flaxstand_write_back::{
+    Action, BufferedRead, Expired, ExtentId, Recovered, Status, Write, WriteHandle, WriteOutId,
+};
+use tracing::{debug, info};
+
+impl Core {
+    /// Buffers writes from now on, as the site's settings say, and goes on with what was read back. Without
+    /// this, or without such settings, every write is passed on.
+    pub fn attach(&mut self, recovered: Recovered, now: Micros) {
+        let Some(settings) = self.config.site.write_back.clone() else { return };
+        let (site, calendar) = (&self.config.site, self.config.calendar);
+        self.write_back = Some(WriteBackCoordinator::new(settings, site, calendar, recovered, now));
+        self.evaluation.request();
+    }
+
+    /// The buffer's metrics, where writes are buffered.
+    pub fn buffer_status(&self, now: Micros) -> Option<Status> {
+        self.write_back.as_ref().map(|write_back| write_back.status(now))
+    }
+
+    /// What a write may not be, whatever becomes of it.
+    pub(super) fn range_fault(s: &Submit<'_>) -> Result<(), Fault> {
+        let Some(at) = s.at else { return Ok(()) };
+        let end = at as usize + s.payload.len();
+        let fault = |text: String| Err((CloseReason::Protocol, text));
+        match (s.write, s.extent) {
+            (true, Some(_)) if end <= MAX_EXTENT_BYTES => Ok(()),
+            (true, Some(_)) => fault(format!("a write up to byte {end}, extents have {MAX_EXTENT_BYTES}")),
+            _ => fault("a byte to begin at, which only a write of an extent has".into()),
+        }
+    }
+
+    /// Offers a request that was accepted to the buffer. True: the buffer has it, and the module must not hear of it
+    /// yet.
+    pub(super) fn offer_to_buffer(&mut self, id: RequestId, s: &Submit<'_>, now: Micros) -> bool {
+        if !s.write {
+            return self.read_from_buffer(id, s, now);
+        }
+        let Some(write_back) = &mut self.write_back else { return false };
+        if let Some(request) = self.requests.get_mut(id) {
+            request.with = With::Buffer;
+        }
+        write_back.write(id, s, now);
+        true
+    }
+
+    /// True: the buffer answered the read.
+    fn read_from_buffer(&mut self, id: RequestId, s: &Submit<'_>, now: Micros) -> bool {
+        let Some(write_back) = &mut self.write_back else { return false };
+        let Some(extent) = s.extent else { return false };
+        let extent = ExtentId { volume: s.volume, extent };
+        match write_back.read(id, extent) {
+            BufferedRead::Plain => false,
+            BufferedRead::Merge => {
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.merge = Some(extent);
+                }
+                false
+            }
+            BufferedRead::Whole { shard, data } => {
+                self.counts.served += 1;
+                self.counts.read_back += 1;
+                self.answer(id, Verdict::Served, now, |id| Frame::Served { id, shard, payload: &data });
+                true
+            }
+        }
+    }
+
+    /// A client's barrier or flush.
+    pub(super) fn submitted_mark(
+        &mut self,
+        conn: ConnId,
+        client_id: u64,
+        mark: Mark,
+        time_left: u32,
+        now: Micros,
+    ) -> Result<(), Fault> {
+        let Some((id, expires_at)) = self.admit(conn, client_id, None, time_left, now)? else {
+            return Ok(());
+        };
+        self.requests.insert(id, Held::mark((conn, client_id), expires_at));
+        self.plumbing.at(expires_at, Timer::Deadline(id));
+        match &mut self.write_back {
+            Some(write_back) => write_back.mark(id, mark, now),
+            None => {
+                let (wait, refusal, scope) = (0, Refusal::Unbuffered, Scope::All);
+                self.counts.turned_away += 1;
+                let verdict = Verdict::NotRun(Micros(0));
+                self.answer(id, verdict, now, |id| Frame::Refused { id, wait, refusal, scope });
+            }
+        }
+        Ok(())
+    }
+
+    /// The buffer looks at all that it was told. Returns when it wants to look again.
+    pub(super) fn settle_buffer(&mut self, now: Micros) -> Option<Micros> {
+        loop {
+            let (wake, actions) = self.write_back.as_mut()?.settle(now);
+            if actions.is_empty() {
+                return wake;
+            }
+            actions.into_iter().for_each(|action| self.carry_out(action, now));
+        }
+    }
+
+    fn carry_out(&mut self, action: Action, now: Micros) {
+        let request = |handle: WriteHandle| RequestId(handle.0);
+        match action {
+            Action::Store(batch) => self.plumbing.command(Command::StoreWriteBack(batch)),
+            Action::Buffered(handle) => self.acknowledge_buffered(request(handle), now),
+            Action::Through(handle) => self.pass_on(request(handle)),
+            Action::Refused { handle, wait } => self.reject_write(request(handle), wait, now),
+            Action::Barred(handle) => {
+                self.answer(request(handle), Verdict::Served, now, |id| Frame::Barred { id });
+            }
+            Action::Flushed(handle) => {
+                self.answer(request(handle), Verdict::Served, now, |id| Frame::Flushed { id });
+            }
+            Action::Send { id, write, level, until } => self.start_write_out(id, write, level, until, now),
+            Action::Withdraw(id) => self.withdraw_write_out(id, now),
+        }
+    }
+
+    fn acknowledge_buffered(&mut self, id: RequestId, now: Micros) {
+        debug!(request = id.0, "buffered");
+        self.counts.buffered += 1;
+        self.answer(id, Verdict::Served, now, |id| Frame::Buffered { id });
+    }
+
+    fn reject_write(&mut self, id: RequestId, wait: Micros, now: Micros) {
+        let wait = u32::try_from(wait.0).unwrap_or(u32::MAX);
+        let (refusal, scope) = (Refusal::Buffer, Scope::Request);
+        self.counts.turned_away += 1;
+        self.answer(id, Verdict::NotRun(Micros(0)), now, |id| Frame::Refused { id, wait, refusal, scope });
+    }
+
+    /// The buffer passes a client's request on to its node.
+    fn pass_on(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.with = With::Module { through: true };
+        }
+        if let Some(request) = self.requests.get(id) {
+            let arrival = request.arrival(id, self.module_class(request));
+            self.events.push_back(Event::RequestArrived(arrival));
+        }
+    }
+
+    /// A write-out becomes a request.
+    fn start_write_out(
+        &mut self,
+        id: WriteOutId,
+        write: Write,
+        urgency: Urgency,
+        until: Option<Micros>,
+        now: Micros,
+    ) {
+        let Some(write_back) = &mut self.write_back else { return };
+        let request_id = self.requests.next_id();
+        let class = write_back.start_write_out(id, request_id, write.class, urgency);
+        let deadline = Micros::from_ms(self.brain_classes[class].deadline);
+        let expires_at = until.map_or(now.after(deadline), |until| now.after(deadline).min(until));
+        self.requests.add_volume(VolumeId(write.extent_id.volume));
+        debug!(request = request_id.0, attempt = id.0, level = ?urgency, operation = write.operation, "write-out");
+        let request = Held::write_out(id, write, expires_at);
+        self.events.push_back(Event::RequestArrived(request.arrival(request_id, class)));
+        self.requests.insert(request_id, request);
+        self.plumbing.at(expires_at, Timer::Deadline(request_id));
+    }
+
+    /// Takes back a write-out that waits with the module at too low a priority, if none of it was sent.
+    fn withdraw_write_out(&mut self, id: WriteOutId, now: Micros) {
+        let Some(write_back) = &mut self.write_back else { return };
+        let Some(request) = write_back.request_of(id) else { return };
+        if self.requests.get(request).is_some_and(|r| r.attempts == 0) {
+            write_back.withdraw(id, now);
+            if let Some(removed) = self.requests.remove(request) {
+                self.plumbing.cancel(removed.expires_at, Timer::Deadline(request));
+            }
+            self.events.push_back(Event::ClientGone(request));
+        }
+    }
+
+    /// A request's deadline has come. False: the buffer does not have it.
+    pub(super) fn expire_in_buffer(&mut self, id: RequestId, now: Micros) -> bool {
+        let is_here = self.requests.get(id).is_some_and(|r| r.with == With::Buffer && r.owner.is_some());
+        let Some(write_back) = self.write_back.as_mut().filter(|_| is_here) else { return false };
+        match write_back.expire(id, now) {
+            Expired::Buffered => self.acknowledge_buffered(id, now),
+            // Passed on, and the module has not heard of it: it has not run either.
+            Expired::Refuse | Expired::Elsewhere => {
+                let wait = Micros::from_ms(self.config.site.settings.max_retry_after);
+                self.reject_write(id, wait, now);
+            }
+            Expired::Fail => self.fail(id, now),
+        }
+        true
+    }
+
+    /// A node's answer to a read, with what is buffered laid over it.
+    pub(super) fn merge_buffered(&mut self, id: RequestId, mut data: Vec<u8>, now: Micros) -> Vec<u8> {
+        if let Some(write_back) = &mut self.write_back {
+            write_back.merge(id, &mut data, now);
+        }
+        data
+    }
+
+    /// The buffer's metrics for a client.
+    pub(super) fn send_buffer_status(&mut self, conn: ConnId, id: u64, now: Micros) {
+        let json = self.buffer_status(now).map_or_else(|| "{}".to_owned(), |status| status_json(&status));
+        self.plumbing.push(conn, &Frame::Status { id, json: json.as_bytes() });
+        self.client_wrote(conn, now);
+    }
+
+    /// Nothing is buffered any more, and what is goes out.
+    pub(super) fn drain_buffer(&mut self, now: Micros) {
+        if let Some(write_back) = &mut self.write_back {
+            write_back.drain();
+            let s = write_back.status(now);
+            info!(
+                writes = s.writes,
+                bytes = s.bytes,
+                "what is buffered goes out; what is left stays in the log"
+            );
+        }
+    }
+
+    /// Whether the buffer has nothing more to bring anywhere.
+    pub(super) fn buffer_drained(&self) -> bool {
+        self.write_back.as_ref().is_none_or(WriteBackCoordinator::is_drained)
+    }
+}
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -1,9 +1,11 @@
 //! Clients: their greeting, their submissions, and the bounds that keep one from harming the others.
 
+use super::Core;
+use super::admission::Admission;
 use super::http_server::Origin;
 use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
-use super::requests::{Held, With};
-use super::{Core, Phase};
+use super::requests::{Held, Verdict, With};
+use super::shutdown::Phase;
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::{Event, RequestId, VolumeId};
 use flaxstand_proto::{
@@ -30,7 +32,7 @@
 impl Core {
     pub(super) fn client_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         // The cheapest refusal: nothing is kept of a client that is told to come back.
-        let refusal = match self.phase {
+        let refusal = match self.shutdown.phase() {
             _ if self.on_platform() => return self.http_accepted(now),
             Phase::Running if self.clients.len() >= self.config.bounds.clients => {
                 Some((CloseReason::Bound, Micros(0), "as many clients as may be"))
@@ -40,7 +42,7 @@
                 let turn = self.arrivals.comes(now, draw);
                 turn.map(|wait| (CloseReason::Turn, wait, "many come at once"))
             }
-            Phase::Leaving | Phase::Stopping | Phase::Stopped => {
+            Phase::Draining | Phase::Stopping | Phase::Stopped => {
                 Some((CloseReason::Stopping, Micros(0), "stopping"))
             }
         };
@@ -133,7 +135,7 @@
         self.counts.taken += 1;
         let bounds = &self.config.bounds;
         let new_volume = volume.is_some_and(|v| !self.requests.knows_volume(v));
-        let refusal = if matches!(self.phase, Phase::Stopping | Phase::Stopped) {
+        let refusal = if matches!(self.shutdown.phase(), Phase::Stopping | Phase::Stopped) {
             Some((Refusal::Stopping, Scope::All))
         } else if self.requests.len() >= bounds.held {
             Some((Refusal::Held, Scope::All))
@@ -160,7 +162,7 @@
         }
         let time_left = Micros(time_left.into()).since(self.config.site.waits.answer);
         let expires_at = now.after(time_left);
-        Ok(Some((id, self.answer_by.map_or(expires_at, |by| expires_at.min(by)))))
+        Ok(Some((id, self.shutdown.deadline(expires_at))))
     }
 
     fn take_request(&mut self, id: RequestId, held: Held, s: &Submit<'_>, now: Micros) {
@@ -168,8 +170,8 @@
         debug!(request = id.0, owner = ?held.owner, class = s.class, shard = s.shard, "taken");
         self.requests.insert(id, held);
         self.plumbing.at(expires_at, Timer::Deadline(id));
-        let Some(class) = self.gate(id, now) else { return };
-        if !self.offer(id, s, now)
+        let Some(class) = self.pass_admission_gate(id, now) else { return };
+        if !self.offer_to_buffer(id, s, now)
             && let Some(held) = self.requests.get(id)
         {
             self.events.push_back(Event::RequestArrived(held.arrival(id, class)));
@@ -240,3 +242,45 @@
         }
     }
 }
+
+impl Core {
+    /// Asks the admission gate about a client's attempt. Returns the module's class for it; none: it is rejected.
+    fn pass_admission_gate(&mut self, id: RequestId, now: Micros) -> Option<usize> {
+        let request = self.requests.get(id)?;
+        let class = usize::from(request.class);
+        let Some(gate) = &mut self.gate else { return Some(class) };
+        match gate.admit(id, request, now) {
+            Admission::FirstAttempt => Some(class),
+            Admission::Retry => {
+                let class = gate.retry_class(class);
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.repeats = true;
+                }
+                Some(class)
+            }
+            Admission::Rejected { wait, scope } => {
+                self.reject_retry(id, wait, scope, now);
+                None
+            }
+        }
+    }
+
+    fn reject_retry(&mut self, id: RequestId, wait: Micros, scope: Scope, now: Micros) {
+        self.counts.damped += 1;
+        if let Some(request) = self.requests.get_mut(id) {
+            // The throttle counted it when it arrived.
+            request.told = true;
+        }
+        let (wait, refusal) = (u32::try_from(wait.0).unwrap_or(u32::MAX), Refusal::Storm);
+        self.answer(id, Verdict::NotRun(Micros(0)), now, |id| Frame::Refused { id, wait, refusal, scope });
+    }
+
+    /// The module's class of a request.
+    pub(super) fn module_class(&self, request: &Held) -> usize {
+        let class = usize::from(request.class);
+        match &self.gate {
+            Some(gate) if request.repeats => gate.retry_class(class),
+            _ => class,
+        }
+    }
+}
--- a/crates/flaxstand-gateway/src/core/decider.rs
+++ b/crates/flaxstand-gateway/src/core/decider.rs
@@ -1,7 +1,9 @@
 //! Who decides: the decision module, or a baseline in its place for measurements.
 
+use super::admission::add_retry_classes;
 use super::pipe::{Pipe, Placement};
-use super::{Config, Policy, storms, writeback};
+use super::write_out_classes::with_write_out_classes;
+use super::{Config, Policy};
 use crate::machine::Micros;
 use flaxstand::api::{Action, Event, Settings};
 use flaxstand::scheduler::Scheduler;
@@ -47,11 +49,11 @@
 /// What the module is told: the site's settings, and classes for write-outs and repeats after the site's own.
 pub(super) fn module_settings(config: &Config) -> Settings {
     let mut settings = match &config.site.write_back {
-        Some(_) => writeback::with_write_outs(&config.site.settings),
+        Some(_) => with_write_out_classes(&config.site.settings),
         None => config.site.settings.clone(),
     };
     if let Some(rules) = &config.site.storm {
-        storms::with_repeats(&mut settings, config.site.classes.len(), rules);
+        add_retry_classes(&mut settings, config.site.classes.len(), rules);
     }
     settings
 }
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -3,7 +3,7 @@
 use super::Core;
 use super::agreement::Fellow;
 use super::plumbing::{Peer, Protocol, Stage};
-use super::writeback::Mark;
+use super::write_back::Mark;
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::Outcome;
 use flaxstand_proto::{CloseReason, Frame, Hello, Role, VERSION, VERSION_OLDEST};
@@ -98,7 +98,7 @@
                 self.submitted_mark(conn, id, Mark::Flush(volume), time_left, now)
             }
             (Peer::Client(_), Frame::AskStatus { id }) if stage == Stage::Open => {
-                self.asked_status(conn, id, now);
+                self.send_buffer_status(conn, id, now);
                 Ok(())
             }
             (Peer::Node(node), Frame::Welcome(w)) if stage == Stage::Greeting => {
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -5,10 +5,11 @@
 //! behind a request wait until it is answered and the answer written, so that a client that sends without
 //! reading holds up only itself.
 
+use super::Core;
 use super::clients::Client;
 use super::connection_slots::SILENT_EVICTABLE_AFTER;
 use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
-use super::{Core, Phase};
+use super::shutdown::Phase;
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand_http::{BODY_MOST, Request, Requests, write_answer};
 use flaxstand_platform::{ClientRequest, READY, Terms};
@@ -83,7 +84,7 @@
 
     pub(super) fn http_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         // While the process stops it listens no more; who had connected before that is told so once it has asked.
-        let open = self.phase != Phase::Stopped;
+        let open = self.shutdown.phase() != Phase::Stopped;
         if !open || self.clients.len() >= self.config.bounds.clients && !self.evict_client(now) {
             debug!(clients = self.clients.len(), "client turned away");
             let mut bytes = Vec::new();
@@ -174,7 +175,7 @@
     /// A whole request came.
     fn asked(&mut self, conn: ConnId, request: Request, now: Micros) {
         if request.target == READY {
-            let ready = self.phase == Phase::Running && self.nodes.any_serves();
+            let ready = self.shutdown.phase() == Phase::Running && self.nodes.any_serves();
             return self.respond(conn, if ready { 200 } else { 503 }, &[], b"", now);
         }
         let settings = &self.config.site.settings;
@@ -266,7 +267,7 @@
         body: &[u8],
         now: Micros,
     ) {
-        let stays = self.phase != Phase::Stopping;
+        let stays = self.shutdown.phase() != Phase::Stopping;
         let Some(http) = self.http(conn) else { return };
         if !stays && http.flow == Flow::Open {
             http.flow = Flow::LastAnswer;
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -5,7 +5,10 @@
 use super::http_server::Origin;
 use super::plumbing::{Peer, Timer};
 use crate::machine::{ConnId, Micros};
-use flaxstand::api::{Action, AttemptEnd, AttemptNo, Event, NodeId, Outcome, RequestId};
+use flaxstand::api::{
+    Action, Arrival, AttemptEnd, AttemptNo, ClassId, Event, Key, NodeId, Outcome, PlanId, RequestId, ShardId,
+    VolumeId,
+};
 use flaxstand_proto::{Frame, Refusal, Scope, Submit};
 use flaxstand_write_back::{ExtentId, Write, WriteOutId};
 use tracing::{debug, error};
@@ -183,6 +186,23 @@
     }
 }
 
+impl Held {
+    /// What the module is told of it; `class` is the module's.
+    pub(super) fn arrival(&self, id: RequestId, class: usize) -> Arrival {
+        Arrival {
+            id,
+            class: ClassId(class),
+            plan: PlanId(self.plan.into()),
+            key: self.extent.map(Key),
+            expires_at: self.expires_at.ms(),
+            volume: VolumeId(self.volume),
+            units: self.units.into(),
+            shard: self.shard.map(|shard| ShardId(shard.into())),
+            volume_initiators: u32::from(self.volume_initiators.max(1)),
+        }
+    }
+}
+
 impl Core {
     /// Does what the module wants done.
     pub(super) fn perform(&mut self, actions: &mut Vec<Action>, now: Micros) {
@@ -197,7 +217,7 @@
                 Action::Probe { node } => self.probe(node, now),
                 Action::Reject { request, retry_after } => {
                     let advised = Micros::from_ms(retry_after);
-                    let wait = u32::try_from(self.advice(advised).0).unwrap_or(u32::MAX);
+                    let wait = u32::try_from(self.retry_after(advised).0).unwrap_or(u32::MAX);
                     debug!(request = request.0, wait_us = wait, "refused");
                     self.counts.refused += u64::from(self.of_client(request));
                     let (refusal, scope) = (Refusal::Load, Scope::Request);
@@ -217,6 +237,11 @@
         }
     }
 
+    /// The Retry-After that a client is told.
+    fn retry_after(&mut self, of_module: Micros) -> Micros {
+        self.gate.as_mut().map_or(of_module, |gate| gate.retry_after(of_module))
+    }
+
     /// Whether a client waits for it; else the buffer, or nobody.
     fn of_client(&self, id: RequestId) -> bool {
         self.requests.get(id).is_some_and(|r| matches!(r.owner, Some(Owner::Client(..))))
@@ -289,7 +314,7 @@
         if held.owner.is_some() {
             let gathered = std::mem::take(&mut held.gathered.1);
             let laid_over = held.merge.map(|_| [&gathered[..], payload].concat());
-            let laid_over = laid_over.map(|data| self.merged(id, &data, now));
+            let laid_over = laid_over.map(|data| self.merge_buffered(id, data, now));
             let payload = laid_over.as_deref().unwrap_or(payload);
             self.counts.served += u64::from(self.of_client(id));
             self.answer(id, Verdict::Served, now, |id| Frame::Served { id, shard, payload });
@@ -355,7 +380,7 @@
     /// The client is about to give up: what is out is not waited for any longer, and what the module has
     /// not ended by now is ended here, so that a fault of its own costs no client its answer.
     pub(super) fn deadline(&mut self, id: RequestId, now: Micros) {
-        if self.expire_here(id, now) {
+        if self.expire_in_buffer(id, now) {
             return;
         }
         let Some(held) = self.requests.get(id) else { return };
@@ -382,8 +407,12 @@
     pub(super) fn forget(&mut self, id: RequestId, now: Micros) {
         if let Some(held) = self.requests.remove_if_finished(id) {
             self.plumbing.cancel(held.expires_at, Timer::Deadline(id));
-            self.tell_gate(&held, now);
-            self.over(id, &held, now);
+            if let Some(gate) = &mut self.gate {
+                gate.record_end(&held, now);
+            }
+            if let Some(write_back) = &mut self.write_back {
+                write_back.record_end(id, &held, now);
+            }
         }
     }
 }
--- /dev/null
+++ b/crates/flaxstand-gateway/src/core/write_back_status.rs
@@ -0,0 +1,35 @@
+//! The write-back buffer's metrics as clients are told them.
+
+use flaxstand_write_back::Status;
+
+/// Metrics as a JSON object. Names carry their units.
+pub(super) fn status_json(s: &Status) -> String {
+    let mut out = String::from("{");
+    let metrics: [(&str, u64); 20] = [
+        ("writes", s.writes as u64),
+        ("bytes", s.bytes),
+        ("bytes_most", s.bytes_most),
+        ("log_bytes", s.log_bytes),
+        ("oldest_us", s.oldest.0),
+        ("parked", s.parked as u64),
+        ("waiting", s.waiting as u64),
+        ("failing", s.failing.into()),
+        ("out", s.out as u64),
+        ("acknowledged_total", s.acknowledged),
+        ("turned_through_total", s.turned_through),
+        ("written_out_total", s.written_out),
+        ("write_outs_total", s.write_outs),
+        ("repeats_total", s.repeats),
+        ("replayed_total", s.replayed),
+        ("syncs_total", s.log.syncs),
+        ("records_total", s.log.records),
+        ("written_bytes_total", s.log.bytes),
+        ("failures_total", s.log.failures),
+        ("buffering", 1),
+    ];
+    for (i, (name, value)) in metrics.iter().enumerate() {
+        out.push_str(if i > 0 { ", " } else { "" });
+        out.push_str(&format!("\"{name}\": {value}"));
+    }
+    out + "}"
+}
--- /dev/null
+++ b/crates/flaxstand-gateway/src/core/write_out_classes.rs
@@ -0,0 +1,66 @@
+//! What the decision module and the write-back buffer are told of write-outs, from the site's settings.
+
+use super::config::{Site, WriteBack};
+use crate::machine::Micros;
+use flaxstand::api::{Class, Effect, RetryBudget, Settings};
+use flaxstand_write_back::Config;
+use flaxstand_write_back::buffer::BufferingMode;
+use flaxstand_write_back::record::WallClock;
+use flaxstand_write_back::writeout::{Urgency, WriteOutRetryBudget};
+
+/// The module's class of a write-out, which follow the site's own.
+pub(super) fn write_out_class(site_classes: usize, class: u16, urgency: Urgency) -> usize {
+    site_classes + usize::from(class) * Urgency::ALL.len() + urgency as usize
+}
+
+/// Adds the module's classes for write-outs: after the site's classes, one for each of them and each urgency.
+pub(super) fn with_write_out_classes(settings: &Settings) -> Settings {
+    let max_weight = settings.classes.iter().map(|c| c.priority_weight).fold(0.0, f64::max);
+    let by_urgency = |class| Urgency::ALL.map(|urgency| class_at_urgency(class, urgency, max_weight));
+    let write_out_classes: Vec<Class> = settings.classes.iter().flat_map(by_urgency).collect();
+    let mut settings = settings.clone();
+    settings.classes.extend(write_out_classes);
+    settings
+}
+
+/// A class as write-outs of this urgency have it: priority in parts of the class's, latency objective in multiples
+/// of it. At the last urgency they have as much priority as anything has.
+fn class_at_urgency(class: &Class, urgency: Urgency, max_weight: f64) -> Class {
+    let (priority_weight, latency_factor) = match urgency {
+        Urgency::Idle => (class.priority_weight * 0.05, 4.0),
+        Urgency::Rising => (class.priority_weight * 0.3, 2.0),
+        Urgency::High => (class.priority_weight, 1.0),
+        Urgency::Urgent => (max_weight, 1.0),
+    };
+    let latency_objective = class.latency_objective * latency_factor;
+    Class {
+        priority_weight,
+        latency_objective,
+        deadline: class.deadline.max(latency_objective),
+        // No client waits for it: it is worth as much after the objective as before.
+        late_value: 1.0,
+        ..class.clone()
+    }
+}
+
+/// The buffer's configuration. `calendar`: the host's calendar at the start, microseconds.
+pub(super) fn buffer_config(write_back: &WriteBack, site: &Site, calendar: u64) -> Config {
+    let buffering = |(info, class): (&super::ClassInfo, &Class)| match (info.buffered, class.effect) {
+        (true, Effect::Idempotent) => BufferingMode::Repeatable,
+        (true, Effect::IdempotencyKey { window, .. }) => BufferingMode::Keyed(Micros::from_ms(window)),
+        (true, Effect::AtMostOnce) | (false, _) => BufferingMode::Never,
+    };
+    let retry_budget = |b: RetryBudget| WriteOutRetryBudget {
+        floor: b.floor,
+        ratio: b.ratio,
+        span: Micros::from_ms(b.span),
+    };
+    Config {
+        rules: write_back.rules.clone(),
+        refusal_wait: Micros::from_ms(site.settings.max_retry_after),
+        key_cooldown: Micros::from_ms(site.settings.key_cooldown),
+        classes: site.classes.iter().zip(&site.settings.classes).map(buffering).collect(),
+        repeats: site.settings.retry_budget.map(retry_budget),
+        calendar: WallClock(calendar),
+    }
+}
