--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -7,9 +7,10 @@
 //! - [`requests`]: a request's life from its arrival to its one answer
 //! - [`endpoint_table`]: what is listed; [`nodes`]: connections to storage nodes, attempts on them
 //! - [`first_byte`]: the gate that the first byte of an attempt passes
-//! - [`storms`]: repeats told from first tries, and damped
+//! - [`admission`]: retries told from first attempts, and throttled under overload
 //! - [`agreement`]: words between initiators, and the rules that hold now
-//! - [`writeback`]: the write-back buffer's place between clients and the module
+//! - [`write_back`]: the write-back buffer; [`buffered_requests`]: its place between clients and the module
+//! - [`shutdown`]: from the request to stop until the exit
 //! - [`decider`]: the decision module, or a baseline in its place
 //! - [`figures`]: what is counted and held
 //! - [`discovery`]: the client of the discovery service, and the list cached for the next start;
@@ -18,20 +19,24 @@
 //! Peers speak frames, or the platform's HTTP/1.1 ([`Wire`]). A request's life is the same for both; three
 //! places differ:
 //!
-//! - [`http_server`]: clients that ask one request at a time of a connection; [`client_places`]: who gives way
+//! - [`http_server`]: clients that ask one request at a time of a connection; [`connection_slots`]: who gives way
 //! - [`pool`]: connections to a node that carry one request each; [`upstream_pool`]: which there are, and what for
 //! - [`discovery::platform_poll`]: the endpoint list, by calls that wait for changes
 
+mod admission;
 mod agreement;
 mod backoff;
-mod client_places;
+mod buffered_requests;
+mod client_registry;
 mod clients;
 mod config;
+mod connection_slots;
 mod decider;
 mod discovery;
 mod dispatch;
 mod endpoint_events;
 mod endpoint_table;
+mod evaluation_schedule;
 mod figures;
 mod first_byte;
 mod http_server;
@@ -39,10 +44,13 @@
 mod pipe;
 mod plumbing;
 mod pool;
+mod request_table;
 mod requests;
-mod storms;
+mod shutdown;
 mod upstream_pool;
-mod writeback;
+mod write_back;
+mod write_back_status;
+mod write_out_classes;
 
 pub use backoff::Backoff;
 pub use config::{Bounds, ClassInfo, Config, ConsensusConfig, Policy, Site, Timeouts, Wire, WriteBack};
@@ -50,40 +58,26 @@
 pub use figures::{Counts, Footprint};
 
 use crate::machine::{Command, ConnId, Control, Machine, Micros};
+use admission::AdmissionGate;
 use agreement::Agreed;
-use client_places::ClientPlaces;
+use client_registry::ClientRegistry;
 use decider::{Decider, module_settings};
 use discovery::EndpointDiscovery;
 use endpoint_table::EndpointTable;
+use evaluation_schedule::EvaluationSchedule;
 use first_byte::ListTrust;
-use flaxstand::api::{Class, Event, RequestId, VolumeId};
-use flaxstand_overload::ConnectionRateLimiter;
+use flaxstand::api::{Class, Event};
+use flaxstand_overload::{ConnectionRateLimiter, RetryDetectionCounts};
 use flaxstand_proto::CloseReason;
-use plumbing::{Conn, Peer, Plumbing, Protocol, Stage, Timer};
+use plumbing::{Peer, Plumbing, Protocol, Stage, Timer};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use requests::Held;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use storms::Gate;
-use tracing::{info, warn};
+use request_table::RequestTable;
+use shutdown::Shutdown;
+use std::collections::VecDeque;
+use tracing::info;
 use upstream_pool::UpstreamPool;
-use writeback::Back;
-
-/// How far the process is in its life.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
-    Running,
-    /// A stop was asked for, and clients that do not know yet are still served as before.
-    Leaving,
-    /// No new requests; what is held is answered, then the process ends.
-    Stopping,
-    Stopped,
-}
-
-/// Wakes that the module may have asked for, most. The latest are forgotten first: it counts on the earliest.
-const WAKES_MOST: usize = 256;
-/// Answers leave this long before a stop has lasted long enough.
-const STOP_MARGIN: Micros = Micros(50_000);
+use write_back::WriteBackCoordinator;
 
 /// The initiator's core.
 pub struct Core {
@@ -91,37 +85,24 @@
     decider: Decider,
     /// Classes that the module was told of: the site's, and after them those of write-outs, if there are any.
     brain_classes: Vec<Class>,
-    back: Option<Back>,
+    write_back: Option<WriteBackCoordinator>,
     agreed: Option<Agreed>,
-    gate: Option<Gate>,
+    gate: Option<AdmissionGate>,
     arrivals: ConnectionRateLimiter,
     rng: Pcg64Mcg,
     plumbing: Plumbing,
-    clients: usize,
-    /// Clients that speak HTTP, in the order in which they give way to new ones.
-    places: ClientPlaces,
-    requests: BTreeMap<RequestId, Held>,
-    next_request: u64,
+    clients: ClientRegistry,
+    requests: RequestTable,
     nodes: EndpointTable,
     upstream: UpstreamPool,
-    /// Ids under which clients of the platform have requests here.
-    open_ids: BTreeSet<String>,
     /// Names of classes, in the order of the module's.
     class_names: Vec<String>,
-    volumes: BTreeSet<VolumeId>,
     discovery: EndpointDiscovery,
     list_trust: ListTrust,
     /// Events for the module that its own actions caused, or that came since it last decided.
     events: VecDeque<Event>,
-    /// When the module asked to be woken: each of these comes, as on the simulator's wire. Guards against a wake that is
-    /// lost where two are asked for: at the first the module counts on the second, and asks for none.
-    wakes: BTreeSet<Micros>,
-    /// Something was told to the module that it has not decided on.
-    undecided: bool,
-    decided_at: Option<Micros>,
-    phase: Phase,
-    /// Once a stop was asked for: when the last answer must have left.
-    answer_by: Option<Micros>,
+    evaluation: EvaluationSchedule,
+    shutdown: Shutdown,
     counts: Counts,
 }
 
@@ -134,7 +115,7 @@
         let settings = module_settings(&config);
         let gate = config.site.storm.map(|rules| {
             let classes = settings.classes.len() - config.site.classes.len();
-            Gate::new(rules, classes, config.seed ^ config.epoch.rotate_left(17), now)
+            AdmissionGate::new(rules, classes, config.seed ^ config.epoch.rotate_left(17), now)
         });
         let brain_classes = settings.classes.clone();
         let decider = Decider::new(&config, settings, now);
@@ -144,7 +125,7 @@
             rng: Pcg64Mcg::seed_from_u64(config.seed.wrapping_add(config.epoch)),
             decider,
             brain_classes,
-            back: None,
+            write_back: None,
             agreed: None,
             gate,
             arrivals: ConnectionRateLimiter::new(config.bounds.arrivals, now),
@@ -152,21 +133,14 @@
             list_trust: ListTrust::default(),
             config,
             plumbing: Plumbing::default(),
-            clients: 0,
-            places: ClientPlaces::default(),
-            requests: BTreeMap::new(),
-            next_request: 0,
+            clients: ClientRegistry::default(),
+            requests: RequestTable::default(),
             nodes: EndpointTable::default(),
             upstream: UpstreamPool::default(),
-            open_ids: BTreeSet::new(),
             class_names,
-            volumes: BTreeSet::new(),
             events: VecDeque::new(),
-            wakes: BTreeSet::new(),
-            undecided: true,
-            decided_at: None,
-            phase: Phase::Running,
-            answer_by: None,
+            evaluation: EvaluationSchedule::new(),
+            shutdown: Shutdown::default(),
             counts: Counts::default(),
         };
         if let Some(saved) = saved {
@@ -195,7 +169,7 @@
         Footprint {
             conns: self.plumbing.len(),
             requests: self.requests.len(),
-            ids: self.open_ids.len(),
+            ids: self.requests.client_ids(),
             nodes: self.nodes.len(),
             timers: self.plumbing.timers(),
             partial_bytes: self.plumbing.partial_bytes + self.plumbing.answer_bytes,
@@ -215,7 +189,12 @@
 
     /// Client connections now.
     pub fn clients(&self) -> usize {
-        self.clients
+        self.clients.len()
+    }
+
+    /// How retries were told from first attempts, where overload is met.
+    pub fn repeats_judged(&self) -> Option<RetryDetectionCounts> {
+        self.gate.as_ref().map(AdmissionGate::attempt_counts)
     }
 
     fn on_platform(&self) -> bool {
@@ -228,15 +207,14 @@
         // What the actions cause in turn is told at the next turn: the work of one turn is bounded.
         for event in std::mem::take(&mut self.events) {
             self.decider.handle(event, now, &mut actions);
-            self.undecided = true;
+            self.evaluation.request();
         }
         self.perform(&mut actions, now);
     }
 
     /// The module looks at all that it was told.
     fn decide(&mut self, now: Micros) {
-        self.undecided = false;
-        self.decided_at = Some(now);
+        self.evaluation.started(now);
         let mut actions = Vec::new();
         self.decider.handle(Event::Evaluate, now, &mut actions);
         self.perform(&mut actions, now);
@@ -264,67 +242,6 @@
             Timer::StopEnds => self.stop_ends(now),
         }
     }
-
-    fn stop(&mut self, now: Micros) {
-        if self.phase == Phase::Running {
-            let waits = &self.config.site.waits;
-            self.plumbing.at(now.after(waits.stop), Timer::StopEnds);
-            self.plumbing.at(now.after(waits.stop_grace), Timer::GraceEnds);
-            info!(held = self.requests.len(), grace_ms = waits.stop_grace.ms(), "stopping");
-            self.phase = Phase::Leaving;
-            self.answer_by = Some(now.after(waits.stop.since(STOP_MARGIN)));
-            if waits.stop_grace == Micros(0) {
-                self.stop_accepting(now);
-            }
-        }
-    }
-
-    /// No new requests from now on; what is held is answered.
-    fn stop_accepting(&mut self, now: Micros) {
-        if self.phase == Phase::Leaving {
-            self.phase = Phase::Stopping;
-            self.plumbing.command(Command::StopListening);
-            self.drain_buffer(now);
-            self.part_with_clients(now);
-        }
-    }
-
-    /// All that was held has been answered and read by its client. One that speaks HTTP has read when it closes in
-    /// its turn: over what it still sends, a close from here would take its answer with it.
-    fn stopped(&self) -> bool {
-        let owed = |(_, c): (ConnId, &Conn)| {
-            matches!(c.protocol, Protocol::HttpServer(_))
-                || matches!(c.peer, Peer::Client(_)) && !c.outbox.is_empty()
-        };
-        self.requests.values().all(|r| r.owner.is_none())
-            && !self.plumbing.iter().any(owed)
-            && self.buffer_drained()
-    }
-
-    fn stop_ends(&mut self, now: Micros) {
-        let owed: Vec<RequestId> =
-            self.requests.iter().filter(|(_, r)| r.owner.is_some()).map(|(id, _)| *id).collect();
-        warn!(owed = owed.len(), "the stop has lasted long enough: what is still held is failed");
-        owed.into_iter().for_each(|id| self.fail(id, now));
-        self.exit(now);
-    }
-
-    fn exit(&mut self, now: Micros) {
-        if self.phase != Phase::Stopped {
-            self.phase = Phase::Stopped;
-            // Until then it acts, and needs its lease.
-            self.leave_agreement(now);
-            let conns: Vec<ConnId> = self.plumbing.iter().map(|(conn, _)| conn).collect();
-            conns.into_iter().for_each(|conn| self.hang_up(conn, CloseReason::Stopping, "stopping", now));
-            // What was learnt of the nodes since the list last changed is kept for the next start.
-            if self.nodes.listed() > 0 && !self.on_platform() {
-                self.save_all_endpoints(now);
-            }
-            self.plumbing.command(Command::Exit);
-            let (buffer, repeats) = (self.buffer_status(now), self.repeats_judged());
-            info!(counts = ?self.counts(), ?buffer, ?repeats, "stopped");
-        }
-    }
 }
 
 impl Machine for Core {
@@ -407,7 +324,9 @@
     }
 
     fn stored(&mut self, well: bool, now: Micros) {
-        self.batch_stored(well, now);
+        if let Some(write_back) = &mut self.write_back {
+            write_back.stored(well, now);
+        }
     }
 
     fn kept(&mut self, well: bool, now: Micros) {
@@ -440,30 +359,24 @@
             self.fire(timer, now);
         }
         let agreement = self.settle_agreement(now);
-        self.look_at_weather(now);
+        if let Some(gate) = &mut self.gate {
+            gate.log_condition_changes(self.config.site.plans.len() as u16, now);
+        }
         self.settle_buffer(now);
         self.tell(now);
         self.watch_list_trust(now);
         if !self.on_platform() {
             self.save_endpoint_changes(now);
         }
-        let woken = self.wakes.first().is_some_and(|at| *at <= now);
-        // Many requests share one look at all that is held: decisions come at most once a tick.
         let tick = Micros::from_ms(self.config.site.settings.tick);
-        let next = self.decided_at.map_or(now, |at| at.after(tick));
-        if (self.undecided || woken) && now >= next {
-            self.wakes = self.wakes.split_off(&Micros(now.0 + 1));
+        if self.evaluation.take_due(tick, now) {
             self.decide(now);
         }
         let buffer = self.settle_buffer(now);
-        if self.phase == Phase::Stopping && self.stopped() {
-            self.exit(now);
-        }
-        let tick_due = self.decided_at.map_or(now, |at| at.after(tick)).max(Micros(now.0 + 1));
-        let undecided = (self.undecided || !self.events.is_empty()).then_some(tick_due);
-        let woken = self.wakes.first().map(|at| (*at).max(tick_due));
+        self.exit_if_done(now);
+        let evaluation = self.evaluation.next_due(!self.events.is_empty(), tick, now);
         let timer = self.plumbing.next_due();
-        [undecided, woken, timer, buffer, agreement].into_iter().flatten().min()
+        [evaluation, timer, buffer, agreement].into_iter().flatten().min()
     }
 
     fn take_commands(&mut self) -> Vec<Command> {
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -5,7 +5,10 @@
 use super::http_server::Origin;
 use super::plumbing::{Peer, Timer};
 use crate::machine::{ConnId, Micros};
-use flaxstand::api::{Action, AttemptEnd, AttemptNo, Event, NodeId, Outcome, RequestId};
+use flaxstand::api::{
+    Action, Arrival, AttemptEnd, AttemptNo, ClassId, Event, Key, NodeId, Outcome, PlanId, RequestId, ShardId,
+    VolumeId,
+};
 use flaxstand_proto::{Frame, Refusal, Scope, Submit};
 use flaxstand_write_back::{ExtentId, Write, WriteOutId};
 use tracing::{debug, error};
@@ -183,6 +186,23 @@
     }
 }
 
+impl Held {
+    /// What the module is told of it; `class` is the module's.
+    pub(super) fn arrival(&self, id: RequestId, class: usize) -> Arrival {
+        Arrival {
+            id,
+            class: ClassId(class),
+            plan: PlanId(self.plan.into()),
+            key: self.extent.map(Key),
+            expires_at: self.expires_at.ms(),
+            volume: VolumeId(self.volume),
+            units: self.units.into(),
+            shard: self.shard.map(|shard| ShardId(shard.into())),
+            volume_initiators: u32::from(self.volume_initiators.max(1)),
+        }
+    }
+}
+
 impl Core {
     /// Does what the module wants done.
     pub(super) fn perform(&mut self, actions: &mut Vec<Action>, now: Micros) {
@@ -197,7 +217,7 @@
                 Action::Probe { node } => self.probe(node, now),
                 Action::Reject { request, retry_after } => {
                     let advised = Micros::from_ms(retry_after);
-                    let wait = u32::try_from(self.advice(advised).0).unwrap_or(u32::MAX);
+                    let wait = u32::try_from(self.retry_after(advised).0).unwrap_or(u32::MAX);
                     debug!(request = request.0, wait_us = wait, "refused");
                     self.counts.refused += u64::from(self.of_client(request));
                     let (refusal, scope) = (Refusal::Load, Scope::Request);
@@ -210,47 +230,34 @@
                     self.answer(request, Verdict::Failed, now, |id| Frame::Failed { id });
                 }
                 Action::SetTimer { after } => {
-                    // Rounded up: woken a moment early, the module would find nothing due, take the wake that it asked
-                    // for as still to come, and not be woken again.
-                    self.wakes.insert(now.after(Micros::from_ms(after)).after(Micros(1)));
-                    if self.wakes.len() > super::WAKES_MOST {
-                        self.wakes.pop_last();
-                    }
+                    self.evaluation.set_timer(Micros::from_ms(after), now);
                 }
                 Action::PollList => self.request_endpoint_changes(now),
             }
         }
     }
 
-    /// Whether a client waits for it; else the buffer, or nobody.
-    fn of_client(&self, id: RequestId) -> bool {
-        self.requests.get(&id).is_some_and(|r| matches!(r.owner, Some(Owner::Client(..))))
+    /// The Retry-After that a client is told.
+    fn retry_after(&mut self, of_module: Micros) -> Micros {
+        self.gate.as_mut().map_or(of_module, |gate| gate.retry_after(of_module))
     }
 
-    /// An attempt that is out, or waits for its node's connection.
-    pub(super) fn flight(&self, id: AttemptId) -> Option<&Flight> {
-        self.requests.get(&id.request)?.flights.iter().find(|f| f.attempt == id.number)
-    }
-
-    /// An attempt is in a connection's outbox, and ends there.
-    pub(super) fn note_handed(&mut self, id: AttemptId, conn: ConnId, ends: u64) {
-        let flights = self.requests.get_mut(&id.request).map(|r| &mut r.flights);
-        if let Some(flight) = flights.and_then(|f| f.iter_mut().find(|f| f.attempt == id.number)) {
-            flight.handed = Some(HandedOver { conn, ends });
-        }
+    /// Whether a client waits for it; else the buffer, or nobody.
+    fn of_client(&self, id: RequestId) -> bool {
+        self.requests.get(id).is_some_and(|r| matches!(r.owner, Some(Owner::Client(..))))
     }
 
     /// An attempt's connection is no more, after so many bytes were written: if its last was not among them it
     /// can't have run, else it may have.
     pub(super) fn broken_off(&mut self, id: AttemptId, conn: ConnId, written: u64, now: Micros) {
-        let handed = self.flight(id).and_then(|f| f.handed);
+        let handed = self.requests.attempt(id).and_then(|f| f.handed);
         let left = handed.is_some_and(|handed| handed.conn == conn && handed.ends <= written);
         self.end_attempt(id, if left { Outcome::Reset } else { Outcome::ConnectFailed }, now);
     }
 
     /// An attempt, at the module's word.
     fn send(&mut self, request: RequestId, node: NodeId, until: Micros, now: Micros) {
-        let Some(held) = self.requests.get_mut(&request) else {
+        let Some(held) = self.requests.get_mut(request) else {
             error!(request = request.0, "the module sends a request that is not held");
             return;
         };
@@ -271,7 +278,7 @@
     /// An attempt has ended without being served: the module decides what comes next.
     pub(super) fn end_attempt(&mut self, ended: AttemptId, outcome: Outcome, now: Micros) {
         let AttemptId { request: id, number: attempt } = ended;
-        let Some(held) = self.requests.get_mut(&id) else { return };
+        let Some(held) = self.requests.get_mut(id) else { return };
         let Some(at) = held.flights.iter().position(|f| f.attempt == attempt) else { return };
         let flight = held.flights.swap_remove(at);
         // A stream that broke can't be tried again: its client has a part of it.
@@ -289,7 +296,7 @@
             latency,
             is_final,
         }));
-        if is_final && self.requests[&id].owner.is_some() {
+        if is_final && self.requests.is_owed(id) {
             self.fail(id, now);
         }
         self.node_flight_ended(flight.node, ended, now);
@@ -299,7 +306,7 @@
     /// An attempt was served: its client has the answer before the module hears of it.
     pub(super) fn served(&mut self, ended: AttemptId, shard: u32, payload: &[u8], now: Micros) {
         let AttemptId { request: id, number: attempt } = ended;
-        let Some(held) = self.requests.get_mut(&id) else { return };
+        let Some(held) = self.requests.get_mut(id) else { return };
         let Some(at) = held.flights.iter().position(|f| f.attempt == attempt) else { return };
         let flight = held.flights.swap_remove(at);
         let latency = now.since(flight.sent).ms();
@@ -307,7 +314,7 @@
         if held.owner.is_some() {
             let gathered = std::mem::take(&mut held.gathered.1);
             let laid_over = held.merge.map(|_| [&gathered[..], payload].concat());
-            let laid_over = laid_over.map(|data| self.merged(id, &data, now));
+            let laid_over = laid_over.map(|data| self.merge_buffered(id, data, now));
             let payload = laid_over.as_deref().unwrap_or(payload);
             self.counts.served += u64::from(self.of_client(id));
             self.answer(id, Verdict::Served, now, |id| Frame::Served { id, shard, payload });
@@ -335,7 +342,7 @@
         now: Micros,
         frame: impl FnOnce(u64) -> Frame<'a>,
     ) {
-        let Some(held) = self.requests.get_mut(&id) else { return };
+        let Some(held) = self.requests.get_mut(id) else { return };
         let Some(owner) = held.owner.take() else { return };
         held.verdict = verdict;
         held.payload = Vec::new();
@@ -350,7 +357,7 @@
 
     /// Fails a request without the module: it is told that nobody waits any more.
     pub(super) fn fail(&mut self, id: RequestId, now: Micros) {
-        let Some(held) = self.requests.get(&id).filter(|r| r.owner.is_some()) else { return };
+        let Some(held) = self.requests.get(id).filter(|r| r.owner.is_some()) else { return };
         if held.with != With::Buffer {
             self.events.push_back(Event::ClientGone(id));
         }
@@ -360,7 +367,7 @@
 
     /// An attempt is not waited for any longer, and its node told; one never handed over has not run.
     pub(super) fn call_off(&mut self, id: AttemptId, outcome: Outcome, now: Micros) {
-        let Some(handed) = self.flight(id).map(|f| f.handed) else { return };
+        let Some(handed) = self.requests.attempt(id).map(|f| f.handed) else { return };
         if let Some(handed) = handed.filter(|_| self.on_platform()) {
             return self.hang_up_attempt(handed, id, outcome, now);
         }
@@ -373,10 +380,10 @@
     /// The client is about to give up: what is out is not waited for any longer, and what the module has
     /// not ended by now is ended here, so that a fault of its own costs no client its answer.
     pub(super) fn deadline(&mut self, id: RequestId, now: Micros) {
-        if self.expire_here(id, now) {
+        if self.expire_in_buffer(id, now) {
             return;
         }
-        let Some(held) = self.requests.get(&id) else { return };
+        let Some(held) = self.requests.get(id) else { return };
         if held.streaming && held.owner.is_some() {
             return;
         }
@@ -385,12 +392,11 @@
             self.call_off(AttemptId { request: id, number }, Outcome::TimedOut, now);
         }
         self.tell(now);
-        let owed = |core: &Core| core.requests.get(&id).is_some_and(|r| r.owner.is_some());
-        if owed(self) {
+        if self.requests.is_owed(id) {
             // It came with less time than an answer's way takes: the module has not looked at it yet.
             self.decide(now);
         }
-        if owed(self) {
+        if self.requests.is_owed(id) {
             error!(request = id.0, "the module gave no answer in time: failed here");
             self.counts.overdue += 1;
             self.fail(id, now);
@@ -399,16 +405,14 @@
 
     /// Drops a request that is answered and has nothing out.
     pub(super) fn forget(&mut self, id: RequestId, now: Micros) {
-        let over = |held: &Held| held.owner.is_none() && held.flights.is_empty();
-        if self.requests.get(&id).is_some_and(over)
-            && let Some(held) = self.requests.remove(&id)
-        {
+        if let Some(held) = self.requests.remove_if_finished(id) {
             self.plumbing.cancel(held.expires_at, Timer::Deadline(id));
-            if let Some(origin) = &held.origin {
-                self.open_ids.remove(&origin.id);
+            if let Some(gate) = &mut self.gate {
+                gate.record_end(&held, now);
+            }
+            if let Some(write_back) = &mut self.write_back {
+                write_back.record_end(id, &held, now);
             }
-            self.tell_gate(&held, now);
-            self.over(id, &held, now);
         }
     }
 }
