--- a/crates/flaxstand-cli/src/daemon.rs
+++ b/crates/flaxstand-cli/src/daemon.rs
@@ -28,8 +28,15 @@
 }
 
 pub fn run(path: &Path, purpose: Purpose) -> Result<(), Failure> {
-    let Daemon { mut config, mut listen, state, state_age_most, log, files, agreement } =
-        told(read_daemon(&name(path), &read(path)?))?;
+    let Daemon {
+        mut config,
+        mut listen,
+        saved_list: state,
+        max_saved_list_age: state_age_most,
+        write_back_log: log,
+        max_open_files: files,
+        consensus: agreement,
+    } = told(read_daemon(&name(path), &read(path)?))?;
     if let Some(files) = files {
         use rustix::process::{Resource, Rlimit, setrlimit};
         let limit = Rlimit { current: Some(files), maximum: Some(files) };
@@ -57,11 +64,11 @@
         if log.is_none() {
             return Err(Failure::System(format!("{}: no class is buffered", path.display())));
         }
-        config.site.waits.stop = longest;
+        config.site.timeouts.shutdown_timeout = longest;
     }
     let now = clock();
     config.calendar = since.as_micros() as u64 - now.0;
-    config.agreeing = agreement.as_ref().map(|a| a.agreeing.clone());
+    config.consensus = agreement.as_ref().map(|a| a.config.clone());
     let mut core = match Core::new(config.clone(), saved.as_deref(), now) {
         Ok(core) => core,
         Err(cause) => {
@@ -82,13 +89,14 @@
     let serving = matches!(purpose, Purpose::Serve { .. });
     let (mut keeper, mut book) = (None, None);
     if let Some(a) = agreement.filter(|_| serving) {
-        let is_keeper = a.agreeing.keepers.iter().any(|(n, _)| *n == config.name);
-        std::fs::create_dir_all(&a.folder).map_err(system(&format!("cannot make {}", a.folder.display())))?;
-        let file = a.folder.join("book");
+        let is_keeper = a.config.voters.iter().any(|peer| peer.name == config.name);
+        std::fs::create_dir_all(&a.directory)
+            .map_err(system(&format!("cannot make {}", a.directory.display())))?;
+        let file = a.directory.join("book");
         let saved = read_book(&file)?;
         let found = match is_keeper {
             true => {
-                let (storage, found) = open_keeper(&a.folder)?;
+                let (storage, found) = open_keeper(&a.directory)?;
                 keeper = Some(storage);
                 Some(found)
             }
@@ -199,7 +207,9 @@
         let text =
             std::fs::read_to_string(&path).inspect_err(|error| error!(%error, "cannot reload")).ok()?;
         match read_daemon(&name(&path), &text) {
-            Ok(Daemon { config, .. }) => Some(Reloaded { bounds: config.bounds, list: config.list }),
+            Ok(Daemon { config, .. }) => {
+                Some(Reloaded { bounds: config.bounds, list: config.discovery_address })
+            }
             Err(problems) => {
                 error!(%problems, "cannot reload");
                 None
--- a/crates/flaxstand-cli/src/kit.rs
+++ b/crates/flaxstand-cli/src/kit.rs
@@ -90,8 +90,8 @@
     } else {
         let daemon = told(read_daemon(&name.to_string(), &text))?;
         println!("{name}: settings of initiator {}", daemon.config.name);
-        if let Some(a) = daemon.agreement.map(|a| a.agreeing) {
-            tell_terms(path, a.lease.ms(), a.clock_error, a.election.ms());
+        if let Some(a) = daemon.consensus.map(|a| a.config) {
+            tell_terms(path, a.lease_duration.ms(), a.max_clock_drift, a.election_timeout.ms());
         }
     }
     Ok(())
--- a/crates/flaxstand-cli/src/platform.rs
+++ b/crates/flaxstand-cli/src/platform.rs
@@ -6,7 +6,7 @@
 use crate::Failure;
 use crate::daemon::{run_to_end, system};
 use flaxstand::api::{ListScope, Settings};
-use flaxstand_gateway::core::{Bounds, ClassInfo, Config, Core, Policy, Site, Timeouts, Wire};
+use flaxstand_gateway::core::{BackoffBounds, Bounds, ClassInfo, Config, Core, Policy, Site, Timeouts, Wire};
 use flaxstand_gateway::driver::{Driver, Options, Reload, clock};
 use flaxstand_gateway::machine::{Address, Micros, Reloaded};
 use flaxstand_platform::{Configuration, Limits};
@@ -43,10 +43,10 @@
     let memory = usize::try_from(limits.memory_mb << 20).unwrap_or(usize::MAX);
     let clients = sockets / 2;
     Bounds {
-        clients,
-        links: sockets - clients - RESERVE,
-        partial_bytes: memory / 8,
-        answer_bytes: memory / 4,
+        max_clients: clients,
+        max_node_connections: sockets - clients - RESERVE,
+        max_partial_request_bytes: memory / 8,
+        max_response_bytes: memory / 4,
         ..Bounds::default()
     }
 }
@@ -61,16 +61,19 @@
     let killed = longest.min(DEADLINE_MOST) + KILL_AFTER;
     let watch = if settings.poll_within > 0.0 { settings.poll_within / 2.0 } else { WATCH_MOST };
     let waits = Timeouts {
-        dial: ms(c.settings.dial_timeout_ms(), 1.0, d.dial),
+        connect_timeout: ms(c.settings.dial_timeout_ms(), 1.0, d.connect_timeout),
         // Well before the node closes it: what crosses that on its way is lost.
-        idle: ms(c.settings.keepalive_ms(), 0.6, d.idle),
-        watch: Micros::from_ms(watch.min(WATCH_MOST)),
-        list_retry: (Micros::from_ms(CALL_AGAIN.0), Micros::from_ms(CALL_AGAIN.1)),
-        stop_grace: Micros::from_ms(killed - CLOSE_BEFORE),
-        stop: Micros::from_ms(killed - END_BEFORE),
+        node_idle_timeout: ms(c.settings.keepalive_ms(), 0.6, d.node_idle_timeout),
+        max_long_poll: Micros::from_ms(watch.min(WATCH_MOST)),
+        discovery_backoff: BackoffBounds {
+            min: Micros::from_ms(CALL_AGAIN.0),
+            max: Micros::from_ms(CALL_AGAIN.1),
+        },
+        shutdown_grace: Micros::from_ms(killed - CLOSE_BEFORE),
+        shutdown_timeout: Micros::from_ms(killed - END_BEFORE),
         ..d
     };
-    let info = |name: &str| ClassInfo { name: name.into(), stream: false, buffered: false };
+    let info = |name: &str| ClassInfo { name: name.into(), is_streamed: false, is_buffered: false };
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
     Ok(Config {
         name: c.name.clone(),
@@ -78,19 +81,19 @@
         epoch: since,
         calendar: since.saturating_sub(clock().0),
         seed: c.seed,
-        list: Address::Tcp(c.discovery),
+        discovery_address: Address::Tcp(c.discovery),
         site: Site {
             classes: c.settings.classes().map(info).collect(),
             plans: c.settings.plans().map(str::to_owned).collect(),
             settings,
-            waits,
+            timeouts: waits,
             write_back: None,
-            storm: None,
+            retry_throttle: None,
         },
         bounds: bounds(c.limits),
         policy: Policy::Module,
         wire: Wire::Platform,
-        agreeing: None,
+        consensus: None,
     })
 }
 
--- a/crates/flaxstand-cli/src/scale.rs
+++ b/crates/flaxstand-cli/src/scale.rs
@@ -28,7 +28,7 @@
 pub fn hollow(arguments: HollowArgs) -> Result<(), Failure> {
     let HollowArgs { config, first, count } = arguments;
     let mut daemon = told(read_daemon(&config.display().to_string(), &read(&config)?))?;
-    daemon.config.agreeing = daemon.agreement.map(|agreement| agreement.agreeing);
+    daemon.config.consensus = daemon.consensus.map(|agreement| agreement.config);
     let options = HollowOptions { config: daemon.config, first, count };
     serve_hollow(options, &StandIn::default()).map_err(system)
 }
--- a/crates/flaxstand-cli/src/settings.rs
+++ b/crates/flaxstand-cli/src/settings.rs
@@ -23,11 +23,14 @@
 pub fn run(args: SettingsArgs) -> Result<(), Failure> {
     let name = args.config.display().to_string();
     let daemon = told(read_daemon(&name, &read(&args.config)?))?;
-    let agreement = daemon.agreement.ok_or_else(|| {
+    let agreement = daemon.consensus.ok_or_else(|| {
         Failure::System(format!("{name}: no agreement: initiators of this site read their files alone"))
     })?;
-    let others = agreement.agreeing.keepers.iter().chain(&agreement.agreeing.others);
-    let site = Site { all: others.cloned().collect(), keepers: agreement.agreeing.keepers.len() };
+    let others = agreement.config.voters.iter().chain(&agreement.config.other_initiators);
+    let site = Site {
+        all: others.cloned().map(|peer| (peer.name, peer.address)).collect(),
+        keepers: agreement.config.voters.len(),
+    };
     match args.task {
         SettingsTask::Propose { file, dry_run, wait } => {
             let text = read(&file)?;
--- a/crates/flaxstand-gateway/examples/list_costs.rs
+++ b/crates/flaxstand-gateway/examples/list_costs.rs
@@ -277,8 +277,8 @@
         Wire::Platform => on_platform(2_500),
     };
     config.policy = Policy::Pipe;
-    config.bounds = Bounds { nodes: listed as usize, clients: CLIENTS, ..Bounds::default() };
+    config.bounds = Bounds { max_endpoints: listed as usize, max_clients: CLIENTS, ..Bounds::default() };
     config.site.settings.initiators = 4_600;
-    config.site.waits.list_silence = ms(3_600_000);
+    config.site.timeouts.discovery_idle_timeout = ms(3_600_000);
     config
 }
--- a/crates/flaxstand-gateway/src/core/agreement.rs
+++ b/crates/flaxstand-gateway/src/core/agreement.rs
@@ -4,7 +4,7 @@
 
 use super::clients::Fault;
 use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
-use super::{Backoff, Core};
+use super::{Backoff, ConsensusPeer, Core};
 use crate::machine::{Address, Command, ConnId, Micros};
 use crate::settings::settings_of;
 use flaxstand::api::Event;
@@ -67,18 +67,18 @@
         saved: Option<(u64, ReplicatedState)>,
         now: Micros,
     ) {
-        let Some(a) = &self.config.agreeing else { return };
-        let names = |all: &[(String, Address)]| all.iter().map(|(n, _)| n.clone()).collect();
+        let Some(a) = &self.config.consensus else { return };
+        let names = |peers: &[ConsensusPeer]| peers.iter().map(|peer| peer.name.clone()).collect();
         let config = Config {
             name: self.config.name.clone(),
             epoch: self.config.epoch,
-            voters: names(&a.keepers),
-            neighbours: names(&a.others),
-            lease: a.lease,
-            clock_error: a.clock_error,
-            election: a.election,
+            voters: names(&a.voters),
+            neighbours: names(&a.other_initiators),
+            lease: a.lease_duration,
+            clock_error: a.max_clock_drift,
+            election: a.election_timeout,
             seed: self.config.seed ^ self.config.epoch,
-            started_with: a.started_with.clone(),
+            started_with: a.initial_rules.clone(),
             injected_fault: InjectedFault::None,
         };
         let backoff = || Backoff::new(AGAIN.0, AGAIN.1);
@@ -89,8 +89,8 @@
             backoff: backoff(),
             waiting: VecDeque::new(),
         };
-        let others = a.keepers.iter().chain(&a.others).filter(|(n, _)| *n != self.config.name);
-        let calls = others.map(|(n, address)| (n.clone(), call(address))).collect();
+        let others = a.voters.iter().chain(&a.other_initiators).filter(|peer| peer.name != self.config.name);
+        let calls = others.map(|peer| (peer.name.clone(), call(&peer.address))).collect();
         let agreement = Participant::new(config, found, saved, self.config.calendar, now);
         self.agreed = Some(Agreed { agreement, listener, calls, callers: 0 });
         self.plumbing.at(now, Timer::Agreement);
@@ -114,7 +114,7 @@
             Stage::Greeting,
             Protocol::Frames(Inbox::default()),
         );
-        self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Dial(conn));
+        self.plumbing.at(now.after(self.config.site.timeouts.greeting_timeout), Timer::Dial(conn));
         Ok(conn)
     }
 
@@ -277,7 +277,7 @@
     }
 
     fn say_to_peer(&mut self, name: &str, bytes: Vec<u8>, now: Micros) {
-        let by = now.after(self.config.site.waits.dial);
+        let by = now.after(self.config.site.timeouts.connect_timeout);
         let Some(call) = self.agreed.as_mut().and_then(|a| a.calls.get_mut(name)) else { return };
         match call.conn {
             Some(conn) if self.plumbing.is_open(conn) => self.say_to(conn, &bytes),
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -32,7 +32,7 @@
         // The cheapest refusal: nothing is kept of a client that is told to come back.
         let refusal = match self.phase {
             _ if self.on_platform() => return self.http_accepted(now),
-            Phase::Running if self.clients >= self.config.bounds.clients => {
+            Phase::Running if self.clients >= self.config.bounds.max_clients => {
                 Some((CloseReason::Bound, Micros(0), "as many clients as may be"))
             }
             Phase::Running => {
@@ -57,7 +57,7 @@
             Stage::Greeting,
             Protocol::Frames(Inbox::default()),
         );
-        self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Dial(conn));
+        self.plumbing.at(now.after(self.config.site.timeouts.greeting_timeout), Timer::Dial(conn));
         Ok(conn)
     }
 
@@ -136,11 +136,11 @@
         let new_volume = volume.is_some_and(|v| !self.volumes.contains(&v));
         let refusal = if matches!(self.phase, Phase::Stopping | Phase::Stopped) {
             Some((Refusal::Stopping, Scope::All))
-        } else if self.requests.len() >= bounds.held {
+        } else if self.requests.len() >= bounds.max_requests {
             Some((Refusal::Held, Scope::All))
-        } else if client.owed.len() >= bounds.per_client {
+        } else if client.owed.len() >= bounds.max_requests_per_client {
             Some((Refusal::Client, Scope::All))
-        } else if new_volume && self.volumes.len() >= bounds.volumes {
+        } else if new_volume && self.volumes.len() >= bounds.max_volumes {
             Some((Refusal::Held, Scope::Volume))
         } else {
             None
@@ -160,7 +160,7 @@
         if let Some(Conn { peer: Peer::Client(client), .. }) = self.plumbing.get_mut(conn) {
             client.owed.insert(client_id, id);
         }
-        let time_left = Micros(time_left.into()).since(self.config.site.waits.answer);
+        let time_left = Micros(time_left.into()).since(self.config.site.timeouts.response_margin);
         let expires_at = now.after(time_left);
         Ok(Some((id, self.answer_by.map_or(expires_at, |by| expires_at.min(by)))))
     }
@@ -186,10 +186,10 @@
             return self.http_wrote(conn, now);
         }
         let Peer::Client(client) = &mut c.peer else { return };
-        if c.outbox.len() > bounds.client_bytes_most {
+        if c.outbox.len() > bounds.max_client_bytes {
             warn!(conn = conn.0, bytes = c.outbox.len(), "client does not read its answers: disconnected");
             self.hang_up(conn, CloseReason::Bound, "answers are not read", now);
-        } else if c.outbox.len() > bounds.client_bytes && !client.paused {
+        } else if c.outbox.len() > bounds.client_pause_bytes && !client.paused {
             debug!(conn = conn.0, bytes = c.outbox.len(), "client is not read until it has read");
             client.paused = true;
             self.plumbing.command(Command::Flush(conn));
@@ -202,7 +202,7 @@
     pub(super) fn client_read(&mut self, conn: ConnId, now: Micros) {
         let Some(c) = self.plumbing.get_mut(conn) else { return };
         let Peer::Client(client) = &mut c.peer else { return };
-        if client.paused && c.outbox.len() <= self.config.bounds.client_bytes / 2 {
+        if client.paused && c.outbox.len() <= self.config.bounds.client_pause_bytes / 2 {
             client.paused = false;
             self.plumbing.command(Command::Flush(conn));
         }
--- a/crates/flaxstand-gateway/src/core/config.rs
+++ b/crates/flaxstand-gateway/src/core/config.rs
@@ -1,22 +1,22 @@
-//! What the core is told at its start.
+//! What the core is configured with at its start.
 
 use crate::machine::{Address, Micros};
 use flaxstand::api::Settings;
 use flaxstand_overload::ConnectionRateLimit;
 use std::collections::BTreeSet;
 
-/// Which policy decides.
+/// Which policy decides where requests are sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
     /// The decision module.
     #[default]
     Module,
-    /// Everything is sent at once and tried once, new objects to the nodes in turn: a baseline to measure
-    /// against, not for service. So are those below.
+    /// Everything is sent at once, without retries, new objects to the nodes in turn: a baseline to measure against,
+    /// not for service. So are those below.
     Pipe,
-    /// The same, new objects to the node with the fewest requests of this host out.
+    /// The same, new objects to the node with the fewest requests of this host in flight.
     LeastOut,
-    /// The same, new objects to the one of two nodes drawn at random that has fewer out.
+    /// The same, new objects to the one of two nodes drawn at random that has fewer in flight.
     TwoChoices,
 }
 
@@ -29,159 +29,177 @@
         ("two-choices", Policy::TwoChoices),
     ];
 
-    /// Its name.
+    /// Its name in files and on the command line.
     pub fn name(self) -> &'static str {
-        Policy::ALL.iter().find(|(_, p)| *p == self).map_or("module", |(name, _)| name)
+        Policy::ALL.iter().find(|(_, policy)| *policy == self).map_or("module", |(name, _)| name)
     }
 }
 
-/// Bounds on what the core holds. `docs/settings.md` says what happens at each.
+/// Limits of what the core keeps. `docs/settings.md` says what happens at each.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Client connections. One more is told so and closed.
-    pub clients: usize,
-    /// Requests held, answered ones whose attempts still run included. One more is refused at once.
-    pub held: usize,
-    /// Requests of one client connection. One more is refused at once.
-    pub per_client: usize,
-    /// Bytes that wait for one client. Above it the client is not read until it has read.
-    pub client_bytes: usize,
-    /// Bytes that wait for one client, most. Above it the client is disconnected.
-    pub client_bytes_most: usize,
-    /// Bytes that wait for one node. Above it an attempt counts as turned away unseen.
-    pub node_bytes: usize,
+    /// Client connections. One more is rejected with a reason and closed.
+    pub max_clients: usize,
+    /// Pending requests, answered ones whose attempts still run included. One more is rejected at once.
+    pub max_requests: usize,
+    /// Requests of one client connection. One more is rejected at once.
+    pub max_requests_per_client: usize,
+    /// Bytes that wait for one client. Above it nothing is read from the client until it has read.
+    pub client_pause_bytes: usize,
+    /// Bytes that wait for one client. Above it the client is disconnected. At least `client_pause_bytes`.
+    pub max_client_bytes: usize,
+    /// Bytes that wait for one node. Above it an attempt counts as rejected unseen.
+    pub max_node_bytes: usize,
     /// Connections to nodes, where each carries one request. Beyond it the longest idle is closed for a new
     /// one; where none is idle, an attempt ends as never sent.
-    pub links: usize,
-    /// Bytes of requests that are not yet whole, over all clients that speak HTTP. The one whose bytes pass it
-    /// is told so and closed.
-    pub partial_bytes: usize,
-    /// Bytes of answers that are not yet whole, over all nodes that speak HTTP: the one whose bytes pass it is
-    /// taken for spoilt. Again as many may wait for clients to read them; a large one beyond that fails.
-    pub answer_bytes: usize,
-    /// Nodes: on frames those ever listed in the process' life, on the platform those listed or lately gone. One
-    /// more is left out, with a warning.
-    pub nodes: usize,
-    /// Volumes that were ever used in the process' life. A request of one more is refused.
-    pub volumes: usize,
-    /// Clients that are greeted a second, and at once. One more is told when its turn is, and closed.
-    pub arrivals: ConnectionRateLimit,
+    pub max_node_connections: usize,
+    /// Bytes of incomplete requests, over all clients that speak HTTP. The client whose bytes exceed it is rejected
+    /// with a reason and closed.
+    pub max_partial_request_bytes: usize,
+    /// Bytes of incomplete responses, over all nodes that speak HTTP: the connection whose bytes exceed it counts as
+    /// failed. As many again may wait for clients to read them; a large response beyond that fails.
+    pub max_response_bytes: usize,
+    /// Endpoints: on frames those ever listed since the process started, on the platform those listed or lately
+    /// removed. One more is ignored, with a warning.
+    pub max_endpoints: usize,
+    /// Volumes that were ever used since the process started. A request of one more is rejected.
+    pub max_volumes: usize,
+    /// Client connections that are greeted a second, and at once. One more gets a Retry-After and is closed.
+    pub connection_rate: ConnectionRateLimit,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Bounds {
-            clients: 1024,
-            held: 20_000,
-            per_client: 4096,
-            client_bytes: 1 << 20,
-            client_bytes_most: 64 << 20,
-            node_bytes: 8 << 20,
-            links: 1024,
-            partial_bytes: 32 << 20,
-            answer_bytes: 64 << 20,
-            nodes: flaxstand_proto::MAX_ENTRIES,
-            volumes: 1 << 20,
-            arrivals: ConnectionRateLimit::default(),
+            max_clients: 1024,
+            max_requests: 20_000,
+            max_requests_per_client: 4096,
+            client_pause_bytes: 1 << 20,
+            max_client_bytes: 64 << 20,
+            max_node_bytes: 8 << 20,
+            max_node_connections: 1024,
+            max_partial_request_bytes: 32 << 20,
+            max_response_bytes: 64 << 20,
+            max_endpoints: flaxstand_proto::MAX_ENTRIES,
+            max_volumes: 1 << 20,
+            connection_rate: ConnectionRateLimit::default(),
         }
     }
 }
 
-/// Waits of the initiator's own connections.
+/// Bounds of the wait before a retry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BackoffBounds {
+    /// Shortest wait, and the first.
+    pub min: Micros,
+    /// Longest wait.
+    pub max: Micros,
+}
+
+/// Time-outs of the initiator's own connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
     /// A connection that is not open and greeted within this has failed.
-    pub dial: Micros,
+    pub connect_timeout: Micros,
     /// A client that has not greeted within this is disconnected.
-    pub greeting: Micros,
-    /// A node's connection without an attempt is closed after this.
-    pub idle: Micros,
-    /// An answer leaves this long before its client gives up: time for its way.
-    pub answer: Micros,
-    /// Silence of the list service after which it is asked; as long again, and it is called anew.
-    pub list_silence: Micros,
-    /// First and longest wait before the list service is called again.
-    pub list_retry: (Micros, Micros),
-    /// Longest wait that the list service is asked to answer after, where each watch is a call of its own.
-    pub watch: Micros,
-    /// So long after a stop was asked for all is as before: clients are still on their way.
-    pub stop_grace: Micros,
-    /// What is still held this long after a stop was asked for is failed.
-    pub stop: Micros,
+    pub greeting_timeout: Micros,
+    /// A connection to a node that carries no attempt is closed after this.
+    pub node_idle_timeout: Micros,
+    /// A response leaves this long before its client gives up: time for its transfer.
+    pub response_margin: Micros,
+    /// Idle time of the discovery watch after which the full list is requested; after as long again it has stalled.
+    pub discovery_idle_timeout: Micros,
+    /// Wait before the discovery service is called again.
+    pub discovery_backoff: BackoffBounds,
+    /// Longest wait for changes that a polled discovery call asks for.
+    pub max_long_poll: Micros,
+    /// For so long after a stop was requested everything is as before: clients are still on their way.
+    pub shutdown_grace: Micros,
+    /// What is still pending this long after a stop was requested is failed.
+    pub shutdown_timeout: Micros,
 }
 
 impl Default for Timeouts {
     fn default() -> Self {
         let ms = |ms: u64| Micros(ms * 1000);
         Timeouts {
-            dial: ms(250),
-            greeting: ms(2000),
-            idle: ms(15_000),
-            answer: ms(10),
-            list_silence: ms(5000),
-            list_retry: (ms(50), ms(2000)),
-            watch: ms(5000),
-            stop_grace: ms(0),
-            stop: ms(5000),
+            connect_timeout: ms(250),
+            greeting_timeout: ms(2000),
+            node_idle_timeout: ms(15_000),
+            response_margin: ms(10),
+            discovery_idle_timeout: ms(5000),
+            discovery_backoff: BackoffBounds { min: ms(50), max: ms(2000) },
+            max_long_poll: ms(5000),
+            shutdown_grace: ms(0),
+            shutdown_timeout: ms(5000),
         }
     }
 }
 
-/// What only the program needs to know of a class.
+/// What only the gateway needs to know of a class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassInfo {
     /// Its name.
     pub name: String,
-    /// Answers are streamed.
-    pub stream: bool,
-    /// Its writes may be buffered. Its effect is repeatable or keyed then.
-    pub buffered: bool,
+    /// Responses are streamed.
+    pub is_streamed: bool,
+    /// Its writes may be buffered. Its effect is idempotent then, by itself or by a key.
+    pub is_buffered: bool,
 }
 
 /// How writes are buffered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteBack {
-    /// The buffer's bounds and waits.
-    pub rules: flaxstand_write_back::BufferLimits,
+    /// The buffer's limits.
+    pub limits: flaxstand_write_back::BufferLimits,
     /// Only writes of these volumes are buffered; none: of all.
     pub volumes: Option<BTreeSet<u64>>,
 }
 
-/// What a site tells all its initiators.
+/// What all initiators of a site have in common.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
     /// In the order of the module's classes.
     pub classes: Vec<ClassInfo>,
     /// Names of plans, in the order of the module's.
     pub plans: Vec<String>,
-    /// Waits of connections.
-    pub waits: Timeouts,
+    /// Time-outs of connections.
+    pub timeouts: Timeouts,
     /// The write-back buffer, where a class is buffered.
     pub write_back: Option<WriteBack>,
-    /// How storms are met; none: they are not.
-    pub storm: Option<flaxstand_overload::RetryThrottleConfig>,
+    /// How retry storms are throttled; none: they are not.
+    pub retry_throttle: Option<flaxstand_overload::RetryThrottleConfig>,
+}
+
+/// Another participant of the consensus.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ConsensusPeer {
+    /// Its name.
+    pub name: String,
+    /// Where it listens for other participants.
+    pub address: Address,
 }
 
-/// With whom an initiator agrees, and on what terms.
+/// With whom an initiator agrees on rules, and with which leases.
 #[derive(Clone, Debug)]
 pub struct ConsensusConfig {
-    /// Names and addresses of the keepers, the founder first.
-    pub keepers: Vec<(String, Address)>,
-    /// Names and addresses of all other initiators.
-    pub others: Vec<(String, Address)>,
-    /// How long a lease is.
-    pub lease: Micros,
-    /// How long keepers hear no leader before they elect one.
-    pub election: Micros,
-    /// By what part of a lease two hosts' clocks may differ over it.
-    pub clock_error: f64,
-    /// The rules of the initiator's own file.
-    pub started_with: flaxstand_consensus::rules::Rules,
+    /// The voters, the founder first.
+    pub voters: Vec<ConsensusPeer>,
+    /// All other initiators.
+    pub other_initiators: Vec<ConsensusPeer>,
+    /// Duration of a lease. At least twice `election_timeout`.
+    pub lease_duration: Micros,
+    /// Time without a leader after which voters elect one.
+    pub election_timeout: Micros,
+    /// Largest drift between the clocks of two hosts during a lease, as a share of its duration.
+    pub max_clock_drift: f64,
+    /// The rules of the initiator's own settings file.
+    pub initial_rules: flaxstand_consensus::rules::Rules,
 }
 
-/// What clients, nodes and the list service speak.
+/// What clients, nodes and the discovery service speak.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Wire {
     /// Frames: one connection to each peer, many requests on it.
@@ -191,29 +209,29 @@
     Platform,
 }
 
-/// What one initiator is told.
+/// Configuration of one initiator.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Its name, for logs.
     pub name: String,
     /// Its number among the site's initiators.
     pub index: u32,
-    /// Which life of it this is; grows at each start.
+    /// Its incarnation; grows at each start.
     pub epoch: u64,
     /// The host's calendar when the machine's clock was 0, microseconds since 1970.
     pub calendar: u64,
     /// Seed of its random numbers.
     pub seed: u64,
-    /// Where the list service is.
-    pub list: Address,
+    /// Where the discovery service listens.
+    pub discovery_address: Address,
     /// The site.
     pub site: Site,
-    /// Its bounds.
+    /// Its limits.
     pub bounds: Bounds,
     /// What decides.
     pub policy: Policy,
     /// What its peers speak.
     pub wire: Wire,
-    /// With whom it agrees, if it does.
-    pub agreeing: Option<ConsensusConfig>,
+    /// With whom it agrees on rules, if it does.
+    pub consensus: Option<ConsensusConfig>,
 }
--- a/crates/flaxstand-gateway/src/core/decider.rs
+++ b/crates/flaxstand-gateway/src/core/decider.rs
@@ -50,7 +50,7 @@
         Some(_) => writeback::with_write_outs(&config.site.settings),
         None => config.site.settings.clone(),
     };
-    if let Some(rules) = &config.site.storm {
+    if let Some(rules) = &config.site.retry_throttle {
         storms::with_repeats(&mut settings, config.site.classes.len(), rules);
     }
     settings
--- a/crates/flaxstand-gateway/src/core/discovery/frames_watch.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/frames_watch.rs
@@ -69,7 +69,7 @@
         }
         context.connections.is_at(conn, Stage::Open);
         self.watch.record_received(context.now);
-        let idle_timeout = context.config.site.waits.list_silence;
+        let idle_timeout = context.config.site.timeouts.discovery_idle_timeout;
         self.schedule_stall_check(context.now.after(idle_timeout), context.connections);
         context.connections.push(conn, &Frame::Watch);
         Ok(())
@@ -130,7 +130,7 @@
         conn: ConnId,
         context: &mut DiscoveryContext<'_>,
     ) -> Option<StalledWatch> {
-        let idle_timeout = context.config.site.waits.list_silence;
+        let idle_timeout = context.config.site.timeouts.discovery_idle_timeout;
         let idle_at = self.watch.last_received_at.after(idle_timeout);
         if context.now < idle_at {
             self.schedule_stall_check(idle_at, context.connections);
--- a/crates/flaxstand-gateway/src/core/discovery/mod.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/mod.rs
@@ -86,7 +86,7 @@
             revision: None,
             is_notified: false,
             stall_check_at: None,
-            backoff: Backoff::new(timeouts.list_retry.0, timeouts.list_retry.1),
+            backoff: Backoff::new(timeouts.discovery_backoff.min, timeouts.discovery_backoff.max),
             watch: FramesWatch::default(),
             poll: PlatformPoll::default(),
             cache: CacheSchedule::default(),
@@ -142,12 +142,12 @@
         }
         let (protocol, deadline) = match context.config.wire {
             Wire::Frames => {
-                let deadline = context.now.after(context.config.site.waits.dial);
+                let deadline = context.now.after(context.config.site.timeouts.connect_timeout);
                 (Protocol::Frames(Inbox::of_list_service()), deadline)
             }
             Wire::Platform => (Protocol::DiscoveryPoll, self.start_poll_connection(context)),
         };
-        let address = context.config.list.clone();
+        let address = context.config.discovery_address.clone();
         self.conn = Some(context.connections.dial(Peer::Discovery, protocol, address, deadline));
     }
 
--- a/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
@@ -110,7 +110,7 @@
         let deadline = context.now.after(wait).after(self.response_timeout());
         self.schedule_stall_check(deadline, context.connections);
         let target = list_call(self.revision.map(|revision| (revision, wait.0 / 1000)));
-        let host = context.config.list.to_string();
+        let host = context.config.discovery_address.to_string();
         context.connections.put(conn, |bytes| write_request(bytes, "GET", &target, &[("Host", &host)], None));
     }
 
@@ -122,7 +122,7 @@
         }
         let drawn = f64::from(context.rng.next_u32()) / f64::from(u32::MAX);
         let share = MIN_WAIT_SHARE + (1.0 - MIN_WAIT_SHARE) * drawn;
-        let wait = Micros::from_ms(context.config.site.waits.watch.ms() * share);
+        let wait = Micros::from_ms(context.config.site.timeouts.max_long_poll.ms() * share);
         let binding_at = &mut self.poll.binding_at;
         let remembered = binding_at.len();
         while binding_at.pop_front_if(|at| *at <= context.now).is_some() {}
--- a/crates/flaxstand-gateway/src/core/endpoint_events.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_events.rs
@@ -143,7 +143,7 @@
 
     fn apply_endpoint_update(&mut self, update: EndpointUpdate, now: Micros) {
         let (scope, revision) = (update.scope, update.revision);
-        let applied = self.nodes.apply(update, self.config.bounds.nodes, now);
+        let applied = self.nodes.apply(update, self.config.bounds.max_endpoints, now);
         for id in applied.moved {
             self.drop_idle(id, now);
         }
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -84,7 +84,7 @@
     pub(super) fn http_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         // While the process stops it listens no more; who had connected before that is told so once it has asked.
         let open = self.phase != Phase::Stopped;
-        if !open || self.clients >= self.config.bounds.clients && !self.make_room(now) {
+        if !open || self.clients >= self.config.bounds.max_clients && !self.make_room(now) {
             debug!(clients = self.clients, "client turned away");
             let mut bytes = Vec::new();
             write_answer(&mut bytes, 503, &[], b"no room\n", false);
@@ -94,7 +94,7 @@
         let protocol = Protocol::HttpServer(HttpServer::new(now));
         let conn = self.plumbing.open(Peer::Client(Client::default()), Stage::Open, protocol);
         self.places.add(conn, now);
-        self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Quiet(conn));
+        self.plumbing.at(now.after(self.config.site.timeouts.greeting_timeout), Timer::Quiet(conn));
         Ok(conn)
     }
 
@@ -110,7 +110,7 @@
                 http.reader.push(bytes);
                 let full = !http.wants_read();
                 self.plumbing.partial_bytes += bytes.len();
-                if self.plumbing.partial_bytes > self.config.bounds.partial_bytes {
+                if self.plumbing.partial_bytes > self.config.bounds.max_partial_request_bytes {
                     self.turn_away(conn, 503, "too much is on its way in", now);
                 } else {
                     self.read_http(conn, now);
@@ -152,7 +152,7 @@
                 Ok(None) => {
                     // The first has its time from when the connection stood.
                     if http.asked > 0 {
-                        let due = http.since.after(self.config.site.waits.greeting);
+                        let due = http.since.after(self.config.site.timeouts.greeting_timeout);
                         self.plumbing.at(due, Timer::Quiet(conn));
                     }
                     return;
@@ -245,7 +245,7 @@
     /// Guards the memory against clients that read large answers slowly, or not at all: what waits for all of them
     /// has a bound. An answer beyond it fails.
     fn has_room(&self, bytes: usize) -> bool {
-        bytes <= BODY_MOST || bytes + self.plumbing.unread_bytes() <= self.config.bounds.answer_bytes
+        bytes <= BODY_MOST || bytes + self.plumbing.unread_bytes() <= self.config.bounds.max_response_bytes
     }
 
     /// Answers the request that a client has open.
@@ -321,7 +321,7 @@
     /// Looks whether a connection was at one thing for too long. Guards against heads that never end, half
     /// requests and silent clients.
     pub(super) fn http_quiet(&mut self, conn: ConnId, now: Micros) {
-        let most = self.config.site.waits.greeting;
+        let most = self.config.site.timeouts.greeting_timeout;
         let Some(Conn { peer: Peer::Client(client), protocol: Protocol::HttpServer(http), .. }) =
             self.plumbing.get(conn)
         else {
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -44,7 +44,10 @@
 mod writeback;
 
 pub use backoff::Backoff;
-pub use config::{Bounds, ClassInfo, Config, ConsensusConfig, Policy, Site, Timeouts, Wire, WriteBack};
+pub use config::{
+    BackoffBounds, Bounds, ClassInfo, Config, ConsensusConfig, ConsensusPeer, Policy, Site, Timeouts, Wire,
+    WriteBack,
+};
 pub use discovery::{SavedList, SavedListError};
 pub use figures::{Counts, Footprint};
 
@@ -134,13 +137,13 @@
     /// The saved list is no list. Start without it then.
     pub fn new(config: Config, saved: Option<&[u8]>, now: Micros) -> Result<Self, SavedListError> {
         let settings = module_settings(&config);
-        let gate = config.site.storm.map(|rules| {
+        let gate = config.site.retry_throttle.map(|rules| {
             let classes = settings.classes.len() - config.site.classes.len();
             Gate::new(rules, classes, config.seed ^ config.epoch.rotate_left(17), now)
         });
         let brain_classes = settings.classes.clone();
         let decider = Decider::new(&config, settings, now);
-        let discovery = EndpointDiscovery::new(&config.site.waits);
+        let discovery = EndpointDiscovery::new(&config.site.timeouts);
         let class_names = config.site.classes.iter().map(|c| c.name.clone()).collect();
         let mut core = Core {
             rng: Pcg64Mcg::seed_from_u64(config.seed.wrapping_add(config.epoch)),
@@ -149,7 +152,7 @@
             back: None,
             agreed: None,
             gate,
-            arrivals: ConnectionRateLimiter::new(config.bounds.arrivals, now),
+            arrivals: ConnectionRateLimiter::new(config.bounds.connection_rate, now),
             discovery,
             list_trust: ListTrust::default(),
             config,
@@ -271,13 +274,13 @@
 
     fn stop(&mut self, now: Micros) {
         if self.phase == Phase::Running {
-            let waits = &self.config.site.waits;
-            self.plumbing.at(now.after(waits.stop), Timer::StopEnds);
-            self.plumbing.at(now.after(waits.stop_grace), Timer::GraceEnds);
-            info!(held = self.requests.len(), grace_ms = waits.stop_grace.ms(), "stopping");
+            let waits = &self.config.site.timeouts;
+            self.plumbing.at(now.after(waits.shutdown_timeout), Timer::StopEnds);
+            self.plumbing.at(now.after(waits.shutdown_grace), Timer::GraceEnds);
+            info!(held = self.requests.len(), grace_ms = waits.shutdown_grace.ms(), "stopping");
             self.phase = Phase::Leaving;
-            self.answer_by = Some(now.after(waits.stop.since(STOP_MARGIN)));
-            if waits.stop_grace == Micros(0) {
+            self.answer_by = Some(now.after(waits.shutdown_timeout.since(STOP_MARGIN)));
+            if waits.shutdown_grace == Micros(0) {
                 self.stop_accepting(now);
             }
         }
@@ -428,8 +431,8 @@
             Control::Reload(reloaded) => {
                 info!(?reloaded, "new bounds, and where the list service is");
                 self.config.bounds = reloaded.bounds;
-                if self.config.list != reloaded.list {
-                    self.config.list = reloaded.list;
+                if self.config.discovery_address != reloaded.list {
+                    self.config.discovery_address = reloaded.list;
                     self.discovery_moved(now);
                 }
             }
--- a/crates/flaxstand-gateway/src/core/nodes.rs
+++ b/crates/flaxstand-gateway/src/core/nodes.rs
@@ -45,7 +45,7 @@
 
     /// A probe, at the module's word. It goes where a connection stands: it is asked for what is out there.
     pub(super) fn probe(&mut self, at: NodeId, now: Micros) {
-        let ends = now.after(self.config.site.waits.dial);
+        let ends = now.after(self.config.site.timeouts.connect_timeout);
         self.next_probe += 1;
         let token = self.next_probe;
         self.plumbing.at(ends, Timer::Probe(at, token));
@@ -84,7 +84,7 @@
 
     fn dial(&mut self, at: NodeId, now: Micros) {
         let Some(address) = self.nodes.get(at).map(|n| n.address.clone()) else { return };
-        let by = now.after(self.config.site.waits.dial);
+        let by = now.after(self.config.site.timeouts.connect_timeout);
         let conn = self.plumbing.dial(Peer::Node(at), Protocol::Frames(Inbox::default()), address, by);
         if let Some(node) = self.node(at) {
             node.conn = Some(conn);
@@ -93,7 +93,8 @@
     }
 
     fn hand_over(&mut self, id: RequestId, attempt: AttemptNo, conn: ConnId, now: Micros) {
-        let full = self.plumbing.get(conn).is_some_and(|c| c.outbox.len() > self.config.bounds.node_bytes);
+        let full =
+            self.plumbing.get(conn).is_some_and(|c| c.outbox.len() > self.config.bounds.max_node_bytes);
         if full {
             // What waits for this node is at its bound; it never left, so it has not run.
             self.end_attempt(id, attempt, Outcome::Rejected, now);
@@ -109,7 +110,7 @@
             class: held.class,
             plan: held.plan,
             write: held.write,
-            stream: self.config.site.classes[usize::from(held.class)].stream,
+            stream: self.config.site.classes[usize::from(held.class)].is_streamed,
             volume: held.volume,
             extent: held.extent,
             units: held.units,
@@ -135,7 +136,7 @@
         if !(VERSION_OLDEST..=VERSION).contains(&w.version) {
             return Err((CloseReason::Version, format!("version {} was not offered", w.version)));
         }
-        let idle = self.config.site.waits.idle;
+        let idle = self.config.site.timeouts.node_idle_timeout;
         let Some(node) = self.node(at) else { return Ok(()) };
         if w.role != Role::Node || EndpointName::Number(w.id) != node.name {
             let text = format!("expected node {}, met {:?} {}", node.name, w.role, w.id);
@@ -260,7 +261,7 @@
 
     pub(super) fn idle(&mut self, conn: ConnId, now: Micros) {
         let Some(Conn { peer: Peer::Node(at), .. }) = self.plumbing.get(conn) else { return };
-        let (at, idle) = (*at, self.config.site.waits.idle);
+        let (at, idle) = (*at, self.config.site.timeouts.node_idle_timeout);
         let Some(node) = self.node(at) else { return };
         let since = if node.out.is_empty() { node.idle_since } else { now };
         if now.since(since) >= idle {
--- a/crates/flaxstand-gateway/src/core/pool.rs
+++ b/crates/flaxstand-gateway/src/core/pool.rs
@@ -106,13 +106,15 @@
             self.use_again(conn, at, what);
             return self.write_carried(conn, now);
         }
-        if self.links >= self.config.bounds.links && !self.close_longest_idle(now) {
+        if self.links >= self.config.bounds.max_node_connections && !self.close_longest_idle(now) {
             debug!(links = self.links, "no connection to be had");
             return self.end_carried(what, Outcome::NotSent, now);
         }
         self.links += 1;
-        let (protocol, by) =
-            (Protocol::HttpClient(Link::new(what, now)), now.after(self.config.site.waits.dial));
+        let (protocol, by) = (
+            Protocol::HttpClient(Link::new(what, now)),
+            now.after(self.config.site.timeouts.connect_timeout),
+        );
         let conn = self.plumbing.dial(Peer::Node(at), protocol, address, by);
         match what {
             Carried::Attempt(id, attempt) => self.note_handed(id, attempt, conn, u64::MAX),
@@ -224,7 +226,7 @@
         self.plumbing.answer_bytes = self.plumbing.answer_bytes - before + after;
         match read {
             Ok(Some(answer)) => self.link_answered(conn, &answer, now),
-            Ok(None) if self.plumbing.answer_bytes > self.config.bounds.answer_bytes => {
+            Ok(None) if self.plumbing.answer_bytes > self.config.bounds.max_response_bytes => {
                 self.spoilt(conn, &"too much is on its way in from nodes", now);
             }
             Ok(None) if begins => {
@@ -412,7 +414,7 @@
     }
 
     fn close_long_idle(&mut self, now: Micros) {
-        let idle = self.config.site.waits.idle;
+        let idle = self.config.site.timeouts.node_idle_timeout;
         let long = |(since, _): &&(Micros, ConnId)| now.since(*since) >= idle;
         let long: Vec<ConnId> = self.idle_links.iter().take_while(long).map(|(_, conn)| *conn).collect();
         for conn in long {
--- a/crates/flaxstand-gateway/src/core/writeback.rs
+++ b/crates/flaxstand-gateway/src/core/writeback.rs
@@ -66,7 +66,7 @@
 
 fn buffer_config(w: &WriteBack, core: &Core) -> Config {
     let site = &core.config.site;
-    let buffering = |(info, class): (&super::ClassInfo, &Class)| match (info.buffered, class.effect) {
+    let buffering = |(info, class): (&super::ClassInfo, &Class)| match (info.is_buffered, class.effect) {
         (true, Effect::Idempotent) => BufferingMode::Repeatable,
         (true, Effect::IdempotencyKey { window, .. }) => BufferingMode::Keyed(Micros::from_ms(window)),
         (true, Effect::AtMostOnce) | (false, _) => BufferingMode::Never,
@@ -77,7 +77,7 @@
         span: Micros::from_ms(b.span),
     };
     Config {
-        rules: w.rules.clone(),
+        rules: w.limits.clone(),
         refusal_wait: Micros::from_ms(site.settings.max_retry_after),
         key_cooldown: Micros::from_ms(site.settings.key_cooldown),
         classes: site.classes.iter().zip(&site.settings.classes).map(buffering).collect(),
--- a/crates/flaxstand-gateway/src/settings/reader.rs
+++ b/crates/flaxstand-gateway/src/settings/reader.rs
@@ -1,5 +1,5 @@
-//! Reads a KDL document strictly: what is missing, unknown, of another type or out of range is a problem
-//! with its place in the file. All problems of a file are told at once.
+//! Reads a KDL document strictly: what is missing, unknown, of another type or out of range is a problem with its
+//! place in the file. All problems of a file are reported at once.
 
 use flaxstand_consensus::rules::Value;
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
@@ -10,6 +10,9 @@
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
+/// Longest name of a block, bytes.
+const MAX_NAME_BYTES: usize = 100;
+
 /// Something wrong at a place in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
@@ -31,8 +34,8 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = self.source_code.name();
-        let lines: Vec<String> =
-            self.problems.iter().map(|p| format!("{name}:{}: {}", p.line, p.message)).collect();
+        let line = |problem: &Problem| format!("{name}:{}: {}", problem.line, problem.message);
+        let lines: Vec<String> = self.problems.iter().map(line).collect();
         f.write_str(&lines.join("\n"))
     }
 }
@@ -42,12 +45,14 @@
         Some(&self.source_code)
     }
     fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
-        let label = |p: &Problem| LabeledSpan::new_with_span(Some(p.message.clone()), p.span);
+        let label =
+            |problem: &Problem| LabeledSpan::new_with_span(Some(problem.message.clone()), problem.span);
         Some(Box::new(self.problems.iter().map(label)))
     }
 }
 
-/// A file's text and what was found wrong with it so far.
+/// A file's text and the problems found in it so far.
+#[derive(Debug)]
 pub struct Source {
     name: String,
     text: String,
@@ -55,7 +60,7 @@
 }
 
 impl Source {
-    /// A file's text, under the name that messages give it.
+    /// Takes a file's text, under the name that messages give it.
     pub fn new(name: &str, text: &str) -> Self {
         Source { name: name.into(), text: text.into(), problems: RefCell::default() }
     }
@@ -65,18 +70,18 @@
     /// # Errors
     /// It is no KDL.
     pub fn parse(&self) -> Result<KdlDocument, SettingsError> {
-        self.text.parse::<KdlDocument>().map_err(|e| {
-            for d in &e.diagnostics {
-                let message = d.message.clone().unwrap_or_else(|| "not a KDL document".into());
-                let help = d.help.as_ref().map(|h| format!(" ({h})")).unwrap_or_default();
-                self.problem(d.span, format!("{message}{help}"));
+        self.text.parse::<KdlDocument>().map_err(|error| {
+            for diagnostic in &error.diagnostics {
+                let message = diagnostic.message.clone().unwrap_or_else(|| "not a KDL document".into());
+                let help = diagnostic.help.as_ref().map(|help| format!(" ({help})")).unwrap_or_default();
+                self.report(diagnostic.span, format!("{message}{help}"));
             }
             self.error()
         })
     }
 
-    /// Notes a problem.
-    pub fn problem(&self, span: SourceSpan, message: String) {
+    /// Reports a problem at a place in the file.
+    pub fn report(&self, span: SourceSpan, message: String) {
         let before = self.text.get(..span.offset()).unwrap_or(&self.text);
         let line = before.matches('\n').count() + 1;
         self.problems.borrow_mut().push(Problem { line, message, span });
@@ -84,121 +89,134 @@
 
     fn error(&self) -> SettingsError {
         let mut problems = self.problems.take();
-        problems.sort_by_key(|p| (p.line, p.span.offset()));
+        problems.sort_by_key(|problem| (problem.line, problem.span.offset()));
         SettingsError { source_code: NamedSource::new(&self.name, self.text.clone()), problems }
     }
 
-    /// The verdict, once everything has been read.
+    /// Ends reading, once everything has been read.
     ///
     /// # Errors
-    /// The problems noted.
-    pub fn verdict(&self) -> Result<(), SettingsError> {
+    /// The problems reported.
+    pub fn finish(&self) -> Result<(), SettingsError> {
         if self.problems.borrow().is_empty() { Ok(()) } else { Err(self.error()) }
     }
 }
 
 /// A node of the document, or the document itself, whose keys are read by name. A key is a property of the
 /// node (`cold from=0.2`) or a child with one argument (`cold { from 0.2 }`).
+#[derive(Debug)]
 pub struct Block<'a> {
     source: &'a Source,
-    what: String,
+    /// What messages call the block.
+    label: String,
     span: SourceSpan,
     entries: &'a [KdlEntry],
     children: &'a [KdlNode],
-    known: RefCell<BTreeSet<&'static str>>,
+    known_keys: RefCell<BTreeSet<&'static str>>,
 }
 
+/// The whole document, and blocks within blocks.
 impl<'a> Block<'a> {
     /// The whole document.
     pub fn document(source: &'a Source, document: &'a KdlDocument) -> Self {
-        let span = SourceSpan::from((0, 0));
         Block {
             source,
-            what: "the file".into(),
-            span,
+            label: "the file".into(),
+            span: SourceSpan::from((0, 0)),
             entries: &[],
             children: document.nodes(),
-            known: RefCell::default(),
+            known_keys: RefCell::default(),
         }
     }
 
-    fn of(source: &'a Source, node: &'a KdlNode) -> Self {
-        let mut what = node.name().value().to_owned();
+    fn from_node(source: &'a Source, node: &'a KdlNode) -> Self {
+        let mut label = node.name().value().to_owned();
         if let Some(KdlValue::String(name)) = node.get(0) {
-            what = format!("{what} {name:?}");
+            label = format!("{label} {name:?}");
         }
         Block {
             source,
-            what,
+            label,
             span: node.name().span(),
             entries: node.entries(),
-            children: node.children().map_or(&[], |c| c.nodes()),
-            known: RefCell::default(),
+            children: node.children().map_or(&[], |children| children.nodes()),
+            known_keys: RefCell::default(),
         }
     }
 
-    /// Notes a problem with the block as a whole.
-    pub fn problem(&self, message: String) {
-        self.source.problem(self.span, format!("{}: {message}", self.what));
+    /// A block within, if it is there.
+    pub fn block(&self, key: &'static str) -> Option<Block<'a>> {
+        let blocks = self.blocks(key);
+        if let [_, second, ..] = &blocks[..] {
+            second.report("given twice".into());
+        }
+        blocks.into_iter().next()
     }
 
-    fn find(&self, key: &'static str) -> Option<&'a KdlEntry> {
-        self.known.borrow_mut().insert(key);
-        let property = self.entries.iter().find(|e| e.name().is_some_and(|n| n.value() == key));
-        let child = self.children.iter().find(|c| c.name().value() == key);
-        match (property, child) {
-            (Some(entry), None) => Some(entry),
-            (None, Some(node)) => {
-                if node.entries().len() != 1 || node.children().is_some() {
-                    let message = format!("{key} in {}: expected one value", self.what);
-                    self.source.problem(node.span(), message);
-                }
-                node.entries().first()
-            }
-            (Some(entry), Some(_)) => {
-                self.source.problem(entry.span(), format!("{key} in {}: given twice", self.what));
-                Some(entry)
-            }
-            (None, None) => None,
+    /// A block within that must be there.
+    pub fn required_block(&self, key: &'static str) -> Option<Block<'a>> {
+        let block = self.block(key);
+        if block.is_none() {
+            self.report(format!("{key} is missing"));
         }
+        block
     }
 
-    fn read<T>(
-        &self,
-        key: &'static str,
-        expected: &str,
-        default: Option<T>,
-        take: impl Fn(&KdlValue) -> Option<T>,
-    ) -> Option<T> {
-        let Some(entry) = self.find(key) else {
-            if default.is_none() {
-                self.problem(format!("{key} is missing, expected {expected}"));
+    /// All blocks within of this key, in the order of the file.
+    pub fn blocks(&self, key: &'static str) -> Vec<Block<'a>> {
+        self.mark_known(key);
+        self.children_of(key).map(|node| Block::from_node(self.source, node)).collect()
+    }
+
+    /// Reports a problem with the block as a whole.
+    pub fn report(&self, message: String) {
+        self.source.report(self.span, format!("{}: {message}", self.label));
+    }
+
+    /// Reports every key that has not been read as unknown. To be called once everything of this block was read.
+    pub fn reject_unknown_keys(&self) {
+        let known_keys = self.known_keys.borrow();
+        let properties = self.entries.iter().filter_map(|entry| entry.name());
+        for name in properties.chain(self.children.iter().map(|child| child.name())) {
+            if !known_keys.contains(name.value()) {
+                let known: Vec<&str> = known_keys.iter().copied().collect();
+                let (label, unknown) = (&self.label, name.value());
+                let message = format!("{label} does not know {unknown:?}; it knows {}", known.join(", "));
+                self.source.report(name.span(), message);
             }
-            return default;
-        };
-        let value = take(entry.value());
-        if value.is_none() {
-            let message = format!("{key} in {} is {}, expected {expected}", self.what, entry.value());
-            self.source.problem(entry.span(), message);
         }
-        value
     }
+}
 
+/// Values by key. A value that can't be used is reported and read as the lowest or an empty one.
+impl Block<'_> {
     /// A number within bounds.
     pub fn number(&self, key: &'static str, bounds: RangeInclusive<f64>, default: Option<f64>) -> f64 {
         let expected = format!("a number from {} to {}", bounds.start(), bounds.end());
-        let take = |v: &KdlValue| number(v).filter(|n| bounds.contains(n));
-        self.read(key, &expected, default, take).unwrap_or(*bounds.start())
+        let convert = |value: &KdlValue| number(value).filter(|number| bounds.contains(number));
+        self.read(key, &expected, default, convert).unwrap_or(*bounds.start())
     }
 
-    /// A whole number within bounds.
-    pub fn whole(&self, key: &'static str, bounds: RangeInclusive<u64>, default: Option<u64>) -> u64 {
+    /// An integer within bounds.
+    pub fn integer(&self, key: &'static str, bounds: RangeInclusive<u64>, default: Option<u64>) -> u64 {
         let expected = format!("a whole number from {} to {}", bounds.start(), bounds.end());
-        let take = |v: &KdlValue| match v {
-            KdlValue::Integer(i) => u64::try_from(*i).ok().filter(|n| bounds.contains(n)),
-            _ => None,
-        };
-        self.read(key, &expected, default, take).unwrap_or(*bounds.start())
+        let convert = |value: &KdlValue| integer_within(value, &bounds);
+        self.read(key, &expected, default, convert).unwrap_or(*bounds.start())
+    }
+
+    /// Integers within bounds, as `key 1 2 3`; none if it is left out.
+    pub fn integers(&self, key: &'static str, bounds: RangeInclusive<u64>) -> Vec<u64> {
+        self.mark_known(key);
+        let expected = format!("whole numbers from {} to {}", bounds.start(), bounds.end());
+        let arguments = self.children_of(key).flat_map(|child| child.entries());
+        let mut integers = Vec::new();
+        for entry in arguments.chain(self.properties_of(key)) {
+            match integer_within(entry.value(), &bounds) {
+                Some(integer) => integers.push(integer),
+                None => self.report_value(entry.span(), key, entry.value(), &expected),
+            }
+        }
+        integers
     }
 
     /// A pair `key low high`; one number stands for both.
@@ -208,41 +226,44 @@
         bounds: RangeInclusive<f64>,
         default: Option<(f64, f64)>,
     ) -> (f64, f64) {
-        self.known.borrow_mut().insert(key);
+        self.mark_known(key);
         let expected = format!("one or two rising numbers from {} to {}", bounds.start(), bounds.end());
-        let node = self.children.iter().find(|c| c.name().value() == key);
-        let property = self.entries.iter().find(|e| e.name().is_some_and(|n| n.value() == key));
-        let (entries, span) = match (node, property) {
+        let lowest = (*bounds.start(), *bounds.start());
+        let (entries, span) = match (self.children_of(key).next(), self.properties_of(key).next()) {
             (Some(node), _) => (node.entries(), node.span()),
             (None, Some(entry)) => (std::slice::from_ref(entry), entry.span()),
             (None, None) => {
                 if default.is_none() {
-                    self.problem(format!("{key} is missing, expected {expected}"));
+                    self.report_missing(key, &expected);
                 }
-                return default.unwrap_or((*bounds.start(), *bounds.start()));
+                return default.unwrap_or(lowest);
             }
         };
-        let numbers: Vec<f64> =
-            entries.iter().filter_map(|e| number(e.value()).filter(|n| bounds.contains(n))).collect();
-        match (entries.len(), numbers[..].iter().as_slice()) {
+        let convert = |entry: &KdlEntry| number(entry.value()).filter(|number| bounds.contains(number));
+        let numbers: Vec<f64> = entries.iter().filter_map(convert).collect();
+        match (entries.len(), &numbers[..]) {
             (1, [one]) => (*one, *one),
             (2, [low, high]) if low <= high => (*low, *high),
             _ => {
-                let given: Vec<String> = entries.iter().map(|e| e.value().to_string()).collect();
-                let message = format!("{key} in {} is {}, expected {expected}", self.what, given.join(" "));
-                self.source.problem(span, message);
-                (*bounds.start(), *bounds.start())
+                let given: Vec<String> = entries.iter().map(|entry| entry.value().to_string()).collect();
+                self.report_value(span, key, &given.join(" "), &expected);
+                lowest
             }
         }
     }
 
-    /// A text.
+    /// True or false.
+    pub fn flag(&self, key: &'static str, default: bool) -> bool {
+        self.read(key, "#true or #false", Some(default), KdlValue::as_bool).unwrap_or(default)
+    }
+
+    /// A text that is not empty.
     pub fn text(&self, key: &'static str, default: Option<&str>) -> String {
-        let take = |v: &KdlValue| v.as_string().filter(|t| !t.is_empty()).map(str::to_owned);
-        self.read(key, "a text", default.map(str::to_owned), take).unwrap_or_default()
+        let convert = |value: &KdlValue| value.as_string().filter(|text| !text.is_empty()).map(str::to_owned);
+        self.read(key, "a text", default.map(str::to_owned), convert).unwrap_or_default()
     }
 
-    /// A text that stands for something.
+    /// A text that `parse` converts. `expected` says in messages what that takes.
     pub fn parsed<T>(
         &self,
         key: &'static str,
@@ -250,161 +271,160 @@
         default: Option<T>,
         parse: impl Fn(&str) -> Option<T>,
     ) -> Option<T> {
-        self.read(key, expected, default, |v| v.as_string().and_then(&parse))
-    }
-
-    /// True or false.
-    pub fn flag(&self, key: &'static str, default: bool) -> bool {
-        self.read(key, "#true or #false", Some(default), KdlValue::as_bool).unwrap_or(default)
-    }
-
-    /// One of some words.
-    pub fn choice<T: Copy>(&self, key: &'static str, words: &[(&str, T)], default: Option<T>) -> Option<T> {
-        let names: Vec<String> = words.iter().map(|(w, _)| format!("{w:?}")).collect();
-        let expected = format!("one of {}", names.join(", "));
-        let take = |v: &KdlValue| {
-            v.as_string().and_then(|text| words.iter().find(|(w, _)| *w == text)).map(|(_, t)| *t)
-        };
-        self.read(key, &expected, default, take)
-    }
-
-    /// The block's own name: its one argument.
-    pub fn name(&self) -> String {
-        let arguments: Vec<&KdlEntry> = self.entries.iter().filter(|e| e.name().is_none()).collect();
-        match arguments[..] {
-            [entry] => match entry.value().as_string().filter(|t| !t.is_empty() && t.len() <= 100) {
-                Some(name) => return name.to_owned(),
-                None => {
-                    let message = format!(
-                        "{}: {} is no name, expected a text of 1 to 100 bytes",
-                        self.what,
-                        entry.value()
-                    );
-                    self.source.problem(entry.span(), message);
-                }
-            },
-            _ => self.problem("expected one name after it".into()),
-        }
-        String::new()
+        self.read(key, expected, default, |value| value.as_string().and_then(&parse))
     }
 
-    /// Texts that stand for something, as `key "one" "two"`, over all such lines; at least one.
-    pub fn all_parsed<T>(
+    /// Texts that `parse` converts, as `key "one" "two"`, over all such lines; at least one.
+    pub fn parsed_list<T>(
         &self,
         key: &'static str,
         expected: &str,
         parse: impl Fn(&str) -> Option<T>,
     ) -> Vec<T> {
-        self.known.borrow_mut().insert(key);
-        let mut all = Vec::new();
-        let lines = self.children.iter().filter(|c| c.name().value() == key);
-        let entries: Vec<&KdlEntry> = lines.flat_map(|c| c.entries()).collect();
+        self.mark_known(key);
+        let entries: Vec<&KdlEntry> = self.children_of(key).flat_map(|child| child.entries()).collect();
         if entries.is_empty() {
-            self.problem(format!("{key} is missing, expected {expected}"));
+            self.report_missing(key, expected);
         }
+        let mut values = Vec::new();
         for entry in entries {
             match entry.value().as_string().and_then(&parse) {
-                Some(value) => all.push(value),
-                None => {
-                    let message = format!("{key} in {} is {}, expected {expected}", self.what, entry.value());
-                    self.source.problem(entry.span(), message);
-                }
+                Some(value) => values.push(value),
+                None => self.report_value(entry.span(), key, entry.value(), expected),
             }
         }
-        all
-    }
-
-    /// Whole numbers within bounds, as `key 1 2 3`; none if it is left out.
-    pub fn wholes(&self, key: &'static str, bounds: RangeInclusive<u64>) -> Vec<u64> {
-        self.known.borrow_mut().insert(key);
-        let mut all = Vec::new();
-        let children = self.children.iter().filter(|c| c.name().value() == key).flat_map(|c| c.entries());
-        let property = self.entries.iter().filter(|e| e.name().is_some_and(|n| n.value() == key));
-        for entry in children.chain(property) {
-            match entry.value() {
-                KdlValue::Integer(i) if u64::try_from(*i).is_ok_and(|n| bounds.contains(&n)) => {
-                    all.push(*i as u64);
-                }
-                other => {
-                    let (low, high) = (bounds.start(), bounds.end());
-                    let message = format!(
-                        "{key} in {} is {other}, expected whole numbers from {low} to {high}",
-                        self.what
-                    );
-                    self.source.problem(entry.span(), message);
-                }
-            }
+        values
+    }
+
+    /// One of some keywords.
+    pub fn choice<T: Copy>(
+        &self,
+        key: &'static str,
+        keywords: &[(&str, T)],
+        default: Option<T>,
+    ) -> Option<T> {
+        let names: Vec<String> = keywords.iter().map(|(keyword, _)| format!("{keyword:?}")).collect();
+        let expected = format!("one of {}", names.join(", "));
+        let convert = |value: &KdlValue| {
+            let text = value.as_string()?;
+            keywords.iter().find(|(keyword, _)| *keyword == text).map(|(_, meaning)| *meaning)
+        };
+        self.read(key, &expected, default, convert)
+    }
+
+    /// The block's own name: its one argument.
+    pub fn name(&self) -> String {
+        let arguments: Vec<&KdlEntry> = self.entries.iter().filter(|entry| entry.name().is_none()).collect();
+        let [entry] = arguments[..] else {
+            self.report("expected one name after it".into());
+            return String::new();
+        };
+        let name = entry.value().as_string().filter(|text| !text.is_empty() && text.len() <= MAX_NAME_BYTES);
+        if name.is_none() {
+            let (label, value) = (&self.label, entry.value());
+            let message =
+                format!("{label}: {value} is no name, expected a text of 1 to {MAX_NAME_BYTES} bytes");
+            self.source.report(entry.span(), message);
         }
-        all
+        name.unwrap_or_default().to_owned()
     }
 
     /// Lines `key "NAME" VALUE`, each name once; `check` says what is wrong with one.
-    pub fn sets(
+    pub fn assignments<E: fmt::Display>(
         &self,
         key: &'static str,
-        check: impl Fn(&str, &Value) -> Result<(), String>,
+        check: impl Fn(&str, &Value) -> Result<(), E>,
     ) -> BTreeMap<String, Value> {
-        self.known.borrow_mut().insert(key);
-        let mut all = BTreeMap::new();
-        for line in self.children.iter().filter(|c| c.name().value() == key) {
-            let problem = |message: String| {
-                self.source.problem(line.span(), format!("{key} in {}: {message}", self.what));
+        self.mark_known(key);
+        let mut values = BTreeMap::new();
+        for line in self.children_of(key) {
+            let report = |message: &dyn fmt::Display| {
+                self.source.report(line.span(), format!("{key} in {}: {message}", self.label));
             };
             let [name, value] = line.entries() else {
-                problem("expected a key and a value".into());
+                report(&"expected a key and a value");
                 continue;
             };
             let (Some(name), Some(value)) = (name.value().as_string(), value_of(value.value())) else {
-                problem("expected a key, and a number, a word, #true or #false".into());
+                report(&"expected a key, and a number, a word, #true or #false");
                 continue;
             };
             match check(name, &value) {
-                Err(message) => problem(message),
-                Ok(()) if all.contains_key(name) => problem(format!("{name:?} is given twice")),
-                Ok(()) => drop(all.insert(name.to_owned(), value)),
+                Err(error) => report(&error),
+                Ok(()) if values.contains_key(name) => report(&format!("{name:?} is given twice")),
+                Ok(()) => drop(values.insert(name.to_owned(), value)),
             }
         }
-        all
+        values
     }
+}
 
-    /// A block within, if it is there.
-    pub fn block(&self, key: &'static str) -> Option<Block<'a>> {
-        let all = self.blocks(key);
-        if let [_, second, ..] = &all[..] {
-            second.problem("given twice".into());
-        }
-        all.into_iter().next()
+/// Look-up of keys, and messages about them.
+impl<'a> Block<'a> {
+    fn mark_known(&self, key: &'static str) {
+        self.known_keys.borrow_mut().insert(key);
     }
 
-    /// A block within that must be there.
-    pub fn needed(&self, key: &'static str) -> Option<Block<'a>> {
-        let block = self.block(key);
-        if block.is_none() {
-            self.problem(format!("{key} is missing"));
+    fn children_of(&self, key: &'static str) -> impl Iterator<Item = &'a KdlNode> + use<'a> {
+        self.children.iter().filter(move |child| child.name().value() == key)
+    }
+
+    fn properties_of(&self, key: &'static str) -> impl Iterator<Item = &'a KdlEntry> + use<'a> {
+        self.entries.iter().filter(move |entry| entry.name().is_some_and(|name| name.value() == key))
+    }
+
+    /// The one entry of this key. Guards against a key that is given twice and read once.
+    fn find(&self, key: &'static str) -> Option<&'a KdlEntry> {
+        self.mark_known(key);
+        match (self.properties_of(key).next(), self.children_of(key).next()) {
+            (Some(entry), None) => Some(entry),
+            (None, Some(node)) => {
+                if node.entries().len() != 1 || node.children().is_some() {
+                    let message = format!("{key} in {}: expected one value", self.label);
+                    self.source.report(node.span(), message);
+                }
+                node.entries().first()
+            }
+            (Some(entry), Some(_)) => {
+                self.source.report(entry.span(), format!("{key} in {}: given twice", self.label));
+                Some(entry)
+            }
+            (None, None) => None,
         }
-        block
     }
 
-    /// All blocks within of a kind, in the order of the file.
-    pub fn blocks(&self, key: &'static str) -> Vec<Block<'a>> {
-        self.known.borrow_mut().insert(key);
-        let of = |node| Block::of(self.source, node);
-        self.children.iter().filter(|c| c.name().value() == key).map(of).collect()
-    }
-
-    /// Everything of this block has been read: what is left is unknown.
-    pub fn finish(&self) {
-        let known = self.known.borrow();
-        let properties = self.entries.iter().filter_map(|e| e.name());
-        for name in properties.chain(self.children.iter().map(|c| c.name())) {
-            if !known.contains(name.value()) {
-                let names: Vec<&str> = known.iter().copied().collect();
-                let message =
-                    format!("{} does not know {:?}; it knows {}", self.what, name.value(), names.join(", "));
-                self.source.problem(name.span(), message);
+    fn read<T>(
+        &self,
+        key: &'static str,
+        expected: &str,
+        default: Option<T>,
+        convert: impl Fn(&KdlValue) -> Option<T>,
+    ) -> Option<T> {
+        let Some(entry) = self.find(key) else {
+            if default.is_none() {
+                self.report_missing(key, expected);
             }
+            return default;
+        };
+        let value = convert(entry.value());
+        if value.is_none() {
+            self.report_value(entry.span(), key, entry.value(), expected);
         }
+        value
+    }
+
+    fn report_missing(&self, key: &str, expected: &str) {
+        self.report(format!("{key} is missing, expected {expected}"));
     }
+
+    fn report_value(&self, span: SourceSpan, key: &str, given: &dyn fmt::Display, expected: &str) {
+        self.source.report(span, format!("{key} in {} is {given}, expected {expected}", self.label));
+    }
+}
+
+fn integer_within(value: &KdlValue, bounds: &RangeInclusive<u64>) -> Option<u64> {
+    let KdlValue::Integer(integer) = value else { return None };
+    u64::try_from(*integer).ok().filter(|integer| bounds.contains(integer))
 }
 
 fn value_of(value: &KdlValue) -> Option<Value> {
@@ -417,8 +437,8 @@
 
 fn number(value: &KdlValue) -> Option<f64> {
     match value {
-        KdlValue::Integer(i) => Some(*i as f64),
-        KdlValue::Float(f) => Some(*f).filter(|f| f.is_finite()),
+        KdlValue::Integer(integer) => Some(*integer as f64),
+        KdlValue::Float(float) => Some(*float).filter(|float| float.is_finite()),
         _ => None,
     }
 }
--- a/crates/flaxstand-gateway/src/settings/rules.rs
+++ b/crates/flaxstand-gateway/src/settings/rules.rs
@@ -1,185 +1,290 @@
 //! The shared part of a settings file as rules that initiators agree on, and back. Key by key as
-//! `flaxstand_consensus::rules::TABLE` has them; what bounds nothing is left out.
+//! `flaxstand_consensus::rules::TABLE` has them; what limits nothing is left out.
 
+use super::effect::{DEDUPLICATION_SCOPES, EFFECT_KEYWORDS, EffectKeyword, effect_name, scope_name};
 use super::reader::Block;
 use super::site::SiteFile;
-use crate::core::Site;
-use flaxstand::api::{DeduplicationScope, Effect, RetryBudget, Settings};
+use crate::core::{ClassInfo, Site};
+use flaxstand::api::{Class, Effect, Plan, RetryBudget, Settings};
 use flaxstand_consensus::rules::{Narrowing, Rules, Value, narrowing_of};
 use std::collections::BTreeMap;
+use thiserror::Error;
 
-const GROUPS: [(&str, DeduplicationScope); 3] = [
-    ("all", DeduplicationScope::All),
-    ("zone", DeduplicationScope::Zone),
-    ("shard", DeduplicationScope::Shard),
-];
+/// Lowest rate of a limit, units a second: a limit of 0 would be none.
+const MIN_LIMIT_RATE: f64 = 1e-9;
 
-fn group_name(group: DeduplicationScope) -> &'static str {
-    GROUPS.iter().find(|(_, g)| *g == group).map_or("shard", |(name, _)| name)
+/// The rules that a settings file states, with its fallback rules.
+pub fn rules_of(file: &SiteFile, fallback: BTreeMap<String, Value>) -> Rules {
+    let mut values = RuleValues::default();
+    write_site(file, &mut values);
+    if let Some(budget) = &file.site.settings.retry_budget {
+        values.number("site.budget.floor".into(), budget.floor);
+        values.number("site.budget.ratio".into(), budget.ratio);
+        values.number("site.budget.span-ms".into(), budget.span);
+    }
+    let settings = &file.site.settings;
+    for (index, (info, class)) in file.site.classes.iter().zip(&settings.classes).enumerate() {
+        write_class(index, info, class, &mut values);
+    }
+    for (index, (name, plan)) in file.site.plans.iter().zip(&settings.plans).enumerate() {
+        let limit_slack = file.audit.limit_slack.get(index).copied().unwrap_or(0.0);
+        write_plan(index, name, plan, limit_slack, &mut values);
+    }
+    Rules { values: values.0, fallback }
+}
+
+/// Values of rules that are being written.
+#[derive(Debug, Default)]
+struct RuleValues(BTreeMap<String, Value>);
+
+impl RuleValues {
+    fn number(&mut self, key: String, value: f64) {
+        self.0.insert(key, Value::Number(value));
+    }
+
+    fn flag(&mut self, key: String, value: bool) {
+        self.0.insert(key, Value::Flag(value));
+    }
+
+    fn text(&mut self, key: String, value: &str) {
+        self.0.insert(key, Value::Text(value.to_owned()));
+    }
 }
 
-/// The rules that a settings file states, with the floor that it gives.
-pub fn rules_of(file: &SiteFile, floor: BTreeMap<String, Value>) -> Rules {
-    let (site, s) = (&file.site, &file.site.settings);
-    let mut values = BTreeMap::new();
-    let mut put = |key: String, value: Value| drop(values.insert(key, value));
-    let number = Value::Number;
-    let word = |w: &str| Value::Text(w.to_owned());
+fn write_site(file: &SiteFile, values: &mut RuleValues) {
+    let settings = &file.site.settings;
     for (key, value) in [
-        ("initiators", number(s.initiators.into())),
-        ("list", word(if s.polls_list { "on-request" } else { "pushed" })),
-        ("ask-within-ms", number(s.poll_within)),
-        ("max-attempts", number(s.max_attempts.into())),
-        ("second-copies", Value::Flag(s.max_concurrent_attempts > 1)),
-        ("cancel", Value::Flag(s.may_cancel)),
-        ("probes", Value::Flag(s.may_probe)),
-        ("retry-after-most-ms", number(s.max_retry_after)),
-        ("unit-mean", number(s.mean_units)),
-        ("unit-most", number(s.max_units)),
-        ("share-worth", number(s.shared_weight)),
-        ("spare-worth", number(s.spare_weight)),
-        ("key-rest-ms", number(s.key_cooldown)),
-        ("drain-grace-ms", number(file.rules.drain_grace.ms())),
-        ("tick-ms", number(s.tick)),
-        ("cold.from", number(s.initial_capacity)),
-        ("cold.warm-ms", number(s.warm_up_time)),
-        ("cold.fall-multiple", number(s.overload_multiple)),
-        ("cold.fall-ms", number(s.slow_start_window)),
-        ("cold.bears-units", number(s.slow_start_min_units)),
+        ("initiators", settings.initiators.into()),
+        ("ask-within-ms", settings.poll_within),
+        ("max-attempts", settings.max_attempts.into()),
+        ("retry-after-most-ms", settings.max_retry_after),
+        ("unit-mean", settings.mean_units),
+        ("unit-most", settings.max_units),
+        ("share-worth", settings.shared_weight),
+        ("spare-worth", settings.spare_weight),
+        ("key-rest-ms", settings.key_cooldown),
+        ("drain-grace-ms", file.audit.drain_grace.ms()),
+        ("tick-ms", settings.tick),
+        ("cold.from", settings.initial_capacity),
+        ("cold.warm-ms", settings.warm_up_time),
+        ("cold.fall-multiple", settings.overload_multiple),
+        ("cold.fall-ms", settings.slow_start_window),
+        ("cold.bears-units", settings.slow_start_min_units),
     ] {
-        put(format!("site.{key}"), value);
+        values.number(format!("site.{key}"), value);
     }
-    if let Some(b) = s.retry_budget {
-        for (key, value) in [("floor", b.floor), ("ratio", b.ratio), ("span-ms", b.span)] {
-            put(format!("site.budget.{key}"), number(value));
-        }
+    for (key, value) in [
+        ("second-copies", settings.max_concurrent_attempts > 1),
+        ("cancel", settings.may_cancel),
+        ("probes", settings.may_probe),
+    ] {
+        values.flag(format!("site.{key}"), value);
     }
-    for (at, (info, c)) in site.classes.iter().zip(&s.classes).enumerate() {
-        let mut put = |key: &str, value: Value| put(format!("class.{}{key}", info.name), value);
-        put("", number(at as f64));
-        let effect = match c.effect {
-            Effect::Idempotent => "repeatable",
-            Effect::AtMostOnce => "once",
-            Effect::IdempotencyKey { group, window } => {
-                put(".group", word(group_name(group)));
-                put(".window-ms", number(window));
-                "keyed"
-            }
-        };
-        put(".effect", word(effect));
-        put(".aim-ms", number(c.latency_objective));
-        put(".aim-stretch", number(c.objective_stretch));
-        put(".deadline-ms", number(c.deadline));
-        put(".worth", number(c.priority_weight));
-        put(".late-value", number(c.late_value));
-        put(".in-order", Value::Flag(c.in_order));
-        put(".stream", Value::Flag(info.stream));
-        put(".buffered", Value::Flag(info.buffered));
-    }
-    for (at, (name, p)) in site.plans.iter().zip(&s.plans).enumerate() {
-        let mut put = |key: &str, value: f64| put(format!("plan.{name}{key}"), number(value));
-        put("", at as f64);
-        put(".base-rate", p.base_rate);
-        put(".reserve-rate", p.reserve_rate);
-        put(".price", p.priority_factor);
-        if p.limit_rate > 0.0 {
-            put(".limit-rate", p.limit_rate);
-            put(".limit-burst", p.limit_burst);
-            put(".limit-slack", file.rules.limit_slack.get(at).copied().unwrap_or(0.0));
+    let list = if settings.polls_list { "on-request" } else { "pushed" };
+    values.text("site.list".into(), list);
+}
+
+fn write_class(index: usize, info: &ClassInfo, class: &Class, values: &mut RuleValues) {
+    let key = |field: &str| format!("class.{}.{field}", info.name);
+    values.number(format!("class.{}", info.name), index as f64);
+    let keyword = match class.effect {
+        Effect::Idempotent => EffectKeyword::Repeatable,
+        Effect::AtMostOnce => EffectKeyword::Once,
+        Effect::IdempotencyKey { group, window } => {
+            values.text(key("group"), scope_name(group));
+            values.number(key("window-ms"), window);
+            EffectKeyword::Keyed
         }
-    }
-    Rules { values, fallback: floor }
+    };
+    values.text(key("effect"), effect_name(keyword));
+    values.number(key("aim-ms"), class.latency_objective);
+    values.number(key("aim-stretch"), class.objective_stretch);
+    values.number(key("deadline-ms"), class.deadline);
+    values.number(key("worth"), class.priority_weight);
+    values.number(key("late-value"), class.late_value);
+    values.flag(key("in-order"), class.in_order);
+    values.flag(key("stream"), info.is_streamed);
+    values.flag(key("buffered"), info.is_buffered);
 }
 
-/// Least rate of a limit: a limit of 0 would be none.
-const NO_RATE: f64 = 1e-9;
+fn write_plan(index: usize, name: &str, plan: &Plan, limit_slack: f64, values: &mut RuleValues) {
+    let key = |field: &str| format!("plan.{name}.{field}");
+    values.number(format!("plan.{name}"), index as f64);
+    values.number(key("base-rate"), plan.base_rate);
+    values.number(key("reserve-rate"), plan.reserve_rate);
+    values.number(key("price"), plan.priority_factor);
+    if plan.limit_rate > 0.0 {
+        values.number(key("limit-rate"), plan.limit_rate);
+        values.number(key("limit-burst"), plan.limit_burst);
+        values.number(key("limit-slack"), limit_slack);
+    }
+}
 
-/// What the decision module is told under these rules. What rules do not say stays as the site's file has it.
+/// Settings of the decision module under these rules. What rules do not state stays as the site's file has it.
 pub fn settings_of(rules: &Rules, site: &Site) -> Settings {
-    let number = |key: &str, old: f64| match rules.values.get(key) {
-        Some(Value::Number(n)) => *n,
-        _ => old,
-    };
-    let flag = |key: &str, old: bool| match rules.values.get(key) {
-        Some(Value::Flag(b)) => *b,
-        _ => old,
-    };
-    let word = |key: &str| match rules.values.get(key) {
-        Some(Value::Text(w)) => Some(w.as_str()),
-        _ => None,
-    };
-    let mut s = site.settings.clone();
-    s.initiators = number("site.initiators", s.initiators.into()) as u32;
-    s.poll_within = number("site.ask-within-ms", s.poll_within);
-    s.max_attempts = number("site.max-attempts", s.max_attempts.into()) as u32;
-    s.max_concurrent_attempts = if flag("site.second-copies", s.max_concurrent_attempts > 1) { 2 } else { 1 };
-    s.may_cancel = flag("site.cancel", s.may_cancel);
-    s.may_probe = flag("site.probes", s.may_probe);
-    s.max_retry_after = number("site.retry-after-most-ms", s.max_retry_after);
-    s.mean_units = number("site.unit-mean", s.mean_units);
-    s.max_units = number("site.unit-most", s.max_units);
-    s.shared_weight = number("site.share-worth", s.shared_weight);
-    s.spare_weight = number("site.spare-worth", s.spare_weight);
-    s.key_cooldown = number("site.key-rest-ms", s.key_cooldown);
-    s.tick = number("site.tick-ms", s.tick);
-    s.initial_capacity = number("site.cold.from", s.initial_capacity);
-    s.warm_up_time = number("site.cold.warm-ms", s.warm_up_time);
-    s.overload_multiple = number("site.cold.fall-multiple", s.overload_multiple);
-    s.slow_start_window = number("site.cold.fall-ms", s.slow_start_window);
-    s.slow_start_min_units = number("site.cold.bears-units", s.slow_start_min_units);
-    let has_budget = rules.values.contains_key("site.budget.ratio");
-    s.retry_budget = has_budget.then(|| RetryBudget {
-        floor: number("site.budget.floor", 0.0),
-        ratio: number("site.budget.ratio", 0.0),
-        span: number("site.budget.span-ms", 0.0),
+    let reader = RuleReader { values: &rules.values };
+    let mut settings = site.settings.clone();
+    apply_site_rules(&reader, &mut settings);
+    settings.retry_budget = reader.has("site.budget.ratio").then(|| RetryBudget {
+        floor: reader.number("site.budget.floor", 0.0),
+        ratio: reader.number("site.budget.ratio", 0.0),
+        span: reader.number("site.budget.span-ms", 0.0),
     });
-    for (info, c) in site.classes.iter().zip(&mut s.classes) {
-        let key = |field: &str| format!("class.{}.{field}", info.name);
-        let group = word(&key("group")).and_then(|w| GROUPS.iter().find(|(name, _)| *name == w));
-        c.effect = match (word(&key("effect")), group) {
-            (Some("repeatable"), _) => Effect::Idempotent,
-            (Some("keyed"), Some((_, group))) => {
-                Effect::IdempotencyKey { group: *group, window: number(&key("window-ms"), 0.0) }
-            }
-            (None, _) => c.effect,
-            _ => Effect::AtMostOnce,
-        };
-        c.latency_objective = number(&key("aim-ms"), c.latency_objective);
-        c.objective_stretch = number(&key("aim-stretch"), c.objective_stretch);
-        c.deadline = number(&key("deadline-ms"), c.deadline);
-        c.priority_weight = number(&key("worth"), c.priority_weight);
-        c.late_value = number(&key("late-value"), c.late_value);
-        c.in_order = flag(&key("in-order"), c.in_order);
-    }
-    for (name, p) in site.plans.iter().zip(&mut s.plans) {
-        let key = |field: &str| format!("plan.{name}.{field}");
-        p.base_rate = number(&key("base-rate"), p.base_rate);
-        p.reserve_rate = number(&key("reserve-rate"), p.reserve_rate);
-        p.priority_factor = number(&key("price"), p.priority_factor);
-        let limited = rules.values.contains_key(&key("limit-rate"));
-        p.limit_rate = if limited { number(&key("limit-rate"), 0.0).max(NO_RATE) } else { 0.0 };
-        p.limit_burst = if limited { number(&key("limit-burst"), 0.0) } else { 0.0 };
-    }
-    s
+    for (info, class) in site.classes.iter().zip(&mut settings.classes) {
+        apply_class_rules(&reader, &info.name, class);
+    }
+    for (name, plan) in site.plans.iter().zip(&mut settings.plans) {
+        apply_plan_rules(&reader, name, plan);
+    }
+    settings
+}
+
+/// Reads values of rules; a value that is not there, or of another type, is as before.
+#[derive(Clone, Copy, Debug)]
+struct RuleReader<'a> {
+    values: &'a BTreeMap<String, Value>,
 }
 
-/// Reads `floor`: lines `set "KEY" VALUE`.
-pub fn read_floor(root: &Block<'_>) -> BTreeMap<String, Value> {
-    let Some(b) = root.block("floor") else { return BTreeMap::new() };
-    let floor = b.sets("set", |key, value| match narrowing_of(key) {
-        None => Err(format!("{key:?} is no key of the rules, see docs/agreement.md")),
-        Some(Narrowing::Unordered | Narrowing::Immutable | Narrowing::Incompatible(_)) => Err(format!("{key:?} has no narrower value")),
-        Some(Narrowing::False | Narrowing::True) if !matches!(value, Value::Flag(_)) => {
-            Err(format!("{key:?} is {value}, expected #true or #false"))
+impl<'a> RuleReader<'a> {
+    fn has(&self, key: &str) -> bool {
+        self.values.contains_key(key)
+    }
+
+    fn number(&self, key: &str, before: f64) -> f64 {
+        match self.values.get(key) {
+            Some(Value::Number(number)) => *number,
+            _ => before,
         }
-        Some(Narrowing::Earliest(words)) if !matches!(value, Value::Text(w) if words.contains(&w.as_str())) => {
-            Err(format!("{key:?} is {value}, expected one of {}", words.join(", ")))
+    }
+
+    fn flag(&self, key: &str, before: bool) -> bool {
+        match self.values.get(key) {
+            Some(Value::Flag(flag)) => *flag,
+            _ => before,
         }
-        Some(Narrowing::Smaller | Narrowing::Larger) if !matches!(value, Value::Number(n) if *n >= 0.0) => {
-            Err(format!("{key:?} is {value}, expected a number of 0 or more"))
+    }
+
+    fn text(&self, key: &str) -> Option<&'a str> {
+        match self.values.get(key) {
+            Some(Value::Text(text)) => Some(text),
+            _ => None,
         }
-        Some(_) => Ok(()),
-    });
-    b.finish();
-    floor
+    }
+
+    /// The meaning of a keyword; none if the rule is not there or has another text.
+    fn keyword<T: Copy>(&self, key: &str, keywords: &[(&str, T)]) -> Option<T> {
+        let text = self.text(key)?;
+        keywords.iter().find(|(keyword, _)| *keyword == text).map(|(_, meaning)| *meaning)
+    }
+}
+
+fn apply_site_rules(reader: &RuleReader<'_>, settings: &mut Settings) {
+    let is_hedging = reader.flag("site.second-copies", settings.max_concurrent_attempts > 1);
+    settings.max_concurrent_attempts = if is_hedging { 2 } else { 1 };
+    settings.initiators = reader.number("site.initiators", settings.initiators.into()) as u32;
+    settings.max_attempts = reader.number("site.max-attempts", settings.max_attempts.into()) as u32;
+    settings.may_cancel = reader.flag("site.cancel", settings.may_cancel);
+    settings.may_probe = reader.flag("site.probes", settings.may_probe);
+    for (key, value) in [
+        ("site.ask-within-ms", &mut settings.poll_within),
+        ("site.retry-after-most-ms", &mut settings.max_retry_after),
+        ("site.unit-mean", &mut settings.mean_units),
+        ("site.unit-most", &mut settings.max_units),
+        ("site.share-worth", &mut settings.shared_weight),
+        ("site.spare-worth", &mut settings.spare_weight),
+        ("site.key-rest-ms", &mut settings.key_cooldown),
+        ("site.tick-ms", &mut settings.tick),
+        ("site.cold.from", &mut settings.initial_capacity),
+        ("site.cold.warm-ms", &mut settings.warm_up_time),
+        ("site.cold.fall-multiple", &mut settings.overload_multiple),
+        ("site.cold.fall-ms", &mut settings.slow_start_window),
+        ("site.cold.bears-units", &mut settings.slow_start_min_units),
+    ] {
+        *value = reader.number(key, *value);
+    }
+}
+
+fn apply_class_rules(reader: &RuleReader<'_>, name: &str, class: &mut Class) {
+    let key = |field: &str| format!("class.{name}.{field}");
+    if reader.text(&key("effect")).is_some() {
+        class.effect = effect_under(reader, name);
+    }
+    class.latency_objective = reader.number(&key("aim-ms"), class.latency_objective);
+    class.objective_stretch = reader.number(&key("aim-stretch"), class.objective_stretch);
+    class.deadline = reader.number(&key("deadline-ms"), class.deadline);
+    class.priority_weight = reader.number(&key("worth"), class.priority_weight);
+    class.late_value = reader.number(&key("late-value"), class.late_value);
+    class.in_order = reader.flag(&key("in-order"), class.in_order);
+}
+
+/// The effect that rules state for a class. Guards against repeated requests where rules make no sense: without a
+/// known keyword, or with a key of no known scope, requests run at most once.
+fn effect_under(reader: &RuleReader<'_>, name: &str) -> Effect {
+    let key = |field: &str| format!("class.{name}.{field}");
+    let scope = reader.keyword(&key("group"), &DEDUPLICATION_SCOPES);
+    match (reader.keyword(&key("effect"), &EFFECT_KEYWORDS), scope) {
+        (Some(EffectKeyword::Repeatable), _) => Effect::Idempotent,
+        (Some(EffectKeyword::Keyed), Some(group)) => {
+            Effect::IdempotencyKey { group, window: reader.number(&key("window-ms"), 0.0) }
+        }
+        _ => Effect::AtMostOnce,
+    }
+}
+
+fn apply_plan_rules(reader: &RuleReader<'_>, name: &str, plan: &mut Plan) {
+    let key = |field: &str| format!("plan.{name}.{field}");
+    plan.base_rate = reader.number(&key("base-rate"), plan.base_rate);
+    plan.reserve_rate = reader.number(&key("reserve-rate"), plan.reserve_rate);
+    plan.priority_factor = reader.number(&key("price"), plan.priority_factor);
+    let is_limited = reader.has(&key("limit-rate"));
+    plan.limit_rate =
+        if is_limited { reader.number(&key("limit-rate"), 0.0).max(MIN_LIMIT_RATE) } else { 0.0 };
+    plan.limit_burst = if is_limited { reader.number(&key("limit-burst"), 0.0) } else { 0.0 };
+}
+
+/// Why a fallback rule can't be one.
+#[derive(Clone, Debug, Error, PartialEq)]
+enum FallbackRuleError {
+    #[error("{0:?} is no key of the rules, see docs/agreement.md")]
+    UnknownKey(String),
+    #[error("{0:?} has no narrower value")]
+    NotNarrowable(String),
+    #[error("{key:?} is {value}, expected #true or #false")]
+    ExpectedFlag { key: String, value: Value },
+    #[error("{key:?} is {value}, expected one of {}", .keywords.join(", "))]
+    ExpectedKeyword { key: String, value: Value, keywords: &'static [&'static str] },
+    #[error("{key:?} is {value}, expected a number of 0 or more")]
+    ExpectedNumber { key: String, value: Value },
+}
+
+/// Reads the fallback rules, block `floor`: lines `set "KEY" VALUE`.
+pub fn read_fallback_rules(root: &Block<'_>) -> BTreeMap<String, Value> {
+    let Some(block) = root.block("floor") else { return BTreeMap::new() };
+    let rules = block.assignments("set", check_fallback_rule);
+    block.reject_unknown_keys();
+    rules
+}
+
+fn check_fallback_rule(key: &str, value: &Value) -> Result<(), FallbackRuleError> {
+    let (name, given) = (key.to_owned(), value.clone());
+    match (narrowing_of(key), value) {
+        (None, _) => Err(FallbackRuleError::UnknownKey(name)),
+        (Some(Narrowing::Unordered | Narrowing::Immutable | Narrowing::Incompatible(_)), _) => {
+            Err(FallbackRuleError::NotNarrowable(name))
+        }
+        (Some(Narrowing::False | Narrowing::True), Value::Flag(_)) => Ok(()),
+        (Some(Narrowing::False | Narrowing::True), _) => {
+            Err(FallbackRuleError::ExpectedFlag { key: name, value: given })
+        }
+        (Some(Narrowing::Earliest(keywords)), Value::Text(text)) if keywords.contains(&text.as_str()) => {
+            Ok(())
+        }
+        (Some(Narrowing::Earliest(keywords)), _) => {
+            Err(FallbackRuleError::ExpectedKeyword { key: name, value: given, keywords })
+        }
+        (Some(Narrowing::Smaller | Narrowing::Larger), Value::Number(number)) if *number >= 0.0 => Ok(()),
+        (Some(Narrowing::Smaller | Narrowing::Larger), _) => {
+            Err(FallbackRuleError::ExpectedNumber { key: name, value: given })
+        }
+    }
 }
--- a/crates/flaxstand-gateway/src/settings/site.rs
+++ b/crates/flaxstand-gateway/src/settings/site.rs
@@ -1,50 +1,89 @@
-//! The part of a settings file that all initiators of a site share. A day of the laboratory has the same.
+//! Reads the part of a settings file that all initiators of a site have in common. A simulated day has the same.
 
+use super::class::{ClassBlock, PlanBlock, check_limit_burst, read_class, read_plan};
 use super::reader::Block;
-use crate::core::{ClassInfo, Site, Timeouts, WriteBack};
+use super::units::{MILLISECONDS, POSITIVE_MILLISECONDS};
+use crate::core::{BackoffBounds, ClassInfo, Site, Timeouts, WriteBack};
 use crate::machine::Micros;
-use flaxstand::api::{Class, DeduplicationScope, Effect, Plan, RetryBudget, Settings};
+use flaxstand::api::{Class, Plan, RetryBudget, Settings};
 use flaxstand_overload::RetryThrottleConfig;
+use flaxstand_write_back::BufferLimits;
 use std::collections::BTreeSet;
 
-/// Figures of the rules that the module keeps by itself, and that an audit asks for.
+/// Tolerances of rules that the decision module keeps by itself, for an audit.
 #[derive(Clone, Debug, Default)]
-pub struct Rules {
-    /// Nothing new to a node later than this after word that it drains or is gone.
+pub struct AuditTolerances {
+    /// No new attempt goes to a node later than this after its draining or removal was received.
     pub drain_grace: Micros,
-    /// By plan: units by which a limit may be passed.
+    /// By plan: units by which a limit may be exceeded.
     pub limit_slack: Vec<f64>,
 }
 
-/// What the shared part holds.
+/// The common part of a settings file.
 #[derive(Clone, Debug)]
 pub struct SiteFile {
     /// For the initiators.
     pub site: Site,
     /// For the audit.
-    pub rules: Rules,
+    pub audit: AuditTolerances,
 }
 
-const MS: std::ops::RangeInclusive<f64> = 0.0..=3_600_000.0;
-const POSITIVE_MS: std::ops::RangeInclusive<f64> = 0.1..=3_600_000.0;
-const RATE: std::ops::RangeInclusive<f64> = 0.0..=1e9;
-
-/// Reads `site`, `class` and `plan` of a file.
+/// Reads `site`, `class`, `plan`, `buffer` and `storm` of a file.
 pub fn read_site(root: &Block<'_>) -> SiteFile {
-    let classes = root.blocks("class");
+    let class_blocks = root.blocks("class");
     let plan_blocks = root.blocks("plan");
-    if classes.is_empty() {
-        root.problem("class is missing, expected one or more".into());
+    if class_blocks.is_empty() {
+        root.report("class is missing, expected one or more".into());
     }
     if plan_blocks.is_empty() {
-        root.problem("plan is missing, expected one or more".into());
+        root.report("plan is missing, expected one or more".into());
+    }
+    let read_class = |block| {
+        let ClassBlock { info, class } = read_class(block);
+        (info, class)
+    };
+    let (classes, module_classes): (Vec<ClassInfo>, Vec<Class>) = class_blocks.iter().map(read_class).unzip();
+    let plans: Vec<PlanBlock> = plan_blocks.iter().map(read_plan).collect();
+    let plan_names: Vec<String> = plans.iter().map(|plan| plan.name.clone()).collect();
+    let limit_slack = plans.iter().map(|plan| plan.limit_slack).collect();
+    report_duplicates(root, "class", classes.iter().map(|class| &class.name));
+    report_duplicates(root, "plan", plan_names.iter());
+
+    let module_plans: Vec<Plan> = plans.into_iter().map(|plan| plan.plan).collect();
+    let defaults = default_settings(module_classes, module_plans);
+    let mut audit = AuditTolerances { limit_slack, ..AuditTolerances::default() };
+    let (settings, timeouts) = match root.required_block("site") {
+        Some(block) => {
+            let settings = read_settings(&block, defaults);
+            let timeouts = read_timeouts(&block);
+            audit.drain_grace = Micros::from_ms(block.number("drain-grace-ms", MILLISECONDS, Some(1000.0)));
+            block.reject_unknown_keys();
+            (settings, timeouts)
+        }
+        None => (defaults, Timeouts::default()),
+    };
+    for (block, plan) in plan_blocks.iter().zip(&settings.plans) {
+        check_limit_burst(block, plan, settings.max_units);
     }
-    let (infos, classes): (Vec<ClassInfo>, Vec<Class>) = classes.iter().map(read_class).unzip();
-    let (names, plans): (Vec<(String, f64)>, Vec<Plan>) = plan_blocks.iter().map(read_plan).unzip();
-    let (plan_names, limit_slack): (Vec<String>, Vec<f64>) = names.into_iter().unzip();
-    unique(root, "class", infos.iter().map(|c| &c.name));
-    unique(root, "plan", plan_names.iter());
-    let empty = Settings {
+    let write_back = read_write_back(root, &classes);
+    let retry_throttle = read_retry_throttle(root.block("storm").as_ref(), settings.max_retry_after);
+    let site = Site { settings, classes, plans: plan_names, timeouts, write_back, retry_throttle };
+    SiteFile { site, audit }
+}
+
+/// Guards against two classes or plans of one name: rules by name would mean both.
+fn report_duplicates<'a>(root: &Block<'_>, key: &str, names: impl Iterator<Item = &'a String>) {
+    let mut seen = BTreeSet::new();
+    for name in names {
+        if !seen.insert(name) {
+            root.report(format!("{key} {name:?} is given twice"));
+        }
+    }
+}
+
+/// Settings without a `site` block; what such a block leaves out is as here, unless its key has another default.
+fn default_settings(classes: Vec<Class>, plans: Vec<Plan>) -> Settings {
+    Settings {
         initiators: 1,
         classes,
         plans,
@@ -68,205 +107,137 @@
         shared_weight: 1.0,
         spare_weight: 1.0,
         tick: 1.0,
-    };
-    let mut rules = Rules { limit_slack, ..Rules::default() };
-    let (settings, waits) = match root.needed("site") {
-        Some(b) => {
-            let read = (read_settings(&b, empty), read_waits(&b));
-            rules.drain_grace = Micros::from_ms(b.number("drain-grace-ms", MS, Some(1000.0)));
-            b.finish();
-            read
-        }
-        None => (empty, Timeouts::default()),
-    };
-    for (block, plan) in plan_blocks.iter().zip(&settings.plans) {
-        if plan.limit_rate > 0.0 && plan.limit_burst < settings.max_units {
-            let (burst, most) = (plan.limit_burst, settings.max_units);
-            block.problem(format!(
-                "limit-burst is {burst}, expected at least unit-most, {most}: the largest request could not go"
-            ));
-        }
     }
-    let buffered = infos.iter().any(|c| c.buffered);
-    let figures = root.block("buffer").map(|b| {
-        if !buffered {
-            b.problem("there is a buffer, expected a class that is buffered".into());
-        }
-        read_write_back(&b)
-    });
-    let storm = read_storm(root.block("storm").as_ref(), settings.max_retry_after);
-    let write_back = buffered.then(|| figures.unwrap_or_default());
-    SiteFile { site: Site { settings, classes: infos, plans: plan_names, waits, write_back, storm }, rules }
 }
 
-fn unique<'a>(root: &Block<'_>, what: &str, names: impl Iterator<Item = &'a String>) {
-    let mut seen = BTreeSet::new();
-    for name in names {
-        if !seen.insert(name) {
-            root.problem(format!("{what} {name:?} is given twice"));
-        }
-    }
-}
-
-fn read_settings(b: &Block<'_>, empty: Settings) -> Settings {
-    let lists = [("pushed", false), ("on-request", true)];
-    let mut s = Settings {
-        initiators: b.whole("initiators", 1..=1 << 20, None) as u32,
-        polls_list: b.choice("list", &lists, Some(false)).unwrap_or(false),
-        poll_within: b.number("ask-within-ms", POSITIVE_MS, Some(10_000.0)),
-        max_attempts: b.whole("max-attempts", 1..=100, Some(3)) as u32,
-        max_concurrent_attempts: if b.flag("second-copies", false) { 2 } else { 1 },
-        may_cancel: b.flag("cancel", false),
-        may_probe: b.flag("probes", false),
-        max_retry_after: b.number("retry-after-most-ms", MS, Some(0.0)),
-        key_cooldown: b.number("key-rest-ms", MS, Some(0.0)),
-        mean_units: b.number("unit-mean", 1.0..=1e6, Some(1.0)),
-        max_units: b.number("unit-most", 1.0..=1e6, Some(1.0)),
-        shared_weight: b.number("share-worth", 0.0..=1.0, Some(0.3)),
-        spare_weight: b.number("spare-worth", 0.0..=1.0, Some(0.1)),
-        tick: b.number("tick-ms", 0.0..=1000.0, Some(1.0)),
-        ..empty
+fn read_settings(block: &Block<'_>, defaults: Settings) -> Settings {
+    let list_modes = [("pushed", false), ("on-request", true)];
+    let mut settings = Settings {
+        initiators: block.integer("initiators", 1..=1 << 20, None) as u32,
+        polls_list: block.choice("list", &list_modes, Some(false)).unwrap_or(false),
+        poll_within: block.number("ask-within-ms", POSITIVE_MILLISECONDS, Some(10_000.0)),
+        max_attempts: block.integer("max-attempts", 1..=100, Some(3)) as u32,
+        max_concurrent_attempts: if block.flag("second-copies", false) { 2 } else { 1 },
+        may_cancel: block.flag("cancel", false),
+        may_probe: block.flag("probes", false),
+        max_retry_after: block.number("retry-after-most-ms", MILLISECONDS, Some(0.0)),
+        key_cooldown: block.number("key-rest-ms", MILLISECONDS, Some(0.0)),
+        mean_units: block.number("unit-mean", 1.0..=1e6, Some(1.0)),
+        max_units: block.number("unit-most", 1.0..=1e6, Some(1.0)),
+        shared_weight: block.number("share-worth", 0.0..=1.0, Some(0.3)),
+        spare_weight: block.number("spare-worth", 0.0..=1.0, Some(0.1)),
+        tick: block.number("tick-ms", 0.0..=1000.0, Some(1.0)),
+        ..defaults
     };
-    if s.max_concurrent_attempts > 1 && s.max_attempts < 2 {
-        b.problem("second-copies is #true, expected max-attempts 2 or more, it is 1".into());
-    }
-    if s.mean_units > s.max_units {
-        b.problem(format!("unit-mean is {}, expected at most unit-most, {}", s.mean_units, s.max_units));
+    if settings.max_concurrent_attempts > 1 && settings.max_attempts < 2 {
+        block.report("second-copies is #true, expected max-attempts 2 or more, it is 1".into());
     }
-    if let Some(cold) = b.block("cold") {
-        s.initial_capacity = cold.number("from", 0.001..=1.0, None);
-        s.warm_up_time = cold.number("warm-ms", POSITIVE_MS, None);
-        s.overload_multiple = cold.number("fall-multiple", 0.001..=1000.0, None);
-        s.slow_start_window = cold.number("fall-ms", POSITIVE_MS, None);
-        s.slow_start_min_units = cold.number("bears-units", 0.0..=1e6, Some(0.0));
-        cold.finish();
+    if settings.mean_units > settings.max_units {
+        let (mean, max) = (settings.mean_units, settings.max_units);
+        block.report(format!("unit-mean is {mean}, expected at most unit-most, {max}"));
     }
-    s.retry_budget = b.block("budget").map(|budget| {
-        let read = RetryBudget {
-            floor: budget.number("floor", 0.0..=1e6, Some(0.0)),
-            ratio: budget.number("ratio", 0.0..=100.0, None),
-            span: budget.number("span-ms", POSITIVE_MS, None),
-        };
-        budget.finish();
-        read
-    });
-    s
+    read_slow_start(block, &mut settings);
+    settings.retry_budget = read_retry_budget(block);
+    settings
 }
 
-fn read_waits(b: &Block<'_>) -> Timeouts {
-    let d = Timeouts::default();
-    let Some(b) = b.block("waits") else { return d };
-    let wait = |key, default: Micros| Micros::from_ms(b.number(key, POSITIVE_MS, Some(default.ms())));
-    let waits = Timeouts {
-        dial: wait("dial-ms", d.dial),
-        greeting: wait("greeting-ms", d.greeting),
-        idle: wait("idle-ms", d.idle),
-        answer: wait("answer-ms", d.answer),
-        list_silence: wait("list-silence-ms", d.list_silence),
-        list_retry: (wait("list-retry-ms", d.list_retry.0), wait("list-retry-most-ms", d.list_retry.1)),
-        stop: wait("stop-ms", d.stop),
-        ..d
-    };
-    b.finish();
-    waits
+fn read_slow_start(block: &Block<'_>, settings: &mut Settings) {
+    let Some(cold) = block.block("cold") else { return };
+    settings.initial_capacity = cold.number("from", 0.001..=1.0, None);
+    settings.warm_up_time = cold.number("warm-ms", POSITIVE_MILLISECONDS, None);
+    settings.overload_multiple = cold.number("fall-multiple", 0.001..=1000.0, None);
+    settings.slow_start_window = cold.number("fall-ms", POSITIVE_MILLISECONDS, None);
+    settings.slow_start_min_units = cold.number("bears-units", 0.0..=1e6, Some(0.0));
+    cold.reject_unknown_keys();
 }
 
-fn read_storm(b: Option<&Block<'_>>, max_advice: f64) -> Option<RetryThrottleConfig> {
-    let d = RetryThrottleConfig { max_advice: Micros::from_ms(max_advice), ..RetryThrottleConfig::default() };
-    let Some(b) = b else { return Some(d) };
-    let damping = b.flag("damping", true);
-    let rules = RetryThrottleConfig {
-        retry_weight: b.number("repeat-worth", 0.0..=1.0, Some(d.retry_weight)),
-        retry_share: b.number("repeat-share", 0.0..=10.0, Some(d.retry_share)),
-        retry_floor: b.number("repeat-floor", 0.0..=1e6, Some(d.retry_floor)),
-        retry_memory: Micros::from_ms(b.number("patience-ms", POSITIVE_MS, Some(d.retry_memory.ms()))),
-        remembered: b.whole("remembered", 1..=1 << 24, Some(d.remembered as u64)) as usize,
-        ..d
+fn read_retry_budget(block: &Block<'_>) -> Option<RetryBudget> {
+    let budget = block.block("budget")?;
+    let retry_budget = RetryBudget {
+        floor: budget.number("floor", 0.0..=1e6, Some(0.0)),
+        ratio: budget.number("ratio", 0.0..=100.0, None),
+        span: budget.number("span-ms", POSITIVE_MILLISECONDS, None),
     };
-    b.finish();
-    damping.then_some(rules)
+    budget.reject_unknown_keys();
+    Some(retry_budget)
 }
 
-fn read_write_back(b: &Block<'_>) -> WriteBack {
-    let d = flaxstand_write_back::BufferLimits::default();
-    let wait = |key, default: Micros| Micros::from_ms(b.number(key, MS, Some(default.ms())));
-    let bytes = |key, default| b.whole(key, 1..=1 << 40, Some(default));
-    let volumes = b.wholes("volumes", 0..=u64::MAX >> 1);
-    let rules = flaxstand_write_back::BufferLimits {
-        bytes: bytes("bytes", d.bytes),
-        volume_bytes: bytes("volume-bytes", d.volume_bytes),
-        age: Micros::from_ms(b.number("age-ms", POSITIVE_MS, Some(d.age.ms()))),
-        linger: wait("linger-ms", d.linger),
-        record_linger: wait("record-linger-ms", d.record_linger),
-        slow: wait("slow-ms", d.slow),
-        waiting: b.whole("waiting", 1..=1 << 24, Some(d.waiting as u64)) as usize,
-        flush_here: b.choice("flush", &[("nodes", false), ("here", true)], Some(false)).unwrap_or(false),
+fn read_timeouts(block: &Block<'_>) -> Timeouts {
+    let defaults = Timeouts::default();
+    let Some(block) = block.block("waits") else { return defaults };
+    let timeout =
+        |key, default: Micros| Micros::from_ms(block.number(key, POSITIVE_MILLISECONDS, Some(default.ms())));
+    let timeouts = Timeouts {
+        connect_timeout: timeout("dial-ms", defaults.connect_timeout),
+        greeting_timeout: timeout("greeting-ms", defaults.greeting_timeout),
+        node_idle_timeout: timeout("idle-ms", defaults.node_idle_timeout),
+        response_margin: timeout("answer-ms", defaults.response_margin),
+        discovery_idle_timeout: timeout("list-silence-ms", defaults.discovery_idle_timeout),
+        discovery_backoff: BackoffBounds {
+            min: timeout("list-retry-ms", defaults.discovery_backoff.min),
+            max: timeout("list-retry-most-ms", defaults.discovery_backoff.max),
+        },
+        shutdown_timeout: timeout("stop-ms", defaults.shutdown_timeout),
+        ..defaults
     };
-    if rules.linger > rules.age {
-        b.problem(format!("linger-ms is {}, expected at most age-ms, {}", rules.linger.ms(), rules.age.ms()));
-    }
-    b.finish();
-    WriteBack { rules, volumes: (!volumes.is_empty()).then(|| volumes.into_iter().collect()) }
+    block.reject_unknown_keys();
+    timeouts
 }
 
-fn read_class(b: &Block<'_>) -> (ClassInfo, Class) {
-    let groups = [
-        ("all", DeduplicationScope::All),
-        ("zone", DeduplicationScope::Zone),
-        ("shard", DeduplicationScope::Shard),
-    ];
-    #[derive(Clone, Copy)]
-    enum Word {
-        Repeatable,
-        Keyed,
-        Once,
-    }
-    let words = [("repeatable", Word::Repeatable), ("keyed", Word::Keyed), ("once", Word::Once)];
-    let effect = match b.choice("effect", &words, None) {
-        Some(Word::Keyed) => Effect::IdempotencyKey {
-            group: b.choice("group", &groups, None).unwrap_or(DeduplicationScope::Shard),
-            window: b.number("window-ms", POSITIVE_MS, None),
-        },
-        Some(Word::Once) => Effect::AtMostOnce,
-        _ => Effect::Idempotent,
+/// `max_advice_ms`: longest Retry-After that a client may be told, ms.
+fn read_retry_throttle(block: Option<&Block<'_>>, max_advice_ms: f64) -> Option<RetryThrottleConfig> {
+    let max_advice = Micros::from_ms(max_advice_ms);
+    let defaults = RetryThrottleConfig { max_advice, ..RetryThrottleConfig::default() };
+    let Some(block) = block else { return Some(defaults) };
+    let is_throttling = block.flag("damping", true);
+    let default_memory = defaults.retry_memory.ms();
+    let config = RetryThrottleConfig {
+        retry_weight: block.number("repeat-worth", 0.0..=1.0, Some(defaults.retry_weight)),
+        retry_share: block.number("repeat-share", 0.0..=10.0, Some(defaults.retry_share)),
+        retry_floor: block.number("repeat-floor", 0.0..=1e6, Some(defaults.retry_floor)),
+        retry_memory: Micros::from_ms(block.number(
+            "patience-ms",
+            POSITIVE_MILLISECONDS,
+            Some(default_memory),
+        )),
+        remembered: block.integer("remembered", 1..=1 << 24, Some(defaults.remembered as u64)) as usize,
+        ..defaults
     };
-    let class = Class {
-        latency_objective: b.number("aim-ms", POSITIVE_MS, None),
-        objective_stretch: b.number("aim-stretch", 0.0..=1000.0, Some(0.0)),
-        deadline: b.number("deadline-ms", POSITIVE_MS, None),
-        late_value: b.number("late-value", 0.0..=1.0, Some(0.0)),
-        priority_weight: b.number("worth", 0.0..=1e9, Some(1.0)),
-        effect,
-        in_order: b.flag("in-order", false),
-    };
-    if class.latency_objective > class.deadline {
-        b.problem(format!(
-            "aim-ms is {}, expected at most deadline-ms, {}",
-            class.latency_objective, class.deadline
-        ));
-    }
-    let buffered = b.flag("buffered", false);
-    if buffered && class.effect == Effect::AtMostOnce {
-        b.problem(
-            "buffered is #true, expected #false for effect \"once\": after a crash it could not be repeated"
-                .into(),
-        );
-    }
-    let info = ClassInfo { name: b.name(), stream: b.flag("stream", false), buffered };
-    b.finish();
-    (info, class)
+    block.reject_unknown_keys();
+    is_throttling.then_some(config)
 }
 
-fn read_plan(b: &Block<'_>) -> ((String, f64), Plan) {
-    let plan = Plan {
-        base_rate: b.number("base-rate", RATE, Some(0.0)),
-        reserve_rate: b.number("reserve-rate", RATE, Some(0.0)),
-        limit_rate: b.number("limit-rate", RATE, Some(0.0)),
-        limit_burst: b.number("limit-burst", RATE, Some(0.0)),
-        priority_factor: b.number("price", 0.0..=1e9, Some(1.0)),
+fn read_write_back(root: &Block<'_>, classes: &[ClassInfo]) -> Option<WriteBack> {
+    let is_needed = classes.iter().any(|class| class.is_buffered);
+    let write_back = root.block("buffer").map(|block| {
+        if !is_needed {
+            block.report("there is a buffer, expected a class that is buffered".into());
+        }
+        read_buffer(&block)
+    });
+    is_needed.then(|| write_back.unwrap_or_default())
+}
+
+fn read_buffer(block: &Block<'_>) -> WriteBack {
+    let defaults = BufferLimits::default();
+    let time = |key, default: Micros| Micros::from_ms(block.number(key, MILLISECONDS, Some(default.ms())));
+    let bytes = |key, default| block.integer(key, 1..=1 << 40, Some(default));
+    let volumes = block.integers("volumes", 0..=u64::MAX >> 1);
+    let flush_modes = [("nodes", false), ("here", true)];
+    let limits = BufferLimits {
+        bytes: bytes("bytes", defaults.bytes),
+        volume_bytes: bytes("volume-bytes", defaults.volume_bytes),
+        age: Micros::from_ms(block.number("age-ms", POSITIVE_MILLISECONDS, Some(defaults.age.ms()))),
+        linger: time("linger-ms", defaults.linger),
+        record_linger: time("record-linger-ms", defaults.record_linger),
+        slow: time("slow-ms", defaults.slow),
+        waiting: block.integer("waiting", 1..=1 << 24, Some(defaults.waiting as u64)) as usize,
+        flush_here: block.choice("flush", &flush_modes, Some(false)).unwrap_or(false),
     };
-    let slack = b.number("limit-slack", RATE, Some(0.0));
-    let name = b.name();
-    b.finish();
-    ((name, slack), plan)
+    if limits.linger > limits.age {
+        let (linger, age) = (limits.linger.ms(), limits.age.ms());
+        block.report(format!("linger-ms is {linger}, expected at most age-ms, {age}"));
+    }
+    block.reject_unknown_keys();
+    WriteBack { limits, volumes: (!volumes.is_empty()).then(|| volumes.into_iter().collect()) }
 }
--- a/crates/flaxstand-gateway/tests/client_places.rs
+++ b/crates/flaxstand-gateway/tests/client_places.rs
@@ -8,7 +8,7 @@
 
 fn world(clients: usize) -> World {
     let mut c = on_platform(2500);
-    c.bounds.clients = clients;
+    c.bounds.max_clients = clients;
     World::new(c, 1)
 }
 
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -2,7 +2,7 @@
 
 mod harness;
 
-use flaxstand_gateway::core::{ConsensusConfig, Core, SavedList};
+use flaxstand_gateway::core::{ConsensusConfig, ConsensusPeer, Core, SavedList};
 use flaxstand_gateway::machine::{ConnId, Control, Machine};
 use flaxstand_proto::*;
 use harness::*;
@@ -31,7 +31,7 @@
 #[test]
 fn a_client_that_stops_reading_holds_up_only_itself_and_is_cut_off_at_the_bound() {
     let mut c = config();
-    (c.bounds.client_bytes, c.bounds.client_bytes_most) = (10_000, 30_000);
+    (c.bounds.client_pause_bytes, c.bounds.max_client_bytes) = (10_000, 30_000);
     let mut w = World::new(c, 2);
     let (stuck, other) = (w.client(), w.client());
     w.blocked.insert(stuck);
@@ -62,7 +62,7 @@
 #[test]
 fn a_client_that_reads_again_is_read_again() {
     let mut c = config();
-    c.bounds.client_bytes = 1000;
+    c.bounds.client_pause_bytes = 1000;
     let mut w = World::new(c, 1);
     let client = w.client();
     w.blocked.insert(client);
@@ -379,8 +379,9 @@
 #[test]
 fn every_bound_refuses_what_is_beyond_it_and_says_which() {
     let mut c = config();
-    (c.bounds.clients, c.bounds.held, c.bounds.per_client, c.bounds.volumes) = (2, 5, 3, 1);
-    c.bounds.nodes = 1;
+    (c.bounds.max_clients, c.bounds.max_requests, c.bounds.max_requests_per_client, c.bounds.max_volumes) =
+        (2, 5, 3, 1);
+    c.bounds.max_endpoints = 1;
     let mut w = World::new(c, 2);
     let (a, b) = (w.client(), w.client());
     let goodbye = w.core.accepted(0, w.now).expect_err("a third client");
@@ -422,7 +423,7 @@
 #[test]
 fn what_waits_for_a_node_is_bounded() {
     let mut c = config();
-    c.bounds.node_bytes = 10;
+    c.bounds.max_node_bytes = 10;
     let mut w = World::new(c, 1);
     let client = w.client();
     w.submit(client, 1, READ, Some(0));
@@ -457,7 +458,7 @@
 #[test]
 fn a_stop_that_lasts_too_long_fails_what_is_left() {
     let mut c = config();
-    c.site.waits.stop = ms(100);
+    c.site.timeouts.shutdown_timeout = ms(100);
     let mut w = World::new(c, 1);
     let client = w.client();
     w.submit(client, 1, READ, Some(0));
@@ -591,7 +592,7 @@
     #[test]
     fn garbage_from_every_peer_harms_no_one_else(all in proptest::collection::vec(garbage(), 1..40)) {
         let mut c = config();
-        c.bounds.held = 50;
+        c.bounds.max_requests = 50;
         let mut w = World::new(c, 2);
         let good = w.client();
         for (n, one) in all.into_iter().enumerate() {
@@ -679,7 +680,7 @@
 /// A site that meets storms, and a client that presses again and again on a node that is not there.
 fn stormy() -> flaxstand_gateway::core::Config {
     let mut c = config();
-    c.site.storm = Some(flaxstand_overload::RetryThrottleConfig {
+    c.site.retry_throttle = Some(flaxstand_overload::RetryThrottleConfig {
         retry_floor: 2.0,
         ..flaxstand_overload::RetryThrottleConfig::default()
     });
@@ -892,13 +893,13 @@
 fn what_waits_to_leave_when_the_rules_change_never_leaves() {
     use flaxstand_consensus::participant::StoredReplica;
     let mut c = config();
-    c.agreeing = Some(ConsensusConfig {
-        keepers: vec![(c.name.clone(), "127.0.0.1:9".parse().unwrap())],
-        others: Vec::new(),
-        lease: ms(1000),
-        election: ms(100),
-        clock_error: 0.0,
-        started_with: Default::default(),
+    c.consensus = Some(ConsensusConfig {
+        voters: vec![ConsensusPeer { name: c.name.clone(), address: "127.0.0.1:9".parse().unwrap() }],
+        other_initiators: Vec::new(),
+        lease_duration: ms(1000),
+        election_timeout: ms(100),
+        max_clock_drift: 0.0,
+        initial_rules: Default::default(),
     });
     let mut w = World::new(c, 1);
     w.core.agree(1, Some(StoredReplica::default()), None, w.now);
--- a/crates/flaxstand-gateway/tests/crossings_drawn.rs
+++ b/crates/flaxstand-gateway/tests/crossings_drawn.rs
@@ -20,7 +20,7 @@
     let mut c = with_keyed(2500, WINDOW as f64);
     c.seed = seed;
     (c.site.settings.may_probe, c.site.settings.max_concurrent_attempts) = (true, 2);
-    (c.bounds.clients, c.bounds.links) = (CLIENTS, LINKS);
+    (c.bounds.max_clients, c.bounds.max_node_connections) = (CLIENTS, LINKS);
     c
 }
 
--- a/crates/flaxstand-gateway/tests/frames_long_lists.rs
+++ b/crates/flaxstand-gateway/tests/frames_long_lists.rs
@@ -18,7 +18,7 @@
 const KNOWN: u64 = 0;
 
 fn silence_ms() -> u64 {
-    config().site.waits.list_silence.0 / 1000
+    config().site.timeouts.discovery_idle_timeout.0 / 1000
 }
 
 /// A core that was told of one node, whose list service reads nothing from now on: the test speaks for it.
@@ -221,8 +221,8 @@
     let saved = std::env::temp_dir().join(format!("flaxstand-long-list-{}", std::process::id()));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut site = config();
-    site.list = Address::Tcp(listener.local_addr().expect("an address"));
-    site.site.waits.list_silence = Micros(SILENCE.as_micros() as u64);
+    site.discovery_address = Address::Tcp(listener.local_addr().expect("an address"));
+    site.site.timeouts.discovery_idle_timeout = Micros(SILENCE.as_micros() as u64);
     let options = Options { saved: Some(saved.clone()), ..Options::default() };
     // It runs until the test's process ends.
     std::thread::spawn(move || {
--- a/crates/flaxstand-gateway/tests/harness/mod.rs
+++ b/crates/flaxstand-gateway/tests/harness/mod.rs
@@ -29,7 +29,7 @@
         effect,
         in_order: false,
     };
-    let info = |name: &str, stream| ClassInfo { name: name.into(), stream, buffered: false };
+    let info = |name: &str, stream| ClassInfo { name: name.into(), is_streamed: stream, is_buffered: false };
     let settings = Settings {
         initiators: 1,
         classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce), class(Effect::Idempotent)],
@@ -67,19 +67,19 @@
         epoch: 1,
         calendar: 0,
         seed: 3,
-        list: "127.0.0.1:1".parse().unwrap(),
+        discovery_address: "127.0.0.1:1".parse().unwrap(),
         site: Site {
             settings,
             classes: vec![info("read", false), info("once", false), info("stream", true)],
             plans: vec!["plan".into()],
-            waits: Timeouts::default(),
+            timeouts: Timeouts::default(),
             write_back: None,
-            storm: None,
+            retry_throttle: None,
         },
         bounds: Bounds::default(),
         policy: Policy::Module,
         wire: Wire::Frames,
-        agreeing: None,
+        consensus: None,
     }
 }
 
@@ -88,9 +88,14 @@
     let mut c = config();
     c.wire = Wire::Platform;
     c.site.settings.polls_list = true;
-    c.site.waits =
-        Timeouts { idle: ms(18_000), watch: ms(watch), stop_grace: ms(1400), stop: ms(1600), ..c.site.waits };
-    c.site.classes[2].stream = false;
+    c.site.timeouts = Timeouts {
+        node_idle_timeout: ms(18_000),
+        max_long_poll: ms(watch),
+        shutdown_grace: ms(1400),
+        shutdown_timeout: ms(1600),
+        ..c.site.timeouts
+    };
+    c.site.classes[2].is_streamed = false;
     c
 }
 
--- a/crates/flaxstand-gateway/tests/list_answers.rs
+++ b/crates/flaxstand-gateway/tests/list_answers.rs
@@ -15,7 +15,7 @@
 
 fn platform() -> Config {
     let mut config = on_platform(2500);
-    config.bounds.nodes = 2 * TARGETS as usize;
+    config.bounds.max_endpoints = 2 * TARGETS as usize;
     config
 }
 
@@ -163,7 +163,7 @@
 #[test]
 fn large_answers_of_nodes_do_not_cost_the_list() {
     let mut config = platform();
-    config.bounds.answer_bytes = 1 << 20;
+    config.bounds.max_response_bytes = 1 << 20;
     let mut w = World::new(config, 2);
     let (_, link) = w.asked("r1", "read");
     let conn = w.list_conn();
--- a/crates/flaxstand-gateway/tests/list_bounds.rs
+++ b/crates/flaxstand-gateway/tests/list_bounds.rs
@@ -20,7 +20,7 @@
 
 fn platform_config() -> Config {
     let mut config = on_platform(2_500);
-    config.bounds.answer_bytes = ANSWER_BYTES;
+    config.bounds.max_response_bytes = ANSWER_BYTES;
     config
 }
 
@@ -98,7 +98,7 @@
         world.says(list, before);
         world.run(5);
         let visited = world.core.counts().nodes_visited;
-        let reloaded = Reloaded { bounds: Bounds::default(), list: config().list };
+        let reloaded = Reloaded { bounds: Bounds::default(), list: config().discovery_address };
         world.core.control(Control::Reload(reloaded), world.now);
         world.run(5);
         assert_eq!(world.core.counts().nodes_visited, visited, "{nodes} nodes");
--- a/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
@@ -84,7 +84,7 @@
         config.name = format!("host-{host}");
         config.seed = self.day.seed.wrapping_mul(31).wrapping_add(host as u64);
         config.epoch = u64::from(self.hosts[host].life);
-        config.list = list_address(self.network.moves);
+        config.discovery_address = list_address(self.network.moves);
         let settings = &mut config.site.settings;
         (settings.initiators, settings.poll_within) = (self.day.hosts as u32, ASK_WITHIN.ms());
         settings.notification_terms = Some(NotificationTerms {
--- a/crates/flaxstand-gateway/tests/list_growth.rs
+++ b/crates/flaxstand-gateway/tests/list_growth.rs
@@ -33,9 +33,9 @@
 /// The baseline decides: what the module does is not counted here.
 fn baseline(config: Config, listed: u64) -> Config {
     let mut config = Config { policy: Policy::Pipe, ..config };
-    config.bounds.nodes = listed as usize + 10;
+    config.bounds.max_endpoints = listed as usize + 10;
     // The list is told by the test alone.
-    config.site.waits.list_silence = ms(3_600_000);
+    config.site.timeouts.discovery_idle_timeout = ms(3_600_000);
     config
 }
 
@@ -180,7 +180,7 @@
 fn the_longest_idle_connection_gives_its_place_without_a_walk() {
     let room = |targets| {
         let mut c = baseline(on_platform(2500), targets);
-        c.bounds.links = 3;
+        c.bounds.max_node_connections = 3;
         let mut w = World::new(c, 0);
         tell_targets(&mut w, 0..targets, TargetState::Up);
         for node in 0..4 {
@@ -213,7 +213,7 @@
 fn whether_a_large_answer_has_room_is_known_without_a_walk_over_the_clients() {
     const LARGE_ANSWER: usize = 70_000;
     let mut c = baseline(on_platform(2500), 1);
-    c.bounds.answer_bytes = 2 * LARGE_ANSWER;
+    c.bounds.max_response_bytes = 2 * LARGE_ANSWER;
     let mut w = World::new(c, 0);
     w.dials.insert("127.0.0.1:10000".parse().unwrap(), Dial::Greets(0));
     tell_targets(&mut w, 0..1, TargetState::Up);
--- a/crates/flaxstand-gateway/tests/long_lists.rs
+++ b/crates/flaxstand-gateway/tests/long_lists.rs
@@ -71,7 +71,7 @@
     let asked = |heartbeats: bool| {
         let mut world = World::new(config(), 3);
         let list = world.list_conn();
-        let silence_ms = config().site.waits.list_silence.0 / 1000;
+        let silence_ms = config().site.timeouts.discovery_idle_timeout.0 / 1000;
         for _ in 0..8 {
             world.run(silence_ms / 2);
             if heartbeats {
--- a/crates/flaxstand-gateway/tests/platform.rs
+++ b/crates/flaxstand-gateway/tests/platform.rs
@@ -9,7 +9,7 @@
 
 fn platform() -> Config {
     let c = on_platform(5000);
-    Config { bounds: Bounds { clients: 8, links: 6, ..c.bounds }, ..c }
+    Config { bounds: Bounds { max_clients: 8, max_node_connections: 6, ..c.bounds }, ..c }
 }
 
 fn world() -> World {
@@ -143,7 +143,7 @@
 #[test]
 fn large_answers_that_clients_do_not_read_have_a_bound() {
     let mut c = platform();
-    c.bounds.answer_bytes = 1_000_000;
+    c.bounds.max_response_bytes = 1_000_000;
     let mut w = World::new(c, 2);
     let answered: Vec<ConnId> = (0..4)
         .map(|n| {
--- a/crates/flaxstand-gateway/tests/platform_growth.rs
+++ b/crates/flaxstand-gateway/tests/platform_growth.rs
@@ -42,7 +42,7 @@
 
 fn site_config(targets: u64) -> Config {
     let mut config = on_platform(2_500);
-    config.bounds.nodes = targets as usize + 10;
+    config.bounds.max_endpoints = targets as usize + 10;
     config.site.settings.may_probe = true;
     config
 }
--- a/crates/flaxstand-gateway/tests/recorded.rs
+++ b/crates/flaxstand-gateway/tests/recorded.rs
@@ -88,7 +88,7 @@
 /// A host that is told its list by the test alone.
 fn quiet() -> Config {
     let mut config = config();
-    config.site.waits.list_silence = ms(3_600_000);
+    config.site.timeouts.discovery_idle_timeout = ms(3_600_000);
     config
 }
 
@@ -134,7 +134,7 @@
 
 fn platform() -> Config {
     let c = on_platform(5000);
-    Config { bounds: Bounds { clients: 8, links: 6, ..c.bounds }, ..c }
+    Config { bounds: Bounds { max_clients: 8, max_node_connections: 6, ..c.bounds }, ..c }
 }
 
 /// All that the core wrote, by connection in the order of calling.
@@ -234,7 +234,7 @@
 fn the_buffers_figures_have_the_recorded_names() {
     let mut c = config();
     c.site.write_back = Some(WriteBack::default());
-    c.site.classes[0].buffered = true;
+    c.site.classes[0].is_buffered = true;
     let mut w = World::new(c, 1);
     let recovered = recover(&mut FaultyDisk::new(1)).expect("an empty log");
     w.core.attach(recovered, w.now);
@@ -257,7 +257,7 @@
 #[test]
 fn a_conversation_in_frames_is_the_recorded_one() {
     let mut c = config();
-    c.site.waits = Timeouts { stop: ms(500), ..c.site.waits };
+    c.site.timeouts = Timeouts { shutdown_timeout: ms(500), ..c.site.timeouts };
     let mut w = World::new(c, 3);
     let client = w.client();
     (1..=3).for_each(|id| w.submit(client, id, READ, Some(id as u32 - 1)));
--- a/crates/flaxstand-gateway/tests/saved_list.rs
+++ b/crates/flaxstand-gateway/tests/saved_list.rs
@@ -13,8 +13,8 @@
 /// A host that is told its list by the test alone.
 fn quiet() -> Config {
     let mut config = config();
-    config.site.waits.list_silence = ms(3_600_000);
-    config.bounds.nodes = 10_000;
+    config.site.timeouts.discovery_idle_timeout = ms(3_600_000);
+    config.bounds.max_endpoints = 10_000;
     config
 }
 
@@ -117,7 +117,7 @@
     const { assert!(NODES as usize > 2 * MAX_ENTRIES, "three frames") };
     let roomy = || {
         let mut config = quiet();
-        config.bounds.nodes = NODES as usize;
+        config.bounds.max_endpoints = NODES as usize;
         config
     };
     let mut w = World::new(roomy(), 0);
--- a/crates/flaxstand-gateway/tests/settings.rs
+++ b/crates/flaxstand-gateway/tests/settings.rs
@@ -40,7 +40,7 @@
     assert_eq!(daemon.listen.len(), 1);
     let example = include_str!("../../../docs/example.kdl");
     let daemon = read_daemon("example.kdl", example).unwrap();
-    assert_eq!((daemon.listen.len(), daemon.config.bounds.clients), (2, 500));
+    assert_eq!((daemon.listen.len(), daemon.config.bounds.max_clients), (2, 500));
     assert_eq!(daemon.config.site.settings.initial_capacity, 0.2);
 }
 
@@ -116,9 +116,9 @@
     };
     let three = "    keeper \"left\" at=\"127.0.0.1:1\"\n    keeper \"b\" at=\"127.0.0.1:2\"\n    keeper \"c\" at=\"127.0.0.1:3\"\n";
     let daemon = read_daemon("test.kdl", &agreeing(three, "    set \"plan.basic.limit-rate\" 3\n")).unwrap();
-    let agreeing_with = daemon.agreement.expect("a block").agreeing;
-    assert_eq!(agreeing_with.keepers.len(), 3);
-    assert_eq!(agreeing_with.started_with.fallback.len(), 1);
+    let agreeing_with = daemon.consensus.expect("a block").config;
+    assert_eq!(agreeing_with.voters.len(), 3);
+    assert_eq!(agreeing_with.initial_rules.fallback.len(), 1);
     let two = "    keeper \"left\" at=\"127.0.0.1:1\"\n    keeper \"b\" at=\"127.0.0.1:2\"\n";
     let stranger = three.replace("left", "right");
     for (keepers, floor, line, words) in [
--- a/crates/flaxstand-gateway/tests/writeback.rs
+++ b/crates/flaxstand-gateway/tests/writeback.rs
@@ -15,11 +15,11 @@
 
 fn buffering() -> Config {
     let mut c = config();
-    c.site.classes[0].buffered = true;
+    c.site.classes[0].is_buffered = true;
     c.site.settings.key_cooldown = 20.0;
     let rules =
         BufferLimits { linger: Micros(0), record_linger: ms(5), age: ms(2000), ..BufferLimits::default() };
-    c.site.write_back = Some(WriteBack { rules, volumes: None });
+    c.site.write_back = Some(WriteBack { limits: rules, volumes: None });
     c
 }
 
@@ -219,7 +219,7 @@
 #[test]
 fn a_streamed_read_of_a_buffered_part_comes_as_one_answer() {
     let mut c = buffering();
-    c.site.classes[usize::from(PLAIN)].stream = true;
+    c.site.classes[usize::from(PLAIN)].is_streamed = true;
     let mut d = Desk::new(c);
     d.write(1, ORDER, 8, Some(1), b"X");
     d.store();
--- a/crates/flaxstand-simulation/src/day.rs
+++ b/crates/flaxstand-simulation/src/day.rs
@@ -8,7 +8,7 @@
 use flaxstand_audit::{Group, Terms};
 use flaxstand_consensus::rules::{Value, narrowing_of};
 use flaxstand_gateway::machine::Micros;
-use flaxstand_gateway::settings::{Block, SettingsError, SiteFile, Source, read_floor, read_site};
+use flaxstand_gateway::settings::{Block, SettingsError, SiteFile, Source, read_fallback_rules, read_site};
 use std::collections::BTreeMap;
 use std::path::Path;
 use thiserror::Error;
@@ -172,7 +172,7 @@
     let document = source.parse()?;
     let root = Block::document(&source, &document);
     let base = root.parsed("base", "a file's name", Some(None), |t| Some(Some(t.to_owned())));
-    source.verdict()?;
+    source.finish()?;
     Ok(base.flatten())
 }
 
@@ -245,15 +245,15 @@
                 let document = source.parse()?;
                 let common = Block::document(&source, &document);
                 let day = Day::read_common(&common);
-                common.finish();
-                source.verdict()?;
+                common.reject_unknown_keys();
+                source.finish()?;
                 day
             }
             None => Day::read_common(&root),
         };
         let day = day.read_own(&root);
-        root.finish();
-        source.verdict()?;
+        root.reject_unknown_keys();
+        source.finish()?;
         Ok(day)
     }
 
@@ -270,8 +270,8 @@
             seed: 0,
             transit: Micros(0),
             one_way: read_net(root),
-            fleet: read_fleet(root.needed("fleet").as_ref().unwrap_or(&missing), &site),
-            traffic: read_traffic(root.needed("traffic").as_ref().unwrap_or(&missing), &site),
+            fleet: read_fleet(root.required_block("fleet").as_ref().unwrap_or(&missing), &site),
+            traffic: read_traffic(root.required_block("traffic").as_ref().unwrap_or(&missing), &site),
             mixes: Vec::new(),
             plans: Vec::new(),
             faults: Vec::new(),
@@ -284,14 +284,14 @@
     }
 
     fn read_own(mut self, root: &Block<'_>) -> Day {
-        if let Some(b) = root.needed("day") {
+        if let Some(b) = root.required_block("day") {
             self.name = b.name();
             self.seconds = b.number("seconds", 0.1..=86_400.0, None);
-            self.seed = b.whole("seed", 0..=u64::MAX >> 1, Some(1));
+            self.seed = b.integer("seed", 0..=u64::MAX >> 1, Some(1));
             self.transit = Micros::from_ms(b.number("transit-ms", MS, Some(100.0)));
-            b.finish();
+            b.reject_unknown_keys();
         }
-        self.floor = read_floor(root);
+        self.floor = read_fallback_rules(root);
         self.accord = root.block("agreement").map(|b| read_accord(&b, &self));
         self.faults = root.blocks("fault").iter().filter_map(|b| read_fault(b, &self)).collect();
         self
@@ -303,7 +303,7 @@
             let name = b.name();
             let at = names.iter().position(|n| *n == name);
             if at.is_none() && !name.is_empty() {
-                b.problem(format!("no {what} has this name; there are {}", names.join(", ")));
+                b.report(format!("no {what} has this name; there are {}", names.join(", ")));
             }
             at
         };
@@ -320,15 +320,15 @@
                 new: b.number("new", SHARE, Some(0.0)),
                 reread: b.number("reread", SHARE, Some(0.0)),
                 reread_buffered: b.number("reread-buffered", SHARE, Some(0.0)),
-                items: b.whole("items", 1..=1 << 40, Some(1 << 20)),
+                items: b.integer("items", 1..=1 << 40, Some(1 << 20)),
             };
             if let Some(at) = named(b, &classes, "class") {
                 self.mixes[at] = mix;
             }
-            b.finish();
+            b.reject_unknown_keys();
         }
         if self.mixes.iter().all(|m| m.share == 0.0) {
-            root.problem("mix is missing, expected one with a share above 0".into());
+            root.report("mix is missing, expected one with a share above 0".into());
         }
         let plans = self.site.site.plans.clone();
         self.plans = vec![PlanMix { share: 1.0, hosts: (1.0, 1.0) }; plans.len()];
@@ -340,10 +340,10 @@
             if let Some(at) = named(&b, &plans, "plan") {
                 self.plans[at] = mix;
             }
-            b.finish();
+            b.reject_unknown_keys();
         }
         if self.plans.iter().all(|p| p.share == 0.0) {
-            root.problem("no plan has volumes, expected a share above 0".into());
+            root.report("no plan has volumes, expected a share above 0".into());
         }
     }
 
@@ -363,14 +363,14 @@
                 flaxstand_audit::Effect::IdempotencyKey(group, us(window))
             }
         };
-        let slack = |i: usize| self.site.rules.limit_slack.get(i).copied().unwrap_or(0.0);
+        let slack = |i: usize| self.site.audit.limit_slack.get(i).copied().unwrap_or(0.0);
         let limit = |(i, p): (usize, &flaxstand::api::Plan)| (p.limit_rate, p.limit_burst, slack(i));
         Terms {
             classes: s.classes.iter().map(|c| (effect(&c.effect), c.in_order)).collect(),
-            buffered: self.site.site.classes.iter().map(|c| c.buffered).collect(),
+            buffered: self.site.site.classes.iter().map(|c| c.is_buffered).collect(),
             limits: s.plans.iter().enumerate().map(limit).collect(),
             max_concurrent_attempts: s.max_concurrent_attempts as usize,
-            drain_grace: self.site.rules.drain_grace.0,
+            drain_grace: self.site.audit.drain_grace.0,
             fall: (s.overload_multiple, us(s.slow_start_window), s.slow_start_min_units),
             key_cooldown: us(s.key_cooldown),
             budget: s.retry_budget.map(|b| (b.floor, b.ratio, us(b.span))),
@@ -394,7 +394,7 @@
     const DEFAULT: (f64, f64) = (0.05, 0.2);
     let Some(b) = root.block("net") else { return DEFAULT };
     let one_way = b.range("one-way-ms", 0.001..=60_000.0, Some(DEFAULT));
-    b.finish();
+    b.reject_unknown_keys();
     one_way
 }
 
@@ -406,14 +406,14 @@
         _ => 0.0,
     });
     let fleet = Fleet {
-        nodes: b.whole("nodes", 0..=1000, None) as u32,
-        zones: b.whole("zones", 1..=100, Some(1)) as u32,
+        nodes: b.integer("nodes", 0..=1000, None) as u32,
+        zones: b.integer("zones", 1..=100, Some(1)) as u32,
         speed: b.range("speed", 0.001..=1000.0, Some((1.0, 1.0))),
         spec: Spec {
             cores: b.number("cores", 1.0..=1024.0, Some(2.0)),
             speed: 1.0,
-            slots: b.whole("slots", 1..=100_000, Some(4)) as usize,
-            queue: b.whole("queue", 0..=10_000_000, Some(64)) as usize,
+            slots: b.integer("slots", 1..=100_000, Some(4)) as usize,
+            queue: b.integer("queue", 0..=10_000_000, Some(64)) as usize,
             initial_capacity: s.initial_capacity,
             warm_after: Micros::from_ms(s.warm_up_time),
             warm_by_work: b
@@ -422,7 +422,7 @@
             thrash: b.number("thrash", 0.0..=0.95, Some(0.0)),
             thrash_at: b.number("thrash-at", 0.1..=1e6, Some(8.0)),
             seek: b.number("seek", SHARE, Some(0.0)),
-            remembers: b.whole("remembers", 0..=10_000, Some(0)) as usize,
+            remembers: b.integer("remembers", 0..=10_000, Some(0)) as usize,
             put_off: b.number("put-off", 0.0..=0.99, Some(0.0)),
             put_off_every: Micros::from_ms(b.number("put-off-every-ms", 1.0..=1e6, Some(2000.0))),
             overload_multiple: s.overload_multiple,
@@ -436,54 +436,54 @@
             report_every: Micros::from_ms(b.number("report-ms", 1.0..=1e6, Some(500.0))),
             report_late: Micros::from_ms(b.number("report-late-ms", MS, Some(0.0))),
             report_noise: b.number("report-noise", 0.0..=0.9, Some(0.0)),
-            connections: b.whole("connections", 1..=1_000_000, Some(10_000)) as usize,
+            connections: b.integer("connections", 1..=1_000_000, Some(10_000)) as usize,
             handshake: b.number("handshake-us", 0.0..=1e7, Some(0.0)),
             cancels: b.flag("cancels", true),
             window: Micros::from_ms(windows.fold(10_000.0, f64::max)),
         },
         list_late: Micros::from_ms(b.number("list-late-ms", MS, Some(500.0))),
     };
-    b.finish();
+    b.reject_unknown_keys();
     fleet
 }
 
 fn read_traffic(b: &Block<'_>, site: &SiteFile) -> Traffic {
-    let units = b.whole("units", 1..=1_000_000, Some(1));
+    let units = b.integer("units", 1..=1_000_000, Some(1));
     let most = site.site.settings.max_units;
     if units as f64 > most {
-        b.problem(format!("units is {units}, expected at most the site's unit-most, {most}"));
+        b.report(format!("units is {units}, expected at most the site's unit-most, {most}"));
     }
     let traffic = Traffic {
         rate: b.number("rate", 0.0..=1e7, None),
-        volumes: b.whole("volumes", 1..=1_000_000, None) as u32,
+        volumes: b.integer("volumes", 1..=1_000_000, None) as u32,
         spread: b.range("nodes", 1.0..=1000.0, Some((1.0, 3.0))),
         units: units as u32,
-        clients: b.whole("clients", 1..=10_000, Some(1)) as u32,
-        retries: b.whole("retries", 0..=100, Some(0)) as u8,
+        clients: b.integer("clients", 1..=10_000, Some(1)) as u32,
+        retries: b.integer("retries", 0..=100, Some(0)) as u8,
         retry_wait: b.range("retry-wait-ms", MS, Some((50.0, 200.0))),
         manners: b.choice("manners", &Manners::CHOICE, Some(None)).flatten().unwrap_or_default(),
         patience: b.range("patience-ms", MS, Some((0.0, 0.0))),
         honour: b.number("honour", SHARE, Some(1.0)),
-        payload: b.whole("payload-bytes", 8..=1 << 20, Some(64)) as usize,
-        barrier_every: b.whole("barrier-every", 0..=1 << 40, Some(0)),
-        flush_every: b.whole("flush-every", 0..=1 << 40, Some(0)),
+        payload: b.integer("payload-bytes", 8..=1 << 20, Some(64)) as usize,
+        barrier_every: b.integer("barrier-every", 0..=1 << 40, Some(0)),
+        flush_every: b.integer("flush-every", 0..=1 << 40, Some(0)),
     };
-    b.finish();
+    b.reject_unknown_keys();
     traffic
 }
 
 fn read_accord(b: &Block<'_>, day: &Day) -> Accord {
     let ms = |key, default| Micros::from_ms(b.number(key, 50.0..=600_000.0, Some(default)));
     let accord = Accord {
-        keepers: b.whole("keepers", 1..=5, Some(3)) as u32,
+        keepers: b.integer("keepers", 1..=5, Some(3)) as u32,
         lease: ms("lease-ms", 1000.0),
         election: ms("election-ms", 250.0),
         clock_error: b.number("clock-error", 0.0..=0.1, Some(0.001)),
     };
     if accord.keepers > day.site.site.settings.initiators {
-        b.problem(format!("keepers is {}, expected at most the site's initiators", accord.keepers));
+        b.report(format!("keepers is {}, expected at most the site's initiators", accord.keepers));
     }
-    b.finish();
+    b.reject_unknown_keys();
     accord
 }
 
@@ -532,7 +532,7 @@
         "restart-initiator" => Trouble::RestartInitiator,
         "cut-initiator" => Trouble::CutInitiator,
         "pause-initiator" => Trouble::PauseInitiator,
-        "change" => Trouble::Change(b.sets("set", |key, _| match narrowing_of(key) {
+        "change" => Trouble::Change(b.assignments("set", |key, _| match narrowing_of(key) {
             Some(_) => Ok(()),
             None => Err(format!("{key:?} is no key of the rules, see docs/agreement.md")),
         })),
@@ -544,7 +544,7 @@
         }
         "" => return None,
         _ => {
-            b.problem(
+            b.report(
                 "no such fault; there are pauses, stall, slow, neighbour, drop, hang, errors, full, refuse, deaf, \
                  reset, cut-in, cut-out, heavy, crash, replace, list-silent, list-fails, list-cut, list-late, kill-initiator, \
                  restart-initiator, cut-initiator, pause-initiator, change, burst, plan-burst"
@@ -554,31 +554,31 @@
         }
     };
     let places = |key, count: u32| -> Vec<u32> {
-        b.wholes(key, 0..=u64::from(count).saturating_sub(1)).into_iter().map(|n| n as u32).collect()
+        b.integers(key, 0..=u64::from(count).saturating_sub(1)).into_iter().map(|n| n as u32).collect()
     };
     let nodes = places("nodes", day.fleet.nodes);
     let initiators = places("initiators", day.site.site.settings.initiators);
     let of_nodes = matches!(trouble, Trouble::Node(..) | Trouble::Crash | Trouble::Replace);
     let agreement = matches!(trouble, Trouble::CutInitiator | Trouble::PauseInitiator | Trouble::Change(_));
     if agreement && day.accord.is_none() {
-        b.problem("there is no agreement, expected the block".into());
+        b.report("there is no agreement, expected the block".into());
     }
     let of_initiators = matches!(
         trouble,
         Trouble::KillInitiator | Trouble::RestartInitiator | Trouble::CutInitiator | Trouble::PauseInitiator
     );
     if of_nodes == nodes.is_empty() {
-        b.problem(format!(
+        b.report(format!(
             "nodes {}",
             if of_nodes { "is missing, expected one or more" } else { "has no place here" }
         ));
     }
     if of_initiators == initiators.is_empty() {
         let message = if of_initiators { "is missing, expected one or more" } else { "has no place here" };
-        b.problem(format!("initiators {message}"));
+        b.report(format!("initiators {message}"));
     }
     let at = b.number("at", 0.0..=86_400.0, None);
     let length = b.number("for", 0.0..=86_400.0, Some(0.0));
-    b.finish();
+    b.reject_unknown_keys();
     Some(Fault { name, at, length, nodes, initiators, trouble })
 }
--- a/crates/flaxstand-simulation/src/experiment.rs
+++ b/crates/flaxstand-simulation/src/experiment.rs
@@ -137,9 +137,9 @@
             class: None,
         };
         let mut files = Vec::new();
-        if let Some(b) = root.needed("experiment") {
+        if let Some(b) = root.required_block("experiment") {
             read.name = b.name();
-            files = b.all_parsed("day", "a day's file", |t| Some(t.to_owned()));
+            files = b.parsed_list("day", "a day's file", |t| Some(t.to_owned()));
             let (first, last) = b.range("seeds", 0.0..=1e9, None);
             read.seeds = (first as u64..=last as u64).take(10_000).collect();
             let seconds = b.number("seconds", 0.0..=86_400.0, Some(0.0));
@@ -148,7 +148,7 @@
             read.class = (!class.is_empty()).then_some(class);
             for v in b.blocks("variant") {
                 let tick = v.number("tick-ms", -1.0..=1000.0, Some(-1.0));
-                let initiators = v.whole("initiators", 0..=100_000, Some(0)) as u32;
+                let initiators = v.integer("initiators", 0..=100_000, Some(0)) as u32;
                 read.variants.push(Variant {
                     name: v.name(),
                     policy: v.choice("policy", &Policy::ALL, Some(Policy::Module)).unwrap_or_default(),
@@ -160,15 +160,15 @@
                     manners: v.choice("manners", &Manners::CHOICE, Some(None)).flatten(),
                     honour: Some(v.number("honour", -1.0..=1.0, Some(-1.0))).filter(|h| *h >= 0.0),
                 });
-                v.finish();
+                v.reject_unknown_keys();
             }
             if read.variants.is_empty() {
-                b.problem("variant is missing, expected one or more".into());
+                b.report("variant is missing, expected one or more".into());
             }
-            b.finish();
+            b.reject_unknown_keys();
         }
-        root.finish();
-        source.verdict()?;
+        root.reject_unknown_keys();
+        source.finish()?;
         Ok((read, files))
     }
 
@@ -237,11 +237,11 @@
         day.traffic.manners = variant.manners.unwrap_or(day.traffic.manners);
         day.traffic.honour = variant.honour.unwrap_or(day.traffic.honour);
         if !variant.damping {
-            day.site.site.storm = None;
+            day.site.site.retry_throttle = None;
         }
         if variant.through {
             day.site.site.write_back = None;
-            day.site.site.classes.iter_mut().for_each(|c| c.buffered = false);
+            day.site.site.classes.iter_mut().for_each(|c| c.is_buffered = false);
         }
         let report = world::play(&day, self.seconds.unwrap_or(day.seconds), variant.policy).report;
         let asked = report.classes.iter().filter(|c| c.wanted > 0);
--- a/crates/flaxstand-simulation/src/load.rs
+++ b/crates/flaxstand-simulation/src/load.rs
@@ -179,7 +179,7 @@
             }
         }
         // Whatever concerns a buffered item goes one way: only through its own initiator is it in order.
-        let buffered = mix.write && self.day.site.site.classes[class].buffered;
+        let buffered = mix.write && self.day.site.site.classes[class].is_buffered;
         let mut one_way = buffered;
         if buffered {
             (extent, shard) = (extent ^ ((class as u64 + 1) << 40), fixed);
@@ -341,7 +341,7 @@
     /// Whether another try is harmless though an earlier one may have run.
     fn repeats(&self, operation: &Operation) -> bool {
         // One that was buffered may run yet; tried again it could come after a newer write of its item.
-        if operation.write && self.day.site.site.classes[usize::from(operation.class)].buffered {
+        if operation.write && self.day.site.site.classes[usize::from(operation.class)].is_buffered {
             return false;
         }
         match self.day.site.site.settings.classes[usize::from(operation.class)].effect {
--- a/crates/flaxstand-simulation/src/scale/hollow.rs
+++ b/crates/flaxstand-simulation/src/scale/hollow.rs
@@ -187,9 +187,9 @@
         config.seed ^= u64::from(number) << 20;
         config.epoch = calendar_micros();
         config.calendar = config.epoch - now.0;
-        if let Some(agreeing) = &mut config.agreeing {
+        if let Some(agreeing) = &mut config.consensus {
             // Nobody calls a hollow one, and it calls keepers alone.
-            agreeing.others.iter_mut().for_each(|(name, _)| name.clone_from(&config.name));
+            agreeing.other_initiators.iter_mut().for_each(|peer| peer.name.clone_from(&config.name));
         }
         let core = Core::new(config.clone(), saved.list.as_deref(), now);
         let mut core =
@@ -356,11 +356,11 @@
 
     fn kind(&self, address: &Address) -> PeerKind {
         let config = &self.options.config;
-        if *address == config.list {
+        if *address == config.discovery_address {
             return PeerKind::List;
         }
-        let keepers = config.agreeing.iter().flat_map(|agreeing| &agreeing.keepers);
-        let mut keepers = keepers.map(|(_, at)| at);
+        let keepers = config.consensus.iter().flat_map(|agreeing| &agreeing.voters);
+        let mut keepers = keepers.map(|peer| &peer.address);
         if keepers.any(|at| at == address) { PeerKind::Initiator } else { PeerKind::Node }
     }
 
--- a/crates/flaxstand-simulation/src/scale/plan.rs
+++ b/crates/flaxstand-simulation/src/scale/plan.rs
@@ -1,7 +1,7 @@
 //! The file of a scale run: what all initiators of the site share, a base size, and steps that each change some of
 //! it. `docs/scale.md` describes every key.
 
-use flaxstand_gateway::settings::{Block, SettingsError, Source, read_floor, read_site, rules_of};
+use flaxstand_gateway::settings::{Block, SettingsError, Source, read_fallback_rules, read_site, rules_of};
 use serde::Serialize;
 use std::time::Duration;
 
@@ -148,7 +148,7 @@
         let document = source.parse()?;
         let root = Block::document(&source, &document);
         let site = read_site(&root);
-        let floor = read_floor(&root);
+        let floor = read_fallback_rules(&root);
         // Read by the initiators themselves.
         root.block("bounds");
         let mut plan = Plan {
@@ -160,27 +160,27 @@
             rules: rules_of(&site, floor),
             plan_names: site.site.plans.clone(),
         };
-        if let Some(block) = root.needed("scale") {
+        if let Some(block) = root.required_block("scale") {
             plan.name = block.name();
-            plan.seed = block.whole("seed", 0..=u64::MAX >> 1, Some(1));
-            block.finish();
+            plan.seed = block.integer("seed", 0..=u64::MAX >> 1, Some(1));
+            block.reject_unknown_keys();
         }
         if let Some(block) = root.block("agreement") {
             plan.terms = read_terms(&block);
         }
         let base = root.block("base").map(|block| {
             let size = read_size(&block, &Size::default());
-            block.finish();
+            block.reject_unknown_keys();
             size
         });
         let base = base.unwrap_or_default();
         let initiators = site.site.settings.initiators;
         plan.steps = root.blocks("step").iter().map(|block| read_step(block, &base, initiators)).collect();
         if plan.steps.is_empty() {
-            root.problem("there is no step, expected one or more".into());
+            root.report("there is no step, expected one or more".into());
         }
-        root.finish();
-        source.verdict()?;
+        root.reject_unknown_keys();
+        source.finish()?;
         Ok(plan)
     }
 }
@@ -192,14 +192,14 @@
     };
     if terms.lease_ms < 2.0 * terms.election_ms {
         let (lease, election) = (terms.lease_ms, terms.election_ms);
-        block.problem(format!("lease-ms is {lease}, expected at least twice election-ms, {election}"));
+        block.report(format!("lease-ms is {lease}, expected at least twice election-ms, {election}"));
     }
-    block.finish();
+    block.reject_unknown_keys();
     terms
 }
 
 fn read_size(block: &Block<'_>, base: &Size) -> Size {
-    let whole = |key, most, default: u32| block.whole(key, 0..=most, Some(default.into())) as u32;
+    let whole = |key, most, default: u32| block.integer(key, 0..=most, Some(default.into())) as u32;
     Size {
         hollow: whole("hollow", HOLLOW_MOST, base.hollow),
         real: whole("real", REAL_MOST, base.real),
@@ -218,25 +218,25 @@
     let name = block.name();
     let size = read_size(block, base);
     if ![0, 1, 3, 5].contains(&size.keepers) {
-        block.problem(format!("keepers is {}, expected 0, 1, 3 or 5", size.keepers));
+        block.report(format!("keepers is {}, expected 0, 1, 3 or 5", size.keepers));
     }
     if size.participants() > initiators {
         let participants = size.participants();
-        block.problem(format!(
+        block.report(format!(
             "{participants} participants, expected at most the site's {initiators} initiators"
         ));
     }
     if size.rule_changes > 0.0 && size.keepers == 0 {
-        block.problem("there are rule-changes, expected keepers".into());
+        block.report("there are rule-changes, expected keepers".into());
     }
     if size.connections > 0 && (size.real == 0 || size.requests == 0.0) {
-        block.problem("there are connections, expected a real initiator and requests".into());
+        block.report("there are connections, expected a real initiator and requests".into());
     }
     if size.connections == 0 && size.requests > 0.0 {
-        block.problem("there are requests, expected connections".into());
+        block.report("there are requests, expected connections".into());
     }
     let faults = block.blocks("fault").iter().filter_map(|fault| read_fault(fault, &size)).collect();
-    block.finish();
+    block.reject_unknown_keys();
     Step { name, size, faults }
 }
 
@@ -245,27 +245,27 @@
     let kind = match &name[..] {
         "restart" => {
             if size.hollow == 0 {
-                block.problem("there is nobody to restart, expected hollow initiators".into());
+                block.report("there is nobody to restart, expected hollow initiators".into());
             }
             FaultKind::Restart { share: block.number("share", 0.0..=1.0, Some(0.1)) }
         }
         "kill-leader" => {
             if size.keepers < 3 {
-                block.problem(format!("keepers is {}, expected 3 or 5", size.keepers));
+                block.report(format!("keepers is {}, expected 3 or 5", size.keepers));
             }
             FaultKind::KillLeader
         }
         "list-away" => FaultKind::ListAway { seconds: block.number("for", 0.1..=600.0, Some(8.0)) },
         "" => return None,
         _ => {
-            block.problem("no such fault; there are restart, kill-leader, list-away".into());
+            block.report("no such fault; there are restart, kill-leader, list-away".into());
             return None;
         }
     };
     let at = block.number("at", 0.0..=600.0, None);
     if at >= size.seconds {
-        block.problem(format!("at is {at}, expected less than the step's seconds, {}", size.seconds));
+        block.report(format!("at is {at}, expected less than the step's seconds, {}", size.seconds));
     }
-    block.finish();
+    block.reject_unknown_keys();
     Some(Fault { at, kind })
 }
--- a/crates/flaxstand-simulation/src/world.rs
+++ b/crates/flaxstand-simulation/src/world.rs
@@ -273,7 +273,7 @@
                 && self.day.site.site.write_back.is_some()
             {
                 // As on loopback, initiators are stopped in good order: what is buffered goes out.
-                end = self.now.after(self.day.site.site.waits.stop).after(Micros(1_000_000));
+                end = self.now.after(self.day.site.site.timeouts.shutdown_timeout).after(Micros(1_000_000));
                 self.stop_initiators();
                 continue;
             }
@@ -596,12 +596,12 @@
             epoch: self.epochs,
             calendar: CALENDAR,
             seed: initiator_seed(self.day, index),
-            list: list_address(),
+            discovery_address: list_address(),
             site: self.day.site.site.clone(),
             bounds: Bounds::default(),
             policy: self.policy,
             wire: Wire::Frames,
-            agreeing: None,
+            consensus: None,
         };
         let saved = std::mem::take(&mut self.hosts[host].disk);
         let saved = (!saved.is_empty()).then_some(saved);
