--- a/crates/flaxstand-gateway/src/core/decider.rs
+++ b/crates/flaxstand-gateway/src/core/decider.rs
@@ -52,7 +52,7 @@
         Some(_) => with_write_out_classes(&config.site.settings),
         None => config.site.settings.clone(),
     };
-    if let Some(rules) = &config.site.storm {
+    if let Some(rules) = &config.site.retry_throttle {
         add_retry_classes(&mut settings, config.site.classes.len(), rules);
     }
     settings
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -53,7 +53,10 @@
 mod write_out_classes;
 
 pub use backoff::Backoff;
-pub use config::{Bounds, ClassInfo, Config, ConsensusConfig, Policy, Site, Timeouts, Wire, WriteBack};
+pub use config::{
+    BackoffBounds, Bounds, ClassInfo, Config, ConsensusConfig, ConsensusPeer, Policy, Site, Timeouts, Wire,
+    WriteBack,
+};
 pub use discovery::{SavedList, SavedListError};
 pub use figures::{Counts, Footprint};
 
@@ -113,13 +116,13 @@
     /// The saved list is no list. Start without it then.
     pub fn new(config: Config, saved: Option<&[u8]>, now: Micros) -> Result<Self, SavedListError> {
         let settings = module_settings(&config);
-        let gate = config.site.storm.map(|rules| {
+        let gate = config.site.retry_throttle.map(|rules| {
             let classes = settings.classes.len() - config.site.classes.len();
             AdmissionGate::new(rules, classes, config.seed ^ config.epoch.rotate_left(17), now)
         });
         let brain_classes = settings.classes.clone();
         let decider = Decider::new(&config, settings, now);
-        let discovery = EndpointDiscovery::new(&config.site.waits);
+        let discovery = EndpointDiscovery::new(&config.site.timeouts);
         let class_names = config.site.classes.iter().map(|c| c.name.clone()).collect();
         let mut core = Core {
             rng: Pcg64Mcg::seed_from_u64(config.seed.wrapping_add(config.epoch)),
@@ -128,7 +131,7 @@
             write_back: None,
             agreed: None,
             gate,
-            arrivals: ConnectionRateLimiter::new(config.bounds.arrivals, now),
+            arrivals: ConnectionRateLimiter::new(config.bounds.connection_rate, now),
             discovery,
             list_trust: ListTrust::default(),
             config,
@@ -343,8 +346,8 @@
             Control::Reload(reloaded) => {
                 info!(?reloaded, "new bounds, and where the list service is");
                 self.config.bounds = reloaded.bounds;
-                if self.config.list != reloaded.list {
-                    self.config.list = reloaded.list;
+                if self.config.discovery_address != reloaded.list {
+                    self.config.discovery_address = reloaded.list;
                     self.discovery_moved(now);
                 }
             }
--- a/crates/flaxstand-gateway/src/core/nodes.rs
+++ b/crates/flaxstand-gateway/src/core/nodes.rs
@@ -38,7 +38,7 @@
 
     /// A probe, at the module's word. It goes where a connection stands: it is asked for what is out there.
     pub(super) fn probe(&mut self, at: NodeId, now: Micros) {
-        let ends = now.after(self.config.site.waits.dial);
+        let ends = now.after(self.config.site.timeouts.connect_timeout);
         let token = self.upstream.next_probe_token();
         self.plumbing.at(ends, Timer::Probe(at, token));
         if self.nodes.get(at).is_none() {
@@ -75,7 +75,7 @@
 
     fn dial(&mut self, at: NodeId, now: Micros) {
         let Some(node) = self.nodes.get(at) else { return };
-        let by = now.after(self.config.site.waits.dial);
+        let by = now.after(self.config.site.timeouts.connect_timeout);
         let protocol = Protocol::Frames(Inbox::default());
         let conn = self.plumbing.dial(Peer::Node(at), protocol, node.address.clone(), by);
         self.upstream.set_framed(at, conn);
@@ -83,7 +83,8 @@
     }
 
     fn hand_over(&mut self, attempt: AttemptId, conn: ConnId, now: Micros) {
-        let full = self.plumbing.get(conn).is_some_and(|c| c.outbox.len() > self.config.bounds.node_bytes);
+        let full =
+            self.plumbing.get(conn).is_some_and(|c| c.outbox.len() > self.config.bounds.max_node_bytes);
         if full {
             // What waits for this node is at its bound; it never left, so it has not run.
             self.end_attempt(attempt, Outcome::Rejected, now);
@@ -99,7 +100,7 @@
             class: held.class,
             plan: held.plan,
             write: held.write,
-            stream: self.config.site.classes[usize::from(held.class)].stream,
+            stream: self.config.site.classes[usize::from(held.class)].is_streamed,
             volume: held.volume,
             extent: held.extent,
             units: held.units,
@@ -125,7 +126,7 @@
         if !(VERSION_OLDEST..=VERSION).contains(&w.version) {
             return Err((CloseReason::Version, format!("version {} was not offered", w.version)));
         }
-        let idle = self.config.site.waits.idle;
+        let idle = self.config.site.timeouts.node_idle_timeout;
         let Some(node) = self.nodes.get_mut(at) else { return Ok(()) };
         if w.role != Role::Node || EndpointName::Number(w.id) != node.name {
             let text = format!("expected node {}, met {:?} {}", node.name, w.role, w.id);
@@ -243,7 +244,7 @@
 
     pub(super) fn idle(&mut self, conn: ConnId, now: Micros) {
         let Some(Conn { peer: Peer::Node(at), .. }) = self.plumbing.get(conn) else { return };
-        let (at, idle) = (*at, self.config.site.waits.idle);
+        let (at, idle) = (*at, self.config.site.timeouts.node_idle_timeout);
         let Some(since) = self.upstream.idle_since(at, now) else { return };
         if now.since(since) >= idle {
             self.upstream.clear_framed(at);
--- a/crates/flaxstand-gateway/src/core/shutdown.rs
+++ b/crates/flaxstand-gateway/src/core/shutdown.rs
@@ -47,13 +47,13 @@
         if self.shutdown.phase != Phase::Running {
             return;
         }
-        let waits = &self.config.site.waits;
-        self.plumbing.at(now.after(waits.stop), Timer::StopEnds);
-        self.plumbing.at(now.after(waits.stop_grace), Timer::GraceEnds);
-        info!(held = self.requests.len(), grace_ms = waits.stop_grace.ms(), "stopping");
+        let waits = &self.config.site.timeouts;
+        self.plumbing.at(now.after(waits.shutdown_timeout), Timer::StopEnds);
+        self.plumbing.at(now.after(waits.shutdown_grace), Timer::GraceEnds);
+        info!(held = self.requests.len(), grace_ms = waits.shutdown_grace.ms(), "stopping");
         self.shutdown.phase = Phase::Draining;
-        self.shutdown.answer_by = Some(now.after(waits.stop.since(ANSWER_MARGIN)));
-        if waits.stop_grace == Micros(0) {
+        self.shutdown.answer_by = Some(now.after(waits.shutdown_timeout.since(ANSWER_MARGIN)));
+        if waits.shutdown_grace == Micros(0) {
             self.stop_accepting(now);
         }
     }
--- a/crates/flaxstand-gateway/src/core/write_out_classes.rs
+++ b/crates/flaxstand-gateway/src/core/write_out_classes.rs
@@ -46,7 +46,7 @@
 
 /// The buffer's configuration. `calendar`: the host's calendar at the start, microseconds.
 pub(super) fn buffer_config(write_back: &WriteBack, site: &Site, calendar: u64) -> Config {
-    let buffering = |(info, class): (&super::ClassInfo, &Class)| match (info.buffered, class.effect) {
+    let buffering = |(info, class): (&super::ClassInfo, &Class)| match (info.is_buffered, class.effect) {
         (true, Effect::Idempotent) => BufferingMode::Idempotent,
         (true, Effect::IdempotencyKey { window, .. }) => {
             BufferingMode::IdempotencyKey(Micros::from_ms(window))
@@ -59,7 +59,7 @@
         span: Micros::from_ms(b.span),
     };
     Config {
-        limits: write_back.rules.clone(),
+        limits: write_back.limits.clone(),
         retry_after: Micros::from_ms(site.settings.max_retry_after),
         key_cooldown: Micros::from_ms(site.settings.key_cooldown),
         classes: site.classes.iter().zip(&site.settings.classes).map(buffering).collect(),
