--- a/crates/flaxstand-bench-adapter/tests/recorded.rs
+++ b/crates/flaxstand-bench-adapter/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! A session with the adapter, line by line as an earlier build played it.
+//! A session with the adapter, line by line as an earlier build answered it.
 
 use flaxstand_fixture::Fixtures;
 use std::io::Write;
@@ -18,7 +18,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // A refused line may close the pipe before all is written.
+    // A rejected line may close the pipe before all is written.
     let _ = child.stdin.take().expect("a pipe").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn each_malformed_session_is_refused_as_recorded() {
+fn each_malformed_session_is_rejected_as_recorded() {
     let session = text(&fixtures().read(SESSION));
-    let mut told = String::new();
+    let mut errors = String::new();
     for cut in ["opId", "cmd", "target", "outcome", "class", "scope", "atTimeMs", "initSeed", "params"] {
         let output = play(session.replacen(&format!("\"{cut}\":"), "\"unknown\":", 1).as_bytes());
-        told += &format!("{cut}, exit code {:?}: {}", output.status.code(), text(&output.stderr));
+        errors += &format!("{cut}, exit code {:?}: {}", output.status.code(), text(&output.stderr));
     }
-    fixtures().assert_text("refusals.txt", &told);
+    fixtures().assert_text("refusals.txt", &errors);
 }
--- a/crates/flaxstand-index/src/lib.rs
+++ b/crates/flaxstand-index/src/lib.rs
@@ -9,6 +9,7 @@
 //! None of them does I/O, reads a clock, hashes or decides anything: what is indexed, and when a record stops
 //! being active, is the caller's to say.
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 mod decaying;
 mod order;
--- a/crates/flaxstand-index/src/samples.rs
+++ b/crates/flaxstand-index/src/samples.rs
@@ -2,10 +2,10 @@
 
 use crate::ExactSum;
 
-/// Samples in one chunk, most. A chunk that grows beyond it is split in two.
-const CHUNK_MOST: usize = 128;
+/// The most samples in one chunk. A chunk that grows beyond it is split in two.
+const MAX_CHUNK_LEN: usize = 128;
 /// Two neighbouring chunks that hold no more than this together become one.
-const MERGED_MOST: usize = CHUNK_MOST / 2;
+const MAX_MERGED_LEN: usize = MAX_CHUNK_LEN / 2;
 
 /// Part of the samples, sorted and never empty, with its sum.
 #[derive(Debug, Default)]
@@ -77,8 +77,8 @@
         let chunk = &mut self.chunks[index];
         chunk.values.insert(chunk.position(value), value);
         chunk.sum.add(value);
-        if chunk.values.len() > CHUNK_MOST {
-            let upper = Chunk::of(chunk.values.split_off(CHUNK_MOST / 2));
+        if chunk.values.len() > MAX_CHUNK_LEN {
+            let upper = Chunk::of(chunk.values.split_off(MAX_CHUNK_LEN / 2));
             *chunk = Chunk::of(std::mem::take(&mut chunk.values));
             self.chunks.insert(index + 1, upper);
         }
@@ -139,7 +139,7 @@
         let first = index.saturating_sub(1);
         let last = (index + 1).min(self.chunks.len() - 1);
         for lower in (first..last).rev() {
-            if self.chunks[lower].values.len() + self.chunks[lower + 1].values.len() <= MERGED_MOST {
+            if self.chunks[lower].values.len() + self.chunks[lower + 1].values.len() <= MAX_MERGED_LEN {
                 let upper = self.chunks.remove(lower + 1);
                 self.chunks[lower].values.extend(upper.values);
                 self.chunks[lower].sum.add_sum(upper.sum);
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,11 +1,15 @@
 //! What a volume may send: its reserve, its limit, and the weight of what goes beyond the reserve.
 //!
-//! The rates of a volume's plan count over all initiators; an even part is this initiator's.
+//! The rates of a volume's plan count over all initiators; an even part is this initiator's. A request that
+//! the limit holds for too long is rejected; `deadlines` has the moment and the answer.
 
 use crate::api::{Arrival, Millis, PlanId, Settings, VolumeId};
 use crate::recent::{RECENT_TIME, RecentSum};
 use std::collections::BTreeMap;
 
+/// Rates are stated a second, times in milliseconds.
+const MILLIS_PER_SECOND: Millis = 1000.0;
+
 /// The quota of one volume at this initiator.
 pub(crate) struct VolumeQuota {
     pub(crate) plan: PlanId,
@@ -37,7 +41,7 @@
     /// Refills reserve and limit up to now.
     fn refill(&mut self, settings: &Settings, now: Millis) {
         let reserve_rate = settings.plans[self.plan.0].reserve_rate / self.initiators;
-        let refilled = self.reserve + reserve_rate * (now - self.refilled_at) / 1000.0;
+        let refilled = self.reserve + reserve_rate * (now - self.refilled_at) / MILLIS_PER_SECOND;
         self.reserve = refilled.min(reserve_rate + settings.max_units);
         self.limit_tokens = self.tokens_at(settings, now);
         self.refilled_at = now;
@@ -50,7 +54,7 @@
             return f64::INFINITY;
         }
         let elapsed = (at - self.refilled_at).max(0.0);
-        let filled = self.limit_tokens + plan.limit_rate / self.initiators * elapsed / 1000.0;
+        let filled = self.limit_tokens + plan.limit_rate / self.initiators * elapsed / MILLIS_PER_SECOND;
         filled.min(plan.limit_burst / self.initiators)
     }
 
@@ -77,7 +81,7 @@
     /// Weight of a unit that is `units_over` units beyond the reserve: that of the volume's share as long as
     /// it takes no more than it is sized for, then falling to that of spare capacity.
     pub(crate) fn over_reserve_weight(&self, units_over: f64, settings: &Settings, now: Millis) -> f64 {
-        let sized_for = settings.plans[self.plan.0].base_rate * RECENT_TIME / 1000.0;
+        let sized_for = settings.plans[self.plan.0].base_rate * RECENT_TIME / MILLIS_PER_SECOND;
         let recent = self.recent_over_reserve.get(now) + units_over;
         let within_share = (sized_for / recent.max(sized_for)).min(1.0);
         settings.spare_weight + (settings.shared_weight - settings.spare_weight) * within_share
--- a/src/api.rs
+++ b/src/api.rs
@@ -115,7 +115,7 @@
     pub drain_grace: Millis,
 }
 
-/// What a site tells an initiator when it starts.
+/// The settings of an initiator, as its site states them.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// How many initiators there are.
@@ -138,15 +138,16 @@
     pub may_cancel: bool,
     /// Nodes may be probed by health checks.
     pub may_probe: bool,
-    /// Longest Retry-After that clients honour, ms; 0: they are told none.
+    /// Longest Retry-After that clients honour, ms; 0: rejections carry none.
     pub max_retry_after: Millis,
     /// Share of its capacity that a node has at its start, 0 to 1.
     pub initial_capacity: f64,
     /// Time from a node's start until it has its full capacity, ms.
     pub warm_up_time: Millis,
-    /// A node that is warming up fails when it is sent more than this multiple of its present capacity
+    /// A node that is warming up fails when all initiators together send it more than this multiple of its
+    /// present capacity within `slow_start_window`.
     pub overload_multiple: f64,
-    /// within this window, ms.
+    /// Window in which the load of a node that is warming up is counted, ms.
     pub slow_start_window: Millis,
     /// Units within `slow_start_window`, from all initiators, that it always bears.
     pub slow_start_min_units: f64,
@@ -306,7 +307,7 @@
     pub is_final: bool,
 }
 
-/// What the scheduler is told.
+/// What the scheduler is notified of.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Entries of the endpoint list.
@@ -326,7 +327,7 @@
     /// Settings that hold from now on, also for what is queued or in flight. Classes and plans keep their
     /// numbers.
     SettingsChanged(Box<Settings>),
-    /// A timer fired, or all that happened at this moment has been told: decide.
+    /// A timer fired, or all events of this moment have been handed in: evaluate.
     Evaluate,
 }
 
@@ -367,7 +368,7 @@
         /// The request.
         request: RequestId,
     },
-    /// Say [`Event::Evaluate`] again after this long.
+    /// Hand in [`Event::Evaluate`] again after this long.
     SetTimer {
         /// How long from now, ms.
         after: Millis,
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -1,4 +1,13 @@
 //! When a request's final answer is due, and which one it is.
+//!
+//! A request that is not served ends for one of these reasons:
+//! - the endpoint list is too old to send anything on ([`ExpiryInputs::final_answer_is_due`]);
+//! - its client would leave before an answer, or could no longer ask elsewhere (the same);
+//! - its volume's limit or its node's warm-up would hold it for too long (the same);
+//! - what is due before it takes so long that it would expire (`dispatch`);
+//! - an attempt ended, and it can't have another one ([`is_due_after_attempt`]).
+//!
+//! [`final_answer`] then tells a rejection with Retry-After from a failure.
 
 use crate::admission::VolumeQuotas;
 use crate::api::{Action, Arrival, Class, Effect, Millis, Settings};
@@ -77,12 +86,12 @@
 ) -> bool {
     let is_expired = now >= request.deadlines.expires_at;
     let is_spent = request.attempts.len() >= max_attempts as usize;
-    let can_not_go_on = request.is_held() && (is_spent || !is_retryable(request, effect));
-    !request.is_streaming && (is_expired || can_not_go_on)
+    let cannot_continue = request.is_held() && (is_spent || !is_retryable(request, effect));
+    !request.is_streaming && (is_expired || cannot_continue)
 }
 
-/// The final answer of a request that is not served: rejected where its client may be told to retry, else
-/// failed.
+/// Guards against telling a client that a retry is harmless when it is not. The final answer of a request
+/// that is not served: rejected where its client may be told to retry, else failed.
 pub(crate) fn final_answer(
     request: &Request,
     is_expired: bool,
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -7,7 +7,7 @@
 use crate::api::{Action, AttemptNo, Class, Millis, NodeId, RequestId, Settings, VolumeId};
 use crate::concurrency_limit::TOLERATED_QUEUE_SHARE;
 use crate::estimates::FleetEstimates;
-use crate::node::{Node, NodeTable};
+use crate::node::{Node, NodeTable, SentAttempt};
 use crate::request::{Attempt, Execution, Request};
 use crate::request_table::RequestTable;
 use crate::retries::{RetryWindow, effect_allows, may_be_sent_until};
@@ -67,7 +67,7 @@
 }
 
 impl Dispatch<'_> {
-    /// Sends, node by node, what may leave now.
+    /// Sends, node by node, what may leave now. No node is removed while it runs, so indexing a node holds.
     pub(crate) fn send_held_requests(&mut self) {
         for (node, mut waiting) in self.held_by_node() {
             // The node's capacity is asked first, so that a node without any costs no walk over its requests.
@@ -79,6 +79,7 @@
         }
     }
 
+    /// Held requests by the node that they wait for, in the order of ids.
     fn held_by_node(&self) -> BTreeMap<NodeId, Vec<RequestId>> {
         let mut held: BTreeMap<NodeId, Vec<RequestId>> = BTreeMap::new();
         for request in self.requests.held() {
@@ -103,7 +104,7 @@
         self.request_allows(request) && self.node_allows(node, request) && self.rules_allow(node, request)
     }
 
-    /// Whether the request wants one more attempt.
+    /// Guards against attempts for a request that has ended or expired, and beyond the attempts it may have.
     fn request_allows(&self, request: &Request) -> bool {
         !request.is_over
             && self.now < request.deadlines.expires_at
@@ -111,7 +112,8 @@
             && request.in_flight().count() < self.settings.max_concurrent_attempts as usize
     }
 
-    /// Whether the node takes it: it serves by a list that is not too old, has capacity, and is warm enough.
+    /// Guards against sends to a node that drains, as far as the endpoint list can be trusted; that is
+    /// ejected, unresponsive or at its concurrency limit; or that is warming up and would be overloaded.
     fn node_allows(&self, node: &Node, request: &Request) -> bool {
         node.is_serving()
             && self.endpoints_trusted
@@ -119,7 +121,8 @@
             && node.slow_start_allows(request.arrival.units, self.fleet, self.settings, self.now)
     }
 
-    /// Whether order of keys, volume limit, effect and retry budget allow it.
+    /// Guards against reordering within a key, a second execution, a volume beyond its limit, and retry
+    /// storms.
     fn rules_allow(&self, node: &Node, request: &Request) -> bool {
         let class = self.class_of(request);
         let (tick, now) = (self.settings.tick, self.now);
@@ -145,6 +148,7 @@
         next
     }
 
+    /// The first timely request that may join the node's queue, or else the first late one.
     fn first_that_may_join(
         &self,
         timely: &[RankedRequest],
@@ -213,6 +217,7 @@
         retry_weight * self.class_of(request).priority_weight * plan.priority_factor / max_weight
     }
 
+    /// What order and queue limit at a node depend on, for one request.
     fn ranked_request(
         &self,
         request: &Request,
@@ -260,8 +265,9 @@
         self.retry_window.prune(self.settings.retry_budget, tick, now);
         let attempt = Attempt { node: to, shard, zone, sent_at: now, execution: Execution::InFlight };
         self.requests.record_sent(id, attempt);
+        let sent = SentAttempt { request: id, number, units };
         let window = self.settings.slow_start_window;
-        self.nodes.update(to, |node| node.record_sent(id, number, units, self.fleet, window, now));
+        self.nodes.update(to, |node| node.record_sent(sent, self.fleet, window, now));
         self.actions.push(Action::Send { request: id, node: to, until });
     }
 }
--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -3,7 +3,7 @@
 //!
 //! An initiator of many hears from each node seldom, so what one node shows is completed by what all show.
 
-use crate::api::{AttemptEnd, Millis, Outcome};
+use crate::api::{AttemptEnd, Millis, Outcome, Settings};
 use crate::in_flight::InFlightAttempt;
 use crate::loss_detection::RecentLosses;
 use crate::recent::{RECENT_TIME, RecentSum};
@@ -17,6 +17,8 @@
 const MAX_SAMPLE_TO_MEDIAN: f64 = 2.0;
 /// The most that one latency counts, as a multiple of the latency expected.
 const MAX_LATENCY_RATIO: f64 = 10.0;
+/// Expected latencies count as no less than this, ms, when latencies are compared with them.
+const MIN_EXPECTED_LATENCY: Millis = 1.0;
 /// Units sent recently from which a node counts as in use by this initiator.
 pub(crate) const IN_USE_UNITS: f64 = 0.1;
 
@@ -59,18 +61,13 @@
 
 impl FleetEstimates {
     /// For an initiator that starts now and has sent nothing.
-    pub(crate) fn new(
-        latency_objective: Millis,
-        mean_units: f64,
-        initiators: u32,
-        phase: f64,
-        now: Millis,
-    ) -> Self {
+    pub(crate) fn new(settings: &Settings, phase: f64, now: Millis) -> Self {
+        let latency_objective = settings.tightest_objective();
         FleetEstimates {
             latency_objective,
             // A request of mean size takes a quarter of the tightest objective, until something was served.
-            service_time: latency_objective / mean_units.max(1.0) / 4.0,
-            initiators_per_node: f64::from(initiators),
+            service_time: latency_objective / settings.mean_units.max(1.0) / 4.0,
+            initiators_per_node: f64::from(settings.initiators),
             phase,
             started_at: now,
             ..FleetEstimates::default()
@@ -108,7 +105,8 @@
         }
         let was_queued = has_timed_out && attempt.overtaken_at.is_none() && !self.losses.are_frequent(now);
         if was_queued || ended.outcome == Outcome::Served {
-            let ratio = (ended.latency / attempt.expected_latency.max(1.0)).min(MAX_LATENCY_RATIO);
+            let ratio =
+                (ended.latency / attempt.expected_latency.max(MIN_EXPECTED_LATENCY)).min(MAX_LATENCY_RATIO);
             self.excess_latency.add(NEW_SAMPLE_WEIGHT * (ratio - self.latency_ratio(now)), now);
         }
     }
--- a/src/node.rs
+++ b/src/node.rs
@@ -251,17 +251,23 @@
     }
 }
 
+/// An attempt that leaves for the node.
+pub(crate) struct SentAttempt {
+    pub(crate) request: RequestId,
+    pub(crate) number: AttemptNo,
+    pub(crate) units: f64,
+}
+
 /// What happens at the node.
 impl Node {
     pub(crate) fn record_sent(
         &mut self,
-        request: RequestId,
-        number: AttemptNo,
-        units: f64,
+        sent: SentAttempt,
         fleet: &FleetEstimates,
         slow_start_window: Millis,
         now: Millis,
     ) {
+        let SentAttempt { request, number, units } = sent;
         self.in_flight.push(InFlightAttempt {
             request,
             number,
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -39,11 +39,10 @@
     /// A scheduler that has just started and knows nothing. Equal seeds and events give equal actions.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         let mut random = Random::seeded(seed);
-        let objective = settings.tightest_objective();
         let phase = random.unit();
         Scheduler {
             random,
-            fleet: FleetEstimates::new(objective, settings.mean_units, settings.initiators, phase, now),
+            fleet: FleetEstimates::new(&settings, phase, now),
             nodes: NodeTable::default(),
             requests: RequestTable::default(),
             quotas: VolumeQuotas::default(),
