--- a/src/hedging.rs
+++ b/src/hedging.rs
@@ -51,7 +51,7 @@
 /// Sends a hedged attempt; where that is not allowed, cancels the lost one so that a retry can follow.
 fn hedge_or_cancel(dispatch: &mut Dispatch<'_>, lost: &LostAttempt) {
     let Some(request) = dispatch.requests.get(lost.request) else { return };
-    if !is_worth_recovering(dispatch, request, lost.node) {
+    if !can_recover_in_time(dispatch, request, lost.node) {
         return;
     }
     if may_hedge(dispatch.settings) {
@@ -65,7 +65,7 @@
 }
 
 /// Whether the lost attempt is the only one in flight, and another can still make the latency objective.
-fn is_worth_recovering(dispatch: &Dispatch<'_>, request: &Request, node: NodeId) -> bool {
+fn can_recover_in_time(dispatch: &Dispatch<'_>, request: &Request, node: NodeId) -> bool {
     let service_time = dispatch.nodes[node].service_time_of(request.arrival.units, dispatch.fleet);
     request.in_flight().count() == 1
         && !request.is_over
--- a/tests/common/script.rs
+++ b/tests/common/script.rs
@@ -68,7 +68,7 @@
     known_service_times: u64,
     /// Entries as last listed.
     listed: BTreeMap<NodeId, NodeEntry>,
-    out: Vec<Attempt>,
+    in_flight: Vec<Attempt>,
     attempts: BTreeMap<RequestId, u32>,
     live: BTreeSet<RequestId>,
     probes: Vec<NodeId>,
@@ -134,7 +134,7 @@
             nodes: draw.pick(&[1, 2, 3, 5, 8, 20, 60, 300, 600]),
             known_service_times: draw.pick(&[30, 30, 100]),
             listed: BTreeMap::new(),
-            out: Vec::new(),
+            in_flight: Vec::new(),
             attempts: BTreeMap::new(),
             live: BTreeSet::new(),
             probes: Vec::new(),
@@ -189,7 +189,7 @@
                     self.retries += u64::from(number.0 > 0);
                     self.new_objects += u64::from(self.objects.contains(request));
                     let fate = if self.draw.chance(self.losses) { Fate::Lost } else { Fate::Answered };
-                    self.out.push(Attempt { request: *request, number, sent: self.now, fate });
+                    self.in_flight.push(Attempt { request: *request, number, sent: self.now, fate });
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     self.live.remove(request);
@@ -197,7 +197,7 @@
                 Action::Probe { node } => self.probes.push(*node),
                 Action::Cancel { request, attempt } => {
                     let is = |a: &&mut Attempt| a.request == *request && a.number == *attempt;
-                    self.out.iter_mut().filter(is).for_each(|a| a.fate = Fate::Cancelled);
+                    self.in_flight.iter_mut().filter(is).for_each(|a| a.fate = Fate::Cancelled);
                 }
                 Action::SetTimer { .. } | Action::PollList => {}
             }
@@ -242,11 +242,12 @@
     fn end(&mut self) -> Event {
         let now = self.now;
         let may_end = |a: &Attempt| a.fate != Fate::Lost || now - a.sent > LOST_TIMEOUT;
-        let ending: Vec<usize> = (0..self.out.len()).filter(|place| may_end(&self.out[*place])).collect();
+        let ending: Vec<usize> =
+            (0..self.in_flight.len()).filter(|place| may_end(&self.in_flight[*place])).collect();
         let Some(oldest) = ending.first().copied() else { return Event::Evaluate };
         // The oldest mostly; some stay in flight for long, or end long after their node has gone.
         let place = if self.draw.chance(70) { oldest } else { self.draw.pick(&ending) };
-        let attempt = self.out.remove(place);
+        let attempt = self.in_flight.remove(place);
         let outcome = match attempt.fate {
             Fate::Lost => Outcome::TimedOut,
             Fate::Cancelled => self.draw.pick(&[Outcome::Cancelled, Outcome::Cancelled, Outcome::Served]),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -37,12 +37,13 @@
 
 /// Requests sent to the node that started at 0: when.
 fn sends_of(fleet: Fleet, seed: u64) -> Vec<Millis> {
-    let s = Settings { initiators: fleet.hosts, plans: vec![plan(1000.0)], mean_units: 1.0, ..settings() };
+    let settings =
+        Settings { initiators: fleet.hosts, plans: vec![plan(1000.0)], mean_units: 1.0, ..settings() };
     let mut all = Vec::new();
     for number in 0..fleet.hosts {
         let mut rng = Pcg64Mcg::seed_from_u64(seed * 1000 + u64::from(number));
         let rate = fleet.traffic * if number % fleet.heavy == 0 { 4.0 } else { 1.0 };
-        let mut host = Host::seeded(s.clone(), fleet.nodes, rng.next_u64());
+        let mut host = Host::seeded(settings.clone(), fleet.nodes, rng.next_u64());
         host.advance(5000.0);
         let started = host.now;
         let notified_at = started + fleet.late * random(&mut rng);
@@ -70,7 +71,7 @@
                 // What it had in flight is lost with it; the full list names the node.
                 let entries = (1..fleet.nodes).map(|n| entry(n, Readiness::Serving, None)).chain([warming()]);
                 host = Host {
-                    scheduler: Scheduler::new(s.clone(), rng.next_u64(), at),
+                    scheduler: Scheduler::new(settings.clone(), rng.next_u64(), at),
                     now: at,
                     actions: Vec::new(),
                 };
@@ -100,13 +101,14 @@
 /// The most by which the requests of any window exceed the budget N of the settings, in roots of N beyond
 /// two.
 fn max_excess(fleet: Fleet, seed: u64) -> (f64, usize, f64) {
-    let s = settings();
+    let settings = settings();
     let sends = sends_of(fleet, seed);
     let mut most = (f64::NEG_INFINITY, 0, 0.0);
     for (at, end) in sends.iter().enumerate() {
-        let within = sends[..=at].iter().filter(|t| **t > end - s.slow_start_window).count();
-        let capacity_share = s.initial_capacity + (1.0 - s.initial_capacity) * end / s.warm_up_time;
-        let budget = s.overload_multiple * capacity_share * s.slow_start_window / UNIT;
+        let within = sends[..=at].iter().filter(|t| **t > end - settings.slow_start_window).count();
+        let capacity_share =
+            settings.initial_capacity + (1.0 - settings.initial_capacity) * end / settings.warm_up_time;
+        let budget = settings.overload_multiple * capacity_share * settings.slow_start_window / UNIT;
         let beyond = (within as f64 - budget - 2.0) / budget.sqrt();
         if beyond > most.0 {
             most = (beyond, within, budget);
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -84,24 +84,25 @@
     for id in 0..40 {
         host.arrive(arrival(id, Some(0), host.now + 1500.0));
     }
-    let mut out: std::collections::VecDeque<u64> = host.take_sends().into_iter().map(|(id, _)| id).collect();
-    let before = out.len();
+    let mut in_flight: std::collections::VecDeque<u64> =
+        host.take_sends().into_iter().map(|(id, _)| id).collect();
+    let before = in_flight.len();
     for round in 0..20 {
-        let Some(id) = out.pop_front() else { break };
+        let Some(id) = in_flight.pop_front() else { break };
         host.now += 70.0;
         host.end_attempt(id, 0, Outcome::Served, if round == 0 { 10.0 } else { 60.0 });
-        out.extend(host.take_sends().into_iter().map(|(id, _)| id));
+        in_flight.extend(host.take_sends().into_iter().map(|(id, _)| id));
         host.arrive(arrival(100 + round, Some(0), host.now + 1500.0));
-        out.extend(host.take_sends().into_iter().map(|(id, _)| id));
+        in_flight.extend(host.take_sends().into_iter().map(|(id, _)| id));
     }
-    assert!(out.len() < before && !out.is_empty(), "{} of {before}", out.len());
+    assert!(in_flight.len() < before && !in_flight.is_empty(), "{} of {before}", in_flight.len());
 }
 
 #[test]
 fn requests_within_the_reserve_join_a_queue_that_others_may_not() {
-    let mut s = Settings { shared_weight: 0.1, ..settings() };
-    s.plans.push(plan(40.0));
-    let mut host = Host::new(s, 1);
+    let mut settings = Settings { shared_weight: 0.1, ..settings() };
+    settings.plans.push(plan(40.0));
+    let mut host = Host::new(settings, 1);
     host.advance(10_000.0);
     for id in 1000..1020 {
         host.serve_one(id, 0, if id < 1005 { 10.0 } else { 150.0 });
@@ -160,16 +161,16 @@
 fn sends_to_a_queue(latency: Millis) -> usize {
     let mut host = Host::new(settings(), 1);
     host.serve_one(1000, 0, 10.0);
-    let (mut out, mut sent) = (Vec::new(), 0);
+    let (mut in_flight, mut sent) = (Vec::new(), 0);
     for id in 0..2000 {
         host.arrive(arrival(id, Some(0), host.now + 1500.0));
         host.advance(5.0);
         for (sent_id, _) in host.take_sends() {
             sent += usize::from(id >= 400);
-            out.push((host.now + latency, sent_id));
+            in_flight.push((host.now + latency, sent_id));
         }
         let now = host.now;
-        for (_, id) in out.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>() {
+        for (_, id) in in_flight.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>() {
             host.end_attempt(id, 0, Outcome::Served, latency);
         }
     }
@@ -235,14 +236,14 @@
 
 #[test]
 fn requests_beyond_the_reserve_wait_but_do_not_starve() {
-    let mut s = settings();
-    s.initiators = 8;
-    s.plans.push(plan(1000.0));
-    let mut host = Host::new(s, 1);
+    let mut settings = settings();
+    settings.initiators = 8;
+    settings.plans.push(plan(1000.0));
+    let mut host = Host::new(settings, 1);
     host.serve_one(9999, 0, 10.0);
     // A volume within its reserve meets a long queue, so that the concurrency limit falls; then only a volume
     // without a reserve sends.
-    let (mut out, mut early, mut later) = (Vec::new(), 0, 0);
+    let (mut in_flight, mut early, mut later) = (Vec::new(), 0, 0);
     for id in 0..800 {
         let a = arrival(id, Some(0), host.now + 1500.0);
         let reserved = Arrival { plan: PlanId(1), volume: VolumeId(2), ..a.clone() };
@@ -250,10 +251,10 @@
         host.advance(5.0);
         for (id, _) in host.take_sends() {
             *(if id < 400 { &mut early } else { &mut later }) += 1;
-            out.push((host.now + 60.0, id));
+            in_flight.push((host.now + 60.0, id));
         }
         let now = host.now;
-        for (_, id) in out.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>() {
+        for (_, id) in in_flight.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>() {
             host.end_attempt(id, 0, Outcome::Served, 60.0);
         }
     }
--- a/tests/losses.rs
+++ b/tests/losses.rs
@@ -21,8 +21,8 @@
 }
 
 /// A host of one node that has just lost an answer: that of a later request arrived, its own never did.
-fn after_a_loss(s: Settings) -> Host {
-    let mut host = Host::new(s, 1);
+fn after_a_loss(settings: Settings) -> Host {
+    let mut host = Host::new(settings, 1);
     for id in 0..10 {
         host.serve_one(1000 + id, 0, 20.0);
     }
@@ -95,9 +95,9 @@
 #[test]
 fn a_request_that_must_not_run_twice_is_neither_hedged_nor_cancelled() {
     for max_concurrent_attempts in [1, 2] {
-        let mut s = Settings { max_concurrent_attempts, ..hedging() };
-        s.classes[1].effect = Effect::AtMostOnce;
-        let mut host = after_a_loss(s);
+        let mut settings = Settings { max_concurrent_attempts, ..hedging() };
+        settings.classes[1].effect = Effect::AtMostOnce;
+        let mut host = after_a_loss(settings);
         let first = Arrival { class: ClassId(1), ..arrival(10, Some(0), host.now + 1500.0) };
         send_and_overtake(&mut host, first);
         host.advance(800.0);
@@ -150,8 +150,8 @@
 
 #[test]
 fn a_request_that_slow_start_would_hold_too_long_is_rejected_at_once() {
-    let s = Settings { initiators: 2000, ..settings() };
-    let mut host = Host::new(s, 1);
+    let settings = Settings { initiators: 2000, ..settings() };
+    let mut host = Host::new(settings, 1);
     let booted = host.now - 100.0;
     host.apply_list(ListScope::Changes, vec![entry(0, Readiness::Serving, Some(booted))]);
     host.arrive(Arrival { units: 8.0, ..arrival(1, Some(0), host.now + 1500.0) });
@@ -161,9 +161,9 @@
 
 #[test]
 fn a_request_that_the_limit_would_hold_too_long_is_rejected_at_once() {
-    let mut s = settings();
-    s.plans[0] = Plan { limit_rate: 2.0, limit_burst: 40.0, ..plan(0.0) };
-    let mut host = Host::new(s, 1);
+    let mut settings = settings();
+    settings.plans[0] = Plan { limit_rate: 2.0, limit_burst: 40.0, ..plan(0.0) };
+    let mut host = Host::new(settings, 1);
     host.serve_one(1000, 0, 10.0);
     host.advance(600.0);
     host.arrive(Arrival { units: 8.0, ..arrival(1, Some(0), host.now + 1500.0) });
@@ -223,9 +223,9 @@
 
 #[test]
 fn a_hedged_attempt_that_fails_ends_nothing_while_the_first_is_in_flight() {
-    let mut s = hedging();
-    s.max_attempts = 2;
-    let mut host = after_a_loss(s);
+    let mut settings = hedging();
+    settings.max_attempts = 2;
+    let mut host = after_a_loss(settings);
     host.arrive(arrival(10, Some(0), host.now + 1500.0));
     host.advance(80.0);
     host.handle(Event::ProbeEnded(NodeId(0), Outcome::Served));
@@ -240,9 +240,9 @@
 #[test]
 fn a_lost_attempt_does_not_count_against_the_concurrency_limit() {
     let sent_at_once = |answered: bool| {
-        let mut s = hedging();
-        s.classes[1].effect = Effect::AtMostOnce;
-        let mut host = after_a_loss(s);
+        let mut settings = hedging();
+        settings.classes[1].effect = Effect::AtMostOnce;
+        let mut host = after_a_loss(settings);
         let first = Arrival { class: ClassId(1), ..arrival(10, Some(0), host.now + 3000.0) };
         send_and_overtake(&mut host, first);
         host.advance(10.0);
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -92,20 +92,20 @@
 #[test]
 fn attempts_in_flight_at_a_node_stay_within_the_concurrency_limit() {
     let mut host = Host::new(Settings { plans: vec![plan(1000.0)], ..settings() }, 1);
-    let mut out = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     for id in 0..400 {
         host.arrive(arrival(id, Some(0), host.now + 1500.0));
-        out.extend(host.take_sends().into_iter().map(|(id, _)| id));
-        assert!(out.len() <= 8, "{}", out.len());
+        in_flight.extend(host.take_sends().into_iter().map(|(id, _)| id));
+        assert!(in_flight.len() <= 8, "{}", in_flight.len());
         host.now += 2.0;
         if id % 2 == 1
-            && let Some(id) = out.pop_front()
+            && let Some(id) = in_flight.pop_front()
         {
             host.end_attempt(id, 0, Outcome::Served, 10.0);
-            out.extend(host.take_sends().into_iter().map(|(id, _)| id));
+            in_flight.extend(host.take_sends().into_iter().map(|(id, _)| id));
         }
     }
-    assert_eq!(out.len(), 8, "a node that answers fast is used up to the maximum");
+    assert_eq!(in_flight.len(), 8, "a node that answers fast is used up to the maximum");
 }
 
 #[test]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,9 +6,9 @@
 use flaxstand::api::*;
 
 fn keyed(group: DeduplicationScope, window: Millis) -> Settings {
-    let mut s = settings();
-    s.classes[0].effect = Effect::IdempotencyKey { group, window };
-    s
+    let mut settings = settings();
+    settings.classes[0].effect = Effect::IdempotencyKey { group, window };
+    settings
 }
 
 #[test]
@@ -111,9 +111,9 @@
 
 #[test]
 fn a_polled_list_is_polled_at_the_start_and_again_after_a_failure() {
-    let mut s = settings();
-    s.polls_list = true;
-    let mut host = Host::new(s, 1);
+    let mut settings = settings();
+    settings.polls_list = true;
+    let mut host = Host::new(settings, 1);
     host.handle(Event::Evaluate);
     assert_eq!(host.take_actions(), [Action::PollList]);
     host.advance(1000.0);
@@ -131,7 +131,7 @@
         host.serve_one(1000 + id, 1, 20.0);
     }
     host.apply_list(ListScope::Changes, vec![entry(0, Readiness::Serving, Some(host.now))]);
-    let (mut sends, mut out): (Vec<Millis>, Vec<(Millis, u64, u32)>) = (vec![], vec![]);
+    let (mut sends, mut in_flight): (Vec<Millis>, Vec<(Millis, u64, u32)>) = (vec![], vec![]);
     let mut attempts = std::collections::BTreeMap::new();
     for id in 0..600 {
         host.arrive(arrival(id, Some(0), host.now + 1500.0));
@@ -140,15 +140,16 @@
             assert_eq!(node, 0);
             let attempt = attempts.entry(id).or_insert(0);
             sends.push(host.now);
-            out.push((host.now + latency, id, *attempt));
+            in_flight.push((host.now + latency, id, *attempt));
             *attempt += 1;
         }
         let now = host.now;
-        for (_, id, attempt) in out.extract_if(.., |(at, ..)| *at <= now).collect::<Vec<_>>() {
+        for (_, id, attempt) in in_flight.extract_if(.., |(at, ..)| *at <= now).collect::<Vec<_>>() {
             host.end_attempt(id, attempt, outcome, latency);
         }
     }
-    let within = |at: &Millis| sends.iter().filter(|s| *s >= at && **s < at + 1000.0).count();
+    let within =
+        |at: &Millis| sends.iter().filter(|sent_at| *sent_at >= at && **sent_at < at + 1000.0).count();
     sends.iter().map(within).max().unwrap_or(0) as f64
 }
 
@@ -165,11 +166,11 @@
 /// The most units that `hosts` initiators together send within a second to a node that has just started, when
 /// each has requests for it all the time; each of them uses `used` of ten nodes.
 fn max_sent_while_warming_by_all(hosts: u32, used: u32) -> f64 {
-    let s = Settings { initiators: hosts, plans: vec![plan(1000.0)], ..settings() };
+    let settings = Settings { initiators: hosts, plans: vec![plan(1000.0)], ..settings() };
     let users = u64::from((hosts * used).div_ceil(10));
     let mut sends: Vec<Millis> = vec![];
     for seed in 0..users {
-        let mut host = Host::seeded(s.clone(), 10, seed);
+        let mut host = Host::seeded(settings.clone(), 10, seed);
         host.advance(5000.0);
         for id in 0..u64::from(used) {
             host.serve_one(1_000_000 + id, id as i64, 20.0);
@@ -187,7 +188,8 @@
             }
         }
     }
-    let within = |at: &Millis| sends.iter().filter(|s| *s >= at && **s < at + 1000.0).count();
+    let within =
+        |at: &Millis| sends.iter().filter(|sent_at| *sent_at >= at && **sent_at < at + 1000.0).count();
     sends.iter().map(within).max().unwrap_or(0) as f64
 }
 
@@ -204,10 +206,10 @@
 /// for a second and whose connections then break at one moment: it comes back cold, and no list tells of it
 /// yet. Each initiator has one attempt in flight there, which may be retried, and three more requests held.
 fn sent_after_restart_by_all(hosts: u32) -> f64 {
-    let s = Settings { initiators: hosts, ..settings() };
+    let settings = Settings { initiators: hosts, ..settings() };
     let mut sends: Vec<Millis> = vec![];
     for seed in 0..u64::from(hosts) {
-        let mut host = Host::seeded(s.clone(), 10, seed);
+        let mut host = Host::seeded(settings.clone(), 10, seed);
         host.advance(5000.0);
         (0..10).for_each(|id| host.serve_one(1_000_000 + id, id as i64, 20.0));
         host.arrive(arrival(1, Some(0), host.now + 6000.0));
@@ -260,9 +262,9 @@
 
 #[test]
 fn an_at_most_once_request_is_retried_only_when_it_was_not_executed() {
-    let mut s = settings();
-    s.classes[0].effect = Effect::AtMostOnce;
-    let mut host = Host::new(s, 1);
+    let mut settings = settings();
+    settings.classes[0].effect = Effect::AtMostOnce;
+    let mut host = Host::new(settings, 1);
     host.arrive(arrival(1, Some(0), host.now + 1500.0));
     host.end_attempt(1, 0, Outcome::ConnectFailed, 1.0);
     host.advance(100.0);
@@ -316,11 +318,11 @@
 
 #[test]
 fn requests_of_a_key_take_turns_and_the_key_pauses_after_a_lost_attempt() {
-    let mut s = settings();
-    s.classes[0].in_order = true;
-    s.key_cooldown = 200.0;
-    s.max_attempts = 1;
-    let mut host = Host::new(s, 1);
+    let mut settings = settings();
+    settings.classes[0].in_order = true;
+    settings.key_cooldown = 200.0;
+    settings.max_attempts = 1;
+    let mut host = Host::new(settings, 1);
     let with_key = |id, until| Arrival { key: Some(Key(5)), ..arrival(id, Some(0), until) };
     for id in [1, 2, 3] {
         host.arrive(with_key(id, host.now + 1500.0));
@@ -341,12 +343,12 @@
 
 #[test]
 fn retries_stay_within_the_budget() {
-    let mut s = settings();
-    s.retry_budget = Some(RetryBudget { floor: 2.0, ratio: 0.1, span: 60_000.0 });
-    s.max_attempts = 50;
-    s.plans = vec![plan(1000.0)];
-    s.classes[1] = class(10_000.0, 10_000.0, 2.0, Effect::Idempotent);
-    let mut host = Host::new(s, 1);
+    let mut settings = settings();
+    settings.retry_budget = Some(RetryBudget { floor: 2.0, ratio: 0.1, span: 60_000.0 });
+    settings.max_attempts = 50;
+    settings.plans = vec![plan(1000.0)];
+    settings.classes[1] = class(10_000.0, 10_000.0, 2.0, Effect::Idempotent);
+    let mut host = Host::new(settings, 1);
     let mut retries = 0;
     for id in 0..10 {
         host.arrive(Arrival { class: ClassId(1), ..arrival(id, Some(0), host.now + 10_000.0) });
@@ -366,10 +368,10 @@
 
 #[test]
 fn a_volume_limit_is_kept_by_an_even_share_from_an_empty_bucket() {
-    let mut s = settings();
-    s.plans[0].limit_rate = 20.0;
-    s.plans[0].limit_burst = 32.0;
-    let mut host = Host::new(s, 1);
+    let mut settings = settings();
+    settings.plans[0].limit_rate = 20.0;
+    settings.plans[0].limit_burst = 32.0;
+    let mut host = Host::new(settings, 1);
     let mut sent = 0.0;
     for id in 0..200 {
         host.arrive(Arrival { volume_initiators: 2, ..arrival(id, Some(0), host.now + 1500.0) });
