--- a/crates/flaxstand-cli/tests/program.rs
+++ b/crates/flaxstand-cli/tests/program.rs
@@ -398,7 +398,7 @@
     );
     std::fs::write(&settings, moved).unwrap();
     let (tried, log) = tries(&folder, &settings);
-    assert!(!tried && log.contains("scope=Saved") && !log.contains("set aside"), "{log}");
+    assert!(!tried && log.contains("scope=Cached") && !log.contains("set aside"), "{log}");
     std::fs::write(folder.0.join("saved.list"), saved_list(None)).unwrap();
     assert!(tries(&folder, &settings).0, "nothing learnt: it is tried");
 }
@@ -414,7 +414,7 @@
     assert!(folder.0.join("saved.old").exists());
     daemon.signal(Signal::TERM);
     let (code, log) = daemon.ended();
-    assert!(code == Some(0) && log.contains("too old") && !log.contains("scope=Saved"), "{log}");
+    assert!(code == Some(0) && log.contains("too old") && !log.contains("scope=Cached"), "{log}");
 }
 
 /// Settings whose writes are buffered, and the log's folder.
--- a/crates/flaxstand-simulation/src/scale/lags.rs
+++ b/crates/flaxstand-simulation/src/scale/lags.rs
@@ -106,7 +106,7 @@
 /// The revision and the moment of a line that tells that the list was taken from its service.
 fn told_list(line: &str) -> Option<(u64, f64)> {
     let (head, rest) = line.split_once(" INFO node list ")?;
-    if rest.contains("scope=Saved") {
+    if rest.contains("scope=Cached") {
         return None;
     }
     let revision = rest.split_once("revision=")?.1.split_whitespace().next()?.parse().ok()?;
