--- a/crates/flaxstand-cli/src/daemon.rs
+++ b/crates/flaxstand-cli/src/daemon.rs
@@ -103,8 +103,15 @@
         core.control(Control::Stop, now);
     }
     let reload = Some(reload(path.to_owned()));
-    let options =
-        Options { saved: state, input: with_parent, log, keeper, book, reload, ..Options::default() };
+    let options = Options {
+        saved_list: state,
+        read_input: with_parent,
+        write_back_log: log,
+        consensus_log: keeper,
+        replicated_state: book,
+        reload,
+        ..Options::default()
+    };
     let mut driver = Driver::new(core, options).map_err(system("cannot start"))?;
     let mut at = Vec::new();
     for address in listen.iter().filter(|_| serving) {
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -374,7 +374,7 @@
         }
     }
 
-    fn finished(&mut self, conn: ConnId, now: Micros) -> bool {
+    fn peer_finished(&mut self, conn: ConnId, now: Micros) -> bool {
         self.link_ended(conn, now);
         self.list_ended(conn, now);
         self.client_finished(conn)
@@ -388,7 +388,7 @@
         self.plumbing.get(conn).map_or(&[], |c| c.outbox.pending())
     }
 
-    fn wrote(&mut self, conn: ConnId, count: usize, now: Micros) {
+    fn written(&mut self, conn: ConnId, count: usize, now: Micros) {
         self.plumbing.wrote(conn, count);
         if let Some(link) = self.link(conn) {
             (link.rested, link.begun) = (false, true);
@@ -405,20 +405,20 @@
         }
     }
 
-    fn wants_end(&self, conn: ConnId) -> bool {
+    fn wants_peer_end(&self, conn: ConnId) -> bool {
         matches!(self.plumbing.get(conn).map(|c| &c.protocol), Some(Protocol::HttpServer(_)))
     }
 
-    fn rested(&self, conn: ConnId) -> bool {
+    fn is_idle(&self, conn: ConnId) -> bool {
         matches!(self.plumbing.get(conn).map(|c| &c.protocol), Some(Protocol::HttpClient(link)) if link.rested)
     }
 
-    fn stored(&mut self, well: bool, now: Micros) {
-        self.batch_stored(well, now);
+    fn write_back_stored(&mut self, is_stored: bool, now: Micros) {
+        self.batch_stored(is_stored, now);
     }
 
-    fn kept(&mut self, well: bool, now: Micros) {
-        self.batch_kept(well, now);
+    fn consensus_stored(&mut self, is_stored: bool, now: Micros) {
+        self.batch_kept(is_stored, now);
     }
 
     fn save_failed(&mut self, now: Micros) {
--- a/crates/flaxstand-gateway/src/driver/commands.rs
+++ b/crates/flaxstand-gateway/src/driver/commands.rs
@@ -20,13 +20,13 @@
             Command::StoreWriteBack(batch) => {
                 let is_queued = self.write_back_log.as_ref().is_some_and(|log| log.store(batch));
                 if !is_queued {
-                    self.machine.stored(false, self.now);
+                    self.machine.write_back_stored(false, self.now);
                 }
             }
             Command::StoreConsensus(batch) => {
                 let is_queued = self.consensus_log.as_ref().is_some_and(|log| log.store(batch));
                 if !is_queued {
-                    self.machine.kept(false, self.now);
+                    self.machine.consensus_stored(false, self.now);
                 }
             }
             Command::SaveReplicatedState(bytes) => self.save_replicated_state(&bytes),
@@ -41,7 +41,7 @@
 
     /// Changes the saved endpoint list, if there is a place for it.
     fn save(&mut self, change: impl FnOnce(&Path) -> io::Result<()>) {
-        let Some(path) = &self.options.saved else { return };
+        let Some(path) = &self.options.saved_list else { return };
         if let Err(error) = change(path) {
             warn!(%error, path = %path.display(), "cannot save");
             self.machine.save_failed(self.now);
@@ -61,7 +61,7 @@
     }
 
     fn save_replicated_state(&mut self, bytes: &[u8]) {
-        if let Some(path) = &self.options.book
+        if let Some(path) = &self.options.replicated_state
             && let Err(error) = replace_durably(path, bytes)
         {
             warn!(%error, path = %path.display(), "cannot save what was agreed on");
@@ -73,7 +73,7 @@
         let Some(log) = &self.write_back_log else { return };
         for result in log.take_results() {
             warn_if_failed(&result);
-            self.machine.stored(result.is_ok(), self.now);
+            self.machine.write_back_stored(result.is_ok(), self.now);
         }
     }
 
@@ -82,7 +82,7 @@
         let Some(log) = &self.consensus_log else { return };
         for result in log.take_results() {
             warn_if_failed(&result);
-            self.machine.kept(result.is_ok(), self.now);
+            self.machine.consensus_stored(result.is_ok(), self.now);
         }
     }
 }
--- a/crates/flaxstand-gateway/src/driver/mod.rs
+++ b/crates/flaxstand-gateway/src/driver/mod.rs
@@ -56,19 +56,19 @@
 #[derive(Default)]
 pub struct Options {
     /// File of the machine's saved state: `SaveList` replaces it, `AppendList` appends to it.
-    pub saved: Option<PathBuf>,
+    pub saved_list: Option<PathBuf>,
     /// File that `AppendOutput` appends records to.
     pub record: Option<File>,
     /// File that `AppendOutput` appends data to.
     pub data: Option<File>,
     /// Read lines of standard input.
-    pub input: bool,
+    pub read_input: bool,
     /// Where `StoreWriteBack` stores batches, on a thread of its own: the machine never waits for a disk.
-    pub log: Option<Box<dyn Storage>>,
+    pub write_back_log: Option<Box<dyn Storage>>,
     /// Where `StoreConsensus` stores batches, on another thread.
-    pub keeper: Option<Box<dyn Storage>>,
+    pub consensus_log: Option<Box<dyn Storage>>,
     /// File that `SaveReplicatedState` replaces.
-    pub book: Option<PathBuf>,
+    pub replicated_state: Option<PathBuf>,
     /// Called at SIGHUP; what it reads is handed to the machine.
     pub reload: Option<Reload>,
 }
@@ -100,12 +100,13 @@
     pub fn new(machine: M, mut options: Options) -> io::Result<Self> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let signals = signals::register(&epoll)?;
-        let write_back_log = options.log.take().map(|log| StorageThread::start("log", log)).transpose()?;
+        let write_back_log =
+            options.write_back_log.take().map(|log| StorageThread::start("log", log)).transpose()?;
         let consensus_log =
-            options.keeper.take().map(|log| StorageThread::start("keeper", log)).transpose()?;
+            options.consensus_log.take().map(|log| StorageThread::start("keeper", log)).transpose()?;
         watch_log(&epoll, &write_back_log, EventSource::WriteBackLog)?;
         watch_log(&epoll, &consensus_log, EventSource::ConsensusLog)?;
-        if options.input {
+        if options.read_input {
             input::watch(&epoll)?;
         }
         Ok(Driver {
--- a/crates/flaxstand-gateway/src/driver/socket.rs
+++ b/crates/flaxstand-gateway/src/driver/socket.rs
@@ -163,7 +163,7 @@
         use epoll::EventFlags as F;
         if flags.intersects(F::HUP | F::ERR) {
             self.broken(conn, "connection lost");
-        } else if flags.contains(F::RDHUP) && self.machine.wants_end(conn) {
+        } else if flags.contains(F::RDHUP) && self.machine.wants_peer_end(conn) {
             self.broken(conn, "closed by peer behind what is not read");
         }
     }
@@ -173,7 +173,7 @@
         let Some(socket) = self.sockets.get_mut(&conn) else { return };
         socket.peer_finished = true;
         let is_gone = flags.intersects(epoll::EventFlags::HUP | epoll::EventFlags::ERR);
-        if is_gone || !self.machine.finished(conn, self.now) {
+        if is_gone || !self.machine.peer_finished(conn, self.now) {
             self.broken(conn, "closed by peer");
         } else {
             self.flush(conn);
@@ -206,14 +206,14 @@
             }
             // Guards against a connection that its peer closes, or sends on, in the moment in which it is used
             // again: a request that crosses that may have run, or is served with another's answer.
-            if self.machine.rested(conn)
+            if self.machine.is_idle(conn)
                 && let Some(cause) = idle_fault(&socket.fd)
             {
                 self.broken(conn, &cause);
                 return false;
             }
             match write(&socket.fd, pending) {
-                Ok(count) => self.machine.wrote(conn, count, self.now),
+                Ok(count) => self.machine.written(conn, count, self.now),
                 Err(Errno::AGAIN) => return true,
                 Err(Errno::INTR) => {}
                 Err(error) => {
@@ -229,7 +229,7 @@
         let mut interest = epoll::EventFlags::empty();
         if !socket.peer_finished && self.machine.wants_read(conn) {
             interest |= epoll::EventFlags::IN;
-        } else if !socket.peer_finished && self.machine.wants_end(conn) {
+        } else if !socket.peer_finished && self.machine.wants_peer_end(conn) {
             interest |= epoll::EventFlags::RDHUP;
         }
         if !self.machine.outgoing(conn).is_empty() {
--- a/crates/flaxstand-gateway/src/machine.rs
+++ b/crates/flaxstand-gateway/src/machine.rs
@@ -1,5 +1,5 @@
-//! What a driver and the machine that it runs say to each other. The initiator's core is such a machine,
-//! and so is each stand-in of the laboratory: one driver serves them all.
+//! The interface between a driver, which does the I/O, and the state machine that it runs, which does none. The
+//! initiator's core is such a machine, and so is each simulated peer of a rehearsal: one driver runs them all.
 
 pub use flaxstand_proto::Micros;
 use std::fmt;
@@ -7,7 +7,7 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// A connection. Numbers are not used again, so that word of an old one can't be taken for a new one's.
+/// A connection. Numbers are not used again, so that an event of an old one can't be taken for a new one's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnId(pub u64);
 
@@ -20,7 +20,7 @@
     Unix(PathBuf),
 }
 
-/// A text that is no address.
+/// A text that is not an address.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{0:?} is no address: expected \"IP:PORT\" or \"unix:PATH\"")]
 pub struct AddressError(pub String);
@@ -48,28 +48,28 @@
     }
 }
 
-/// A file that only grows.
+/// A file that is only appended to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sink {
-    /// What was seen.
+    /// Events that were observed.
     Record,
-    /// What is stored.
+    /// Data of a simulated node.
     Data,
 }
 
-/// What a machine wants done. Carried out in order, after each turn.
+/// A command of a machine to its driver. Commands are carried out in order, after each turn.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Open a connection; `connected` or `connect_failed` follows.
+    /// Open a connection; [`Machine::connected`] or [`Machine::connect_failed`] follows.
     Connect {
         /// Its number.
         conn: ConnId,
-        /// Where to.
+        /// Address of the peer.
         address: Address,
     },
     /// Look again at what this connection has to write and whether it may be read.
     Flush(ConnId),
-    /// Write what of `last` goes at once and close. Nothing more is told of this connection.
+    /// Write what of `last` goes at once and close. No further event of this connection follows.
     Close {
         /// Its number.
         conn: ConnId,
@@ -78,19 +78,19 @@
     },
     /// Send nothing more on this connection once all that waits is written; its peer may still send, and is read.
     ShutdownWrite(ConnId),
-    /// Put these bytes into the machine's saved state, in place of what is there.
+    /// Replace the machine's saved state by these bytes.
     SaveList(Vec<u8>),
-    /// Add these bytes to the machine's saved state, behind what is there. A crash may leave a part of them.
+    /// Append these bytes to the machine's saved state. A crash may leave a part of them.
     AppendList(Vec<u8>),
-    /// Add these bytes to one of the machine's files. A stand-in's records, written before its answers.
+    /// Append these bytes to one of a simulated peer's files, before its answers are written.
     AppendOutput(Sink, Vec<u8>),
-    /// Carry this batch out on the machine's log; `stored` follows. One at a time.
+    /// Store this batch in the write-back log; [`Machine::write_back_stored`] follows. One at a time.
     StoreWriteBack(flaxstand_storage::Batch),
-    /// Carry this batch out on the keeper's folder, beside the machine's log; `kept` follows. One at a time.
+    /// Store this batch in the consensus log; [`Machine::consensus_stored`] follows. One at a time.
     StoreConsensus(flaxstand_storage::Batch),
-    /// Put these bytes, durably, into the file of what was agreed on, in place of what is there.
+    /// Replace the file of the replicated state by these bytes, durably.
     SaveReplicatedState(Vec<u8>),
-    /// Take no more connections.
+    /// Accept no more connections.
     StopListening,
     /// Write a line to standard output.
     Print(String),
@@ -101,16 +101,16 @@
 /// What may change while a process runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reloaded {
-    /// Its bounds.
+    /// Limits.
     pub bounds: crate::core::Bounds,
-    /// Where the list service is.
+    /// Address of the endpoint discovery service.
     pub list: Address,
 }
 
 /// What reaches a machine beside its connections.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Control {
-    /// Stop in good order.
+    /// Stop gracefully.
     Stop,
     /// What the settings say now.
     Reload(Reloaded),
@@ -120,48 +120,50 @@
     InputEnded,
 }
 
-/// A state machine that a driver runs. All calls of one turn carry the same moment, and moments never go
-/// back. The driver calls `settle` after all else of a turn, then takes the commands.
+/// A state machine that a driver runs. All calls of one turn have the same time, and time never goes back. The
+/// driver calls [`settle`](Machine::settle) after all else of a turn, then takes the commands.
 pub trait Machine {
-    /// A peer connected to the so manieth address listened at. An error refuses it: its bytes are written if
-    /// they go at once, then the connection is closed.
+    /// A peer connected to a listener, by the order in which the driver was told to listen.
+    ///
+    /// # Errors
+    /// The connection is rejected: the bytes are written if they go at once, then it is closed.
     fn accepted(&mut self, listener: usize, now: Micros) -> Result<ConnId, Vec<u8>>;
-    /// A connection that the machine asked for stands.
+    /// A connection that the machine asked for is open.
     fn connected(&mut self, conn: ConnId, now: Micros);
-    /// It does not stand; nothing more is told of it.
+    /// It could not be opened; no further event of it follows.
     fn connect_failed(&mut self, conn: ConnId, cause: &str, now: Micros);
-    /// Bytes came.
+    /// Bytes were received.
     fn received(&mut self, conn: ConnId, bytes: &[u8], now: Micros);
-    /// The peer ended its stream, all of which has been told, but may still read. A reset is no such end. False: close
-    /// the connection.
-    fn finished(&mut self, conn: ConnId, now: Micros) -> bool;
-    /// The connection broke or was closed; nothing more is told of it.
+    /// The peer ended its stream, all of which was received, but may still read. A reset is no such end. Returns
+    /// false to have the connection closed.
+    fn peer_finished(&mut self, conn: ConnId, now: Micros) -> bool;
+    /// The connection broke or was closed; no further event of it follows.
     fn closed(&mut self, conn: ConnId, cause: &str, now: Micros);
-    /// What waits to be written.
+    /// Bytes that wait to be written.
     fn outgoing(&self, conn: ConnId) -> &[u8];
-    /// So many bytes of that were written.
-    fn wrote(&mut self, conn: ConnId, count: usize, now: Micros);
+    /// This many of them were written.
+    fn written(&mut self, conn: ConnId, count: usize, now: Micros);
     /// Whether the connection may be read now.
     fn wants_read(&self, conn: ConnId) -> bool;
-    /// Whether an end of the peer's stream is to be told at once, although bytes before it are not read now.
-    fn wants_end(&self, _conn: ConnId) -> bool {
+    /// Whether the end of the peer's stream is to be reported at once, although bytes before it are not read now.
+    fn wants_peer_end(&self, _conn: ConnId) -> bool {
         false
     }
-    /// Whether the connection has rested since its last message. Then whatever came meanwhile, or its end, is looked
-    /// for before anything is written: it is of no further use, and nothing of what waits has left.
-    fn rested(&self, _conn: ConnId) -> bool {
+    /// Whether the connection was idle since its last message. Then the driver checks, before it writes, whether
+    /// anything was received or the peer has closed it: it is of no further use, and nothing was sent.
+    fn is_idle(&self, _conn: ConnId) -> bool {
         false
     }
-    /// How the batch went that was to be stored.
-    fn stored(&mut self, _well: bool, _now: Micros) {}
-    /// How the batch went that was to be kept.
-    fn kept(&mut self, _well: bool, _now: Micros) {}
-    /// The saved state could not be replaced or added to: what it holds now is not known.
+    /// A batch of the write-back log was stored, or failed.
+    fn write_back_stored(&mut self, _is_stored: bool, _now: Micros) {}
+    /// A batch of the consensus log was stored, or failed.
+    fn consensus_stored(&mut self, _is_stored: bool, _now: Micros) {}
+    /// The saved state could not be replaced or appended to: what it holds now is not known.
     fn save_failed(&mut self, _now: Micros) {}
-    /// Word from outside the connections.
+    /// An event from outside the connections.
     fn control(&mut self, control: Control, now: Micros);
-    /// Everything of this moment has been told. Returns when to call again at the latest.
+    /// Every event of this moment was reported. Returns when to call again at the latest.
     fn settle(&mut self, now: Micros) -> Option<Micros>;
-    /// What is to be done, in order.
+    /// Takes the commands, in order.
     fn take_commands(&mut self) -> Vec<Command>;
 }
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -93,13 +93,13 @@
 #[test]
 fn a_client_that_closes_its_sending_side_still_gets_its_answers() {
     let (mut w, client, sent) = one_out(READ);
-    assert!(w.core.finished(client, w.now), "it is owed an answer");
+    assert!(w.core.peer_finished(client, w.now), "it is owed an answer");
     w.done(w.node_conn(0), sent, Code::Served, b"");
     w.run(1);
     assert_eq!(w.answers(client).len(), 1);
     assert!(w.closed.contains(&client), "then there is nothing to keep it for");
     let idle = w.client();
-    assert!(!w.core.finished(idle, w.now));
+    assert!(!w.core.peer_finished(idle, w.now));
 }
 
 #[test]
@@ -161,7 +161,7 @@
         w.run(2);
         let waits = w.core.outgoing(node).len();
         assert!(waits > 20);
-        w.core.wrote(node, if all { waits } else { waits - 1 }, w.now);
+        w.core.written(node, if all { waits } else { waits - 1 }, w.now);
         w.core.closed(node, "reset", w.now);
         w.called.remove(&node);
         w.run(400);
--- a/crates/flaxstand-gateway/tests/crossed_sockets.rs
+++ b/crates/flaxstand-gateway/tests/crossed_sockets.rs
@@ -60,7 +60,7 @@
             act(self);
         }
     }
-    fn finished(&mut self, _conn: ConnId, _now: Micros) -> bool {
+    fn peer_finished(&mut self, _conn: ConnId, _now: Micros) -> bool {
         false
     }
     fn closed(&mut self, conn: ConnId, cause: &str, _now: Micros) {
@@ -70,7 +70,7 @@
     fn outgoing(&self, conn: ConnId) -> &[u8] {
         self.out.get(&conn).map_or(&[], |o| o)
     }
-    fn wrote(&mut self, conn: ConnId, count: usize, _now: Micros) {
+    fn written(&mut self, conn: ConnId, count: usize, _now: Micros) {
         self.rests.retain(|c| *c != conn);
         *self.written.entry(conn).or_default() += count;
         if let Some(out) = self.out.get_mut(&conn) {
@@ -80,10 +80,10 @@
     fn wants_read(&self, conn: ConnId) -> bool {
         !self.unread.contains(&conn)
     }
-    fn wants_end(&self, conn: ConnId) -> bool {
+    fn wants_peer_end(&self, conn: ConnId) -> bool {
         self.unread.contains(&conn)
     }
-    fn rested(&self, conn: ConnId) -> bool {
+    fn is_idle(&self, conn: ConnId) -> bool {
         self.rests.contains(&conn)
     }
     fn control(&mut self, _control: Control, _now: Micros) {}
--- a/crates/flaxstand-gateway/tests/crossings.rs
+++ b/crates/flaxstand-gateway/tests/crossings.rs
@@ -270,7 +270,7 @@
     w.answer(link, "200 OK", "ok");
     w.run(30);
     w.says(client, ask("r2", "read").as_bytes());
-    assert!(w.core.finished(client, w.now), "its answer still goes out");
+    assert!(w.core.peer_finished(client, w.now), "its answer still goes out");
     w.blocked.remove(&client);
     w.drain(client);
     w.run(100);
@@ -367,7 +367,7 @@
     let mut w = World::new(platform(), 1);
     let (client, link) = begun(&mut w);
     // What a driver does at the end of a stream.
-    if !w.core.finished(link, w.now) {
+    if !w.core.peer_finished(link, w.now) {
         w.core.closed(link, "closed by peer", w.now);
     }
     w.run(5);
--- a/crates/flaxstand-gateway/tests/crossings_drawn.rs
+++ b/crates/flaxstand-gateway/tests/crossings_drawn.rs
@@ -178,7 +178,7 @@
                 let Some(conn) = self.pick(clients) else { return };
                 let (asked, answered) = self.clients.remove(&conn).unwrap();
                 asked[answered..].iter().for_each(|id| self.seen.push((self.w.now, Seen::Gone(*id))));
-                if !self.w.core.finished(conn, self.w.now) {
+                if !self.w.core.peer_finished(conn, self.w.now) {
                     self.w.core.closed(conn, "closed by peer", self.w.now);
                 }
             }
@@ -203,7 +203,7 @@
                     }
                     _ => {
                         self.w.says(conn, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf");
-                        if self.draw(2) == 0 && !self.w.core.finished(conn, now) {
+                        if self.draw(2) == 0 && !self.w.core.peer_finished(conn, now) {
                             self.w.core.closed(conn, "closed by peer", now);
                             self.w.closed.insert(conn);
                             self.w.called.remove(&conn);
--- a/crates/flaxstand-gateway/tests/driver.rs
+++ b/crates/flaxstand-gateway/tests/driver.rs
@@ -63,7 +63,7 @@
         }
         self.commands.push(Command::Flush(conn));
     }
-    fn finished(&mut self, conn: ConnId, now: Micros) -> bool {
+    fn peer_finished(&mut self, conn: ConnId, now: Micros) -> bool {
         self.tick(now);
         !self.out[&conn].is_empty()
     }
@@ -74,7 +74,7 @@
     fn outgoing(&self, conn: ConnId) -> &[u8] {
         self.out.get(&conn).map_or(&[], |o| o)
     }
-    fn wrote(&mut self, conn: ConnId, count: usize, now: Micros) {
+    fn written(&mut self, conn: ConnId, count: usize, now: Micros) {
         self.tick(now);
         let out = self.out.get_mut(&conn).unwrap();
         out.drain(..count);
@@ -168,14 +168,14 @@
     fn connected(&mut self, _conn: ConnId, _now: Micros) {}
     fn connect_failed(&mut self, _conn: ConnId, _cause: &str, _now: Micros) {}
     fn received(&mut self, _conn: ConnId, _bytes: &[u8], _now: Micros) {}
-    fn finished(&mut self, _conn: ConnId, _now: Micros) -> bool {
+    fn peer_finished(&mut self, _conn: ConnId, _now: Micros) -> bool {
         false
     }
     fn closed(&mut self, _conn: ConnId, _cause: &str, _now: Micros) {}
     fn outgoing(&self, _conn: ConnId) -> &[u8] {
         &[]
     }
-    fn wrote(&mut self, _conn: ConnId, _count: usize, _now: Micros) {}
+    fn written(&mut self, _conn: ConnId, _count: usize, _now: Micros) {}
     fn wants_read(&self, _conn: ConnId) -> bool {
         false
     }
@@ -219,7 +219,7 @@
         (more(b"five"), None),
     ];
     let machine = Saver { steps: steps.into_iter(), failures: Vec::new(), step: 0, commands: Vec::new() };
-    let options = Options { saved: Some(path.clone()), ..Options::default() };
+    let options = Options { saved_list: Some(path.clone()), ..Options::default() };
     let machine = Driver::new(machine, options).unwrap().run().unwrap();
     assert_eq!(machine.failures, [1, 6]);
     assert_eq!(std::fs::read(&path).unwrap(), b"four five");
--- a/crates/flaxstand-gateway/tests/frames_long_lists.rs
+++ b/crates/flaxstand-gateway/tests/frames_long_lists.rs
@@ -223,7 +223,7 @@
     let mut site = config();
     site.list = Address::Tcp(listener.local_addr().expect("an address"));
     site.site.waits.list_silence = Micros(SILENCE.as_micros() as u64);
-    let options = Options { saved: Some(saved.clone()), ..Options::default() };
+    let options = Options { saved_list: Some(saved.clone()), ..Options::default() };
     // It runs until the test's process ends.
     std::thread::spawn(move || {
         let core = Core::new(site, None, clock()).expect("no saved list");
--- a/crates/flaxstand-gateway/tests/harness/mod.rs
+++ b/crates/flaxstand-gateway/tests/harness/mod.rs
@@ -340,7 +340,7 @@
             Command::Exit => self.exited = true,
             Command::StoreWriteBack(batch) => self.batches.push_back(batch),
             // A disk that is done at once.
-            Command::StoreConsensus(_) => self.core.kept(true, self.now),
+            Command::StoreConsensus(_) => self.core.consensus_stored(true, self.now),
             Command::SaveReplicatedState(_) => {}
             Command::StopListening | Command::Print(_) | Command::AppendOutput(..) => {}
         }
@@ -379,7 +379,7 @@
             return;
         }
         let bytes = self.core.outgoing(conn).to_vec();
-        self.core.wrote(conn, bytes.len(), self.now);
+        self.core.written(conn, bytes.len(), self.now);
         self.hear(conn, &bytes);
     }
 
--- a/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
@@ -208,7 +208,7 @@
         if bytes.is_empty() {
             return;
         }
-        core.wrote(conn, bytes.len(), self.now);
+        core.written(conn, bytes.len(), self.now);
         let link = self.hosts[host].conn(conn);
         if self.network.holds(link) {
             self.list_hears(link, &bytes, leaves);
--- a/crates/flaxstand-gateway/tests/writeback.rs
+++ b/crates/flaxstand-gateway/tests/writeback.rs
@@ -98,7 +98,7 @@
             }
             let Some(batch) = self.w.batches.pop_front() else { return };
             let well = perform(&mut self.disk, &batch).is_ok();
-            self.w.core.stored(well, self.w.now);
+            self.w.core.write_back_stored(well, self.w.now);
             self.w.run(6);
         }
     }
@@ -158,7 +158,7 @@
     d.write(1, ORDER, 7, None, b"seat");
     let batch = d.w.batches.pop_front().unwrap();
     assert!(perform(&mut d.disk, &batch).is_err());
-    d.w.core.stored(false, d.w.now);
+    d.w.core.write_back_stored(false, d.w.now);
     d.w.run(1);
     assert_eq!(d.answers(), []);
     // Meanwhile another extent's write goes through.
--- a/crates/flaxstand-simulation/src/rehearse.rs
+++ b/crates/flaxstand-simulation/src/rehearse.rs
@@ -350,7 +350,7 @@
     let options = Options {
         record: append(&what.record)?,
         data: append(&what.data)?,
-        input: true,
+        read_input: true,
         ..Options::default()
     };
     let mut driver = Driver::new(Shell::new(peer), options)?;
--- a/crates/flaxstand-simulation/src/scale/hollow.rs
+++ b/crates/flaxstand-simulation/src/scale/hollow.rs
@@ -440,9 +440,9 @@
         }
     }
 
-    fn finished(&mut self, conn: ConnId, now: Micros) -> bool {
+    fn peer_finished(&mut self, conn: ConnId, now: Micros) -> bool {
         match self.member(conn) {
-            Some((member, inner)) => self.members[member].core.finished(inner, now),
+            Some((member, inner)) => self.members[member].core.peer_finished(inner, now),
             None => false,
         }
     }
@@ -458,12 +458,12 @@
         self.look(conn).map_or(&[], |(hollow, inner)| hollow.core.outgoing(inner))
     }
 
-    fn wrote(&mut self, conn: ConnId, count: usize, now: Micros) {
+    fn written(&mut self, conn: ConnId, count: usize, now: Micros) {
         let Some((member, inner)) = self.member(conn) else { return };
         let hollow = &mut self.members[member];
         let written = &hollow.core.outgoing(inner)[..count];
         let counted = hollow.links.get_mut(&inner.0).map(|link| (link.kind, link.outbound.count(written)));
-        hollow.core.wrote(inner, count, now);
+        hollow.core.written(inner, count, now);
         if let Some((kind, messages_out)) = counted {
             let bytes_out = count as u64;
             self.count(kind, &Traffic { messages_out, bytes_out, ..Traffic::default() });
@@ -474,12 +474,12 @@
         self.look(conn).is_some_and(|(hollow, inner)| hollow.core.wants_read(inner))
     }
 
-    fn wants_end(&self, conn: ConnId) -> bool {
-        self.look(conn).is_some_and(|(hollow, inner)| hollow.core.wants_end(inner))
+    fn wants_peer_end(&self, conn: ConnId) -> bool {
+        self.look(conn).is_some_and(|(hollow, inner)| hollow.core.wants_peer_end(inner))
     }
 
-    fn rested(&self, conn: ConnId) -> bool {
-        self.look(conn).is_some_and(|(hollow, inner)| hollow.core.rested(inner))
+    fn is_idle(&self, conn: ConnId) -> bool {
+        self.look(conn).is_some_and(|(hollow, inner)| hollow.core.is_idle(inner))
     }
 
     fn control(&mut self, control: Control, _now: Micros) {
@@ -515,7 +515,7 @@
 /// # Errors
 /// The driver fails.
 pub fn serve_hollow(options: HollowOptions, what: &StandIn) -> io::Result<()> {
-    let driver = Driver::new(Fleet::new(options), Options { input: true, ..Options::default() })?;
+    let driver = Driver::new(Fleet::new(options), Options { read_input: true, ..Options::default() })?;
     if !what.alone {
         println!("ready");
         io::stdout().flush()?;
--- a/crates/flaxstand-simulation/src/shell.rs
+++ b/crates/flaxstand-simulation/src/shell.rs
@@ -177,7 +177,7 @@
         }
     }
 
-    fn finished(&mut self, _conn: ConnId, _now: Micros) -> bool {
+    fn peer_finished(&mut self, _conn: ConnId, _now: Micros) -> bool {
         false
     }
 
@@ -194,7 +194,7 @@
         self.links.links.get(&conn).map_or(&[], |(_, outbox)| outbox.pending())
     }
 
-    fn wrote(&mut self, conn: ConnId, count: usize, _now: Micros) {
+    fn written(&mut self, conn: ConnId, count: usize, _now: Micros) {
         if let Some((_, outbox)) = self.links.links.get_mut(&conn) {
             outbox.wrote(count);
         }
--- a/crates/flaxstand-simulation/src/world.rs
+++ b/crates/flaxstand-simulation/src/world.rs
@@ -343,7 +343,7 @@
                 let h = &mut self.hosts[host];
                 if let Some(batch) = h.batch.take() {
                     let well = perform(&mut h.log, &batch).is_ok();
-                    self.machine(host, |m| m.stored(well, now));
+                    self.machine(host, |m| m.write_back_stored(well, now));
                 }
             }
             Event::Dial { from, to } => self.dial(host, from, &to),
@@ -496,7 +496,7 @@
                 let Some(role) = &mut self.hosts[host].role else { return };
                 let machine = role.machine();
                 let bytes = machine.outgoing(conn).to_vec();
-                machine.wrote(conn, bytes.len(), now);
+                machine.written(conn, bytes.len(), now);
                 if !bytes.is_empty()
                     && let Some((peer, at)) = self.arrival((host, conn))
                 {
