--- a/crates/flaxstand-cli/src/args.rs
+++ b/crates/flaxstand-cli/src/args.rs
@@ -4,6 +4,7 @@
 use flaxstand_gateway::core::Policy;
 use flaxstand_gateway::machine::Address;
 use std::path::PathBuf;
+use thiserror::Error;
 
 /// A storage gateway: schedules a host's reads and writes over a pool of storage nodes.
 #[derive(Parser)]
@@ -150,11 +151,19 @@
     pub virtually: bool,
 }
 
-/// What a policy is called.
-fn policy(name: &str) -> Result<Policy, String> {
-    let found = Policy::ALL.iter().find(|(n, _)| *n == name);
-    let names: Vec<&str> = Policy::ALL.iter().map(|(n, _)| *n).collect();
-    found.map(|(_, p)| *p).ok_or_else(|| format!("expected one of {}", names.join(", ")))
+/// A name that is not a policy's.
+#[derive(Debug, Error)]
+#[error("expected one of {}", policy_names().join(", "))]
+pub struct UnknownPolicy;
+
+fn policy_names() -> Vec<&'static str> {
+    Policy::ALL.iter().map(|(name, _)| *name).collect()
+}
+
+/// The policy of this name.
+fn policy(name: &str) -> Result<Policy, UnknownPolicy> {
+    let found = Policy::ALL.iter().find(|(known, _)| *known == name);
+    found.map(|(_, policy)| *policy).ok_or(UnknownPolicy)
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
--- a/crates/flaxstand-cli/src/buffer.rs
+++ b/crates/flaxstand-cli/src/buffer.rs
@@ -1,135 +1,154 @@
-//! `flaxstand buffer`.
+//! `flaxstand buffer`: what operators do with buffered writes, of a running initiator or in a log's folder.
 
-use crate::Failure;
 use crate::args::{BufferTask, By, ParkedDecisionArgument, Which};
-use crate::caller::Caller;
+use crate::connection::{CallError, Connection};
 use crate::daemon::{self, Purpose};
-use flaxstand_gateway::machine::Micros;
+use crate::error::{CommandError, LogError};
+use flaxstand_gateway::machine::{Address, Micros};
 use flaxstand_proto::Frame;
 use flaxstand_storage::SegmentFolder;
 use flaxstand_write_back::offline::decide;
 use flaxstand_write_back::record::WallClock;
-use flaxstand_write_back::{LiveRecord, LiveWrite, ParkedDecision, Recovered, Seq, Write, recover, salvage};
+use flaxstand_write_back::{LiveRecord, LiveWrite, ParkedDecision, Recovered, Seq, recover, salvage};
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What it calls itself.
-const NAME: &str = "flaxstand buffer";
+/// Name under which the command connects to an initiator.
+const CLIENT_NAME: &str = "flaxstand buffer";
+/// How long an initiator has to answer.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Shortest and longest time that draining may take, seconds.
+const MIN_DRAIN_SECONDS: f64 = 0.1;
+const MAX_DRAIN_SECONDS: f64 = 4000.0;
 
-pub fn run(task: BufferTask) -> Result<(), Failure> {
+/// Carries out one task.
+pub fn run(task: BufferTask) -> Result<(), CommandError> {
     match task {
-        BufferTask::Status { of: Which { initiator: Some(address), .. }, json } => {
-            let figures = status(&mut Caller::call(&address, NAME)?)?;
-            print!("{}", if json { figures + "\n" } else { lines(&figures) });
-            Ok(())
-        }
-        BufferTask::Status { of: Which { folder, .. }, json } => {
-            let figures = figures(&look(&folder.expect("one of the two is given"))?);
-            print!("{}", if json { figures + "\n" } else { lines(&figures) });
-            Ok(())
-        }
-        BufferTask::Verify { folder } => {
-            let mut storage = SegmentFolder::look(&folder).map_err(|e| told(&folder, &e))?;
-            match recover(&mut storage) {
-                Ok(r) => {
-                    let (segments, bytes) =
-                        (r.segments.len(), r.segments.iter().map(|s| s.length).sum::<u64>());
-                    println!("{segments} segments, {bytes} bytes, {} records: sound", r.records);
-                    if r.torn > 0 {
-                        println!("{} bytes at the end were never synced and count for nothing", r.torn);
-                    }
-                    Ok(())
-                }
-                Err(e) => {
-                    println!("{e}");
-                    println!("`flaxstand buffer salvage` keeps what can still be read");
-                    Err(Failure::Rule)
-                }
-            }
-        }
-        BufferTask::Dump { folder, parked, json } => {
-            for (seq, live) in &look(&folder)?.live {
-                if let Some(line) = line(*seq, live, json).filter(|_| !parked || is_parked(live)) {
-                    println!("{line}");
-                }
+        BufferTask::Status { of, json } => print_status(&of, json),
+        BufferTask::Verify { folder } => verify(&folder),
+        BufferTask::Dump { folder, parked, json } => dump(&folder, parked, json),
+        BufferTask::Drain { by, seconds } => drain(&by, seconds.clamp(MIN_DRAIN_SECONDS, MAX_DRAIN_SECONDS)),
+        BufferTask::Decide { folder, number, verdict } => decide_parked(&folder, number, verdict),
+        BufferTask::Salvage { folder } => salvage_log(&folder),
+    }
+}
+
+fn print_status(of: &Which, json: bool) -> Result<(), CommandError> {
+    let status = match (&of.initiator, &of.folder) {
+        (Some(address), _) => running_status(address)?,
+        (None, Some(folder)) => log_status(&read_log(folder)?),
+        (None, None) => unreachable!("the argument parser requires one of the two"),
+    };
+    print!("{}", if json { status + "\n" } else { status_lines(&status) });
+    Ok(())
+}
+
+fn verify(folder: &Path) -> Result<(), CommandError> {
+    let mut storage = SegmentFolder::look(folder).map_err(in_folder(folder))?;
+    match recover(&mut storage) {
+        Ok(recovered) => {
+            let (segments, bytes) = (recovered.segments.len(), log_bytes(&recovered));
+            println!("{segments} segments, {bytes} bytes, {} records: sound", recovered.records);
+            if recovered.torn > 0 {
+                println!("{} bytes at the end were never synced and count for nothing", recovered.torn);
             }
             Ok(())
         }
-        BufferTask::Drain { by: By { initiator: Some(address), .. }, seconds } => {
-            let mut caller = Caller::call(&address, NAME)?;
-            flush(&mut caller, Duration::from_secs_f64(seconds.clamp(0.1, 4000.0)))?;
-            println!("all that was buffered is on its nodes");
-            Ok(())
-        }
-        BufferTask::Drain { by: By { config, .. }, seconds } => {
-            let longest = Micros::from_ms(seconds.clamp(0.1, 4000.0) * 1000.0);
-            daemon::run(&config.expect("one of the two is given"), Purpose::Drain(longest))
+        Err(error) => {
+            println!("{error}");
+            println!("`flaxstand buffer salvage` keeps what can still be read");
+            Err(CommandError::RuleBroken)
         }
-        BufferTask::Decide { folder, number, verdict } => {
-            let verdict = match verdict {
-                ParkedDecisionArgument::Done => ParkedDecision::Done,
-                ParkedDecisionArgument::Again => ParkedDecision::Again,
-            };
-            let mut storage = SegmentFolder::open(&folder).map_err(|e| told(&folder, &e))?;
-            match decide(&mut storage, Seq(number), verdict).map_err(|e| told(&folder, &e))? {
-                true => Ok(()),
-                false => Err(told(&folder, &format!("no write {number} waits for an operator"))),
-            }
+    }
+}
+
+fn dump(folder: &Path, only_parked: bool, json: bool) -> Result<(), CommandError> {
+    for (seq, record) in &read_log(folder)?.live {
+        let LiveRecord::Write(live) = record else { continue };
+        if only_parked && !live.parked {
+            continue;
         }
-        BufferTask::Salvage { folder } => {
-            let mut storage = SegmentFolder::open(&folder).map_err(|e| told(&folder, &e))?;
-            if recover(&mut storage).is_ok() {
-                println!("the log is sound: nothing is changed");
-                return Ok(());
-            }
-            let kept = salvage(&mut storage).map_err(|e| told(&folder, &e))?;
-            println!("{kept} writes and barriers are kept; the old segments are set aside as *.damaged");
+        println!("{}", if json { json_line(*seq, live) } else { text_line(*seq, live) });
+    }
+    Ok(())
+}
+
+fn drain(by: &By, seconds: f64) -> Result<(), CommandError> {
+    match (&by.initiator, &by.config) {
+        (Some(address), _) => {
+            flush(address, Duration::from_secs_f64(seconds))?;
+            println!("all that was buffered is on its nodes");
             Ok(())
         }
+        (None, Some(config)) => daemon::run(config, Purpose::Drain(Micros::from_ms(seconds * 1000.0))),
+        (None, None) => unreachable!("the argument parser requires one of the two"),
+    }
+}
+
+fn decide_parked(folder: &Path, number: u64, verdict: ParkedDecisionArgument) -> Result<(), CommandError> {
+    let decision = match verdict {
+        ParkedDecisionArgument::Done => ParkedDecision::Done,
+        ParkedDecisionArgument::Again => ParkedDecision::Again,
+    };
+    let mut storage = SegmentFolder::open(folder).map_err(in_folder(folder))?;
+    let is_decided = decide(&mut storage, Seq(number), decision).map_err(in_folder(folder))?;
+    if is_decided { Ok(()) } else { Err(CommandError::NotParked { folder: folder.to_owned(), number }) }
+}
+
+fn salvage_log(folder: &Path) -> Result<(), CommandError> {
+    let mut storage = SegmentFolder::open(folder).map_err(in_folder(folder))?;
+    if recover(&mut storage).is_ok() {
+        println!("the log is sound: nothing is changed");
+        return Ok(());
     }
+    let salvaged = salvage(&mut storage).map_err(in_folder(folder))?;
+    println!("{salvaged} writes and barriers are kept; the old segments are set aside as *.damaged");
+    Ok(())
 }
 
-fn told(folder: &Path, why: &dyn std::fmt::Display) -> Failure {
-    Failure::System(format!("{}: {why}", folder.display()))
+fn in_folder<E: Into<LogError>>(folder: &Path) -> impl FnOnce(E) -> CommandError {
+    let folder = folder.to_owned();
+    move |error| CommandError::Log { folder, source: error.into() }
 }
 
-/// What a log holds, whether or not a process has it.
-fn look(folder: &Path) -> Result<Recovered, Failure> {
-    let mut storage = SegmentFolder::look(folder).map_err(|e| told(folder, &e))?;
-    recover(&mut storage).map_err(|e| told(folder, &e))
+/// What a log holds, whether or not a process uses it.
+fn read_log(folder: &Path) -> Result<Recovered, CommandError> {
+    let mut storage = SegmentFolder::look(folder).map_err(in_folder(folder))?;
+    recover(&mut storage).map_err(in_folder(folder))
 }
 
-fn is_parked(live: &LiveRecord) -> bool {
-    matches!(live, LiveRecord::Write(LiveWrite { parked: true, .. }))
+fn log_bytes(recovered: &Recovered) -> u64 {
+    recovered.segments.iter().map(|segment| segment.length).sum()
 }
 
-fn age(taken: WallClock) -> Micros {
+fn age(accepted: WallClock) -> Micros {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    WallClock(now.as_micros() as u64).since(taken).unwrap_or_default()
+    WallClock(now.as_micros() as u64).since(accepted).unwrap_or_default()
 }
 
-fn figures(r: &Recovered) -> String {
-    let writes: Vec<(WallClock, &Write)> = r
+/// Figures of a log, as a JSON object.
+fn log_status(recovered: &Recovered) -> String {
+    let writes: Vec<&LiveWrite> = recovered
         .live
         .values()
-        .filter_map(|live| match live {
-            LiveRecord::Write(live) => Some((live.accepted, &live.write)),
+        .filter_map(|record| match record {
+            LiveRecord::Write(live) => Some(live),
             LiveRecord::Barrier { .. } => None,
         })
         .collect();
     let object = serde_json::json!({
         "writes": writes.len(),
-        "bytes": writes.iter().map(|(_, w)| w.cost()).sum::<u64>(),
-        "log_bytes": r.segments.iter().map(|s| s.length).sum::<u64>(),
-        "oldest_us": writes.iter().map(|(taken, _)| age(*taken).0).max().unwrap_or(0),
-        "parked": r.live.values().filter(|live| is_parked(live)).count(),
-        "torn_bytes": r.torn,
+        "bytes": writes.iter().map(|live| live.write.cost()).sum::<u64>(),
+        "log_bytes": log_bytes(recovered),
+        "oldest_us": writes.iter().map(|live| age(live.accepted).0).max().unwrap_or(0),
+        "parked": writes.iter().filter(|live| live.parked).count(),
+        "torn_bytes": recovered.torn,
     });
     object.to_string()
 }
 
 /// A JSON object as lines.
-fn lines(object: &str) -> String {
+fn status_lines(object: &str) -> String {
     let parsed: serde_json::Map<String, serde_json::Value> = serde_json::from_str(object).unwrap_or_default();
     if parsed.is_empty() {
         return "no class is buffered\n".into();
@@ -137,44 +156,58 @@
     parsed.iter().map(|(name, value)| format!("{name:<22} {value}\n")).collect()
 }
 
-fn line(seq: Seq, live: &LiveRecord, json: bool) -> Option<String> {
-    let LiveRecord::Write(LiveWrite { accepted, started, parked, write }) = live else { return None };
-    let state = match (parked, started) {
+fn state(live: &LiveWrite) -> &'static str {
+    match (live.parked, live.started) {
         (true, _) => "parked",
         (false, Some(_)) => "started",
         (false, None) => "waiting",
-    };
-    let (extent_id, bytes, age) = (write.extent_id, write.payload.len(), age(*accepted).ms());
-    Some(if json {
-        let object = serde_json::json!({
-            "number": seq.0, "volume": extent_id.volume, "extent": extent_id.extent, "class": write.class,
-            "shard": write.shard, "operation": write.operation, "at": write.at, "bytes": bytes,
-            "age_us": (age * 1000.0) as u64, "state": state,
-        });
-        object.to_string()
-    } else {
-        format!(
-            "{:>8}  volume {:x}  extent {:x}  class {}  operation {}  {bytes} bytes  {age:.0} ms  {state}",
-            seq.0, extent_id.volume, extent_id.extent, write.class, write.operation
-        )
-    })
+    }
+}
+
+fn json_line(seq: Seq, live: &LiveWrite) -> String {
+    let write = &live.write;
+    let object = serde_json::json!({
+        "number": seq.0, "volume": write.extent_id.volume, "extent": write.extent_id.extent,
+        "class": write.class, "shard": write.shard, "operation": write.operation, "at": write.at,
+        "bytes": write.payload.len(), "age_us": Micros::from_ms(age(live.accepted).ms()).0, "state": state(live),
+    });
+    object.to_string()
+}
+
+fn text_line(seq: Seq, live: &LiveWrite) -> String {
+    let write = &live.write;
+    format!(
+        "{:>8}  volume {:x}  extent {:x}  class {}  operation {}  {} bytes  {:.0} ms  {}",
+        seq.0,
+        write.extent_id.volume,
+        write.extent_id.extent,
+        write.class,
+        write.operation,
+        write.payload.len(),
+        age(live.accepted).ms(),
+        state(live)
+    )
 }
 
-fn status(caller: &mut Caller) -> Result<String, Failure> {
-    caller.say(&Frame::AskStatus { id: 1 })?;
-    caller.hear(Duration::from_secs(5), |f| match f {
+/// Figures of a running initiator, as a JSON object.
+fn running_status(address: &Address) -> Result<String, CallError> {
+    let mut connection = Connection::open(address, CLIENT_NAME)?;
+    connection.send(&Frame::AskStatus { id: 1 })?;
+    connection.receive(REPLY_TIMEOUT, |frame| match frame {
         Frame::Status { json, .. } => Some(Ok(String::from_utf8_lossy(json).into_owned())),
         _ => None,
     })
 }
 
-fn flush(caller: &mut Caller, longest: Duration) -> Result<String, Failure> {
+/// Has a running initiator write out all that is buffered.
+fn flush(address: &Address, longest: Duration) -> Result<(), CallError> {
     let time_left = u32::try_from(longest.as_micros()).unwrap_or(u32::MAX);
-    caller.say(&Frame::Flush { id: 1, volume: None, time_left })?;
-    caller.hear(longest + Duration::from_secs(5), |f| match f {
-        Frame::Flushed { .. } => Some(Ok(String::new())),
-        Frame::Refused { refusal, .. } => Some(Err(format!("refused: {refusal:?}"))),
-        Frame::Failed { .. } => Some(Err("not all that is buffered reached its node in that time".into())),
+    let mut connection = Connection::open(address, CLIENT_NAME)?;
+    connection.send(&Frame::Flush { id: 1, volume: None, time_left })?;
+    connection.receive(longest + REPLY_TIMEOUT, |frame| match frame {
+        Frame::Flushed { .. } => Some(Ok(())),
+        Frame::Refused { refusal, .. } => Some(Err(CallError::Rejected(*refusal))),
+        Frame::Failed { .. } => Some(Err(CallError::FlushIncomplete)),
         _ => None,
     })
 }
--- /dev/null
+++ b/crates/flaxstand-cli/src/check.rs
@@ -0,0 +1,35 @@
+//! `flaxstand check`.
+
+use crate::error::CommandError;
+use crate::files::{print_problems, read_day, read_text};
+use crate::settings::print_rollout_bounds;
+use flaxstand_gateway::settings::read_daemon;
+use std::path::Path;
+
+/// Checks a settings file or a day.
+pub fn run(path: &Path) -> Result<(), CommandError> {
+    let text = read_text(path)?;
+    // A day says so; all else is taken for settings.
+    if text.lines().any(|line| line.trim_start().starts_with("day ")) {
+        check_day(path)
+    } else {
+        check_settings(path, &text)
+    }
+}
+
+fn check_day(path: &Path) -> Result<(), CommandError> {
+    let (day, _) = read_day(path)?;
+    let (nodes, faults) = (day.fleet.nodes, day.faults.len());
+    println!("{}: a day of {} s with {nodes} nodes and {faults} faults", path.display(), day.seconds);
+    Ok(())
+}
+
+fn check_settings(path: &Path, text: &str) -> Result<(), CommandError> {
+    let name = path.display().to_string();
+    let daemon = print_problems(read_daemon(&name, text))?;
+    println!("{name}: settings of initiator {}", daemon.config.name);
+    if let Some(consensus) = daemon.agreement.map(|agreement| agreement.agreeing) {
+        print_rollout_bounds(path, consensus.lease.ms(), consensus.clock_error, consensus.election.ms());
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/flaxstand-cli/src/daemon/mod.rs
@@ -0,0 +1,218 @@
+//! `flaxstand run`: start, service or draining, and stop of an initiator. `saved_state` has what it goes on with.
+
+mod saved_state;
+
+use crate::error::CommandError;
+use crate::files::{print_problems, read_text};
+use flaxstand_gateway::core::{Config, Core};
+use flaxstand_gateway::driver::{Driver, Options, Reload, clock};
+use flaxstand_gateway::machine::{Address, Control, Machine as _, Micros, Reloaded};
+use flaxstand_gateway::settings::{Agreement, Daemon, read_daemon};
+use saved_state::{
+    open_consensus_log, open_write_back_log, read_replicated_state, read_saved_list, set_aside_damaged,
+    set_aside_if_old,
+};
+use std::io::Write as _;
+use std::path::{Path, PathBuf};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tracing::{error, info};
+
+/// File of the replicated state in an agreement's folder.
+const REPLICATED_STATE_FILE: &str = "book";
+
+/// What an initiator is run for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Purpose {
+    /// It serves clients.
+    Serve {
+        /// It stops when its standard input ends.
+        with_parent: bool,
+    },
+    /// It only writes out what is buffered, for at most this long, and listens nowhere.
+    Drain(Micros),
+}
+
+impl Purpose {
+    fn serves(self) -> bool {
+        matches!(self, Purpose::Serve { .. })
+    }
+}
+
+/// Runs an initiator until it stops.
+pub fn run(path: &Path, purpose: Purpose) -> Result<(), CommandError> {
+    let daemon = print_problems(read_daemon(&name(path), &read_text(path)?))?;
+    let initiator = daemon.config.name.clone();
+    let Started { core, options, listen } = start(path, daemon, purpose)?;
+    let mut driver = Driver::new(core, options).map_err(CommandError::io("cannot start"))?;
+    if purpose.serves() {
+        let addresses = listen_at(&mut driver, &listen)?;
+        announce(&initiator, &addresses);
+    }
+    let core = run_to_end(driver)?;
+    if purpose.serves() { Ok(()) } else { report_drained(&core) }
+}
+
+/// An initiator that is ready to run.
+struct Started {
+    core: Core,
+    options: Options,
+    listen: Vec<Address>,
+}
+
+/// Makes the core, with all that it goes on with.
+fn start(path: &Path, daemon: Daemon, purpose: Purpose) -> Result<Started, CommandError> {
+    let Daemon { mut config, mut listen, state, state_age_most, log, files, agreement } = daemon;
+    if let Some(descriptors) = files {
+        lower_descriptor_limit(descriptors)?;
+    }
+    let started_at = calendar();
+    // Grows from one start to the next as long as the host's calendar is not set back.
+    config.epoch = started_at.as_micros() as u64;
+    if let (Some(path), Some(max_age)) = (&state, state_age_most) {
+        set_aside_if_old(path, max_age)?;
+    }
+    let saved_list = state.as_deref().and_then(read_saved_list);
+    if let Purpose::Drain(longest) = purpose {
+        if log.is_none() {
+            return Err(CommandError::NothingBuffered(path.to_owned()));
+        }
+        config.site.waits.stop = longest;
+    }
+    let now = clock();
+    config.calendar = started_at.as_micros() as u64 - now.0;
+    config.agreeing = agreement.as_ref().map(|agreement| agreement.agreeing.clone());
+    let mut core = new_core(&config, saved_list.as_deref(), state.as_deref(), now)?;
+    let mut options = Options {
+        saved_list: state,
+        read_input: purpose == Purpose::Serve { with_parent: true },
+        reload: Some(reload(path.to_owned())),
+        ..Options::default()
+    };
+    if let Some(folder) = &log {
+        let opened = open_write_back_log(folder)?;
+        core.attach(opened.recovered, now);
+        options.write_back_log = Some(opened.storage);
+    }
+    if let Some(agreement) = agreement.filter(|_| purpose.serves()) {
+        join_consensus(&mut core, &mut options, &agreement, &config.name, listen.len(), now)?;
+        listen.push(agreement.listen);
+    }
+    if !purpose.serves() {
+        core.control(Control::Stop, now);
+    }
+    Ok(Started { core, options, listen })
+}
+
+fn lower_descriptor_limit(descriptors: u64) -> Result<(), CommandError> {
+    use rustix::process::{Resource, Rlimit, setrlimit};
+    let limit = Rlimit { current: Some(descriptors), maximum: Some(descriptors) };
+    setrlimit(Resource::Nofile, limit)
+        .map_err(|errno| CommandError::io("cannot lower the descriptors")(errno.into()))
+}
+
+/// The host's calendar.
+fn calendar() -> Duration {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+}
+
+/// A core that goes on with the saved list. One that can't be used is set aside.
+fn new_core(
+    config: &Config,
+    saved_list: Option<&[u8]>,
+    saved_list_path: Option<&Path>,
+    now: Micros,
+) -> Result<Core, CommandError> {
+    match Core::new(config.clone(), saved_list, now) {
+        Ok(core) => Ok(core),
+        Err(cause) => {
+            if let Some(path) = saved_list_path {
+                set_aside_damaged(path, &cause)?;
+            }
+            Ok(Core::new(config.clone(), None, now)?)
+        }
+    }
+}
+
+/// Takes part in the consensus. `listener`: index of the listener that other initiators connect to.
+fn join_consensus(
+    core: &mut Core,
+    options: &mut Options,
+    agreement: &Agreement,
+    name: &str,
+    listener: usize,
+    now: Micros,
+) -> Result<(), CommandError> {
+    let folder = &agreement.folder;
+    std::fs::create_dir_all(folder).map_err(CommandError::io(format!("cannot make {}", folder.display())))?;
+    let state_path = folder.join(REPLICATED_STATE_FILE);
+    let saved = read_replicated_state(&state_path)?;
+    let is_voter = agreement.agreeing.keepers.iter().any(|(voter, _)| *voter == name);
+    let mut stored = None;
+    if is_voter {
+        let opened = open_consensus_log(folder)?;
+        options.consensus_log = Some(opened.storage);
+        stored = Some(opened.recovered);
+    }
+    core.agree(listener, stored, saved, now);
+    options.replicated_state = Some(state_path);
+    Ok(())
+}
+
+/// Listens; returns the addresses, with the ports that the system chose where 0 was asked for.
+fn listen_at(driver: &mut Driver<Core>, addresses: &[Address]) -> Result<String, CommandError> {
+    let mut bound = Vec::new();
+    for address in addresses {
+        let address =
+            driver.listen(address).map_err(CommandError::io(format!("cannot listen at {address}")))?;
+        bound.push(address.to_string());
+    }
+    Ok(bound.join(" "))
+}
+
+/// Tells the log and whoever started the process that it serves.
+fn announce(initiator: &str, addresses: &str) {
+    info!(initiator, listen = addresses, "running");
+    println!("ready {addresses}");
+    let _ = std::io::stdout().flush();
+}
+
+/// Runs an initiator until it is done.
+pub fn run_to_end(driver: Driver<Core>) -> Result<Core, CommandError> {
+    let core = driver.run().map_err(CommandError::io("the driver failed"))?;
+    if core.counts().overdue > 0 {
+        error!(overdue = core.counts().overdue, "the module left requests without an answer: report this");
+    }
+    Ok(core)
+}
+
+fn report_drained(core: &Core) -> Result<(), CommandError> {
+    match core.buffer_status(clock()) {
+        Some(status) if status.writes > 0 => {
+            Err(CommandError::StillBuffered { writes: status.writes, parked: status.parked })
+        }
+        Some(_) => {
+            println!("nothing is buffered any more");
+            Ok(())
+        }
+        None => Ok(()),
+    }
+}
+
+/// Reads again what may change while a process runs. A file with problems changes nothing.
+fn reload(path: PathBuf) -> Reload {
+    Box::new(move || {
+        let text =
+            std::fs::read_to_string(&path).inspect_err(|error| error!(%error, "cannot reload")).ok()?;
+        match read_daemon(&name(&path), &text) {
+            Ok(Daemon { config, .. }) => Some(Reloaded { bounds: config.bounds, list: config.list }),
+            Err(problems) => {
+                error!(%problems, "cannot reload");
+                None
+            }
+        }
+    })
+}
+
+fn name(path: &Path) -> String {
+    path.display().to_string()
+}
--- /dev/null
+++ b/crates/flaxstand-cli/src/rehearsal.rs
@@ -0,0 +1,172 @@
+//! `flaxstand rehearse`, `report`, `swarm`, `experiment` and `measure`.
+
+use crate::args::{Measured, Rehearsal};
+use crate::error::CommandError;
+use crate::files::{print_result, print_unreadable, read_day, write_text};
+use flaxstand_audit::Book;
+use flaxstand_gateway::core::Policy;
+use flaxstand_simulation::day::Day;
+use flaxstand_simulation::experiment::Experiment;
+use flaxstand_simulation::rehearse::{self, Plan};
+use flaxstand_simulation::report::Report;
+use flaxstand_simulation::{html, measure, measure_buffer, swarm, world};
+use std::path::Path;
+use std::time::Instant;
+
+/// Shortest and longest time that requests come in a rehearsal, seconds.
+const MIN_REHEARSAL_SECONDS: f64 = 0.1;
+const MAX_REHEARSAL_SECONDS: f64 = 86_400.0;
+/// Shortest and longest time for a measured figure, seconds.
+const MIN_MEASURE_SECONDS: f64 = 0.5;
+const MAX_MEASURE_SECONDS: f64 = 600.0;
+/// Pairs of runs with agreement on and off.
+const AGREEMENT_ROUNDS: u32 = 5;
+
+/// Plays a day and audits it.
+pub fn rehearse(arguments: Rehearsal) -> Result<(), CommandError> {
+    let (day, text) = read_day(&arguments.day)?;
+    let seconds = arguments.seconds.unwrap_or(day.seconds);
+    let seconds = seconds.clamp(MIN_REHEARSAL_SECONDS, MAX_REHEARSAL_SECONDS);
+    if arguments.virtually {
+        rehearse_on_virtual_time(&arguments, &day, seconds)
+    } else {
+        rehearse_on_loopback(&arguments, day, text, seconds)
+    }
+}
+
+fn rehearse_on_virtual_time(arguments: &Rehearsal, day: &Day, seconds: f64) -> Result<(), CommandError> {
+    if day.accord.is_some() {
+        return Err(CommandError::AgreementOnVirtualTime(arguments.day.clone()));
+    }
+    let outcome = world::play(day, seconds, arguments.policy);
+    if let Some(folder) = &arguments.keep {
+        keep_records(folder, &outcome.book)?;
+    }
+    let (json, html) = (arguments.json.as_deref(), arguments.html.as_deref());
+    print_report(day, &outcome.book, &outcome.report, json, html)
+}
+
+fn keep_records(folder: &Path, book: &Book) -> Result<(), CommandError> {
+    let mut lines = Vec::new();
+    book.records.iter().for_each(|record| record.write(&mut lines));
+    std::fs::create_dir_all(folder)?;
+    std::fs::write(folder.join("records.jsonl"), lines)?;
+    Ok(())
+}
+
+fn rehearse_on_loopback(
+    arguments: &Rehearsal,
+    day: Day,
+    text: String,
+    seconds: f64,
+) -> Result<(), CommandError> {
+    let program = std::env::current_exe()?;
+    let folder = arguments.keep.clone().unwrap_or_else(rehearse::fresh_folder);
+    let (file, policy) = (arguments.day.clone(), arguments.policy.name().to_owned());
+    let plan = Plan { program, file, text, day, seconds, policy, folder: folder.clone() };
+    let outcome = rehearse::rehearse(&plan);
+    if arguments.keep.is_none() {
+        if outcome.is_ok() {
+            rehearse::clean(&folder);
+        } else {
+            eprintln!("flaxstand: logs and records are in {}", folder.display());
+        }
+    }
+    let (report, book) = outcome?;
+    print_report(&plan.day, &book, &report, arguments.json.as_deref(), arguments.html.as_deref())
+}
+
+/// Audits what a rehearsal kept in a folder.
+pub fn report(
+    day: &Path,
+    folder: &Path,
+    json: Option<&Path>,
+    html: Option<&Path>,
+) -> Result<(), CommandError> {
+    let (day, _) = read_day(day)?;
+    let (report, book) = rehearse::audited(&day, folder)?;
+    print_report(&day, &book, &report, json, html)
+}
+
+fn print_report(
+    day: &Day,
+    book: &Book,
+    report: &Report,
+    json: Option<&Path>,
+    html: Option<&Path>,
+) -> Result<(), CommandError> {
+    if let Some(path) = html {
+        let page = html::page(day, book, report).map_err(|error| CommandError::Page(error.to_string()))?;
+        write_text(path, &page)?;
+    }
+    print_result(serde_json::to_string_pretty(report), &report.text(), json)?;
+    if report.kept() { Ok(()) } else { Err(CommandError::RuleBroken) }
+}
+
+/// Plays drawn days until one breaks a rule, and cuts that one down.
+pub fn swarm(first: u64, days: u64, threads: usize, folder: &Path) -> Result<(), CommandError> {
+    let started = Instant::now();
+    let searched = swarm::search(Policy::Module, first, days, threads, |played| {
+        if played % 500 == 0 {
+            eprintln!("{played} days, {:.0} s", started.elapsed().as_secs_f64());
+        }
+    });
+    let (played, tries) = (searched.days, searched.tries);
+    let seconds = started.elapsed().as_secs_f64();
+    println!("{played} days from seed {first} on, {tries} tries, {seconds:.0} s");
+    let Some(found) = searched.found else {
+        println!("no rule broken");
+        return Ok(());
+    };
+    let path = folder.join(format!("{}.kdl", found.drawn.seed));
+    let written = std::fs::create_dir_all(folder).and_then(|()| std::fs::write(&path, found.small.text()));
+    written.map_err(CommandError::io(format!("cannot write {}", path.display())))?;
+    let (faults, small_faults) = (found.drawn.faults.len(), found.small.faults.len());
+    let (seconds, small_seconds) = (found.drawn.seconds, found.small.seconds);
+    println!("seed {}: {}", found.drawn.seed, found.what);
+    println!(
+        "cut from {faults} faults to {small_faults}, {seconds:.1} s to {small_seconds:.1} s: {}",
+        path.display()
+    );
+    Err(CommandError::RuleBroken)
+}
+
+/// Plays the days of an experiment with its variants.
+pub fn experiment(
+    file: &Path,
+    resume: Option<&Path>,
+    json: Option<&Path>,
+    html: Option<&Path>,
+    threads: usize,
+) -> Result<(), CommandError> {
+    let plan = Experiment::load(file).or_else(print_unreadable)?;
+    let started = Instant::now();
+    let outcome = plan.run(resume, threads, |done, all| {
+        if done % 10 == 0 || done == all {
+            eprintln!("{done} of {all} runs, {:.0} s", started.elapsed().as_secs_f64());
+        }
+    })?;
+    if let Some(path) = html {
+        let page = html::experiment_page(&outcome).map_err(|error| CommandError::Page(error.to_string()))?;
+        write_text(path, &page)?;
+    }
+    print_result(serde_json::to_string_pretty(&outcome), &outcome.text(), json)
+}
+
+/// Measures what an initiator costs.
+pub fn measure(what: Measured, seconds: f64, json: Option<&Path>) -> Result<(), CommandError> {
+    let program = std::env::current_exe()?;
+    let folder = rehearse::fresh_folder();
+    let seconds = seconds.clamp(MIN_MEASURE_SECONDS, MAX_MEASURE_SECONDS);
+    if what == Measured::Buffer {
+        let measured = measure_buffer::measure(&program, &folder, seconds)?;
+        rehearse::clean(&folder);
+        return print_result(serde_json::to_string_pretty(&measured), &measured.text(), json);
+    }
+    let measured = match what {
+        Measured::Agreement => measure::measure_agreement(&program, &folder, seconds, AGREEMENT_ROUNDS)?,
+        Measured::Requests | Measured::Buffer => measure::measure(&program, &folder, seconds)?,
+    };
+    rehearse::clean(&folder);
+    print_result(serde_json::to_string_pretty(&measured), &measured.text(), json)
+}
