--- a/crates/flaxstand-cli/src/buffer.rs
+++ b/crates/flaxstand-cli/src/buffer.rs
@@ -29,7 +29,7 @@
             Ok(())
         }
         BufferTask::Verify { folder } => {
-            let mut storage = SegmentFolder::look(&folder).map_err(|e| told(&folder, &e))?;
+            let mut storage = SegmentFolder::open_read_only(&folder).map_err(|e| told(&folder, &e))?;
             match recover(&mut storage) {
                 Ok(r) => {
                     let (segments, bytes) = (r.segments.len(), r.segments.iter().map(|s| s.1).sum::<u64>());
@@ -94,7 +94,7 @@
 
 /// What a log holds, whether or not a process has it.
 fn look(folder: &Path) -> Result<Recovered, Failure> {
-    let mut storage = SegmentFolder::look(folder).map_err(|e| told(folder, &e))?;
+    let mut storage = SegmentFolder::open_read_only(folder).map_err(|e| told(folder, &e))?;
     recover(&mut storage).map_err(|e| told(folder, &e))
 }
 
--- a/crates/flaxstand-consensus/tests/recorded/stored.rs
+++ b/crates/flaxstand-consensus/tests/recorded/stored.rs
@@ -90,7 +90,8 @@
 }
 
 fn recovered() -> DurableState {
-    let mut folder = SegmentFolder::look(fixtures().path("keeper").as_path()).expect("the folder is there");
+    let mut folder =
+        SegmentFolder::open_read_only(fixtures().path("keeper").as_path()).expect("the folder is there");
     match recover(&mut folder).expect("it can be read") {
         RecoveredState::Intact(state) => *state,
         other => panic!("{other:?}"),
--- a/crates/flaxstand-storage/src/folder.rs
+++ b/crates/flaxstand-storage/src/folder.rs
@@ -1,16 +1,24 @@
-//! A log on files: one folder, one file a segment, one process at a time.
+//! Segments as files: one folder, one file a segment, one process at a time.
 
 use crate::storage::Storage;
 use std::collections::BTreeMap;
+use std::collections::btree_map::Entry;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Write as _};
 use std::path::{Path, PathBuf};
 
+/// The file whose lock keeps other processes out.
+const LOCK_FILE: &str = "lock";
+/// Extension of a segment's file.
+const SEGMENT_EXTENSION: &str = "log";
+/// Extension of a segment that was set aside.
+const DAMAGED_EXTENSION: &str = "damaged";
+
 /// A folder of segments.
 pub struct SegmentFolder {
     path: PathBuf,
     open: BTreeMap<u64, File>,
-    /// Held for as long as this lives.
+    /// Holds the lock for as long as this lives.
     _lock: Option<File>,
 }
 
@@ -21,81 +29,93 @@
     /// It can't be made or written to; `ErrorKind::ResourceBusy`: another process has it.
     pub fn open(path: &Path) -> io::Result<SegmentFolder> {
         std::fs::create_dir_all(path)?;
-        let lock = File::create(path.join("lock"))?;
+        let lock = File::create(path.join(LOCK_FILE))?;
         match lock.try_lock() {
             Ok(()) => Ok(SegmentFolder { path: path.to_owned(), open: BTreeMap::new(), _lock: Some(lock) }),
             Err(TryLockError::WouldBlock) => Err(io::Error::new(
                 io::ErrorKind::ResourceBusy,
                 format!("{} is in use by another process", path.display()),
             )),
-            Err(TryLockError::Error(e)) => Err(e),
+            Err(TryLockError::Error(error)) => Err(error),
         }
     }
 
-    /// Opens the folder to look at it, whoever has it. Nothing may be written.
+    /// Opens the folder for reading, whichever process has it. Nothing may be written.
     ///
     /// # Errors
     /// It is not there.
-    pub fn look(path: &Path) -> io::Result<SegmentFolder> {
+    pub fn open_read_only(path: &Path) -> io::Result<SegmentFolder> {
         std::fs::read_dir(path)?;
         Ok(SegmentFolder { path: path.to_owned(), open: BTreeMap::new(), _lock: None })
     }
 
-    fn file(&self, segment: u64) -> PathBuf {
-        self.path.join(format!("{segment:016x}.log"))
+    fn segment_path(&self, segment: u64) -> PathBuf {
+        self.path.join(format!("{segment:016x}.{SEGMENT_EXTENSION}"))
     }
 
-    fn opened(&mut self, segment: u64) -> io::Result<&mut File> {
-        let path = self.file(segment);
+    /// The file of a segment, opened for appending.
+    fn segment_file(&mut self, segment: u64) -> io::Result<&mut File> {
+        let path = self.segment_path(segment);
         match self.open.entry(segment) {
-            std::collections::btree_map::Entry::Occupied(e) => Ok(e.into_mut()),
-            std::collections::btree_map::Entry::Vacant(e) => {
-                Ok(e.insert(OpenOptions::new().append(true).open(path)?))
-            }
+            Entry::Occupied(entry) => Ok(entry.into_mut()),
+            Entry::Vacant(entry) => Ok(entry.insert(OpenOptions::new().append(true).open(path)?)),
         }
     }
 }
 
+/// The number of the segment in a file of this name; none: it is no segment's.
+fn segment_number(file_name: &str) -> Option<u64> {
+    let stem = file_name.strip_suffix(SEGMENT_EXTENSION)?.strip_suffix('.')?;
+    u64::from_str_radix(stem, 16).ok()
+}
+
 impl Storage for SegmentFolder {
     fn segments(&mut self) -> io::Result<Vec<u64>> {
-        let mut all = Vec::new();
+        let mut segments = Vec::new();
         for entry in std::fs::read_dir(&self.path)? {
             let name = entry?.file_name();
-            let stem = name.to_str().and_then(|n| n.strip_suffix(".log"));
-            all.extend(stem.and_then(|s| u64::from_str_radix(s, 16).ok()));
+            segments.extend(name.to_str().and_then(segment_number));
         }
-        all.sort_unstable();
-        Ok(all)
+        segments.sort_unstable();
+        Ok(segments)
     }
+
     fn read(&mut self, segment: u64) -> io::Result<Vec<u8>> {
-        std::fs::read(self.file(segment))
+        std::fs::read(self.segment_path(segment))
     }
+
     fn create(&mut self, segment: u64) -> io::Result<()> {
-        let file = OpenOptions::new().create(true).write(true).truncate(true).open(self.file(segment))?;
+        let path = self.segment_path(segment);
+        let file = OpenOptions::new().create(true).write(true).truncate(true).open(path)?;
         // Only the segment that is written to stays open.
         self.open.clear();
         self.open.insert(segment, file);
         Ok(())
     }
+
     fn append(&mut self, segment: u64, bytes: &[u8]) -> io::Result<()> {
-        self.opened(segment)?.write_all(bytes)
+        self.segment_file(segment)?.write_all(bytes)
     }
+
     fn sync(&mut self, segment: u64) -> io::Result<()> {
-        self.opened(segment)?.sync_data()
+        self.segment_file(segment)?.sync_data()
     }
+
     fn sync_folder(&mut self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
+
     fn remove(&mut self, segment: u64) -> io::Result<()> {
         self.open.remove(&segment);
-        match std::fs::remove_file(self.file(segment)) {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
-            other => other,
+        match std::fs::remove_file(self.segment_path(segment)) {
+            Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
+            result => result,
         }
     }
+
     fn set_aside(&mut self, segment: u64) -> io::Result<()> {
         self.open.remove(&segment);
-        let path = self.file(segment);
-        std::fs::rename(&path, path.with_extension("damaged"))
+        let path = self.segment_path(segment);
+        std::fs::rename(&path, path.with_extension(DAMAGED_EXTENSION))
     }
 }
--- a/crates/flaxstand-storage/src/storage.rs
+++ b/crates/flaxstand-storage/src/storage.rs
@@ -1,26 +1,52 @@
-//! What a log needs of a disk, and how a batch of it is carried out.
+//! The storage of a log, and how a batch of calls on it is carried out.
 
 use std::io;
 
-/// Segments by number. What was appended is durable once `sync` returned well, what was created or removed
-/// once `sync_folder` did. After a failed sync nothing may be assumed of what it was to make durable, also
-/// when a later one succeeds: the log gives such a segment up.
+/// Segments by number.
+///
+/// What was appended is durable once [`Storage::sync`] succeeded, what was created or removed once
+/// [`Storage::sync_folder`] did. After a failed sync nothing may be assumed of what it was to make durable,
+/// also when a later one succeeds: the log gives such a segment up.
 pub trait Storage: Send {
     /// Numbers of the segments that are there.
+    ///
+    /// # Errors
+    /// The storage can't be read.
     fn segments(&mut self) -> io::Result<Vec<u64>>;
     /// A segment's bytes.
+    ///
+    /// # Errors
+    /// There is no such segment, or it can't be read.
     fn read(&mut self, segment: u64) -> io::Result<Vec<u8>>;
     /// Makes an empty segment, in place of one of that number.
+    ///
+    /// # Errors
+    /// It can't be made.
     fn create(&mut self, segment: u64) -> io::Result<()>;
-    /// Adds bytes to its end.
+    /// Adds bytes to the end of a segment.
+    ///
+    /// # Errors
+    /// Some of the bytes may be there, and some not; `ErrorKind::StorageFull`: the disk is full.
     fn append(&mut self, segment: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Makes its bytes durable.
+    /// Makes a segment's bytes durable.
+    ///
+    /// # Errors
+    /// Any of the bytes appended since the last sync may be lost.
     fn sync(&mut self, segment: u64) -> io::Result<()>;
     /// Makes durable which segments there are.
+    ///
+    /// # Errors
+    /// Segments created since the last call may be lost, and removed ones come back.
     fn sync_folder(&mut self) -> io::Result<()>;
-    /// Removes it.
+    /// Removes a segment. One that is not there is no error.
+    ///
+    /// # Errors
+    /// It may be there still.
     fn remove(&mut self, segment: u64) -> io::Result<()>;
-    /// Takes it out of the log without destroying it.
+    /// Takes a damaged segment out of the log without destroying it.
+    ///
+    /// # Errors
+    /// It may be part of the log still.
     fn set_aside(&mut self, segment: u64) -> io::Result<()>;
 }
 
@@ -39,7 +65,7 @@
     Remove(u64),
 }
 
-/// What the storage is to do next, in order, up to the first failure.
+/// Calls to carry out in order, up to the first failure.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
     /// The calls.
@@ -49,7 +75,7 @@
 /// Carries a batch out, in order, up to the first failure.
 ///
 /// # Errors
-/// What the storage said; nothing of the batch may then be taken as durable.
+/// The storage's error; nothing of the batch may then be taken as durable.
 pub fn perform(storage: &mut dyn Storage, batch: &Batch) -> io::Result<()> {
     for op in &batch.ops {
         match op {
--- a/crates/flaxstand-write-back/tests/recorded_log.rs
+++ b/crates/flaxstand-write-back/tests/recorded_log.rs
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_recorded_log_is_read_to_what_lives_in_it() {
-    let mut folder = SegmentFolder::look(&fixtures().path("log")).expect("the folder is there");
+    let mut folder = SegmentFolder::open_read_only(&fixtures().path("log")).expect("the folder is there");
     let recovered = recover(&mut folder).expect("it is sound");
     fixtures().assert_text("live.txt", &live_of(&recovered));
     assert_eq!((recovered.last, recovered.records, recovered.torn), (Seq(6), 10, TORN.len() as u64));
