--- a/crates/flaxstand-cli/src/daemon.rs
+++ b/crates/flaxstand-cli/src/daemon.rs
@@ -94,7 +94,7 @@
             }
             false => None,
         };
-        core.agree(listen.len(), found, saved, now);
+        core.start_agreement(listen.len(), found, saved, now);
         listen.push(a.listen);
         book = Some(file);
     }
--- a/crates/flaxstand-gateway/src/core/agreement/mod.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/mod.rs
@@ -1,299 +1,186 @@
-//! Where the agreement hangs in: words of other initiators and of operators in, words out, and the rules that hold
-//! now for the module. All that is decided is `flaxstand-consensus`'s; here are connections, and calls that are made
-//! again after a wait.
+//! Where the agreement is attached to the core: messages of other initiators and of operators in, messages
+//! out, and the rules in effect to the decision module. All that is decided is `flaxstand-consensus`'s.
+//!
+//! - [`peers`]: the connections
 
+mod peers;
+
+pub(super) use peers::ConsensusPeer;
+
+use super::Core;
 use super::clients::Fault;
-use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
-use super::{Backoff, Core};
+use super::plumbing::Timer;
 use crate::machine::{Address, Command, ConnId, Micros};
 use crate::settings::settings_of;
 use flaxstand::api::Event;
-use flaxstand_consensus::participant::{Config, Destination, Participant, PeerMessage, StoredReplica};
+use flaxstand_consensus::participant::{Config, Participant, PeerMessage, StoredReplica};
 use flaxstand_consensus::replica::InjectedFault;
 use flaxstand_consensus::replicated_state::IndexedState;
-use flaxstand_proto::{CloseReason, Frame, Hello, Inbox, Role, VERSION, VERSION_OLDEST, Welcome};
-use std::collections::{BTreeMap, VecDeque};
-use tracing::{debug, info, warn};
-
-/// Words that wait for a call to stand, most. The oldest is dropped: whatever matters is said again.
-const WAITING_MOST: usize = 64;
-/// Bytes that wait for one that does not read, most. Further words to it are dropped.
-const UNREAD_MOST: usize = 4 << 20;
-/// Connections of other initiators and operators at a time.
-const CALLERS_MOST: usize = 1024;
-/// First and longest wait before one is called again.
-const AGAIN: (Micros, Micros) = (Micros(50_000), Micros(1_000_000));
-
-/// Whose connection at the agreement's address, or to one.
-#[derive(Debug)]
-pub(super) enum Fellow {
-    /// It has not said who it is.
-    Unknown,
-    /// An initiator that called.
-    Initiator(String),
-    /// An operator's command.
-    Operator,
-    /// An initiator that was called.
-    Called(String),
-}
-
-#[derive(Debug)]
-struct Call {
-    address: Address,
-    conn: Option<ConnId>,
-    /// Not called before then.
-    again: Micros,
-    backoff: Backoff,
-    waiting: VecDeque<Vec<u8>>,
-}
+use flaxstand_consensus::rules::Rules;
+use flaxstand_proto::{CloseReason, Hello, Welcome};
+use peers::{ConsensusPeers, sender};
 
-/// The agreement and the ways to others.
+/// The agreement with other initiators, and the connections to them.
 #[derive(Debug)]
-pub(super) struct Agreed {
-    pub(super) agreement: Participant,
-    /// Which of the listeners is the agreement's.
-    listener: usize,
-    calls: BTreeMap<String, Call>,
-    callers: usize,
+pub(super) struct Agreement {
+    participant: Participant,
+    peers: ConsensusPeers,
 }
 
 impl Core {
-    /// Agrees with other initiators from now on: as a keeper, with what its folder held, or as a member alone.
-    /// `saved` is the book of an earlier life; words come in at the listener of that number.
-    pub fn agree(
+    /// Agrees with other initiators from now on: with a replica, given what its folder held, or as a member
+    /// alone. `saved` is the replicated state that was saved before; messages come in at the listener of that
+    /// number.
+    pub fn start_agreement(
         &mut self,
         listener: usize,
-        found: Option<StoredReplica>,
+        stored: Option<StoredReplica>,
         saved: Option<IndexedState>,
         now: Micros,
     ) {
-        let Some(a) = &self.config.agreeing else { return };
-        let names = |all: &[(String, Address)]| all.iter().map(|(n, _)| n.clone()).collect();
+        let Some(settings) = &self.config.agreeing else { return };
+        let names = |all: &[(String, Address)]| all.iter().map(|(name, _)| name.clone()).collect();
         let config = Config {
             name: self.config.name.clone(),
             epoch: self.config.epoch,
-            voters: names(&a.keepers),
-            neighbours: names(&a.others),
-            lease: a.lease,
-            clock_error: a.clock_error,
-            election_timeout: a.election,
+            voters: names(&settings.keepers),
+            neighbours: names(&settings.others),
+            lease: settings.lease,
+            clock_error: settings.clock_error,
+            election_timeout: settings.election,
             seed: self.config.seed ^ self.config.epoch,
-            started_with: a.started_with.clone(),
+            started_with: settings.started_with.clone(),
             injected_fault: InjectedFault::None,
         };
-        let backoff = || Backoff::new(AGAIN.0, AGAIN.1);
-        let call = |address: &Address| Call {
-            address: address.clone(),
-            conn: None,
-            again: now,
-            backoff: backoff(),
-            waiting: VecDeque::new(),
-        };
-        let others = a.keepers.iter().chain(&a.others).filter(|(n, _)| *n != self.config.name);
-        let calls = others.map(|(n, address)| (n.clone(), call(address))).collect();
-        let agreement = Participant::new(config, found, saved, self.config.calendar, now);
-        self.agreed = Some(Agreed { agreement, listener, calls, callers: 0 });
+        let all = settings.keepers.iter().chain(&settings.others);
+        let others = all.filter(|(name, _)| *name != self.config.name);
+        let peers = ConsensusPeers::new(listener, others, now);
+        let participant = Participant::new(config, stored, saved, self.config.calendar, now);
+        self.agreement = Some(Agreement { participant, peers });
         self.plumbing.at(now, Timer::Agreement);
     }
 
     /// The agreement, where there is one.
     pub fn agreement(&self) -> Option<&Participant> {
-        self.agreed.as_ref().map(|a| &a.agreement)
+        self.agreement.as_ref().map(|agreement| &agreement.participant)
     }
 
     /// Whether a listener is the agreement's, and not the clients'.
-    pub(super) fn is_agreements(&self, listener: usize) -> bool {
-        self.agreed.as_ref().is_some_and(|a| a.listener == listener)
+    pub(super) fn is_consensus_listener(&self, listener: usize) -> bool {
+        self.agreement.as_ref().is_some_and(|agreement| agreement.peers.is_listener(listener))
     }
 
-    pub(super) fn fellow_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
-        let agreed = self.agreed.as_mut().filter(|a| a.callers < CALLERS_MOST);
-        agreed.ok_or_else(Vec::new)?.callers += 1;
-        let conn = self.plumbing.open(
-            Peer::Fellow(Fellow::Unknown),
-            Stage::Greeting,
-            Protocol::Frames(Inbox::default()),
-        );
-        self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Dial(conn));
-        Ok(conn)
+    /// Accepts a connection at the agreement's address.
+    ///
+    /// # Errors
+    /// There are as many as may be; nothing is sent before the close.
+    pub(super) fn accept_consensus_peer(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
+        let agreement = self.agreement.as_mut().ok_or_else(Vec::new)?;
+        let greeting = self.config.site.waits.greeting;
+        agreement.peers.accept(&mut self.plumbing, greeting, now).ok_or_else(Vec::new)
     }
 
-    /// Who calls must be in the list that this initiator was told, or an operator's command.
-    pub(super) fn fellow_greeted(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), Fault> {
-        let (oldest, newest) = hello.versions;
-        if oldest > VERSION || newest < VERSION_OLDEST {
-            return Err((
-                CloseReason::Version,
-                format!("versions {oldest} to {newest}, {VERSION} is spoken here"),
-            ));
-        }
-        let known = self.agreed.as_ref().is_some_and(|a| a.calls.contains_key(hello.name));
-        let fellow = match hello.role {
-            Role::Initiator if known => Fellow::Initiator(hello.name.to_owned()),
-            Role::Client => Fellow::Operator,
-            role => {
-                return Err((
-                    CloseReason::WrongPeer,
-                    format!("{role:?} {:?} is not in the list", hello.name),
-                ));
-            }
-        };
-        debug!(conn = conn.0, ?fellow, "a fellow is here");
-        if let Some(c) = self.plumbing.get_mut(conn) {
-            (c.peer, c.stage) = (Peer::Fellow(fellow), Stage::Open);
+    pub(super) fn consensus_peer_greeted(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), Fault> {
+        match &self.agreement {
+            Some(agreement) => agreement.peers.handle_hello(&mut self.plumbing, &self.config, conn, hello),
+            None => Ok(()),
         }
-        let welcome = Welcome {
-            version: VERSION.min(newest),
-            role: Role::Initiator,
-            id: self.config.index.into(),
-            epoch: self.config.epoch,
-            name: &self.config.name,
-        };
-        self.plumbing.push(conn, &Frame::Welcome(welcome));
-        Ok(())
     }
 
-    /// One that was called answers.
-    pub(super) fn fellow_welcomed(&mut self, conn: ConnId, w: &Welcome<'_>) -> Result<(), Fault> {
-        let Some(Conn { peer: Peer::Fellow(Fellow::Called(name)), .. }) = self.plumbing.get(conn) else {
-            return Err((CloseReason::Protocol, "a welcome that nobody waits for".into()));
-        };
-        if w.role != Role::Initiator || w.name != name {
-            return Err((
-                CloseReason::WrongPeer,
-                format!("expected initiator {name:?}, met {:?} {:?}", w.role, w.name),
-            ));
-        }
-        let name = name.clone();
-        self.plumbing.is_at(conn, Stage::Open);
-        let call = self.agreed.as_mut().and_then(|a| a.calls.get_mut(&name));
-        if let Some(call) = call {
-            call.backoff.worked();
-            let waiting = std::mem::take(&mut call.waiting);
-            for bytes in &waiting {
-                self.plumbing.push(conn, &Frame::Agreement { bytes });
-            }
+    pub(super) fn consensus_peer_welcomed(
+        &mut self,
+        conn: ConnId,
+        welcome: &Welcome<'_>,
+    ) -> Result<(), Fault> {
+        match &mut self.agreement {
+            Some(agreement) => agreement.peers.handle_welcome(&mut self.plumbing, conn, welcome),
+            None => Ok(()),
         }
-        Ok(())
     }
 
-    pub(super) fn fellow_said(&mut self, conn: ConnId, bytes: &[u8], now: Micros) -> Result<(), Fault> {
-        let word: PeerMessage =
-            postcard::from_bytes(bytes).map_err(|e| (CloseReason::Protocol, format!("no word: {e}")))?;
-        let from = match self.plumbing.get(conn).map(|c| &c.peer) {
-            Some(Peer::Fellow(Fellow::Initiator(name) | Fellow::Called(name))) => Some(name.clone()),
-            Some(Peer::Fellow(Fellow::Operator)) => None,
-            _ => return Err((CloseReason::Protocol, "a word of a stranger".into())),
-        };
-        if let Some(agreed) = &mut self.agreed {
-            agreed.agreement.receive(conn.0, from.as_deref(), word, now);
+    pub(super) fn consensus_message_received(
+        &mut self,
+        conn: ConnId,
+        bytes: &[u8],
+        now: Micros,
+    ) -> Result<(), Fault> {
+        let message: PeerMessage = postcard::from_bytes(bytes)
+            .map_err(|error| (CloseReason::Protocol, format!("no word: {error}")))?;
+        let from = sender(&self.plumbing, conn)?;
+        if let Some(agreement) = &mut self.agreement {
+            agreement.participant.receive(conn.0, from.as_deref(), message, now);
         }
         Ok(())
     }
 
-    pub(super) fn fellow_lost(&mut self, fellow: &Fellow, cause: &str, now: Micros) {
-        let Some(agreed) = &mut self.agreed else { return };
-        let Fellow::Called(name) = fellow else {
-            agreed.callers -= 1;
-            return;
-        };
-        if let Some(call) = agreed.calls.get_mut(name) {
-            debug!(name, cause, "no way to an initiator");
-            call.conn = None;
-            call.again = now.after(call.backoff.failed(&mut self.rng));
-            call.waiting.clear();
+    pub(super) fn consensus_peer_lost(&mut self, peer: &ConsensusPeer, cause: &str, now: Micros) {
+        if let Some(agreement) = &mut self.agreement {
+            agreement.peers.handle_lost(peer, cause, &mut self.rng, now);
         }
     }
 
-    pub(super) fn batch_kept(&mut self, well: bool, now: Micros) {
-        if let Some(agreed) = &mut self.agreed {
-            agreed.agreement.batch_stored(well, now);
+    pub(super) fn consensus_batch_stored(&mut self, succeeded: bool, now: Micros) {
+        if let Some(agreement) = &mut self.agreement {
+            agreement.participant.batch_stored(succeeded, now);
         }
     }
 
-    /// Gives the lease back.
-    pub(super) fn leave_agreement(&mut self, now: Micros) {
-        if let Some(agreed) = &mut self.agreed {
-            agreed.agreement.release_lease(now);
+    /// Gives the lease back; the process is about to end.
+    pub(super) fn release_lease(&mut self, now: Micros) {
+        if let Some(agreement) = &mut self.agreement {
+            agreement.participant.release_lease(now);
         }
-        self.settle_agreement(now);
+        self.step_agreement(now);
     }
 
-    /// The rules that hold in this turn, before anything is decided in it: a lease that ran out while the process
-    /// stood still is noticed here. Then what the agreement has to say and to store.
-    pub(super) fn settle_agreement(&mut self, now: Micros) -> Option<Micros> {
-        let agreed = self.agreed.as_mut()?;
-        if agreed.agreement.wake_at(now) <= now {
-            agreed.agreement.tick(now);
+    /// Applies the rules in effect in this turn, before anything is decided in it, and hands out what the
+    /// agreement has to store and to send. Guards against a lease that ended while the process was stopped.
+    /// Returns when it is to be called again at the latest.
+    pub(super) fn step_agreement(&mut self, now: Micros) -> Option<Micros> {
+        let participant = &mut self.agreement.as_mut()?.participant;
+        if participant.wake_at(now) <= now {
+            participant.tick(now);
         }
-        let rules = agreed.agreement.take_rules_change(now);
-        if let Some(batch) = agreed.agreement.next_batch(now) {
+        let rules = participant.take_rules_change(now);
+        if let Some(batch) = participant.next_batch(now) {
             self.plumbing.command(Command::StoreConsensus(batch));
         }
-        if let Some(book) = agreed.agreement.take_unsaved() {
-            self.plumbing.command(Command::SaveReplicatedState(book));
+        // Saved before messages go out: guards against a stage that is confirmed and forgotten.
+        if let Some(state) = participant.take_unsaved() {
+            self.plumbing.command(Command::SaveReplicatedState(state));
         }
-        let words = agreed.agreement.take_outgoing();
+        let outgoing = participant.take_outgoing();
         if let Some(rules) = rules {
-            self.cut_what_waits(now);
-            self.config.site.settings = settings_of(&rules, &self.config.site);
-            let settings = super::module_settings(&self.config);
-            self.brain_classes = settings.classes.clone();
-            let mut actions = Vec::new();
-            self.decider.handle(Event::SettingsChanged(Box::new(settings)), now, &mut actions);
-            self.undecided = true;
+            self.apply_rules(&rules, now);
         }
-        for (to, word) in words {
-            let bytes = match postcard::to_stdvec(&word) {
-                Ok(bytes) if bytes.len() <= flaxstand_proto::MAX_BODY - 64 => bytes,
-                _ => {
-                    warn!(?to, "a word that does not fit a frame");
-                    continue;
-                }
-            };
-            match to {
-                Destination::Connection(conn) => self.say_to(ConnId(conn), &bytes),
-                Destination::Peer(name) => self.say_to_peer(&name, bytes, now),
-            }
+        let dial_timeout = self.config.site.waits.dial;
+        let agreement = self.agreement.as_mut()?;
+        for (to, message) in outgoing {
+            agreement.peers.send(&mut self.plumbing, to, &message, dial_timeout, now);
         }
-        // At least one moment on: what a turn leads to is the next turn's.
-        self.agreed.as_ref().map(|a| a.agreement.wake_at(now).max(Micros(now.0 + 1)))
+        // At least one moment on: what follows from a turn is the next turn's.
+        Some(agreement.participant.wake_at(now).max(Micros(now.0 + 1)))
     }
 
-    /// What was decided on under the rules before and has not left yet, since its node does not read, never leaves:
-    /// the connections that it waits on are closed, and the module hears that it never ran.
-    fn cut_what_waits(&mut self, now: Micros) {
-        let waiting = self.plumbing.to_nodes().filter(|(_, c)| !c.outbox.is_empty());
-        let waiting: Vec<ConnId> = waiting.map(|(conn, _)| conn).collect();
-        for conn in waiting {
-            self.lost_unsaid(conn, "the rules changed while requests waited to leave", now);
-        }
+    /// The decision module gets the rules, also for requests that are held or in flight.
+    fn apply_rules(&mut self, rules: &Rules, now: Micros) {
+        self.cancel_unsent_attempts(now);
+        self.config.site.settings = settings_of(rules, &self.config.site);
+        let settings = super::module_settings(&self.config);
+        self.brain_classes = settings.classes.clone();
+        let mut actions = Vec::new();
+        self.decider.handle(Event::SettingsChanged(Box::new(settings)), now, &mut actions);
+        self.undecided = true;
     }
 
-    fn say_to(&mut self, conn: ConnId, bytes: &[u8]) {
-        if self.plumbing.get(conn).is_some_and(|c| c.outbox.len() < UNREAD_MOST) {
-            self.plumbing.push(conn, &Frame::Agreement { bytes });
-        }
-    }
-
-    fn say_to_peer(&mut self, name: &str, bytes: Vec<u8>, now: Micros) {
-        let by = now.after(self.config.site.waits.dial);
-        let Some(call) = self.agreed.as_mut().and_then(|a| a.calls.get_mut(name)) else { return };
-        match call.conn {
-            Some(conn) if self.plumbing.is_open(conn) => self.say_to(conn, &bytes),
-            None if now < call.again => {}
-            _ => {
-                if call.waiting.len() >= WAITING_MOST {
-                    call.waiting.pop_front();
-                }
-                call.waiting.push_back(bytes);
-                if call.conn.is_none() {
-                    let peer = Peer::Fellow(Fellow::Called(name.to_owned()));
-                    let protocol = Protocol::Frames(Inbox::default());
-                    call.conn = Some(self.plumbing.dial(peer, protocol, call.address.clone(), by));
-                    info!(name, address = %call.address, "calling an initiator");
-                }
-            }
+    /// Closes connections to nodes on which attempts wait that were decided on under the rules before, since
+    /// the node does not read. The module is told that they were not executed.
+    fn cancel_unsent_attempts(&mut self, now: Micros) {
+        let to_nodes = self.plumbing.to_nodes();
+        let waiting = to_nodes.filter(|(_, open)| !open.outbox.is_empty()).map(|(conn, _)| conn);
+        let waiting: Vec<ConnId> = waiting.collect();
+        for conn in waiting {
+            self.lost_unsaid(conn, "the rules changed while requests waited to leave", now);
         }
     }
 }
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -1,7 +1,7 @@
 //! What comes on a connection, handed to whom it concerns, and what hangs on one that is no more.
 
 use super::Core;
-use super::agreement::Fellow;
+use super::agreement::ConsensusPeer;
 use super::plumbing::{Peer, Protocol, Stage};
 use super::writeback::Mark;
 use crate::machine::{Command, ConnId, Micros};
@@ -62,7 +62,7 @@
             (Peer::Node(node), _) => {
                 self.node_lost(conn, node, gone.stage, gone.outbox.written(), cause, now)
             }
-            (Peer::Fellow(fellow), _) => self.fellow_lost(&fellow, cause, now),
+            (Peer::Consensus(peer), _) => self.consensus_peer_lost(&peer, cause, now),
             (Peer::Discovery, Protocol::DiscoveryPoll) => self.discovery_poll_lost(cause, now),
             (Peer::Discovery, _) => self.discovery_watch_lost(gone.stage, cause, now),
         }
@@ -78,14 +78,14 @@
                 self.lost(conn, "peer said goodbye", true, now);
                 return false;
             }
-            (Peer::Fellow(Fellow::Unknown), Frame::Hello(h)) if stage == Stage::Greeting => {
-                self.fellow_greeted(conn, &h)
+            (Peer::Consensus(ConsensusPeer::Unidentified), Frame::Hello(h)) if stage == Stage::Greeting => {
+                self.consensus_peer_greeted(conn, &h)
             }
-            (Peer::Fellow(_), Frame::Welcome(w)) if stage == Stage::Greeting => {
-                self.fellow_welcomed(conn, &w)
+            (Peer::Consensus(_), Frame::Welcome(w)) if stage == Stage::Greeting => {
+                self.consensus_peer_welcomed(conn, &w)
             }
-            (Peer::Fellow(_), Frame::Agreement { bytes }) if stage == Stage::Open => {
-                self.fellow_said(conn, bytes, now)
+            (Peer::Consensus(_), Frame::Agreement { bytes }) if stage == Stage::Open => {
+                self.consensus_message_received(conn, bytes, now)
             }
             (Peer::Client(_), Frame::Hello(h)) if stage == Stage::Greeting => self.client_greeted(conn, &h),
             (Peer::Client(_), Frame::Submit(s)) if stage == Stage::Open => {
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -8,7 +8,7 @@
 //! - [`endpoint_table`]: what is listed; [`nodes`]: connections to storage nodes, attempts on them
 //! - [`first_byte`]: the gate that the first byte of an attempt passes
 //! - [`storms`]: repeats told from first tries, and damped
-//! - [`agreement`]: words between initiators, and the rules that hold now
+//! - [`agreement`]: messages between initiators, and the rules in effect
 //! - [`writeback`]: the write-back buffer's place between clients and the module
 //! - [`decider`]: the decision module, or a baseline in its place
 //! - [`figures`]: what is counted and held
@@ -50,7 +50,7 @@
 pub use figures::{Counts, Footprint};
 
 use crate::machine::{Command, ConnId, Control, Machine, Micros};
-use agreement::Agreed;
+use agreement::Agreement;
 use client_places::ClientPlaces;
 use decider::{Decider, module_settings};
 use discovery::EndpointDiscovery;
@@ -92,7 +92,7 @@
     /// Classes that the module was told of: the site's, and after them those of write-outs, if there are any.
     brain_classes: Vec<Class>,
     back: Option<Back>,
-    agreed: Option<Agreed>,
+    agreement: Option<Agreement>,
     gate: Option<Gate>,
     arrivals: ConnectionRateLimiter,
     rng: Pcg64Mcg,
@@ -145,7 +145,7 @@
             decider,
             brain_classes,
             back: None,
-            agreed: None,
+            agreement: None,
             gate,
             arrivals: ConnectionRateLimiter::new(config.bounds.arrivals, now),
             discovery,
@@ -313,7 +313,7 @@
         if self.phase != Phase::Stopped {
             self.phase = Phase::Stopped;
             // Until then it acts, and needs its lease.
-            self.leave_agreement(now);
+            self.release_lease(now);
             let conns: Vec<ConnId> = self.plumbing.iter().map(|(conn, _)| conn).collect();
             conns.into_iter().for_each(|conn| self.hang_up(conn, CloseReason::Stopping, "stopping", now));
             // What was learnt of the nodes since the list last changed is kept for the next start.
@@ -329,7 +329,11 @@
 
 impl Machine for Core {
     fn accepted(&mut self, listener: usize, now: Micros) -> Result<ConnId, Vec<u8>> {
-        if self.is_agreements(listener) { self.fellow_accepted(now) } else { self.client_accepted(now) }
+        if self.is_consensus_listener(listener) {
+            self.accept_consensus_peer(now)
+        } else {
+            self.client_accepted(now)
+        }
     }
 
     fn connected(&mut self, conn: ConnId, now: Micros) {
@@ -411,7 +415,7 @@
     }
 
     fn kept(&mut self, well: bool, now: Micros) {
-        self.batch_kept(well, now);
+        self.consensus_batch_stored(well, now);
     }
 
     fn save_failed(&mut self, now: Micros) {
@@ -439,7 +443,7 @@
         while let Some(timer) = self.plumbing.due(now) {
             self.fire(timer, now);
         }
-        let agreement = self.settle_agreement(now);
+        let agreement = self.step_agreement(now);
         self.look_at_weather(now);
         self.settle_buffer(now);
         self.tell(now);
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/plumbing.rs
@@ -2,7 +2,7 @@
 //! It knows whose a connection is and nothing of what is done with what comes on it: clients, nodes, the list and
 //! later parts hang on here, each at its own variant of [`Peer`], [`Protocol`] and [`Timer`].
 
-use super::agreement::Fellow;
+use super::agreement::ConsensusPeer;
 use super::clients::Client;
 use super::http_server::HttpServer;
 use super::pool::Link;
@@ -19,8 +19,8 @@
     Node(NodeId),
     /// The discovery service.
     Discovery,
-    /// Another initiator, or an operator, about what is agreed on.
-    Fellow(Fellow),
+    /// Another initiator, or an operator, of the agreement.
+    Consensus(ConsensusPeer),
 }
 
 impl Peer {
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -902,7 +902,7 @@
         started_with: Default::default(),
     });
     let mut w = World::new(c, 1);
-    w.core.agree(1, Some(StoredReplica::default()), None, w.now);
+    w.core.start_agreement(1, Some(StoredReplica::default()), None, w.now);
     w.run(3000);
     propose(&mut w, 0, 3.0);
     w.run(2000);
--- a/crates/flaxstand-simulation/src/scale/hollow.rs
+++ b/crates/flaxstand-simulation/src/scale/hollow.rs
@@ -195,7 +195,7 @@
         let mut core =
             core.or_else(|_| Core::new(config, None, now)).expect("without a saved list nothing can fail");
         let book = saved.book.as_ref().and_then(|bytes| IndexedState::read(bytes).ok());
-        core.agree(NO_LISTENER, None, book, now);
+        core.start_agreement(NO_LISTENER, None, book, now);
         core
     }
 
