--- a/crates/flaxstand-consensus/tests/participants/harness.rs
+++ b/crates/flaxstand-consensus/tests/participants/harness.rs
@@ -33,8 +33,7 @@
     saved_state: Option<Vec<u8>>,
     storing: Option<(Micros, Batch)>,
     stopped_until: Micros,
-    /// Its clock: what it shows at moment 0, and its rate.
-    clock: (u64, f64),
+    clock: HostClock,
     starts: u64,
     /// What it acted on in its last turn: a stopped process sends nothing.
     active_rules: ActiveRules,
@@ -42,26 +41,44 @@
     stage: u64,
 }
 
-impl Host {
-    fn now(&self, at: Micros) -> Micros {
-        Micros(self.clock.0 + (at.0 as f64 * self.clock.1) as u64)
+/// A host's clock.
+struct HostClock {
+    /// What it shows at moment 0, microseconds.
+    offset: u64,
+    /// How fast it runs; 1 is exact.
+    rate: f64,
+}
+
+impl HostClock {
+    /// What it shows at a moment.
+    fn shown_at(&self, moment: Micros) -> Micros {
+        Micros(self.offset + (moment.0 as f64 * self.rate) as u64)
     }
-    /// The moment at which its clock shows this.
-    fn when(&self, local: Micros) -> Micros {
-        Micros((local.0.saturating_sub(self.clock.0) as f64 / self.clock.1).ceil() as u64)
+
+    /// The moment at which it shows this.
+    fn moment_of(&self, shown: Micros) -> Micros {
+        Micros((shown.0.saturating_sub(self.offset) as f64 / self.rate).ceil() as u64)
     }
 }
 
+/// A message between two hosts.
+struct InFlight {
+    from: usize,
+    to: usize,
+    message: PeerMessage,
+}
+
 pub struct Cluster {
     pub now: Micros,
     hosts: Vec<Host>,
     pub rng: Pcg64Mcg,
     injected_fault: InjectedFault,
-    outgoing: BTreeMap<(Micros, u64), (usize, usize, bool, PeerMessage)>,
+    /// By the moment at which they arrive, and a number that orders those of one moment.
+    in_flight: BTreeMap<(Micros, u64), InFlight>,
     next_message: u64,
     pub cut: BTreeSet<(usize, usize)>,
-    pub lossy: u64,
-    pub slowest: u64,
+    pub loss_per_thousand: u64,
+    pub max_delay_ms: u64,
     /// Since when two have acted on rules that contradict each other.
     contradictions: BTreeMap<(usize, usize), Micros>,
     pub longest_contradiction: (Micros, String),
@@ -101,7 +118,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let hosts = (0..count)
             .map(|i| {
-                let fast = 1.0 + CLOCK_ERROR * ((rng.next_u64() % 2001) as f64 / 1000.0 - 1.0) / 2.0;
+                let rate = 1.0 + CLOCK_ERROR * ((rng.next_u64() % 2001) as f64 / 1000.0 - 1.0) / 2.0;
                 Host {
                     agreement: None,
                     has_replica: i < voters,
@@ -109,7 +126,7 @@
                     saved_state: None,
                     storing: None,
                     stopped_until: Micros(0),
-                    clock: (rng.next_u64() % 1_000_000_000, fast),
+                    clock: HostClock { offset: rng.next_u64() % 1_000_000_000, rate },
                     starts: 0,
                     active_rules: ActiveRules::Fallback,
                     stage: 0,
@@ -121,11 +138,11 @@
             hosts,
             rng,
             injected_fault,
-            outgoing: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next_message: 0,
             cut: BTreeSet::new(),
-            lossy: 0,
-            slowest: 4,
+            loss_per_thousand: 0,
+            max_delay_ms: 4,
             contradictions: BTreeMap::new(),
             longest_contradiction: (Micros(0), String::new()),
             violations: Vec::new(),
@@ -185,7 +202,7 @@
             segments: host.disk.segments().expect("in memory"),
         });
         let saved = host.saved_state.as_ref().and_then(|bytes| IndexedState::read(bytes).ok());
-        let now = host.now(self.now);
+        let now = host.clock.shown_at(self.now);
         host.storing = None;
         host.agreement = Some(Participant::new(config, stored, saved, 0, now));
         host.active_rules = ActiveRules::Fallback;
@@ -212,7 +229,7 @@
     /// An operator's request to every host that is up.
     pub fn request_of_all(&mut self, operator_request: &OperatorRequest) {
         for i in 0..self.count() {
-            let now = self.hosts[i].now(self.now);
+            let now = self.hosts[i].clock.shown_at(self.now);
             if self.hosts[i].stopped_until <= self.now
                 && let Some(agreement) = &mut self.hosts[i].agreement
             {
@@ -246,19 +263,20 @@
         self.hosts.iter().filter(|h| newest > 0 && h.active_rules == ActiveRules::Version(newest)).count()
     }
 
-    fn send(&mut self, from: usize, to: usize, back: bool, message: PeerMessage) {
-        if self.cut.contains(&(from, to)) || self.below(1000) < self.lossy {
+    fn send(&mut self, from: usize, to: usize, message: PeerMessage) {
+        if self.cut.contains(&(from, to)) || self.below(1000) < self.loss_per_thousand {
             return;
         }
-        let wait = 200 + self.below(self.slowest * 1000);
+        let wait = 200 + self.below(self.max_delay_ms * 1000);
         self.next_message += 1;
-        self.outgoing.insert((self.now.after(Micros(wait)), self.next_message), (from, to, back, message));
+        let arrives_at = self.now.after(Micros(wait));
+        self.in_flight.insert((arrives_at, self.next_message), InFlight { from, to, message });
     }
 
     fn step(&mut self, i: usize) {
         let at = self.now;
         let host = &mut self.hosts[i];
-        let now = host.now(at);
+        let now = host.clock.shown_at(at);
         let Some(agreement) = &mut host.agreement else { return };
         if host.stopped_until > at {
             return;
@@ -288,13 +306,13 @@
         self.rules_changes += u64::from(has_changed);
         for (to, message) in agreement.take_outgoing() {
             match to {
-                Destination::Peer(name) => self.send(i, Self::index(&name), false, message),
+                Destination::Peer(name) => self.send(i, Self::index(&name), message),
                 Destination::Connection(OPERATOR) => {
                     if let PeerMessage::OperatorReply(reply) = message {
                         self.replies.push(reply);
                     }
                 }
-                Destination::Connection(conn) => self.send(i, conn as usize - 1, true, message),
+                Destination::Connection(conn) => self.send(i, conn as usize - 1, message),
             }
         }
     }
@@ -335,24 +353,25 @@
         loop {
             let wakes = self.hosts.iter().filter_map(|h| {
                 let agreement = h.agreement.as_ref()?;
-                let wake = h.when(agreement.wake_at(h.now(self.now)));
+                let wake = h.clock.moment_of(agreement.wake_at(h.clock.shown_at(self.now)));
                 let next = h.storing.as_ref().map_or(wake, |(done, _)| (*done).min(wake));
                 Some(next.max(h.stopped_until))
             });
-            let arrives = self.outgoing.first_key_value().map(|((at, _), _)| *at);
+            let arrives = self.in_flight.first_key_value().map(|((at, _), _)| *at);
             let Some(next) = wakes.chain(arrives).min().filter(|next| *next <= end) else { break };
             self.now = next.max(Micros(self.now.0 + 1));
-            while let Some(entry) = self.outgoing.first_entry().filter(|e| e.key().0 <= self.now) {
-                let (from, to, back, message) = entry.remove();
-                let host = &mut self.hosts[to];
+            while let Some(entry) = self.in_flight.first_entry().filter(|e| e.key().0 <= self.now) {
+                let in_flight = entry.remove();
+                let host = &mut self.hosts[in_flight.to];
                 if host.stopped_until > self.now {
                     // It lies in the socket until the process goes on.
                     self.next_message += 1;
                     let then = Micros(host.stopped_until.0 + 1);
-                    self.outgoing.insert((then, self.next_message), (from, to, back, message));
+                    self.in_flight.insert((then, self.next_message), in_flight);
                     continue;
                 }
-                let now = host.now(self.now);
+                let InFlight { from, to, message } = in_flight;
+                let now = host.clock.shown_at(self.now);
                 if let Some(agreement) = &mut host.agreement {
                     agreement.receive(from as u64 + 1, Some(&Self::name(from)), message, now);
                 }
@@ -373,7 +392,7 @@
     /// force everywhere.
     pub fn heal(&mut self) -> bool {
         self.cut.clear();
-        (self.lossy, self.slowest) = (0, 4);
+        (self.loss_per_thousand, self.max_delay_ms) = (0, 4);
         for i in 0..self.count() {
             if !self.is_up(i) {
                 self.start(i);
@@ -398,7 +417,7 @@
     /// The status of each host, in words.
     pub fn describe(&self) -> String {
         let of = |h: &Host| match &h.agreement {
-            Some(a) => format!("{:?}", a.report(h.now(self.now))),
+            Some(a) => format!("{:?}", a.report(h.clock.shown_at(self.now))),
             None => "down".into(),
         };
         self.hosts.iter().map(of).collect::<Vec<_>>().join("\n")
--- a/crates/flaxstand-consensus/tests/participants/main.rs
+++ b/crates/flaxstand-consensus/tests/participants/main.rs
@@ -42,8 +42,8 @@
             10..=13 => cluster.cut.clear(),
             14 => cluster.pause(a, ms(1200)),
             15 => (0..voters).for_each(|i| cluster.pause(i, ms(900))),
-            16 => cluster.lossy = cluster.below(200),
-            17 => cluster.slowest = 1 + cluster.below(150),
+            16 => cluster.loss_per_thousand = cluster.below(200),
+            17 => cluster.max_delay_ms = 1 + cluster.below(150),
             18 => {
                 let number = cluster.newest() + 1;
                 cluster.request_of_all(&OperatorRequest::Withdraw { number, by: "a test".into(), at: 0 });
--- a/crates/flaxstand-consensus/tests/replicas/harness.rs
+++ b/crates/flaxstand-consensus/tests/replicas/harness.rs
@@ -41,8 +41,8 @@
     /// Directed links that pass nothing.
     pub cut: BTreeSet<(usize, usize)>,
     /// Of a thousand messages so many are lost, and so many come twice.
-    pub lossy: u32,
-    pub slowest: u64,
+    pub loss_per_thousand: u32,
+    pub max_delay_ms: u64,
     /// By instance and term: the candidate that it voted for.
     votes: BTreeMap<(ReplicaId, u64), ReplicaId>,
     /// By term: who led.
@@ -88,8 +88,8 @@
             messages: BTreeMap::new(),
             next_message: 0,
             cut: BTreeSet::new(),
-            lossy: 0,
-            slowest: 5,
+            loss_per_thousand: 0,
+            max_delay_ms: 5,
             votes: BTreeMap::new(),
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
@@ -196,12 +196,12 @@
     fn send(&mut self, message: Message) {
         self.check_promises(&message);
         let link = (self.index(&message.from.name), self.index(&message.to));
-        if self.cut.contains(&link) || self.below(1000) < u64::from(self.lossy) {
+        if self.cut.contains(&link) || self.below(1000) < u64::from(self.loss_per_thousand) {
             return;
         }
-        let copies = 1 + u64::from(self.below(1000) < u64::from(self.lossy));
+        let copies = 1 + u64::from(self.below(1000) < u64::from(self.loss_per_thousand));
         for _ in 0..copies {
-            let wait = 200 + self.below(self.slowest * 1000);
+            let wait = 200 + self.below(self.max_delay_ms * 1000);
             self.next_message += 1;
             self.messages.insert((self.now.after(Micros(wait)), self.next_message), message.clone());
         }
@@ -321,7 +321,7 @@
     /// All faults end, what is down starts; goes on until a new change is committed everywhere, or gives up.
     pub fn heal(&mut self) -> bool {
         self.cut.clear();
-        self.lossy = 0;
+        self.loss_per_thousand = 0;
         for at in 0..self.nodes.len() {
             self.nodes[at].disk.set(Faults::default());
             if self.nodes[at].replica.is_none() {
