--- a/crates/flaxstand-consensus/src/participant.rs
+++ b/crates/flaxstand-consensus/src/participant.rs
@@ -39,7 +39,8 @@
 use tracing::{info, warn};
 use upstreams::Upstreams;
 
-/// The configuration of one initiator's part in the agreement.
+/// The configuration of one initiator's part in the agreement. The reader of the settings file
+/// checks the constraints named here.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Its name.
--- a/crates/flaxstand-gateway/src/core/agreement/mod.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/mod.rs
@@ -5,7 +5,7 @@
 
 mod peers;
 
-pub(super) use peers::ConsensusPeer;
+pub(super) use peers::AgreementPeer;
 
 use super::Core;
 use super::clients::Fault;
@@ -18,13 +18,13 @@
 use flaxstand_consensus::replicated_state::IndexedState;
 use flaxstand_consensus::rules::Rules;
 use flaxstand_proto::{CloseReason, Hello, Welcome};
-use peers::{ConsensusPeers, sender};
+use peers::{AgreementPeers, sender};
 
 /// The agreement with other initiators, and the connections to them.
 #[derive(Debug)]
 pub(super) struct Agreement {
     participant: Participant,
-    peers: ConsensusPeers,
+    peers: AgreementPeers,
 }
 
 impl Core {
@@ -54,7 +54,7 @@
         };
         let all = settings.keepers.iter().chain(&settings.others);
         let others = all.filter(|(name, _)| *name != self.config.name);
-        let peers = ConsensusPeers::new(listener, others, now);
+        let peers = AgreementPeers::new(listener, others, now);
         let participant = Participant::new(config, stored, saved, self.config.calendar, now);
         self.agreement = Some(Agreement { participant, peers });
         self.plumbing.at(now, Timer::Agreement);
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    pub(super) fn consensus_peer_lost(&mut self, peer: &ConsensusPeer, cause: &str, now: Micros) {
+    pub(super) fn consensus_peer_lost(&mut self, peer: &AgreementPeer, cause: &str, now: Micros) {
         if let Some(agreement) = &mut self.agreement {
             agreement.peers.handle_lost(peer, cause, &mut self.rng, now);
         }
--- a/crates/flaxstand-gateway/src/core/agreement/peers.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/peers.rs
@@ -28,7 +28,7 @@
 
 /// Who is at the other end of a connection of the agreement.
 #[derive(Debug)]
-pub(in super::super) enum ConsensusPeer {
+pub(in super::super) enum AgreementPeer {
     /// Accepted; it has not said who it is.
     Unidentified,
     /// An initiator that dialed.
@@ -72,7 +72,7 @@
 
 /// The other initiators, and the connections of the agreement.
 #[derive(Debug)]
-pub(super) struct ConsensusPeers {
+pub(super) struct AgreementPeers {
     /// Which of the listeners is the agreement's.
     listener: usize,
     dialed: BTreeMap<String, DialedPeer>,
@@ -80,15 +80,15 @@
     accepted: usize,
 }
 
-impl ConsensusPeers {
+impl AgreementPeers {
     /// Peers by name and address, reached and accepted from now on.
     pub(super) fn new<'a>(
         listener: usize,
         peers: impl Iterator<Item = &'a (String, Address)>,
         now: Micros,
-    ) -> ConsensusPeers {
+    ) -> AgreementPeers {
         let dialed = peers.map(|(name, address)| (name.clone(), DialedPeer::new(address.clone(), now)));
-        ConsensusPeers { listener, dialed: dialed.collect(), accepted: 0 }
+        AgreementPeers { listener, dialed: dialed.collect(), accepted: 0 }
     }
 
     pub(super) fn is_listener(&self, listener: usize) -> bool {
@@ -106,7 +106,7 @@
             return None;
         }
         self.accepted += 1;
-        let peer = Peer::Consensus(ConsensusPeer::Unidentified);
+        let peer = Peer::Agreement(AgreementPeer::Unidentified);
         let connection = plumbing.open(peer, Stage::Greeting, Protocol::Frames(Inbox::default()));
         plumbing.at(now.after(greeting), Timer::Dial(connection));
         Some(connection)
@@ -130,9 +130,9 @@
         }
         let peer = match hello.role {
             Role::Initiator if self.dialed.contains_key(hello.name) => {
-                ConsensusPeer::Initiator(hello.name.to_owned())
+                AgreementPeer::Initiator(hello.name.to_owned())
             }
-            Role::Client => ConsensusPeer::Operator,
+            Role::Client => AgreementPeer::Operator,
             role => {
                 return Err((
                     CloseReason::WrongPeer,
@@ -142,7 +142,7 @@
         };
         debug!(conn = connection.0, ?peer, "a peer of the agreement has connected");
         if let Some(open) = plumbing.get_mut(connection) {
-            open.peer = Peer::Consensus(peer);
+            open.peer = Peer::Agreement(peer);
             open.stage = Stage::Open;
         }
         let welcome = Welcome {
@@ -163,7 +163,7 @@
         connection: ConnId,
         welcome: &Welcome<'_>,
     ) -> Result<(), Fault> {
-        let Some(Conn { peer: Peer::Consensus(ConsensusPeer::Dialed(name)), .. }) = plumbing.get(connection)
+        let Some(Conn { peer: Peer::Agreement(AgreementPeer::Dialed(name)), .. }) = plumbing.get(connection)
         else {
             return Err((CloseReason::Protocol, "a welcome that nobody waits for".into()));
         };
@@ -187,12 +187,12 @@
     /// A connection is gone.
     pub(super) fn handle_lost(
         &mut self,
-        peer: &ConsensusPeer,
+        peer: &AgreementPeer,
         cause: &str,
         rng: &mut impl RngCore,
         now: Micros,
     ) {
-        let ConsensusPeer::Dialed(name) = peer else {
+        let AgreementPeer::Dialed(name) = peer else {
             self.accepted -= 1;
             return;
         };
@@ -234,7 +234,7 @@
             None if now < peer.redial_at => {}
             None => {
                 peer.wait(bytes);
-                let dialed = Peer::Consensus(ConsensusPeer::Dialed(name.to_owned()));
+                let dialed = Peer::Agreement(AgreementPeer::Dialed(name.to_owned()));
                 let protocol = Protocol::Frames(Inbox::default());
                 peer.connection = Some(plumbing.dial(dialed, protocol, peer.address.clone(), open_by));
                 info!(name, address = %peer.address, "calling an initiator");
@@ -252,10 +252,10 @@
 /// The initiator at the other end of an identified connection, none for an operator.
 pub(super) fn sender(plumbing: &Plumbing, connection: ConnId) -> Result<Option<String>, Fault> {
     match plumbing.get(connection).map(|open| &open.peer) {
-        Some(Peer::Consensus(ConsensusPeer::Initiator(name) | ConsensusPeer::Dialed(name))) => {
+        Some(Peer::Agreement(AgreementPeer::Initiator(name) | AgreementPeer::Dialed(name))) => {
             Ok(Some(name.clone()))
         }
-        Some(Peer::Consensus(ConsensusPeer::Operator)) => Ok(None),
+        Some(Peer::Agreement(AgreementPeer::Operator)) => Ok(None),
         _ => Err((CloseReason::Protocol, "a word of a stranger".into())),
     }
 }
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -1,7 +1,7 @@
 //! What comes on a connection, handed to whom it concerns, and what hangs on one that is no more.
 
 use super::Core;
-use super::agreement::ConsensusPeer;
+use super::agreement::AgreementPeer;
 use super::plumbing::{Peer, Protocol, Stage};
 use super::writeback::Mark;
 use crate::machine::{Command, ConnId, Micros};
@@ -62,7 +62,7 @@
             (Peer::Node(node), _) => {
                 self.node_lost(conn, node, gone.stage, gone.outbox.written(), cause, now)
             }
-            (Peer::Consensus(peer), _) => self.consensus_peer_lost(&peer, cause, now),
+            (Peer::Agreement(peer), _) => self.consensus_peer_lost(&peer, cause, now),
             (Peer::Discovery, Protocol::DiscoveryPoll) => self.discovery_poll_lost(cause, now),
             (Peer::Discovery, _) => self.discovery_watch_lost(gone.stage, cause, now),
         }
@@ -78,13 +78,13 @@
                 self.lost(conn, "peer said goodbye", true, now);
                 return false;
             }
-            (Peer::Consensus(ConsensusPeer::Unidentified), Frame::Hello(h)) if stage == Stage::Greeting => {
+            (Peer::Agreement(AgreementPeer::Unidentified), Frame::Hello(h)) if stage == Stage::Greeting => {
                 self.consensus_peer_greeted(conn, &h)
             }
-            (Peer::Consensus(_), Frame::Welcome(w)) if stage == Stage::Greeting => {
+            (Peer::Agreement(_), Frame::Welcome(w)) if stage == Stage::Greeting => {
                 self.consensus_peer_welcomed(conn, &w)
             }
-            (Peer::Consensus(_), Frame::Agreement { bytes }) if stage == Stage::Open => {
+            (Peer::Agreement(_), Frame::Agreement { bytes }) if stage == Stage::Open => {
                 self.consensus_message_received(conn, bytes, now)
             }
             (Peer::Client(_), Frame::Hello(h)) if stage == Stage::Greeting => self.client_greeted(conn, &h),
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/plumbing.rs
@@ -2,7 +2,7 @@
 //! It knows whose a connection is and nothing of what is done with what comes on it: clients, nodes, the list and
 //! later parts hang on here, each at its own variant of [`Peer`], [`Protocol`] and [`Timer`].
 
-use super::agreement::ConsensusPeer;
+use super::agreement::AgreementPeer;
 use super::clients::Client;
 use super::http_server::HttpServer;
 use super::pool::Link;
@@ -20,7 +20,7 @@
     /// The discovery service.
     Discovery,
     /// Another initiator, or an operator, of the agreement.
-    Consensus(ConsensusPeer),
+    Agreement(AgreementPeer),
 }
 
 impl Peer {
