--- a/crates/flaxstand-cli/src/buffer.rs
+++ b/crates/flaxstand-cli/src/buffer.rs
@@ -44,7 +44,7 @@
 }
 
 fn verify(folder: &Path) -> Result<(), CommandError> {
-    let mut storage = SegmentFolder::look(folder).map_err(in_folder(folder))?;
+    let mut storage = SegmentFolder::open_read_only(folder).map_err(in_folder(folder))?;
     match recover(&mut storage) {
         Ok(recovered) => {
             let (segments, bytes) = (recovered.segments.len(), log_bytes(&recovered));
@@ -113,7 +113,7 @@
 
 /// What a log holds, whether or not a process uses it.
 fn read_log(folder: &Path) -> Result<Recovered, CommandError> {
-    let mut storage = SegmentFolder::look(folder).map_err(in_folder(folder))?;
+    let mut storage = SegmentFolder::open_read_only(folder).map_err(in_folder(folder))?;
     recover(&mut storage).map_err(in_folder(folder))
 }
 
--- a/crates/flaxstand-cli/src/daemon/mod.rs
+++ b/crates/flaxstand-cli/src/daemon/mod.rs
@@ -161,7 +161,7 @@
         options.consensus_log = Some(opened.storage);
         stored = Some(opened.recovered);
     }
-    core.agree(listener, stored, saved, now);
+    core.start_agreement(listener, stored, saved, now);
     options.replicated_state = Some(state_path);
     Ok(())
 }
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -8,7 +8,7 @@
 //! - [`endpoint_table`]: what is listed; [`nodes`]: connections to storage nodes, attempts on them
 //! - [`first_byte`]: the gate that the first byte of an attempt passes
 //! - [`admission`]: retries told from first attempts, and throttled under overload
-//! - [`agreement`]: words between initiators, and the rules that hold now
+//! - [`agreement`]: messages between initiators, and the rules in effect
 //! - [`write_back`]: the write-back buffer; [`buffered_requests`]: its place between clients and the module
 //! - [`shutdown`]: from the request to stop until the exit
 //! - [`decider`]: the decision module, or a baseline in its place
@@ -62,7 +62,7 @@
 
 use crate::machine::{Command, ConnId, Control, Machine, Micros};
 use admission::AdmissionGate;
-use agreement::Agreed;
+use agreement::Agreement;
 use client_registry::ClientRegistry;
 use decider::{Decider, module_settings};
 use discovery::EndpointDiscovery;
@@ -89,7 +89,7 @@
     /// Classes that the module was told of: the site's, and after them those of write-outs, if there are any.
     brain_classes: Vec<Class>,
     write_back: Option<WriteBackCoordinator>,
-    agreed: Option<Agreed>,
+    agreement: Option<Agreement>,
     gate: Option<AdmissionGate>,
     arrivals: ConnectionRateLimiter,
     rng: Pcg64Mcg,
@@ -129,7 +129,7 @@
             decider,
             brain_classes,
             write_back: None,
-            agreed: None,
+            agreement: None,
             gate,
             arrivals: ConnectionRateLimiter::new(config.bounds.connection_rate, now),
             discovery,
@@ -249,7 +249,11 @@
 
 impl Machine for Core {
     fn accepted(&mut self, listener: usize, now: Micros) -> Result<ConnId, Vec<u8>> {
-        if self.is_agreements(listener) { self.fellow_accepted(now) } else { self.client_accepted(now) }
+        if self.is_consensus_listener(listener) {
+            self.accept_consensus_peer(now)
+        } else {
+            self.client_accepted(now)
+        }
     }
 
     fn connected(&mut self, conn: ConnId, now: Micros) {
@@ -333,7 +337,7 @@
     }
 
     fn consensus_stored(&mut self, is_stored: bool, now: Micros) {
-        self.batch_kept(is_stored, now);
+        self.consensus_batch_stored(is_stored, now);
     }
 
     fn save_failed(&mut self, now: Micros) {
@@ -361,7 +365,7 @@
         while let Some(timer) = self.plumbing.due(now) {
             self.fire(timer, now);
         }
-        let agreement = self.settle_agreement(now);
+        let agreement = self.step_agreement(now);
         if let Some(gate) = &mut self.gate {
             gate.log_condition_changes(self.config.site.plans.len() as u16, now);
         }
--- a/crates/flaxstand-gateway/src/core/shutdown.rs
+++ b/crates/flaxstand-gateway/src/core/shutdown.rs
@@ -99,7 +99,7 @@
         }
         self.shutdown.phase = Phase::Stopped;
         // Until then it acts, and needs its lease.
-        self.leave_agreement(now);
+        self.release_lease(now);
         let conns: Vec<ConnId> = self.plumbing.iter().map(|(conn, _)| conn).collect();
         conns.into_iter().for_each(|conn| self.hang_up(conn, CloseReason::Stopping, "stopping", now));
         // What was learnt of the nodes since the list last changed is kept for the next start.
