--- a/crates/flaxstand-gateway/src/core/admission.rs
+++ b/crates/flaxstand-gateway/src/core/admission.rs
@@ -1,7 +1,7 @@
 //! Admission of clients' attempts while the load is more than can be served: retries are told from first attempts,
 //! and given less weight or rejected.
 
-use super::requests::{Held, Owner, Verdict};
+use super::pending_request::{FinalAnswer, Owner, PendingRequest};
 use crate::machine::Micros;
 use flaxstand::api::{Class, RequestId, Settings};
 use flaxstand_overload::{
@@ -57,7 +57,7 @@
     }
 
     /// Decides on an attempt that has arrived.
-    pub(super) fn admit(&mut self, id: RequestId, request: &Held, now: Micros) -> Admission {
+    pub(super) fn admit(&mut self, id: RequestId, request: &PendingRequest, now: Micros) -> Admission {
         let draw = self.draw();
         match self.throttle.came(&client_attempt(request), now, draw) {
             ThrottleDecision::Full => Admission::FirstAttempt,
@@ -84,16 +84,16 @@
     }
 
     /// A client's request has ended: the throttle learns how.
-    pub(super) fn record_end(&mut self, request: &Held, now: Micros) {
-        let is_of_client = matches!(request.owner_was, Owner::Client(..));
-        if request.told || request.mark || !is_of_client {
+    pub(super) fn record_end(&mut self, request: &PendingRequest, now: Micros) {
+        let is_of_client = matches!(request.original_owner, Owner::Client(..));
+        if request.is_end_recorded || request.is_ordering_request || !is_of_client {
             return;
         }
         let attempt = client_attempt(request);
-        match request.verdict {
-            Verdict::Served => self.throttle.served(&attempt, now),
-            Verdict::NotRun(_) | Verdict::Failed => self.throttle.turned_away(&attempt, now),
-            Verdict::None => {}
+        match request.final_answer {
+            FinalAnswer::Served => self.throttle.served(&attempt, now),
+            FinalAnswer::NotExecuted(_) | FinalAnswer::Failed => self.throttle.turned_away(&attempt, now),
+            FinalAnswer::None => {}
         }
     }
 
@@ -119,12 +119,12 @@
     }
 }
 
-fn client_attempt(request: &Held) -> ClientAttempt {
+fn client_attempt(request: &PendingRequest) -> ClientAttempt {
     ClientAttempt {
         volume: request.volume,
         plan: request.plan,
         class: request.class,
         extent: request.extent,
-        marked: request.try_no > 0,
+        marked: request.client_retries > 0,
     }
 }
--- a/crates/flaxstand-gateway/src/core/agreement.rs
+++ b/crates/flaxstand-gateway/src/core/agreement.rs
@@ -3,7 +3,8 @@
 //! again after a wait.
 
 use super::clients::Fault;
-use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
+use super::connection_table::{Connection, Peer, Protocol, Stage};
+use super::timers::Timer;
 use super::{Backoff, Core};
 use crate::machine::{Address, Command, ConnId, Micros};
 use crate::settings::settings_of;
@@ -93,7 +94,7 @@
         let calls = others.map(|(n, address)| (n.clone(), call(address))).collect();
         let agreement = Participant::new(config, found, saved, self.config.calendar, now);
         self.agreed = Some(Agreed { agreement, listener, calls, callers: 0 });
-        self.plumbing.at(now, Timer::Agreement);
+        self.timers.set(now, Timer::Agreement);
     }
 
     /// The agreement, where there is one.
@@ -109,12 +110,12 @@
     pub(super) fn fellow_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         let agreed = self.agreed.as_mut().filter(|a| a.callers < CALLERS_MOST);
         agreed.ok_or_else(Vec::new)?.callers += 1;
-        let conn = self.plumbing.open(
+        let conn = self.connections.open(
             Peer::Fellow(Fellow::Unknown),
             Stage::Greeting,
             Protocol::Frames(Inbox::default()),
         );
-        self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Dial(conn));
+        self.timers.set(now.after(self.config.site.waits.greeting), Timer::ConnectTimeout(conn));
         Ok(conn)
     }
 
@@ -139,7 +140,7 @@
             }
         };
         debug!(conn = conn.0, ?fellow, "a fellow is here");
-        if let Some(c) = self.plumbing.get_mut(conn) {
+        if let Some(c) = self.connections.get_mut(conn) {
             (c.peer, c.stage) = (Peer::Fellow(fellow), Stage::Open);
         }
         let welcome = Welcome {
@@ -149,13 +150,14 @@
             epoch: self.config.epoch,
             name: &self.config.name,
         };
-        self.plumbing.push(conn, &Frame::Welcome(welcome));
+        self.connections.send_frame(conn, &Frame::Welcome(welcome));
         Ok(())
     }
 
     /// One that was called answers.
     pub(super) fn fellow_welcomed(&mut self, conn: ConnId, w: &Welcome<'_>) -> Result<(), Fault> {
-        let Some(Conn { peer: Peer::Fellow(Fellow::Called(name)), .. }) = self.plumbing.get(conn) else {
+        let Some(Connection { peer: Peer::Fellow(Fellow::Called(name)), .. }) = self.connections.get(conn)
+        else {
             return Err((CloseReason::Protocol, "a welcome that nobody waits for".into()));
         };
         if w.role != Role::Initiator || w.name != name {
@@ -165,13 +167,13 @@
             ));
         }
         let name = name.clone();
-        self.plumbing.is_at(conn, Stage::Open);
+        self.connections.set_stage(conn, Stage::Open);
         let call = self.agreed.as_mut().and_then(|a| a.calls.get_mut(&name));
         if let Some(call) = call {
             call.backoff.worked();
             let waiting = std::mem::take(&mut call.waiting);
             for bytes in &waiting {
-                self.plumbing.push(conn, &Frame::Agreement { bytes });
+                self.connections.send_frame(conn, &Frame::Agreement { bytes });
             }
         }
         Ok(())
@@ -180,7 +182,7 @@
     pub(super) fn fellow_said(&mut self, conn: ConnId, bytes: &[u8], now: Micros) -> Result<(), Fault> {
         let word: PeerMessage =
             postcard::from_bytes(bytes).map_err(|e| (CloseReason::Protocol, format!("no word: {e}")))?;
-        let from = match self.plumbing.get(conn).map(|c| &c.peer) {
+        let from = match self.connections.get(conn).map(|c| &c.peer) {
             Some(Peer::Fellow(Fellow::Initiator(name) | Fellow::Called(name))) => Some(name.clone()),
             Some(Peer::Fellow(Fellow::Operator)) => None,
             _ => return Err((CloseReason::Protocol, "a word of a stranger".into())),
@@ -228,19 +230,19 @@
         }
         let rules = agreed.agreement.take_rules_change(now);
         if let Some(batch) = agreed.agreement.batch(now) {
-            self.plumbing.command(Command::StoreConsensus(batch));
+            self.connections.command(Command::StoreConsensus(batch));
         }
         if let Some(book) = agreed.agreement.take_unsaved() {
-            self.plumbing.command(Command::SaveReplicatedState(book));
+            self.connections.command(Command::SaveReplicatedState(book));
         }
         let words = agreed.agreement.take_outgoing();
         if let Some(rules) = rules {
             self.cut_what_waits(now);
             self.config.site.settings = settings_of(&rules, &self.config.site);
             let settings = super::module_settings(&self.config);
-            self.brain_classes = settings.classes.clone();
+            self.module_classes = settings.classes.clone();
             let mut actions = Vec::new();
-            self.decider.handle(Event::SettingsChanged(Box::new(settings)), now, &mut actions);
+            self.policy.handle(Event::SettingsChanged(Box::new(settings)), now, &mut actions);
             self.evaluation.request();
         }
         for (to, word) in words {
@@ -263,16 +265,16 @@
     /// What was decided on under the rules before and has not left yet, since its node does not read, never leaves:
     /// the connections that it waits on are closed, and the module hears that it never ran.
     fn cut_what_waits(&mut self, now: Micros) {
-        let waiting = self.plumbing.to_nodes().filter(|(_, c)| !c.outbox.is_empty());
+        let waiting = self.connections.upstream().filter(|(_, c)| !c.outbox.is_empty());
         let waiting: Vec<ConnId> = waiting.map(|(conn, _)| conn).collect();
         for conn in waiting {
-            self.lost_unsaid(conn, "the rules changed while requests waited to leave", now);
+            self.close_discarding_output(conn, "the rules changed while requests waited to leave", now);
         }
     }
 
     fn say_to(&mut self, conn: ConnId, bytes: &[u8]) {
-        if self.plumbing.get(conn).is_some_and(|c| c.outbox.len() < UNREAD_MOST) {
-            self.plumbing.push(conn, &Frame::Agreement { bytes });
+        if self.connections.get(conn).is_some_and(|c| c.outbox.len() < UNREAD_MOST) {
+            self.connections.send_frame(conn, &Frame::Agreement { bytes });
         }
     }
 
@@ -280,7 +282,7 @@
         let by = now.after(self.config.site.waits.dial);
         let Some(call) = self.agreed.as_mut().and_then(|a| a.calls.get_mut(name)) else { return };
         match call.conn {
-            Some(conn) if self.plumbing.is_open(conn) => self.say_to(conn, &bytes),
+            Some(conn) if self.connections.is_open(conn) => self.say_to(conn, &bytes),
             None if now < call.again => {}
             _ => {
                 if call.waiting.len() >= WAITING_MOST {
@@ -290,7 +292,13 @@
                 if call.conn.is_none() {
                     let peer = Peer::Fellow(Fellow::Called(name.to_owned()));
                     let protocol = Protocol::Frames(Inbox::default());
-                    call.conn = Some(self.plumbing.dial(peer, protocol, call.address.clone(), by));
+                    call.conn = Some(self.connections.dial(
+                        &mut self.timers,
+                        peer,
+                        protocol,
+                        call.address.clone(),
+                        by,
+                    ));
                     info!(name, address = %call.address, "calling an initiator");
                 }
             }
--- a/crates/flaxstand-gateway/src/core/pipe.rs
+++ b/crates/flaxstand-gateway/src/core/baseline_policy.rs
@@ -12,14 +12,14 @@
     /// To the nodes in turn.
     RoundRobin,
     /// To the node with the fewest requests of this host out; the first of equals.
-    LeastOut,
+    LeastInFlight,
     /// To the one of two nodes drawn at random that has fewer requests of this host out.
     TwoChoices,
 }
 
 /// Sends everything at once.
 #[derive(Debug)]
-pub struct Pipe {
+pub struct BaselinePolicy {
     placement: Placement,
     rng: Pcg64Mcg,
     out: BTreeMap<NodeId, u64>,
@@ -32,11 +32,20 @@
     turn: usize,
 }
 
-impl Pipe {
+impl BaselinePolicy {
     /// A baseline that places new objects so.
     pub fn new(placement: Placement, seed: u64) -> Self {
         let (out, at, nodes, by_shard, serving, turn) = Default::default();
-        Pipe { placement, rng: Pcg64Mcg::seed_from_u64(seed), out, at, nodes, by_shard, serving, turn }
+        BaselinePolicy {
+            placement,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            out,
+            at,
+            nodes,
+            by_shard,
+            serving,
+            turn,
+        }
     }
 
     /// Takes one event; what is to be done is added to `actions`.
@@ -86,7 +95,7 @@
                 self.turn += 1;
                 self.serving.get(self.turn % self.serving.len().max(1)).copied()
             }
-            Placement::LeastOut => self.serving.iter().copied().min_by_key(out),
+            Placement::LeastInFlight => self.serving.iter().copied().min_by_key(out),
             Placement::TwoChoices => {
                 let mut draw = || self.serving.get(self.rng.next_u64() as usize % self.serving.len().max(1));
                 let two = [draw(), draw()];
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -2,10 +2,11 @@
 
 use super::Core;
 use super::admission::Admission;
+use super::connection_table::{Connection, Peer, Protocol, Stage};
 use super::http_server::Origin;
-use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
-use super::requests::{Held, Verdict, With};
+use super::pending_request::{FinalAnswer, Handler, PendingRequest};
 use super::shutdown::Phase;
+use super::timers::Timer;
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::{Event, RequestId, VolumeId};
 use flaxstand_proto::{
@@ -30,10 +31,10 @@
 }
 
 impl Core {
-    pub(super) fn client_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
+    pub(super) fn accept_client(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         // The cheapest refusal: nothing is kept of a client that is told to come back.
         let refusal = match self.shutdown.phase() {
-            _ if self.on_platform() => return self.http_accepted(now),
+            _ if self.on_platform() => return self.accept_http_client(now),
             Phase::Running if self.clients.len() >= self.config.bounds.clients => {
                 Some((CloseReason::Bound, Micros(0), "as many clients as may be"))
             }
@@ -54,16 +55,16 @@
             return Err(bytes);
         }
         self.clients.connected();
-        let conn = self.plumbing.open(
+        let conn = self.connections.open(
             Peer::Client(Client::default()),
             Stage::Greeting,
             Protocol::Frames(Inbox::default()),
         );
-        self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Dial(conn));
+        self.timers.set(now.after(self.config.site.waits.greeting), Timer::ConnectTimeout(conn));
         Ok(conn)
     }
 
-    pub(super) fn client_greeted(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), Fault> {
+    pub(super) fn client_said_hello(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), Fault> {
         if hello.role != Role::Client {
             return Err((CloseReason::Protocol, format!("a client was expected, not {:?}", hello.role)));
         }
@@ -73,7 +74,7 @@
                 format!("versions {oldest} to {newest}, this initiator speaks {VERSION_OLDEST} to {VERSION}");
             return Err((CloseReason::Version, text));
         }
-        self.plumbing.is_at(conn, Stage::Open);
+        self.connections.set_stage(conn, Stage::Open);
         let welcome = Welcome {
             version: VERSION.min(newest),
             role: Role::Initiator,
@@ -81,13 +82,13 @@
             epoch: self.config.epoch,
             name: &self.config.name.clone(),
         };
-        self.plumbing.push(conn, &Frame::Welcome(welcome));
+        self.connections.send_frame(conn, &Frame::Welcome(welcome));
         debug!(conn = conn.0, client = hello.name, "client connected");
         Ok(())
     }
 
     /// A request. What can't be one is the client's fault; what is beyond a bound is refused.
-    pub(super) fn submitted(
+    pub(super) fn submit(
         &mut self,
         conn: ConnId,
         s: &Submit<'_>,
@@ -107,20 +108,21 @@
             return fault(format!("{} units, 1 to {max_units} are taken", s.units));
         }
         Self::range_fault(s)?;
-        let Some((id, expires_at)) = self.admit(conn, s.id, Some(VolumeId(s.volume)), s.time_left, now)?
+        let Some((id, expires_at)) =
+            self.reserve_request(conn, s.id, Some(VolumeId(s.volume)), s.time_left, now)?
         else {
             return Ok(());
         };
-        let mut held = Held::new((conn, s.id), s, expires_at);
+        let mut pending = PendingRequest::new(conn, s, expires_at);
         if let Some(origin) = origin {
-            held.origin = Some(Box::new(origin));
+            pending.origin = Some(Box::new(origin));
         }
-        self.take_request(id, held, s, now);
+        self.start_request(id, pending, s, now);
         Ok(())
     }
 
     /// Whether a client may have one more request: its number here and until when, or it is refused.
-    pub(super) fn admit(
+    pub(super) fn reserve_request(
         &mut self,
         conn: ConnId,
         client_id: u64,
@@ -128,11 +130,13 @@
         time_left: u32,
         now: Micros,
     ) -> Result<Option<(RequestId, Micros)>, Fault> {
-        let Some(Conn { peer: Peer::Client(client), .. }) = self.plumbing.get(conn) else { return Ok(None) };
+        let Some(Connection { peer: Peer::Client(client), .. }) = self.connections.get(conn) else {
+            return Ok(None);
+        };
         if client.owed.contains_key(&client_id) {
             return Err((CloseReason::Protocol, format!("number {client_id} is in use")));
         }
-        self.counts.taken += 1;
+        self.counts.accepted += 1;
         let bounds = &self.config.bounds;
         let new_volume = volume.is_some_and(|v| !self.requests.knows_volume(v));
         let refusal = if matches!(self.shutdown.phase(), Phase::Stopping | Phase::Stopped) {
@@ -147,17 +151,17 @@
             None
         };
         if let Some((refusal, scope)) = refusal {
-            self.counts.turned_away += 1;
+            self.counts.rejected_at_bound += 1;
             debug!(conn = conn.0, id = client_id, ?refusal, "turned away");
             let wait = Micros::from_ms(self.config.site.settings.max_retry_after).0;
             let wait = u32::try_from(wait).unwrap_or(u32::MAX);
-            self.tell_client(conn, &Frame::Refused { id: client_id, wait, refusal, scope }, now);
+            self.send_to_client(conn, &Frame::Refused { id: client_id, wait, refusal, scope }, now);
             self.client_wrote(conn, now);
             return Ok(None);
         }
         volume.into_iter().for_each(|volume| self.requests.add_volume(volume));
         let id = self.requests.next_id();
-        if let Some(Conn { peer: Peer::Client(client), .. }) = self.plumbing.get_mut(conn) {
+        if let Some(Connection { peer: Peer::Client(client), .. }) = self.connections.get_mut(conn) {
             client.owed.insert(client_id, id);
         }
         let time_left = Micros(time_left.into()).since(self.config.site.waits.answer);
@@ -165,53 +169,53 @@
         Ok(Some((id, self.shutdown.deadline(expires_at))))
     }
 
-    fn take_request(&mut self, id: RequestId, held: Held, s: &Submit<'_>, now: Micros) {
-        let expires_at = held.expires_at;
-        debug!(request = id.0, owner = ?held.owner, class = s.class, shard = s.shard, "taken");
-        self.requests.insert(id, held);
-        self.plumbing.at(expires_at, Timer::Deadline(id));
+    fn start_request(&mut self, id: RequestId, pending: PendingRequest, s: &Submit<'_>, now: Micros) {
+        let expires_at = pending.expires_at;
+        debug!(request = id.0, owner = ?pending.owner, class = s.class, shard = s.shard, "taken");
+        self.requests.insert(id, pending);
+        self.timers.set(expires_at, Timer::Deadline(id));
         let Some(class) = self.pass_admission_gate(id, now) else { return };
         if !self.offer_to_buffer(id, s, now)
-            && let Some(held) = self.requests.get(id)
+            && let Some(pending) = self.requests.get(id)
         {
-            self.events.push_back(Event::RequestArrived(held.arrival(id, class)));
+            self.events.push_back(Event::RequestArrived(pending.arrival(id, class)));
         }
     }
 
     /// Bounds on what waits for a client, after something was added.
     pub(super) fn client_wrote(&mut self, conn: ConnId, now: Micros) {
         let bounds = self.config.bounds;
-        let Some(c) = self.plumbing.get_mut(conn) else { return };
+        let Some(c) = self.connections.get_mut(conn) else { return };
         if let Protocol::HttpServer(_) = c.protocol {
             return self.http_wrote(conn, now);
         }
         let Peer::Client(client) = &mut c.peer else { return };
         if c.outbox.len() > bounds.client_bytes_most {
             warn!(conn = conn.0, bytes = c.outbox.len(), "client does not read its answers: disconnected");
-            self.hang_up(conn, CloseReason::Bound, "answers are not read", now);
+            self.disconnect(conn, CloseReason::Bound, "answers are not read", now);
         } else if c.outbox.len() > bounds.client_bytes && !client.paused {
             debug!(conn = conn.0, bytes = c.outbox.len(), "client is not read until it has read");
             client.paused = true;
-            self.plumbing.command(Command::Flush(conn));
+            self.connections.command(Command::Flush(conn));
         } else if client.finished && client.owed.is_empty() && c.outbox.is_empty() {
-            self.lost(conn, "client has all it asked for", true, now);
+            self.close(conn, "client has all it asked for", now);
         }
     }
 
     /// The same, after something was read.
     pub(super) fn client_read(&mut self, conn: ConnId, now: Micros) {
-        let Some(c) = self.plumbing.get_mut(conn) else { return };
+        let Some(c) = self.connections.get_mut(conn) else { return };
         let Peer::Client(client) = &mut c.peer else { return };
         if client.paused && c.outbox.len() <= self.config.bounds.client_bytes / 2 {
             client.paused = false;
-            self.plumbing.command(Command::Flush(conn));
+            self.connections.command(Command::Flush(conn));
         }
         self.client_wrote(conn, now);
     }
 
     /// The peer sends nothing more. A client's answers still go out, if it is owed any.
     pub(super) fn client_finished(&mut self, conn: ConnId) -> bool {
-        let Some(c) = self.plumbing.get_mut(conn) else { return false };
+        let Some(c) = self.connections.get_mut(conn) else { return false };
         match &mut c.peer {
             Peer::Client(client)
                 if matches!(c.protocol, Protocol::Frames(_)) && !client.owed.is_empty()
@@ -225,20 +229,20 @@
     }
 
     /// Nobody waits for this client's requests any more. Their attempts run on and are still counted.
-    pub(super) fn client_lost(&mut self, conn: ConnId, client: &Client, cause: &str, now: Micros) {
+    pub(super) fn client_disconnected(&mut self, conn: ConnId, client: &Client, cause: &str, now: Micros) {
         self.clients.disconnected();
         debug!(conn = conn.0, cause, owed = client.owed.len(), "client gone");
         for id in client.owed.values() {
             self.counts.abandoned += 1;
-            self.call_back(*id, now);
-            if let Some(held) = self.requests.get_mut(*id) {
-                held.owner = None;
-                held.payload = Vec::new();
-                if held.with != With::Buffer {
+            self.withdraw_unsent_of_request(*id, now);
+            if let Some(pending) = self.requests.get_mut(*id) {
+                pending.owner = None;
+                pending.payload = Vec::new();
+                if pending.handler != Handler::Buffer {
                     self.events.push_back(Event::ClientGone(*id));
                 }
             }
-            self.forget(*id, now);
+            self.remove_if_finished(*id, now);
         }
     }
 }
@@ -254,7 +258,7 @@
             Admission::Retry => {
                 let class = gate.retry_class(class);
                 if let Some(request) = self.requests.get_mut(id) {
-                    request.repeats = true;
+                    request.is_retry = true;
                 }
                 Some(class)
             }
@@ -266,20 +270,25 @@
     }
 
     fn reject_retry(&mut self, id: RequestId, wait: Micros, scope: Scope, now: Micros) {
-        self.counts.damped += 1;
+        self.counts.retries_rejected += 1;
         if let Some(request) = self.requests.get_mut(id) {
             // The throttle counted it when it arrived.
-            request.told = true;
+            request.is_end_recorded = true;
         }
         let (wait, refusal) = (u32::try_from(wait.0).unwrap_or(u32::MAX), Refusal::Storm);
-        self.answer(id, Verdict::NotRun(Micros(0)), now, |id| Frame::Refused { id, wait, refusal, scope });
+        self.send_final_answer(id, FinalAnswer::NotExecuted(Micros(0)), now, |id| Frame::Refused {
+            id,
+            wait,
+            refusal,
+            scope,
+        });
     }
 
     /// The module's class of a request.
-    pub(super) fn module_class(&self, request: &Held) -> usize {
+    pub(super) fn module_class(&self, request: &PendingRequest) -> usize {
         let class = usize::from(request.class);
         match &self.gate {
-            Some(gate) if request.repeats => gate.retry_class(class),
+            Some(gate) if request.is_retry => gate.retry_class(class),
             _ => class,
         }
     }
--- a/crates/flaxstand-gateway/src/core/connection_slots.rs
+++ b/crates/flaxstand-gateway/src/core/connection_slots.rs
@@ -4,7 +4,7 @@
 //! at. A later request makes that stale, never too late: whoever looks puts a stale one back where it belongs. So
 //! each request costs at most one step of a later look, and none while it is served.
 
-use super::plumbing::{Conn, Peer, Plumbing, Protocol};
+use super::connection_table::{Connection, ConnectionTable, Peer, Protocol};
 use crate::machine::{ConnId, Micros};
 use std::collections::BTreeSet;
 
@@ -49,7 +49,7 @@
 
     /// The connection to close for a new one: the one that has waited longest without a whole request, those that
     /// had an error first. Guards against clients that hold connections for nothing, also by the hundred a second.
-    pub(super) fn evictable(&mut self, connections: &mut Plumbing, now: Micros) -> Option<ConnId> {
+    pub(super) fn evictable(&mut self, connections: &mut ConnectionTable, now: Micros) -> Option<ConnId> {
         let lingering = self.longest_waiting(Queue::Lingering, connections, now);
         lingering.or_else(|| self.longest_waiting(Queue::Waiting, connections, now))
     }
@@ -61,7 +61,12 @@
         }
     }
 
-    fn longest_waiting(&mut self, queue: Queue, connections: &mut Plumbing, now: Micros) -> Option<ConnId> {
+    fn longest_waiting(
+        &mut self,
+        queue: Queue,
+        connections: &mut ConnectionTable,
+        now: Micros,
+    ) -> Option<ConnId> {
         let min_wait = match queue {
             Queue::Waiting => IDLE_EVICTABLE_AFTER,
             Queue::Lingering => Micros(0),
@@ -88,10 +93,10 @@
         queue: Queue,
         queued: Micros,
         conn: ConnId,
-        connections: &mut Plumbing,
+        connections: &mut ConnectionTable,
     ) -> bool {
         connections.count_walked();
-        let Some(Conn { protocol: Protocol::HttpServer(http), .. }) = connections.get_mut(conn) else {
+        let Some(Connection { protocol: Protocol::HttpServer(http), .. }) = connections.get_mut(conn) else {
             return false;
         };
         let since = http.since;
@@ -107,7 +112,7 @@
 }
 
 /// Whether a connection has waited for so long that it may be closed for another.
-fn is_evictable(c: &Conn, now: Micros) -> bool {
+fn is_evictable(c: &Connection, now: Micros) -> bool {
     let (Peer::Client(client), Protocol::HttpServer(http)) = (&c.peer, &c.protocol) else { return false };
     let min_wait = match (http.is_lingering(), http.requests) {
         (true, _) => Micros(0),
--- a/crates/flaxstand-gateway/src/core/plumbing.rs
+++ b/crates/flaxstand-gateway/src/core/connection_table.rs
@@ -1,14 +1,15 @@
-//! The plumbing: connections and what reads and writes them, moments of the core's own, commands to the driver.
-//! It knows whose a connection is and nothing of what is done with what comes on it: clients, nodes, the list and
-//! later parts hang on here, each at its own variant of [`Peer`], [`Protocol`] and [`Timer`].
+//! Connections with what is read and written on them, and commands to the driver. The table knows whose a connection
+//! is, and nothing of what is done with what comes on it: each kind of peer has a variant of [`Peer`], and each
+//! protocol one of [`Protocol`].
 
 use super::agreement::Fellow;
 use super::clients::Client;
 use super::http_server::HttpServer;
 use super::list_calls::ListConnection;
-use super::pool::Link;
+use super::pooled_attempts::PooledConnection;
+use super::timers::{Timer, TimerQueue};
 use crate::machine::{Address, Command, ConnId, Micros};
-use flaxstand::api::{NodeId, RequestId};
+use flaxstand::api::NodeId;
 use flaxstand_proto::{Frame, Inbox, Outbox, encode};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,11 +37,11 @@
 /// How far a connection has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The system is still at it.
-    Dialing,
-    /// It stands; the peer's first frame has not come.
+    /// The driver is opening it.
+    Connecting,
+    /// It is connected; the peer's first frame has not come.
     Greeting,
-    /// Frames pass.
+    /// Frames or requests may be sent.
     Open,
 }
 
@@ -51,69 +52,37 @@
     /// HTTP that a client asks of us.
     HttpServer(HttpServer),
     /// HTTP that we ask of a node.
-    HttpClient(Link),
+    HttpClient(PooledConnection),
     /// HTTP that we ask of the list service.
     ListClient(ListConnection),
 }
 
 #[derive(Debug)]
-pub(super) struct Conn {
+pub(super) struct Connection {
     pub(super) peer: Peer,
     pub(super) stage: Stage,
     pub(super) protocol: Protocol,
     pub(super) outbox: Outbox,
 }
 
-/// What is due at a moment of the core's own.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Timer {
-    /// A request's client is about to give up.
-    Deadline(RequestId),
-    /// A connection should be open by now.
-    Dial(ConnId),
-    /// A connection to a node may have idled long enough.
-    Idle(ConnId),
-    /// A probe of a node has been out for long enough.
-    Probe(NodeId, u64),
-    /// A connection that speaks HTTP may have been at one thing for too long.
-    Quiet(ConnId),
-    /// A repeat that was handed to a connection may begin no longer.
-    Begin(ConnId),
-    /// Look for pooled connections that have idled long enough, and nodes long gone.
-    Sweep,
-    /// The time is over in which a stop changes nothing yet.
-    GraceEnds,
-    /// Call the list service.
-    DiscoveryCall,
-    /// Has the list service been silent for too long?
-    ListSilence,
-    /// The list held may have grown too old to act on.
-    ListTrust,
-    /// The agreement has something to do.
-    Agreement,
-    /// A stop has lasted long enough.
-    StopEnds,
-}
-
-/// Connections, moments and commands.
+/// Connections and commands.
 #[derive(Debug, Default)]
-pub(super) struct Plumbing {
-    conns: BTreeMap<ConnId, Conn>,
+pub(super) struct ConnectionTable {
+    conns: BTreeMap<ConnId, Connection>,
     next_conn: u64,
     walked: Cell<u64>,
     /// Those of them that lead to nodes.
     node_conns: BTreeSet<ConnId>,
-    timers: BTreeSet<(Micros, Timer)>,
     commands: Vec<Command>,
     /// Bytes of requests that are not yet whole.
-    pub(super) partial_bytes: usize,
+    partial_bytes: usize,
     /// Bytes of nodes' answers that are not yet whole.
-    pub(super) answer_bytes: usize,
+    response_bytes: usize,
     /// Bytes of answers that clients who speak HTTP have not read.
     unread_bytes: usize,
 }
 
-impl Plumbing {
+impl ConnectionTable {
     /// A connection that the system has, or is at.
     pub(super) fn open(&mut self, peer: Peer, stage: Stage, protocol: Protocol) -> ConnId {
         self.next_conn += 1;
@@ -121,28 +90,35 @@
         if let Peer::Node(_) = peer {
             self.node_conns.insert(id);
         }
-        self.conns.insert(id, Conn { peer, stage, protocol, outbox: Outbox::default() });
+        self.conns.insert(id, Connection { peer, stage, protocol, outbox: Outbox::default() });
         id
     }
 
-    /// Calls a peer, which has until `by` to be open.
-    pub(super) fn dial(&mut self, peer: Peer, protocol: Protocol, address: Address, by: Micros) -> ConnId {
-        let conn = self.open(peer, Stage::Dialing, protocol);
-        self.at(by, Timer::Dial(conn));
+    /// Connects to a peer. The connection has until `by` to be open.
+    pub(super) fn dial(
+        &mut self,
+        timers: &mut TimerQueue,
+        peer: Peer,
+        protocol: Protocol,
+        address: Address,
+        by: Micros,
+    ) -> ConnId {
+        let conn = self.open(peer, Stage::Connecting, protocol);
+        timers.set(by, Timer::ConnectTimeout(conn));
         self.command(Command::Connect { conn, address });
         conn
     }
 
-    pub(super) fn get(&self, conn: ConnId) -> Option<&Conn> {
+    pub(super) fn get(&self, conn: ConnId) -> Option<&Connection> {
         self.conns.get(&conn)
     }
 
-    pub(super) fn get_mut(&mut self, conn: ConnId) -> Option<&mut Conn> {
+    pub(super) fn get_mut(&mut self, conn: ConnId) -> Option<&mut Connection> {
         self.conns.get_mut(&conn)
     }
 
     /// All of them. For what concerns every connection; each counts as walked.
-    pub(super) fn iter(&self) -> impl Iterator<Item = (ConnId, &Conn)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (ConnId, &Connection)> {
         self.conns.iter().map(|(id, conn)| {
             self.count_walked();
             (*id, conn)
@@ -150,7 +126,7 @@
     }
 
     /// Those that lead to nodes; each counts as walked.
-    pub(super) fn to_nodes(&self) -> impl Iterator<Item = (ConnId, &Conn)> {
+    pub(super) fn upstream(&self) -> impl Iterator<Item = (ConnId, &Connection)> {
         self.node_conns.iter().filter_map(|id| {
             self.count_walked();
             Some((*id, self.conns.get(id)?))
@@ -171,8 +147,8 @@
         self.conns.len()
     }
 
-    /// How far it has come.
-    pub(super) fn is_at(&mut self, conn: ConnId, stage: Stage) {
+    /// Records how far a connection has come.
+    pub(super) fn set_stage(&mut self, conn: ConnId, stage: Stage) {
         if let Some(c) = self.conns.get_mut(&conn) {
             c.stage = stage;
         }
@@ -188,12 +164,12 @@
     }
 
     /// Puts a frame into a connection's outbox. Returns where it ends in the stream.
-    pub(super) fn push(&mut self, conn: ConnId, frame: &Frame<'_>) -> u64 {
-        self.put(conn, |bytes| encode(frame, bytes))
+    pub(super) fn send_frame(&mut self, conn: ConnId, frame: &Frame<'_>) -> u64 {
+        self.write(conn, |bytes| encode(frame, bytes))
     }
 
     /// Puts bytes into a connection's outbox. Returns where they end in the stream.
-    pub(super) fn put(&mut self, conn: ConnId, add: impl FnOnce(&mut Vec<u8>)) -> u64 {
+    pub(super) fn write(&mut self, conn: ConnId, add: impl FnOnce(&mut Vec<u8>)) -> u64 {
         let Some(c) = self.conns.get_mut(&conn) else { return u64::MAX };
         if c.outbox.is_empty() {
             self.commands.push(Command::Flush(conn));
@@ -207,7 +183,7 @@
     }
 
     /// So many bytes of what waits on a connection were written.
-    pub(super) fn wrote(&mut self, conn: ConnId, count: usize) {
+    pub(super) fn record_written(&mut self, conn: ConnId, count: usize) {
         let Some(c) = self.conns.get_mut(&conn) else { return };
         let before = c.outbox.len();
         c.outbox.wrote(count);
@@ -216,20 +192,45 @@
         }
     }
 
+    /// Bytes of requests that are not yet whole.
+    pub(super) fn partial_bytes(&self) -> usize {
+        self.partial_bytes
+    }
+
+    /// So many more bytes of requests came that are not yet whole.
+    pub(super) fn add_partial_bytes(&mut self, bytes: usize) {
+        self.partial_bytes += bytes;
+    }
+
+    /// So many bytes of requests became whole, or were dropped.
+    pub(super) fn sub_partial_bytes(&mut self, bytes: usize) {
+        self.partial_bytes -= bytes;
+    }
+
+    /// Bytes of nodes' responses that are not yet whole.
+    pub(super) fn response_bytes(&self) -> usize {
+        self.response_bytes
+    }
+
+    /// A connection held `before` bytes of a response that is not yet whole, and holds `after`.
+    pub(super) fn record_response_bytes(&mut self, before: usize, after: usize) {
+        self.response_bytes = self.response_bytes - before + after;
+    }
+
     /// Bytes that wait for clients who speak HTTP to read them.
     pub(super) fn unread_bytes(&self) -> usize {
         self.unread_bytes
     }
 
     /// Closes a connection from here that nothing hangs on any more.
-    pub(super) fn drop_quietly(&mut self, conn: ConnId) {
-        if self.take(conn).is_some() {
+    pub(super) fn discard(&mut self, conn: ConnId) {
+        if self.remove(conn).is_some() {
             self.command(Command::Close { conn, last: Vec::new() });
         }
     }
 
     /// Takes a connection out; what it held of a message is held no more.
-    pub(super) fn take(&mut self, conn: ConnId) -> Option<Conn> {
+    pub(super) fn remove(&mut self, conn: ConnId) -> Option<Connection> {
         let gone = self.conns.remove(&conn)?;
         self.node_conns.remove(&conn);
         match &gone.protocol {
@@ -237,37 +238,12 @@
                 self.partial_bytes -= http.partial_bytes();
                 self.unread_bytes -= gone.outbox.len();
             }
-            Protocol::HttpClient(link) => self.answer_bytes -= link.partial_bytes(),
+            Protocol::HttpClient(link) => self.response_bytes -= link.partial_bytes(),
             Protocol::Frames(_) | Protocol::ListClient(_) => {}
         }
         Some(gone)
     }
 
-    /// Wakes the core at a moment, for this.
-    pub(super) fn at(&mut self, moment: Micros, timer: Timer) {
-        self.timers.insert((moment, timer));
-    }
-
-    pub(super) fn cancel(&mut self, moment: Micros, timer: Timer) {
-        self.timers.remove(&(moment, timer));
-    }
-
-    /// What is due by now, one after the other.
-    pub(super) fn due(&mut self, now: Micros) -> Option<Timer> {
-        let first = self.timers.first().copied().filter(|(at, _)| *at <= now)?;
-        self.timers.remove(&first);
-        Some(first.1)
-    }
-
-    /// When the next is due.
-    pub(super) fn next_due(&self) -> Option<Micros> {
-        self.timers.first().map(|(at, _)| *at)
-    }
-
-    pub(super) fn timers(&self) -> usize {
-        self.timers.len()
-    }
-
     /// Wants something done by the driver.
     pub(super) fn command(&mut self, command: Command) {
         self.commands.push(command);
--- a/crates/flaxstand-gateway/src/core/decider.rs
+++ b/crates/flaxstand-gateway/src/core/decision_policy.rs
@@ -1,7 +1,7 @@
 //! Who decides: the decision module, or a baseline in its place for measurements.
 
 use super::admission::add_retry_classes;
-use super::pipe::{Pipe, Placement};
+use super::baseline_policy::{BaselinePolicy, Placement};
 use super::write_out_classes::with_write_out_classes;
 use super::{Config, Policy};
 use crate::machine::Micros;
@@ -9,39 +9,39 @@
 use flaxstand::scheduler::Scheduler;
 
 /// The decision module or a baseline.
-pub(super) enum Decider {
-    Module(Box<Scheduler>),
-    Pipe(Pipe),
+pub(super) enum DecisionPolicy {
+    Scheduler(Box<Scheduler>),
+    Baseline(BaselinePolicy),
 }
 
-impl Decider {
+impl DecisionPolicy {
     /// The one that the configuration names, told these settings.
     pub(super) fn new(config: &Config, settings: Settings, now: Micros) -> Self {
-        let pipe = |placement| Decider::Pipe(Pipe::new(placement, config.seed));
+        let baseline = |placement| DecisionPolicy::Baseline(BaselinePolicy::new(placement, config.seed));
         match config.policy {
             Policy::Module => {
                 let seed = config.seed ^ config.epoch.rotate_left(32);
-                Decider::Module(Box::new(Scheduler::new(settings, seed, now.ms())))
+                DecisionPolicy::Scheduler(Box::new(Scheduler::new(settings, seed, now.ms())))
             }
-            Policy::Pipe => pipe(Placement::RoundRobin),
-            Policy::LeastOut => pipe(Placement::LeastOut),
-            Policy::TwoChoices => pipe(Placement::TwoChoices),
+            Policy::Pipe => baseline(Placement::RoundRobin),
+            Policy::LeastOut => baseline(Placement::LeastInFlight),
+            Policy::TwoChoices => baseline(Placement::TwoChoices),
         }
     }
 
     /// Takes one event; what is to be done is added to `actions`.
     pub(super) fn handle(&mut self, event: Event, now: Micros, actions: &mut Vec<Action>) {
         match self {
-            Decider::Module(scheduler) => scheduler.handle(event, now.ms(), actions),
-            Decider::Pipe(pipe) => pipe.handle(event, actions),
+            DecisionPolicy::Scheduler(scheduler) => scheduler.handle(event, now.ms(), actions),
+            DecisionPolicy::Baseline(baseline) => baseline.handle(event, actions),
         }
     }
 
     /// Until when requests may be sent on the list held, ms. Baselines know of no age of lists.
     pub(super) fn endpoints_trusted_until(&self) -> f64 {
         match self {
-            Decider::Module(scheduler) => scheduler.endpoints_trusted_until(),
-            Decider::Pipe(_) => f64::INFINITY,
+            DecisionPolicy::Scheduler(scheduler) => scheduler.endpoints_trusted_until(),
+            DecisionPolicy::Baseline(_) => f64::INFINITY,
         }
     }
 }
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -1,16 +1,17 @@
-//! What comes on a connection, handed to whom it concerns, and what hangs on one that is no more.
+//! What comes on a connection, handed_over to whom it concerns, and what hangs on one that is no more.
 
 use super::Core;
 use super::agreement::Fellow;
-use super::plumbing::{Peer, Protocol, Stage};
-use super::write_back::Mark;
+use super::connection_table::{Peer, Protocol, Stage};
+use super::timers::ProbeId;
+use super::write_back::OrderingRequest;
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::Outcome;
 use flaxstand_proto::{CloseReason, Frame, Hello, Role, VERSION, VERSION_OLDEST};
 use tracing::{info, warn};
 
 impl Core {
-    pub(super) fn greet(&mut self, conn: ConnId) {
+    pub(super) fn send_hello(&mut self, conn: ConnId) {
         let hello = Hello {
             role: Role::Initiator,
             versions: (VERSION_OLDEST, VERSION),
@@ -18,46 +19,51 @@
             epoch: self.config.epoch,
             name: &self.config.name,
         };
-        self.plumbing.push(conn, &Frame::Hello(hello));
+        self.connections.send_frame(conn, &Frame::Hello(hello));
     }
 
     /// Closes a connection from here and settles what hung on it.
-    pub(super) fn hang_up(&mut self, conn: ConnId, close_reason: CloseReason, text: &str, now: Micros) {
-        if self.plumbing.speaks_frames(conn) {
-            self.plumbing.push(conn, &Frame::Bye { close_reason, wait: 0, text });
+    pub(super) fn disconnect(&mut self, conn: ConnId, close_reason: CloseReason, text: &str, now: Micros) {
+        if self.connections.speaks_frames(conn) {
+            self.connections.send_frame(conn, &Frame::Bye { close_reason, wait: 0, text });
         }
-        self.lost(conn, text, true, now);
+        self.close(conn, text, now);
     }
 
-    /// A connection is no more.
-    pub(super) fn lost(&mut self, conn: ConnId, cause: &str, by_us: bool, now: Micros) {
-        let Some(c) = self.plumbing.get(conn) else { return };
-        // What is given up must not leave after all: with its last bytes it would run.
+    /// Closes a connection and settles what depended on it.
+    pub(super) fn close(&mut self, conn: ConnId, cause: &str, now: Micros) {
+        let Some(c) = self.connections.get(conn) else { return };
         let last = match c.protocol {
-            Protocol::Frames(_) | Protocol::HttpServer(_) if by_us => Some(c.outbox.pending().to_vec()),
-            _ => by_us.then(Vec::new),
+            Protocol::Frames(_) | Protocol::HttpServer(_) => c.outbox.pending().to_vec(),
+            // What is abandoned must not be sent after all: with its last bytes it would run.
+            Protocol::HttpClient(_) | Protocol::ListClient(_) => Vec::new(),
         };
-        self.gone(conn, cause, last, now);
+        self.settle_closed(conn, cause, Some(last), now);
     }
 
-    /// The same, closed from here, and nothing that waits on it leaves.
-    pub(super) fn lost_unsaid(&mut self, conn: ConnId, cause: &str, now: Micros) {
-        self.gone(conn, cause, Some(Vec::new()), now);
+    /// The peer or the driver has closed a connection.
+    pub(super) fn connection_closed(&mut self, conn: ConnId, cause: &str, now: Micros) {
+        self.settle_closed(conn, cause, None, now);
+    }
+
+    /// Closes a connection, and nothing that waits on it is sent.
+    pub(super) fn close_discarding_output(&mut self, conn: ConnId, cause: &str, now: Micros) {
+        self.settle_closed(conn, cause, Some(Vec::new()), now);
     }
 
     /// Closes it with these last bytes, if it is to be closed, and settles what hung on it.
-    fn gone(&mut self, conn: ConnId, cause: &str, last: Option<Vec<u8>>, now: Micros) {
-        let Some(gone) = self.plumbing.take(conn) else { return };
+    fn settle_closed(&mut self, conn: ConnId, cause: &str, last: Option<Vec<u8>>, now: Micros) {
+        let Some(gone) = self.connections.remove(conn) else { return };
         if let Some(last) = last {
-            self.plumbing.command(Command::Close { conn, last });
+            self.connections.command(Command::Close { conn, last });
         }
         if let Protocol::HttpServer(http) = &gone.protocol {
             self.clients.slots.remove(conn, http.queued);
         }
         match (gone.peer, gone.protocol) {
-            (Peer::Client(client), _) => self.client_lost(conn, &client, cause, now),
+            (Peer::Client(client), _) => self.client_disconnected(conn, &client, cause, now),
             (Peer::Node(node), Protocol::HttpClient(link)) => {
-                self.link_lost(conn, node, &link, gone.outbox.written(), cause, now);
+                self.pooled_closed(conn, node, &link, gone.outbox.written(), cause, now);
             }
             (Peer::Node(node), _) => {
                 self.node_lost(conn, node, gone.stage, gone.outbox.written(), cause, now)
@@ -70,12 +76,12 @@
 
     /// A frame came. False: the connection is gone, read no further.
     pub(super) fn frame(&mut self, conn: ConnId, frame: Frame<'_>, now: Micros) -> bool {
-        let Some(c) = self.plumbing.get(conn) else { return false };
+        let Some(c) = self.connections.get(conn) else { return false };
         let stage = c.stage;
         let fault = match (&c.peer, frame) {
             (_, Frame::Bye { close_reason, text, .. }) => {
                 info!(conn = conn.0, ?close_reason, text, "peer said goodbye");
-                self.lost(conn, "peer said goodbye", true, now);
+                self.close(conn, "peer said goodbye", now);
                 return false;
             }
             (Peer::Fellow(Fellow::Unknown), Frame::Hello(h)) if stage == Stage::Greeting => {
@@ -87,15 +93,15 @@
             (Peer::Fellow(_), Frame::Agreement { bytes }) if stage == Stage::Open => {
                 self.fellow_said(conn, bytes, now)
             }
-            (Peer::Client(_), Frame::Hello(h)) if stage == Stage::Greeting => self.client_greeted(conn, &h),
-            (Peer::Client(_), Frame::Submit(s)) if stage == Stage::Open => {
-                self.submitted(conn, &s, None, now)
+            (Peer::Client(_), Frame::Hello(h)) if stage == Stage::Greeting => {
+                self.client_said_hello(conn, &h)
             }
+            (Peer::Client(_), Frame::Submit(s)) if stage == Stage::Open => self.submit(conn, &s, None, now),
             (Peer::Client(_), Frame::Barrier { id, volume, time_left }) if stage == Stage::Open => {
-                self.submitted_mark(conn, id, Mark::Barrier(volume), time_left, now)
+                self.submit_ordering_request(conn, id, OrderingRequest::Barrier(volume), time_left, now)
             }
             (Peer::Client(_), Frame::Flush { id, volume, time_left }) if stage == Stage::Open => {
-                self.submitted_mark(conn, id, Mark::Flush(volume), time_left, now)
+                self.submit_ordering_request(conn, id, OrderingRequest::Flush(volume), time_left, now)
             }
             (Peer::Client(_), Frame::AskStatus { id }) if stage == Stage::Open => {
                 self.send_buffer_status(conn, id, now);
@@ -114,8 +120,8 @@
                 Ok(())
             }
             (Peer::Node(node), Frame::Probed { token, .. }) if stage == Stage::Open => {
-                let node = *node;
-                self.probed(node, token, Outcome::Served);
+                let probe = ProbeId { node: *node, token };
+                self.probe_ended(probe, Outcome::Served);
                 Ok(())
             }
             (Peer::List, Frame::Welcome(w)) if stage == Stage::Greeting => self.list_greeted(conn, &w, now),
@@ -132,7 +138,7 @@
         if let Err((close_reason, text)) = fault {
             self.protocol_fault(conn, close_reason, &text, now);
         }
-        self.plumbing.get(conn).is_some()
+        self.connections.get(conn).is_some()
     }
 
     pub(super) fn protocol_fault(
@@ -145,6 +151,6 @@
         let text: String = text.chars().take(200).collect();
         warn!(conn = conn.0, ?close_reason, text, "closing a connection for what its peer sent");
         self.counts.protocol_faults += 1;
-        self.hang_up(conn, close_reason, &text, now);
+        self.disconnect(conn, close_reason, &text, now);
     }
 }
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -8,8 +8,9 @@
 use super::Core;
 use super::clients::Client;
 use super::connection_slots::SILENT_EVICTABLE_AFTER;
-use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
+use super::connection_table::{Connection, Peer, Protocol, Stage};
 use super::shutdown::Phase;
+use super::timers::Timer;
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand_http::{BODY_MOST, Request, Requests, write_answer};
 use flaxstand_platform::{ClientRequest, READY, Terms};
@@ -76,13 +77,13 @@
 
 impl Core {
     fn http(&mut self, conn: ConnId) -> Option<&mut HttpServer> {
-        match self.plumbing.get_mut(conn) {
-            Some(Conn { protocol: Protocol::HttpServer(http), .. }) => Some(http),
+        match self.connections.get_mut(conn) {
+            Some(Connection { protocol: Protocol::HttpServer(http), .. }) => Some(http),
             _ => None,
         }
     }
 
-    pub(super) fn http_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
+    pub(super) fn accept_http_client(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         // While the process stops it listens no more; who had connected before that is told so once it has asked.
         let open = self.shutdown.phase() != Phase::Stopped;
         if !open || self.clients.len() >= self.config.bounds.clients && !self.evict_client(now) {
@@ -93,17 +94,17 @@
         }
         self.clients.connected();
         let protocol = Protocol::HttpServer(HttpServer::new(now));
-        let conn = self.plumbing.open(Peer::Client(Client::default()), Stage::Open, protocol);
+        let conn = self.connections.open(Peer::Client(Client::default()), Stage::Open, protocol);
         self.clients.slots.add(conn, now);
-        self.plumbing.at(now.after(self.config.site.waits.greeting), Timer::Quiet(conn));
+        self.timers.set(now.after(self.config.site.waits.greeting), Timer::StallCheck(conn));
         Ok(conn)
     }
 
     /// Closes the client that gives its slot to a new one, if there is one.
     fn evict_client(&mut self, now: Micros) -> bool {
-        let evicted = self.clients.slots.evictable(&mut self.plumbing, now);
+        let evicted = self.clients.slots.evictable(&mut self.connections, now);
         if let Some(conn) = evicted {
-            self.lost(conn, "its place is needed", true, now);
+            self.close(conn, "its place is needed", now);
         }
         evicted.is_some()
     }
@@ -112,21 +113,21 @@
         let Some(http) = self.http(conn) else { return };
         match &mut http.flow {
             Flow::Lingering(left) if *left > bytes.len() => *left -= bytes.len(),
-            Flow::Lingering(_) => self.lost(conn, "it goes on after an error", true, now),
+            Flow::Lingering(_) => self.close(conn, "it goes on after an error", now),
             Flow::Open | Flow::LastAnswer => {
                 if http.reader.is_empty() && http.requests > 0 {
                     http.since = now;
                 }
                 http.reader.push(bytes);
                 let full = !http.wants_read();
-                self.plumbing.partial_bytes += bytes.len();
-                if self.plumbing.partial_bytes > self.config.bounds.partial_bytes {
-                    self.turn_away(conn, 503, "too much is on its way in", now);
+                self.connections.add_partial_bytes(bytes.len());
+                if self.connections.partial_bytes() > self.config.bounds.partial_bytes {
+                    self.reject_malformed(conn, 503, "too much is on its way in", now);
                 } else {
                     self.read_http(conn, now);
                 }
                 if full {
-                    self.plumbing.command(Command::Flush(conn));
+                    self.connections.command(Command::Flush(conn));
                 }
             }
         }
@@ -135,9 +136,12 @@
     /// Reads the next request, unless one is open or its answer is not yet written.
     fn read_http(&mut self, conn: ConnId, now: Micros) {
         loop {
-            let Some(Conn {
-                peer: Peer::Client(client), protocol: Protocol::HttpServer(http), outbox, ..
-            }) = self.plumbing.get_mut(conn)
+            let Some(Connection {
+                peer: Peer::Client(client),
+                protocol: Protocol::HttpServer(http),
+                outbox,
+                ..
+            }) = self.connections.get_mut(conn)
             else {
                 return;
             };
@@ -156,24 +160,24 @@
                     if !request.keeps {
                         http.flow = Flow::LastAnswer;
                     }
-                    self.plumbing.partial_bytes -= read;
-                    self.asked(conn, request, now);
+                    self.connections.sub_partial_bytes(read);
+                    self.handle_request(conn, request, now);
                 }
                 Ok(None) => {
                     // The first has its time from when the connection stood.
                     if http.requests > 0 {
                         let due = http.since.after(self.config.site.waits.greeting);
-                        self.plumbing.at(due, Timer::Quiet(conn));
+                        self.timers.set(due, Timer::StallCheck(conn));
                     }
                     return;
                 }
-                Err(fault) => return self.turn_away(conn, fault.status(), &fault.to_string(), now),
+                Err(fault) => return self.reject_malformed(conn, fault.status(), &fault.to_string(), now),
             }
         }
     }
 
     /// A whole request came.
-    fn asked(&mut self, conn: ConnId, request: Request, now: Micros) {
+    fn handle_request(&mut self, conn: ConnId, request: Request, now: Micros) {
         if request.target == READY {
             let ready = self.shutdown.phase() == Phase::Running && self.nodes.any_serves();
             return self.respond(conn, if ready { 200 } else { 503 }, &[], b"", now);
@@ -222,19 +226,19 @@
             id: r.id.to_owned(),
             key: r.key.map(str::to_owned),
         };
-        if let Err((_, text)) = self.submitted(conn, &submit, Some(origin), now) {
+        if let Err((_, text)) = self.submit(conn, &submit, Some(origin), now) {
             self.respond(conn, 400, &[], text.as_bytes(), now);
         }
     }
 
     /// A request's final answer, in the words of the client's wire.
-    pub(super) fn tell_client(&mut self, conn: ConnId, frame: &Frame<'_>, now: Micros) {
-        if self.plumbing.speaks_frames(conn) {
-            self.plumbing.push(conn, frame);
+    pub(super) fn send_to_client(&mut self, conn: ConnId, frame: &Frame<'_>, now: Micros) {
+        if self.connections.speaks_frames(conn) {
+            self.connections.send_frame(conn, frame);
             return;
         }
         match frame {
-            Frame::Served { payload, .. } if !self.has_room(payload.len()) => {
+            Frame::Served { payload, .. } if !self.has_output_capacity(payload.len()) => {
                 debug!(
                     conn = conn.0,
                     bytes = payload.len(),
@@ -254,8 +258,8 @@
 
     /// Guards the memory against clients that read large answers slowly, or not at all: what waits for all of them
     /// has a bound. An answer beyond it fails.
-    fn has_room(&self, bytes: usize) -> bool {
-        bytes <= BODY_MOST || bytes + self.plumbing.unread_bytes() <= self.config.bounds.answer_bytes
+    fn has_output_capacity(&self, bytes: usize) -> bool {
+        bytes <= BODY_MOST || bytes + self.connections.unread_bytes() <= self.config.bounds.answer_bytes
     }
 
     /// Answers the request that a client has open.
@@ -274,37 +278,38 @@
         }
         http.since = now;
         let keeps = http.flow == Flow::Open;
-        self.plumbing.put(conn, |bytes| write_answer(bytes, status, fields, body, keeps));
+        self.connections.write(conn, |bytes| write_answer(bytes, status, fields, body, keeps));
     }
 
     /// An error for what can't be read any further. What is still on its way is dropped, so that the client
     /// can read the error.
-    fn turn_away(&mut self, conn: ConnId, status: u16, text: &str, now: Micros) {
+    fn reject_malformed(&mut self, conn: ConnId, status: u16, text: &str, now: Micros) {
         debug!(conn = conn.0, status, text, "closing a connection for what its peer sent");
         self.counts.protocol_faults += 1;
         self.linger(conn, now);
-        self.plumbing
-            .put(conn, |bytes| write_answer(bytes, status, &[], format!("{text}\n").as_bytes(), false));
+        self.connections
+            .write(conn, |bytes| write_answer(bytes, status, &[], format!("{text}\n").as_bytes(), false));
     }
 
     /// Nothing more is read of a client; what still comes is dropped for a while.
     fn linger(&mut self, conn: ConnId, now: Micros) {
         let Some(http) = self.http(conn) else { return };
-        let held = http.partial_bytes();
+        let partial = http.partial_bytes();
         http.reader = Requests::default();
         (http.flow, http.since) = (Flow::Lingering(LINGER_BYTES), now);
         let queued = std::mem::replace(&mut http.queued, now);
         self.clients.slots.start_lingering(conn, queued, now);
-        self.plumbing.partial_bytes -= held;
+        self.connections.sub_partial_bytes(partial);
         // The client reads to the end of what it was sent and closes in its turn (RFC 9112, 9.6).
-        self.plumbing.command(Command::ShutdownWrite(conn));
-        self.plumbing.at(now.after(LINGER), Timer::Quiet(conn));
+        self.connections.command(Command::ShutdownWrite(conn));
+        self.timers.set(now.after(LINGER), Timer::StallCheck(conn));
     }
 
     /// Something was written, or added: the next request can be read once all is written.
     pub(super) fn http_wrote(&mut self, conn: ConnId, now: Micros) {
-        let Some(Conn { peer: Peer::Client(client), protocol: Protocol::HttpServer(http), outbox, .. }) =
-            self.plumbing.get_mut(conn)
+        let Some(Connection {
+            peer: Peer::Client(client), protocol: Protocol::HttpServer(http), outbox, ..
+        }) = self.connections.get_mut(conn)
         else {
             return;
         };
@@ -313,7 +318,7 @@
         }
         if client.finished {
             // What it sent behind its last request is not begun: it has gone.
-            return self.lost(conn, "client has all it waits for", true, now);
+            return self.close(conn, "client has all it waits for", now);
         }
         let full = !http.wants_read();
         match http.flow {
@@ -324,35 +329,35 @@
         }
         if full {
             // It may be read again.
-            self.plumbing.command(Command::Flush(conn));
+            self.connections.command(Command::Flush(conn));
         }
     }
 
     /// Looks whether a connection was at one thing for too long. Guards against heads that never end, half
     /// requests and silent clients.
-    pub(super) fn http_quiet(&mut self, conn: ConnId, now: Micros) {
+    pub(super) fn check_http_stalled(&mut self, conn: ConnId, now: Micros) {
         let most = self.config.site.waits.greeting;
-        let Some(Conn { peer: Peer::Client(client), protocol: Protocol::HttpServer(http), .. }) =
-            self.plumbing.get(conn)
+        let Some(Connection { peer: Peer::Client(client), protocol: Protocol::HttpServer(http), .. }) =
+            self.connections.get(conn)
         else {
             return;
         };
         let waited = now.since(http.since);
         match http.flow {
-            Flow::Lingering(_) if waited >= LINGER => self.lost(conn, "parted", true, now),
+            Flow::Lingering(_) if waited >= LINGER => self.close(conn, "parted", now),
             Flow::Lingering(_) => {}
             _ if !client.owed.is_empty() || waited < most => {}
             // Silent since it stood: nothing was asked that an answer could be for.
-            _ if http.requests == 0 && http.reader.is_empty() => self.lost(conn, "silent", true, now),
-            _ if !http.reader.is_empty() => self.turn_away(conn, 408, "the request does not end", now),
+            _ if http.requests == 0 && http.reader.is_empty() => self.close(conn, "silent", now),
+            _ if !http.reader.is_empty() => self.reject_malformed(conn, 408, "the request does not end", now),
             _ => {}
         }
     }
 
     /// Nothing new is taken: connections that rest are shut, so that a request that crosses this is not read and its
     /// client asks elsewhere; the others after their answer. New ones are left until they have asked.
-    pub(super) fn part_with_clients(&mut self, now: Micros) {
-        let rests = |c: &Conn| match (&c.peer, &c.protocol) {
+    pub(super) fn drain_http_clients(&mut self, now: Micros) {
+        let rests = |c: &Connection| match (&c.peer, &c.protocol) {
             (Peer::Client(client), Protocol::HttpServer(http)) => {
                 let old = http.requests > 0 || now.since(http.since) >= SILENT_EVICTABLE_AFTER;
                 old && client.owed.is_empty()
@@ -363,7 +368,7 @@
             _ => false,
         };
         let rests: Vec<ConnId> =
-            self.plumbing.iter().filter(|(_, c)| rests(c)).map(|(conn, _)| conn).collect();
+            self.connections.iter().filter(|(_, c)| rests(c)).map(|(conn, _)| conn).collect();
         rests.into_iter().for_each(|conn| self.linger(conn, now));
     }
 }
--- a/crates/flaxstand-gateway/src/core/list.rs
+++ b/crates/flaxstand-gateway/src/core/list.rs
@@ -2,10 +2,11 @@
 //! of their revisions; the whole list asked for after a gap.
 
 use super::clients::Fault;
+use super::connection_table::{Peer, Protocol, Stage};
 use super::list_calls::ListCalls;
 use super::node_table::NodeName;
-use super::plumbing::{Peer, Protocol, Stage, Timer};
 use super::saved_list::{SavePlan, SavedList, SavedListError};
+use super::timers::Timer;
 use super::{Backoff, Core, Timeouts, Wire};
 use crate::machine::{Address, ConnId, Micros};
 use flaxstand::api::{Event, ListScope, NodeEntry, NodeId, Readiness};
@@ -111,8 +112,8 @@
     /// The module wants to hear of changes.
     pub(super) fn subscribe(&mut self, now: Micros) {
         match self.list.conn {
-            Some(conn) if self.plumbing.is_open(conn) && self.plumbing.speaks_frames(conn) => {
-                self.plumbing.push(conn, &Frame::Watch);
+            Some(conn) if self.connections.is_open(conn) && self.connections.speaks_frames(conn) => {
+                self.connections.send_frame(conn, &Frame::Watch);
             }
             Some(_) => {}
             None => self.call_list(now),
@@ -129,7 +130,8 @@
             }
             Wire::Platform => self.new_list_connection(now),
         };
-        self.list.conn = Some(self.plumbing.dial(Peer::List, protocol, self.config.list.clone(), by));
+        self.list.conn =
+            Some(self.connections.dial(&mut self.timers, Peer::List, protocol, self.config.list.clone(), by));
     }
 
     pub(super) fn list_greeted(&mut self, conn: ConnId, w: &Welcome<'_>, now: Micros) -> Result<(), Fault> {
@@ -137,10 +139,10 @@
             let text = format!("expected a list service, met {:?} of version {}", w.role, w.version);
             return Err((CloseReason::WrongPeer, text));
         }
-        self.plumbing.is_at(conn, Stage::Open);
+        self.connections.set_stage(conn, Stage::Open);
         (self.list.heard_at, self.list.asked, self.list.received_within_frame) = (now, false, None);
         self.look_for_silence(now.after(self.config.site.waits.list_silence));
-        self.plumbing.push(conn, &Frame::Watch);
+        self.connections.send_frame(conn, &Frame::Watch);
         Ok(())
     }
 
@@ -159,13 +161,13 @@
             self.events.push_back(Event::EndpointList(ListScope::Failed, Vec::new()));
         } else {
             let wait = self.list.backoff.failed(&mut self.rng);
-            self.plumbing.at(now.after(wait), Timer::DiscoveryCall);
+            self.timers.set(now.after(wait), Timer::DiscoveryCall);
         }
     }
 
     pub(super) fn list_call_failed(&mut self, now: Micros) {
         if let Some(conn) = self.list.conn {
-            self.lost(conn, "the list service could not answer", true, now);
+            self.close(conn, "the list service could not answer", now);
         }
     }
 
@@ -173,12 +175,12 @@
     pub(super) fn look_for_silence(&mut self, at: Micros) {
         self.stop_looking_for_silence();
         self.list.silence_at = Some(at);
-        self.plumbing.at(at, Timer::ListSilence);
+        self.timers.set(at, Timer::ListSilence);
     }
 
     pub(super) fn stop_looking_for_silence(&mut self) {
         if let Some(at) = self.list.silence_at.take() {
-            self.plumbing.cancel(at, Timer::ListSilence);
+            self.timers.cancel(at, Timer::ListSilence);
         }
     }
 
@@ -194,15 +196,15 @@
             return self.look_for_silence(due);
         }
         match self.list_frame_progress(conn, silence) {
-            FrameProgress::Stalled => self.hang_up(conn, CloseReason::Protocol, "the list stalls", now),
+            FrameProgress::Stalled => self.disconnect(conn, CloseReason::Protocol, "the list stalls", now),
             // It is not asked for what it is about to tell.
             FrameProgress::Arriving => self.look_for_silence(now.after(silence)),
             FrameProgress::NoFrame if self.list.asked => {
-                self.hang_up(conn, CloseReason::Protocol, "the list service is silent", now);
+                self.disconnect(conn, CloseReason::Protocol, "the list service is silent", now);
             }
             FrameProgress::NoFrame => {
                 self.list.asked = true;
-                self.plumbing.push(conn, &Frame::GetList);
+                self.connections.send_frame(conn, &Frame::GetList);
                 self.look_for_silence(now.after(silence));
             }
         }
@@ -210,7 +212,7 @@
 
     /// What has come of a frame since the last look, a silence ago. One that has begun since is arriving.
     fn list_frame_progress(&mut self, conn: ConnId, silence: Micros) -> FrameProgress {
-        let within_frame = match self.plumbing.get(conn).map(|c| &c.protocol) {
+        let within_frame = match self.connections.get(conn).map(|c| &c.protocol) {
             Some(Protocol::Frames(inbox)) if inbox.is_within_frame() => Some(inbox.received()),
             _ => None,
         };
@@ -236,7 +238,7 @@
             (Extent::Changes, held) => {
                 info!(?held, since = list.since, "a gap in the list's changes: asking for all of it");
                 self.list.asked = true;
-                self.plumbing.push(conn, &Frame::GetList);
+                self.connections.send_frame(conn, &Frame::GetList);
                 return;
             }
         };
@@ -270,9 +272,9 @@
             touched.append(&mut self.take_out_all_but(&touched, now));
         }
         self.events.push_back(Event::EndpointList(scope, told));
-        self.call_back_from_drained(&touched, now);
+        self.withdraw_unsent_from_drained(&touched, now);
         for id in &touched {
-            self.close_if_gone(*id, now);
+            self.close_if_removed(*id, now);
         }
         match scope {
             // Only lists on frames are saved.
@@ -317,7 +319,7 @@
             debug!(node = %e.name, state = ?e.readiness, shard = e.shard, address = e.address, "listed");
         }
         if moved {
-            self.drop_idle(id, now);
+            self.close_idle_connections(id, now);
         }
         // Told with the entry that tells it and not kept: it holds for that start of the node alone.
         let entry = self.nodes.get(id)?.entry(id);
--- a/crates/flaxstand-gateway/src/core/list_calls.rs
+++ b/crates/flaxstand-gateway/src/core/list_calls.rs
@@ -8,7 +8,8 @@
 //! revision held wherever there is one.
 
 use super::Core;
-use super::plumbing::{Conn, Protocol, Timer};
+use super::connection_table::{Connection, Protocol};
+use super::timers::Timer;
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{DiscoveryCall, Event, NotificationTerms};
 use flaxstand_http::{Answer, Answers, write_request};
@@ -118,8 +119,8 @@
 
 impl Core {
     fn list_connection(&mut self, conn: ConnId) -> Option<&mut ListConnection> {
-        match self.plumbing.get_mut(conn) {
-            Some(Conn { protocol: Protocol::ListClient(list), .. }) => Some(list),
+        match self.connections.get_mut(conn) {
+            Some(Connection { protocol: Protocol::ListClient(list), .. }) => Some(list),
             _ => None,
         }
     }
@@ -140,7 +141,7 @@
     /// Makes the next call on a connection that stands. From now on its answer is waited for.
     pub(super) fn write_list_call(&mut self, conn: ConnId, now: Micros) {
         if let Some(by) = self.list.calls.dial_by.take() {
-            self.plumbing.cancel(by, Timer::Dial(conn));
+            self.timers.cancel(by, Timer::ConnectTimeout(conn));
         }
         self.list.calls.progress = None;
         let wait = self.list_call_wait(now);
@@ -149,7 +150,7 @@
         self.look_for_silence(now.after(wait).after(retry_memory));
         let call = list_call(self.list.revision.map(|revision| (revision, wait.0 / 1000)));
         let host = self.config.list.to_string();
-        self.plumbing.put(conn, |bytes| write_request(bytes, "GET", &call, &[("Host", &host)], None));
+        self.connections.write(conn, |bytes| write_request(bytes, "GET", &call, &[("Host", &host)], None));
     }
 
     /// How long the next call asks the service to wait for changes: not at all after one that failed, since a
@@ -234,7 +235,7 @@
             // It works, and only this connection ends: not a failure that the module should hear of.
             self.list.conn = None;
             self.stop_looking_for_silence();
-            self.plumbing.drop_quietly(conn);
+            self.connections.discard(conn);
             self.call_list(now);
         }
     }
@@ -247,7 +248,7 @@
 
     /// Closes a connection under its call, which ends so.
     fn fail_list_call(&mut self, conn: ConnId, how: DiscoveryCall, cause: &str, now: Micros) {
-        self.plumbing.drop_quietly(conn);
+        self.connections.discard(conn);
         self.list.conn = None;
         self.list_call_ended(how, cause, now);
     }
@@ -281,7 +282,7 @@
     /// count the same revisions; one that does not is asked for all of its list (see `take_listing`).
     pub(super) fn list_moved(&mut self, now: Micros) {
         if let Some(conn) = self.list.conn.take() {
-            self.plumbing.drop_quietly(conn);
+            self.connections.discard(conn);
         }
         self.stop_looking_for_silence();
         self.list.calls.moved(self.config.site.settings.notification_terms, now);
--- a/crates/flaxstand-gateway/src/core/figures.rs
+++ b/crates/flaxstand-gateway/src/core/metrics.rs
@@ -1,22 +1,22 @@
-//! What the core counts and holds.
+//! Metrics of the core: counts since the start, and what is pending now.
 
 /// Counts since the start. All only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests taken from clients, refused ones included.
-    pub taken: u64,
+    /// Requests that came from clients, rejected ones included.
+    pub accepted: u64,
     /// Requests that ended served.
     pub served: u64,
     /// Writes acknowledged as buffered.
     pub buffered: u64,
     /// Reads answered from the buffer alone; they count as served too.
-    pub read_back: u64,
-    /// Requests that ended refused, by the module.
-    pub refused: u64,
-    /// Requests that ended refused at a bound, by the buffer or while stopping, unseen by the module.
-    pub turned_away: u64,
-    /// Repeats that were refused in a storm, unseen by the module.
-    pub damped: u64,
+    pub served_from_buffer: u64,
+    /// Requests that the module rejected.
+    pub rejected: u64,
+    /// Requests rejected at a bound, by the buffer or while stopping, unseen by the module.
+    pub rejected_at_bound: u64,
+    /// Retries rejected under overload, unseen by the module.
+    pub retries_rejected: u64,
     /// Requests that ended failed.
     pub failed: u64,
     /// Requests whose client went before its answer.
@@ -29,7 +29,7 @@
     pub protocol_faults: u64,
     /// Nodes looked at: for requests, probes, changes of the list, saves and sweeps.
     pub nodes_visited: u64,
-    /// Connections looked at where several were gone through, one by one.
+    /// Connections looked at where several were iterated over.
     pub connections_walked: u64,
     /// Bytes of the node list that were saved.
     pub saved_bytes: u64,
@@ -39,15 +39,15 @@
     pub overdue: u64,
 }
 
-/// How much is held at a moment.
+/// How much is pending at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Footprint {
     /// Connections, those being opened included.
-    pub conns: usize,
+    pub connections: usize,
     /// Requests.
     pub requests: usize,
     /// Ids of clients' requests.
-    pub ids: usize,
+    pub client_request_ids: usize,
     /// Nodes.
     pub nodes: usize,
     /// Timers.
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -2,52 +2,55 @@
 //! It does no I/O and reads no clock. What happens comes in through [`Machine`]; every decision about a
 //! request is the module's, this code only carries events to it and actions from it.
 //!
-//! - [`plumbing`]: connections, moments, commands; [`dispatch`]: what comes on a connection goes to whom
+//! - [`connection_table`]: connections, moments, commands; [`dispatch`]: what comes on a connection goes to whom
 //! - [`clients`]: who submits, and the bounds on them
 //! - [`requests`]: a request's life from its arrival to its one answer
-//! - [`node_table`]: what is listed; [`nodes`]: connections to storage nodes, attempts on them
-//! - [`first_byte`]: the gate that the first byte of an attempt passes
+//! - [`node_table`]: what is listed; [`node_connections`]: connections to storage nodes, attempts on them
+//! - [`send_permit`]: the gate that the first byte of an attempt passes
 //! - [`admission`]: retries told from first attempts, and throttled under overload
 //! - [`agreement`]: words between initiators, and the rules that hold now
 //! - [`write_back`]: the write-back buffer; [`buffered_requests`]: its place between clients and the module
 //! - [`shutdown`]: from the request to stop until the exit
-//! - [`decider`]: the decision module, or a baseline in its place
-//! - [`figures`]: what is counted and held
+//! - [`decision_policy`]: the decision module, or a baseline in its place
+//! - [`metrics`]: what is counted and held
 //! - [`list`]: the node list and its breaks; [`saved_list`]: its copy for the next start
 //!
 //! Peers speak frames, or the platform's HTTP/1.1 ([`Wire`]). A request's life is the same for both; three
 //! places differ:
 //!
 //! - [`http_server`]: clients that ask one request at a time of a connection; [`connection_slots`]: who gives way
-//! - [`pool`]: connections to a node that carry one request each; [`upstream_pool`]: which there are, and what for
+//! - [`pooled_attempts`]: connections to a node that carry one request each; [`upstream_pool`]: which there are, and what for
 //! - [`list_calls`]: the list, told by calls that wait; [`platform_list`]: what they tell
 
 mod admission;
 mod agreement;
+mod attempts;
 mod backoff;
+mod baseline_policy;
 mod buffered_requests;
 mod client_registry;
 mod clients;
 mod config;
 mod connection_slots;
-mod decider;
+mod connection_table;
+mod decision_policy;
 mod dispatch;
 mod evaluation_schedule;
-mod figures;
-mod first_byte;
 mod http_server;
 mod list;
 mod list_calls;
+mod metrics;
+mod node_connections;
 mod node_table;
-mod nodes;
-mod pipe;
+mod pending_request;
 mod platform_list;
-mod plumbing;
-mod pool;
+mod pooled_attempts;
 mod request_table;
 mod requests;
 mod saved_list;
+mod send_permit;
 mod shutdown;
+mod timers;
 mod upstream_pool;
 mod write_back;
 mod write_back_status;
@@ -55,27 +58,28 @@
 
 pub use backoff::Backoff;
 pub use config::{Bounds, ClassInfo, Config, ConsensusConfig, Policy, Site, Timeouts, Wire, WriteBack};
-pub use figures::{Counts, Footprint};
+pub use metrics::{Counts, Footprint};
 pub use saved_list::{SavedList, SavedListError};
 
 use crate::machine::{Command, ConnId, Control, Machine, Micros};
 use admission::AdmissionGate;
 use agreement::Agreed;
 use client_registry::ClientRegistry;
-use decider::{Decider, module_settings};
+use connection_table::{ConnectionTable, Peer, Protocol, Stage};
+use decision_policy::{DecisionPolicy, module_settings};
 use evaluation_schedule::EvaluationSchedule;
-use first_byte::ListTrust;
 use flaxstand::api::{Class, Event};
 use flaxstand_overload::{AttemptCounts, ConnectionRateLimiter};
 use flaxstand_proto::CloseReason;
 use list::ListPeer;
 use node_table::NodeTable;
-use plumbing::{Peer, Plumbing, Protocol, Stage, Timer};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use request_table::RequestTable;
+use send_permit::EndpointTrust;
 use shutdown::Shutdown;
 use std::collections::VecDeque;
+use timers::{Timer, TimerQueue};
 use tracing::info;
 use upstream_pool::UpstreamPool;
 use write_back::WriteBackCoordinator;
@@ -83,15 +87,16 @@
 /// The initiator's core.
 pub struct Core {
     config: Config,
-    decider: Decider,
+    policy: DecisionPolicy,
     /// Classes that the module was told of: the site's, and after them those of write-outs, if there are any.
-    brain_classes: Vec<Class>,
+    module_classes: Vec<Class>,
     write_back: Option<WriteBackCoordinator>,
     agreed: Option<Agreed>,
     gate: Option<AdmissionGate>,
     arrivals: ConnectionRateLimiter,
     rng: Pcg64Mcg,
-    plumbing: Plumbing,
+    connections: ConnectionTable,
+    timers: TimerQueue,
     clients: ClientRegistry,
     requests: RequestTable,
     nodes: NodeTable,
@@ -101,7 +106,7 @@
     /// Names of classes, in the order of the module's.
     class_names: Vec<String>,
     list: ListPeer,
-    list_trust: ListTrust,
+    endpoint_trust: EndpointTrust,
     /// Events for the module that its own actions caused, or that came since it last decided.
     events: VecDeque<Event>,
     evaluation: EvaluationSchedule,
@@ -120,22 +125,23 @@
             let classes = settings.classes.len() - config.site.classes.len();
             AdmissionGate::new(rules, classes, config.seed ^ config.epoch.rotate_left(17), now)
         });
-        let brain_classes = settings.classes.clone();
-        let decider = Decider::new(&config, settings, now);
+        let module_classes = settings.classes.clone();
+        let policy = DecisionPolicy::new(&config, settings, now);
         let list = ListPeer::new(&config.site.waits);
         let class_names = config.site.classes.iter().map(|c| c.name.clone()).collect();
         let mut core = Core {
             rng: Pcg64Mcg::seed_from_u64(config.seed.wrapping_add(config.epoch)),
-            decider,
-            brain_classes,
+            policy,
+            module_classes,
             write_back: None,
             agreed: None,
             gate,
             arrivals: ConnectionRateLimiter::new(config.bounds.arrivals, now),
             list,
-            list_trust: ListTrust::default(),
+            endpoint_trust: EndpointTrust::default(),
             config,
-            plumbing: Plumbing::default(),
+            connections: ConnectionTable::default(),
+            timers: TimerQueue::default(),
             clients: ClientRegistry::default(),
             requests: RequestTable::default(),
             nodes: NodeTable::default(),
@@ -151,10 +157,10 @@
             core.take_saved_list(saved, now)?;
         }
         if core.on_platform() {
-            core.plumbing.at(now, Timer::Sweep);
+            core.timers.set(now, Timer::Sweep);
         }
         if !core.config.site.settings.polls_list {
-            core.plumbing.at(now, Timer::DiscoveryCall);
+            core.timers.set(now, Timer::DiscoveryCall);
         }
         Ok(core)
     }
@@ -163,7 +169,7 @@
     pub fn counts(&self) -> Counts {
         Counts {
             nodes_visited: self.nodes.visited() + self.upstream.visited(),
-            connections_walked: self.plumbing.walked(),
+            connections_walked: self.connections.walked(),
             ..self.counts
         }
     }
@@ -171,12 +177,12 @@
     /// How much is held now.
     pub fn footprint(&self) -> Footprint {
         Footprint {
-            conns: self.plumbing.len(),
+            connections: self.connections.len(),
             requests: self.requests.len(),
-            ids: self.requests.client_ids(),
+            client_request_ids: self.requests.client_ids(),
             nodes: self.nodes.len(),
-            timers: self.plumbing.timers(),
-            partial_bytes: self.plumbing.partial_bytes + self.plumbing.answer_bytes,
+            timers: self.timers.len(),
+            partial_bytes: self.connections.partial_bytes() + self.connections.response_bytes(),
         }
     }
 
@@ -186,7 +192,7 @@
     }
 
     /// Requests held now.
-    pub fn held(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.requests.len()
     }
 
@@ -196,7 +202,7 @@
     }
 
     /// How retries were told from first attempts, where overload is met.
-    pub fn repeats_judged(&self) -> Option<AttemptCounts> {
+    pub fn attempt_counts(&self) -> Option<AttemptCounts> {
         self.gate.as_ref().map(AdmissionGate::attempt_counts)
     }
 
@@ -205,81 +211,81 @@
     }
 
     /// Tells the module all that waits to be told, and does what it wants done at once.
-    fn tell(&mut self, now: Micros) {
+    fn deliver_events(&mut self, now: Micros) {
         let mut actions = Vec::new();
         // What the actions cause in turn is told at the next turn: the work of one turn is bounded.
         for event in std::mem::take(&mut self.events) {
-            self.decider.handle(event, now, &mut actions);
+            self.policy.handle(event, now, &mut actions);
             self.evaluation.request();
         }
-        self.perform(&mut actions, now);
+        self.perform_actions(&mut actions, now);
     }
 
     /// The module looks at all that it was told.
-    fn decide(&mut self, now: Micros) {
+    fn evaluate(&mut self, now: Micros) {
         self.evaluation.started(now);
         let mut actions = Vec::new();
-        self.decider.handle(Event::Evaluate, now, &mut actions);
-        self.perform(&mut actions, now);
+        self.policy.handle(Event::Evaluate, now, &mut actions);
+        self.perform_actions(&mut actions, now);
     }
 
-    fn fire(&mut self, timer: Timer, now: Micros) {
+    fn handle_timer(&mut self, timer: Timer, now: Micros) {
         match timer {
-            Timer::Deadline(request) => self.deadline(request, now),
-            Timer::Dial(conn) => {
-                if self.plumbing.get(conn).is_some_and(|c| c.stage != Stage::Open) {
-                    self.hang_up(conn, CloseReason::Protocol, "no greeting in time", now);
+            Timer::Deadline(request) => self.deadline_reached(request, now),
+            Timer::ConnectTimeout(conn) => {
+                if self.connections.get(conn).is_some_and(|c| c.stage != Stage::Open) {
+                    self.disconnect(conn, CloseReason::Protocol, "no greeting in time", now);
                 }
             }
-            Timer::Quiet(conn) => self.quiet(conn, now),
-            Timer::Begin(conn) => self.begin_ends(conn, now),
+            Timer::StallCheck(conn) => self.check_stalled(conn, now),
+            Timer::SendWindowEnds(conn) => self.send_window_ended(conn, now),
             Timer::Sweep => self.sweep(now),
-            Timer::GraceEnds => self.stop_accepting(now),
-            Timer::Idle(conn) => self.idle(conn, now),
-            Timer::Probe(node, token) => self.probe_times_out(node, token, now),
+            Timer::ShutdownGraceEnds => self.stop_accepting(now),
+            Timer::IdleTimeout(conn) => self.check_idle(conn, now),
+            Timer::ProbeTimeout(probe) => self.probe_timed_out(probe, now),
             Timer::DiscoveryCall => self.call_list(now),
             Timer::ListSilence => self.list_silent(now),
-            Timer::ListTrust => self.list_trust_due(),
+            Timer::EndpointsExpire => self.endpoint_trust_due(),
             // Looked at in every turn.
             Timer::Agreement => {}
-            Timer::StopEnds => self.stop_ends(now),
+            Timer::ShutdownTimeout => self.stop_ends(now),
         }
     }
 }
 
 impl Machine for Core {
     fn accepted(&mut self, listener: usize, now: Micros) -> Result<ConnId, Vec<u8>> {
-        if self.is_agreements(listener) { self.fellow_accepted(now) } else { self.client_accepted(now) }
+        if self.is_agreements(listener) { self.fellow_accepted(now) } else { self.accept_client(now) }
     }
 
     fn connected(&mut self, conn: ConnId, now: Micros) {
-        let Some(c) = self.plumbing.get_mut(conn) else { return };
+        let Some(c) = self.connections.get_mut(conn) else { return };
         if let Protocol::Frames(_) = c.protocol {
             c.stage = Stage::Greeting;
-            return self.greet(conn);
+            return self.send_hello(conn);
         }
         c.stage = Stage::Open;
         match c.peer {
             Peer::List => self.write_list_call(conn, now),
-            _ => self.link_stands(conn, now),
+            _ => self.pooled_connected(conn, now),
         }
     }
 
     fn connect_failed(&mut self, conn: ConnId, cause: &str, now: Micros) {
-        self.lost(conn, cause, false, now);
+        self.connection_closed(conn, cause, now);
     }
 
     fn received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
-        let Some(c) = self.plumbing.get_mut(conn) else { return };
+        let Some(c) = self.connections.get_mut(conn) else { return };
         let inbox = match &mut c.protocol {
             Protocol::Frames(inbox) => inbox,
             Protocol::HttpServer(_) => return self.http_received(conn, bytes, now),
-            Protocol::HttpClient(_) => return self.link_received(conn, bytes, now),
+            Protocol::HttpClient(_) => return self.pooled_received(conn, bytes, now),
             Protocol::ListClient(_) => return self.list_received(conn, bytes, now),
         };
         let mut inbox = std::mem::take(inbox);
         let fed = inbox.feed(bytes, |frame| self.frame(conn, frame, now));
-        if let Some(c) = self.plumbing.get_mut(conn) {
+        if let Some(c) = self.connections.get_mut(conn) {
             c.protocol = Protocol::Frames(inbox);
             if let Err(e) = fed {
                 self.protocol_fault(conn, CloseReason::Protocol, &e.to_string(), now);
@@ -288,29 +294,29 @@
     }
 
     fn finished(&mut self, conn: ConnId, now: Micros) -> bool {
-        self.link_ended(conn, now);
+        self.pooled_finished(conn, now);
         self.list_ended(conn, now);
         self.client_finished(conn)
     }
 
     fn closed(&mut self, conn: ConnId, cause: &str, now: Micros) {
-        self.lost(conn, cause, false, now);
+        self.connection_closed(conn, cause, now);
     }
 
     fn outgoing(&self, conn: ConnId) -> &[u8] {
-        self.plumbing.get(conn).map_or(&[], |c| c.outbox.pending())
+        self.connections.get(conn).map_or(&[], |c| c.outbox.pending())
     }
 
     fn wrote(&mut self, conn: ConnId, count: usize, now: Micros) {
-        self.plumbing.wrote(conn, count);
-        if let Some(link) = self.link(conn) {
+        self.connections.record_written(conn, count);
+        if let Some(link) = self.pooled_connection(conn) {
             (link.rested, link.begun) = (false, true);
         }
         self.client_read(conn, now);
     }
 
     fn wants_read(&self, conn: ConnId) -> bool {
-        match self.plumbing.get(conn).map(|c| (&c.peer, &c.protocol)) {
+        match self.connections.get(conn).map(|c| (&c.peer, &c.protocol)) {
             Some((_, Protocol::HttpServer(http))) => http.wants_read(),
             Some((Peer::Client(client), _)) => !client.paused,
             Some(_) => true,
@@ -319,11 +325,11 @@
     }
 
     fn wants_end(&self, conn: ConnId) -> bool {
-        matches!(self.plumbing.get(conn).map(|c| &c.protocol), Some(Protocol::HttpServer(_)))
+        matches!(self.connections.get(conn).map(|c| &c.protocol), Some(Protocol::HttpServer(_)))
     }
 
     fn rested(&self, conn: ConnId) -> bool {
-        matches!(self.plumbing.get(conn).map(|c| &c.protocol), Some(Protocol::HttpClient(link)) if link.rested)
+        matches!(self.connections.get(conn).map(|c| &c.protocol), Some(Protocol::HttpClient(link)) if link.rested)
     }
 
     fn stored(&mut self, well: bool, now: Micros) {
@@ -358,31 +364,31 @@
     }
 
     fn settle(&mut self, now: Micros) -> Option<Micros> {
-        while let Some(timer) = self.plumbing.due(now) {
-            self.fire(timer, now);
+        while let Some(timer) = self.timers.take_due(now) {
+            self.handle_timer(timer, now);
         }
         let agreement = self.settle_agreement(now);
         if let Some(gate) = &mut self.gate {
             gate.log_condition_changes(self.config.site.plans.len() as u16, now);
         }
         self.settle_buffer(now);
-        self.tell(now);
-        self.watch_list_trust(now);
+        self.deliver_events(now);
+        self.watch_endpoint_trust(now);
         if !self.on_platform() {
             self.save_list(now);
         }
         let tick = Micros::from_ms(self.config.site.settings.tick);
         if self.evaluation.take_due(tick, now) {
-            self.decide(now);
+            self.evaluate(now);
         }
         let buffer = self.settle_buffer(now);
         self.exit_if_done(now);
         let evaluation = self.evaluation.next_due(!self.events.is_empty(), tick, now);
-        let timer = self.plumbing.next_due();
+        let timer = self.timers.next_due();
         [evaluation, timer, buffer, agreement].into_iter().flatten().min()
     }
 
     fn take_commands(&mut self) -> Vec<Command> {
-        self.plumbing.take_commands()
+        self.connections.take_commands()
     }
 }
--- a/crates/flaxstand-gateway/src/core/nodes.rs
+++ b/crates/flaxstand-gateway/src/core/node_connections.rs
@@ -3,10 +3,11 @@
 
 use super::Core;
 use super::clients::Fault;
+use super::connection_table::{Connection, Peer, Protocol, Stage};
 use super::node_table::NodeName;
-use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
-use super::pool::Carried;
-use super::requests::{AttemptId, Owner};
+use super::pending_request::{AttemptId, Owner, StreamedParts};
+use super::pooled_attempts::PooledExchange;
+use super::timers::{ProbeId, Timer};
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{AttemptNo, Event, ListScope, NodeId, Outcome, Readiness, RequestId};
 use flaxstand_proto::{
@@ -21,12 +22,12 @@
         }
         self.upstream.start_attempt(at, attempt);
         if self.on_platform() {
-            return self.carry(at, Carried::Attempt(attempt), now);
+            return self.send_pooled(at, PooledExchange::Attempt(attempt), now);
         }
         let open = match self.upstream.framed(at) {
-            Some(conn) => self.plumbing.is_open(conn).then_some(conn),
+            Some(conn) => self.connections.is_open(conn).then_some(conn),
             None => {
-                self.dial(at, now);
+                self.connect_node(at, now);
                 None
             }
         };
@@ -37,80 +38,81 @@
     }
 
     /// A probe, at the module's word. It goes where a connection stands: it is asked for what is out there.
-    pub(super) fn probe(&mut self, at: NodeId, now: Micros) {
+    pub(super) fn start_probe(&mut self, at: NodeId, now: Micros) {
         let ends = now.after(self.config.site.waits.dial);
-        let token = self.upstream.next_probe_token();
-        self.plumbing.at(ends, Timer::Probe(at, token));
+        let probe = ProbeId { node: at, token: self.upstream.next_probe_token() };
+        self.timers.set(ends, Timer::ProbeTimeout(probe));
         if self.nodes.get(at).is_none() {
             return;
         }
-        self.upstream.start_probe(at, token, ends);
-        if !self.node_takes_work(at, now) {
-            return self.probed(at, token, Outcome::NotSent);
+        self.upstream.start_probe(probe, ends);
+        if !self.node_accepts_work(at, now) {
+            return self.probe_ended(probe, Outcome::NotSent);
         }
         if self.on_platform() {
-            return self.carry(at, Carried::Probe(at, token), now);
+            return self.send_pooled(at, PooledExchange::Probe(probe), now);
         }
-        if let Some(conn) = self.upstream.framed(at).filter(|conn| self.plumbing.is_open(*conn)) {
-            self.plumbing.push(conn, &Frame::Probe { token });
+        if let Some(conn) = self.upstream.framed(at).filter(|conn| self.connections.is_open(*conn)) {
+            self.connections.send_frame(conn, &Frame::Probe { token: probe.token });
         }
     }
 
     /// A probe has been out for long enough.
-    pub(super) fn probe_times_out(&mut self, at: NodeId, token: u64, now: Micros) {
-        let conn = self.upstream.take_probe_connection(at, token);
-        self.probed(at, token, Outcome::TimedOut);
+    pub(super) fn probe_timed_out(&mut self, probe: ProbeId, now: Micros) {
+        let conn = self.upstream.take_probe_connection(probe);
+        self.probe_ended(probe, Outcome::TimedOut);
         if let Some(conn) = conn {
-            self.hang_up_probe(conn, at, token, now);
+            self.close_abandoned_probe(conn, probe, now);
         }
     }
 
     /// The probe that is out ended.
-    pub(super) fn probed(&mut self, at: NodeId, token: u64, outcome: Outcome) {
-        if let Some(times_out_at) = self.upstream.end_probe(at, token) {
-            self.plumbing.cancel(times_out_at, Timer::Probe(at, token));
-            self.events.push_back(Event::ProbeEnded(at, outcome));
+    pub(super) fn probe_ended(&mut self, probe: ProbeId, outcome: Outcome) {
+        if let Some(times_out_at) = self.upstream.end_probe(probe) {
+            self.timers.cancel(times_out_at, Timer::ProbeTimeout(probe));
+            self.events.push_back(Event::ProbeEnded(probe.node, outcome));
         }
     }
 
-    fn dial(&mut self, at: NodeId, now: Micros) {
+    fn connect_node(&mut self, at: NodeId, now: Micros) {
         let Some(node) = self.nodes.get(at) else { return };
         let by = now.after(self.config.site.waits.dial);
         let protocol = Protocol::Frames(Inbox::default());
-        let conn = self.plumbing.dial(Peer::Node(at), protocol, node.address.clone(), by);
+        let conn =
+            self.connections.dial(&mut self.timers, Peer::Node(at), protocol, node.address.clone(), by);
         self.upstream.set_framed(at, conn);
         debug!(node = %node.name, address = %node.address, conn = conn.0, "calling a node");
     }
 
     fn hand_over(&mut self, attempt: AttemptId, conn: ConnId, now: Micros) {
-        let full = self.plumbing.get(conn).is_some_and(|c| c.outbox.len() > self.config.bounds.node_bytes);
+        let full = self.connections.get(conn).is_some_and(|c| c.outbox.len() > self.config.bounds.node_bytes);
         if full {
             // What waits for this node is at its bound; it never left, so it has not run.
             self.end_attempt(attempt, Outcome::Rejected, now);
             return;
         }
-        let Some(held) = self.requests.get_mut(attempt.request) else { return };
+        let Some(pending) = self.requests.get_mut(attempt.request) else { return };
         // The connection has its turn for a moment; the payload must not be copied once more.
-        let payload = std::mem::take(&mut held.payload);
+        let payload = std::mem::take(&mut pending.payload);
         let frame = Frame::Attempt(Attempt {
             request: attempt.request.0,
             attempt: attempt.number.0,
-            operation: held.operation,
-            class: held.class,
-            plan: held.plan,
-            write: held.write,
-            stream: self.config.site.classes[usize::from(held.class)].stream,
-            volume: held.volume,
-            extent: held.extent,
-            units: held.units,
-            at: held.at,
-            time_left: u32::try_from(held.expires_at.since(now).0).unwrap_or(u32::MAX),
+            operation: pending.operation,
+            class: pending.class,
+            plan: pending.plan,
+            write: pending.is_write,
+            stream: self.config.site.classes[usize::from(pending.class)].stream,
+            volume: pending.volume,
+            extent: pending.extent,
+            units: pending.units,
+            at: pending.offset,
+            time_left: u32::try_from(pending.expires_at.since(now).0).unwrap_or(u32::MAX),
             payload: &payload,
         });
-        let ends = self.plumbing.push(conn, &frame);
+        let ends = self.connections.send_frame(conn, &frame);
         self.counts.attempts += 1;
-        if let Some(held) = self.requests.get_mut(attempt.request) {
-            held.payload = payload;
+        if let Some(pending) = self.requests.get_mut(attempt.request) {
+            pending.payload = payload;
         }
         self.requests.record_hand_over(attempt, conn, ends);
     }
@@ -146,10 +148,10 @@
             self.list.save.learnt(at);
             self.events.push_back(Event::EndpointList(ListScope::Changes, vec![entry]));
         }
-        self.plumbing.is_at(conn, Stage::Open);
-        self.plumbing.at(now.after(idle), Timer::Idle(conn));
+        self.connections.set_stage(conn, Stage::Open);
+        self.timers.set(now.after(idle), Timer::IdleTimeout(conn));
         for attempt in waiting {
-            if restarted || !self.may_begin(attempt, now) {
+            if restarted || !self.may_send(attempt, now) {
                 // Not sent: the module sends it when the node bears it, if at all.
                 self.end_attempt(attempt, Outcome::NotSent, now);
             } else {
@@ -176,14 +178,19 @@
             info!(node = %node.name, cause, out = out.len(), ?stage, "connection to a node lost");
         }
         for attempt in out {
-            self.broken_off(attempt, conn, written, now);
+            self.attempt_connection_lost(attempt, conn, written, now);
         }
     }
 
     /// Whether this word of an attempt comes from where it was sent; else nobody waits for it any more.
-    fn flies(&mut self, conn: ConnId, request: u64, attempt: u32) -> Option<AttemptId> {
+    fn in_flight_on(&mut self, conn: ConnId, request: u64, attempt: u32) -> Option<AttemptId> {
         let id = AttemptId { request: RequestId(request), number: AttemptNo(attempt) };
-        if self.requests.attempt(id).and_then(|f| f.handed).is_some_and(|handed| handed.conn == conn) {
+        if self
+            .requests
+            .attempt(id)
+            .and_then(|f| f.handed_over)
+            .is_some_and(|handed_over| handed_over.conn == conn)
+        {
             return Some(id);
         }
         self.counts.late_outcomes += 1;
@@ -192,12 +199,14 @@
     }
 
     pub(super) fn attempt_done(&mut self, conn: ConnId, d: &Done<'_>, now: Micros) {
-        let Some(attempt) = self.flies(conn, d.request, d.attempt) else { return };
+        let Some(attempt) = self.in_flight_on(conn, d.request, d.attempt) else { return };
         match d.code {
             Code::Served => {
-                let Some(Conn { peer: Peer::Node(at), .. }) = self.plumbing.get(conn) else { return };
+                let Some(Connection { peer: Peer::Node(at), .. }) = self.connections.get(conn) else {
+                    return;
+                };
                 let shard = self.nodes.get(*at).map_or(0, |n| n.shard);
-                self.served(attempt, shard, d.payload, now);
+                self.attempt_served(attempt, shard, d.payload, now);
             }
             Code::Error => self.end_attempt(attempt, Outcome::Error, now),
             Code::Rejected => self.end_attempt(attempt, Outcome::Rejected, now),
@@ -205,51 +214,51 @@
     }
 
     pub(super) fn attempt_chunk(&mut self, conn: ConnId, request: u64, attempt: u32, payload: &[u8]) {
-        let Some(id) = self.flies(conn, request, attempt) else { return };
-        let Some(held) = self.requests.get_mut(id.request) else { return };
-        if held.merge.is_some() {
+        let Some(id) = self.in_flight_on(conn, request, attempt) else { return };
+        let Some(pending) = self.requests.get_mut(id.request) else { return };
+        if pending.merge_extent.is_some() {
             // Only the whole of it can be laid over; until then the attempt is like any other.
-            if held.gathered.0 != id.number {
-                held.gathered = (id.number, Vec::new());
+            if pending.streamed.attempt != id.number {
+                pending.streamed = StreamedParts { attempt: id.number, bytes: Vec::new() };
             }
-            held.gathered.1.extend_from_slice(payload);
+            pending.streamed.bytes.extend_from_slice(payload);
             return;
         }
-        if !std::mem::replace(&mut held.streaming, true) {
+        if !std::mem::replace(&mut pending.is_streaming, true) {
             self.events.push_back(Event::ResponseStarted(id.request));
         }
-        if let Some(Owner::Client(client, client_id)) = held.owner {
-            self.plumbing.push(client, &Frame::Part { id: client_id, payload });
+        if let Some(Owner::Client(client, client_id)) = pending.owner {
+            self.connections.send_frame(client, &Frame::Part { id: client_id, payload });
         }
     }
 
-    pub(super) fn node_flight_ended(&mut self, at: NodeId, attempt: AttemptId, now: Micros) {
+    pub(super) fn attempt_left_node(&mut self, at: NodeId, attempt: AttemptId, now: Micros) {
         if self.upstream.end_attempt(at, attempt, now) {
-            self.close_if_gone(at, now);
+            self.close_if_removed(at, now);
         }
     }
 
     /// A node that is gone from the list and has nothing of ours out needs no connection.
-    pub(super) fn close_if_gone(&mut self, at: NodeId, now: Micros) {
+    pub(super) fn close_if_removed(&mut self, at: NodeId, now: Micros) {
         let is_removed = self.nodes.get(at).is_some_and(|node| node.readiness() == Readiness::Removed);
         if !is_removed || self.upstream.has_in_flight(at) {
             return;
         }
         if let Some(conn) = self.upstream.framed(at) {
             self.upstream.clear_framed(at);
-            self.lost(conn, "node is gone", true, now);
+            self.close(conn, "node is gone", now);
         }
     }
 
-    pub(super) fn idle(&mut self, conn: ConnId, now: Micros) {
-        let Some(Conn { peer: Peer::Node(at), .. }) = self.plumbing.get(conn) else { return };
+    pub(super) fn check_idle(&mut self, conn: ConnId, now: Micros) {
+        let Some(Connection { peer: Peer::Node(at), .. }) = self.connections.get(conn) else { return };
         let (at, idle) = (*at, self.config.site.waits.idle);
         let Some(since) = self.upstream.idle_since(at, now) else { return };
         if now.since(since) >= idle {
             self.upstream.clear_framed(at);
-            self.lost(conn, "idle", true, now);
+            self.close(conn, "idle", now);
         } else {
-            self.plumbing.at(since.after(idle), Timer::Idle(conn));
+            self.timers.set(since.after(idle), Timer::IdleTimeout(conn));
         }
     }
 }
--- a/crates/flaxstand-gateway/src/core/platform_list.rs
+++ b/crates/flaxstand-gateway/src/core/platform_list.rs
@@ -43,7 +43,7 @@
         serving.iter().for_each(|id| self.nodes.set_readiness(*id, Readiness::Draining, now));
         let entries = serving.iter().filter_map(|id| Some(self.nodes.get(*id)?.entry(*id))).collect();
         self.events.push_back(Event::EndpointList(ListScope::Changes, entries));
-        self.call_back_from_drained(&serving, now);
+        self.withdraw_unsent_from_drained(&serving, now);
     }
 
     fn take_listing(&mut self, listing: &Listing, now: Micros) {
--- a/crates/flaxstand-gateway/src/core/request_table.rs
+++ b/crates/flaxstand-gateway/src/core/request_table.rs
@@ -1,14 +1,14 @@
 //! Requests that are pending, with their attempts, and what identifies them to clients.
 
-use super::requests::{AttemptId, Flight, HandedOver, Held};
+use super::pending_request::{AttemptId, HandOver, InFlightAttempt, PendingRequest};
 use crate::machine::ConnId;
 use flaxstand::api::{RequestId, VolumeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All requests from their arrival until they are answered and have no attempt in flight.
+/// All requests from their arrival until they are answered and have no attempt in attempt_in_flight.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
-    pending: BTreeMap<RequestId, Held>,
+    pending: BTreeMap<RequestId, PendingRequest>,
     last_id: u64,
     /// Ids that clients of the platform gave the requests that are pending.
     client_ids: BTreeSet<String>,
@@ -23,14 +23,14 @@
         RequestId(self.last_id)
     }
 
-    pub(super) fn insert(&mut self, id: RequestId, request: Held) {
+    pub(super) fn insert(&mut self, id: RequestId, request: PendingRequest) {
         if let Some(origin) = &request.origin {
             self.client_ids.insert(origin.id.clone());
         }
         self.pending.insert(id, request);
     }
 
-    pub(super) fn remove(&mut self, id: RequestId) -> Option<Held> {
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.pending.remove(&id)?;
         if let Some(origin) = &request.origin {
             self.client_ids.remove(&origin.id);
@@ -38,20 +38,20 @@
         Some(request)
     }
 
-    /// Removes a request that is answered and has no attempt in flight; none: it is not.
-    pub(super) fn remove_if_finished(&mut self, id: RequestId) -> Option<Held> {
+    /// Removes a request that is answered and has no attempt in attempt_in_flight; none: it is not.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.pending.get(&id)?;
-        if request.owner.is_some() || !request.flights.is_empty() {
+        if request.owner.is_some() || !request.in_flight.is_empty() {
             return None;
         }
         self.remove(id)
     }
 
-    pub(super) fn get(&self, id: RequestId) -> Option<&Held> {
+    pub(super) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.pending.get(&id)
     }
 
-    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut Held> {
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.pending.get_mut(&id)
     }
 
@@ -71,15 +71,23 @@
     }
 
     /// An attempt that is in flight, or waits for its node's connection.
-    pub(super) fn attempt(&self, id: AttemptId) -> Option<&Flight> {
-        self.get(id.request)?.flights.iter().find(|flight| flight.attempt == id.number)
+    pub(super) fn attempt(&self, id: AttemptId) -> Option<&InFlightAttempt> {
+        self.get(id.request)?.in_flight.iter().find(|attempt| attempt.number == id.number)
+    }
+
+    /// Removes an attempt that has ended.
+    pub(super) fn remove_attempt(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
+        let in_flight = &mut self.get_mut(id.request)?.in_flight;
+        let index = in_flight.iter().position(|attempt| attempt.number == id.number)?;
+        Some(in_flight.swap_remove(index))
     }
 
     /// An attempt is in a connection's outbox, and ends at this byte of its stream.
-    pub(super) fn record_hand_over(&mut self, id: AttemptId, conn: ConnId, ends: u64) {
-        let flights = self.get_mut(id.request).map(|request| &mut request.flights);
-        if let Some(flight) = flights.and_then(|f| f.iter_mut().find(|f| f.attempt == id.number)) {
-            flight.handed = Some(HandedOver { conn, ends });
+    pub(super) fn record_hand_over(&mut self, id: AttemptId, conn: ConnId, end_offset: u64) {
+        let in_flight = self.get_mut(id.request).map(|request| &mut request.in_flight);
+        let attempt = in_flight.and_then(|all| all.iter_mut().find(|attempt| attempt.number == id.number));
+        if let Some(attempt) = attempt {
+            attempt.handed_over = Some(HandOver { conn, end_offset });
         }
     }
 
--- a/crates/flaxstand-gateway/src/core/saved_list.rs
+++ b/crates/flaxstand-gateway/src/core/saved_list.rs
@@ -10,7 +10,7 @@
 //! time a change costs no more than twice its own length, however many nodes are listed.
 
 use super::Core;
-use super::decider::Decider;
+use super::decision_policy::DecisionPolicy;
 use super::node_table::{NodeName, NodePeer};
 use crate::machine::{Command, Micros};
 use flaxstand::api::{NodeId, Readiness};
@@ -213,7 +213,7 @@
         }
         self.list.save.appended += bytes.len();
         self.counts.saved_bytes += bytes.len() as u64;
-        self.plumbing.command(Command::AppendList(bytes));
+        self.connections.command(Command::AppendList(bytes));
     }
 
     /// Saves all of the list, and the pace of every node.
@@ -223,7 +223,7 @@
         *save = SavePlan { whole: Some(bytes.len()), paces_at: Some(now), ..SavePlan::default() };
         self.counts.saved_bytes += bytes.len() as u64;
         self.counts.whole_saves += 1;
-        self.plumbing.command(Command::SaveList(bytes));
+        self.connections.command(Command::SaveList(bytes));
     }
 
     fn encode_whole(&self, now: Micros) -> Vec<u8> {
@@ -283,7 +283,7 @@
 
     /// Unloaded time of a unit at a node, microseconds, as the module has learnt it.
     fn service_time_of(&self, id: NodeId) -> Option<u32> {
-        let Decider::Module(scheduler) = &self.decider else { return None };
+        let DecisionPolicy::Scheduler(scheduler) = &self.policy else { return None };
         u32::try_from(Micros::from_ms(scheduler.service_time_of(id)?).0).ok()
     }
 }
--- a/crates/flaxstand-gateway/src/core/upstream_pool.rs
+++ b/crates/flaxstand-gateway/src/core/upstream_pool.rs
@@ -1,7 +1,8 @@
 //! Bookkeeping of connections to storage nodes: which connection leads to which node, what is in flight on them, and
 //! which pooled connections are idle. It opens and closes nothing itself.
 
-use super::requests::AttemptId;
+use super::pending_request::AttemptId;
+use super::timers::ProbeId;
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::NodeId;
 use std::cell::Cell;
@@ -145,33 +146,34 @@
     }
 
     /// A probe is out from now on, in place of an earlier one.
-    pub(super) fn start_probe(&mut self, node: NodeId, token: u64, times_out_at: Micros) {
-        self.nodes.entry(node).or_default().probe = Some(OutstandingProbe { token, times_out_at });
+    pub(super) fn start_probe(&mut self, probe: ProbeId, times_out_at: Micros) {
+        let outstanding = OutstandingProbe { token: probe.token, times_out_at };
+        self.nodes.entry(probe.node).or_default().probe = Some(outstanding);
     }
 
     /// A probe has ended. Returns when it would have timed out, if it was the one that is out.
-    pub(super) fn end_probe(&mut self, node: NodeId, token: u64) -> Option<Micros> {
-        let node = self.node_mut(node)?;
-        node.probe_connections.remove(&token);
-        Some(node.probe.take_if(|probe| probe.token == token)?.times_out_at)
+    pub(super) fn end_probe(&mut self, ended: ProbeId) -> Option<Micros> {
+        let node = self.node_mut(ended.node)?;
+        node.probe_connections.remove(&ended.token);
+        Some(node.probe.take_if(|probe| probe.token == ended.token)?.times_out_at)
     }
 
     /// Which connection carries a probe.
-    pub(super) fn set_probe_connection(&mut self, node: NodeId, token: u64, conn: ConnId) {
-        if let Some(node) = self.node_mut(node) {
-            node.probe_connections.insert(token, conn);
+    pub(super) fn set_probe_connection(&mut self, probe: ProbeId, conn: ConnId) {
+        if let Some(node) = self.node_mut(probe.node) {
+            node.probe_connections.insert(probe.token, conn);
         }
     }
 
     /// The connection that carries a probe, which is not waited for any more.
-    pub(super) fn take_probe_connection(&mut self, node: NodeId, token: u64) -> Option<ConnId> {
-        self.node_mut(node)?.probe_connections.remove(&token)
+    pub(super) fn take_probe_connection(&mut self, probe: ProbeId) -> Option<ConnId> {
+        self.node_mut(probe.node)?.probe_connections.remove(&probe.token)
     }
 
-    /// Tokens of the probes that pooled connections carry, each with its connection.
-    pub(super) fn probe_connections(&self, node: NodeId) -> impl Iterator<Item = (u64, ConnId)> {
+    /// Probes that pooled connections carry, each with its connection.
+    pub(super) fn probe_connections(&self, node: NodeId) -> impl Iterator<Item = (ProbeId, ConnId)> {
         let connections = self.node(node).into_iter().flat_map(|node| &node.probe_connections);
-        connections.map(|(token, conn)| (*token, *conn))
+        connections.map(move |(token, conn)| (ProbeId { node, token: *token }, *conn))
     }
 
     /// How many pooled connections there are, those being opened included.
--- a/crates/flaxstand-gateway/src/core/write_back.rs
+++ b/crates/flaxstand-gateway/src/core/write_back.rs
@@ -1,7 +1,7 @@
 //! The write-back buffer with what the core knows of its write-outs.
 
 use super::config::{Site, WriteBack};
-use super::requests::{Held, Owner, Verdict, With};
+use super::pending_request::{FinalAnswer, Handler, Owner, PendingRequest};
 use super::write_out_classes::{buffer_config, write_out_class};
 use crate::machine::Micros;
 use flaxstand::api::RequestId;
@@ -16,7 +16,7 @@
 
 /// A client's mark in the order of its writes.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Mark {
+pub(super) enum OrderingRequest {
     /// Of this volume.
     Barrier(u64),
     /// Of this volume, or of all.
@@ -92,10 +92,10 @@
     }
 
     /// A client's barrier or flush.
-    pub(super) fn mark(&mut self, id: RequestId, mark: Mark, now: Micros) {
+    pub(super) fn mark(&mut self, id: RequestId, mark: OrderingRequest, now: Micros) {
         match mark {
-            Mark::Barrier(volume) => self.buffer.barrier(WriteHandle(id.0), volume, now),
-            Mark::Flush(volume) => self.buffer.flush(WriteHandle(id.0), volume),
+            OrderingRequest::Barrier(volume) => self.buffer.barrier(WriteHandle(id.0), volume, now),
+            OrderingRequest::Flush(volume) => self.buffer.flush(WriteHandle(id.0), volume),
         }
     }
 
@@ -133,34 +133,40 @@
         self.buffer.expire(WriteHandle(id.0), now)
     }
 
-    /// A request is answered and has no attempt in flight.
-    pub(super) fn record_end(&mut self, id: RequestId, request: &Held, now: Micros) {
-        match request.owner_was {
+    /// A request is answered and has no attempt in attempt_in_flight.
+    pub(super) fn record_end(&mut self, id: RequestId, request: &PendingRequest, now: Micros) {
+        match request.original_owner {
             Owner::Buffer(write_out) => self.record_write_out_end(write_out, request, now),
             Owner::Client(..) => self.record_client_request_end(WriteHandle(id.0), request, now),
         }
     }
 
-    fn record_write_out_end(&mut self, id: WriteOutId, request: &Held, now: Micros) {
+    fn record_write_out_end(&mut self, id: WriteOutId, request: &PendingRequest, now: Micros) {
         if self.write_outs.remove(&id).is_none() {
             return;
         }
-        let unsure = request.ran;
-        let result = match request.verdict {
-            Verdict::Served => WriteOutResult::Confirmed { lingers: unsure },
-            Verdict::NotRun(_) | Verdict::Failed | Verdict::None if unsure => WriteOutResult::Unsure,
-            Verdict::NotRun(wait) => WriteOutResult::NotRun { wait },
-            Verdict::Failed | Verdict::None => WriteOutResult::NotRun { wait: Micros(0) },
+        let unsure = request.may_have_run;
+        let result = match request.final_answer {
+            FinalAnswer::Served => WriteOutResult::Confirmed { lingers: unsure },
+            FinalAnswer::NotExecuted(_) | FinalAnswer::Failed | FinalAnswer::None if unsure => {
+                WriteOutResult::Unsure
+            }
+            FinalAnswer::NotExecuted(wait) => WriteOutResult::NotRun { wait },
+            FinalAnswer::Failed | FinalAnswer::None => WriteOutResult::NotRun { wait: Micros(0) },
         };
         self.buffer.try_ended(id, result, now);
     }
 
-    fn record_client_request_end(&mut self, handle: WriteHandle, request: &Held, now: Micros) {
-        match request.with {
-            With::Module { through: true } => self.buffer.through_ended(handle, request.ran, now),
-            With::Buffer => self.buffer.gone(handle, now),
-            With::Module { through: false } if request.merge.is_some() => self.buffer.gone(handle, now),
-            With::Module { through: false } => {}
+    fn record_client_request_end(&mut self, handle: WriteHandle, request: &PendingRequest, now: Micros) {
+        match request.handler {
+            Handler::Module { passed_on: true } => {
+                self.buffer.through_ended(handle, request.may_have_run, now)
+            }
+            Handler::Buffer => self.buffer.gone(handle, now),
+            Handler::Module { passed_on: false } if request.merge_extent.is_some() => {
+                self.buffer.gone(handle, now)
+            }
+            Handler::Module { passed_on: false } => {}
         }
     }
 
