--- a/crates/flaxstand-gateway/src/core/agreement.rs
+++ b/crates/flaxstand-gateway/src/core/agreement.rs
@@ -2,8 +2,8 @@
 //! now for the module. All that is decided is `flaxstand-consensus`'s; here are connections, and calls that are made
 //! again after a wait.
 
-use super::clients::Fault;
 use super::connection_table::{Connection, Peer, Protocol, Stage};
+use super::peer_fault::PeerFault;
 use super::timers::Timer;
 use super::{Backoff, Core};
 use crate::machine::{Address, Command, ConnId, Micros};
@@ -120,10 +120,10 @@
     }
 
     /// Who calls must be in the list that this initiator was told, or an operator's command.
-    pub(super) fn fellow_greeted(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), Fault> {
+    pub(super) fn fellow_greeted(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), PeerFault> {
         let (oldest, newest) = hello.versions;
         if oldest > VERSION || newest < VERSION_OLDEST {
-            return Err((
+            return Err(PeerFault::new(
                 CloseReason::Version,
                 format!("versions {oldest} to {newest}, {VERSION} is spoken here"),
             ));
@@ -133,7 +133,7 @@
             Role::Initiator if known => Fellow::Initiator(hello.name.to_owned()),
             Role::Client => Fellow::Operator,
             role => {
-                return Err((
+                return Err(PeerFault::new(
                     CloseReason::WrongPeer,
                     format!("{role:?} {:?} is not in the list", hello.name),
                 ));
@@ -155,13 +155,13 @@
     }
 
     /// One that was called answers.
-    pub(super) fn fellow_welcomed(&mut self, conn: ConnId, w: &Welcome<'_>) -> Result<(), Fault> {
+    pub(super) fn fellow_welcomed(&mut self, conn: ConnId, w: &Welcome<'_>) -> Result<(), PeerFault> {
         let Some(Connection { peer: Peer::Fellow(Fellow::Called(name)), .. }) = self.connections.get(conn)
         else {
-            return Err((CloseReason::Protocol, "a welcome that nobody waits for".into()));
+            return Err(PeerFault::protocol("a welcome that nobody waits for"));
         };
         if w.role != Role::Initiator || w.name != name {
-            return Err((
+            return Err(PeerFault::new(
                 CloseReason::WrongPeer,
                 format!("expected initiator {name:?}, met {:?} {:?}", w.role, w.name),
             ));
@@ -179,13 +179,13 @@
         Ok(())
     }
 
-    pub(super) fn fellow_said(&mut self, conn: ConnId, bytes: &[u8], now: Micros) -> Result<(), Fault> {
+    pub(super) fn fellow_said(&mut self, conn: ConnId, bytes: &[u8], now: Micros) -> Result<(), PeerFault> {
         let word: PeerMessage =
-            postcard::from_bytes(bytes).map_err(|e| (CloseReason::Protocol, format!("no word: {e}")))?;
+            postcard::from_bytes(bytes).map_err(|e| PeerFault::protocol(format!("no word: {e}")))?;
         let from = match self.connections.get(conn).map(|c| &c.peer) {
             Some(Peer::Fellow(Fellow::Initiator(name) | Fellow::Called(name))) => Some(name.clone()),
             Some(Peer::Fellow(Fellow::Operator)) => None,
-            _ => return Err((CloseReason::Protocol, "a word of a stranger".into())),
+            _ => return Err(PeerFault::protocol("a word of a stranger")),
         };
         if let Some(agreed) = &mut self.agreed {
             agreed.agreement.heard(conn.0, from.as_deref(), word, now);
--- a/crates/flaxstand-gateway/src/core/buffered_requests.rs
+++ b/crates/flaxstand-gateway/src/core/buffered_requests.rs
@@ -2,14 +2,14 @@
 //! buffer first; what it passes on, and its own write-outs, are ordinary requests to the module.
 
 use super::Core;
-use super::clients::Fault;
+use super::peer_fault::PeerFault;
 use super::pending_request::{FinalAnswer, Handler, PendingRequest};
 use super::timers::Timer;
 use super::write_back::{OrderingRequest, WriteBackCoordinator};
 use super::write_back_status::status_json;
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::{Event, RequestId, VolumeId};
-use flaxstand_proto::{CloseReason, Frame, Refusal, Scope, Submit};
+use flaxstand_proto::{Frame, Refusal, Scope, Submit};
 use flaxstand_write_back::image::MAX_EXTENT_BYTES;
 use flaxstand_write_back::writeout::Urgency;
 use flaxstand_write_back::{
@@ -33,10 +33,10 @@
     }
 
     /// What a write may not be, whatever becomes of it.
-    pub(super) fn range_fault(s: &Submit<'_>) -> Result<(), Fault> {
+    pub(super) fn range_fault(s: &Submit<'_>) -> Result<(), PeerFault> {
         let Some(at) = s.at else { return Ok(()) };
         let end = at as usize + s.payload.len();
-        let fault = |text: String| Err((CloseReason::Protocol, text));
+        let fault = |text: String| Err(PeerFault::protocol(text));
         match (s.write, s.extent) {
             (true, Some(_)) if end <= MAX_EXTENT_BYTES => Ok(()),
             (true, Some(_)) => fault(format!("a write up to byte {end}, extents have {MAX_EXTENT_BYTES}")),
@@ -92,7 +92,7 @@
         mark: OrderingRequest,
         time_left: u32,
         now: Micros,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), PeerFault> {
         let Some((id, expires_at)) = self.reserve_request(conn, client_id, None, time_left, now)? else {
             return Ok(());
         };
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -4,6 +4,7 @@
 use super::admission::Admission;
 use super::connection_table::{Connection, Peer, Protocol, Stage};
 use super::http_server::Origin;
+use super::peer_fault::PeerFault;
 use super::pending_request::{FinalAnswer, Handler, PendingRequest};
 use super::shutdown::Phase;
 use super::timers::Timer;
@@ -16,9 +17,6 @@
 use std::collections::BTreeMap;
 use tracing::{debug, info, warn};
 
-/// A protocol fault: what is said to the peer before the connection is closed.
-pub(super) type Fault = (CloseReason, String);
-
 /// A client's connection.
 #[derive(Debug, Default)]
 pub(super) struct Client {
@@ -64,15 +62,15 @@
         Ok(conn)
     }
 
-    pub(super) fn client_said_hello(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), Fault> {
+    pub(super) fn client_said_hello(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), PeerFault> {
         if hello.role != Role::Client {
-            return Err((CloseReason::Protocol, format!("a client was expected, not {:?}", hello.role)));
+            return Err(PeerFault::protocol(format!("a client was expected, not {:?}", hello.role)));
         }
         let (oldest, newest) = hello.versions;
         if oldest > VERSION || newest < VERSION_OLDEST {
             let text =
                 format!("versions {oldest} to {newest}, this initiator speaks {VERSION_OLDEST} to {VERSION}");
-            return Err((CloseReason::Version, text));
+            return Err(PeerFault::new(CloseReason::Version, text));
         }
         self.connections.set_stage(conn, Stage::Open);
         let welcome = Welcome {
@@ -94,8 +92,8 @@
         s: &Submit<'_>,
         origin: Option<Origin>,
         now: Micros,
-    ) -> Result<(), Fault> {
-        let fault = |text: String| Err((CloseReason::Protocol, text));
+    ) -> Result<(), PeerFault> {
+        let fault = |text: String| Err(PeerFault::protocol(text));
         let site = &self.config.site;
         let max_units = site.settings.max_units;
         if usize::from(s.class) >= site.classes.len() {
@@ -129,12 +127,12 @@
         volume: Option<VolumeId>,
         time_left: u32,
         now: Micros,
-    ) -> Result<Option<(RequestId, Micros)>, Fault> {
+    ) -> Result<Option<(RequestId, Micros)>, PeerFault> {
         let Some(Connection { peer: Peer::Client(client), .. }) = self.connections.get(conn) else {
             return Ok(None);
         };
         if client.owed.contains_key(&client_id) {
-            return Err((CloseReason::Protocol, format!("number {client_id} is in use")));
+            return Err(PeerFault::protocol(format!("number {client_id} is in use")));
         }
         self.counts.accepted += 1;
         let bounds = &self.config.bounds;
--- a/crates/flaxstand-gateway/src/core/connection_table.rs
+++ b/crates/flaxstand-gateway/src/core/connection_table.rs
@@ -6,7 +6,7 @@
 use super::clients::Client;
 use super::http_server::HttpServer;
 use super::list_calls::ListConnection;
-use super::pooled_attempts::PooledConnection;
+use super::pooled_connection::PooledConnection;
 use super::timers::{Timer, TimerQueue};
 use crate::machine::{Address, Command, ConnId, Micros};
 use flaxstand::api::NodeId;
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -226,8 +226,8 @@
             id: r.id.to_owned(),
             key: r.key.map(str::to_owned),
         };
-        if let Err((_, text)) = self.submit(conn, &submit, Some(origin), now) {
-            self.respond(conn, 400, &[], text.as_bytes(), now);
+        if let Err(fault) = self.submit(conn, &submit, Some(origin), now) {
+            self.respond(conn, 400, &[], fault.text.as_bytes(), now);
         }
     }
 
--- a/crates/flaxstand-gateway/src/core/list.rs
+++ b/crates/flaxstand-gateway/src/core/list.rs
@@ -1,10 +1,10 @@
 //! The node list: one connection to its service, called again after breaks; changes applied in the order
 //! of their revisions; the whole list asked for after a gap.
 
-use super::clients::Fault;
 use super::connection_table::{Peer, Protocol, Stage};
 use super::list_calls::ListCalls;
 use super::node_table::NodeName;
+use super::peer_fault::PeerFault;
 use super::saved_list::{SavePlan, SavedList, SavedListError};
 use super::timers::Timer;
 use super::{Backoff, Core, Timeouts, Wire};
@@ -134,10 +134,15 @@
             Some(self.connections.dial(&mut self.timers, Peer::List, protocol, self.config.list.clone(), by));
     }
 
-    pub(super) fn list_greeted(&mut self, conn: ConnId, w: &Welcome<'_>, now: Micros) -> Result<(), Fault> {
+    pub(super) fn list_greeted(
+        &mut self,
+        conn: ConnId,
+        w: &Welcome<'_>,
+        now: Micros,
+    ) -> Result<(), PeerFault> {
         if w.role != Role::List || !(VERSION_OLDEST..=VERSION).contains(&w.version) {
             let text = format!("expected a list service, met {:?} of version {}", w.role, w.version);
-            return Err((CloseReason::WrongPeer, text));
+            return Err(PeerFault::new(CloseReason::WrongPeer, text));
         }
         self.connections.set_stage(conn, Stage::Open);
         (self.list.heard_at, self.list.asked, self.list.received_within_frame) = (now, false, None);
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -31,6 +31,7 @@
 mod client_registry;
 mod clients;
 mod config;
+mod connection_closing;
 mod connection_slots;
 mod connection_table;
 mod decision_policy;
@@ -42,9 +43,11 @@
 mod metrics;
 mod node_connections;
 mod node_table;
+mod peer_fault;
 mod pending_request;
 mod platform_list;
 mod pooled_attempts;
+mod pooled_connection;
 mod request_table;
 mod requests;
 mod saved_list;
@@ -73,6 +76,7 @@
 use flaxstand_proto::CloseReason;
 use list::ListPeer;
 use node_table::NodeTable;
+use peer_fault::PeerFault;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use request_table::RequestTable;
@@ -284,11 +288,11 @@
             Protocol::ListClient(_) => return self.list_received(conn, bytes, now),
         };
         let mut inbox = std::mem::take(inbox);
-        let fed = inbox.feed(bytes, |frame| self.frame(conn, frame, now));
+        let fed = inbox.feed(bytes, |frame| self.frame_received(conn, frame, now));
         if let Some(c) = self.connections.get_mut(conn) {
             c.protocol = Protocol::Frames(inbox);
             if let Err(e) = fed {
-                self.protocol_fault(conn, CloseReason::Protocol, &e.to_string(), now);
+                self.close_for_fault(conn, &PeerFault::protocol(e.to_string()), now);
             }
         }
     }
@@ -310,7 +314,7 @@
     fn wrote(&mut self, conn: ConnId, count: usize, now: Micros) {
         self.connections.record_written(conn, count);
         if let Some(link) = self.pooled_connection(conn) {
-            (link.rested, link.begun) = (false, true);
+            link.record_sent();
         }
         self.client_read(conn, now);
     }
@@ -329,7 +333,7 @@
     }
 
     fn rested(&self, conn: ConnId) -> bool {
-        matches!(self.connections.get(conn).map(|c| &c.protocol), Some(Protocol::HttpClient(link)) if link.rested)
+        matches!(self.connections.get(conn).map(|c| &c.protocol), Some(Protocol::HttpClient(link)) if link.is_reused_unwritten())
     }
 
     fn stored(&mut self, well: bool, now: Micros) {
--- a/crates/flaxstand-gateway/src/core/node_connections.rs
+++ b/crates/flaxstand-gateway/src/core/node_connections.rs
@@ -2,11 +2,11 @@
 //! is gone. What is known of an attempt whose connection broke depends on how much of it had left.
 
 use super::Core;
-use super::clients::Fault;
 use super::connection_table::{Connection, Peer, Protocol, Stage};
 use super::node_table::NodeName;
+use super::peer_fault::PeerFault;
 use super::pending_request::{AttemptId, Owner, StreamedParts};
-use super::pooled_attempts::PooledExchange;
+use super::pooled_connection::PooledExchange;
 use super::timers::{ProbeId, Timer};
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{AttemptNo, Event, ListScope, NodeId, Outcome, Readiness, RequestId};
@@ -123,19 +123,22 @@
         at: NodeId,
         w: &Welcome<'_>,
         now: Micros,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), PeerFault> {
         if !(VERSION_OLDEST..=VERSION).contains(&w.version) {
-            return Err((CloseReason::Version, format!("version {} was not offered", w.version)));
+            return Err(PeerFault::new(
+                CloseReason::Version,
+                format!("version {} was not offered", w.version),
+            ));
         }
         let idle = self.config.site.waits.idle;
         let Some(node) = self.nodes.get_mut(at) else { return Ok(()) };
         if w.role != Role::Node || NodeName::Number(w.id) != node.name {
             let text = format!("expected node {}, met {:?} {}", node.name, w.role, w.id);
-            return Err((CloseReason::WrongPeer, text));
+            return Err(PeerFault::new(CloseReason::WrongPeer, text));
         }
         if w.epoch < node.incarnation {
             let text = format!("expected incarnation {} of node {}, met {}", node.incarnation, w.id, w.epoch);
-            return Err((CloseReason::WrongPeer, text));
+            return Err(PeerFault::new(CloseReason::WrongPeer, text));
         }
         let waiting = self.upstream.framed_opened(at, now);
         // A start that the list has not told yet: the node is as cold as can be. Guards the rule on cold
@@ -162,7 +165,7 @@
     }
 
     /// The connection is no more. An attempt whose last byte had not left can't have run; another may have.
-    pub(super) fn node_lost(
+    pub(super) fn node_disconnected(
         &mut self,
         conn: ConnId,
         at: NodeId,
