--- a/crates/flaxstand-gateway/src/core/admission.rs
+++ b/crates/flaxstand-gateway/src/core/admission.rs
@@ -1,13 +1,14 @@
 //! Admission of clients' attempts while the load is more than can be served: retries are told from first attempts,
 //! and given less weight or rejected.
 
+use super::Core;
 use super::pending_request::{FinalAnswer, Owner, PendingRequest};
 use crate::machine::Micros;
 use flaxstand::api::{Class, RequestId, Settings};
 use flaxstand_overload::{
     AttemptCounts, ClientAttempt, RetryThrottle, RetryThrottleConfig, ThrottleDecision,
 };
-use flaxstand_proto::Scope;
+use flaxstand_proto::{Frame, Refusal, Scope};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tracing::{debug, info};
@@ -119,6 +120,53 @@
     }
 }
 
+impl Core {
+    /// Asks the admission gate about a client's attempt. Returns the module's class for it; none: it is rejected.
+    pub(super) fn pass_admission_gate(&mut self, id: RequestId, now: Micros) -> Option<usize> {
+        let request = self.requests.get(id)?;
+        let class = usize::from(request.class);
+        let Some(gate) = &mut self.gate else { return Some(class) };
+        match gate.admit(id, request, now) {
+            Admission::FirstAttempt => Some(class),
+            Admission::Retry => {
+                let class = gate.retry_class(class);
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.is_retry = true;
+                }
+                Some(class)
+            }
+            Admission::Rejected { wait, scope } => {
+                self.reject_retry(id, wait, scope, now);
+                None
+            }
+        }
+    }
+
+    fn reject_retry(&mut self, id: RequestId, wait: Micros, scope: Scope, now: Micros) {
+        self.counts.retries_rejected += 1;
+        if let Some(request) = self.requests.get_mut(id) {
+            // The throttle counted it when it arrived.
+            request.is_end_recorded = true;
+        }
+        let (wait, refusal) = (u32::try_from(wait.0).unwrap_or(u32::MAX), Refusal::Storm);
+        self.send_final_answer(id, FinalAnswer::NotExecuted(Micros(0)), now, |id| Frame::Refused {
+            id,
+            wait,
+            refusal,
+            scope,
+        });
+    }
+
+    /// The module's class of a request.
+    pub(super) fn module_class(&self, request: &PendingRequest) -> usize {
+        let class = usize::from(request.class);
+        match &self.gate {
+            Some(gate) if request.is_retry => gate.retry_class(class),
+            _ => class,
+        }
+    }
+}
+
 fn client_attempt(request: &PendingRequest) -> ClientAttempt {
     ClientAttempt {
         volume: request.volume,
--- a/crates/flaxstand-gateway/src/core/buffered_requests.rs
+++ b/crates/flaxstand-gateway/src/core/buffered_requests.rs
@@ -2,6 +2,7 @@
 //! buffer first; what it passes on, and its own write-outs, are ordinary requests to the module.
 
 use super::Core;
+use super::clients::ReservedRequest;
 use super::peer_fault::PeerFault;
 use super::pending_request::{FinalAnswer, Handler, PendingRequest};
 use super::timers::Timer;
@@ -33,7 +34,7 @@
     }
 
     /// What a write may not be, whatever becomes of it.
-    pub(super) fn range_fault(s: &Submit<'_>) -> Result<(), PeerFault> {
+    pub(super) fn check_write_range(s: &Submit<'_>) -> Result<(), PeerFault> {
         let Some(at) = s.at else { return Ok(()) };
         let end = at as usize + s.payload.len();
         let fault = |text: String| Err(PeerFault::protocol(text));
@@ -93,7 +94,9 @@
         time_left: u32,
         now: Micros,
     ) -> Result<(), PeerFault> {
-        let Some((id, expires_at)) = self.reserve_request(conn, client_id, None, time_left, now)? else {
+        let Some(ReservedRequest { id, expires_at }) =
+            self.reserve_request(conn, client_id, None, time_left, now)?
+        else {
             return Ok(());
         };
         self.requests.insert(id, PendingRequest::ordering_request(conn, client_id, expires_at));
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -1,11 +1,10 @@
 //! Clients: their greeting, their submissions, and the bounds that keep one from harming the others.
 
 use super::Core;
-use super::admission::Admission;
 use super::connection_table::{Connection, Peer, Protocol, Stage};
 use super::http_server::Origin;
 use super::peer_fault::PeerFault;
-use super::pending_request::{FinalAnswer, Handler, PendingRequest};
+use super::pending_request::{Handler, PendingRequest};
 use super::shutdown::Phase;
 use super::timers::Timer;
 use crate::machine::{Command, ConnId, Micros};
@@ -22,46 +21,87 @@
 pub(super) struct Client {
     /// Its requests that are owed an answer, by its own numbers.
     pub(super) owed: BTreeMap<u64, RequestId>,
-    /// It is not read until it has read what waits for it.
-    pub(super) paused: bool,
+    /// It is not read until it has read the answers that wait for it.
+    pub(super) is_paused: bool,
     /// It sends nothing more; its answers still go out.
-    pub(super) finished: bool,
+    pub(super) is_half_closed: bool,
+}
+
+/// Why a new connection is closed at once.
+#[derive(Clone, Copy, Debug)]
+struct ConnectionRejection {
+    close_reason: CloseReason,
+    retry_after: Micros,
+    text: &'static str,
+}
+
+impl ConnectionRejection {
+    /// The frame that tells the client.
+    fn to_bytes(self) -> Vec<u8> {
+        let ConnectionRejection { close_reason, retry_after, text } = self;
+        let wait = u32::try_from(retry_after.0).unwrap_or(u32::MAX);
+        let mut bytes = Vec::new();
+        encode(&Frame::Bye { close_reason, wait, text }, &mut bytes);
+        bytes
+    }
+}
+
+/// A request that a client may have.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ReservedRequest {
+    pub(super) id: RequestId,
+    pub(super) expires_at: Micros,
+}
+
+/// A bound that a request is beyond, and what else is.
+#[derive(Clone, Copy, Debug)]
+struct ExceededBound {
+    refusal: Refusal,
+    scope: Scope,
 }
 
 impl Core {
+    /// A client connects.
+    ///
+    /// # Errors
+    /// It is rejected: bytes to send before the connection is closed.
     pub(super) fn accept_client(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
-        // The cheapest refusal: nothing is kept of a client that is told to come back.
-        let refusal = match self.shutdown.phase() {
-            _ if self.on_platform() => return self.accept_http_client(now),
-            Phase::Running if self.clients.len() >= self.config.bounds.clients => {
-                Some((CloseReason::Bound, Micros(0), "as many clients as may be"))
-            }
-            Phase::Running => {
-                let draw = (self.rng.next_u32() >> 8) as f64 / f64::from(1 << 24);
-                let turn = self.arrivals.comes(now, draw);
-                turn.map(|wait| (CloseReason::Turn, wait, "many come at once"))
-            }
-            Phase::Draining | Phase::Stopping | Phase::Stopped => {
-                Some((CloseReason::Stopping, Micros(0), "stopping"))
-            }
-        };
-        if let Some((close_reason, wait, text)) = refusal {
-            info!(clients = self.clients.len(), wait_us = wait.0, text, "client turned away");
-            let mut bytes = Vec::new();
-            let wait = u32::try_from(wait.0).unwrap_or(u32::MAX);
-            encode(&Frame::Bye { close_reason, wait, text }, &mut bytes);
-            return Err(bytes);
+        if self.on_platform() {
+            return self.accept_http_client(now);
+        }
+        if let Some(rejection) = self.reject_connection(now) {
+            info!(
+                clients = self.clients.len(),
+                retry_after_us = rejection.retry_after.0,
+                text = rejection.text,
+                "client rejected"
+            );
+            return Err(rejection.to_bytes());
         }
         self.clients.connected();
-        let conn = self.connections.open(
-            Peer::Client(Client::default()),
-            Stage::Greeting,
-            Protocol::Frames(Inbox::default()),
-        );
+        let protocol = Protocol::Frames(Inbox::default());
+        let conn = self.connections.open(Peer::Client(Client::default()), Stage::Greeting, protocol);
         self.timers.set(now.after(self.config.site.waits.greeting), Timer::ConnectTimeout(conn));
         Ok(conn)
     }
 
+    /// Whether a new connection is rejected. The cheapest rejection there is: nothing is kept of the client.
+    fn reject_connection(&mut self, now: Micros) -> Option<ConnectionRejection> {
+        let (close_reason, retry_after, text) = (CloseReason::Stopping, Micros(0), "stopping");
+        if self.shutdown.phase() != Phase::Running {
+            return Some(ConnectionRejection { close_reason, retry_after, text });
+        }
+        if self.clients.len() >= self.config.bounds.clients {
+            let (close_reason, text) = (CloseReason::Bound, "as many clients as may be");
+            return Some(ConnectionRejection { close_reason, retry_after, text });
+        }
+        let draw = (self.rng.next_u32() >> 8) as f64 / f64::from(1 << 24);
+        let retry_after = self.connection_rate_limiter.comes(now, draw)?;
+        let (close_reason, text) = (CloseReason::Turn, "many come at once");
+        Some(ConnectionRejection { close_reason, retry_after, text })
+    }
+
+    /// A client's first frame came.
     pub(super) fn client_said_hello(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), PeerFault> {
         if hello.role != Role::Client {
             return Err(PeerFault::protocol(format!("a client was expected, not {:?}", hello.role)));
@@ -85,7 +125,7 @@
         Ok(())
     }
 
-    /// A request. What can't be one is the client's fault; what is beyond a bound is refused.
+    /// A request came. What can't be one is the client's fault; what is beyond a bound is rejected.
     pub(super) fn submit(
         &mut self,
         conn: ConnId,
@@ -93,33 +133,38 @@
         origin: Option<Origin>,
         now: Micros,
     ) -> Result<(), PeerFault> {
-        let fault = |text: String| Err(PeerFault::protocol(text));
+        self.check_ranges(s)?;
+        let volume = Some(VolumeId(s.volume));
+        let Some(reserved) = self.reserve_request(conn, s.id, volume, s.time_left, now)? else {
+            return Ok(());
+        };
+        let mut pending = PendingRequest::new(conn, s, reserved.expires_at);
+        pending.origin = origin.map(Box::new);
+        self.start_request(reserved.id, pending, s, now);
+        Ok(())
+    }
+
+    /// Checks that what a request names is there.
+    fn check_ranges(&self, s: &Submit<'_>) -> Result<(), PeerFault> {
         let site = &self.config.site;
         let max_units = site.settings.max_units;
         if usize::from(s.class) >= site.classes.len() {
-            return fault(format!("class {} of {}", s.class, site.classes.len()));
+            return Err(PeerFault::protocol(format!("class {} of {}", s.class, site.classes.len())));
         }
         if usize::from(s.plan) >= site.plans.len() {
-            return fault(format!("plan {} of {}", s.plan, site.plans.len()));
+            return Err(PeerFault::protocol(format!("plan {} of {}", s.plan, site.plans.len())));
         }
         if s.units == 0 || f64::from(s.units) > max_units {
-            return fault(format!("{} units, 1 to {max_units} are taken", s.units));
+            return Err(PeerFault::protocol(format!("{} units, 1 to {max_units} are taken", s.units)));
         }
-        Self::range_fault(s)?;
-        let Some((id, expires_at)) =
-            self.reserve_request(conn, s.id, Some(VolumeId(s.volume)), s.time_left, now)?
-        else {
-            return Ok(());
-        };
-        let mut pending = PendingRequest::new(conn, s, expires_at);
-        if let Some(origin) = origin {
-            pending.origin = Some(Box::new(origin));
-        }
-        self.start_request(id, pending, s, now);
-        Ok(())
+        Self::check_write_range(s)
     }
 
-    /// Whether a client may have one more request: its number here and until when, or it is refused.
+    /// Accepts one more request of a client, or rejects it at a bound (none). `time_left`: microseconds that the client
+    /// waits.
+    ///
+    /// # Errors
+    /// The client's number for it is in use.
     pub(super) fn reserve_request(
         &mut self,
         conn: ConnId,
@@ -127,7 +172,7 @@
         volume: Option<VolumeId>,
         time_left: u32,
         now: Micros,
-    ) -> Result<Option<(RequestId, Micros)>, PeerFault> {
+    ) -> Result<Option<ReservedRequest>, PeerFault> {
         let Some(Connection { peer: Peer::Client(client), .. }) = self.connections.get(conn) else {
             return Ok(None);
         };
@@ -135,26 +180,8 @@
             return Err(PeerFault::protocol(format!("number {client_id} is in use")));
         }
         self.counts.accepted += 1;
-        let bounds = &self.config.bounds;
-        let new_volume = volume.is_some_and(|v| !self.requests.knows_volume(v));
-        let refusal = if matches!(self.shutdown.phase(), Phase::Stopping | Phase::Stopped) {
-            Some((Refusal::Stopping, Scope::All))
-        } else if self.requests.len() >= bounds.held {
-            Some((Refusal::Held, Scope::All))
-        } else if client.owed.len() >= bounds.per_client {
-            Some((Refusal::Client, Scope::All))
-        } else if new_volume && self.requests.volumes() >= bounds.volumes {
-            Some((Refusal::Held, Scope::Volume))
-        } else {
-            None
-        };
-        if let Some((refusal, scope)) = refusal {
-            self.counts.rejected_at_bound += 1;
-            debug!(conn = conn.0, id = client_id, ?refusal, "turned away");
-            let wait = Micros::from_ms(self.config.site.settings.max_retry_after).0;
-            let wait = u32::try_from(wait).unwrap_or(u32::MAX);
-            self.send_to_client(conn, &Frame::Refused { id: client_id, wait, refusal, scope }, now);
-            self.client_wrote(conn, now);
+        if let Some(bound) = self.exceeded_bound(client, volume) {
+            self.reject_at_bound(conn, client_id, bound, now);
             return Ok(None);
         }
         volume.into_iter().for_each(|volume| self.requests.add_volume(volume));
@@ -163,13 +190,42 @@
             client.owed.insert(client_id, id);
         }
         let time_left = Micros(time_left.into()).since(self.config.site.waits.answer);
-        let expires_at = now.after(time_left);
-        Ok(Some((id, self.shutdown.deadline(expires_at))))
+        let expires_at = self.shutdown.deadline(now.after(time_left));
+        Ok(Some(ReservedRequest { id, expires_at }))
+    }
+
+    /// The bound beyond which one more request would be. Guards against one client, or many volumes, that take all
+    /// capacity.
+    fn exceeded_bound(&self, client: &Client, volume: Option<VolumeId>) -> Option<ExceededBound> {
+        let bounds = &self.config.bounds;
+        let is_new_volume = volume.is_some_and(|v| !self.requests.knows_volume(v));
+        let (refusal, scope) = if matches!(self.shutdown.phase(), Phase::Stopping | Phase::Stopped) {
+            (Refusal::Stopping, Scope::All)
+        } else if self.requests.len() >= bounds.held {
+            (Refusal::Held, Scope::All)
+        } else if client.owed.len() >= bounds.per_client {
+            (Refusal::Client, Scope::All)
+        } else if is_new_volume && self.requests.volumes() >= bounds.volumes {
+            (Refusal::Held, Scope::Volume)
+        } else {
+            return None;
+        };
+        Some(ExceededBound { refusal, scope })
+    }
+
+    fn reject_at_bound(&mut self, conn: ConnId, client_id: u64, bound: ExceededBound, now: Micros) {
+        let ExceededBound { refusal, scope } = bound;
+        self.counts.rejected_at_bound += 1;
+        debug!(conn = conn.0, id = client_id, ?refusal, "request rejected at a bound");
+        let retry_after = Micros::from_ms(self.config.site.settings.max_retry_after).0;
+        let wait = u32::try_from(retry_after).unwrap_or(u32::MAX);
+        self.send_to_client(conn, &Frame::Refused { id: client_id, wait, refusal, scope }, now);
+        self.client_wrote(conn, now);
     }
 
     fn start_request(&mut self, id: RequestId, pending: PendingRequest, s: &Submit<'_>, now: Micros) {
         let expires_at = pending.expires_at;
-        debug!(request = id.0, owner = ?pending.owner, class = s.class, shard = s.shard, "taken");
+        debug!(request = id.0, owner = ?pending.owner, class = s.class, shard = s.shard, "request accepted");
         self.requests.insert(id, pending);
         self.timers.set(expires_at, Timer::Deadline(id));
         let Some(class) = self.pass_admission_gate(id, now) else { return };
@@ -191,11 +247,11 @@
         if c.outbox.len() > bounds.client_bytes_most {
             warn!(conn = conn.0, bytes = c.outbox.len(), "client does not read its answers: disconnected");
             self.disconnect(conn, CloseReason::Bound, "answers are not read", now);
-        } else if c.outbox.len() > bounds.client_bytes && !client.paused {
-            debug!(conn = conn.0, bytes = c.outbox.len(), "client is not read until it has read");
-            client.paused = true;
+        } else if c.outbox.len() > bounds.client_bytes && !client.is_paused {
+            debug!(conn = conn.0, bytes = c.outbox.len(), "client is not read until it reads its answers");
+            client.is_paused = true;
             self.connections.command(Command::Flush(conn));
-        } else if client.finished && client.owed.is_empty() && c.outbox.is_empty() {
+        } else if client.is_half_closed && client.owed.is_empty() && c.outbox.is_empty() {
             self.close(conn, "client has all it asked for", now);
         }
     }
@@ -204,8 +260,8 @@
     pub(super) fn client_read(&mut self, conn: ConnId, now: Micros) {
         let Some(c) = self.connections.get_mut(conn) else { return };
         let Peer::Client(client) = &mut c.peer else { return };
-        if client.paused && c.outbox.len() <= self.config.bounds.client_bytes / 2 {
-            client.paused = false;
+        if client.is_paused && c.outbox.len() <= self.config.bounds.client_bytes / 2 {
+            client.is_paused = false;
             self.connections.command(Command::Flush(conn));
         }
         self.client_wrote(conn, now);
@@ -219,7 +275,7 @@
                 if matches!(c.protocol, Protocol::Frames(_)) && !client.owed.is_empty()
                     || !c.outbox.is_empty() =>
             {
-                client.finished = true;
+                client.is_half_closed = true;
                 true
             }
             _ => false,
@@ -229,7 +285,7 @@
     /// Nobody waits for this client's requests any more. Their attempts run on and are still counted.
     pub(super) fn client_disconnected(&mut self, conn: ConnId, client: &Client, cause: &str, now: Micros) {
         self.clients.disconnected();
-        debug!(conn = conn.0, cause, owed = client.owed.len(), "client gone");
+        debug!(conn = conn.0, cause, owed = client.owed.len(), "client disconnected");
         for id in client.owed.values() {
             self.counts.abandoned += 1;
             self.withdraw_unsent_of_request(*id, now);
@@ -244,50 +300,3 @@
         }
     }
 }
-
-impl Core {
-    /// Asks the admission gate about a client's attempt. Returns the module's class for it; none: it is rejected.
-    fn pass_admission_gate(&mut self, id: RequestId, now: Micros) -> Option<usize> {
-        let request = self.requests.get(id)?;
-        let class = usize::from(request.class);
-        let Some(gate) = &mut self.gate else { return Some(class) };
-        match gate.admit(id, request, now) {
-            Admission::FirstAttempt => Some(class),
-            Admission::Retry => {
-                let class = gate.retry_class(class);
-                if let Some(request) = self.requests.get_mut(id) {
-                    request.is_retry = true;
-                }
-                Some(class)
-            }
-            Admission::Rejected { wait, scope } => {
-                self.reject_retry(id, wait, scope, now);
-                None
-            }
-        }
-    }
-
-    fn reject_retry(&mut self, id: RequestId, wait: Micros, scope: Scope, now: Micros) {
-        self.counts.retries_rejected += 1;
-        if let Some(request) = self.requests.get_mut(id) {
-            // The throttle counted it when it arrived.
-            request.is_end_recorded = true;
-        }
-        let (wait, refusal) = (u32::try_from(wait.0).unwrap_or(u32::MAX), Refusal::Storm);
-        self.send_final_answer(id, FinalAnswer::NotExecuted(Micros(0)), now, |id| Frame::Refused {
-            id,
-            wait,
-            refusal,
-            scope,
-        });
-    }
-
-    /// The module's class of a request.
-    pub(super) fn module_class(&self, request: &PendingRequest) -> usize {
-        let class = usize::from(request.class);
-        match &self.gate {
-            Some(gate) if request.is_retry => gate.retry_class(class),
-            _ => class,
-        }
-    }
-}
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -87,7 +87,7 @@
         // While the process stops it listens no more; who had connected before that is told so once it has asked.
         let open = self.shutdown.phase() != Phase::Stopped;
         if !open || self.clients.len() >= self.config.bounds.clients && !self.evict_client(now) {
-            debug!(clients = self.clients.len(), "client turned away");
+            debug!(clients = self.clients.len(), "client rejected");
             let mut bytes = Vec::new();
             write_answer(&mut bytes, 503, &[], b"no room\n", false);
             return Err(bytes);
@@ -316,7 +316,7 @@
         if !outbox.is_empty() || !client.owed.is_empty() {
             return;
         }
-        if client.finished {
+        if client.is_half_closed {
             // What it sent behind its last request is not begun: it has gone.
             return self.close(conn, "client has all it waits for", now);
         }
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -97,7 +97,7 @@
     write_back: Option<WriteBackCoordinator>,
     agreed: Option<Agreed>,
     gate: Option<AdmissionGate>,
-    arrivals: ConnectionRateLimiter,
+    connection_rate_limiter: ConnectionRateLimiter,
     rng: Pcg64Mcg,
     connections: ConnectionTable,
     timers: TimerQueue,
@@ -140,7 +140,7 @@
             write_back: None,
             agreed: None,
             gate,
-            arrivals: ConnectionRateLimiter::new(config.bounds.arrivals, now),
+            connection_rate_limiter: ConnectionRateLimiter::new(config.bounds.arrivals, now),
             list,
             endpoint_trust: EndpointTrust::default(),
             config,
@@ -322,7 +322,7 @@
     fn wants_read(&self, conn: ConnId) -> bool {
         match self.connections.get(conn).map(|c| (&c.peer, &c.protocol)) {
             Some((_, Protocol::HttpServer(http))) => http.wants_read(),
-            Some((Peer::Client(client), _)) => !client.paused,
+            Some((Peer::Client(client), _)) => !client.is_paused,
             Some(_) => true,
             None => false,
         }
