--- a/crates/flaxstand-gateway/src/core/admission.rs
+++ b/crates/flaxstand-gateway/src/core/admission.rs
@@ -1,13 +1,14 @@
 //! Admission of clients' attempts while the load is more than can be served: retries are told from first attempts,
 //! and given less weight or rejected.
 
-use super::requests::{Held, Owner, Verdict};
+use super::Core;
+use super::pending_request::{FinalAnswer, Owner, PendingRequest};
 use crate::machine::Micros;
 use flaxstand::api::{Class, RequestId, Settings};
 use flaxstand_overload::{
     ClientAttempt, RetryDetectionCounts, RetryThrottle, RetryThrottleConfig, ThrottleDecision,
 };
-use flaxstand_proto::Scope;
+use flaxstand_proto::{Frame, Refusal, Scope};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tracing::{debug, info};
@@ -57,7 +58,7 @@
     }
 
     /// Decides on an attempt that has arrived.
-    pub(super) fn admit(&mut self, id: RequestId, request: &Held, now: Micros) -> Admission {
+    pub(super) fn admit(&mut self, id: RequestId, request: &PendingRequest, now: Micros) -> Admission {
         let draw = self.draw();
         match self.throttle.admit(&client_attempt(request), now, draw) {
             ThrottleDecision::FullWeight => Admission::FirstAttempt,
@@ -84,16 +85,16 @@
     }
 
     /// A client's request has ended: the throttle learns how.
-    pub(super) fn record_end(&mut self, request: &Held, now: Micros) {
-        let is_of_client = matches!(request.owner_was, Owner::Client(..));
-        if request.told || request.mark || !is_of_client {
+    pub(super) fn record_end(&mut self, request: &PendingRequest, now: Micros) {
+        let is_of_client = matches!(request.original_owner, Owner::Client(..));
+        if request.is_end_recorded || request.is_ordering_request || !is_of_client {
             return;
         }
         let attempt = client_attempt(request);
-        match request.verdict {
-            Verdict::Served => self.throttle.record_served(&attempt, now),
-            Verdict::NotRun(_) | Verdict::Failed => self.throttle.record_rejected(&attempt, now),
-            Verdict::None => {}
+        match request.final_answer {
+            FinalAnswer::Served => self.throttle.record_served(&attempt, now),
+            FinalAnswer::NotExecuted(_) | FinalAnswer::Failed => self.throttle.record_rejected(&attempt, now),
+            FinalAnswer::None => {}
         }
     }
 
@@ -119,12 +120,59 @@
     }
 }
 
-fn client_attempt(request: &Held) -> ClientAttempt {
+impl Core {
+    /// Asks the admission gate about a client's attempt. Returns the module's class for it; none: it is rejected.
+    pub(super) fn pass_admission_gate(&mut self, id: RequestId, now: Micros) -> Option<usize> {
+        let request = self.requests.get(id)?;
+        let class = usize::from(request.class);
+        let Some(gate) = &mut self.gate else { return Some(class) };
+        match gate.admit(id, request, now) {
+            Admission::FirstAttempt => Some(class),
+            Admission::Retry => {
+                let class = gate.retry_class(class);
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.is_retry = true;
+                }
+                Some(class)
+            }
+            Admission::Rejected { wait, scope } => {
+                self.reject_retry(id, wait, scope, now);
+                None
+            }
+        }
+    }
+
+    fn reject_retry(&mut self, id: RequestId, wait: Micros, scope: Scope, now: Micros) {
+        self.counts.retries_rejected += 1;
+        if let Some(request) = self.requests.get_mut(id) {
+            // The throttle counted it when it arrived.
+            request.is_end_recorded = true;
+        }
+        let (wait, refusal) = (u32::try_from(wait.0).unwrap_or(u32::MAX), Refusal::Storm);
+        self.send_final_answer(id, FinalAnswer::NotExecuted(Micros(0)), now, |id| Frame::Refused {
+            id,
+            wait,
+            refusal,
+            scope,
+        });
+    }
+
+    /// The module's class of a request.
+    pub(super) fn module_class(&self, request: &PendingRequest) -> usize {
+        let class = usize::from(request.class);
+        match &self.gate {
+            Some(gate) if request.is_retry => gate.retry_class(class),
+            _ => class,
+        }
+    }
+}
+
+fn client_attempt(request: &PendingRequest) -> ClientAttempt {
     ClientAttempt {
         volume: request.volume,
         plan: request.plan,
         class: request.class,
         extent: request.extent,
-        marked: request.try_no > 0,
+        marked: request.client_retries > 0,
     }
 }
--- a/crates/flaxstand-gateway/src/core/agreement/mod.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/mod.rs
@@ -8,9 +8,9 @@
 pub(super) use peers::AgreementPeer;
 
 use super::Core;
-use super::clients::Fault;
 use super::config::ConsensusPeer;
-use super::plumbing::Timer;
+use super::peer_fault::PeerFault;
+use super::timers::Timer;
 use crate::machine::{Command, ConnId, Micros};
 use crate::settings::settings_of;
 use flaxstand::api::Event;
@@ -18,7 +18,7 @@
 use flaxstand_consensus::replica::InjectedFault;
 use flaxstand_consensus::replicated_state::IndexedState;
 use flaxstand_consensus::rules::Rules;
-use flaxstand_proto::{CloseReason, Hello, Welcome};
+use flaxstand_proto::{Hello, Welcome};
 use peers::{AgreementPeers, sender};
 
 /// The agreement with other initiators, and the connections to them.
@@ -58,7 +58,7 @@
         let peers = AgreementPeers::new(listener, others, now);
         let participant = Participant::new(config, stored, saved, self.config.calendar, now);
         self.agreement = Some(Agreement { participant, peers });
-        self.plumbing.at(now, Timer::Agreement);
+        self.timers.set(now, Timer::Agreement);
     }
 
     /// The agreement, where there is one.
@@ -78,12 +78,16 @@
     pub(super) fn accept_consensus_peer(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         let agreement = self.agreement.as_mut().ok_or_else(Vec::new)?;
         let greeting = self.config.site.timeouts.greeting_timeout;
-        agreement.peers.accept(&mut self.plumbing, greeting, now).ok_or_else(Vec::new)
+        agreement.peers.accept(&mut self.connections, &mut self.timers, greeting, now).ok_or_else(Vec::new)
     }
 
-    pub(super) fn consensus_peer_greeted(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), Fault> {
+    pub(super) fn consensus_peer_greeted(
+        &mut self,
+        conn: ConnId,
+        hello: &Hello<'_>,
+    ) -> Result<(), PeerFault> {
         match &self.agreement {
-            Some(agreement) => agreement.peers.handle_hello(&mut self.plumbing, &self.config, conn, hello),
+            Some(agreement) => agreement.peers.handle_hello(&mut self.connections, &self.config, conn, hello),
             None => Ok(()),
         }
     }
@@ -92,9 +96,9 @@
         &mut self,
         conn: ConnId,
         welcome: &Welcome<'_>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), PeerFault> {
         match &mut self.agreement {
-            Some(agreement) => agreement.peers.handle_welcome(&mut self.plumbing, conn, welcome),
+            Some(agreement) => agreement.peers.handle_welcome(&mut self.connections, conn, welcome),
             None => Ok(()),
         }
     }
@@ -104,10 +108,10 @@
         conn: ConnId,
         bytes: &[u8],
         now: Micros,
-    ) -> Result<(), Fault> {
-        let message: PeerMessage = postcard::from_bytes(bytes)
-            .map_err(|error| (CloseReason::Protocol, format!("no word: {error}")))?;
-        let from = sender(&self.plumbing, conn)?;
+    ) -> Result<(), PeerFault> {
+        let message: PeerMessage =
+            postcard::from_bytes(bytes).map_err(|error| PeerFault::protocol(format!("no word: {error}")))?;
+        let from = sender(&self.connections, conn)?;
         if let Some(agreement) = &mut self.agreement {
             agreement.participant.receive(conn.0, from.as_deref(), message, now);
         }
@@ -144,11 +148,11 @@
         }
         let rules = participant.take_rules_change(now);
         if let Some(batch) = participant.next_batch(now) {
-            self.plumbing.command(Command::StoreConsensus(batch));
+            self.connections.command(Command::StoreConsensus(batch));
         }
         // Saved before messages go out: guards against a stage that is confirmed and forgotten.
         if let Some(state) = participant.take_unsaved() {
-            self.plumbing.command(Command::SaveReplicatedState(state));
+            self.connections.command(Command::SaveReplicatedState(state));
         }
         let outgoing = participant.take_outgoing();
         if let Some(rules) = rules {
@@ -157,7 +161,7 @@
         let dial_timeout = self.config.site.timeouts.connect_timeout;
         let agreement = self.agreement.as_mut()?;
         for (to, message) in outgoing {
-            agreement.peers.send(&mut self.plumbing, to, &message, dial_timeout, now);
+            agreement.peers.send(&mut self.connections, &mut self.timers, to, &message, dial_timeout, now);
         }
         // At least one moment on: what follows from a turn is the next turn's.
         Some(agreement.participant.wake_at(now).max(Micros(now.0 + 1)))
@@ -168,20 +172,20 @@
         self.cancel_unsent_attempts(now);
         self.config.site.settings = settings_of(rules, &self.config.site);
         let settings = super::module_settings(&self.config);
-        self.brain_classes = settings.classes.clone();
+        self.module_classes = settings.classes.clone();
         let mut actions = Vec::new();
-        self.decider.handle(Event::SettingsChanged(Box::new(settings)), now, &mut actions);
+        self.policy.handle(Event::SettingsChanged(Box::new(settings)), now, &mut actions);
         self.evaluation.request();
     }
 
     /// Closes connections to nodes on which attempts wait that were decided on under the rules before, since
     /// the node does not read. The module is told that they were not executed.
     fn cancel_unsent_attempts(&mut self, now: Micros) {
-        let to_nodes = self.plumbing.to_nodes();
+        let to_nodes = self.connections.upstream();
         let waiting = to_nodes.filter(|(_, open)| !open.outbox.is_empty()).map(|(conn, _)| conn);
         let waiting: Vec<ConnId> = waiting.collect();
         for conn in waiting {
-            self.lost_unsaid(conn, "the rules changed while requests waited to leave", now);
+            self.close_discarding_output(conn, "the rules changed while requests waited to leave", now);
         }
     }
 }
--- a/crates/flaxstand-gateway/src/core/agreement/peers.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/peers.rs
@@ -3,10 +3,11 @@
 //! dropped.
 
 use super::super::Backoff;
-use super::super::clients::Fault;
 use super::super::config::Config;
 use super::super::config::ConsensusPeer;
-use super::super::plumbing::{Conn, Peer, Plumbing, Protocol, Stage, Timer};
+use super::super::connection_table::{Connection, ConnectionTable, Peer, Protocol, Stage};
+use super::super::peer_fault::PeerFault;
+use super::super::timers::{Timer, TimerQueue};
 use crate::machine::{Address, ConnId, Micros};
 use flaxstand_consensus::participant::{Destination, PeerMessage};
 use flaxstand_proto::{CloseReason, Frame, Hello, Inbox, Role, VERSION, VERSION_OLDEST, Welcome};
@@ -99,7 +100,8 @@
     /// Accepts a connection, which has `greeting` to say who it is; none: there are as many as may be.
     pub(super) fn accept(
         &mut self,
-        plumbing: &mut Plumbing,
+        connections: &mut ConnectionTable,
+        timers: &mut TimerQueue,
         greeting: Micros,
         now: Micros,
     ) -> Option<ConnId> {
@@ -108,8 +110,8 @@
         }
         self.accepted += 1;
         let peer = Peer::Agreement(AgreementPeer::Unidentified);
-        let connection = plumbing.open(peer, Stage::Greeting, Protocol::Frames(Inbox::default()));
-        plumbing.at(now.after(greeting), Timer::Dial(connection));
+        let connection = connections.open(peer, Stage::Greeting, Protocol::Frames(Inbox::default()));
+        timers.set(now.after(greeting), Timer::ConnectTimeout(connection));
         Some(connection)
     }
 
@@ -117,14 +119,14 @@
     /// settings here: it would be no member, and act on rules of its own.
     pub(super) fn handle_hello(
         &self,
-        plumbing: &mut Plumbing,
+        connections: &mut ConnectionTable,
         config: &Config,
         connection: ConnId,
         hello: &Hello<'_>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), PeerFault> {
         let (oldest, newest) = hello.versions;
         if oldest > VERSION || newest < VERSION_OLDEST {
-            return Err((
+            return Err(PeerFault::new(
                 CloseReason::Version,
                 format!("versions {oldest} to {newest}, {VERSION} is spoken here"),
             ));
@@ -135,14 +137,14 @@
             }
             Role::Client => AgreementPeer::Operator,
             role => {
-                return Err((
+                return Err(PeerFault::new(
                     CloseReason::WrongPeer,
                     format!("{role:?} {:?} is not in the list", hello.name),
                 ));
             }
         };
         debug!(conn = connection.0, ?peer, "a peer of the agreement has connected");
-        if let Some(open) = plumbing.get_mut(connection) {
+        if let Some(open) = connections.get_mut(connection) {
             open.peer = Peer::Agreement(peer);
             open.stage = Stage::Open;
         }
@@ -153,33 +155,34 @@
             epoch: config.epoch,
             name: &config.name,
         };
-        plumbing.push(connection, &Frame::Welcome(welcome));
+        connections.send_frame(connection, &Frame::Welcome(welcome));
         Ok(())
     }
 
     /// Handles the greeting of an initiator that was dialed, and sends what waits for it.
     pub(super) fn handle_welcome(
         &mut self,
-        plumbing: &mut Plumbing,
+        connections: &mut ConnectionTable,
         connection: ConnId,
         welcome: &Welcome<'_>,
-    ) -> Result<(), Fault> {
-        let Some(Conn { peer: Peer::Agreement(AgreementPeer::Dialed(name)), .. }) = plumbing.get(connection)
+    ) -> Result<(), PeerFault> {
+        let Some(Connection { peer: Peer::Agreement(AgreementPeer::Dialed(name)), .. }) =
+            connections.get(connection)
         else {
-            return Err((CloseReason::Protocol, "a welcome that nobody waits for".into()));
+            return Err(PeerFault::protocol("a welcome that nobody waits for"));
         };
         if welcome.role != Role::Initiator || welcome.name != name {
-            return Err((
+            return Err(PeerFault::new(
                 CloseReason::WrongPeer,
                 format!("expected initiator {name:?}, met {:?} {:?}", welcome.role, welcome.name),
             ));
         }
         let peer = self.dialed.get_mut(name);
-        plumbing.is_at(connection, Stage::Open);
+        connections.set_stage(connection, Stage::Open);
         if let Some(peer) = peer {
             peer.backoff.worked();
             for bytes in &std::mem::take(&mut peer.waiting) {
-                plumbing.push(connection, &Frame::Agreement { bytes });
+                connections.send_frame(connection, &Frame::Agreement { bytes });
             }
         }
         Ok(())
@@ -208,7 +211,8 @@
     /// Sends a message, or drops it. An initiator that is dialed for it has `dial_timeout` to be open.
     pub(super) fn send(
         &mut self,
-        plumbing: &mut Plumbing,
+        connections: &mut ConnectionTable,
+        timers: &mut TimerQueue,
         to: Destination,
         message: &PeerMessage,
         dial_timeout: Micros,
@@ -222,41 +226,52 @@
             }
         };
         match to {
-            Destination::Connection(connection) => send_on(plumbing, ConnId(connection), &bytes),
-            Destination::Peer(name) => self.send_to(plumbing, &name, bytes, now.after(dial_timeout), now),
+            Destination::Connection(connection) => send_on(connections, ConnId(connection), &bytes),
+            Destination::Peer(name) => {
+                self.send_to(connections, timers, &name, bytes, now.after(dial_timeout), now)
+            }
         }
     }
 
-    fn send_to(&mut self, plumbing: &mut Plumbing, name: &str, bytes: Vec<u8>, open_by: Micros, now: Micros) {
+    fn send_to(
+        &mut self,
+        connections: &mut ConnectionTable,
+        timers: &mut TimerQueue,
+        name: &str,
+        bytes: Vec<u8>,
+        open_by: Micros,
+        now: Micros,
+    ) {
         let Some(peer) = self.dialed.get_mut(name) else { return };
         match peer.connection {
-            Some(connection) if plumbing.is_open(connection) => send_on(plumbing, connection, &bytes),
+            Some(connection) if connections.is_open(connection) => send_on(connections, connection, &bytes),
             Some(_) => peer.wait(bytes),
             None if now < peer.redial_at => {}
             None => {
                 peer.wait(bytes);
                 let dialed = Peer::Agreement(AgreementPeer::Dialed(name.to_owned()));
                 let protocol = Protocol::Frames(Inbox::default());
-                peer.connection = Some(plumbing.dial(dialed, protocol, peer.address.clone(), open_by));
+                peer.connection =
+                    Some(connections.dial(timers, dialed, protocol, peer.address.clone(), open_by));
                 info!(name, address = %peer.address, "calling an initiator");
             }
         }
     }
 }
 
-fn send_on(plumbing: &mut Plumbing, connection: ConnId, bytes: &[u8]) {
-    if plumbing.get(connection).is_some_and(|open| open.outbox.len() < MAX_UNREAD_BYTES) {
-        plumbing.push(connection, &Frame::Agreement { bytes });
+fn send_on(connections: &mut ConnectionTable, connection: ConnId, bytes: &[u8]) {
+    if connections.get(connection).is_some_and(|open| open.outbox.len() < MAX_UNREAD_BYTES) {
+        connections.send_frame(connection, &Frame::Agreement { bytes });
     }
 }
 
 /// The initiator at the other end of an identified connection, none for an operator.
-pub(super) fn sender(plumbing: &Plumbing, connection: ConnId) -> Result<Option<String>, Fault> {
-    match plumbing.get(connection).map(|open| &open.peer) {
+pub(super) fn sender(connections: &ConnectionTable, connection: ConnId) -> Result<Option<String>, PeerFault> {
+    match connections.get(connection).map(|open| &open.peer) {
         Some(Peer::Agreement(AgreementPeer::Initiator(name) | AgreementPeer::Dialed(name))) => {
             Ok(Some(name.clone()))
         }
         Some(Peer::Agreement(AgreementPeer::Operator)) => Ok(None),
-        _ => Err((CloseReason::Protocol, "a word of a stranger".into())),
+        _ => Err(PeerFault::protocol("a word of a stranger")),
     }
 }
--- a/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
@@ -11,7 +11,7 @@
 use super::response_progress::{ResponseProgress, response_timeout};
 use super::{DiscoveryContext, EndpointDiscovery};
 use crate::core::Wire;
-use crate::core::plumbing::Timer;
+use crate::core::timers::Timer;
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{DiscoveryCall, Event, NotificationTerms};
 use flaxstand_http::{Answer, Answers, write_request};
@@ -102,16 +102,18 @@
     /// Makes the next call on an established connection. From now on its response is waited for.
     pub(in crate::core) fn start_poll(&mut self, conn: ConnId, context: &mut DiscoveryContext<'_>) {
         if let Some(deadline) = self.poll.connect_deadline.take() {
-            context.connections.cancel(deadline, Timer::Dial(conn));
+            context.timers.cancel(deadline, Timer::ConnectTimeout(conn));
         }
         self.poll.progress = None;
         let wait = self.next_wait(context);
         self.record_call_start(wait, context);
         let deadline = context.now.after(wait).after(self.response_timeout());
-        self.schedule_stall_check(deadline, context.connections);
+        self.schedule_stall_check(deadline, context.timers);
         let target = list_call(self.revision.map(|revision| (revision, wait.0 / 1000)));
         let host = context.config.discovery_address.to_string();
-        context.connections.put(conn, |bytes| write_request(bytes, "GET", &target, &[("Host", &host)], None));
+        context
+            .connections
+            .write(conn, |bytes| write_request(bytes, "GET", &target, &[("Host", &host)], None));
     }
 
     /// How long the next call asks the service to wait for changes: not at all after one that failed, since a
@@ -167,7 +169,7 @@
         let progress = ResponseProgress::begin(bytes, context.now);
         self.poll.progress = Some(progress);
         context.events.push_back(Event::DiscoveryCall(DiscoveryCall::ResponseBegan));
-        self.schedule_stall_check(progress.deadline(), context.connections);
+        self.schedule_stall_check(progress.deadline(), context.timers);
     }
 
     /// The service ended its stream in good order: a response without a length is complete.
@@ -219,8 +221,8 @@
         } else {
             // The service works, and only this connection ends: not a failure that the module should hear of.
             self.conn = None;
-            self.cancel_stall_check(context.connections);
-            context.connections.drop_quietly(response.conn);
+            self.cancel_stall_check(context.timers);
+            context.connections.discard(response.conn);
             self.connect(context);
         }
     }
@@ -239,7 +241,7 @@
         cause: &str,
         context: &mut DiscoveryContext<'_>,
     ) {
-        context.connections.drop_quietly(conn);
+        context.connections.discard(conn);
         self.conn = None;
         self.record_call_failure(outcome, cause, context);
     }
@@ -255,7 +257,7 @@
         warn!(cause, ?outcome, elapsed_ms, "discovery call failed");
         self.poll.history.record_failure(outcome);
         self.poll.progress = None;
-        self.cancel_stall_check(context.connections);
+        self.cancel_stall_check(context.timers);
         context.events.push_back(Event::DiscoveryCall(outcome));
         self.schedule_retry(context);
     }
@@ -264,7 +266,7 @@
     pub(super) fn check_poll_stalled(&mut self, conn: ConnId, context: &mut DiscoveryContext<'_>) {
         let (outcome, cause) = match self.poll.progress {
             Some(progress) if context.now < progress.deadline() => {
-                return self.schedule_stall_check(progress.deadline(), context.connections);
+                return self.schedule_stall_check(progress.deadline(), context.timers);
             }
             Some(progress) if !progress.has_stalled(context.now) => {
                 (DiscoveryCall::Abandoned, "the list comes too slowly")
@@ -279,9 +281,9 @@
     /// Both count the same revisions; one that does not is asked for its full list (see `accept_listing`).
     pub(in crate::core) fn move_service(&mut self, context: &mut DiscoveryContext<'_>) {
         if let Some(conn) = self.conn.take() {
-            context.connections.drop_quietly(conn);
+            context.connections.discard(conn);
         }
-        self.cancel_stall_check(context.connections);
+        self.cancel_stall_check(context.timers);
         self.poll.reset_for_move(context.config.site.settings.notification_terms, context.now);
         context.events.push_back(Event::DiscoveryCall(DiscoveryCall::ServiceMoved));
         self.connect(context);
--- a/crates/flaxstand-gateway/src/core/endpoint_events.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_events.rs
@@ -1,12 +1,12 @@
 //! Carries events to endpoint discovery, and what comes back to the endpoint table, the node connections and the
 //! decision module. This is the only place where an update of the endpoint list reaches requests in flight.
 
-use super::clients::Fault;
-use super::decider::Decider;
+use super::connection_table::Stage;
+use super::decision_policy::DecisionPolicy;
 use super::discovery::{
     CacheWrite, DiscoveryContext, EndpointDiscovery, EndpointUpdate, PollResponse, SavedListError,
 };
-use super::plumbing::Stage;
+use super::peer_fault::PeerFault;
 use super::{Core, Wire};
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::{Event, ListScope, NodeId};
@@ -18,7 +18,8 @@
     /// Discovery, and what it uses of the core.
     fn discovery(&mut self, now: Micros) -> (&mut EndpointDiscovery, DiscoveryContext<'_>) {
         let context = DiscoveryContext {
-            connections: &mut self.plumbing,
+            connections: &mut self.connections,
+            timers: &mut self.timers,
             events: &mut self.events,
             rng: &mut self.rng,
             config: &self.config,
@@ -48,7 +49,7 @@
         conn: ConnId,
         welcome: &Welcome<'_>,
         now: Micros,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), PeerFault> {
         let (discovery, mut context) = self.discovery(now);
         discovery.start_watch(conn, welcome, &mut context)
     }
@@ -66,14 +67,14 @@
     /// The service answered that it has no list.
     pub(super) fn discovery_failed(&mut self, now: Micros) {
         if let Some(conn) = self.discovery.connection() {
-            self.lost(conn, "the list service could not answer", true, now);
+            self.close(conn, "the list service could not answer", now);
         }
     }
 
     pub(super) fn check_discovery_stalled(&mut self, now: Micros) {
         let (discovery, mut context) = self.discovery(now);
         if let Some(stalled) = discovery.check_stalled(&mut context) {
-            self.hang_up(stalled.conn, CloseReason::Protocol, stalled.cause, now);
+            self.disconnect(stalled.conn, CloseReason::Protocol, stalled.cause, now);
         }
     }
 
@@ -125,7 +126,7 @@
         }
         let entries = drained.iter().filter_map(|id| Some(self.nodes.get(*id)?.entry(*id))).collect();
         self.events.push_back(Event::EndpointList(ListScope::Changes, entries));
-        self.call_back_from_drained(&drained, now);
+        self.withdraw_unsent_from_drained(&drained, now);
     }
 
     /// Applies a listing in the platform's format: received now, or as this host had it before it started.
@@ -145,14 +146,14 @@
         let (scope, revision) = (update.scope, update.revision);
         let applied = self.nodes.apply(update, self.config.bounds.max_endpoints, now);
         for id in applied.moved {
-            self.drop_idle(id, now);
+            self.close_idle_connections(id, now);
         }
         // Parsed by the measurement of list lags.
         info!(?scope, revision, entries = applied.entries.len(), "node list");
         self.events.push_back(Event::EndpointList(scope, applied.entries));
-        self.call_back_from_drained(&applied.touched, now);
+        self.withdraw_unsent_from_drained(&applied.touched, now);
         for id in &applied.touched {
-            self.close_if_gone(*id, now);
+            self.close_if_removed(*id, now);
         }
         // On the platform the configuration brings the list of the last run.
         if self.config.wire == Wire::Frames {
@@ -162,7 +163,7 @@
 
     /// Saves the endpoint list if an update has not been saved yet.
     pub(super) fn save_endpoint_changes(&mut self, now: Micros) {
-        let service_time_of = |id| learned_service_time(&self.decider, id);
+        let service_time_of = |id| learned_service_time(&self.policy, id);
         let saved_at = self.config.calendar.saturating_add(now.0);
         let write = self.discovery.next_save(&self.nodes, &service_time_of, saved_at, now);
         if let Some(write) = write {
@@ -172,7 +173,7 @@
 
     /// Saves the full endpoint list.
     pub(super) fn save_all_endpoints(&mut self, now: Micros) {
-        let service_time_of = |id| learned_service_time(&self.decider, id);
+        let service_time_of = |id| learned_service_time(&self.policy, id);
         let saved_at = self.config.calendar.saturating_add(now.0);
         let write = self.discovery.save_full(&self.nodes, &service_time_of, saved_at, now);
         self.write_cache(write);
@@ -190,12 +191,12 @@
                 Command::AppendList(bytes)
             }
         };
-        self.plumbing.command(command);
+        self.connections.command(command);
     }
 }
 
 /// Service time of a unit without load at a node, ms, as the decision module has learned it.
-fn learned_service_time(decider: &Decider, id: NodeId) -> Option<f64> {
-    let Decider::Module(scheduler) = decider else { return None };
+fn learned_service_time(policy: &DecisionPolicy, id: NodeId) -> Option<f64> {
+    let DecisionPolicy::Scheduler(scheduler) = policy else { return None };
     scheduler.service_time_of(id)
 }
