--- a/crates/flaxstand-cli/tests/program.rs
+++ b/crates/flaxstand-cli/tests/program.rs
@@ -479,13 +479,15 @@
 
 #[test]
 fn the_client_library_is_served_over_a_restart_and_told_why_not() {
-    use flaxstand_client::polled::Address;
-    use flaxstand_client::{Answer, Blocking, Call, Config, Micros, Safety, Why};
+    use flaxstand_client::{
+        AbandonReason, Address, Answer, BlockingClient, Config, Micros, Request, RetrySafety,
+    };
     let folder = Folder::new("client");
     let (settings, _) = buffering(&folder);
     let daemon = Daemon::start(&settings);
-    let mut client = Blocking::new(Address::Unix(folder.socket()), Config { seed: 5, ..Config::default() });
-    let call = |operation: u64, write: bool| Call {
+    let mut client =
+        BlockingClient::new(Address::Unix(folder.socket()), Config { seed: 5, ..Config::default() });
+    let request = |operation: u64, write: bool| Request {
         operation,
         class: 0,
         plan: 0,
@@ -494,23 +496,25 @@
         volume: 5,
         extent: Some(operation),
         shard: Some(0),
-        at: None,
+        write_offset: None,
         units: 1,
         payload: b"seat 12".to_vec(),
-        safety: Safety::Repeatable,
-        patience: Micros(3_000_000),
+        retry_safety: RetrySafety::Idempotent,
+        timeout: Micros(3_000_000),
     };
-    assert_eq!(client.call(call(1, true)), Ok(Answer::Buffered));
+    assert_eq!(client.send(request(1, true)), Ok(Answer::Buffered));
     drop(daemon);
     let daemon = Daemon::start(&settings);
-    assert_eq!(client.call(call(2, true)), Ok(Answer::Buffered), "it has connected anew");
-    let read = client.call(Call { extent: Some(1), ..call(3, false) });
+    assert_eq!(client.send(request(2, true)), Ok(Answer::Buffered), "it has connected anew");
+    let read = client.send(Request { extent: Some(1), ..request(3, false) });
     assert_eq!(read, Ok(Answer::Served { shard: 0, payload: b"seat 12".to_vec() }), "of the first life");
     // No node is known: the initiator says so in time, each try anew.
     let begun = std::time::Instant::now();
-    let gave_up = client.call(Call { patience: Micros(300_000), ..call(4, false) }).expect_err("no node");
+    let abandoned =
+        client.send(Request { timeout: Micros(300_000), ..request(4, false) }).expect_err("no node");
     assert!(begun.elapsed() < Duration::from_millis(1000));
-    assert!(gave_up.tries >= 1 && matches!(gave_up.why, Why::Time | Why::Budget), "{gave_up}");
+    let expected_reasons = [AbandonReason::DeadlineExceeded, AbandonReason::RetryBudgetExhausted];
+    assert!(abandoned.attempts >= 1 && expected_reasons.contains(&abandoned.reason), "{abandoned}");
     drop(daemon);
 }
 
--- a/crates/flaxstand-client/examples/checkout.rs
+++ b/crates/flaxstand-client/examples/checkout.rs
@@ -1,8 +1,8 @@
-//! Books seats through an initiator: `cargo run -p flaxstand-client --example checkout -- unix:/run/flaxstand.sock`.
-//! Without an address it only shows what a client is told when its initiator is away.
+//! Books seats through an initiator:
+//! `cargo run -p flaxstand-client --example checkout -- unix:/run/flaxstand.sock`.
+//! Without an address it shows how requests are abandoned when the initiator cannot be reached.
 
-use flaxstand_client::polled::Address;
-use flaxstand_client::{Answer, Blocking, Call, Config, Micros, Safety};
+use flaxstand_client::{Address, Answer, BlockingClient, Config, Micros, Request, RetrySafety};
 
 fn main() {
     let address = match std::env::args().nth(1) {
@@ -13,9 +13,10 @@
         None => Address::Unix("/nowhere/flaxstand.sock".into()),
     };
     let seed = u64::from(std::process::id());
-    let mut client = Blocking::new(address, Config { name: "checkout".into(), seed, ..Config::default() });
+    let config = Config { name: "checkout".into(), seed, ..Config::default() };
+    let mut client = BlockingClient::new(address, config);
     for seat in 1..=3 {
-        let order = Call {
+        let order = Request {
             operation: seed << 32 | seat,
             class: 0,
             plan: 0,
@@ -24,16 +25,16 @@
             volume: 5,
             extent: Some(seat),
             shard: Some(0),
-            at: None,
+            write_offset: None,
             units: 1,
             payload: format!("seat {seat}").into_bytes(),
-            safety: Safety::Repeatable,
-            patience: Micros(400_000),
+            retry_safety: RetrySafety::Idempotent,
+            timeout: Micros(400_000),
         };
-        match client.call(order) {
+        match client.send(order) {
             Ok(Answer::Served { shard, .. }) => println!("seat {seat}: booked, shard {shard} has it"),
             Ok(Answer::Buffered) => println!("seat {seat}: booked, it survives a crash"),
-            Err(gave_up) => println!("seat {seat}: {gave_up}"),
+            Err(abandoned) => println!("seat {seat}: {abandoned}"),
         }
     }
 }
--- a/crates/flaxstand-client/src/blocking.rs
+++ b/crates/flaxstand-client/src/blocking.rs
@@ -1,40 +1,46 @@
-//! A face that waits for each answer.
+//! A driver that waits for each answer.
 
-use crate::core::{Answer, Call, Config, GaveUp};
-use crate::polled::{Address, Polled};
+use crate::answer::{AbandonedRequest, Answer};
+use crate::config::Config;
+use crate::polled::{Address, PolledClient};
+use crate::request::Request;
 use std::time::Duration;
 
-/// Longest sleep between two looks while there is no connection.
-const LOOK: Duration = Duration::from_millis(5);
+/// Longest wait between two polls of the client while there is no connection.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A client that does one call at a time.
+/// A client that does one request at a time.
 #[derive(Debug)]
-pub struct Blocking {
-    polled: Polled,
+pub struct BlockingClient {
+    polled: PolledClient,
 }
 
-impl Blocking {
-    /// A client of the initiator at an address. It connects with the first call.
+impl BlockingClient {
+    /// A client of the initiator at an address. It connects with the first request.
     pub fn new(address: Address, config: Config) -> Self {
-        Blocking { polled: Polled::new(address, config) }
+        BlockingClient { polled: PolledClient::new(address, config) }
     }
 
-    /// Does a call; returns within its patience.
+    /// Sends a request and waits for its final answer, at most for the request's timeout.
     ///
     /// # Errors
-    /// It was given up: why, after how many tries, and whether it may have run.
-    pub fn call(&mut self, call: Call) -> Result<Answer, GaveUp> {
-        let id = self.polled.call(call);
+    /// The request was abandoned: why, after how many attempts, and whether it may have been executed.
+    pub fn send(&mut self, request: Request) -> Result<Answer, AbandonedRequest> {
+        let id = self.polled.submit(request);
         loop {
-            let (done, wait) = self.polled.turn();
-            if let Some(done) = done.into_iter().find(|d| d.call == id) {
-                return done.result;
-            }
-            let wait = wait.unwrap_or(LOOK);
-            match &self.polled.socket {
-                Some(socket) => socket.wait(self.polled.wants_write(), wait),
-                None => std::thread::sleep(wait.min(LOOK)),
+            let progress = self.polled.drive();
+            let mut completions = progress.completions.into_iter();
+            if let Some(completion) = completions.find(|completion| completion.request == id) {
+                return completion.result;
             }
+            self.wait(progress.next_wake_in.unwrap_or(POLL_INTERVAL));
+        }
+    }
+
+    fn wait(&self, timeout: Duration) {
+        match &self.polled.socket {
+            Some(socket) => socket.wait_until_ready(self.polled.wants_write(), timeout),
+            None => std::thread::sleep(timeout.min(POLL_INTERVAL)),
         }
     }
 }
--- a/crates/flaxstand-client/src/polled.rs
+++ b/crates/flaxstand-client/src/polled.rs
@@ -1,6 +1,9 @@
-//! A face for a program's own event loop: a socket to be watched, a moment to be woken at.
+//! A driver for a program's own event loop: a socket to be watched, and a time at which to be woken.
 
-use crate::core::{Call, CallId, Client, Command, Config, Done};
+use crate::answer::Completion;
+use crate::client::{Client, Command};
+use crate::config::Config;
+use crate::request::{Request, RequestId};
 use flaxstand_proto::Micros;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::io::{self, Read, Write};
@@ -13,12 +16,15 @@
 /// Where an initiator listens.
 #[derive(Clone, Debug)]
 pub enum Address {
-    /// Address and port.
+    /// IP address and port.
     Tcp(SocketAddr),
-    /// A socket file.
+    /// Path of a Unix socket.
     Unix(PathBuf),
 }
 
+const READ_BUFFER_SIZE: usize = 16 * 1024;
+
+/// A connected socket of either kind, in non-blocking mode.
 #[derive(Debug)]
 pub(crate) enum Socket {
     Tcp(TcpStream),
@@ -26,10 +32,10 @@
 }
 
 impl Socket {
-    fn open(address: &Address, within: Duration) -> io::Result<Socket> {
+    fn open(address: &Address, connect_timeout: Duration) -> io::Result<Socket> {
         Ok(match address {
-            Address::Tcp(at) => {
-                let stream = TcpStream::connect_timeout(at, within)?;
+            Address::Tcp(address) => {
+                let stream = TcpStream::connect_timeout(address, connect_timeout)?;
                 stream.set_nodelay(true)?;
                 stream.set_nonblocking(true)?;
                 Socket::Tcp(stream)
@@ -44,138 +50,158 @@
 
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         match self {
-            Socket::Tcp(s) => s.read(buffer),
-            Socket::Unix(s) => s.read(buffer),
+            Socket::Tcp(stream) => stream.read(buffer),
+            Socket::Unix(stream) => stream.read(buffer),
         }
     }
 
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         match self {
-            Socket::Tcp(s) => s.write(bytes),
-            Socket::Unix(s) => s.write(bytes),
+            Socket::Tcp(stream) => stream.write(bytes),
+            Socket::Unix(stream) => stream.write(bytes),
         }
     }
 
     fn fd(&self) -> BorrowedFd<'_> {
         match self {
-            Socket::Tcp(s) => s.as_fd(),
-            Socket::Unix(s) => s.as_fd(),
+            Socket::Tcp(stream) => stream.as_fd(),
+            Socket::Unix(stream) => stream.as_fd(),
         }
     }
 
-    /// Waits for something to read, or to be writable again if that is wanted, at most so long.
-    pub(crate) fn wait(&self, writable: bool, most: Duration) {
+    /// Waits until the socket is readable, or writable if that is wanted, at most for the timeout.
+    pub(crate) fn wait_until_ready(&self, wants_write: bool, timeout: Duration) {
         let fd = self.fd();
-        let flags = if writable { PollFlags::IN | PollFlags::OUT } else { PollFlags::IN };
-        let timeout = Timespec { tv_sec: most.as_secs() as i64, tv_nsec: most.subsec_nanos().into() };
-        // What is wrong shows at the next turn.
+        let flags = if wants_write { PollFlags::IN | PollFlags::OUT } else { PollFlags::IN };
+        let timeout = Timespec { tv_sec: timeout.as_secs() as i64, tv_nsec: timeout.subsec_nanos().into() };
+        // An error of the socket shows at the next read or write.
         let _ = poll(&mut [PollFd::new(&fd, flags)], Some(&timeout));
     }
 }
 
+/// What came of one call of [`PolledClient::drive`].
+#[derive(Debug)]
+pub struct Progress {
+    /// Requests that ended.
+    pub completions: Vec<Completion>,
+    /// How long at most until the next call; none: until the socket is ready or a request is submitted.
+    pub next_wake_in: Option<Duration>,
+}
+
 /// A client and its socket.
 #[derive(Debug)]
-pub struct Polled {
+pub struct PolledClient {
     client: Client,
     address: Address,
-    dial: Duration,
+    connect_timeout: Duration,
     pub(crate) socket: Option<Socket>,
-    begun: Instant,
+    started_at: Instant,
 }
 
-impl Polled {
+impl PolledClient {
     /// A client of the initiator at an address. It connects when there is something to send.
     pub fn new(address: Address, config: Config) -> Self {
-        let dial = Duration::from_micros(config.dial.0);
-        Polled { client: Client::new(config), address, dial, socket: None, begun: Instant::now() }
+        let connect_timeout = Duration::from_micros(config.connect_timeout.0);
+        let client = Client::new(config);
+        PolledClient { client, address, connect_timeout, socket: None, started_at: Instant::now() }
     }
 
-    /// The time as the client counts it.
+    /// Time since the client was made.
     pub fn now(&self) -> Micros {
-        Micros(self.begun.elapsed().as_micros() as u64)
+        Micros(self.started_at.elapsed().as_micros() as u64)
     }
 
-    /// Begins a call. Call [`Polled::turn`] next.
-    pub fn call(&mut self, call: Call) -> CallId {
-        self.client.call(call, self.now())
+    /// Submits a request. Call [`PolledClient::drive`] next.
+    pub fn submit(&mut self, request: Request) -> RequestId {
+        self.client.submit(request, self.now())
     }
 
-    /// The socket to watch: for reading always, for writing while [`Polled::wants_write`].
+    /// The socket to watch: always for reading, and for writing while [`PolledClient::wants_write`].
     pub fn socket(&self) -> Option<BorrowedFd<'_>> {
         self.socket.as_ref().map(Socket::fd)
     }
 
-    /// Bytes wait that did not go.
+    /// Whether bytes are left that the socket did not take.
     pub fn wants_write(&self) -> bool {
-        !self.client.outgoing().is_empty()
+        !self.client.pending_bytes().is_empty()
     }
 
-    /// Does what there is to do now, without waiting (but for a TCP connection being made, at most
-    /// [`Config::dial`]). Returns what is over and how long at most until the next turn.
-    pub fn turn(&mut self) -> (Vec<Done>, Option<Duration>) {
+    /// Reads, does what is due, and writes, without waiting. Only a TCP connect may block, at most for
+    /// [`Config::connect_timeout`].
+    pub fn drive(&mut self) -> Progress {
         self.read();
-        let wake = loop {
+        let next_wake = self.advance();
+        self.write();
+        let next_wake_in = next_wake.map(|at| Duration::from_micros(at.since(self.now()).0));
+        Progress { completions: self.client.take_completions(), next_wake_in }
+    }
+
+    /// Advances the client until it has no more commands. Returns when it is to be woken.
+    fn advance(&mut self) -> Option<Micros> {
+        loop {
             let now = self.now();
-            let wake = self.client.settle(now);
+            let next_wake = self.client.advance(now);
             let commands = self.client.take_commands();
             if commands.is_empty() {
-                break wake;
+                return next_wake;
             }
-            commands.into_iter().for_each(|command| self.carry_out(command));
-        };
-        self.write();
-        let wait = wake.map(|at| Duration::from_micros(at.since(self.now()).0));
-        (self.client.take_done(), wait)
+            self.execute_all(commands);
+        }
+    }
+
+    fn execute_all(&mut self, commands: Vec<Command>) {
+        for command in commands {
+            self.execute(command);
+        }
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         match command {
-            Command::Connect => match Socket::open(&self.address, self.dial) {
+            Command::Connect => match Socket::open(&self.address, self.connect_timeout) {
                 Ok(socket) => {
                     self.socket = Some(socket);
-                    self.client.connected(self.now());
+                    self.client.handle_connected(self.now());
                 }
-                Err(_) => self.client.closed(self.now()),
+                Err(_) => self.client.handle_disconnected(self.now()),
             },
             Command::Close => self.socket = None,
         }
     }
 
-    fn lost(&mut self) {
+    fn drop_connection(&mut self) {
         self.socket = None;
-        self.client.closed(self.now());
+        self.client.handle_disconnected(self.now());
     }
 
     fn read(&mut self) {
-        let mut buffer = [0; 16 * 1024];
+        let mut buffer = [0; READ_BUFFER_SIZE];
         while let Some(socket) = &mut self.socket {
             match socket.read(&mut buffer) {
-                Ok(0) => self.lost(),
+                Ok(0) => self.drop_connection(),
                 Ok(count) => {
                     let now = self.now();
-                    self.client.received(&buffer[..count], now);
-                    for command in self.client.take_commands() {
-                        self.carry_out(command);
-                    }
+                    self.client.handle_bytes(&buffer[..count], now);
+                    let commands = self.client.take_commands();
+                    self.execute_all(commands);
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => self.lost(),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => self.drop_connection(),
             }
         }
     }
 
     fn write(&mut self) {
         while let Some(socket) = &mut self.socket {
-            let bytes = self.client.outgoing();
+            let bytes = self.client.pending_bytes();
             if bytes.is_empty() {
                 return;
             }
             match socket.write(bytes) {
-                Ok(count) => self.client.wrote(count),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => self.lost(),
+                Ok(count) => self.client.mark_written(count),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => self.drop_connection(),
             }
         }
     }
--- /dev/null
+++ b/crates/flaxstand-client/tests/client/harness.rs
@@ -0,0 +1,190 @@
+//! A scripted initiator on virtual time, and the client that talks to it.
+
+use flaxstand_client::*;
+use flaxstand_proto::*;
+use std::collections::BTreeMap;
+
+/// Rounds in which the client's commands must come to rest.
+const MAX_COMMAND_ROUNDS: usize = 10;
+
+pub fn milliseconds(count: u64) -> Micros {
+    Micros(count * 1000)
+}
+
+pub fn config() -> Config {
+    Config { seed: 7, ..Config::default() }
+}
+
+/// A write to volume 0 or 1, by whether its operation is even or odd.
+pub fn write_request(operation: u64, retry_safety: RetrySafety, timeout_ms: u64) -> Request {
+    Request {
+        operation,
+        class: 0,
+        plan: 0,
+        volume_initiators: 1,
+        write: true,
+        volume: operation % 2,
+        extent: Some(operation),
+        shard: Some(0),
+        write_offset: None,
+        units: 1,
+        payload: b"seat".to_vec(),
+        retry_safety,
+        timeout: milliseconds(timeout_ms),
+    }
+}
+
+/// An attempt as the initiator received it.
+#[derive(Clone, Copy, Debug)]
+pub struct ReceivedAttempt {
+    pub at: Micros,
+    pub id: u64,
+    pub operation: u64,
+    pub volume: u64,
+    pub try_no: u8,
+    pub time_left: u32,
+}
+
+/// The end of a request, and when it was reported.
+#[derive(Debug)]
+pub struct Ended {
+    pub at: Micros,
+    pub result: Result<Answer, AbandonedRequest>,
+}
+
+/// The client, and an initiator that does what the test says.
+pub struct Harness {
+    pub client: Client,
+    pub now: Micros,
+    inbox: Inbox,
+    pub is_connected: bool,
+    pub accepts_connections: bool,
+    /// When the client connected, or tried to.
+    pub connects: Vec<Micros>,
+    pub received: Vec<ReceivedAttempt>,
+    pub ended: BTreeMap<RequestId, Ended>,
+    next_wake: Option<Micros>,
+}
+
+impl Harness {
+    pub fn new(config: Config) -> Self {
+        Harness {
+            client: Client::new(config),
+            now: milliseconds(1000),
+            inbox: Inbox::default(),
+            is_connected: false,
+            accepts_connections: true,
+            connects: Vec::new(),
+            received: Vec::new(),
+            ended: BTreeMap::new(),
+            next_wake: None,
+        }
+    }
+
+    pub fn submit(&mut self, request: Request) -> RequestId {
+        let id = self.client.submit(request, self.now);
+        self.advance();
+        id
+    }
+
+    /// Lets the client do what is due now, and the initiator read all of it.
+    pub fn advance(&mut self) {
+        for _ in 0..MAX_COMMAND_ROUNDS {
+            self.next_wake = self.client.advance(self.now);
+            let commands = self.client.take_commands();
+            for command in &commands {
+                self.execute(*command);
+            }
+            self.read_from_client(usize::MAX);
+            if commands.is_empty() {
+                break;
+            }
+        }
+        for completion in self.client.take_completions() {
+            let ended = Ended { at: self.now, result: completion.result };
+            let before = self.ended.insert(completion.request, ended);
+            assert!(before.is_none(), "{:?} is over twice", completion.request);
+        }
+    }
+
+    fn execute(&mut self, command: Command) {
+        match command {
+            Command::Connect => self.accept_or_reject(),
+            Command::Close => self.is_connected = false,
+        }
+    }
+
+    fn accept_or_reject(&mut self) {
+        self.connects.push(self.now);
+        self.inbox = Inbox::default();
+        self.is_connected = self.accepts_connections;
+        if self.accepts_connections {
+            self.client.handle_connected(self.now);
+            let welcome = Welcome { version: VERSION, role: Role::Initiator, id: 0, epoch: 1, name: "i" };
+            self.send(&Frame::Welcome(welcome));
+        } else {
+            self.client.handle_disconnected(self.now);
+        }
+    }
+
+    /// The initiator reads at most so many of the bytes that wait.
+    pub fn read_from_client(&mut self, max_bytes: usize) {
+        if !self.is_connected {
+            return;
+        }
+        let bytes = self.client.pending_bytes().to_vec();
+        let bytes = &bytes[..bytes.len().min(max_bytes)];
+        self.client.mark_written(bytes.len());
+        let (at, received) = (self.now, &mut self.received);
+        let fed = self.inbox.feed(bytes, |frame| {
+            if let Frame::Submit(submit) = frame {
+                let Submit { id, operation, volume, try_no, time_left, .. } = submit;
+                received.push(ReceivedAttempt { at, id, operation, volume, try_no, time_left });
+            }
+            true
+        });
+        fed.expect("the client writes frames");
+    }
+
+    /// The initiator sends a frame.
+    pub fn send(&mut self, frame: &Frame<'_>) {
+        if self.is_connected {
+            let mut bytes = Vec::new();
+            encode(frame, &mut bytes);
+            self.client.handle_bytes(&bytes, self.now);
+        }
+    }
+
+    pub fn refuse(&mut self, attempt_id: u64, wait_ms: u64, scope: Scope) {
+        let wait = milliseconds(wait_ms).0 as u32;
+        self.send(&Frame::Refused { id: attempt_id, wait, refusal: Refusal::Load, scope });
+        self.advance();
+    }
+
+    pub fn lose_connection(&mut self) {
+        if std::mem::take(&mut self.is_connected) {
+            self.client.handle_disconnected(self.now);
+            self.advance();
+        }
+    }
+
+    /// Lets time pass; the client is woken whenever it asked to be.
+    pub fn run(&mut self, duration_ms: u64) {
+        let until = self.now.after(milliseconds(duration_ms));
+        self.advance();
+        while let Some(wake) = self.next_wake.filter(|wake| *wake <= until) {
+            self.now = self.now.max(wake);
+            self.advance();
+        }
+        self.now = until;
+        self.advance();
+    }
+
+    pub fn last_received(&self) -> ReceivedAttempt {
+        *self.received.last().expect("an attempt was received")
+    }
+
+    pub fn abandoned(&self, id: RequestId) -> AbandonedRequest {
+        *self.ended[&id].result.as_ref().expect_err("it was abandoned")
+    }
+}
