--- a/crates/flaxstand-client/src/client.rs
+++ b/crates/flaxstand-client/src/client.rs
@@ -86,11 +86,7 @@
         let written = self.connection.disconnect(now, &mut self.jitter);
         for ended in self.pending.end_all_attempts() {
             let Some(request) = self.pending.get_mut(ended.request) else { continue };
-            request.answer_parts.clear();
-            // An attempt whose last byte was not handed to the system cannot have been executed.
-            if ended.attempt.stream_end <= written {
-                request.record_possible_execution(ended.attempt);
-            }
+            request.record_connection_loss(ended.attempt, written);
             self.retry(ended.request, Micros(0), now);
         }
     }
@@ -231,14 +227,14 @@
     fn handle_part(&mut self, attempt_id: u64, payload: &[u8]) {
         let Some(id) = self.pending.id_of_attempt(attempt_id) else { return };
         if let Some(request) = self.pending.get_mut(id) {
-            request.answer_parts.extend_from_slice(payload);
+            request.append_answer_part(payload);
         }
     }
 
     fn handle_served(&mut self, attempt_id: u64, shard: u32, payload: &[u8]) {
         let Some(id) = self.pending.id_of_attempt(attempt_id) else { return };
         let Some(request) = self.pending.remove(id) else { return };
-        let payload = [&request.answer_parts[..], payload].concat();
+        let payload = request.complete_answer(payload);
         let result = Ok(Answer::Served { shard, payload });
         self.completions.push(Completion { request: id, result });
     }
@@ -254,7 +250,7 @@
     fn handle_refused(&mut self, attempt_id: u64, wait: Micros, refusal: Refusal, scope: Scope, now: Micros) {
         let Some(ended) = self.pending.end_attempt(attempt_id) else { return };
         let Some(request) = self.pending.get_mut(ended.request) else { return };
-        request.last_refusal = Some(refusal);
+        request.record_refusal(refusal);
         let volume = request.volume();
         self.retry_policy.record_advised_wait(scope, volume, now.after(wait), now);
         self.retry(ended.request, wait, now);
@@ -264,9 +260,7 @@
     fn handle_failed(&mut self, attempt_id: u64, now: Micros) {
         let Some(ended) = self.pending.end_attempt(attempt_id) else { return };
         let Some(request) = self.pending.get_mut(ended.request) else { return };
-        request.answer_parts.clear();
-        request.last_refusal = None;
-        request.record_possible_execution(ended.attempt);
+        request.record_failure(ended.attempt);
         self.retry(ended.request, Micros(0), now);
     }
 
--- a/crates/flaxstand-client/src/pending.rs
+++ b/crates/flaxstand-client/src/pending/mod.rs
@@ -1,20 +1,11 @@
 //! Requests in progress and their attempts in flight.
 
-use crate::answer::{AbandonReason, AbandonedRequest};
-use crate::request::{Request, RequestId, RetrySafety};
-use flaxstand_proto::{Micros, Refusal, Submit};
-use std::collections::{BTreeMap, BTreeSet};
+mod request;
 
-/// An attempt that was sent and is not yet answered.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct InFlightAttempt {
-    /// Its number on the wire.
-    pub(crate) id: u64,
-    /// Where its frame ends in the connection's stream, in bytes.
-    pub(crate) stream_end: u64,
-    /// When it was sent.
-    pub(crate) sent_at: Micros,
-}
+use crate::request::RequestId;
+use flaxstand_proto::Micros;
+pub(crate) use request::{InFlightAttempt, PendingRequest};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// An attempt that is no longer in flight, and its request.
 #[derive(Clone, Copy, Debug)]
@@ -23,94 +14,6 @@
     pub(crate) attempt: InFlightAttempt,
 }
 
-/// A request in progress.
-#[derive(Debug)]
-pub(crate) struct PendingRequest {
-    request: Request,
-    /// When it is abandoned.
-    pub(crate) deadline: Micros,
-    /// Attempts that were sent.
-    pub(crate) attempts: u32,
-    /// The attempt that is not yet answered; at most one.
-    pub(crate) in_flight: Option<InFlightAttempt>,
-    /// When the first attempt was sent that may have been executed.
-    pub(crate) may_have_executed_since: Option<Micros>,
-    /// Parts of a streamed answer that came so far.
-    pub(crate) answer_parts: Vec<u8>,
-    /// Cause of the latest refusal, unless a later attempt failed.
-    pub(crate) last_refusal: Option<Refusal>,
-}
-
-impl PendingRequest {
-    pub(crate) fn new(request: Request, now: Micros) -> Self {
-        PendingRequest {
-            deadline: now.after(request.timeout),
-            request,
-            attempts: 0,
-            in_flight: None,
-            may_have_executed_since: None,
-            answer_parts: Vec::new(),
-            last_refusal: None,
-        }
-    }
-
-    pub(crate) fn volume(&self) -> u64 {
-        self.request.volume
-    }
-
-    /// Whether a further attempt cannot execute a request twice that is not idempotent.
-    pub(crate) fn is_safe_to_execute_again(&self) -> bool {
-        let is_idempotent = self.request.retry_safety != RetrySafety::NotIdempotent;
-        is_idempotent || self.may_have_executed_since.is_none()
-    }
-
-    /// Until when an attempt may take: the deadline, or the end of the idempotency window if that is earlier.
-    pub(crate) fn retryable_until(&self) -> Micros {
-        match (self.request.retry_safety, self.may_have_executed_since) {
-            (RetrySafety::IdempotencyKey { window }, Some(since)) => self.deadline.min(since.after(window)),
-            _ => self.deadline,
-        }
-    }
-
-    /// Notes that an attempt may have been executed. The first one counts.
-    pub(crate) fn record_possible_execution(&mut self, attempt: InFlightAttempt) {
-        self.may_have_executed_since.get_or_insert(attempt.sent_at);
-    }
-
-    /// The frame of the next attempt.
-    pub(crate) fn submit_frame(&self, attempt_id: u64, now: Micros) -> Submit<'_> {
-        let request = &self.request;
-        Submit {
-            id: attempt_id,
-            operation: request.operation,
-            class: request.class,
-            plan: request.plan,
-            volume_initiators: request.volume_initiators,
-            // Guards against hidden retries: the initiator accounts for an attempt by its number.
-            try_no: u8::try_from(self.attempts).unwrap_or(u8::MAX),
-            write: request.write,
-            volume: request.volume,
-            extent: request.extent,
-            shard: request.shard,
-            units: request.units,
-            at: request.write_offset,
-            // Guards against work for a client that no longer waits.
-            time_left: u32::try_from(self.retryable_until().since(now).0).unwrap_or(u32::MAX),
-            payload: &request.payload,
-        }
-    }
-
-    /// The request's end, if it is abandoned now.
-    pub(crate) fn abandoned(&self, reason: AbandonReason) -> AbandonedRequest {
-        AbandonedRequest {
-            reason,
-            attempts: self.attempts,
-            may_have_executed: self.may_have_executed_since.is_some() || self.in_flight.is_some(),
-            last_refusal: self.last_refusal,
-        }
-    }
-}
-
 /// A time at which something is to be done for a request. Ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
--- a/crates/flaxstand-client/src/retry/mod.rs
+++ b/crates/flaxstand-client/src/retry/mod.rs
@@ -66,9 +66,9 @@
         now: Micros,
         jitter: &mut Jitter,
     ) -> Result<Micros, AbandonReason> {
-        let is_retry = request.attempts > 0;
+        let is_retry = request.is_retry();
         let wait = if is_retry {
-            advised_wait.after(self.backoff.draw_wait(request.attempts, jitter))
+            advised_wait.after(self.backoff.draw_wait(request.attempts(), jitter))
         } else {
             Micros(0)
         };
@@ -90,7 +90,7 @@
     fn check_deadline(&self, request: &PendingRequest, at: Micros) -> Result<(), AbandonReason> {
         if self.leaves_time_for_attempt(request, at) {
             Ok(())
-        } else if request.retryable_until() < request.deadline {
+        } else if request.expires_before_deadline() {
             Err(AbandonReason::RetryUnsafe)
         } else {
             Err(AbandonReason::DeadlineExceeded)
