--- a/crates/flaxstand-proto/src/frame.rs
+++ b/crates/flaxstand-proto/src/frame.rs
@@ -5,8 +5,8 @@
 pub const VERSION_OLDEST: u8 = 3;
 /// Version of the frames that this build writes.
 pub const VERSION: u8 = 3;
-/// Oldest version that this build reads: lists saved by the build before, and greetings, so that an old
-/// peer is told why it is sent away. Its entries tell neither size nor pace.
+/// Oldest version that this build reads: lists saved by the build before, and `Hello`, so that an old peer is
+/// told why its connection is closed. Its entries have neither a size nor a service time.
 pub const VERSION_READ: u8 = 2;
 
 /// Who speaks on a connection.
@@ -19,7 +19,7 @@
     Initiator = 2,
     /// Stores data.
     Node = 3,
-    /// Tells which nodes there are.
+    /// Endpoint discovery: has the list of nodes.
     List = 4,
 }
 
@@ -27,23 +27,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Code {
-    /// Done; the payload is the answer.
+    /// Executed; the payload is the answer.
     Served = 1,
-    /// An error while it ran, or before: it may have run.
+    /// An error while it was executed, or before: it may have been executed.
     Error = 2,
-    /// Turned away unseen: the queue is full or the node drains.
+    /// Rejected, not executed: the queue is full or the node is draining.
     Rejected = 3,
 }
 
-/// Why a request was refused. A refused request has not run: trying again is harmless.
+/// Why a request was rejected. A rejected request has not been executed: a retry is harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Refusal {
-    /// The scheduler gave it up: no room for it within its time.
+    /// The scheduler shed it: no capacity for it within its deadline.
     Load = 1,
-    /// The initiator holds as many requests as it may.
+    /// The initiator has as many requests in flight as it may.
     Held = 2,
-    /// This client has as many requests out as it may.
+    /// This client has as many requests in flight as it may.
     Client = 3,
     /// The initiator is stopping.
     Stopping = 4,
@@ -51,11 +51,11 @@
     Unbuffered = 5,
     /// The write-back buffer is full, or the request would have waited in it for too long.
     Buffer = 6,
-    /// It repeats a try that was refused or given up, and too many do.
+    /// It retries an attempt that was rejected or abandoned, in a retry storm.
     Storm = 7,
 }
 
-/// Whom a refusal's wait concerns.
+/// What a rejection's Retry-After applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Scope {
@@ -77,11 +77,11 @@
     Protocol = 2,
     /// Another peer was expected at this address.
     WrongPeer = 3,
-    /// A bound was reached.
+    /// A limit was reached.
     Bound = 4,
-    /// The process stops.
+    /// The process is stopping.
     Stopping = 5,
-    /// Many come at once: each has its turn, after the stated wait.
+    /// Many connect at once: to be tried again after the stated wait.
     Turn = 6,
 }
 
@@ -89,49 +89,49 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum State {
-    /// Takes work.
+    /// Accepts requests.
     Serving = 1,
-    /// Finishes its work; nothing new.
+    /// Finishes its requests and accepts no new ones.
     Draining = 2,
     /// Removed.
     Removed = 3,
 }
 
-/// What a list frame holds.
+/// What a list frame contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Extent {
-    /// Every node there is.
+    /// All nodes.
     Full = 1,
-    /// What changed since `since`.
+    /// What changed since revision `since`.
     Changes = 2,
 }
 
-/// First frame of whoever connects.
+/// First frame of the peer that connects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Hello<'a> {
-    /// Who speaks.
+    /// The sender's role.
     pub role: Role,
     /// Oldest and newest version it reads.
     pub versions: (u8, u8),
-    /// A number of its own: an initiator's index, a client's number.
+    /// Number of the sender: an initiator's index, a client's number.
     pub id: u64,
-    /// Which life of that peer this is: grows at each start.
+    /// Incarnation of the sender: grows at each start.
     pub epoch: u64,
     /// A name for logs, at most 255 bytes.
     pub name: &'a str,
 }
 
-/// First frame of whoever was connected to.
+/// First frame of the peer that accepts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Welcome<'a> {
     /// The version from here on.
     pub version: u8,
-    /// Who answers.
+    /// The sender's role.
     pub role: Role,
-    /// Its number: a node's id in the list.
+    /// Number of the sender: a node's id in the list.
     pub id: u64,
-    /// Which life of it this is: a node's incarnation.
+    /// Its incarnation.
     pub epoch: u64,
     /// A name for logs, at most 255 bytes.
     pub name: &'a str,
@@ -140,9 +140,9 @@
 /// A client's request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Submit<'a> {
-    /// The client's number for this try; unused so far on this connection's life.
+    /// The client's number for this attempt; unused so far on this connection.
     pub id: u64,
-    /// What the client wants done, the same over all its tries: nodes drop repeats of it.
+    /// Idempotency id of the operation, the same for all its attempts: nodes drop repeats of it.
     pub operation: u64,
     /// Index into the site's classes.
     pub class: u16,
@@ -150,19 +150,19 @@
     pub plan: u16,
     /// How many initiators the volume's requests use, 1 or more.
     pub volume_initiators: u16,
-    /// 0 for a first try, then counted up.
+    /// 0 for a first attempt, then counted up with each retry.
     pub try_no: u8,
     /// It writes.
     pub write: bool,
     /// The volume.
     pub volume: u64,
-    /// The item of data; none: it names no item.
+    /// The extent; `None`: it names none.
     pub extent: Option<u64>,
-    /// The shard that holds the item; none: a new object.
+    /// The shard that holds the extent; `None`: a new object.
     pub shard: Option<u32>,
     /// Units it counts, 1 or more.
     pub units: u32,
-    /// The byte of the extent at which a write begins; none: it replaces the whole extent.
+    /// Offset in the extent at which a write begins, bytes; `None`: it replaces the whole extent.
     pub at: Option<u32>,
     /// How long the client waits from now on, microseconds.
     pub time_left: u32,
@@ -201,16 +201,16 @@
     pub payload: &'a [u8],
 }
 
-/// What a node says of itself and of a volume beside an answer.
+/// Load report: what a node reports of itself and of a volume with an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// Units served for the volume everywhere in a finished period, in percent of its plan's rate.
     pub used: Option<u32>,
     /// Units served for the volume here through other initiators since the last answer to this one.
     pub from_others: u32,
-    /// Requests held, as last measured.
+    /// Requests in flight, as last measured.
     pub inflight: Option<u32>,
-    /// Requests waiting, as last measured.
+    /// Queued requests, as last measured.
     pub queue: Option<u32>,
     /// How busy the cores are, in thousandths, as last measured.
     pub busy: Option<u32>,
@@ -236,28 +236,28 @@
 pub struct Entry<'a> {
     /// The node: the same when its process restarts, another when a machine replaces it.
     pub node: u64,
-    /// Which start of it; grows.
+    /// Its incarnation: grows at each start.
     pub incarnation: u64,
     /// Its state.
     pub state: State,
-    /// Microseconds since its latest start; none: long past.
+    /// Time since its latest start, microseconds; `None`: long ago.
     pub age: Option<u64>,
     /// The shard it holds.
     pub shard: u32,
     /// Its zone.
     pub zone: u32,
-    /// Its nominal size against others', in hundredths; 0: not told.
+    /// Its nominal size relative to others, in hundredths; 0: not known.
     pub size: u32,
-    /// Unloaded time of a unit there, microseconds, as an initiator has learnt it: in its saved list only.
+    /// Service time of a unit without load, microseconds, as an initiator estimated it: in its saved list only.
     pub service_time: Option<u32>,
     /// Where it listens: `host:port`, or `unix:` and a path; at most 255 bytes.
     pub address: &'a str,
 }
 
-/// Word of the list.
+/// The list of nodes, or changes of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List<'a> {
-    /// All, or what changed.
+    /// Whether it is the whole list.
     pub extent: Extent,
     /// The revision that changes apply to; the list's own for a full one.
     pub since: u64,
@@ -274,55 +274,56 @@
     Hello(Hello<'a>),
     /// Accepts it.
     Welcome(Welcome<'a>),
-    /// Says why the connection is closed next.
+    /// Closes the connection and says why.
     Bye {
         /// The cause.
         close_reason: CloseReason,
-        /// Come back no earlier than this, microseconds; 0: no advice.
+        /// Retry-After, microseconds; 0: none.
         wait: u32,
-        /// In words, at most 255 bytes.
+        /// The cause as text, at most 255 bytes.
         text: &'a str,
     },
     /// Client to initiator: a request.
     Submit(Submit<'a>),
-    /// Initiator to client: done.
+    /// Initiator to client: the request was served.
     Served {
-        /// The client's number of the try.
+        /// The client's number of the attempt.
         id: u64,
         /// The shard that served it.
         shard: u32,
         /// Data read.
         payload: &'a [u8],
     },
-    /// Initiator to client: has not run, and trying again is harmless.
+    /// Initiator to client: rejected. It has not been executed, and a retry is harmless.
     Refused {
-        /// The client's number of the try.
+        /// The client's number of the attempt.
         id: u64,
-        /// Come back no earlier than this, microseconds; 0: no advice.
+        /// Retry-After, microseconds; 0: none.
         wait: u32,
         /// Why.
         refusal: Refusal,
-        /// Whom the wait concerns.
+        /// What the wait applies to.
         scope: Scope,
     },
-    /// Initiator to client: given up; it may have run.
+    /// Initiator to client: abandoned; it may have been executed.
     Failed {
-        /// The client's number of the try.
+        /// The client's number of the attempt.
         id: u64,
     },
     /// Initiator to client: a part of a streamed answer; `Served` or `Failed` ends it.
     Part {
-        /// The client's number of the try.
+        /// The client's number of the attempt.
         id: u64,
         /// Data read.
         payload: &'a [u8],
     },
     /// Initiator to client: the write is durable at the initiator and will reach its node.
     Buffered {
-        /// The client's number of the try.
+        /// The client's number of the attempt.
         id: u64,
     },
-    /// Client to initiator: nothing taken of this volume from now on before all taken so far is confirmed.
+    /// Client to initiator: nothing of this volume accepted from now on is sent before all accepted so far is
+    /// confirmed.
     Barrier {
         /// The client's number for it.
         id: u64,
@@ -331,31 +332,31 @@
         /// How long the client waits from now on, microseconds.
         time_left: u32,
     },
-    /// Initiator to client: the barrier stands.
+    /// Initiator to client: the barrier is in force.
     Barred {
         /// The client's number of it.
         id: u64,
     },
-    /// Client to initiator: tell when all that was taken so far is on its nodes.
+    /// Client to initiator: answer when all that was accepted so far is on its nodes.
     Flush {
         /// The client's number for it.
         id: u64,
-        /// Of this volume only; none: of all.
+        /// Of this volume only; `None`: of all.
         volume: Option<u64>,
         /// How long the client waits from now on, microseconds.
         time_left: u32,
     },
-    /// Initiator to client: it is.
+    /// Initiator to client: the flush is complete.
     Flushed {
         /// The client's number of it.
         id: u64,
     },
-    /// Client to initiator: how is the write-back buffer?
+    /// Client to initiator: asks for the status of the write-back buffer.
     AskStatus {
         /// The client's number for it.
         id: u64,
     },
-    /// Initiator to client: its figures, a JSON object.
+    /// Initiator to client: the status, a JSON object.
     Status {
         /// The client's number of it.
         id: u64,
@@ -364,7 +365,7 @@
     },
     /// Initiator to node: an attempt.
     Attempt(Attempt<'a>),
-    /// Initiator to node: nobody waits for this attempt any more.
+    /// Initiator to node: the attempt is cancelled.
     Cancel {
         /// The initiator's number for the request.
         request: u64,
@@ -382,28 +383,28 @@
         /// Data read.
         payload: &'a [u8],
     },
-    /// Initiator to node: how are you?
+    /// Initiator to node: a health check.
     Probe {
         /// Comes back as given.
         token: u64,
     },
-    /// Node to initiator.
+    /// Node to initiator: the answer to a health check.
     Probed {
         /// As given.
         token: u64,
         /// The load report.
         report: Report,
     },
-    /// Initiator to list service: the whole list, once.
+    /// Initiator to discovery service: the whole list, once.
     GetList,
-    /// Initiator to list service: the list and all its changes.
+    /// Initiator to discovery service: the list and all its changes.
     Watch,
     /// List service to initiator.
     List(List<'a>),
     /// List service to initiator: a call failed.
     ListFailed,
-    /// Between initiators, and between an operator and an initiator, about what they agree on: a message of
-    /// `flaxstand-consensus`, in its serde format.
+    /// Between initiators, and between an operator and an initiator: a message of `flaxstand-consensus`, in its
+    /// serde format.
     Agreement {
         /// The message.
         bytes: &'a [u8],
--- a/crates/flaxstand-proto/src/lib.rs
+++ b/crates/flaxstand-proto/src/lib.rs
@@ -1,9 +1,10 @@
-//! Frames between clients, initiators, storage nodes and the list service.
+//! Frames between clients, initiators, storage nodes and the endpoint discovery service.
 //!
-//! [`frame`] has the frames themselves, [`codec`] turns them into bytes and back, [`link`] holds what a
+//! [`frame`] has the frames themselves, [`codec`] turns them into bytes and back, [`link`] has what a
 //! connection has received in part and what waits to be written. Nothing here does I/O or decides anything.
 //! `docs/protocol.md` describes the bytes.
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 pub mod codec;
 pub mod frame;
--- a/crates/flaxstand-proto/src/link.rs
+++ b/crates/flaxstand-proto/src/link.rs
@@ -1,9 +1,9 @@
-//! The two ends of a connection's bytes: what came in part, and what waits to be written.
+//! Buffers of a connection: a partial frame that was received, and bytes that wait to be written.
 
 use crate::codec::{BodyLimit, FrameError, HEADER, MAX_LIST_BODY, decode_within, encode};
 use crate::frame::Frame;
 
-/// Bytes received that are not yet a whole frame. Never holds more than one frame and one read.
+/// Received bytes that are not yet a complete frame. Never more than one frame and one read.
 #[derive(Debug, Default)]
 pub struct Inbox {
     partial: Vec<u8>,
@@ -12,7 +12,7 @@
 }
 
 impl Inbox {
-    /// An inbox for a connection to the list service, which may tell long lists.
+    /// An inbox for a connection to the discovery service, which may send long lists.
     pub fn of_list_service() -> Self {
         Inbox { limit: BodyLimit::NodeList, ..Inbox::default() }
     }
@@ -22,16 +22,15 @@
         self.received
     }
 
-    /// Whether a frame has begun and is not whole yet.
+    /// Whether a frame has begun and is not complete yet.
     pub fn is_within_frame(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Hands every whole frame among what was kept and `bytes` to `each`, in order, until it says to stop;
-    /// keeps the rest.
+    /// Passes every complete frame to `each`, in order, until that returns false; the rest waits for more bytes.
     ///
     /// # Errors
-    /// The first frame that is none; nothing after it is read.
+    /// The first bytes that are not a frame; nothing after them is read.
     pub fn feed(&mut self, bytes: &[u8], mut each: impl FnMut(Frame<'_>) -> bool) -> Result<(), FrameError> {
         self.received += bytes.len() as u64;
         // The usual read ends with a whole frame: then nothing is copied.
@@ -69,12 +68,12 @@
 }
 
 impl Outbox {
-    /// Adds a frame. Returns the place in the stream at which it ends: see [`Outbox::written`].
+    /// Appends a frame. Returns the offset in the stream at which it ends: see [`Outbox::written`].
     pub fn push(&mut self, frame: &Frame<'_>) -> u64 {
         self.write(|bytes| encode(frame, bytes))
     }
 
-    /// The same for what is no frame: `add` puts its bytes behind what waits.
+    /// The same for what is not a frame: `add` appends its bytes to what waits.
     pub fn write(&mut self, add: impl FnOnce(&mut Vec<u8>)) -> u64 {
         add(&mut self.bytes);
         self.written + self.len() as u64
@@ -95,8 +94,7 @@
         self.len() == 0
     }
 
-    /// Bytes ever handed to the system. A frame that ends beyond this has not left in full: its peer
-    /// cannot have read it.
+    /// Bytes ever written. A frame that ends beyond this was not written completely: its peer can't have read it.
     pub fn written(&self) -> u64 {
         self.written
     }
--- a/crates/flaxstand-proto/src/time.rs
+++ b/crates/flaxstand-proto/src/time.rs
@@ -1,11 +1,11 @@
-//! Moments and durations.
+//! Times and durations.
 
-/// A moment: microseconds on a clock that never goes back. Durations are in microseconds too.
+/// A time: microseconds on a clock that never goes back. Also a duration, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// From milliseconds; what is negative or no number counts as 0.
+    /// From milliseconds; what is negative or NaN counts as 0.
     pub fn from_ms(ms: f64) -> Self {
         Micros((ms * 1000.0) as u64)
     }
--- a/crates/flaxstand-write-back/src/lib.rs
+++ b/crates/flaxstand-write-back/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`writeout`]: which of that is sent next and how urgently; [`retry_budget`]: how often again
 //! - [`pressure`]: what becomes of a new write as space runs out
 //! - [`image`]: writes merged with each other and laid over a node's data
-//! - [`log`]: batches, segments, what may be removed; [`record`]: their bytes; [`recover`]: reading them back
+//! - [`log`]: batches, segments, what may be removed; [`record`]: their bytes; [`recover`](mod@recover): reading them back
 //! - [`offline`]: what operators do with a log that no process uses
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
