--- a/crates/flaxstand-cli/src/platform.rs
+++ b/crates/flaxstand-cli/src/platform.rs
@@ -144,7 +144,7 @@
     let path = std::env::var_os(CONFIGURATION_VARIABLE).map(PathBuf::from).ok_or(PlatformError::NotSet)?;
     let configuration = read(&path)?;
     let mut core = Core::new(config(&configuration)?, None, clock())?;
-    core.take_platform_list(ListScope::Cached, &configuration.known, clock());
+    core.apply_platform_listing(ListScope::Cached, &configuration.known, clock());
     let options = Options { reload: Some(reload(path)), ..Options::default() };
     let mut driver = Driver::new(core, options).map_err(CommandError::io("cannot start"))?;
     let listen = Address::Tcp(configuration.listen);
--- a/crates/flaxstand-cli/src/rehearsal.rs
+++ b/crates/flaxstand-cli/src/rehearsal.rs
@@ -3,7 +3,7 @@
 use crate::args::{Measured, Rehearsal};
 use crate::error::CommandError;
 use crate::files::{print_result, print_unreadable, read_day, write_text};
-use flaxstand_audit::Book;
+use flaxstand_audit::AttemptLedger;
 use flaxstand_gateway::core::Policy;
 use flaxstand_simulation::day::Day;
 use flaxstand_simulation::experiment::Experiment;
@@ -40,15 +40,15 @@
     }
     let outcome = world::play(day, seconds, arguments.policy);
     if let Some(folder) = &arguments.keep {
-        keep_records(folder, &outcome.book)?;
+        keep_records(folder, &outcome.ledger)?;
     }
     let (json, html) = (arguments.json.as_deref(), arguments.html.as_deref());
-    print_report(day, &outcome.book, &outcome.report, json, html)
+    print_report(day, &outcome.ledger, &outcome.report, json, html)
 }
 
-fn keep_records(folder: &Path, book: &Book) -> Result<(), CommandError> {
+fn keep_records(folder: &Path, ledger: &AttemptLedger) -> Result<(), CommandError> {
     let mut lines = Vec::new();
-    book.records.iter().for_each(|record| record.write(&mut lines));
+    ledger.records.iter().for_each(|record| record.write(&mut lines));
     std::fs::create_dir_all(folder)?;
     std::fs::write(folder.join("records.jsonl"), lines)?;
     Ok(())
@@ -72,8 +72,8 @@
             eprintln!("flaxstand: logs and records are in {}", folder.display());
         }
     }
-    let (report, book) = outcome?;
-    print_report(&plan.day, &book, &report, arguments.json.as_deref(), arguments.html.as_deref())
+    let (report, ledger) = outcome?;
+    print_report(&plan.day, &ledger, &report, arguments.json.as_deref(), arguments.html.as_deref())
 }
 
 /// Audits what a rehearsal kept in a folder.
@@ -84,19 +84,19 @@
     html: Option<&Path>,
 ) -> Result<(), CommandError> {
     let (day, _) = read_day(day)?;
-    let (report, book) = rehearse::audited(&day, folder)?;
-    print_report(&day, &book, &report, json, html)
+    let (report, ledger) = rehearse::audited(&day, folder)?;
+    print_report(&day, &ledger, &report, json, html)
 }
 
 fn print_report(
     day: &Day,
-    book: &Book,
+    ledger: &AttemptLedger,
     report: &Report,
     json: Option<&Path>,
     html: Option<&Path>,
 ) -> Result<(), CommandError> {
     if let Some(path) = html {
-        let page = html::page(day, book, report).map_err(|error| CommandError::Page(error.to_string()))?;
+        let page = html::page(day, ledger, report).map_err(|error| CommandError::Page(error.to_string()))?;
         write_text(path, &page)?;
     }
     print_result(serde_json::to_string_pretty(report), &report.text(), json)?;
