--- a/crates/flaxstand-gateway/src/core/agreement/mod.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/mod.rs
@@ -66,7 +66,7 @@
     }
 
     /// Whether a listener is the agreement's, and not the clients'.
-    pub(super) fn is_consensus_listener(&self, listener: usize) -> bool {
+    pub(super) fn is_agreement_listener(&self, listener: usize) -> bool {
         self.agreement.as_ref().is_some_and(|agreement| agreement.peers.is_listener(listener))
     }
 
@@ -74,20 +74,20 @@
     ///
     /// # Errors
     /// There are as many as may be; nothing is sent before the close.
-    pub(super) fn accept_consensus_peer(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
+    pub(super) fn accept_agreement_peer(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         let agreement = self.agreement.as_mut().ok_or_else(Vec::new)?;
         let greeting = self.config.site.waits.greeting;
         agreement.peers.accept(&mut self.plumbing, greeting, now).ok_or_else(Vec::new)
     }
 
-    pub(super) fn consensus_peer_greeted(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), Fault> {
+    pub(super) fn agreement_peer_greeted(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), Fault> {
         match &self.agreement {
             Some(agreement) => agreement.peers.handle_hello(&mut self.plumbing, &self.config, conn, hello),
             None => Ok(()),
         }
     }
 
-    pub(super) fn consensus_peer_welcomed(
+    pub(super) fn agreement_peer_welcomed(
         &mut self,
         conn: ConnId,
         welcome: &Welcome<'_>,
@@ -98,7 +98,7 @@
         }
     }
 
-    pub(super) fn consensus_message_received(
+    pub(super) fn agreement_message_received(
         &mut self,
         conn: ConnId,
         bytes: &[u8],
@@ -113,13 +113,13 @@
         Ok(())
     }
 
-    pub(super) fn consensus_peer_lost(&mut self, peer: &AgreementPeer, cause: &str, now: Micros) {
+    pub(super) fn agreement_peer_lost(&mut self, peer: &AgreementPeer, cause: &str, now: Micros) {
         if let Some(agreement) = &mut self.agreement {
             agreement.peers.handle_lost(peer, cause, &mut self.rng, now);
         }
     }
 
-    pub(super) fn consensus_batch_stored(&mut self, succeeded: bool, now: Micros) {
+    pub(super) fn agreement_batch_stored(&mut self, succeeded: bool, now: Micros) {
         if let Some(agreement) = &mut self.agreement {
             agreement.participant.batch_stored(succeeded, now);
         }
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -62,7 +62,7 @@
             (Peer::Node(node), _) => {
                 self.node_lost(conn, node, gone.stage, gone.outbox.written(), cause, now)
             }
-            (Peer::Agreement(peer), _) => self.consensus_peer_lost(&peer, cause, now),
+            (Peer::Agreement(peer), _) => self.agreement_peer_lost(&peer, cause, now),
             (Peer::Discovery, Protocol::DiscoveryPoll) => self.discovery_poll_lost(cause, now),
             (Peer::Discovery, _) => self.discovery_watch_lost(gone.stage, cause, now),
         }
@@ -79,13 +79,13 @@
                 return false;
             }
             (Peer::Agreement(AgreementPeer::Unidentified), Frame::Hello(h)) if stage == Stage::Greeting => {
-                self.consensus_peer_greeted(conn, &h)
+                self.agreement_peer_greeted(conn, &h)
             }
             (Peer::Agreement(_), Frame::Welcome(w)) if stage == Stage::Greeting => {
-                self.consensus_peer_welcomed(conn, &w)
+                self.agreement_peer_welcomed(conn, &w)
             }
             (Peer::Agreement(_), Frame::Agreement { bytes }) if stage == Stage::Open => {
-                self.consensus_message_received(conn, bytes, now)
+                self.agreement_message_received(conn, bytes, now)
             }
             (Peer::Client(_), Frame::Hello(h)) if stage == Stage::Greeting => self.client_greeted(conn, &h),
             (Peer::Client(_), Frame::Submit(s)) if stage == Stage::Open => {
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -329,8 +329,8 @@
 
 impl Machine for Core {
     fn accepted(&mut self, listener: usize, now: Micros) -> Result<ConnId, Vec<u8>> {
-        if self.is_consensus_listener(listener) {
-            self.accept_consensus_peer(now)
+        if self.is_agreement_listener(listener) {
+            self.accept_agreement_peer(now)
         } else {
             self.client_accepted(now)
         }
@@ -415,7 +415,7 @@
     }
 
     fn kept(&mut self, well: bool, now: Micros) {
-        self.consensus_batch_stored(well, now);
+        self.agreement_batch_stored(well, now);
     }
 
     fn save_failed(&mut self, now: Micros) {
