--- a/crates/flaxstand-gateway/src/core/connection_closing.rs
+++ b/crates/flaxstand-gateway/src/core/connection_closing.rs
@@ -64,7 +64,7 @@
                 self.pooled_closed(conn, node, &pooled, written, cause, now);
             }
             (Peer::Node(node), _) => self.node_disconnected(conn, node, closed.stage, written, cause, now),
-            (Peer::Agreement(peer), _) => self.consensus_peer_lost(&peer, cause, now),
+            (Peer::Agreement(peer), _) => self.agreement_peer_lost(&peer, cause, now),
             (Peer::Discovery, Protocol::DiscoveryPoll) => self.discovery_poll_lost(cause, now),
             (Peer::Discovery, _) => self.discovery_watch_lost(closed.stage, cause, now),
         }
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -125,10 +125,10 @@
     ) -> Result<(), PeerFault> {
         match (stage, frame) {
             (Stage::Greeting, Frame::Hello(hello)) if is_unidentified => {
-                self.consensus_peer_greeted(conn, hello)
+                self.agreement_peer_greeted(conn, hello)
             }
-            (Stage::Greeting, Frame::Welcome(welcome)) => self.consensus_peer_welcomed(conn, welcome),
-            (Stage::Open, Frame::Agreement { bytes }) => self.consensus_message_received(conn, bytes, now),
+            (Stage::Greeting, Frame::Welcome(welcome)) => self.agreement_peer_welcomed(conn, welcome),
+            (Stage::Open, Frame::Agreement { bytes }) => self.agreement_message_received(conn, bytes, now),
             _ => Err(PeerFault::unexpected(frame)),
         }
     }
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -257,8 +257,8 @@
 
 impl Machine for Core {
     fn accepted(&mut self, listener: usize, now: Micros) -> Result<ConnId, Vec<u8>> {
-        if self.is_consensus_listener(listener) {
-            self.accept_consensus_peer(now)
+        if self.is_agreement_listener(listener) {
+            self.accept_agreement_peer(now)
         } else {
             self.accept_client(now)
         }
@@ -345,7 +345,7 @@
     }
 
     fn consensus_stored(&mut self, is_stored: bool, now: Micros) {
-        self.consensus_batch_stored(is_stored, now);
+        self.agreement_batch_stored(is_stored, now);
     }
 
     fn save_failed(&mut self, now: Micros) {
