--- a/crates/flaxstand-gateway/src/core/endpoint_table/mod.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_table/mod.rs
@@ -4,8 +4,8 @@
 
 mod apply;
 
-use crate::machine::{Address, ConnId, Micros};
-use flaxstand::api::{AttemptNo, NodeEntry, NodeId, Readiness, RequestId, ShardId, ZoneId};
+use crate::machine::{Address, Micros};
+use flaxstand::api::{NodeEntry, NodeId, Readiness, ShardId, ZoneId};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -40,20 +40,8 @@
     /// Its size against others', hundredths; 0: not stated.
     pub(super) size: u32,
     pub(super) address: Address,
-    pub(super) conn: Option<ConnId>,
-    /// Pooled connections that wait for a request, the longest idle first.
-    pub(super) idle: Vec<ConnId>,
     /// When the list removed it.
     removed_at: Micros,
-    /// Attempts that wait for the connection, in the order of sending.
-    pub(super) waiting: Vec<(RequestId, AttemptNo)>,
-    /// Attempts without an end, those that wait included.
-    pub(super) out: BTreeSet<(RequestId, AttemptNo)>,
-    /// The probe that is out, by its token, and when it ends unanswered.
-    pub(super) probe: Option<(u64, Micros)>,
-    /// Pooled connections that carry probes, by the probe's token.
-    pub(super) probe_links: BTreeMap<u64, ConnId>,
-    pub(super) idle_since: Micros,
 }
 
 impl Endpoint {
@@ -67,14 +55,7 @@
             zone: 0,
             size: 0,
             address,
-            conn: None,
-            idle: Vec::new(),
             removed_at: Micros(0),
-            waiting: Vec::new(),
-            out: BTreeSet::new(),
-            probe: None,
-            probe_links: BTreeMap::new(),
-            idle_since: Micros(0),
         }
     }
 
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -19,7 +19,7 @@
 //! places differ:
 //!
 //! - [`http_server`]: clients that ask one request at a time of a connection; [`client_places`]: who gives way
-//! - [`pool`]: connections to a node that carry one request each
+//! - [`pool`]: connections to a node that carry one request each; [`upstream_pool`]: which there are, and what for
 //! - [`discovery::platform_poll`]: the endpoint list, by calls that wait for changes
 
 mod agreement;
@@ -41,6 +41,7 @@
 mod pool;
 mod requests;
 mod storms;
+mod upstream_pool;
 mod writeback;
 
 pub use backoff::Backoff;
@@ -68,6 +69,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use storms::Gate;
 use tracing::{info, warn};
+use upstream_pool::UpstreamPool;
 use writeback::Back;
 
 /// How far the process is in its life.
@@ -103,12 +105,8 @@
     places: ClientPlaces,
     requests: BTreeMap<RequestId, Held>,
     next_request: u64,
-    next_probe: u64,
     nodes: EndpointTable,
-    /// Connections to nodes that carry one request each.
-    links: usize,
-    /// Those of them that carry nothing, by since when.
-    idle_links: BTreeSet<(Micros, ConnId)>,
+    upstream: UpstreamPool,
     /// Ids under which clients of the platform have requests here.
     open_ids: BTreeSet<String>,
     /// Names of classes, in the order of the module's.
@@ -161,10 +159,8 @@
             places: ClientPlaces::default(),
             requests: BTreeMap::new(),
             next_request: 0,
-            next_probe: 0,
             nodes: EndpointTable::default(),
-            links: 0,
-            idle_links: BTreeSet::new(),
+            upstream: UpstreamPool::default(),
             open_ids: BTreeSet::new(),
             class_names,
             volumes: BTreeSet::new(),
@@ -191,7 +187,7 @@
     /// Counts since the start.
     pub fn counts(&self) -> Counts {
         Counts {
-            nodes_visited: self.nodes.visited(),
+            nodes_visited: self.nodes.visited() + self.upstream.visited(),
             connections_walked: self.plumbing.walked(),
             ..self.counts
         }
