--- a/crates/flaxstand-bench-adapter/src/main.rs
+++ b/crates/flaxstand-bench-adapter/src/main.rs
@@ -37,7 +37,7 @@
 
 impl Host {
     fn start(&mut self, name: String, seed: u64, params: Params, now: f64) -> Result<(), String> {
-        let settings = params.settings()?;
+        let settings = params.settings().map_err(|error| error.to_string())?;
         let scheduler = Scheduler::new(settings.clone(), seed, now);
         let (ids, names, zones) = Default::default();
         let instance = Instance { scheduler, params, settings, ids, names, zones, touched: true };
--- a/crates/flaxstand-cli/src/platform.rs
+++ b/crates/flaxstand-cli/src/platform.rs
@@ -53,7 +53,8 @@
 
 fn config(c: &Configuration) -> Result<Config, Failure> {
     let notification_terms = Some(c.settings.notification_terms());
-    let settings = Settings { notification_terms, ..c.settings.settings().map_err(Failure::System)? };
+    let settings =
+        Settings { notification_terms, ..c.settings.settings().map_err(|e| Failure::System(e.to_string()))? };
     let ms =
         |told: Option<f64>, factor: f64, default| told.map_or(default, |ms| Micros::from_ms(ms * factor));
     let d = Timeouts::default();
@@ -103,7 +104,7 @@
     let configuration = read(&path).map_err(Failure::System)?;
     let mut core =
         Core::new(config(&configuration)?, None, clock()).map_err(|e| Failure::System(e.to_string()))?;
-    core.apply_platform_listing(ListScope::Cached, &configuration.known, clock());
+    core.apply_platform_listing(ListScope::Cached, &configuration.cached_list, clock());
     let options = Options { reload: Some(reload(path)), ..Options::default() };
     let mut driver = Driver::new(core, options).map_err(system("cannot start"))?;
     let listen = Address::Tcp(configuration.listen);
--- a/crates/flaxstand-gateway/examples/list_costs.rs
+++ b/crates/flaxstand-gateway/examples/list_costs.rs
@@ -260,14 +260,14 @@
 fn listing(rev: u64, nodes: &[u64], state: TargetState) -> Listing {
     let target = |node: &u64| Target {
         uid: format!("s-{node}"),
-        endpoint: listed_address(*node),
-        az: "a".into(),
-        pod_group: *node as u32,
+        address: listed_address(*node),
+        zone: "a".into(),
+        shard: *node as u32,
         state,
-        boot_ms: 1,
-        capacity_hint: 1.0,
+        started_at_ms: 1,
+        size: 1.0,
     };
-    Listing { rev, all: nodes.len() > 1, targets: nodes.iter().map(target).collect() }
+    Listing { revision: rev, is_full: nodes.len() > 1, targets: nodes.iter().map(target).collect() }
 }
 
 /// The tests' site with the baseline as its decider, as one of many initiators.
--- a/crates/flaxstand-gateway/src/core/discovery/platform_listing.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_listing.rs
@@ -24,30 +24,30 @@
             );
         }
         let listing = &read.listing;
-        let is_older = self.revision.is_some_and(|current| listing.rev < current);
-        if is_older && !listing.all {
+        let is_older = self.revision.is_some_and(|current| listing.revision < current);
+        if is_older && !listing.is_full {
             info!(
                 current = self.revision,
-                received = listing.rev,
+                received = listing.revision,
                 "endpoint list went back: requesting the full list"
             );
             self.revision = None;
             return None;
         }
-        self.revision = Some(listing.rev);
+        self.revision = Some(listing.revision);
         self.is_notified = true;
         self.backoff.worked();
-        if !listing.all && listing.targets.is_empty() {
+        if !listing.is_full && listing.targets.is_empty() {
             Self::notify_unchanged(context);
             return None;
         }
-        let scope = if listing.all { ListScope::Full } else { ListScope::Changes };
+        let scope = if listing.is_full { ListScope::Full } else { ListScope::Changes };
         Some(self.update_from_listing(scope, listing, context.config.calendar))
     }
 
     /// A nameless entry that can't be read may mean any endpoint: after changes with one, the full list is requested.
     pub(in crate::core) fn reject_nameless_entries(&mut self, read: &ReadListing) {
-        if read.nameless_count > 0 && !read.listing.all {
+        if read.nameless_count > 0 && !read.listing.is_full {
             warn!(
                 entries = read.nameless_count,
                 "endpoint list entries without a name: requesting the full list"
@@ -71,9 +71,9 @@
             .map(|target| EndpointEntry::from_target(target, zones, calendar))
             .collect();
         if scope == ListScope::Cached && !entries.is_empty() {
-            self.revision = Some(listing.rev);
+            self.revision = Some(listing.revision);
         }
-        EndpointUpdate { scope, revision: listing.rev, entries }
+        EndpointUpdate { scope, revision: listing.revision, entries }
     }
 }
 
@@ -81,19 +81,20 @@
     fn from_target(target: &Target, zones: &mut ZoneIndex, calendar: u64) -> Self {
         EndpointEntry {
             name: EndpointName::Uid(target.uid.clone()),
-            incarnation: target.boot_ms,
+            incarnation: target.started_at_ms,
             readiness: match target.state {
                 TargetState::Up => Readiness::Serving,
                 TargetState::Draining => Readiness::Draining,
                 TargetState::Removed => Readiness::Removed,
             },
             // All machines read one clock: the start on ours may be before ours began.
-            started_at: (target.boot_ms > 0).then(|| target.boot_ms as f64 - Micros(calendar).ms()),
-            shard: target.pod_group,
-            zone: zones.number_of(&target.az),
-            size: (target.capacity_hint * 100.0) as u32,
+            started_at: (target.started_at_ms > 0)
+                .then(|| target.started_at_ms as f64 - Micros(calendar).ms()),
+            shard: target.shard,
+            zone: zones.number_of(&target.zone),
+            size: (target.size * 100.0) as u32,
             service_time: None,
-            address: target.endpoint.clone(),
+            address: target.address.clone(),
         }
     }
 }
--- a/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
@@ -15,7 +15,7 @@
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{DiscoveryCall, Event, NotificationTerms};
 use flaxstand_http::{Answer, Answers, write_request};
-use flaxstand_platform::{ReadListing, list_call, read_listing};
+use flaxstand_platform::{LongPoll, ReadListing, list_call, read_listing};
 use rand_core::RngCore as _;
 use std::collections::VecDeque;
 use tracing::warn;
@@ -109,7 +109,9 @@
         self.record_call_start(wait, context);
         let deadline = context.now.after(wait).after(self.response_timeout());
         self.schedule_stall_check(deadline, context.connections);
-        let target = list_call(self.revision.map(|revision| (revision, wait.0 / 1000)));
+        let timeout_ms = wait.0 / 1000;
+        let long_poll = self.revision.map(|since_revision| LongPoll { since_revision, timeout_ms });
+        let target = list_call(long_poll);
         let host = context.config.discovery_address.to_string();
         context.connections.put(conn, |bytes| write_request(bytes, "GET", &target, &[("Host", &host)], None));
     }
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -11,7 +11,7 @@
 use super::{Core, Phase};
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand_http::{BODY_MOST, Request, Requests, write_answer};
-use flaxstand_platform::{ClientRequest, READY, Terms};
+use flaxstand_platform::{ClientRequest, READY, RequestLimits};
 use flaxstand_proto::{Frame, Submit};
 use std::fmt::Display;
 use tracing::debug;
@@ -169,11 +169,11 @@
             return self.respond(conn, if ready { 200 } else { 503 }, &[], b"", now);
         }
         let settings = &self.config.site.settings;
-        let terms = Terms {
+        let terms = RequestLimits {
             classes: &self.class_names,
             plans: &self.config.site.plans,
-            units: settings.max_units,
-            hosts: settings.initiators,
+            max_units: settings.max_units,
+            max_hosts: settings.initiators,
         };
         let r = match ClientRequest::read(&request, &terms) {
             Ok(r) => r,
@@ -195,22 +195,23 @@
             class: r.class,
             plan: r.plan,
             volume_initiators: r.hosts,
-            try_no: r.retried.into(),
-            write: r.write,
+            try_no: r.is_retry.into(),
+            write: r.is_write,
             volume: r.volume,
             extent: Some(r.extent),
             shard: r.shard,
             units: r.units,
             at: None,
             // No client waits for longer than its class says; one that says so is not held for longer.
-            time_left: u32::try_from(deadline).map_or(r.time_left, |most| r.time_left.min(most)),
+            time_left: u32::try_from(deadline)
+                .map_or(r.time_left_micros, |most| r.time_left_micros.min(most)),
             payload: &request.body,
         };
         let origin = Origin {
-            method: if r.write { "PUT" } else { "GET" },
+            method: if r.is_write { "PUT" } else { "GET" },
             target: request.target.clone(),
             id: r.id.to_owned(),
-            key: r.key.map(str::to_owned),
+            key: r.idempotency_key.map(str::to_owned),
         };
         if let Err((_, text)) = self.submitted(conn, &submit, Some(origin), now) {
             self.respond(conn, 400, &[], text.as_bytes(), now);
--- a/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
@@ -8,7 +8,7 @@
 use flaxstand::api::{ListScope, NotificationTerms};
 use flaxstand_gateway::core::{Config, Core};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Control, Machine, Micros, Reloaded};
-use flaxstand_platform::{TOLD_AFTER_MOVE_MS, TOLD_WITHIN_MS};
+use flaxstand_platform::{NOTIFIED_AFTER_MOVE_MS, NOTIFIED_WITHIN_MS};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Longest wait that the list service is asked for, ms, as `run --platform` sets it.
@@ -88,8 +88,8 @@
         let settings = &mut config.site.settings;
         (settings.initiators, settings.poll_within) = (self.day.hosts as u32, ASK_WITHIN.ms());
         settings.notification_terms = Some(NotificationTerms {
-            notified_within: TOLD_WITHIN_MS,
-            notified_after_move: TOLD_AFTER_MOVE_MS,
+            notified_within: NOTIFIED_WITHIN_MS,
+            notified_after_move: NOTIFIED_AFTER_MOVE_MS,
             drain_grace: self.day.grace.ms(),
         });
         config
--- a/crates/flaxstand-gateway/tests/list_fleet/list_service.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/list_service.rs
@@ -140,7 +140,7 @@
     /// A target that was never listed, at this address and with the shard of an earlier one.
     pub fn add_target(&mut self, endpoint: String, shard: u32) -> TargetId {
         let id = TargetId(self.targets.len());
-        let target = Target { pod_group: shard, state: TargetState::Removed, ..first_target(id.0, endpoint) };
+        let target = Target { shard, state: TargetState::Removed, ..first_target(id.0, endpoint) };
         self.targets.push(target);
         id
     }
@@ -150,7 +150,7 @@
         let target = &mut self.targets[id.0];
         match (target.state == TargetState::Removed, state == TargetState::Removed) {
             (true, false) => {
-                target.boot_ms = now.ms() as u64;
+                target.started_at_ms = now.ms() as u64;
                 self.listed += 1;
             }
             (false, true) => self.listed -= 1,
@@ -158,7 +158,7 @@
         }
         target.state = state;
         self.revision += 1;
-        let boot_ms = target.boot_ms;
+        let boot_ms = target.started_at_ms;
         self.changes.push(Change { revision: self.revision, target: id, state, boot_ms });
         self.bodies.clear();
     }
@@ -305,8 +305,8 @@
             TargetState::Removed => "removed",
         };
         let unreadable = self.style.drops_addresses && target.state != TargetState::Up;
-        let endpoint = if unreadable { "unknown" } else { &target.endpoint };
-        let Target { uid, az, pod_group, boot_ms, .. } = target;
+        let endpoint = if unreadable { "unknown" } else { &target.address };
+        let Target { uid, zone: az, shard: pod_group, started_at_ms: boot_ms, .. } = target;
         // Writing to a string does not fail.
         let _ = write!(
             text,
@@ -319,15 +319,15 @@
         let mut targets = self.targets.clone();
         for (index, target) in targets.iter_mut().enumerate() {
             let first = index < self.first_targets;
-            (target.state, target.boot_ms) =
+            (target.state, target.started_at_ms) =
                 if first { (TargetState::Up, 0) } else { (TargetState::Removed, 0) };
         }
         for change in self.changes.iter().take_while(|change| change.revision <= revision) {
             let target = &mut targets[change.target.0];
-            (target.state, target.boot_ms) = (change.state, change.boot_ms);
+            (target.state, target.started_at_ms) = (change.state, change.boot_ms);
         }
         targets.retain(|target| target.state != TargetState::Removed);
-        Listing { rev: revision, all: true, targets }
+        Listing { revision, is_full: true, targets }
     }
 }
 
@@ -337,12 +337,12 @@
 fn first_target(index: usize, endpoint: String) -> Target {
     Target {
         uid: format!("s-{:08x}", index * 0x9e37 + 0x0f03_c277),
-        endpoint,
-        az: format!("hall-{}.building-7.north", ["a", "b", "c"][index % 3]),
-        pod_group: index as u32,
+        address: endpoint,
+        zone: format!("hall-{}.building-7.north", ["a", "b", "c"][index % 3]),
+        shard: index as u32,
         state: TargetState::Up,
-        capacity_hint: 2.0,
-        boot_ms: 0,
+        size: 2.0,
+        started_at_ms: 0,
     }
 }
 
--- a/crates/flaxstand-gateway/tests/list_fleet/list_service_tests.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/list_service_tests.rs
@@ -66,7 +66,7 @@
         (after(2.0625), CallId(2)),
         "its wait ended while the first list was worked on"
     );
-    assert!(listing(reply).targets.is_empty() && !listing(reply).all);
+    assert!(listing(reply).targets.is_empty() && !listing(reply).is_full);
 }
 
 #[test]
@@ -79,12 +79,12 @@
     service.tell_watches(after(4.0));
     let told = listing(&answers(&mut service, after(4.0))[0].1);
     let states: Vec<TargetState> = told.targets.iter().map(|target| target.state).collect();
-    assert_eq!((told.rev, told.all), (FIRST_REVISION + 2, false));
+    assert_eq!((told.revision, told.is_full), (FIRST_REVISION + 2, false));
     assert_eq!(states, [TargetState::Draining, TargetState::Removed]);
     // The whole list holds what drains, and not what is removed.
     service.call(CallId(1), WHOLE, after(6.0));
     let whole = listing(&answers(&mut service, after(6.0))[0].1);
-    assert_eq!((whole.all, whole.targets.len()), (true, 9));
+    assert_eq!((whole.is_full, whole.targets.len()), (true, 9));
 }
 
 #[test]
@@ -93,7 +93,7 @@
     service.change_one(TargetId(3), TargetState::Draining, NOW);
     service.call(CallId(0), watch(FIRST_REVISION, 5.0), NOW);
     let told = listing(&answers(&mut service, NOW)[0].1);
-    assert_eq!((told.all, told.targets.len()), (true, 10));
+    assert_eq!((told.is_full, told.targets.len()), (true, 10));
 }
 
 #[test]
@@ -105,7 +105,7 @@
     service.change_one(new, TargetState::Up, NOW);
     let states = |behind: u64| {
         let listing = service.listing_at(FIRST_REVISION + 3 - behind);
-        listing.targets.iter().map(|target| (target.pod_group, target.state)).collect::<Vec<_>>()
+        listing.targets.iter().map(|target| (target.shard, target.state)).collect::<Vec<_>>()
     };
     use TargetState::{Draining, Up};
     assert_eq!(states(0), [(0, Up), (2, Up), (3, Up), (1, Up)]);
--- a/crates/flaxstand-gateway/tests/list_fleet/targets.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/targets.rs
@@ -29,7 +29,7 @@
     pub fn new(service: &ListService, count: usize) -> Self {
         let ids: Vec<TargetId> = (0..count).map(TargetId).collect();
         Targets {
-            listening: ids.iter().map(|id| (service.target(*id).endpoint.clone(), *id)).collect(),
+            listening: ids.iter().map(|id| (service.target(*id).address.clone(), *id)).collect(),
             open: BTreeMap::new(),
             by_shard: ids,
             answer: b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".as_slice().into(),
@@ -115,7 +115,7 @@
         for target in targets {
             self.process_ends(*target);
             let old = self.service.target(*target);
-            let (endpoint, shard) = (old.endpoint.clone(), old.pod_group);
+            let (endpoint, shard) = (old.address.clone(), old.shard);
             let target = self.service.add_target(endpoint, shard);
             self.process_starts(target);
             new.push(target);
@@ -132,8 +132,8 @@
 
     fn process_starts(&mut self, target: TargetId) {
         let told = self.service.target(target);
-        self.targets.by_shard[told.pod_group as usize] = target;
-        self.targets.listening.insert(told.endpoint.clone(), target);
+        self.targets.by_shard[told.shard as usize] = target;
+        self.targets.listening.insert(told.address.clone(), target);
     }
 
     fn process_ends(&mut self, target: TargetId) {
--- a/crates/flaxstand-gateway/tests/list_growth.rs
+++ b/crates/flaxstand-gateway/tests/list_growth.rs
@@ -67,13 +67,13 @@
 
 fn target(node: u64, state: TargetState) -> Target {
     let (uid, endpoint, az) = (format!("s-{node}"), format!("127.0.0.1:{}", 10_000 + node), "a".into());
-    Target { uid, endpoint, az, pod_group: node as u32, state, boot_ms: 1, capacity_hint: 1.0 }
+    Target { uid, address: endpoint, zone: az, shard: node as u32, state, started_at_ms: 1, size: 1.0 }
 }
 
 fn tell_targets(w: &mut World, nodes: impl Iterator<Item = u64>, state: TargetState) {
     w.revision += 1;
     let targets = nodes.map(|node| target(node, state)).collect();
-    let listing = Listing { rev: w.revision, all: false, targets };
+    let listing = Listing { revision: w.revision, is_full: false, targets };
     w.core.apply_platform_listing(ListScope::Changes, &listing, w.now);
     w.turn();
 }
--- a/crates/flaxstand-platform/src/answer.rs
+++ b/crates/flaxstand-platform/src/answer.rs
@@ -1,11 +1,11 @@
-//! What targets answer.
+//! Responses of targets.
 
 use crate::field;
 use flaxstand::api::Outcome;
 use flaxstand_http::Answer;
 
-/// What a whole answer says of the attempt that it ends. A status that the platform gives no meaning is an error:
-/// it may have run.
+/// The outcome of the attempt that a response ends. A status that the platform gives no meaning is an error: the attempt
+/// may have run.
 pub fn outcome_of(answer: &Answer) -> Outcome {
     match answer.status {
         200 => Outcome::Served,
--- a/crates/flaxstand-platform/src/configuration.rs
+++ b/crates/flaxstand-platform/src/configuration.rs
@@ -1,10 +1,15 @@
-//! What an initiator is told at its start, and again at each SIGHUP.
+//! The configuration file that an initiator reads at its start, and again at each SIGHUP.
 
-use crate::{Listing, Params};
+use crate::{Listing, Params, ParamsError};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use thiserror::Error;
 
+/// Least memory with which an initiator can run, MB.
+const MIN_MEMORY_MB: u64 = 16;
+/// Least number of descriptors with which an initiator can run.
+const MIN_SOCKETS: u64 = 64;
+
 /// The configuration file.
 #[derive(Debug, Deserialize)]
 pub struct Configuration {
@@ -12,16 +17,17 @@
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Where the discovery service listens.
     pub discovery: SocketAddr,
-    /// For random numbers, hex digits; new with each start.
+    /// For random numbers; new with each start. Hex digits in the file.
     #[serde(deserialize_with = "hex")]
     pub seed: u64,
     /// What the process may use.
     pub limits: Limits,
-    /// The list as this initiator had it last; may be out of date.
-    pub known: Listing,
-    /// What the module is told, and more.
+    /// The endpoint list as this initiator had it last; may be out of date.
+    #[serde(rename = "known")]
+    pub cached_list: Listing,
+    /// Settings of the decision module, and more.
     pub settings: Params,
 }
 
@@ -40,17 +46,31 @@
     /// It is no such object. The message names the field and the place.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A field has a value that can't be.
-    #[error("{0}: {1}")]
-    Field(&'static str, String),
+    /// A limit is too low for an initiator to run.
+    #[error("{field}: expected {min} or more, not {value}")]
+    LimitTooLow {
+        /// Path of the field.
+        field: &'static str,
+        /// Least value.
+        min: u64,
+        /// What is there.
+        value: u64,
+    },
+    /// The settings make no sense.
+    #[error("settings: {0}")]
+    Settings(#[from] ParamsError),
 }
 
-fn hex<'de, D: serde::Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
-    let text = String::deserialize(from)?;
+fn hex<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
+    let text = String::deserialize(deserializer)?;
     u64::from_str_radix(&text, 16)
         .map_err(|_| serde::de::Error::custom(format!("seed: expected hex digits, not {text:?}")))
 }
 
+fn check_limit(field: &'static str, value: u64, min: u64) -> Result<(), ConfigurationError> {
+    if value < min { Err(ConfigurationError::LimitTooLow { field, min, value }) } else { Ok(()) }
+}
+
 impl Configuration {
     /// Reads the file's text.
     ///
@@ -58,13 +78,9 @@
     /// It makes no sense; the message names the field.
     pub fn read(text: &str) -> Result<Self, ConfigurationError> {
         let configuration: Configuration = serde_json::from_str(text)?;
-        let least = |name, value: u64, least: u64| {
-            let told = format!("expected {least} or more, not {value}");
-            if value < least { Err(ConfigurationError::Field(name, told)) } else { Ok(()) }
-        };
-        least("limits.memory_mb", configuration.limits.memory_mb, 16)?;
-        least("limits.sockets", configuration.limits.sockets, 64)?;
-        configuration.settings.settings().map_err(|e| ConfigurationError::Field("settings", e))?;
+        check_limit("limits.memory_mb", configuration.limits.memory_mb, MIN_MEMORY_MB)?;
+        check_limit("limits.sockets", configuration.limits.sockets, MIN_SOCKETS)?;
+        configuration.settings.settings()?;
         Ok(configuration)
     }
 }
--- a/crates/flaxstand-platform/src/discovery/listing.rs
+++ b/crates/flaxstand-platform/src/discovery/listing.rs
@@ -5,14 +5,15 @@
 use serde::de::{DeserializeOwned, IgnoredAny};
 use thiserror::Error;
 
-/// Most problems that [`ReadListing::problems`] keeps.
-pub const PROBLEMS_MOST: usize = 16;
-/// Longest cause that is kept of a problem, bytes.
-const CAUSE_MOST: usize = 200;
+/// Largest number of problems in [`ReadListing::problems`].
+pub const MAX_PROBLEMS: usize = 16;
+/// Longest cause of a problem, bytes; longer ones are cut.
+const MAX_CAUSE_BYTES: usize = 200;
 
 /// What stands between two entries, white space left out.
 const ENTRY_BOUNDARY: &[u8] = b"},{";
 
+/// Keys of the list and of its entries.
 const REVISION: &str = "rev";
 const IS_ALL: &str = "all";
 const TARGETS: &str = "targets";
@@ -26,7 +27,7 @@
     /// The names in entries that can't be read, in their order. A name may be here more than once, and in
     /// `listing` too.
     pub unreadable: Vec<String>,
-    /// The first entries that can't be read, at most [`PROBLEMS_MOST`].
+    /// The first entries that can't be read, at most [`MAX_PROBLEMS`].
     pub problems: Vec<EntryProblem>,
     /// How many entries can't be read.
     pub problem_count: usize,
@@ -81,10 +82,10 @@
     DoubtfulEntry,
     /// Something follows the list.
     #[error("something follows the list")]
-    Behind,
+    TrailingBytes,
 }
 
-/// Reads a list. Its keys must be readable as a whole; each entry is read by itself.
+/// Reads a list. Its keys must be readable in full; each entry is read by itself.
 ///
 /// # Errors
 /// The text is not one JSON object with `rev`, `all` and an array `targets`, or where its entries begin and end
@@ -102,14 +103,14 @@
         }
     }
     let missing = |key| scanner.error_here(ListingFault::Missing(key));
-    let rev = envelope.rev.ok_or_else(|| missing(REVISION))?;
-    let all = envelope.all.ok_or_else(|| missing(IS_ALL))?;
+    let revision = envelope.revision.ok_or_else(|| missing(REVISION))?;
+    let is_full = envelope.is_full.ok_or_else(|| missing(IS_ALL))?;
     let entries = envelope.entries.ok_or_else(|| missing(TARGETS))?;
     if scanner.peek().is_some() {
-        return Err(scanner.error_here(ListingFault::Behind));
+        return Err(scanner.error_here(ListingFault::TrailingBytes));
     }
     Ok(ReadListing {
-        listing: Listing { rev, all, targets: entries.targets },
+        listing: Listing { revision, is_full, targets: entries.targets },
         unreadable: entries.unreadable,
         problems: entries.problems,
         problem_count: entries.problem_count,
@@ -120,24 +121,24 @@
 /// What is read of the list's object so far.
 #[derive(Debug, Default)]
 struct Envelope {
-    rev: Option<u64>,
-    all: Option<bool>,
+    revision: Option<u64>,
+    is_full: Option<bool>,
     entries: Option<Entries>,
 }
 
 impl Envelope {
-    /// Reads a key and its value. A key that is not known is passed over, as in [`Listing`].
+    /// Reads a key and its value. An unknown key is skipped, as in [`Listing`].
     fn read_member(&mut self, scanner: &mut Scanner<'_>) -> Result<(), ListingError> {
         let key_span = scanner.string("a key")?;
         let key: String = parse(scanner, key_span)?;
         scanner.expect(b':', "a colon")?;
         let duplicate = |key| Err(scanner.error_at(key_span.at, ListingFault::Duplicate(key)));
         match key.as_str() {
-            REVISION if self.rev.is_some() => duplicate(REVISION),
-            IS_ALL if self.all.is_some() => duplicate(IS_ALL),
+            REVISION if self.revision.is_some() => duplicate(REVISION),
+            IS_ALL if self.is_full.is_some() => duplicate(IS_ALL),
             TARGETS if self.entries.is_some() => duplicate(TARGETS),
-            REVISION => parse_value(scanner).map(|rev| self.rev = Some(rev)),
-            IS_ALL => parse_value(scanner).map(|all| self.all = Some(all)),
+            REVISION => parse_value(scanner).map(|revision| self.revision = Some(revision)),
+            IS_ALL => parse_value(scanner).map(|is_full| self.is_full = Some(is_full)),
             TARGETS => Entries::read(scanner).map(|entries| self.entries = Some(entries)),
             _ => parse_value(scanner).map(|IgnoredAny| ()),
         }
@@ -189,14 +190,14 @@
         Ok(entries)
     }
 
-    /// Passes an entry that can't be read and keeps what is known of it.
+    /// Skips an entry that can't be read and records what is known of it.
     fn read_unreadable(&mut self, scanner: &mut Scanner<'_>, index: usize) -> Result<(), ListingError> {
         let entry = scanner.value()?;
         if may_hold_others(entry.bytes) {
             return Err(scanner.error_at(entry.at, ListingFault::DoubtfulEntry));
         }
         let uids = find_uids(entry.bytes);
-        if self.problems.len() < PROBLEMS_MOST {
+        if self.problems.len() < MAX_PROBLEMS {
             let (uid, cause) = (uids.first().cloned(), problem_cause(entry.bytes));
             self.problems.push(EntryProblem { index, uid, cause });
         }
@@ -228,7 +229,7 @@
 
 /// An error's text, which may quote the input, cut where it is long.
 fn bounded(text: &str) -> String {
-    match text.char_indices().find(|(at, _)| *at >= CAUSE_MOST) {
+    match text.char_indices().find(|(at, _)| *at >= MAX_CAUSE_BYTES) {
         Some((end, _)) => format!("{}…", &text[..end]),
         None => text.to_owned(),
     }
--- a/crates/flaxstand-platform/src/request.rs
+++ b/crates/flaxstand-platform/src/request.rs
@@ -1,58 +1,61 @@
-//! What clients ask.
+//! Clients' requests, read and checked.
 
+use crate::field;
 use flaxstand_http::Request;
 use thiserror::Error;
 
-use crate::field;
-
-/// Longest id or key that is taken, bytes.
-const WORD_MOST: usize = 200;
-/// Longest time that is taken, s: longer ones count as this.
-const TIMEOUT_MOST: f64 = 3600.0;
+/// Longest id or key that is accepted, bytes.
+const MAX_TOKEN_BYTES: usize = 200;
+/// Longest time-out, seconds: longer ones count as this.
+const MAX_TIMEOUT_SECONDS: f64 = 3600.0;
+/// Hex digits of a volume and of an extent in a path.
+const PATH_ID_DIGITS: usize = 16;
+/// Shard that stands for a new object.
+const NEW_OBJECT_SHARD: i64 = -1;
 
 /// What a request is checked against.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms<'a> {
-    /// Names of classes, in the module's order.
+pub struct RequestLimits<'a> {
+    /// Names of classes, in the order of the decision module's.
     pub classes: &'a [String],
-    /// Names of plans, in the module's order.
+    /// Names of plans, in the order of the decision module's.
     pub plans: &'a [String],
-    /// Most units.
-    pub units: f64,
-    /// Most hosts that a volume comes through.
-    pub hosts: u32,
+    /// Largest size, units.
+    pub max_units: f64,
+    /// Largest number of hosts that a volume's requests come through.
+    pub max_hosts: u32,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest<'a> {
-    /// Its id.
+    /// Its id, new with every attempt of a client.
     pub id: &'a str,
     /// Index of its class.
     pub class: u16,
     /// Index of its volume's plan.
     pub plan: u16,
     /// Whether it writes.
-    pub write: bool,
+    pub is_write: bool,
     /// Its volume.
     pub volume: u64,
-    /// The piece of data.
+    /// The piece of data in the volume.
     pub extent: u64,
     /// How long the client waits, microseconds.
-    pub time_left: u32,
+    pub time_left_micros: u32,
     /// Its size.
     pub units: u32,
-    /// The shard that holds the data; none: a new object.
+    /// The shard that has the data; none: a new object.
     pub shard: Option<u32>,
     /// Hosts that the volume's requests come through.
     pub hosts: u16,
     /// The client marks it as a retry.
-    pub retried: bool,
-    /// The key by which repeats are dropped.
-    pub key: Option<&'a str>,
+    pub is_retry: bool,
+    /// The key by which repeats are deduplicated.
+    pub idempotency_key: Option<&'a str>,
 }
 
-/// Why a request that could be read is none that can be served. Nothing of it has run.
+/// Why a well-formed HTTP request can't be served. Nothing of it has run.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum BadRequest {
     /// Neither GET nor PUT.
@@ -61,106 +64,148 @@
     /// The path does not end with a volume and a piece of data.
     #[error("expected a path that ends with a volume and a piece of data, 16 hex digits each")]
     Path,
-    /// A field is missing, is there twice, or says what can't be.
-    #[error("{0}: expected {1}")]
-    Field(&'static str, &'static str),
+    /// A field is missing, is there twice, or has a value that makes no sense.
+    #[error("{name}: expected {expected}")]
+    Field {
+        /// Name of the field.
+        name: &'static str,
+        /// What it should say.
+        expected: &'static str,
+    },
     /// A read that brings data.
     #[error("a read has no body")]
     Body,
 }
 
 impl BadRequest {
-    /// The status that tells the client.
+    /// The HTTP status of the response.
     pub fn status(&self) -> u16 {
         match self {
             BadRequest::Method => 405,
             BadRequest::Path => 404,
-            BadRequest::Field(..) | BadRequest::Body => 400,
+            BadRequest::Field { .. } | BadRequest::Body => 400,
+        }
+    }
+}
+
+impl<'a> ClientRequest<'a> {
+    /// Reads and checks a request.
+    ///
+    /// # Errors
+    /// The first thing about it that makes no sense.
+    pub fn read(request: &'a Request, limits: &RequestLimits<'_>) -> Result<Self, BadRequest> {
+        let is_write = match request.method.as_str() {
+            "GET" => false,
+            "PUT" => true,
+            _ => return Err(BadRequest::Method),
+        };
+        let (volume, extent) = read_path(&request.target)?;
+        if !is_write && !request.body.is_empty() {
+            return Err(BadRequest::Body);
         }
+        let time_left_micros = read_timeout(request)?;
+        let placement = read_placement(request, limits)?;
+        let has_key = request.fields.has(field::KEY);
+        let idempotency_key = has_key.then(|| read_token(request, field::KEY)).transpose()?;
+        Ok(ClientRequest {
+            id: read_token(request, field::ID)?,
+            class: read_name(request, field::CLASS, limits.classes)?,
+            plan: read_name(request, field::PLAN, limits.plans)?,
+            is_write,
+            volume,
+            extent,
+            time_left_micros,
+            units: placement.units,
+            shard: placement.shard,
+            hosts: placement.hosts,
+            is_retry: request.fields.one(field::RETRIED) == Some("1"),
+            idempotency_key,
+        })
     }
 }
 
-fn hex(text: &str) -> Option<u64> {
-    let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
+/// Volume and extent at the end of a path.
+fn read_path(target: &str) -> Result<(u64, u64), BadRequest> {
+    let path = target.split('?').next().unwrap_or_default();
+    let mut parts = path.rsplit('/');
+    let mut read_part = || parts.next().and_then(parse_id).ok_or(BadRequest::Path);
+    let extent = read_part()?;
+    let volume = read_part()?;
+    Ok((volume, extent))
+}
+
+fn parse_id(text: &str) -> Option<u64> {
+    let is_id = text.len() == PATH_ID_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    is_id.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-/// The only field called so, if it is a word of printable characters.
-fn word<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, BadRequest> {
-    let fits = |w: &&str| !w.is_empty() && w.len() <= WORD_MOST && w.bytes().all(|b| b.is_ascii_graphic());
-    request.fields.one(name).filter(fits).ok_or(BadRequest::Field(name, "one word"))
+/// How long the client waits, microseconds.
+fn read_timeout(request: &Request) -> Result<u32, BadRequest> {
+    // Digits and a point only: what else a float may be written as is nothing a client should send.
+    let is_plain = |text: &&str| text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    let text = request.fields.one(field::TIMEOUT).filter(is_plain);
+    let seconds = text.and_then(|text| text.parse::<f64>().ok());
+    let seconds = seconds.filter(|seconds| seconds.is_finite() && *seconds > 0.0);
+    let seconds = seconds.ok_or(BadRequest::Field { name: field::TIMEOUT, expected: "seconds above 0" })?;
+    Ok((seconds.min(MAX_TIMEOUT_SECONDS) * 1e6) as u32)
 }
 
-fn named(request: &Request, name: &'static str, names: &[String]) -> Result<u16, BadRequest> {
-    let known = request.fields.one(name).and_then(|v| names.iter().position(|n| n == v));
-    let index = known.and_then(|at| u16::try_from(at).ok());
-    index.ok_or(BadRequest::Field(name, "one that the settings name"))
+/// The only field of this name, if it is one word of printable characters.
+fn read_token<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, BadRequest> {
+    let is_token = |text: &&str| {
+        (1..=MAX_TOKEN_BYTES).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic())
+    };
+    let token = request.fields.one(name).filter(is_token);
+    token.ok_or(BadRequest::Field { name, expected: "one word" })
 }
 
-fn placement(text: &str, terms: &Terms<'_>) -> Option<(u32, Option<u32>, u16)> {
+/// The index of the name that a field says.
+fn read_name(request: &Request, name: &'static str, known: &[String]) -> Result<u16, BadRequest> {
+    let value = request.fields.one(name);
+    let index = value.and_then(|value| known.iter().position(|known| known == value));
+    let index = index.and_then(|index| u16::try_from(index).ok());
+    index.ok_or(BadRequest::Field { name, expected: "one that the settings name" })
+}
+
+/// What the placement field says.
+#[derive(Clone, Copy, Debug)]
+struct Placement {
+    units: u32,
+    shard: Option<u32>,
+    hosts: u16,
+}
+
+fn read_placement(request: &Request, limits: &RequestLimits<'_>) -> Result<Placement, BadRequest> {
+    let placement = request.fields.one(field::PLACEMENT).and_then(|text| parse_placement(text, limits));
+    let expected = "units=, shard= and hosts= within the settings";
+    placement.ok_or(BadRequest::Field { name: field::PLACEMENT, expected })
+}
+
+/// Parts of other names are ignored; a part that is there twice makes no sense.
+fn parse_placement(text: &str, limits: &RequestLimits<'_>) -> Option<Placement> {
     let (mut units, mut shard, mut hosts) = (None, None, None);
     for part in text.split(',') {
         let (name, value) = part.split_once('=')?;
         let value: i64 = value.trim().parse().ok()?;
-        let place = match name.trim() {
+        let slot = match name.trim() {
             "units" => &mut units,
             "shard" => &mut shard,
             "hosts" => &mut hosts,
             _ => continue,
         };
-        if place.replace(value).is_some() {
+        if slot.replace(value).is_some() {
             return None;
         }
     }
-    let units = u32::try_from(units?).ok().filter(|u| *u >= 1 && f64::from(*u) <= terms.units)?;
-    let hosts = u16::try_from(hosts?).ok().filter(|h| *h >= 1 && u32::from(*h) <= terms.hosts)?;
+    let units = u32::try_from(units?).ok()?;
+    let hosts = u16::try_from(hosts?).ok()?;
     let shard = match shard? {
-        -1 => None,
-        held => Some(u32::try_from(held).ok()?),
+        NEW_OBJECT_SHARD => None,
+        shard => Some(u32::try_from(shard).ok()?),
     };
-    Some((units, shard, hosts))
-}
-
-impl<'a> ClientRequest<'a> {
-    /// Reads and checks a request.
-    ///
-    /// # Errors
-    /// The first thing about it that can't be.
-    pub fn read(request: &'a Request, terms: &Terms<'_>) -> Result<Self, BadRequest> {
-        let write = match request.method.as_str() {
-            "GET" => false,
-            "PUT" => true,
-            _ => return Err(BadRequest::Method),
-        };
-        let path = request.target.split('?').next().unwrap_or_default();
-        let mut parts = path.rsplit('/');
-        let mut part = || parts.next().and_then(hex).ok_or(BadRequest::Path);
-        let (extent, volume) = (part()?, part()?);
-        if !write && !request.body.is_empty() {
-            return Err(BadRequest::Body);
-        }
-        let expected = BadRequest::Field(field::TIMEOUT, "seconds above 0");
-        // Digits and a point only: what else a float may be written as is nothing a client should send.
-        let plain = |t: &&str| t.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-        let seconds = request.fields.one(field::TIMEOUT).filter(plain).and_then(|t| t.parse::<f64>().ok());
-        let seconds = seconds.filter(|s| s.is_finite() && *s > 0.0).ok_or(expected)?;
-        let expected = BadRequest::Field(field::PLACEMENT, "units=, shard= and hosts= within the settings");
-        let placed =
-            request.fields.one(field::PLACEMENT).and_then(|t| placement(t, terms)).ok_or(expected)?;
-        let key = request.fields.has(field::KEY).then(|| word(request, field::KEY)).transpose()?;
-        Ok(ClientRequest {
-            id: word(request, field::ID)?,
-            class: named(request, field::CLASS, terms.classes)?,
-            plan: named(request, field::PLAN, terms.plans)?,
-            write,
-            volume,
-            extent,
-            time_left: (seconds.min(TIMEOUT_MOST) * 1e6) as u32,
-            units: placed.0,
-            shard: placed.1,
-            hosts: placed.2,
-            retried: request.fields.one(field::RETRIED) == Some("1"),
-            key,
-        })
-    }
+    let is_within = units >= 1
+        && f64::from(units) <= limits.max_units
+        && hosts >= 1
+        && u32::from(hosts) <= limits.max_hosts;
+    is_within.then_some(Placement { units, shard, hosts })
 }
--- a/crates/flaxstand-platform/tests/discovery.rs
+++ b/crates/flaxstand-platform/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! Lists of targets: good ones, nonsense of every kind that was thought of, and drawn damage.
 
 use flaxstand_platform::{
-    Listing, ListingFault, PROBLEMS_MOST, ReadListing, Target, TargetState, list_call, read_listing,
+    Listing, ListingFault, LongPoll, MAX_PROBLEMS, ReadListing, Target, TargetState, list_call, read_listing,
 };
 use proptest::prelude::*;
 
@@ -13,13 +13,16 @@
 fn a_list_is_read_and_a_broken_one_is_not() {
     let text = LIST;
     let list: Listing = serde_json::from_str(text).unwrap();
-    assert_eq!((list.rev, list.all, list.targets.len()), (41, true, 2));
-    assert_eq!((list.targets[0].pod_group, list.targets[0].boot_ms), (3, 7));
+    assert_eq!((list.revision, list.is_full, list.targets.len()), (41, true, 2));
+    assert_eq!((list.targets[0].shard, list.targets[0].started_at_ms), (3, 7));
     assert_eq!(list.targets[1].state, TargetState::Removed);
     for end in 0..text.len() {
         assert!(serde_json::from_str::<Listing>(&text[..end]).is_err());
     }
-    assert_eq!(list_call(Some((41, 20_000))), "/v1/endpoints?since=41&timeout_ms=20000");
+    assert_eq!(
+        list_call(Some(LongPoll { since_revision: 41, timeout_ms: 20_000 })),
+        "/v1/endpoints?since=41&timeout_ms=20000"
+    );
 }
 
 fn list_of(entries: &[&str]) -> String {
@@ -110,7 +113,7 @@
     for (entry, uid) in entries {
         let list = list_of(&[r#"{"uid":"a","state":"up"}"#, entry, r#"{"uid":"c","state":"draining"}"#]);
         let read = read(&list);
-        assert_eq!((read.listing.rev, read.listing.all), (7, false));
+        assert_eq!((read.listing.revision, read.listing.is_full), (7, false));
         assert_eq!(uids(&read.listing.targets), ["a", "c"], "{entry}");
         assert_eq!((read.problem_count, read.problems.len()), (1, 1), "{entry}");
         assert_eq!((read.problems[0].index, read.problems[0].uid.as_deref()), (1, *uid), "{entry}");
@@ -139,7 +142,7 @@
 fn problems_are_bounded_and_names_are_not() {
     let entries: Vec<String> = (0..3200).map(|n| format!(r#"{{"uid":"s-{n}","state":"lost"}}"#)).collect();
     let read = read(&list_of(&entries.iter().map(String::as_str).collect::<Vec<_>>()));
-    assert_eq!((read.problems.len(), read.problem_count), (PROBLEMS_MOST, 3200));
+    assert_eq!((read.problems.len(), read.problem_count), (MAX_PROBLEMS, 3200));
     assert_eq!((read.unreadable.len(), read.unreadable[3199].as_str()), (3200, "s-3199"));
 }
 
@@ -224,7 +227,7 @@
 fn nothing_may_follow_a_list_but_white_space() {
     assert!(read_listing(format!("{LIST} \r\n\t").as_bytes()).is_ok());
     for behind in ["x", "}", ",", "{}", "\0", "\x0c", LIST] {
-        assert_eq!(fault(format!("{LIST}\n{behind}").as_bytes()), ListingFault::Behind, "{behind:?}");
+        assert_eq!(fault(format!("{LIST}\n{behind}").as_bytes()), ListingFault::TrailingBytes, "{behind:?}");
     }
 }
 
@@ -367,7 +370,7 @@
             Ok(read) => {
                 prop_assert!(is_subsequence(&others, &read.listing.targets));
                 prop_assert!(read.listing.targets.len() + read.problem_count >= entries.len());
-                prop_assert_eq!(read.problems.len(), read.problem_count.min(PROBLEMS_MOST));
+                prop_assert_eq!(read.problems.len(), read.problem_count.min(MAX_PROBLEMS));
                 let is_good = serde_json::from_slice::<Target>(&entry).is_ok();
                 prop_assert!(!is_good || read.problem_count == 0);
                 prop_assert!(is_structure_hurt || is_good || read.problem_count == 1);
--- a/crates/flaxstand-platform/tests/recorded.rs
+++ b/crates/flaxstand-platform/tests/recorded.rs
@@ -4,7 +4,8 @@
 use flaxstand_fixture::{Fixtures, values_of};
 use flaxstand_http::{Answers, Requests};
 use flaxstand_platform::{
-    ClientRequest, Configuration, HEALTH, READY, Terms, field, list_call, outcome_of, read_listing,
+    ClientRequest, Configuration, HEALTH, LongPoll, READY, RequestLimits, field, list_call, outcome_of,
+    read_listing,
 };
 use serde_json::{Value, json};
 use std::fmt::Write as _;
@@ -108,7 +109,8 @@
         field::KEY,
         field::NOT_RUN,
     ];
-    let calls = [list_call(None), list_call(Some((41, 20_000))), list_call(Some((41, 0)))];
+    let poll = |timeout_ms| Some(LongPoll { since_revision: 41, timeout_ms });
+    let calls = [list_call(None), list_call(poll(20_000)), list_call(poll(0))];
     fixtures().assert_text("names.txt", &format!("{}\n{}\n", names.join("\n"), calls.join("\n")));
 }
 
@@ -119,7 +121,7 @@
         "state":"draining","az":"b"},{"uid":"z","state":"sideways"}]}"#;
     let mut text = format!("{:?}\n", read_listing(list.as_bytes()));
     let (classes, plans) = (["other".into(), "checkout".into()], ["gold".into()]);
-    let terms = Terms { classes: &classes, plans: &plans, units: 8.0, hosts: 4 };
+    let terms = RequestLimits { classes: &classes, plans: &plans, max_units: 8.0, max_hosts: 4 };
     let fields = "X-Request-ID: 9b1f\r\nX-Priority-Class: checkout\r\nX-Qos-Policy: gold\r\nX-Timeout: 0.480\r\n\
                   X-Placement: units=2,shard=5,hosts=3\r\nX-Retried: 1\r\nIdempotency-Key: k1\r\n";
     let put =
--- a/crates/flaxstand-platform/tests/request.rs
+++ b/crates/flaxstand-platform/tests/request.rs
@@ -1,7 +1,7 @@
 //! Clients' requests, and what can't be one.
 
 use flaxstand_http::{Request, Requests};
-use flaxstand_platform::{BadRequest, ClientRequest, Terms, field};
+use flaxstand_platform::{BadRequest, ClientRequest, RequestLimits, field};
 
 const GOOD: [(&str, &str); 5] = [
     (field::ID, "9b1f03aa5c7e2d41"),
@@ -21,7 +21,7 @@
 
 fn read(request: &Request) -> Result<ClientRequest<'_>, BadRequest> {
     let (classes, plans) = (["other".into(), "checkout".into()], ["gold".into()]);
-    let terms = Terms { classes: &classes, plans: &plans, units: 8.0, hosts: 4 };
+    let terms = RequestLimits { classes: &classes, plans: &plans, max_units: 8.0, max_hosts: 4 };
     ClientRequest::read(request, &terms)
 }
 
@@ -32,8 +32,8 @@
     let r = request(&format!("PUT {PATH}?x=1"), &GOOD, "data");
     let read = read(&r).unwrap();
     assert_eq!((read.volume, read.extent), (0x3_b4d6_0021, 0x7f3a_9c21_e0b4_d655));
-    assert_eq!((read.class, read.plan, read.write, read.time_left), (1, 0, true, 480_000));
-    assert_eq!((read.units, read.shard, read.hosts, read.key), (2, Some(5), 3, None));
+    assert_eq!((read.class, read.plan, read.is_write, read.time_left_micros), (1, 0, true, 480_000));
+    assert_eq!((read.units, read.shard, read.hosts, read.idempotency_key), (2, Some(5), 3, None));
 }
 
 #[test]
@@ -45,11 +45,11 @@
         request(&format!("PUT {PATH}"), &fields, "data")
     };
     let r = with("units=1,shard=-1,hosts=1");
-    assert_eq!(read(&r).map(|r| (r.shard, r.key)), Ok((None, Some("k1"))));
+    assert_eq!(read(&r).map(|r| (r.shard, r.idempotency_key)), Ok((None, Some("k1"))));
     for bad in
         ["", "units=1", "units=0,shard=1,hosts=1", "units=9,shard=1,hosts=1", "units=1,shard=-2,hosts=1"]
     {
-        assert!(matches!(read(&with(bad)), Err(BadRequest::Field(field::PLACEMENT, _))), "{bad}");
+        assert!(matches!(read(&with(bad)), Err(BadRequest::Field { name: field::PLACEMENT, .. })), "{bad}");
     }
     for bad in [
         "units=1,shard=1,hosts=5",
@@ -57,7 +57,7 @@
         "units=1,units=1,shard=1,hosts=1",
         "units=1,shard=99999999999,hosts=1",
     ] {
-        assert!(matches!(read(&with(bad)), Err(BadRequest::Field(field::PLACEMENT, _))), "{bad}");
+        assert!(matches!(read(&with(bad)), Err(BadRequest::Field { name: field::PLACEMENT, .. })), "{bad}");
     }
 }
 
@@ -80,7 +80,7 @@
         let mut fields = GOOD.to_vec();
         fields[at].1 = value;
         let r = request(&format!("PUT {PATH}"), &fields, "data");
-        assert!(matches!(read(&r), Err(BadRequest::Field(name, _)) if name == GOOD[at].0), "{value:?}");
+        assert!(matches!(read(&r), Err(BadRequest::Field { name, .. }) if name == GOOD[at].0), "{value:?}");
     }
     for one in GOOD {
         let mut fields = GOOD.to_vec();
