--- a/crates/flaxstand-gateway/examples/list_costs.rs
+++ b/crates/flaxstand-gateway/examples/list_costs.rs
@@ -11,7 +11,7 @@
 use flaxstand::api::ListScope;
 use flaxstand_gateway::core::{Bounds, Config, Core, Policy, Wire};
 use flaxstand_gateway::machine::{Command, ConnId, Machine, Micros};
-use flaxstand_http::Answers;
+use flaxstand_http::ResponseReader;
 use flaxstand_platform::{Configuration, Listing, Target, TargetState};
 use flaxstand_proto::{Entry, Extent, Frame, List, Role, State, VERSION, Welcome, encode};
 use harness::{entry, ms, on_platform};
@@ -101,8 +101,8 @@
 }
 
 fn spent_on_reading(answer: &str) -> f64 {
-    const BODY_MOST: usize = 16 << 20;
-    let mut reader = Answers::with_body_limit(BODY_MOST);
+    const MAX_REQUEST_BODY_BYTES: usize = 16 << 20;
+    let mut reader = ResponseReader::with_body_limit(MAX_REQUEST_BODY_BYTES);
     spent(|| {
         let mut whole = None;
         for piece in answer.as_bytes().chunks(SEGMENT) {
--- a/crates/flaxstand-gateway/src/core/config.rs
+++ b/crates/flaxstand-gateway/src/core/config.rs
@@ -11,8 +11,8 @@
     /// The decision module.
     #[default]
     Module,
-    /// Everything is sent at once, without retries, new objects to the nodes in turn: a baseline to measure against,
-    /// not for service. So are those below.
+    /// Everything is sent at once, without retries, new objects to the nodes in turn: a baseline to measure
+    /// against, not for service. So are those below.
     Pipe,
     /// The same, new objects to the node with the fewest requests of this host in flight.
     LeastOut,
@@ -53,14 +53,14 @@
     /// Connections to nodes, where each carries one request. Beyond it the longest idle is closed for a new
     /// one; where none is idle, an attempt ends as never sent.
     pub max_node_connections: usize,
-    /// Bytes of incomplete requests, over all clients that speak HTTP. The client whose bytes exceed it is rejected
-    /// with a reason and closed.
+    /// Bytes of incomplete requests, over all clients that speak HTTP. The client whose bytes exceed it is
+    /// rejected with a reason and closed.
     pub max_partial_request_bytes: usize,
-    /// Bytes of incomplete responses, over all nodes that speak HTTP: the connection whose bytes exceed it counts as
-    /// failed. As many again may wait for clients to read them; a large response beyond that fails.
+    /// Bytes of incomplete responses, over all nodes that speak HTTP: the connection whose bytes exceed it
+    /// counts as failed. As many again may wait for clients to read them; a large response beyond that fails.
     pub max_response_bytes: usize,
-    /// Endpoints: on frames those ever listed since the process started, on the platform those listed or lately
-    /// removed. One more is ignored, with a warning.
+    /// Endpoints: on frames those ever listed since the process started, on the platform those listed or
+    /// lately removed. One more is ignored, with a warning.
     pub max_endpoints: usize,
     /// Volumes that were ever used since the process started. A request of one more is rejected.
     pub max_volumes: usize,
@@ -107,7 +107,8 @@
     pub node_idle_timeout: Micros,
     /// A response leaves this long before its client gives up: time for its transfer.
     pub response_margin: Micros,
-    /// Idle time of the discovery watch after which the full list is requested; after as long again it has stalled.
+    /// Idle time of the discovery watch after which the full list is requested; after as long again it has
+    /// stalled.
     pub discovery_idle_timeout: Micros,
     /// Wait before the discovery service is called again.
     pub discovery_backoff: BackoffBounds,
--- a/crates/flaxstand-gateway/src/core/discovery/cache_codec.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/cache_codec.rs
@@ -1,14 +1,14 @@
-//! The codec of the endpoint list that is cached on disk for the next start: the full list, and behind it the changes
-//! since.
+//! The codec of the endpoint list that is cached on disk for the next start: the full list, and behind it the
+//! changes since.
 //!
-//! A saved state is a sequence of the wire's `List` frames. First the full list: as many frames of extent `Changes`
-//! as it takes, then one of extent `Full`, which ends it. A list that fits one frame is that one `Full` frame, as
-//! earlier versions wrote it. After it comes a frame of changes for each save since. `since` is the moment of the
-//! save on the host's calendar, in microseconds: ages are as of the last frame.
+//! A saved state is a sequence of the wire's `List` frames. First the full list: as many frames of extent
+//! `Changes` as it takes, then one of extent `Full`, which ends it. A list that fits one frame is that one
+//! `Full` frame, as earlier versions wrote it. After it comes a frame of changes for each save since. `since`
+//! is the moment of the save on the host's calendar, in microseconds: ages are as of the last frame.
 //!
-//! The full list replaces the state at once, so it is there in full or not at all; changes are appended, and the last
-//! of them may be torn by a crash. Once the changes have grown as long as the full list, that is written anew: over
-//! time a change costs no more than twice its own length, however many nodes are listed.
+//! The full list replaces the state at once, so it is there in full or not at all; changes are appended, and
+//! the last of them may be torn by a crash. Once the changes have grown as long as the full list, that is
+//! written anew: over time a change costs no more than twice its own length, however many nodes are listed.
 
 use crate::core::endpoint_table::{Endpoint, EndpointName, EndpointTable};
 use crate::machine::Micros;
--- a/crates/flaxstand-gateway/src/core/discovery/cache_schedule.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/cache_schedule.rs
@@ -1,5 +1,5 @@
-//! When the cached endpoint list is written, and which part of it: changes are appended until they are as long as the
-//! full list, which then replaces them.
+//! When the cached endpoint list is written, and which part of it: changes are appended until they are as
+//! long as the full list, which then replaces them.
 
 use super::EndpointDiscovery;
 use super::cache_codec::CacheEncoder;
@@ -8,8 +8,8 @@
 use flaxstand::api::{ListScope, NodeId};
 use std::collections::BTreeSet;
 
-/// Service times learned of nodes in use are saved with a change of the list, but no more often than this: they differ
-/// after every answer. A crash loses what was learned since.
+/// Service times learned of nodes in use are saved with a change of the list, but no more often than this:
+/// they differ after every answer. A crash loses what was learned since.
 const SERVICE_TIMES_INTERVAL: Micros = Micros(10_000_000);
 /// A save that failed is retried after this.
 const RETRY_SAVE_AFTER: Micros = Micros(10_000_000);
@@ -104,9 +104,9 @@
         }
     }
 
-    /// What is to be written now, if anything. Called once the decision module has handled the update: before that a
-    /// service time would be saved with the wrong start of its node. `service_time_of`: as the module has learned
-    /// it, ms a unit. `saved_at`: the host's calendar, microseconds since 1970.
+    /// What is to be written now, if anything. Called once the decision module has handled the update: before
+    /// that a service time would be saved with the wrong start of its node. `service_time_of`: as the module
+    /// has learned it, ms a unit. `saved_at`: the host's calendar, microseconds since 1970.
     pub(in crate::core) fn next_save(
         &mut self,
         endpoints: &EndpointTable,
--- a/crates/flaxstand-gateway/src/core/discovery/call_outcome.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/call_outcome.rs
@@ -6,7 +6,8 @@
 /// A response that can't be read comes from a service that works.
 pub(super) const UNREADABLE_RESPONSE: DiscoveryCall = DiscoveryCall::Rejected { elapsed: 0.0 };
 
-/// The outcome of a call by a status other than 200: the service works and is busy, or a proxy before it found none.
+/// The outcome of a call by a status other than 200: the service works and is busy, or a proxy before it
+/// found none.
 pub(super) fn outcome_of_status(status: u16, elapsed: Micros) -> DiscoveryCall {
     match status {
         500 | 502 | 504 => DiscoveryCall::Unanswered,
@@ -30,7 +31,8 @@
         self.consecutive_unanswered = 0;
     }
 
-    /// A call ended without a list. A rejection shows that the service is up: time-outs grow only without a response.
+    /// A call ended without a list. A rejection shows that the service is up: time-outs grow only without a
+    /// response.
     pub(super) fn record_failure(&mut self, outcome: DiscoveryCall) {
         self.was_last_answered = false;
         if matches!(outcome, DiscoveryCall::Rejected { .. } | DiscoveryCall::Abandoned) {
--- a/crates/flaxstand-gateway/src/core/discovery/frames_watch.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/frames_watch.rs
@@ -1,5 +1,5 @@
-//! The watch on the frames wire: one connection, changes applied in the order of their revisions, the full list
-//! requested after a gap, and a new connection after one that broke or stalled.
+//! The watch on the frames wire: one connection, changes applied in the order of their revisions, the full
+//! list requested after a gap, and a new connection after one that broke or stalled.
 
 use super::{DiscoveryContext, EndpointDiscovery, EndpointEntry, EndpointUpdate, StalledWatch};
 use crate::core::clients::Fault;
@@ -9,8 +9,8 @@
 use flaxstand_proto::{CloseReason, Extent, Frame, List, Role, VERSION, VERSION_OLDEST, Welcome};
 use tracing::{debug, info, warn};
 
-/// Slowest rate at which a frame of the service may arrive, bytes a second: 3,200 nodes may take 45 s, the longest
-/// list frame 40 minutes.
+/// Slowest rate at which a frame of the service may arrive, bytes a second: 3,200 nodes may take 45 s, the
+/// longest list frame 40 minutes.
 const MIN_FRAME_RATE: u64 = 4096;
 
 /// How a frame that is not complete yet arrives.
@@ -123,8 +123,8 @@
         Some(EndpointUpdate { scope, revision: list.revision, entries })
     }
 
-    /// Checks whether the watch has stalled. An idle one is asked for the full list first; without a response after
-    /// as long again it has.
+    /// Checks whether the watch has stalled. An idle one is asked for the full list first; without a response
+    /// after as long again it has.
     pub(super) fn check_watch_stalled(
         &mut self,
         conn: ConnId,
--- a/crates/flaxstand-gateway/src/core/discovery/mod.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/mod.rs
@@ -1,12 +1,15 @@
-//! Endpoint discovery: the connection to the discovery service, which revision of the endpoint list this host has,
-//! and the copy of it that is cached on disk for the next start.
+//! Endpoint discovery: the connection to the discovery service, which revision of the endpoint list this host
+//! has, and the copy of it that is cached on disk for the next start.
 //!
-//! Discovery owns its state and touches no request, no client and no node connection. The core hands it what happened
-//! on its connection or timers and applies the [`EndpointUpdate`] that comes back (`core/endpoint_events.rs`).
+//! Discovery owns its state and touches no request, no client and no node connection. The core hands it what
+//! happened on its connection or timers and applies the [`EndpointUpdate`] that comes back
+//! (`core/endpoint_events.rs`).
 //!
-//! - [`frames_watch`]: the watch on the frames wire; changes in the order of their revisions, all of it after a gap
+//! - [`frames_watch`]: the watch on the frames wire; changes in the order of their revisions, all of it after
+//!   a gap
 //! - [`platform_poll`]: polled calls on the platform's wire; [`platform_listing`]: what their responses list
-//! - [`call_outcome`]: what the end of a call says of the service; [`response_progress`]: when a call has stalled
+//! - [`call_outcome`]: what the end of a call says of the service; [`response_progress`]: when a call has
+//!   stalled
 //! - [`cache_codec`]: bytes of the cached list; [`cache_schedule`]: when which part of it is written
 //! - [`zones`]: numbers of named zones
 
@@ -151,7 +154,8 @@
         self.conn = Some(context.connections.dial(Peer::Discovery, protocol, address, deadline));
     }
 
-    /// Checks whether the service has stalled. A watch that has is the caller's to close; a polled call ends here.
+    /// Checks whether the service has stalled. A watch that has is the caller's to close; a polled call ends
+    /// here.
     pub(super) fn check_stalled(&mut self, context: &mut DiscoveryContext<'_>) -> Option<StalledWatch> {
         self.stall_check_at = None;
         let conn = self.conn?;
@@ -162,8 +166,8 @@
         self.check_watch_stalled(conn, context)
     }
 
-    /// A call failed. Where the decision module polls, it asks again when it sees fit; elsewhere a retry follows after
-    /// a back-off.
+    /// A call failed. Where the decision module polls, it asks again when it sees fit; elsewhere a retry
+    /// follows after a back-off.
     fn schedule_retry(&mut self, context: &mut DiscoveryContext<'_>) {
         if context.config.site.settings.polls_list {
             context.events.push_back(Event::EndpointList(ListScope::Failed, Vec::new()));
@@ -173,7 +177,8 @@
         }
     }
 
-    /// The service answered, and nothing has changed. The module is notified: it counts failed calls in a row.
+    /// The service answered, and nothing has changed. The module is notified: it counts failed calls in a
+    /// row.
     fn notify_unchanged(context: &mut DiscoveryContext<'_>) {
         context.events.push_back(Event::EndpointList(ListScope::Changes, Vec::new()));
     }
--- a/crates/flaxstand-gateway/src/core/discovery/platform_listing.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_listing.rs
@@ -45,7 +45,8 @@
         Some(self.update_from_listing(scope, listing, context.config.calendar))
     }
 
-    /// A nameless entry that can't be read may mean any endpoint: after changes with one, the full list is requested.
+    /// A nameless entry that can't be read may mean any endpoint: after changes with one, the full list is
+    /// requested.
     pub(in crate::core) fn reject_nameless_entries(&mut self, read: &ReadListing) {
         if read.nameless_count > 0 && !read.listing.is_full {
             warn!(
@@ -56,8 +57,9 @@
         }
     }
 
-    /// The update that a listing states. `calendar` is the host's calendar when our clock was 0, microseconds since
-    /// 1970. After a cached list, calls name its revision: changes since cost the service less than the full list.
+    /// The update that a listing states. `calendar` is the host's calendar when our clock was 0, microseconds
+    /// since 1970. After a cached list, calls name its revision: changes since cost the service less than the
+    /// full list.
     pub(in crate::core) fn update_from_listing(
         &mut self,
         scope: ListScope,
--- a/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
@@ -1,11 +1,11 @@
-//! Calls of the discovery service on the platform's wire: the full list where there is none, then long polls for what
-//! is newer, each following the response to the last.
+//! Calls of the discovery service on the platform's wire: the full list where there is none, then long polls
+//! for what is newer, each following the response to the last.
 //!
-//! Waits are short, so that a poll that stalled is noticed before what it missed binds this host, and they differ, so
-//! that hosts that began together do not go on calling together. A response that is arriving is waited for as long as
-//! it makes progress: the full list of thousands of endpoints from a busy service takes its time. The service handles
-//! calls one after another, and a full list costs it as much as many calls: a call names the current revision wherever
-//! there is one.
+//! Waits are short, so that a poll that stalled is noticed before what it missed binds this host, and they
+//! differ, so that hosts that began together do not go on calling together. A response that is arriving is
+//! waited for as long as it makes progress: the full list of thousands of endpoints from a busy service takes
+//! its time. The service handles calls one after another, and a full list costs it as much as many calls: a
+//! call names the current revision wherever there is one.
 
 use super::call_outcome::{CallHistory, UNREADABLE_RESPONSE, outcome_of_status};
 use super::response_progress::{ResponseProgress, response_timeout};
@@ -14,7 +14,7 @@
 use crate::core::plumbing::Timer;
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{DiscoveryCall, Event, NotificationTerms};
-use flaxstand_http::{Answer, Answers, write_request};
+use flaxstand_http::{Response, ResponseReader, write_request};
 use flaxstand_platform::{LongPoll, ReadListing, list_call, read_listing};
 use rand_core::RngCore as _;
 use std::collections::VecDeque;
@@ -39,7 +39,7 @@
     /// Of the response that is arriving.
     progress: Option<ResponseProgress>,
     /// Reads the responses of the current connection.
-    reader: Answers,
+    reader: ResponseReader,
 }
 
 impl Default for PlatformPoll {
@@ -50,7 +50,7 @@
             binding_at: VecDeque::new(),
             connect_deadline: None,
             progress: None,
-            reader: Answers::with_body_limit(MAX_RESPONSE_BYTES),
+            reader: ResponseReader::with_body_limit(MAX_RESPONSE_BYTES),
         }
     }
 }
@@ -85,7 +85,7 @@
         self.record_call_start(Micros(0), context);
         let deadline = context.now.after(self.response_timeout());
         self.poll.connect_deadline = Some(deadline);
-        self.poll.reader = Answers::with_body_limit(MAX_RESPONSE_BYTES);
+        self.poll.reader = ResponseReader::with_body_limit(MAX_RESPONSE_BYTES);
         deadline
     }
 
@@ -161,7 +161,8 @@
         None
     }
 
-    /// A part of a response arrived. What it lists binds from its beginning on, and can't be read before its end.
+    /// A part of a response arrived. What it lists binds from its beginning on, and can't be read before its
+    /// end.
     fn record_progress(&mut self, bytes: u64, context: &mut DiscoveryContext<'_>) {
         if let Some(progress) = &mut self.poll.progress {
             return progress.record(bytes, context.now);
@@ -188,7 +189,7 @@
     fn complete_call(
         &mut self,
         conn: ConnId,
-        answer: &Answer,
+        answer: &Response,
         context: &mut DiscoveryContext<'_>,
     ) -> Option<PollResponse> {
         if answer.status != 200 {
@@ -207,7 +208,7 @@
         };
         self.poll.history.record_success();
         self.poll.progress = None;
-        Some(PollResponse { conn, listing, keeps_connection: answer.keeps })
+        Some(PollResponse { conn, listing, keeps_connection: answer.keeps_alive })
     }
 
     /// Makes the call that follows a response which has been applied.
@@ -277,8 +278,9 @@
         self.fail_poll(conn, outcome, cause, context);
     }
 
-    /// The service has another address now. Guards against a list that goes stale unseen: the old connection closes.
-    /// Both count the same revisions; one that does not is asked for its full list (see `accept_listing`).
+    /// The service has another address now. Guards against a list that goes stale unseen: the old connection
+    /// closes. Both count the same revisions; one that does not is asked for its full list (see
+    /// `accept_listing`).
     pub(in crate::core) fn move_service(&mut self, context: &mut DiscoveryContext<'_>) {
         if let Some(conn) = self.conn.take() {
             context.connections.drop_quietly(conn);
--- a/crates/flaxstand-gateway/src/core/discovery/response_progress.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/response_progress.rs
@@ -2,8 +2,8 @@
 
 use crate::machine::Micros;
 
-/// Time without a response after which a call that does not wait for changes has failed, by how many calls in a row
-/// before it had no response: the service may be slow rather than gone.
+/// Time without a response after which a call that does not wait for changes has failed, by how many calls in
+/// a row before it had no response: the service may be slow rather than gone.
 const RESPONSE_TIMEOUTS: [Micros; 4] =
     [Micros(1_000_000), Micros(1_000_000), Micros(1_000_000), Micros(2_000_000)];
 /// The same for a call of the full list, which is more work for the service.
@@ -48,7 +48,8 @@
         self.last_received_at.after(STALLED_AFTER).min(self.began_at.after(MIN_RATE_AFTER).after(at_min_rate))
     }
 
-    /// Whether nothing of it has arrived for too long. One that is past its deadline and has not stalled is too slow.
+    /// Whether nothing of it has arrived for too long. One that is past its deadline and has not stalled is
+    /// too slow.
     pub(super) fn has_stalled(&self, now: Micros) -> bool {
         now >= self.last_received_at.after(STALLED_AFTER)
     }
--- a/crates/flaxstand-gateway/src/core/endpoint_events.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_events.rs
@@ -1,5 +1,6 @@
-//! Carries events to endpoint discovery, and what comes back to the endpoint table, the node connections and the
-//! decision module. This is the only place where an update of the endpoint list reaches requests in flight.
+//! Carries events to endpoint discovery, and what comes back to the endpoint table, the node connections and
+//! the decision module. This is the only place where an update of the endpoint list reaches requests in
+//! flight.
 
 use super::clients::Fault;
 use super::decider::Decider;
--- a/crates/flaxstand-gateway/src/core/endpoint_table/apply.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_table/apply.rs
@@ -75,8 +75,8 @@
         let endpoint = self.get_mut(id)?;
         let before = (endpoint.readiness(), endpoint.incarnation);
         if entry.incarnation > endpoint.incarnation {
-            // Fixed at the first report of this start, by the list or by the node: a staler age that comes later
-            // must not make it look like another.
+            // Fixed at the first report of this start, by the list or by the node: a staler age that comes
+            // later must not make it look like another.
             endpoint.incarnation = entry.incarnation;
             endpoint.started_at = entry.started_at;
         }
@@ -95,14 +95,15 @@
         if is_moved {
             applied.moved.push(id);
         }
-        // The service time is handed on with its entry and not stored: it holds for that start of the node alone.
+        // The service time is handed on with its entry and not stored: it holds for that start of the node
+        // alone.
         let stored = self.get(id)?.entry(id);
         applied.entries.push(NodeEntry { service_time: entry.service_time, ..stored });
         Some(())
     }
 
-    /// Where an entry says that its node listens. A known endpoint whose address can't be read stays at the one it had
-    /// and takes no new requests there; the rest of the entry holds all the same.
+    /// Where an entry says that its node listens. A known endpoint whose address can't be read stays at the
+    /// one it had and takes no new requests there; the rest of the entry holds all the same.
     fn address_of(&self, entry: &mut EndpointEntry, known: Option<NodeId>) -> Option<Address> {
         let cause = match entry.address.parse() {
             Ok(address) => return Some(address),
--- a/crates/flaxstand-gateway/src/core/endpoint_table/mod.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_table/mod.rs
@@ -1,6 +1,7 @@
-//! The endpoints that are listed or lately were, by id and by name. What is asked of all of them (does any serve, which
-//! were removed long ago) is maintained at each change, so that no caller has to walk them for it; visits are counted,
-//! so that tests can hold callers to that. [`apply`]: how an update of the list changes the table.
+//! The endpoints that are listed or lately were, by id and by name. What is asked of all of them (does any
+//! serve, which were removed long ago) is maintained at each change, so that no caller has to walk them for
+//! it; visits are counted, so that tests can hold callers to that. [`apply`]: how an update of the list
+//! changes the table.
 
 mod apply;
 
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -10,7 +10,7 @@
 use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
 use super::{Core, Phase};
 use crate::machine::{Command, ConnId, Micros};
-use flaxstand_http::{BODY_MOST, Request, Requests, write_answer};
+use flaxstand_http::{MAX_REQUEST_BODY_BYTES, Request, RequestReader, write_response};
 use flaxstand_platform::{ClientRequest, READY, RequestLimits};
 use flaxstand_proto::{Frame, Submit};
 use std::fmt::Display;
@@ -42,7 +42,7 @@
 /// The server's side of one client's HTTP/1.1 connection.
 #[derive(Debug)]
 pub(super) struct HttpServer {
-    pub(super) reader: Requests,
+    pub(super) reader: RequestReader,
     flow: Flow,
     /// Since when a request is on its way in, or the connection waits for one.
     pub(super) since: Micros,
@@ -54,7 +54,7 @@
 
 impl HttpServer {
     fn new(now: Micros) -> Self {
-        HttpServer { reader: Requests::default(), flow: Flow::Open, since: now, queued: now, asked: 0 }
+        HttpServer { reader: RequestReader::default(), flow: Flow::Open, since: now, queued: now, asked: 0 }
     }
 
     /// Bytes held.
@@ -87,7 +87,7 @@
         if !open || self.clients >= self.config.bounds.max_clients && !self.make_room(now) {
             debug!(clients = self.clients, "client turned away");
             let mut bytes = Vec::new();
-            write_answer(&mut bytes, 503, &[], b"no room\n", false);
+            write_response(&mut bytes, 503, &[], b"no room\n", false);
             return Err(bytes);
         }
         self.clients += 1;
@@ -143,7 +143,7 @@
                 Ok(Some(request)) => {
                     let read = before - http.reader.len();
                     (http.asked, http.since) = (http.asked + 1, now);
-                    if !request.keeps {
+                    if !request.keeps_alive {
                         http.flow = Flow::LastAnswer;
                     }
                     self.plumbing.partial_bytes -= read;
@@ -246,7 +246,8 @@
     /// Guards the memory against clients that read large answers slowly, or not at all: what waits for all of them
     /// has a bound. An answer beyond it fails.
     fn has_room(&self, bytes: usize) -> bool {
-        bytes <= BODY_MOST || bytes + self.plumbing.unread_bytes() <= self.config.bounds.max_response_bytes
+        bytes <= MAX_REQUEST_BODY_BYTES
+            || bytes + self.plumbing.unread_bytes() <= self.config.bounds.max_response_bytes
     }
 
     /// Answers the request that a client has open.
@@ -265,7 +266,7 @@
         }
         http.since = now;
         let keeps = http.flow == Flow::Open;
-        self.plumbing.put(conn, |bytes| write_answer(bytes, status, fields, body, keeps));
+        self.plumbing.put(conn, |bytes| write_response(bytes, status, fields, body, keeps));
     }
 
     /// An error for what can't be read any further. What is still on its way is dropped, so that the client
@@ -275,14 +276,14 @@
         self.counts.protocol_faults += 1;
         self.linger(conn, now);
         self.plumbing
-            .put(conn, |bytes| write_answer(bytes, status, &[], format!("{text}\n").as_bytes(), false));
+            .put(conn, |bytes| write_response(bytes, status, &[], format!("{text}\n").as_bytes(), false));
     }
 
     /// Nothing more is read of a client; what still comes is dropped for a while.
     fn linger(&mut self, conn: ConnId, now: Micros) {
         let Some(http) = self.http(conn) else { return };
         let held = http.held();
-        http.reader = Requests::default();
+        http.reader = RequestReader::default();
         (http.flow, http.since) = (Flow::Lingering(LINGER_BYTES), now);
         let queued = std::mem::replace(&mut http.queued, now);
         self.places.part(conn, queued, now);
--- a/crates/flaxstand-gateway/src/core/pool.rs
+++ b/crates/flaxstand-gateway/src/core/pool.rs
@@ -7,7 +7,7 @@
 use super::requests::{AttemptId, HandedOver};
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{NodeId, Outcome, Readiness, RequestId};
-use flaxstand_http::{Answer, Answers, write_request};
+use flaxstand_http::{Response, ResponseReader, write_request};
 use flaxstand_platform::{HEALTH, field, outcome_of};
 use std::fmt::Display;
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
@@ -35,7 +35,7 @@
 /// HTTP that we ask.
 #[derive(Debug)]
 pub(super) struct Link {
-    reader: Answers,
+    reader: ResponseReader,
     carries: Option<Carried>,
     /// When its answer began, or in a body when it last went on; or when it fell idle.
     since: Micros,
@@ -54,7 +54,7 @@
 impl Link {
     fn new(carries: Carried, now: Micros) -> Self {
         Link {
-            reader: Answers::default(),
+            reader: ResponseReader::default(),
             carries: Some(carries),
             since: now,
             rested: false,
@@ -77,7 +77,7 @@
 }
 
 /// Tells answers apart.
-fn fingerprint(answer: &Answer) -> u64 {
+fn fingerprint(answer: &Response) -> u64 {
     let mut hasher = DefaultHasher::new();
     answer.hash(&mut hasher);
     hasher.finish()
@@ -247,14 +247,14 @@
         self.counts.protocol_faults += 1;
         let Some(link) = self.link(conn) else { return };
         let carried = link.carries.take();
-        debug!(conn = conn.0, %why, begins = link.reader.beginning(), ?carried, "a spoilt answer");
+        debug!(conn = conn.0, %why, begins = link.reader.received_prefix(), ?carried, "a spoilt answer");
         self.lost(conn, "a spoilt answer", true, now);
         if let Some(carried) = carried {
             self.end_carried(carried, Outcome::Error, now);
         }
     }
 
-    fn link_answered(&mut self, conn: ConnId, answer: &Answer, now: Micros) {
+    fn link_answered(&mut self, conn: ConnId, answer: &Response, now: Micros) {
         let Some(link) = self.link(conn) else { return };
         let Some(carried) = link.carries else { return };
         let print = fingerprint(answer);
@@ -266,7 +266,7 @@
         (link.last, link.shortest) = (Some((now, print)), link.shortest.min(latency));
         link.carries = None;
         // Freed first: what the answer leads to may use it again.
-        if answer.keeps {
+        if answer.keeps_alive {
             self.free(conn, now)
         } else {
             self.lost(conn, "it is not kept", true, now)
--- a/crates/flaxstand-gateway/src/settings/mod.rs
+++ b/crates/flaxstand-gateway/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! Reads settings files. `docs/settings.md` describes every key. Keys are mapped to the names of the code here and
-//! nowhere else.
+//! Reads settings files. `docs/settings.md` describes every key. Keys are mapped to the names of the code
+//! here and nowhere else.
 //!
 //! - [`reader`]: values by key, and problems with their place in the file
 //! - [`daemon`]: the file of one initiator; [`site`]: the part that all initiators of a site have in common
@@ -48,8 +48,8 @@
     Ok(rules_of(&site, fallback))
 }
 
-/// The part of a file that all initiators of a site have in common, as text: what a simulated day and a settings file
-/// share.
+/// The part of a file that all initiators of a site have in common, as text: what a simulated day and a
+/// settings file share.
 pub fn shared_part(text: &str) -> String {
     let mut document = text.parse::<kdl::KdlDocument>().unwrap_or_default();
     document.nodes_mut().retain(|node| COMMON_BLOCKS.contains(&node.name().value()));
--- a/crates/flaxstand-gateway/src/settings/reader.rs
+++ b/crates/flaxstand-gateway/src/settings/reader.rs
@@ -1,5 +1,5 @@
-//! Reads a KDL document strictly: what is missing, unknown, of another type or out of range is a problem with its
-//! place in the file. All problems of a file are reported at once.
+//! Reads a KDL document strictly: what is missing, unknown, of another type or out of range is a problem with
+//! its place in the file. All problems of a file are reported at once.
 
 use flaxstand_consensus::rules::Value;
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
@@ -173,7 +173,8 @@
         self.source.report(self.span, format!("{}: {message}", self.label));
     }
 
-    /// Reports every key that has not been read as unknown. To be called once everything of this block was read.
+    /// Reports every key that has not been read as unknown. To be called once everything of this block was
+    /// read.
     pub fn reject_unknown_keys(&self) {
         let known_keys = self.known_keys.borrow();
         let properties = self.entries.iter().filter_map(|entry| entry.name());
--- a/crates/flaxstand-gateway/src/settings/rules.rs
+++ b/crates/flaxstand-gateway/src/settings/rules.rs
@@ -120,7 +120,8 @@
     }
 }
 
-/// Settings of the decision module under these rules. What rules do not state stays as the site's file has it.
+/// Settings of the decision module under these rules. What rules do not state stays as the site's file has
+/// it.
 pub fn settings_of(rules: &Rules, site: &Site) -> Settings {
     let reader = RuleReader { values: &rules.values };
     let mut settings = site.settings.clone();
@@ -217,8 +218,8 @@
     class.in_order = reader.flag(&key("in-order"), class.in_order);
 }
 
-/// The effect that rules state for a class. Guards against repeated requests where rules make no sense: without a
-/// known keyword, or with a key of no known scope, requests run at most once.
+/// The effect that rules state for a class. Guards against repeated requests where rules make no sense:
+/// without a known keyword, or with a key of no known scope, requests run at most once.
 fn effect_under(reader: &RuleReader<'_>, name: &str) -> Effect {
     let key = |field: &str| format!("class.{name}.{field}");
     let scope = reader.keyword(&key("group"), &DEDUPLICATION_SCOPES);
--- a/crates/flaxstand-gateway/src/settings/site.rs
+++ b/crates/flaxstand-gateway/src/settings/site.rs
@@ -1,4 +1,5 @@
-//! Reads the part of a settings file that all initiators of a site have in common. A simulated day has the same.
+//! Reads the part of a settings file that all initiators of a site have in common. A simulated day has the
+//! same.
 
 use super::class::{ClassBlock, PlanBlock, check_limit_burst, read_class, read_plan};
 use super::reader::Block;
@@ -81,7 +82,8 @@
     }
 }
 
-/// Settings without a `site` block; what such a block leaves out is as here, unless its key has another default.
+/// Settings without a `site` block; what such a block leaves out is as here, unless its key has another
+/// default.
 fn default_settings(classes: Vec<Class>, plans: Vec<Plan>) -> Settings {
     Settings {
         initiators: 1,
--- a/crates/flaxstand-http/examples/reading_costs.rs
+++ b/crates/flaxstand-http/examples/reading_costs.rs
@@ -1,7 +1,7 @@
 //! Measures the time to read one large answer that arrives in small pieces, beside a reader that parses all it
 //! holds at each call.
 
-use flaxstand_http::{Answers, BODY_MOST, Requests};
+use flaxstand_http::{MAX_REQUEST_BODY_BYTES, RequestReader, ResponseReader};
 use std::time::{Duration, Instant};
 
 #[allow(dead_code)]
@@ -37,7 +37,7 @@
 
 fn incremental(bytes: &[u8], piece_length: usize) -> Duration {
     let begun = Instant::now();
-    let mut reader = Answers::with_body_limit(BODY_LIMIT);
+    let mut reader = ResponseReader::with_body_limit(BODY_LIMIT);
     let mut answers = 0;
     for piece in bytes.chunks(piece_length) {
         reader.push(piece);
@@ -61,10 +61,13 @@
 
 /// A request with the longest head and body that are taken, byte by byte.
 fn request_byte_by_byte() -> Duration {
-    let head = format!("PUT / HTTP/1.1\r\nX: {}\r\nContent-Length: {BODY_MOST}\r\n\r\n", "x".repeat(8100));
-    let bytes = [head.as_bytes(), &[b'd'; BODY_MOST]].concat();
+    let head = format!(
+        "PUT / HTTP/1.1\r\nX: {}\r\nContent-Length: {MAX_REQUEST_BODY_BYTES}\r\n\r\n",
+        "x".repeat(8100)
+    );
+    let bytes = [head.as_bytes(), &[b'd'; MAX_REQUEST_BODY_BYTES]].concat();
     let begun = Instant::now();
-    let mut reader = Requests::default();
+    let mut reader = RequestReader::default();
     let mut requests = 0;
     for byte in &bytes {
         reader.push(&[*byte]);
--- a/crates/flaxstand-http/src/chunked.rs
+++ b/crates/flaxstand-http/src/chunked.rs
@@ -1,16 +1,16 @@
 //! Incremental decoder of the chunked transfer coding (RFC 9112, section 7.1).
 
-use crate::{FIELDS_MOST, Fault, HEAD_MOST};
+use crate::{MAX_FIELDS, MAX_HEAD_BYTES, MessageError};
 
-/// Most hex digits of a chunk size: those of a 64-bit number.
-const SIZE_DIGITS_MOST: u8 = 16;
+/// Largest number of hex digits of a chunk size: those of a 64-bit number.
+const MAX_SIZE_DIGITS: u8 = 16;
 
 /// Decodes one chunked body, in as many pieces as it arrives in.
 #[derive(Debug)]
 pub(crate) struct ChunkedDecoder {
     body: Vec<u8>,
-    /// Most bytes of the decoded body.
-    body_most: usize,
+    /// Longest decoded body, bytes.
+    max_body_bytes: usize,
     expects: Expects,
 }
 
@@ -38,9 +38,9 @@
 }
 
 impl ChunkedDecoder {
-    /// A decoder of a body of at most `body_most` bytes.
-    pub fn new(body_most: usize) -> Self {
-        ChunkedDecoder { body: Vec::new(), body_most, expects: Expects::SizeLine(SizeLine::default()) }
+    /// A decoder of a body of at most `max_body_bytes` bytes.
+    pub fn new(max_body_bytes: usize) -> Self {
+        ChunkedDecoder { body: Vec::new(), max_body_bytes, expects: Expects::SizeLine(SizeLine::default()) }
     }
 
     /// Takes the bytes decoded so far.
@@ -49,11 +49,11 @@
     }
 
     /// Decodes what is next of the body. Looks at each byte once, except for those of incomplete trailers:
-    /// these are at most [`HEAD_MOST`] and stay with the caller until they are complete.
+    /// these are at most [`MAX_HEAD_BYTES`] and stay with the caller until they are complete.
     ///
     /// # Errors
     /// The input is no chunked body, or a longer one than is taken.
-    pub fn decode(&mut self, input: &[u8]) -> Result<Progress, Fault> {
+    pub fn decode(&mut self, input: &[u8]) -> Result<Progress, MessageError> {
         let mut at = 0;
         while at < input.len() {
             let rest = &input[at..];
@@ -69,12 +69,12 @@
             };
         }
         match &self.expects {
-            Expects::SizeLine(line) if line.length > HEAD_MOST => Err(Fault::Chunk),
+            Expects::SizeLine(line) if line.length > MAX_HEAD_BYTES => Err(MessageError::InvalidChunk),
             _ => Ok(Progress { consumed: at, is_complete: false }),
         }
     }
 
-    fn decode_size_line(&mut self, input: &[u8]) -> Result<usize, Fault> {
+    fn decode_size_line(&mut self, input: &[u8]) -> Result<usize, MessageError> {
         let Expects::SizeLine(line) = &mut self.expects else { return Ok(0) };
         for (index, byte) in input.iter().enumerate() {
             if let Some(size) = line.push(*byte)? {
@@ -85,12 +85,12 @@
         Ok(input.len())
     }
 
-    fn behind_size_line(&self, size: u64) -> Result<Expects, Fault> {
+    fn behind_size_line(&self, size: u64) -> Result<Expects, MessageError> {
         if size == 0 {
             return Ok(Expects::Trailers);
         }
-        if size > (self.body_most - self.body.len()) as u64 {
-            return Err(Fault::BodyTooLong);
+        if size > (self.max_body_bytes - self.body.len()) as u64 {
+            return Err(MessageError::BodyTooLong);
         }
         Ok(Expects::Data { remaining: size as usize })
     }
@@ -107,25 +107,25 @@
     }
 
     /// Judges the line end once both of its bytes are here.
-    fn decode_data_end(&mut self, byte: u8) -> Result<usize, Fault> {
+    fn decode_data_end(&mut self, byte: u8) -> Result<usize, MessageError> {
         self.expects = match self.expects {
             Expects::DataEnd { first: None } => Expects::DataEnd { first: Some(byte) },
             Expects::DataEnd { first: Some(b'\r') } if byte == b'\n' => {
                 Expects::SizeLine(SizeLine::default())
             }
-            _ => return Err(Fault::Chunk),
+            _ => return Err(MessageError::InvalidChunk),
         };
         Ok(1)
     }
 }
 
 /// The length of the trailers and the empty line behind them, once they are complete.
-fn trailers_length(bytes: &[u8]) -> Result<Option<usize>, Fault> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+fn trailers_length(bytes: &[u8]) -> Result<Option<usize>, MessageError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     match httparse::parse_headers(bytes, &mut fields)? {
         httparse::Status::Complete((length, _)) => Ok(Some(length)),
-        httparse::Status::Partial if bytes.len() <= HEAD_MOST => Ok(None),
-        httparse::Status::Partial => Err(Fault::HeadTooLong),
+        httparse::Status::Partial if bytes.len() <= MAX_HEAD_BYTES => Ok(None),
+        httparse::Status::Partial => Err(MessageError::HeadTooLong),
     }
 }
 
@@ -154,11 +154,11 @@
 impl SizeLine {
     /// Takes the next byte; the size, once the line is complete. The same lines are taken as by
     /// [`httparse::parse_chunk_size`].
-    fn push(&mut self, byte: u8) -> Result<Option<u64>, Fault> {
+    fn push(&mut self, byte: u8) -> Result<Option<u64>, MessageError> {
         self.length += 1;
         self.part = match (self.part, byte) {
             (SizePart::LineFeed, b'\n') => return Ok(Some(self.size)),
-            (SizePart::LineFeed, _) => return Err(Fault::Chunk),
+            (SizePart::LineFeed, _) => return Err(MessageError::InvalidChunk),
             (_, b'\r') => SizePart::LineFeed,
             (SizePart::Extensions, _) | (_, b';') => SizePart::Extensions,
             (_, b'\t' | b' ') => SizePart::Blanks,
@@ -166,15 +166,15 @@
                 self.push_digit(digit)?;
                 SizePart::Digits
             }
-            (SizePart::Blanks, _) => return Err(Fault::Chunk),
+            (SizePart::Blanks, _) => return Err(MessageError::InvalidChunk),
         };
         Ok(None)
     }
 
-    fn push_digit(&mut self, digit: u8) -> Result<(), Fault> {
-        let value = char::from(digit).to_digit(16).ok_or(Fault::Chunk)?;
-        if self.digits == SIZE_DIGITS_MOST {
-            return Err(Fault::Chunk);
+    fn push_digit(&mut self, digit: u8) -> Result<(), MessageError> {
+        let value = char::from(digit).to_digit(16).ok_or(MessageError::InvalidChunk)?;
+        if self.digits == MAX_SIZE_DIGITS {
+            return Err(MessageError::InvalidChunk);
         }
         self.digits += 1;
         self.size = self.size * 16 + u64::from(value);
--- a/crates/flaxstand-http/src/lib.rs
+++ b/crates/flaxstand-http/src/lib.rs
@@ -1,32 +1,34 @@
-//! HTTP/1.1 as the platform speaks it, without I/O: bytes go in as they come, whole messages come out.
+//! HTTP/1.1 as the platform speaks it, without I/O: bytes go in as they arrive, complete messages come out.
 //!
-//! Messages are small and are held whole; a head or a body beyond its bound is a fault as soon as it shows.
-//! Where framing is in doubt the message is a fault too, never a guess: a second length, a length that is no
-//! plain number, `Transfer-Encoding` in a request, bytes behind a request that can't begin another.
+//! Messages are small and are held in memory; a head or a body beyond its limit is an error as soon as it
+//! shows. Where framing is ambiguous the message is an error too, never a guess (request smuggling): a second
+//! length, a length that is no plain number, `Transfer-Encoding` in a request, bytes behind a request that
+//! can't begin another.
 //!
-//! - [`Requests`], [`Answers`]: readers, one a connection
-//! - [`write_request`], [`write_answer`]: writers
+//! - [`RequestReader`], [`ResponseReader`]: readers, one a connection
+//! - [`write_request`], [`write_response`]: writers
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
-mod answers;
 mod chunked;
-mod fault;
+mod error;
 mod framing;
 mod message;
-mod requests;
+mod request_reader;
+mod response_reader;
 mod write;
 
-pub use answers::Answers;
-pub use fault::Fault;
-pub use message::{Answer, Fields, Request};
-pub use requests::Requests;
-pub use write::{reason, write_answer, write_request};
+pub use error::MessageError;
+pub use message::{Fields, Request, Response};
+pub use request_reader::RequestReader;
+pub use response_reader::ResponseReader;
+pub use write::{reason, write_request, write_response};
 
-/// Most bytes of a head, its empty line included.
-pub const HEAD_MOST: usize = 8 * 1024;
-/// Most bytes of a request's body.
-pub const BODY_MOST: usize = 64 * 1024;
-/// Most bytes of an answer's body: targets were seen to send six times what a request may bring.
-pub const ANSWER_MOST: usize = 1024 * 1024;
-/// Most fields of a head.
-pub const FIELDS_MOST: usize = 64;
+/// Longest head, bytes, its empty line included.
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Longest body of a request, bytes.
+pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
+/// Longest body of a response, bytes: targets may send several times what a request may bring.
+pub const MAX_RESPONSE_BODY_BYTES: usize = 1024 * 1024;
+/// Largest number of header fields of a message.
+pub const MAX_FIELDS: usize = 64;
--- a/crates/flaxstand-http/src/write.rs
+++ b/crates/flaxstand-http/src/write.rs
@@ -1,9 +1,9 @@
-//! Writers.
+//! Writers of messages.
 
 use std::fmt::Display;
 use std::io::Write as _;
 
-/// The words that go with a status.
+/// The reason phrase of a status.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -25,13 +25,14 @@
 }
 
 fn field(out: &mut Vec<u8>, name: &str, value: &dyn Display) {
-    let at = out.len();
+    let begin = out.len();
     // Writing to a vector does not fail.
     let _ = write!(out, "{name}: {value}\r\n");
-    debug_assert!(!out[at..out.len() - 2].contains(&b'\n'), "a field of one line: {name}");
+    // Guards against header injection by a value with a line break.
+    debug_assert!(!out[begin..out.len() - 2].contains(&b'\n'), "a field of one line: {name}");
 }
 
-/// Adds a request to `out`. A body is told by its length; none has no length either.
+/// Appends a request to `out`. A body is preceded by its length; without a body there is no length either.
 pub fn write_request(
     out: &mut Vec<u8>,
     method: &str,
@@ -48,17 +49,17 @@
     out.extend_from_slice(body.unwrap_or_default());
 }
 
-/// Adds an answer to `out`. `keeps`: the connection lasts beyond it.
-pub fn write_answer(
+/// Appends a response to `out`. `keeps_alive`: the connection may be used again.
+pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
     fields: &[(&str, &dyn Display)],
     body: &[u8],
-    keeps: bool,
+    keeps_alive: bool,
 ) {
     let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason(status));
     fields.iter().for_each(|(name, value)| field(out, name, value));
-    if !keeps {
+    if !keeps_alive {
         field(out, "Connection", &"close");
     }
     field(out, "Content-Length", &body.len());
--- a/crates/flaxstand-http/tests/codec.rs
+++ b/crates/flaxstand-http/tests/codec.rs
@@ -1,10 +1,12 @@
 //! Messages split at every place, spoilt in every way that was thought of, and at random.
 
-use flaxstand_http::{Answers, Fault, HEAD_MOST, Request, Requests, write_answer, write_request};
+use flaxstand_http::{
+    MAX_HEAD_BYTES, MessageError, Request, RequestReader, ResponseReader, write_request, write_response,
+};
 use proptest::prelude::*;
 
-fn request(bytes: &[u8]) -> Result<Option<Request>, Fault> {
-    let mut reader = Requests::default();
+fn request(bytes: &[u8]) -> Result<Option<Request>, MessageError> {
+    let mut reader = RequestReader::default();
     reader.push(bytes);
     reader.take()
 }
@@ -14,11 +16,14 @@
     let mut bytes = Vec::new();
     write_request(&mut bytes, "PUT", "/a?b", &[("Host", &"h"), ("X-A", &1)], Some(b"body"));
     let whole = request(&bytes).unwrap().unwrap();
-    assert_eq!((whole.fields.one("x-a"), &whole.body[..], whole.keeps), (Some("1"), &b"body"[..], true));
+    assert_eq!(
+        (whole.fields.single("x-a"), &whole.body[..], whole.keeps_alive),
+        (Some("1"), &b"body"[..], true)
+    );
     let mut answer = Vec::new();
-    write_answer(&mut answer, 200, &[("Retry-After", &0.5)], b"body", true);
+    write_response(&mut answer, 200, &[("Retry-After", &0.5)], b"body", true);
     for cut in 1..bytes.len() {
-        let mut reader = Requests::default();
+        let mut reader = RequestReader::default();
         reader.push(&bytes[..cut]);
         assert_eq!(reader.take(), Ok(None), "cut at {cut}");
         reader.push(&bytes[cut..]);
@@ -26,55 +31,66 @@
         assert!(reader.is_empty());
     }
     for cut in 1..answer.len() {
-        let mut reader = Answers::default();
+        let mut reader = ResponseReader::default();
         reader.push(&answer[..cut]);
         assert_eq!(reader.take(), Ok(None), "cut at {cut}");
         reader.push(&answer[cut..]);
         let read = reader.take().unwrap().unwrap();
-        assert_eq!((read.status, &read.body[..], read.keeps), (200, &b"body"[..], true));
+        assert_eq!((read.status, &read.body[..], read.keeps_alive), (200, &b"body"[..], true));
     }
 }
 
 #[test]
 fn framing_in_doubt_is_a_fault() {
     let put = |fields: &str, body: &str| request(format!("PUT / HTTP/1.1\r\n{fields}\r\n{body}").as_bytes());
-    assert_eq!(put("", ""), Err(Fault::NoLength));
+    assert_eq!(put("", ""), Err(MessageError::MissingLength));
     for length in ["", "-1", "+1", "1,1", "1 1", "0x1", "1.0"] {
-        assert_eq!(put(&format!("Content-Length: {length}\r\n"), "x"), Err(Fault::Length), "{length:?}");
+        assert_eq!(
+            put(&format!("Content-Length: {length}\r\n"), "x"),
+            Err(MessageError::InvalidLength),
+            "{length:?}"
+        );
     }
-    assert_eq!(put("Content-Length: 1\r\nContent-Length: 1\r\n", "x"), Err(Fault::Length));
-    assert_eq!(put("Content-Length: 65537\r\n", ""), Err(Fault::BodyTooLong));
+    assert_eq!(put("Content-Length: 1\r\nContent-Length: 1\r\n", "x"), Err(MessageError::InvalidLength));
+    assert_eq!(put("Content-Length: 65537\r\n", ""), Err(MessageError::BodyTooLong));
     assert_eq!(
         put("Content-Length: 340282366920938463463374607431768211456\r\n", ""),
-        Err(Fault::BodyTooLong)
+        Err(MessageError::BodyTooLong)
+    );
+    assert_eq!(
+        put("Transfer-Encoding: chunked\r\nContent-Length: 1\r\n", "x"),
+        Err(MessageError::UnsupportedEncoding)
     );
-    assert_eq!(put("Transfer-Encoding: chunked\r\nContent-Length: 1\r\n", "x"), Err(Fault::Encoding));
-    assert_eq!(put("Transfer-Encoding: identity\r\n", "x"), Err(Fault::Encoding));
-    assert_eq!(put("Content-Length: 1\r\n", "xtail"), Err(Fault::Behind));
-    assert!(matches!(put("Content-Length : 1\r\n", "x"), Err(Fault::Head(_))));
+    assert_eq!(put("Transfer-Encoding: identity\r\n", "x"), Err(MessageError::UnsupportedEncoding));
+    assert_eq!(put("Content-Length: 1\r\n", "xtail"), Err(MessageError::TrailingBytes));
+    assert!(matches!(put("Content-Length : 1\r\n", "x"), Err(MessageError::InvalidHead(_))));
     assert!(matches!(put("Content-Length: 000000000000000000000000000001\r\n", "x"), Ok(Some(_))));
     assert!(matches!(put("Content-Length: 1\r\n", "xGET /next HT"), Ok(Some(_))));
-    assert_eq!(request(&vec![b'G'; HEAD_MOST + 1]), Err(Fault::HeadTooLong));
-    assert!(!request(b"GET / HTTP/1.0\r\n\r\n").unwrap().unwrap().keeps);
-    assert!(!request(b"GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n").unwrap().unwrap().keeps);
+    assert_eq!(request(&vec![b'G'; MAX_HEAD_BYTES + 1]), Err(MessageError::HeadTooLong));
+    assert!(!request(b"GET / HTTP/1.0\r\n\r\n").unwrap().unwrap().keeps_alive);
+    assert!(!request(b"GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n").unwrap().unwrap().keeps_alive);
 }
 
 #[test]
 fn answers_end_where_they_say_or_are_faults() {
     let answer = |text: &str| {
-        let mut reader = Answers::default();
+        let mut reader = ResponseReader::default();
         reader.push(text.as_bytes());
         reader.take()
     };
-    let body = |text: &str| answer(text).unwrap().map(|a| (String::from_utf8(a.body).unwrap(), a.keeps));
+    let body =
+        |text: &str| answer(text).unwrap().map(|a| (String::from_utf8(a.body).unwrap(), a.keeps_alive));
     let chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     assert_eq!(body(&format!("{chunks}2\r\nab\r\n3;x=y\r\ncde\r\n0\r\n\r\n")), Some(("abcde".into(), true)));
     assert_eq!(body(&format!("{chunks}2\r\nab\r\n0\r\n")), None);
-    assert_eq!(answer(&format!("{chunks}2\r\nabc\r\n")), Err(Fault::Chunk));
-    assert_eq!(answer(&format!("{chunks}fffffffffffffffff\r\n")), Err(Fault::Chunk));
-    assert_eq!(answer(&format!("{chunks}100001\r\n")), Err(Fault::BodyTooLong));
-    assert_eq!(answer("HTTP/1.1 200 OK\r\n\r\n"), Err(Fault::NoLength));
-    assert_eq!(answer("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"), Err(Fault::BodyTooLong));
+    assert_eq!(answer(&format!("{chunks}2\r\nabc\r\n")), Err(MessageError::InvalidChunk));
+    assert_eq!(answer(&format!("{chunks}fffffffffffffffff\r\n")), Err(MessageError::InvalidChunk));
+    assert_eq!(answer(&format!("{chunks}100001\r\n")), Err(MessageError::BodyTooLong));
+    assert_eq!(answer("HTTP/1.1 200 OK\r\n\r\n"), Err(MessageError::MissingLength));
+    assert_eq!(
+        answer("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"),
+        Err(MessageError::BodyTooLong)
+    );
     assert_eq!(
         body("HTTP/1.1 103 E\r\n\r\nHTTP/1.1 100 C\r\n\r\nHTTP/1.1 204 N\r\n\r\n"),
         Some((String::new(), true))
@@ -91,10 +107,10 @@
 #[test]
 fn a_reader_with_another_limit_takes_bodies_up_to_it_in_every_framing() {
     let read = |limit: usize, head: &str, body: &str| {
-        let mut reader = Answers::with_body_limit(limit);
+        let mut reader = ResponseReader::with_body_limit(limit);
         reader.push(format!("HTTP/1.1 200 OK\r\n{head}\r\n{body}").as_bytes());
         let taken = reader.take()?;
-        Ok::<_, Fault>(taken.or_else(|| reader.end()).map(|answer| answer.body.len()))
+        Ok::<_, MessageError>(taken.or_else(|| reader.end()).map(|answer| answer.body.len()))
     };
     let ten = "0123456789";
     for (head, body) in [
@@ -104,18 +120,18 @@
     ] {
         assert_eq!(read(10, head, &body), Ok(Some(10)), "{head}");
     }
-    assert_eq!(read(9, "Content-Length: 10\r\n", ten), Err(Fault::BodyTooLong));
-    assert_eq!(read(9, "Transfer-Encoding: chunked\r\n", "a\r\n"), Err(Fault::BodyTooLong));
-    let mut reader = Answers::with_body_limit(9);
+    assert_eq!(read(9, "Content-Length: 10\r\n", ten), Err(MessageError::BodyTooLong));
+    assert_eq!(read(9, "Transfer-Encoding: chunked\r\n", "a\r\n"), Err(MessageError::BodyTooLong));
+    let mut reader = ResponseReader::with_body_limit(9);
     reader.push(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
     assert_eq!(reader.take(), Ok(None));
     reader.push(ten.as_bytes());
-    assert_eq!(reader.take(), Err(Fault::BodyTooLong));
+    assert_eq!(reader.take(), Err(MessageError::BodyTooLong));
 }
 
 #[test]
 fn the_limit_of_a_reader_holds_for_its_second_answer_too() {
-    let mut reader = Answers::with_body_limit(2 << 20);
+    let mut reader = ResponseReader::with_body_limit(2 << 20);
     let body = "x".repeat(1_500_000);
     for _ in 0..2 {
         reader.push(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
@@ -129,7 +145,7 @@
         pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..100),
         ahead in prop::sample::select(vec!["", "PUT / HTTP/1.1\r\nContent-Length: 70\r\n\r\n", "HTTP/1.1 200 OK\r\n"]),
     ) {
-        let (mut requests, mut answers) = (Requests::default(), Answers::default());
+        let (mut requests, mut answers) = (RequestReader::default(), ResponseReader::default());
         requests.push(ahead.as_bytes());
         answers.push(ahead.as_bytes());
         let (mut asked, mut answered) = (true, true);
@@ -137,7 +153,7 @@
             if asked {
                 requests.push(piece);
                 while asked && matches!(requests.take().inspect_err(|_| asked = false), Ok(Some(_))) {}
-                prop_assert!(!asked || requests.len() <= HEAD_MOST);
+                prop_assert!(!asked || requests.len() <= MAX_HEAD_BYTES);
             }
             if answered {
                 answers.push(piece);
--- a/crates/flaxstand-http/tests/incremental.rs
+++ b/crates/flaxstand-http/tests/incremental.rs
@@ -2,21 +2,23 @@
 
 mod whole_parse;
 
-use flaxstand_http::{Answer, Answers, BODY_MOST, FIELDS_MOST, Fault, HEAD_MOST, Requests};
+use flaxstand_http::{
+    MAX_FIELDS, MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES, MessageError, RequestReader, Response, ResponseReader,
+};
 use proptest::prelude::*;
 use whole_parse::{PlainAnswer, WholeParseReader};
 
 const CHUNKED_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-fn is_same(answer: &Answer, plain: &PlainAnswer) -> bool {
+fn is_same(answer: &Response, plain: &PlainAnswer) -> bool {
     plain.fields.equals(answer)
-        && (answer.status, &answer.body, answer.keeps) == (plain.status, &plain.body, plain.keeps)
+        && (answer.status, &answer.body, answer.keeps_alive) == (plain.status, &plain.body, plain.keeps)
 }
 
 /// Passes the pieces to both readers and compares all that both of them tell, until the first fault.
-fn compare(pieces: &[&[u8]], body_most: usize) -> Result<(), TestCaseError> {
-    let mut reader = Answers::with_body_limit(body_most);
-    let mut reference = WholeParseReader::new(body_most);
+fn compare(pieces: &[&[u8]], max_body_bytes: usize) -> Result<(), TestCaseError> {
+    let mut reader = ResponseReader::with_body_limit(max_body_bytes);
+    let mut reference = WholeParseReader::new(max_body_bytes);
     for piece in pieces {
         reader.push(piece);
         reference.push(piece);
@@ -27,7 +29,7 @@
                 prop_assert_eq!(fault, expected);
                 prop_assert_eq!(reader.in_body(), reference.in_body());
                 prop_assert_eq!(reader.len(), reference.len());
-                prop_assert_eq!(reader.beginning(), reference.beginning());
+                prop_assert_eq!(reader.received_prefix(), reference.beginning());
                 reader.push(b"0\r\n\r\n");
                 prop_assert_eq!(reader.take(), Err(fault), "a fault stays");
                 return Ok(());
@@ -37,7 +39,7 @@
         prop_assert_eq!(reader.in_body(), reference.in_body());
         prop_assert_eq!(reader.len(), reference.len());
         prop_assert_eq!(reader.is_empty(), reference.is_empty());
-        prop_assert_eq!(reader.beginning(), reference.beginning());
+        prop_assert_eq!(reader.received_prefix(), reference.beginning());
     }
     match (reader.end(), reference.end()) {
         (Some(answer), Some(plain)) => prop_assert!(is_same(&answer, &plain)),
@@ -64,7 +66,7 @@
 
 /// Short lengths, and some around the bound of a head.
 fn length_near_bound() -> impl Strategy<Value = usize> {
-    prop_oneof![8 => 0..20usize, 1 => HEAD_MOST - 60..HEAD_MOST + 20]
+    prop_oneof![8 => 0..20usize, 1 => MAX_HEAD_BYTES - 60..MAX_HEAD_BYTES + 20]
 }
 
 fn chunk() -> impl Strategy<Value = Vec<u8>> {
@@ -85,7 +87,7 @@
     prop_oneof![
         4 => Just(b"\r\n".to_vec()),
         1 => length_near_bound().prop_map(|n| format!("T: {}\r\n\r\n", "t".repeat(n)).into_bytes()),
-        1 => (0..FIELDS_MOST + 3).prop_map(|n| format!("{}\r\n", "T: t\r\n".repeat(n)).into_bytes()),
+        1 => (0..MAX_FIELDS + 3).prop_map(|n| format!("{}\r\n", "T: t\r\n".repeat(n)).into_bytes()),
         1 => Just(b"T\x00: t\r\n\r\n".to_vec()),
     ]
 }
@@ -156,10 +158,10 @@
 
 #[test]
 fn the_bounds_of_size_lines_and_trailers_hold_to_the_byte() {
-    for length in HEAD_MOST - 3..HEAD_MOST + 4 {
+    for length in MAX_HEAD_BYTES - 3..MAX_HEAD_BYTES + 4 {
         for (ahead, behind) in [("1;", "\r\nd\r\n0\r\n\r\n"), ("0\r\nT: ", "\r\n\r\n")] {
             let bytes = [CHUNKED_HEAD, ahead.as_bytes(), &vec![b'x'; length - 6], behind.as_bytes()].concat();
-            let near_end = CHUNKED_HEAD.len() + HEAD_MOST - 10;
+            let near_end = CHUNKED_HEAD.len() + MAX_HEAD_BYTES - 10;
             let (begin, end) = bytes.split_at(near_end);
             let pieces: Vec<&[u8]> = std::iter::once(begin).chain(end.chunks(1)).collect();
             compare(&pieces, 1 << 20).unwrap();
@@ -169,13 +171,13 @@
 
 /// What a reader examined of an answer that came in pieces of this length.
 fn examined(bytes: &[u8], piece: usize, body: usize) -> u64 {
-    let mut reader = Answers::with_body_limit(2 << 20);
+    let mut reader = ResponseReader::with_body_limit(2 << 20);
     let mut pieces = bytes.chunks(piece).peekable();
     while let Some(piece) = pieces.next() {
         reader.push(piece);
         let taken = reader.take().unwrap();
         assert_eq!(taken.is_some(), pieces.peek().is_none());
-        assert!(taken.is_none_or(|answer| answer.body.len() == body && answer.keeps));
+        assert!(taken.is_none_or(|answer| answer.body.len() == body && answer.keeps_alive));
     }
     reader.bytes_examined()
 }
@@ -208,17 +210,20 @@
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
     assert!(examined(&[head.as_bytes(), &body].concat(), 10, body.len()) <= 500);
 
-    let mut reader = Requests::default();
+    let mut reader = RequestReader::default();
     reader.push(
-        format!("PUT / HTTP/1.1\r\nX: {}\r\nContent-Length: {BODY_MOST}\r\n\r\n", "x".repeat(8000))
-            .as_bytes(),
+        format!(
+            "PUT / HTTP/1.1\r\nX: {}\r\nContent-Length: {MAX_REQUEST_BODY_BYTES}\r\n\r\n",
+            "x".repeat(8000)
+        )
+        .as_bytes(),
     );
-    for piece in [b'b'; BODY_MOST].chunks(10) {
+    for piece in [b'b'; MAX_REQUEST_BODY_BYTES].chunks(10) {
         assert_eq!(reader.take(), Ok(None));
         reader.push(piece);
     }
-    assert_eq!(reader.take().unwrap().unwrap().body, [b'b'; BODY_MOST]);
-    assert!(reader.bytes_examined() <= HEAD_MOST as u64);
+    assert_eq!(reader.take().unwrap().unwrap().body, [b'b'; MAX_REQUEST_BODY_BYTES]);
+    assert!(reader.bytes_examined() <= MAX_HEAD_BYTES as u64);
 }
 
 #[test]
@@ -229,7 +234,7 @@
         ("Connection: close\r\n", "b"),
     ] {
         let head = format!("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n{head}\r\n");
-        let mut reader = Answers::default();
+        let mut reader = ResponseReader::default();
         for byte in head.as_bytes() {
             assert!(!reader.in_body() && !reader.body_started());
             reader.push(&[*byte]);
@@ -240,12 +245,12 @@
         assert_eq!(reader.take(), Ok(None));
         assert!(reader.in_body() && reader.body_started(), "{head}");
 
-        let mut reader = Answers::default();
+        let mut reader = ResponseReader::default();
         reader.push(format!("{head}{first}").as_bytes());
         assert_eq!(reader.take(), Ok(None));
         assert!(reader.body_started(), "{head}");
     }
-    let mut reader = Answers::default();
+    let mut reader = ResponseReader::default();
     reader.push(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb");
     assert!(reader.take().unwrap().is_some());
     assert!(!reader.in_body() && !reader.body_started());
@@ -253,20 +258,20 @@
 
 #[test]
 fn a_body_until_close_that_comes_with_its_head_is_bounded_too() {
-    let mut reader = Answers::with_body_limit(4);
+    let mut reader = ResponseReader::with_body_limit(4);
     reader.push(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbodies");
-    assert_eq!(reader.take(), Err(Fault::BodyTooLong));
+    assert_eq!(reader.take(), Err(MessageError::BodyTooLong));
     assert_eq!(reader.end(), None);
 }
 
 #[test]
 fn a_fault_in_a_body_stays_and_leaves_no_answer() {
-    let mut reader = Answers::with_body_limit(4);
+    let mut reader = ResponseReader::with_body_limit(4);
     reader.push(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
     assert_eq!(reader.take(), Ok(None));
     reader.push(b"bodies");
-    assert_eq!(reader.take(), Err(Fault::BodyTooLong));
-    assert_eq!(reader.take(), Err(Fault::BodyTooLong));
+    assert_eq!(reader.take(), Err(MessageError::BodyTooLong));
+    assert_eq!(reader.take(), Err(MessageError::BodyTooLong));
     assert!(reader.in_body());
     assert_eq!(reader.end(), None);
 }
--- a/crates/flaxstand-http/tests/whole_parse/mod.rs
+++ b/crates/flaxstand-http/tests/whole_parse/mod.rs
@@ -1,6 +1,6 @@
 //! A plain reader of answers that parses all it holds at each call, as a reference for the incremental one.
 
-use flaxstand_http::{Answer, FIELDS_MOST, Fault, HEAD_MOST};
+use flaxstand_http::{MAX_FIELDS, MAX_HEAD_BYTES, MessageError, Response};
 
 /// An answer as plain values.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,9 +22,9 @@
     }
 
     /// Whether the read answer has the same fields.
-    pub fn equals(&self, answer: &Answer) -> bool {
+    pub fn equals(&self, answer: &Response) -> bool {
         let same =
-            |(name, _): &(String, Vec<u8>)| self.all(name) == answer.fields.all(name).collect::<Vec<_>>();
+            |(name, _): &(String, Vec<u8>)| self.all(name) == answer.fields.values(name).collect::<Vec<_>>();
         self.0.iter().all(same)
     }
 }
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct WholeParseReader {
     bytes: Vec<u8>,
-    body_most: usize,
+    max_body_bytes: usize,
     in_body: bool,
     /// The head of an answer whose body ends with the connection, and where the body begins.
     ends: Option<(u16, PlainFields, usize)>,
@@ -46,8 +46,8 @@
 }
 
 impl WholeParseReader {
-    pub fn new(body_most: usize) -> Self {
-        WholeParseReader { bytes: Vec::new(), body_most, in_body: false, ends: None }
+    pub fn new(max_body_bytes: usize) -> Self {
+        WholeParseReader { bytes: Vec::new(), max_body_bytes, in_body: false, ends: None }
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
@@ -70,18 +70,18 @@
         self.bytes.is_empty()
     }
 
-    pub fn take(&mut self) -> Result<Option<PlainAnswer>, Fault> {
+    pub fn take(&mut self) -> Result<Option<PlainAnswer>, MessageError> {
         if let Some((.., at)) = self.ends {
-            let too_long = self.bytes.len() - at > self.body_most;
-            return if too_long { Err(Fault::BodyTooLong) } else { Ok(None) };
+            let too_long = self.bytes.len() - at > self.max_body_bytes;
+            return if too_long { Err(MessageError::BodyTooLong) } else { Ok(None) };
         }
         loop {
-            let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+            let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
             let mut head = httparse::Response::new(&mut fields);
             let body_at = match head.parse(&self.bytes)? {
-                httparse::Status::Complete(len) if len <= HEAD_MOST => len,
-                httparse::Status::Partial if self.bytes.len() <= HEAD_MOST => return Ok(None),
-                _ => return Err(Fault::HeadTooLong),
+                httparse::Status::Complete(len) if len <= MAX_HEAD_BYTES => len,
+                httparse::Status::Partial if self.bytes.len() <= MAX_HEAD_BYTES => return Ok(None),
+                _ => return Err(MessageError::HeadTooLong),
             };
             let status = head.code.unwrap_or_default();
             if (102..200).contains(&status) || status == 100 {
@@ -89,21 +89,21 @@
                 continue;
             }
             if !(200..600).contains(&status) {
-                return Err(Fault::Head(httparse::Error::Status));
+                return Err(MessageError::InvalidHead(httparse::Error::Status));
             }
             let plain = |field: &httparse::Header<'_>| (field.name.to_owned(), field.value.to_vec());
             let fields = PlainFields(head.headers.iter().map(plain).collect());
             let keeps = head.version == Some(1) && !closes(&fields);
-            let framing = framing(status, keeps, &fields, self.body_most)?;
+            let framing = framing(status, keeps, &fields, self.max_body_bytes)?;
             let Some((body, end)) = self.body(body_at, &framing)? else {
                 self.ends = matches!(framing, Framing::End).then_some((status, fields, body_at));
                 // The one difference to the reader that this was: it judged these bytes at its next call.
-                let too_long = self.ends.is_some() && self.bytes.len() - body_at > self.body_most;
+                let too_long = self.ends.is_some() && self.bytes.len() - body_at > self.max_body_bytes;
                 self.in_body = !too_long;
-                return if too_long { Err(Fault::BodyTooLong) } else { Ok(None) };
+                return if too_long { Err(MessageError::BodyTooLong) } else { Ok(None) };
             };
             let keeps = keeps && end == self.bytes.len();
-            *self = WholeParseReader::new(self.body_most);
+            *self = WholeParseReader::new(self.max_body_bytes);
             return Ok(Some(PlainAnswer { status, fields, body, keeps }));
         }
     }
@@ -111,14 +111,14 @@
     pub fn end(&mut self) -> Option<PlainAnswer> {
         let (status, fields, at) = self.ends.take()?;
         let body = self.bytes.split_off(at);
-        *self = WholeParseReader::new(self.body_most);
+        *self = WholeParseReader::new(self.max_body_bytes);
         Some(PlainAnswer { status, fields, body, keeps: false })
     }
 
-    fn body(&self, at: usize, framing: &Framing) -> Result<Option<(Vec<u8>, usize)>, Fault> {
+    fn body(&self, at: usize, framing: &Framing) -> Result<Option<(Vec<u8>, usize)>, MessageError> {
         match framing {
             Framing::Length(length) => Ok(self.bytes.get(at..at + length).map(|b| (b.to_vec(), at + length))),
-            Framing::Chunked => dechunk(&self.bytes, at, self.body_most),
+            Framing::Chunked => dechunk(&self.bytes, at, self.max_body_bytes),
             Framing::End => Ok(None),
         }
     }
@@ -130,59 +130,68 @@
     fields.all("connection").into_iter().any(words)
 }
 
-fn length(fields: &PlainFields, most: usize) -> Result<Option<usize>, Fault> {
+fn length(fields: &PlainFields, most: usize) -> Result<Option<usize>, MessageError> {
     let all = fields.all("content-length");
     let Some(value) = all.first() else { return Ok(None) };
     if all.len() > 1 || value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
-        return Err(Fault::Length);
+        return Err(MessageError::InvalidLength);
     }
     let digits = value.iter().skip_while(|b| **b == b'0');
     let most = most as u64 + 1;
     let number = digits.fold(0u64, |n, b| n.saturating_mul(10).saturating_add(u64::from(b - b'0')).min(most));
-    if number == most { Err(Fault::BodyTooLong) } else { Ok(Some(number as usize)) }
+    if number == most { Err(MessageError::BodyTooLong) } else { Ok(Some(number as usize)) }
 }
 
-fn framing(status: u16, keeps: bool, fields: &PlainFields, body_most: usize) -> Result<Framing, Fault> {
+fn framing(
+    status: u16,
+    keeps: bool,
+    fields: &PlainFields,
+    max_body_bytes: usize,
+) -> Result<Framing, MessageError> {
     let encodings = fields.all("transfer-encoding");
     let chunked = encodings.len() == 1
         && std::str::from_utf8(encodings[0]).is_ok_and(|v| v.trim().eq_ignore_ascii_case("chunked"));
-    match (length(fields, body_most)?, !encodings.is_empty()) {
-        (Some(_), true) => Err(Fault::Encoding),
+    match (length(fields, max_body_bytes)?, !encodings.is_empty()) {
+        (Some(_), true) => Err(MessageError::UnsupportedEncoding),
         (Some(length), false) => Ok(Framing::Length(length)),
         (None, true) if chunked => Ok(Framing::Chunked),
-        (None, true) => Err(Fault::Encoding),
+        (None, true) => Err(MessageError::UnsupportedEncoding),
         (None, false) if status == 204 || status == 304 => Ok(Framing::Length(0)),
         (None, false) if !keeps => Ok(Framing::End),
-        (None, false) => Err(Fault::NoLength),
+        (None, false) => Err(MessageError::MissingLength),
     }
 }
 
 /// The whole of a chunked body that begins there, and where it ends.
-fn dechunk(bytes: &[u8], mut at: usize, body_most: usize) -> Result<Option<(Vec<u8>, usize)>, Fault> {
+fn dechunk(
+    bytes: &[u8],
+    mut at: usize,
+    max_body_bytes: usize,
+) -> Result<Option<(Vec<u8>, usize)>, MessageError> {
     let mut body = Vec::new();
     loop {
         let (line, size) = match httparse::parse_chunk_size(&bytes[at..]) {
             Ok(httparse::Status::Complete(found)) => found,
-            Ok(httparse::Status::Partial) if bytes.len() - at <= HEAD_MOST => return Ok(None),
-            _ => return Err(Fault::Chunk),
+            Ok(httparse::Status::Partial) if bytes.len() - at <= MAX_HEAD_BYTES => return Ok(None),
+            _ => return Err(MessageError::InvalidChunk),
         };
         at += line;
         if size == 0 {
-            let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+            let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
             return match httparse::parse_headers(&bytes[at..], &mut fields)? {
                 httparse::Status::Complete((len, _)) => Ok(Some((body, at + len))),
-                httparse::Status::Partial if bytes.len() - at <= HEAD_MOST => Ok(None),
-                httparse::Status::Partial => Err(Fault::HeadTooLong),
+                httparse::Status::Partial if bytes.len() - at <= MAX_HEAD_BYTES => Ok(None),
+                httparse::Status::Partial => Err(MessageError::HeadTooLong),
             };
         }
-        if size > (body_most - body.len()) as u64 {
-            return Err(Fault::BodyTooLong);
+        if size > (max_body_bytes - body.len()) as u64 {
+            return Err(MessageError::BodyTooLong);
         }
         let end = at + size as usize;
         let Some(chunk) = bytes.get(at..end) else { return Ok(None) };
         match bytes.get(end..end + 2) {
             Some(b"\r\n") => {}
-            Some(_) => return Err(Fault::Chunk),
+            Some(_) => return Err(MessageError::InvalidChunk),
             None => return Ok(None),
         }
         body.extend_from_slice(chunk);
--- a/crates/flaxstand-platform/src/discovery/listing.rs
+++ b/crates/flaxstand-platform/src/discovery/listing.rs
@@ -76,8 +76,8 @@
     /// A key or its value can't be read.
     #[error("{0}")]
     Unreadable(String),
-    /// An entry is no valid JSON and holds what looks like the end of one entry and the beginning of the next:
-    /// a misplaced quote or bracket may have made others a part of it.
+    /// An entry is no valid JSON and holds what looks like the end of one entry and the beginning of the
+    /// next: a misplaced quote or bracket may have made others a part of it.
     #[error("where this entry ends is in doubt")]
     DoubtfulEntry,
     /// Something follows the list.
@@ -88,8 +88,8 @@
 /// Reads a list. Its keys must be readable in full; each entry is read by itself.
 ///
 /// # Errors
-/// The text is not one JSON object with `rev`, `all` and an array `targets`, or where its entries begin and end
-/// is in doubt.
+/// The text is not one JSON object with `rev`, `all` and an array `targets`, or where its entries begin and
+/// end is in doubt.
 pub fn read_listing(bytes: &[u8]) -> Result<ReadListing, ListingError> {
     let mut scanner = Scanner::new(bytes);
     scanner.expect(b'{', "an object")?;
--- a/crates/flaxstand-platform/src/lib.rs
+++ b/crates/flaxstand-platform/src/lib.rs
@@ -1,5 +1,6 @@
-//! The platform's names and units as typed values: requests of clients, responses of targets, listings of the discovery
-//! service and the configuration of an initiator. No I/O, no decisions; it does not depend on the gateway.
+//! The platform's names and units as typed values: requests of clients, responses of targets, listings of the
+//! discovery service and the configuration of an initiator. No I/O, no decisions; it does not depend on the
+//! gateway.
 //!
 //! - [`ClientRequest`]: a client's request, checked
 //! - [`outcome_of`]: the outcome of an attempt by a target's response
--- a/crates/flaxstand-platform/src/request.rs
+++ b/crates/flaxstand-platform/src/request.rs
@@ -105,7 +105,7 @@
         }
         let time_left_micros = read_timeout(request)?;
         let placement = read_placement(request, limits)?;
-        let has_key = request.fields.has(field::KEY);
+        let has_key = request.fields.contains(field::KEY);
         let idempotency_key = has_key.then(|| read_token(request, field::KEY)).transpose()?;
         Ok(ClientRequest {
             id: read_token(request, field::ID)?,
@@ -118,7 +118,7 @@
             units: placement.units,
             shard: placement.shard,
             hosts: placement.hosts,
-            is_retry: request.fields.one(field::RETRIED) == Some("1"),
+            is_retry: request.fields.single(field::RETRIED) == Some("1"),
             idempotency_key,
         })
     }
@@ -143,7 +143,7 @@
 fn read_timeout(request: &Request) -> Result<u32, BadRequest> {
     // Digits and a point only: what else a float may be written as is nothing a client should send.
     let is_plain = |text: &&str| text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-    let text = request.fields.one(field::TIMEOUT).filter(is_plain);
+    let text = request.fields.single(field::TIMEOUT).filter(is_plain);
     let seconds = text.and_then(|text| text.parse::<f64>().ok());
     let seconds = seconds.filter(|seconds| seconds.is_finite() && *seconds > 0.0);
     let seconds = seconds.ok_or(BadRequest::Field { name: field::TIMEOUT, expected: "seconds above 0" })?;
@@ -155,13 +155,13 @@
     let is_token = |text: &&str| {
         (1..=MAX_TOKEN_BYTES).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic())
     };
-    let token = request.fields.one(name).filter(is_token);
+    let token = request.fields.single(name).filter(is_token);
     token.ok_or(BadRequest::Field { name, expected: "one word" })
 }
 
 /// The index of the name that a field says.
 fn read_name(request: &Request, name: &'static str, known: &[String]) -> Result<u16, BadRequest> {
-    let value = request.fields.one(name);
+    let value = request.fields.single(name);
     let index = value.and_then(|value| known.iter().position(|known| known == value));
     let index = index.and_then(|index| u16::try_from(index).ok());
     index.ok_or(BadRequest::Field { name, expected: "one that the settings name" })
@@ -176,7 +176,7 @@
 }
 
 fn read_placement(request: &Request, limits: &RequestLimits<'_>) -> Result<Placement, BadRequest> {
-    let placement = request.fields.one(field::PLACEMENT).and_then(|text| parse_placement(text, limits));
+    let placement = request.fields.single(field::PLACEMENT).and_then(|text| parse_placement(text, limits));
     let expected = "units=, shard= and hosts= within the settings";
     placement.ok_or(BadRequest::Field { name: field::PLACEMENT, expected })
 }
--- a/crates/flaxstand-platform/src/settings/check.rs
+++ b/crates/flaxstand-platform/src/settings/check.rs
@@ -1,5 +1,5 @@
-//! Whether the values of a settings object make sense, key by key. A zero is a limit like any other where it has a
-//! meaning.
+//! Whether the values of a settings object make sense, key by key. A zero is a limit like any other where it
+//! has a meaning.
 
 use super::Params;
 use super::wire::{WireClass, WirePlan};
--- a/crates/flaxstand-platform/src/settings/mod.rs
+++ b/crates/flaxstand-platform/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings object, which the simulator's first message and the configuration have in common: its names and
-//! units, and the decision module's settings in it.
+//! The settings object, which the simulator's first message and the configuration have in common: its names
+//! and units, and the decision module's settings in it.
 //!
 //! - [`wire`]: the object's parts, as they are spelled
 //! - [`check`]: whether its values make sense
@@ -15,8 +15,8 @@
 use serde::Deserialize;
 use wire::{RegistryMode, WireCaps, WireClass, WireFamily, WirePlan, WireRules};
 
-/// On the platform a change of the endpoint list binds every initiator this long after the discovery service had it and
-/// could be reached, ms.
+/// On the platform a change of the endpoint list binds every initiator this long after the discovery service
+/// had it and could be reached, ms.
 pub const NOTIFIED_WITHIN_MS: f64 = 6000.0;
 /// What the discovery service has binds this long after a new configuration named another address of it, ms.
 pub const NOTIFIED_AFTER_MOVE_MS: f64 = 4000.0;
--- a/crates/flaxstand-platform/src/settings/wire.rs
+++ b/crates/flaxstand-platform/src/settings/wire.rs
@@ -1,5 +1,5 @@
-//! Parts of the settings object. Each field is mapped from its name on the wire here and nowhere else; times are in
-//! milliseconds, rates in units a second.
+//! Parts of the settings object. Each field is mapped from its name on the wire here and nowhere else; times
+//! are in milliseconds, rates in units a second.
 
 use serde::Deserialize;
 
--- a/crates/flaxstand-platform/tests/answer.rs
+++ b/crates/flaxstand-platform/tests/answer.rs
@@ -1,13 +1,13 @@
 //! What targets' answers say of attempts.
 
 use flaxstand::api::Outcome;
-use flaxstand_http::Answers;
+use flaxstand_http::ResponseReader;
 use flaxstand_platform::outcome_of;
 
 #[test]
 fn only_a_target_that_says_so_has_not_run_it() {
     let of = |head: &str| {
-        let mut reader = Answers::default();
+        let mut reader = ResponseReader::default();
         reader.push(format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n").as_bytes());
         outcome_of(&reader.take().unwrap().unwrap())
     };
--- a/crates/flaxstand-platform/tests/recorded.rs
+++ b/crates/flaxstand-platform/tests/recorded.rs
@@ -2,7 +2,7 @@
 //! mistake told with the same key and place.
 
 use flaxstand_fixture::{Fixtures, values_of};
-use flaxstand_http::{Answers, Requests};
+use flaxstand_http::{RequestReader, ResponseReader};
 use flaxstand_platform::{
     ClientRequest, Configuration, HEALTH, LongPoll, READY, RequestLimits, field, list_call, outcome_of,
     read_listing,
@@ -126,7 +126,7 @@
                   X-Placement: units=2,shard=5,hosts=3\r\nX-Retried: 1\r\nIdempotency-Key: k1\r\n";
     let put =
         format!("PUT /api/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\n{fields}Content-Length: 2\r\n\r\nab");
-    let mut requests = Requests::default();
+    let mut requests = RequestReader::default();
     requests.push(put.as_bytes());
     let request = requests.take().expect("no fault").expect("a whole request");
     let _ = writeln!(text, "{:?}", ClientRequest::read(&request, &terms));
@@ -139,7 +139,7 @@
         "503 Full\r\n",
         "404 No\r\n",
     ] {
-        let mut answers = Answers::default();
+        let mut answers = ResponseReader::default();
         answers.push(format!("HTTP/1.1 {answer}Content-Length: 0\r\n\r\n").as_bytes());
         let read = answers.take().expect("no fault").expect("a whole answer");
         let _ = writeln!(outcomes, "{:?}", outcome_of(&read));
--- a/crates/flaxstand-platform/tests/request.rs
+++ b/crates/flaxstand-platform/tests/request.rs
@@ -1,6 +1,6 @@
 //! Clients' requests, and what can't be one.
 
-use flaxstand_http::{Request, Requests};
+use flaxstand_http::{Request, RequestReader};
 use flaxstand_platform::{BadRequest, ClientRequest, RequestLimits, field};
 
 const GOOD: [(&str, &str); 5] = [
@@ -14,7 +14,7 @@
 fn request(first: &str, fields: &[(&str, &str)], body: &str) -> Request {
     let fields: String = fields.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
     let text = format!("{first} HTTP/1.1\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len());
-    let mut reader = Requests::default();
+    let mut reader = RequestReader::default();
     reader.push(text.as_bytes());
     reader.take().unwrap().unwrap()
 }
