--- a/crates/flaxstand-gateway/src/core/discovery/cache_codec.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/cache_codec.rs
@@ -22,12 +22,12 @@
 /// Why a saved list can't be used.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum SavedListError {
-    /// The bytes are no frame.
+    /// The bytes are no frames.
     #[error("it is damaged: {0}")]
     Damaged(#[from] FrameError),
-    /// They end too early.
+    /// They end before the full list does.
     #[error("it is not whole")]
-    NotWhole,
+    Incomplete,
     /// They are frames, but no list.
     #[error("it holds no full list")]
     NoList,
@@ -41,7 +41,7 @@
     /// The newest revision in it.
     pub revision: u64,
     /// Bytes at the end that are no complete frame: torn by a crash, and left out.
-    pub torn: usize,
+    pub torn_bytes: usize,
 }
 
 /// Collects the entries of a saved state frame by frame.
@@ -96,7 +96,7 @@
             rest = &rest[length..];
         }
         let revision = reader.revision;
-        Ok(SavedList { entries: reader.into_entries(), revision, torn: rest.len() })
+        Ok(SavedList { entries: reader.into_entries(), revision, torn_bytes: rest.len() })
     }
 
     /// Reads the frames up to the one that ends the full list. Returns what is behind it.
@@ -106,7 +106,7 @@
             let (list, length) = match decode_within(rest, BodyLimit::NodeList)? {
                 Some((Frame::List(list), length)) => (list, length),
                 Some(_) => return Err(SavedListError::NoList),
-                None => return Err(SavedListError::NotWhole),
+                None => return Err(SavedListError::Incomplete),
             };
             rest = &rest[length..];
             let ends = list.extent == Extent::Full;
--- a/crates/flaxstand-gateway/src/core/discovery/update.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/update.rs
@@ -25,8 +25,8 @@
     /// The full list at its beginning can't be read.
     pub(in crate::core) fn from_saved(bytes: &[u8], now: Micros) -> Result<Self, SavedListError> {
         let saved = SavedList::read(bytes)?;
-        if saved.torn > 0 {
-            warn!(bytes = saved.torn, "torn end of the saved endpoint list is ignored");
+        if saved.torn_bytes > 0 {
+            warn!(bytes = saved.torn_bytes, "torn end of the saved endpoint list is ignored");
         }
         let entries = saved.entries.iter().map(|entry| EndpointEntry::from_frame(entry, now)).collect();
         Ok(EndpointUpdate { scope: ListScope::Cached, revision: saved.revision, entries })
--- a/crates/flaxstand-gateway/src/settings/class.rs
+++ b/crates/flaxstand-gateway/src/settings/class.rs
@@ -76,8 +76,7 @@
 pub(super) fn check_limit_burst(block: &Block<'_>, plan: &Plan, max_units: f64) {
     if plan.limit_rate > 0.0 && plan.limit_burst < max_units {
         let burst = plan.limit_burst;
-        block.report(format!(
-            "limit-burst is {burst}, expected at least unit-most, {max_units}: the largest request could not go"
-        ));
+        let expected = format!("at least unit-most, {max_units}: the largest request could not go");
+        block.report(format!("limit-burst is {burst}, expected {expected}"));
     }
 }
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -793,7 +793,7 @@
 /// Pace in a saved list, microseconds a unit.
 fn saved_pace(w: &World) -> Option<u32> {
     let list = SavedList::read(w.saved.as_ref().unwrap()).expect("a saved list");
-    assert_eq!((list.entries.len(), list.torn), (1, 0));
+    assert_eq!((list.entries.len(), list.torn_bytes), (1, 0));
     list.entries[0].service_time
 }
 
--- a/crates/flaxstand-gateway/tests/recorded.rs
+++ b/crates/flaxstand-gateway/tests/recorded.rs
@@ -122,7 +122,7 @@
     fixtures().assert_bytes("saved.list", &saved_list());
     let bytes = fixtures().read("saved.list");
     let list = SavedList::read(&bytes).expect("a saved list");
-    assert!(list.torn > 0);
+    assert!(list.torn_bytes > 0);
     fixtures().assert_text("saved-list.values", &values_of(&format!("{list:?}")));
     let mut next = World::cut_off(quiet(), 20, &bytes);
     let client = next.client();
--- a/crates/flaxstand-gateway/tests/saved_list.rs
+++ b/crates/flaxstand-gateway/tests/saved_list.rs
@@ -80,17 +80,17 @@
     for cut in 0..bytes.len() {
         let read = SavedList::read(&bytes[..cut]);
         if cut < whole {
-            assert!(matches!(read, Err(SavedListError::NotWhole)), "cut at {cut}: {read:?}");
+            assert!(matches!(read, Err(SavedListError::Incomplete)), "cut at {cut}: {read:?}");
             continue;
         }
         let torn = if cut < first { cut - whole } else { cut - first };
-        assert_eq!(read.expect("the whole is there").torn, torn, "cut at {cut}");
+        assert_eq!(read.expect("the whole is there").torn_bytes, torn, "cut at {cut}");
         assert_eq!(drains(&bytes[..cut]), usize::from(cut >= first), "cut at {cut}");
         assert!(Core::new(quiet(), Some(&bytes[..cut]), ms(1)).is_ok());
     }
     // Space that was given to the file, and never written.
     let zeros = [&bytes[..first], &[0; 64]].concat();
-    assert_eq!((drains(&zeros), SavedList::read(&zeros).unwrap().torn), (1, 64));
+    assert_eq!((drains(&zeros), SavedList::read(&zeros).unwrap().torn_bytes), (1, 64));
     let mut flipped = bytes.clone();
     flipped[first + 20] ^= 1;
     assert_eq!(drains(&flipped), 1);
@@ -133,7 +133,7 @@
     let mut end = 0;
     for length in &lengths[..2] {
         end += length;
-        assert_eq!(SavedList::read(&saved(&w)[..end]), Err(SavedListError::NotWhole));
+        assert_eq!(SavedList::read(&saved(&w)[..end]), Err(SavedListError::Incomplete));
     }
     assert_eq!(World::cut_off(roomy(), 0, saved(&w)).core.footprint().nodes, NODES as usize);
 }
@@ -156,7 +156,7 @@
     let list = List { extent: Extent::Full, since: 12, revision: 12, entries: vec![told] };
     let bytes = bytes_of(&Frame::List(list.clone()));
     let read = SavedList::read(&bytes).expect("one full frame");
-    assert_eq!((read.entries, read.revision, read.torn), (list.entries, 12, 0));
+    assert_eq!((read.entries, read.revision, read.torn_bytes), (list.entries, 12, 0));
 }
 
 /// What was saved early has grown as old as what was saved last.
@@ -262,7 +262,7 @@
             }
             held.retain(|_, (_, state, _)| *state != State::Removed);
             let read = SavedList::read(saved(&w)).expect("a saved list");
-            prop_assert_eq!(read.torn, 0);
+            prop_assert_eq!(read.torn_bytes, 0);
             let read: BTreeMap<u64, Held> =
                 read.entries.iter().map(|e| (e.node, (e.incarnation, e.state, e.address.to_owned()))).collect();
             prop_assert_eq!(&read, &held);
