--- a/crates/flaxstand-gateway/src/core/endpoint_table/apply.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_table/apply.rs
@@ -18,6 +18,12 @@
     pub(in crate::core) moved: Vec<NodeId>,
 }
 
+/// What one entry changed.
+struct AppliedEntry {
+    entry: NodeEntry,
+    is_moved: bool,
+}
+
 impl EndpointTable {
     /// Applies an update. Entries that can't be used are left out, with a warning. The table holds at most
     /// `max_endpoints`. What a full or cached list leaves out is removed.
@@ -29,7 +35,13 @@
     ) -> AppliedUpdate {
         let mut applied = AppliedUpdate::default();
         for entry in update.entries {
-            self.apply_entry(entry, max_endpoints, &mut applied, now);
+            let Some(AppliedEntry { entry, is_moved }) = self.apply_entry(entry, max_endpoints, now) else {
+                continue;
+            };
+            if is_moved {
+                applied.moved.push(entry.node);
+            }
+            applied.entries.push(entry);
         }
         applied.touched = applied.entries.iter().map(|entry| entry.node).collect();
         if update.scope != ListScope::Changes {
@@ -59,13 +71,13 @@
         absent
     }
 
+    /// Applies one entry; none if it can't be used.
     fn apply_entry(
         &mut self,
         mut entry: EndpointEntry,
         max_endpoints: usize,
-        applied: &mut AppliedUpdate,
         now: Micros,
-    ) -> Option<()> {
+    ) -> Option<AppliedEntry> {
         let known = self.id_of(&entry.name);
         let address = self.address_of(&mut entry, known)?;
         let id = match known {
@@ -92,14 +104,11 @@
             let (node, state) = (&entry.name, entry.readiness);
             debug!(%node, ?state, shard = entry.shard, address = entry.address, "endpoint changed");
         }
-        if is_moved {
-            applied.moved.push(id);
-        }
         // The service time is handed on with its entry and not stored: it holds for that start of the node
         // alone.
         let stored = self.get(id)?.entry(id);
-        applied.entries.push(NodeEntry { service_time: entry.service_time, ..stored });
-        Some(())
+        let entry = NodeEntry { service_time: entry.service_time, ..stored };
+        Some(AppliedEntry { entry, is_moved })
     }
 
     /// Where an entry says that its node listens. A known endpoint whose address can't be read stays at the
