--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -12,8 +12,8 @@
 use super::shutdown::Phase;
 use super::timers::Timer;
 use crate::machine::{Command, ConnId, Micros};
-use flaxstand_http::{BODY_MOST, Request, Requests, write_answer};
-use flaxstand_platform::{ClientRequest, READY, Terms};
+use flaxstand_http::{MAX_REQUEST_BODY_BYTES, Request, RequestReader, write_response};
+use flaxstand_platform::{ClientRequest, READY, RequestLimits};
 use flaxstand_proto::{Frame, Submit};
 use std::fmt::Display;
 use tracing::debug;
@@ -44,19 +44,25 @@
 /// The server's side of one client's HTTP/1.1 connection.
 #[derive(Debug)]
 pub(super) struct HttpServer {
-    pub(super) reader: Requests,
+    pub(super) reader: RequestReader,
     flow: Flow,
     /// Since when a request is on its way in, or the connection waits for one.
     pub(super) since: Micros,
     /// By which moment it is queued among those that may give their place to a new client.
     pub(super) queued: Micros,
-    /// Requests that came whole.
+    /// RequestReader that came whole.
     pub(super) requests: u64,
 }
 
 impl HttpServer {
     fn new(now: Micros) -> Self {
-        HttpServer { reader: Requests::default(), flow: Flow::Open, since: now, queued: now, requests: 0 }
+        HttpServer {
+            reader: RequestReader::default(),
+            flow: Flow::Open,
+            since: now,
+            queued: now,
+            requests: 0,
+        }
     }
 
     /// Bytes that were read in part.
@@ -89,7 +95,7 @@
         if !open || self.clients.len() >= self.config.bounds.max_clients && !self.evict_client(now) {
             debug!(clients = self.clients.len(), "client rejected");
             let mut bytes = Vec::new();
-            write_answer(&mut bytes, 503, &[], b"no room\n", false);
+            write_response(&mut bytes, 503, &[], b"no room\n", false);
             return Err(bytes);
         }
         self.clients.connected();
@@ -157,7 +163,7 @@
                 Ok(Some(request)) => {
                     let read = before - http.reader.len();
                     (http.requests, http.since) = (http.requests + 1, now);
-                    if !request.keeps {
+                    if !request.keeps_alive {
                         http.flow = Flow::LastAnswer;
                     }
                     self.connections.sub_partial_bytes(read);
@@ -183,11 +189,11 @@
             return self.respond(conn, if ready { 200 } else { 503 }, &[], b"", now);
         }
         let settings = &self.config.site.settings;
-        let terms = Terms {
+        let terms = RequestLimits {
             classes: &self.class_names,
             plans: &self.config.site.plans,
-            units: settings.max_units,
-            hosts: settings.initiators,
+            max_units: settings.max_units,
+            max_hosts: settings.initiators,
         };
         let r = match ClientRequest::read(&request, &terms) {
             Ok(r) => r,
@@ -209,22 +215,23 @@
             class: r.class,
             plan: r.plan,
             volume_initiators: r.hosts,
-            try_no: r.retried.into(),
-            write: r.write,
+            try_no: r.is_retry.into(),
+            write: r.is_write,
             volume: r.volume,
             extent: Some(r.extent),
             shard: r.shard,
             units: r.units,
             at: None,
             // No client waits for longer than its class says; one that says so is not held for longer.
-            time_left: u32::try_from(deadline).map_or(r.time_left, |most| r.time_left.min(most)),
+            time_left: u32::try_from(deadline)
+                .map_or(r.time_left_micros, |most| r.time_left_micros.min(most)),
             payload: &request.body,
         };
         let origin = Origin {
-            method: if r.write { "PUT" } else { "GET" },
+            method: if r.is_write { "PUT" } else { "GET" },
             target: request.target.clone(),
             id: r.id.to_owned(),
-            key: r.key.map(str::to_owned),
+            key: r.idempotency_key.map(str::to_owned),
         };
         if let Err(fault) = self.submit(conn, &submit, Some(origin), now) {
             self.respond(conn, 400, &[], fault.text.as_bytes(), now);
@@ -259,10 +266,11 @@
     /// Guards the memory against clients that read large answers slowly, or not at all: what waits for all of them
     /// has a bound. An answer beyond it fails.
     fn has_output_capacity(&self, bytes: usize) -> bool {
-        bytes <= BODY_MOST || bytes + self.connections.unread_bytes() <= self.config.bounds.max_response_bytes
+        bytes <= MAX_REQUEST_BODY_BYTES
+            || bytes + self.connections.unread_bytes() <= self.config.bounds.max_response_bytes
     }
 
-    /// Answers the request that a client has open.
+    /// ResponseReader the request that a client has open.
     fn respond(
         &mut self,
         conn: ConnId,
@@ -278,7 +286,7 @@
         }
         http.since = now;
         let keeps = http.flow == Flow::Open;
-        self.connections.write(conn, |bytes| write_answer(bytes, status, fields, body, keeps));
+        self.connections.write(conn, |bytes| write_response(bytes, status, fields, body, keeps));
     }
 
     /// An error for what can't be read any further. What is still on its way is dropped, so that the client
@@ -288,14 +296,14 @@
         self.counts.protocol_faults += 1;
         self.linger(conn, now);
         self.connections
-            .write(conn, |bytes| write_answer(bytes, status, &[], format!("{text}\n").as_bytes(), false));
+            .write(conn, |bytes| write_response(bytes, status, &[], format!("{text}\n").as_bytes(), false));
     }
 
     /// Nothing more is read of a client; what still comes is dropped for a while.
     fn linger(&mut self, conn: ConnId, now: Micros) {
         let Some(http) = self.http(conn) else { return };
         let partial = http.partial_bytes();
-        http.reader = Requests::default();
+        http.reader = RequestReader::default();
         (http.flow, http.since) = (Flow::Lingering(LINGER_BYTES), now);
         let queued = std::mem::replace(&mut http.queued, now);
         self.clients.slots.start_lingering(conn, queued, now);
--- a/crates/flaxstand-gateway/src/core/pooled_attempts.rs
+++ b/crates/flaxstand-gateway/src/core/pooled_attempts.rs
@@ -9,7 +9,7 @@
 use super::timers::{ProbeId, Timer};
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{NodeId, Outcome, Readiness, RequestId};
-use flaxstand_http::{Answer, write_request};
+use flaxstand_http::{Response, write_request};
 use flaxstand_platform::{HEALTH, field, outcome_of};
 use std::fmt::Display;
 use tracing::{debug, info};
@@ -190,17 +190,17 @@
         }
     }
 
-    fn pooled_answered(&mut self, conn: ConnId, answer: &Answer, now: Micros) {
+    fn pooled_answered(&mut self, conn: ConnId, answer: &Response, now: Micros) {
         let Some(pooled) = self.pooled_connection(conn) else { return };
         let exchange = match pooled.match_response(answer, now) {
-            ResponseMatch::Answers(exchange) => exchange,
+            ResponseMatch::ResponseReader(exchange) => exchange,
             ResponseMatch::Duplicate => {
                 return self.response_invalid(conn, &"the last answer once more", now);
             }
             ResponseMatch::Unrequested => return,
         };
         // Released first: what the response leads to may use the connection again.
-        if answer.keeps {
+        if answer.keeps_alive {
             self.release_connection(conn, now)
         } else {
             self.close(conn, "it is not kept", now)
--- a/crates/flaxstand-gateway/src/core/pooled_connection.rs
+++ b/crates/flaxstand-gateway/src/core/pooled_connection.rs
@@ -3,7 +3,7 @@
 use super::pending_request::AttemptId;
 use super::timers::ProbeId;
 use crate::machine::Micros;
-use flaxstand_http::{Answer, Answers, Fault};
+use flaxstand_http::{MessageError, Response, ResponseReader};
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 
 /// The head of a response that is not whole this long after it began, or a body of which nothing more came for this
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseMatch {
     /// The response to this exchange, which has ended.
-    Answers(PooledExchange),
+    ResponseReader(PooledExchange),
     /// The last response once more.
     Duplicate,
     /// Nothing was asked.
@@ -47,13 +47,13 @@
     pub(super) partial_bytes_after: usize,
     /// Nothing of the response had come before.
     pub(super) is_first: bool,
-    pub(super) response: Result<Option<Answer>, Fault>,
+    pub(super) response: Result<Option<Response>, MessageError>,
 }
 
 /// A connection that carries one request at a time.
 #[derive(Debug)]
 pub(super) struct PooledConnection {
-    reader: Answers,
+    reader: ResponseReader,
     exchange: Option<PooledExchange>,
     /// When its response began, or in a body when it last went on; or when it fell idle.
     since: Micros,
@@ -71,7 +71,7 @@
     /// A connection that is being opened for this.
     pub(super) fn new(exchange: PooledExchange, now: Micros) -> Self {
         PooledConnection {
-            reader: Answers::default(),
+            reader: ResponseReader::default(),
             exchange: Some(exchange),
             since: now,
             is_reused_unwritten: false,
@@ -155,17 +155,17 @@
     }
 
     /// The peer ended its stream: a response that states no length is whole.
-    pub(super) fn finish(&mut self) -> Option<Answer> {
+    pub(super) fn finish(&mut self) -> Option<Response> {
         self.reader.end()
     }
 
     /// The first bytes of what came, for the log.
     pub(super) fn response_beginning(&self) -> String {
-        self.reader.beginning()
+        self.reader.received_prefix()
     }
 
     /// A response came whole. Guards against a second copy of the last one.
-    pub(super) fn match_response(&mut self, response: &Answer, now: Micros) -> ResponseMatch {
+    pub(super) fn match_response(&mut self, response: &Response, now: Micros) -> ResponseMatch {
         let Some(exchange) = self.exchange else { return ResponseMatch::Unrequested };
         let fingerprint = fingerprint(response);
         let latency = now.since(self.asked_at);
@@ -178,7 +178,7 @@
         self.last_response = Some(LastResponse { at: now, fingerprint });
         self.min_latency = self.min_latency.min(latency);
         self.exchange = None;
-        ResponseMatch::Answers(exchange)
+        ResponseMatch::ResponseReader(exchange)
     }
 
     /// When a response that has begun is invalid unless it makes progress; none: none has begun.
@@ -189,7 +189,7 @@
 }
 
 /// Tells responses apart.
-fn fingerprint(response: &Answer) -> u64 {
+fn fingerprint(response: &Response) -> u64 {
     let mut hasher = DefaultHasher::new();
     response.hash(&mut hasher);
     hasher.finish()
