--- a/crates/flaxstand-gateway/src/core/admission.rs
+++ b/crates/flaxstand-gateway/src/core/admission.rs
@@ -1,5 +1,5 @@
-//! Admission of clients' attempts while the load is more than can be served: retries are told from first attempts,
-//! and given less weight or rejected.
+//! Admission of clients' attempts while the load is more than can be served: retries are told from first
+//! attempts, and given less weight or rejected.
 
 use super::Core;
 use super::pending_request::{FinalAnswer, Owner, PendingRequest};
@@ -37,7 +37,8 @@
     next_log_at: Micros,
 }
 
-/// Adds the module's classes for retries: after the classes so far, one for each of the site's, of less priority.
+/// Adds the module's classes for retries: after the classes so far, one for each of the site's, of less
+/// priority.
 pub(super) fn add_retry_classes(settings: &mut Settings, site_classes: usize, rules: &RetryThrottleConfig) {
     let retry_class =
         |c: &Class| Class { priority_weight: c.priority_weight * rules.retry_weight, ..c.clone() };
@@ -121,7 +122,8 @@
 }
 
 impl Core {
-    /// Asks the admission gate about a client's attempt. Returns the module's class for it; none: it is rejected.
+    /// Asks the admission gate about a client's attempt. Returns the module's class for it; none: it is
+    /// rejected.
     pub(super) fn pass_admission_gate(&mut self, id: RequestId, now: Micros) -> Option<usize> {
         let request = self.requests.get(id)?;
         let class = usize::from(request.class);
--- a/crates/flaxstand-gateway/src/core/attempts.rs
+++ b/crates/flaxstand-gateway/src/core/attempts.rs
@@ -101,8 +101,8 @@
         self.events.push_back(Event::AttemptEnded(end));
     }
 
-    /// An attempt's connection is closed, after so many bytes of its stream were written: if the attempt's last byte
-    /// was not among them it can't have run, else it may have.
+    /// An attempt's connection is closed, after so many bytes of its stream were written: if the attempt's
+    /// last byte was not among them it can't have run, else it may have.
     pub(super) fn attempt_connection_lost(&mut self, id: AttemptId, conn: ConnId, written: u64, now: Micros) {
         let handed_over = self.requests.attempt(id).and_then(|attempt| attempt.handed_over);
         let was_sent = handed_over.is_some_and(|to| to.conn == conn && to.end_offset <= written);
--- a/crates/flaxstand-gateway/src/core/backoff.rs
+++ b/crates/flaxstand-gateway/src/core/backoff.rs
@@ -1,10 +1,10 @@
-//! Waits between calls that failed: each drawn between the first wait and three times the last one
-//! ("decorrelated jitter"), so that hosts whose calls failed together do not call again together.
+//! Exponential backoff with decorrelated jitter: each wait is drawn between the first and three times the
+//! last, so that initiators whose calls failed together do not retry together.
 
 use crate::machine::Micros;
 use rand_core::RngCore;
 
-/// The waits of one peer.
+/// The backoff of one peer.
 #[derive(Debug)]
 pub struct Backoff {
     first: Micros,
@@ -26,7 +26,7 @@
         self.last
     }
 
-    /// A call went well: the next failure waits shortly again.
+    /// A call succeeded: the next failure waits for the first wait again.
     pub fn worked(&mut self) {
         self.last = self.first;
     }
--- a/crates/flaxstand-gateway/src/core/baseline_policy.rs
+++ b/crates/flaxstand-gateway/src/core/baseline_policy.rs
@@ -1,4 +1,4 @@
-//! Baselines beside the module: each request is sent at once and tried once, to its shard's node; a new
+//! Baselines beside the module: each request is sent at once in one attempt, to its shard's node; a new
 //! object goes where a textbook rule says. For measurements only.
 
 use flaxstand::api::{Action, Event, ListScope, NodeEntry, NodeId, Outcome, Readiness, RequestId, ShardId};
@@ -11,9 +11,9 @@
 pub enum Placement {
     /// To the nodes in turn.
     RoundRobin,
-    /// To the node with the fewest requests of this host out; the first of equals.
+    /// To the node with the fewest requests of this host in flight; the first of equals.
     LeastInFlight,
-    /// To the one of two nodes drawn at random that has fewer requests of this host out.
+    /// To the one of two nodes drawn at random that has fewer requests of this host in flight.
     TwoChoices,
 }
 
@@ -22,8 +22,9 @@
 pub struct BaselinePolicy {
     placement: Placement,
     rng: Pcg64Mcg,
-    out: BTreeMap<NodeId, u64>,
-    at: BTreeMap<RequestId, NodeId>,
+    /// Requests in flight, by node.
+    in_flight: BTreeMap<NodeId, u64>,
+    node_of_request: BTreeMap<RequestId, NodeId>,
     nodes: BTreeMap<NodeId, NodeEntry>,
     /// Nodes that serve, by shard.
     by_shard: BTreeMap<ShardId, BTreeSet<NodeId>>,
@@ -35,16 +36,15 @@
 impl BaselinePolicy {
     /// A baseline that places new objects so.
     pub fn new(placement: Placement, seed: u64) -> Self {
-        let (out, at, nodes, by_shard, serving, turn) = Default::default();
         BaselinePolicy {
             placement,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            out,
-            at,
-            nodes,
-            by_shard,
-            serving,
-            turn,
+            in_flight: BTreeMap::new(),
+            node_of_request: BTreeMap::new(),
+            nodes: BTreeMap::new(),
+            by_shard: BTreeMap::new(),
+            serving: Vec::new(),
+            turn: 0,
         }
     }
 
@@ -56,11 +56,11 @@
             Event::RequestArrived(a) => {
                 let node = match a.shard {
                     Some(shard) => self.node_of(shard),
-                    None => self.next(),
+                    None => self.place_new_object(),
                 };
                 if let Some(node) = node {
-                    *self.out.entry(node).or_default() += 1;
-                    self.at.insert(a.id, node);
+                    *self.in_flight.entry(node).or_default() += 1;
+                    self.node_of_request.insert(a.id, node);
                 }
                 actions.push(match node {
                     Some(node) => Action::Send { request: a.id, node, until: a.expires_at },
@@ -68,8 +68,8 @@
                 });
             }
             Event::AttemptEnded(e) => {
-                if let Some(node) = self.at.remove(&e.request) {
-                    self.out.entry(node).and_modify(|out| *out = out.saturating_sub(1));
+                if let Some(node) = self.node_of_request.remove(&e.request) {
+                    self.in_flight.entry(node).and_modify(|count| *count = count.saturating_sub(1));
                 }
                 if !e.is_final {
                     actions.push(Self::answer(e.request, e.outcome));
@@ -88,18 +88,18 @@
         }
     }
 
-    fn next(&mut self) -> Option<NodeId> {
-        let out = |node: &NodeId| self.out.get(node).copied().unwrap_or(0);
+    fn place_new_object(&mut self) -> Option<NodeId> {
+        let in_flight = |node: &NodeId| self.in_flight.get(node).copied().unwrap_or(0);
         match self.placement {
             Placement::RoundRobin => {
                 self.turn += 1;
                 self.serving.get(self.turn % self.serving.len().max(1)).copied()
             }
-            Placement::LeastInFlight => self.serving.iter().copied().min_by_key(out),
+            Placement::LeastInFlight => self.serving.iter().copied().min_by_key(in_flight),
             Placement::TwoChoices => {
                 let mut draw = || self.serving.get(self.rng.next_u64() as usize % self.serving.len().max(1));
                 let two = [draw(), draw()];
-                two.into_iter().flatten().copied().min_by_key(out)
+                two.into_iter().flatten().copied().min_by_key(in_flight)
             }
         }
     }
--- a/crates/flaxstand-gateway/src/core/buffered_requests.rs
+++ b/crates/flaxstand-gateway/src/core/buffered_requests.rs
@@ -1,5 +1,5 @@
-//! Requests on their way through the write-back buffer. Every write (where writes are buffered at all) goes to the
-//! buffer first; what it passes on, and its own write-outs, are ordinary requests to the module.
+//! Requests on their way through the write-back buffer. Every write (where writes are buffered at all) goes
+//! to the buffer first; what it passes on, and its own write-outs, are ordinary requests to the module.
 
 use super::Core;
 use super::clients::ReservedRequest;
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Offers a request that was accepted to the buffer. True: the buffer has it, and the module must not hear of it
-    /// yet.
+    /// Offers a request that was accepted to the buffer. True: the buffer has it, and the module must not
+    /// hear of it yet.
     pub(super) fn offer_to_buffer(&mut self, id: RequestId, s: &Submit<'_>, now: Micros) -> bool {
         if !s.write {
             return self.read_from_buffer(id, s, now);
@@ -191,7 +191,8 @@
         let deadline = Micros::from_ms(self.module_classes[class].deadline);
         let expires_at = until.map_or(now.after(deadline), |until| now.after(deadline).min(until));
         self.requests.add_volume(VolumeId(write.extent_id.volume));
-        debug!(request = request_id.0, attempt = id.0, level = ?urgency, operation = write.operation, "write-out");
+        let operation = write.operation;
+        debug!(request = request_id.0, attempt = id.0, level = ?urgency, operation, "write-out");
         let request = PendingRequest::write_out(id, write, expires_at);
         self.events.push_back(Event::RequestArrived(request.arrival(request_id, class)));
         self.requests.insert(request_id, request);
@@ -243,7 +244,7 @@
         self.client_wrote(conn, now);
     }
 
-    /// Nothing is buffered any more, and what is goes out.
+    /// Buffers nothing more, and writes out what is buffered.
     pub(super) fn drain_buffer(&mut self, now: Micros) {
         if let Some(write_back) = &mut self.write_back {
             write_back.drain();
@@ -251,7 +252,7 @@
             info!(
                 writes = s.writes,
                 bytes = s.bytes,
-                "what is buffered goes out; what is left stays in the log"
+                "buffered writes are written out; what is left stays in the log"
             );
         }
     }
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -1,8 +1,8 @@
-//! Clients: their greeting, their submissions, and the bounds that keep one from harming the others.
+//! Clients that speak frames, requests of all clients, and the bounds that keep one from harming the others.
 
 use super::Core;
 use super::connection_table::{Connection, Peer, Protocol, Stage};
-use super::http_server::Origin;
+use super::http_connection::Origin;
 use super::peer_fault::PeerFault;
 use super::pending_request::{Handler, PendingRequest};
 use super::shutdown::Phase;
@@ -160,8 +160,8 @@
         Self::check_write_range(s)
     }
 
-    /// Accepts one more request of a client, or rejects it at a bound (none). `time_left`: microseconds that the client
-    /// waits.
+    /// Accepts one more request of a client, or rejects it at a bound (none). `time_left`: microseconds that
+    /// the client waits.
     ///
     /// # Errors
     /// The client's number for it is in use.
@@ -194,8 +194,8 @@
         Ok(Some(ReservedRequest { id, expires_at }))
     }
 
-    /// The bound beyond which one more request would be. Guards against one client, or many volumes, that take all
-    /// capacity.
+    /// The bound beyond which one more request would be. Guards against one client, or many volumes, that
+    /// take all capacity.
     fn exceeded_bound(&self, client: &Client, volume: Option<VolumeId>) -> Option<ExceededBound> {
         let bounds = &self.config.bounds;
         let is_new_volume = volume.is_some_and(|v| !self.requests.knows_volume(v));
@@ -236,7 +236,8 @@
         }
     }
 
-    /// Bounds on what waits for a client, after something was added.
+    /// Checks the bounds on what waits for a client to read, after something was added. Guards the memory
+    /// against clients that do not read.
     pub(super) fn client_wrote(&mut self, conn: ConnId, now: Micros) {
         let bounds = self.config.bounds;
         let Some(c) = self.connections.get_mut(conn) else { return };
@@ -256,7 +257,7 @@
         }
     }
 
-    /// The same, after something was read.
+    /// Checks the same bounds after a client has read.
     pub(super) fn client_read(&mut self, conn: ConnId, now: Micros) {
         let Some(c) = self.connections.get_mut(conn) else { return };
         let Peer::Client(client) = &mut c.peer else { return };
@@ -282,7 +283,8 @@
         }
     }
 
-    /// Nobody waits for this client's requests any more. Their attempts run on and are still counted.
+    /// A client's connection is closed: nobody waits for its requests any more. Their attempts go on and are
+    /// still counted.
     pub(super) fn client_disconnected(&mut self, conn: ConnId, client: &Client, cause: &str, now: Micros) {
         self.clients.disconnected();
         debug!(conn = conn.0, cause, owed = client.owed.len(), "client disconnected");
--- a/crates/flaxstand-gateway/src/core/connection_slots.rs
+++ b/crates/flaxstand-gateway/src/core/connection_slots.rs
@@ -1,8 +1,9 @@
-//! Which client that speaks HTTP gives its connection slot to a new one, when connections are as many as may be.
+//! Which client that speaks HTTP gives its connection slot to a new one, when connections are as many as may
+//! be.
 //!
 //! Connections are queued by since when they have waited, as far as that was known when they were last looked
-//! at. A later request makes that stale, never too late: whoever looks puts a stale one back where it belongs. So
-//! each request costs at most one step of a later look, and none while it is served.
+//! at. A later request makes that stale, never too late: whoever looks puts a stale one back where it
+//! belongs. So each request costs at most one step of a later look, and none while it is served.
 
 use super::connection_table::{Connection, ConnectionTable, Peer, Protocol};
 use crate::machine::{ConnId, Micros};
@@ -10,7 +11,8 @@
 
 /// A connection that has sent nothing yet, among as many as may be, is closed for a new one after this.
 pub(super) const SILENT_EVICTABLE_AFTER: Micros = Micros(250_000);
-/// One that has asked before and waits to ask again: it comes back by a new connection, which costs it little.
+/// One that has asked before and waits to ask again: it comes back by a new connection, which costs it
+/// little.
 const IDLE_EVICTABLE_AFTER: Micros = Micros(100_000);
 
 /// Connections of clients that speak HTTP.
@@ -47,8 +49,9 @@
         self.lingering.remove(&(queued, conn));
     }
 
-    /// The connection to close for a new one: the one that has waited longest without a whole request, those that
-    /// had an error first. Guards against clients that hold connections for nothing, also by the hundred a second.
+    /// The connection to close for a new one: the one that has waited longest without a whole request, those
+    /// that had an error first. Guards against clients that hold connections for nothing, also by the hundred
+    /// a second.
     pub(super) fn evictable(&mut self, connections: &mut ConnectionTable, now: Micros) -> Option<ConnId> {
         let lingering = self.longest_waiting(Queue::Lingering, connections, now);
         lingering.or_else(|| self.longest_waiting(Queue::Waiting, connections, now))
@@ -99,7 +102,7 @@
         let Some(Connection { protocol: Protocol::HttpServer(http), .. }) = connections.get_mut(conn) else {
             return false;
         };
-        let since = http.since;
+        let since = http.since();
         if since == queued {
             return false;
         }
@@ -114,11 +117,13 @@
 /// Whether a connection has waited for so long that it may be closed for another.
 fn is_evictable(c: &Connection, now: Micros) -> bool {
     let (Peer::Client(client), Protocol::HttpServer(http)) = (&c.peer, &c.protocol) else { return false };
-    let min_wait = match (http.is_lingering(), http.requests) {
+    let min_wait = match (http.is_lingering(), http.requests()) {
         (true, _) => Micros(0),
         (false, 0) => SILENT_EVICTABLE_AFTER,
         (false, _) => IDLE_EVICTABLE_AFTER,
     };
     let has_nothing_owed = client.owed.is_empty() && c.outbox.is_empty();
-    has_nothing_owed && now.since(http.since) >= min_wait && (http.requests == 0 || http.reader.is_empty())
+    has_nothing_owed
+        && now.since(http.since()) >= min_wait
+        && (http.requests() == 0 || !http.has_partial_request())
 }
--- a/crates/flaxstand-gateway/src/core/connection_table.rs
+++ b/crates/flaxstand-gateway/src/core/connection_table.rs
@@ -1,10 +1,10 @@
-//! Connections with what is read and written on them, and commands to the driver. The table knows whose a connection
-//! is, and nothing of what is done with what comes on it: each kind of peer has a variant of [`Peer`], and each
-//! protocol one of [`Protocol`].
+//! Connections with what is read and written on them, and commands to the driver. The table knows whose a
+//! connection is, and nothing of what is done with what comes on it: each kind of peer has a variant of
+//! [`Peer`], and each protocol one of [`Protocol`].
 
 use super::agreement::Fellow;
 use super::clients::Client;
-use super::http_server::HttpServer;
+use super::http_connection::HttpServer;
 use super::list_calls::ListConnection;
 use super::pooled_connection::PooledConnection;
 use super::timers::{Timer, TimerQueue};
@@ -57,6 +57,7 @@
     ListClient(ListConnection),
 }
 
+/// A connection.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) peer: Peer,
@@ -71,8 +72,8 @@
     conns: BTreeMap<ConnId, Connection>,
     next_conn: u64,
     walked: Cell<u64>,
-    /// Those of them that lead to nodes.
-    node_conns: BTreeSet<ConnId>,
+    /// Connections that lead to nodes.
+    upstream: BTreeSet<ConnId>,
     commands: Vec<Command>,
     /// Bytes of requests that are not yet whole.
     partial_bytes: usize,
@@ -83,12 +84,12 @@
 }
 
 impl ConnectionTable {
-    /// A connection that the system has, or is at.
+    /// Adds a connection that the driver has, or is opening.
     pub(super) fn open(&mut self, peer: Peer, stage: Stage, protocol: Protocol) -> ConnId {
         self.next_conn += 1;
         let id = ConnId(self.next_conn);
         if let Peer::Node(_) = peer {
-            self.node_conns.insert(id);
+            self.upstream.insert(id);
         }
         self.conns.insert(id, Connection { peer, stage, protocol, outbox: Outbox::default() });
         id
@@ -109,15 +110,17 @@
         conn
     }
 
+    /// A connection.
     pub(super) fn get(&self, conn: ConnId) -> Option<&Connection> {
         self.conns.get(&conn)
     }
 
+    /// A connection, to change it.
     pub(super) fn get_mut(&mut self, conn: ConnId) -> Option<&mut Connection> {
         self.conns.get_mut(&conn)
     }
 
-    /// All of them. For what concerns every connection; each counts as walked.
+    /// All connections. For what concerns every connection; each counts as walked.
     pub(super) fn iter(&self) -> impl Iterator<Item = (ConnId, &Connection)> {
         self.conns.iter().map(|(id, conn)| {
             self.count_walked();
@@ -127,13 +130,13 @@
 
     /// Those that lead to nodes; each counts as walked.
     pub(super) fn upstream(&self) -> impl Iterator<Item = (ConnId, &Connection)> {
-        self.node_conns.iter().filter_map(|id| {
+        self.upstream.iter().filter_map(|id| {
             self.count_walked();
             Some((*id, self.conns.get(id)?))
         })
     }
 
-    /// One more was looked at among several.
+    /// Counts one more connection as walked.
     pub(super) fn count_walked(&self) {
         self.walked.set(self.walked.get() + 1);
     }
@@ -143,6 +146,7 @@
         self.walked.get()
     }
 
+    /// How many connections there are, those being opened included.
     pub(super) fn len(&self) -> usize {
         self.conns.len()
     }
@@ -159,6 +163,7 @@
         self.conns.get(&conn).is_some_and(|c| c.stage == Stage::Open)
     }
 
+    /// Whether frames are spoken on it, and not HTTP.
     pub(super) fn speaks_frames(&self, conn: ConnId) -> bool {
         self.conns.get(&conn).is_some_and(|c| matches!(c.protocol, Protocol::Frames(_)))
     }
@@ -222,26 +227,26 @@
         self.unread_bytes
     }
 
-    /// Closes a connection from here that nothing hangs on any more.
+    /// Closes a connection that nothing depends on any more.
     pub(super) fn discard(&mut self, conn: ConnId) {
         if self.remove(conn).is_some() {
             self.command(Command::Close { conn, last: Vec::new() });
         }
     }
 
-    /// Takes a connection out; what it held of a message is held no more.
+    /// Removes a connection; what it held of a message counts no more.
     pub(super) fn remove(&mut self, conn: ConnId) -> Option<Connection> {
-        let gone = self.conns.remove(&conn)?;
-        self.node_conns.remove(&conn);
-        match &gone.protocol {
+        let removed = self.conns.remove(&conn)?;
+        self.upstream.remove(&conn);
+        match &removed.protocol {
             Protocol::HttpServer(http) => {
                 self.partial_bytes -= http.partial_bytes();
-                self.unread_bytes -= gone.outbox.len();
+                self.unread_bytes -= removed.outbox.len();
             }
-            Protocol::HttpClient(link) => self.response_bytes -= link.partial_bytes(),
+            Protocol::HttpClient(pooled) => self.response_bytes -= pooled.partial_bytes(),
             Protocol::Frames(_) | Protocol::ListClient(_) => {}
         }
-        Some(gone)
+        Some(removed)
     }
 
     /// Wants something done by the driver.
@@ -249,6 +254,7 @@
         self.commands.push(command);
     }
 
+    /// Takes the commands for the driver, in order.
     pub(super) fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
--- a/crates/flaxstand-gateway/src/core/decision_policy.rs
+++ b/crates/flaxstand-gateway/src/core/decision_policy.rs
@@ -1,4 +1,4 @@
-//! Who decides: the decision module, or a baseline in its place for measurements.
+//! What decides about requests: the decision module, or a baseline in its place for measurements.
 
 use super::admission::add_retry_classes;
 use super::baseline_policy::{BaselinePolicy, Placement};
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Until when requests may be sent on the list held, ms. Baselines know of no age of lists.
+    /// Until when requests may be sent by the current endpoint list, ms. For baselines it never expires.
     pub(super) fn endpoints_trusted_until(&self) -> f64 {
         match self {
             DecisionPolicy::Scheduler(scheduler) => scheduler.endpoints_trusted_until(),
@@ -46,7 +46,7 @@
     }
 }
 
-/// What the module is told: the site's settings, and classes for write-outs and repeats after the site's own.
+/// The module's settings: the site's, and classes for write-outs and retries after the site's own.
 pub(super) fn module_settings(config: &Config) -> Settings {
     let mut settings = match &config.site.write_back {
         Some(_) => with_write_out_classes(&config.site.settings),
--- a/crates/flaxstand-gateway/src/core/evaluation_schedule.rs
+++ b/crates/flaxstand-gateway/src/core/evaluation_schedule.rs
@@ -1,5 +1,5 @@
-//! When the decision module evaluates all pending requests: at most once a tick, and only if it was told something
-//! or asked to be woken.
+//! When the decision module evaluates all pending requests: at most once a tick, and only if it was told
+//! something or asked to be woken.
 
 use crate::machine::Micros;
 use std::collections::BTreeSet;
@@ -10,8 +10,8 @@
 /// When the module evaluates next.
 #[derive(Debug)]
 pub(super) struct EvaluationSchedule {
-    /// When the module asked to be woken: each of these comes. Guards against a timer that is lost where two are set:
-    /// at the first the module relies on the second, and sets none.
+    /// When the module asked to be woken: each of these comes. Guards against a timer that is lost where two
+    /// are set: at the first the module relies on the second, and sets none.
     timers: BTreeSet<Micros>,
     /// The module was told something that it has not evaluated.
     is_requested: bool,
@@ -31,8 +31,8 @@
 
     /// The module asks for an evaluation `after` this time.
     pub(super) fn set_timer(&mut self, after: Micros, now: Micros) {
-        // Rounded up: woken a moment early, the module would find nothing due, take the timer that it set as still to
-        // come, and not be woken again.
+        // Rounded up: woken a moment early, the module would find nothing due, take the timer that it set as
+        // still to come, and not be woken again.
         self.timers.insert(now.after(after).after(Micros(1)));
         if self.timers.len() > MAX_TIMERS {
             self.timers.pop_last();
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -9,72 +9,16 @@
 use super::clients::Client;
 use super::connection_slots::SILENT_EVICTABLE_AFTER;
 use super::connection_table::{Connection, Peer, Protocol, Stage};
+use super::http_connection::{Flow, HttpServer, LINGER_TIMEOUT, Origin, ReceivedBytes};
 use super::shutdown::Phase;
 use super::timers::Timer;
 use crate::machine::{Command, ConnId, Micros};
-use flaxstand_http::{BODY_MOST, Request, Requests, write_answer};
+use flaxstand_http::{BODY_MOST, Request, write_answer};
 use flaxstand_platform::{ClientRequest, READY, Terms};
 use flaxstand_proto::{Frame, Submit};
 use std::fmt::Display;
 use tracing::debug;
 
-/// After an error the peer has so long, and so many bytes, to stop sending and read it.
-const LINGER: Micros = Micros(500_000);
-const LINGER_BYTES: usize = 1 << 20;
-
-/// How a request came, for passing it on unchanged.
-#[derive(Clone, Debug)]
-pub(super) struct Origin {
-    pub(super) method: &'static str,
-    pub(super) target: String,
-    pub(super) id: String,
-    pub(super) key: Option<String>,
-}
-
-/// How far a connection is in its life.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Flow {
-    Open,
-    /// It ends with the answer to the request that it has open.
-    LastAnswer,
-    /// An error was its last answer: what still comes is dropped, up to so many bytes.
-    Lingering(usize),
-}
-
-/// The server's side of one client's HTTP/1.1 connection.
-#[derive(Debug)]
-pub(super) struct HttpServer {
-    pub(super) reader: Requests,
-    flow: Flow,
-    /// Since when a request is on its way in, or the connection waits for one.
-    pub(super) since: Micros,
-    /// By which moment it is queued among those that may give their place to a new client.
-    pub(super) queued: Micros,
-    /// Requests that came whole.
-    pub(super) requests: u64,
-}
-
-impl HttpServer {
-    fn new(now: Micros) -> Self {
-        HttpServer { reader: Requests::default(), flow: Flow::Open, since: now, queued: now, requests: 0 }
-    }
-
-    /// Bytes that were read in part.
-    pub(super) fn partial_bytes(&self) -> usize {
-        self.reader.len()
-    }
-
-    /// Its last answer has been given: what still comes is dropped.
-    pub(super) fn is_lingering(&self) -> bool {
-        matches!(self.flow, Flow::Lingering(_))
-    }
-
-    /// What a full reader is sent waits with its peer.
-    pub(super) fn wants_read(&self) -> bool {
-        matches!(self.flow, Flow::Lingering(_)) || !self.reader.is_full()
-    }
-}
-
 impl Core {
     fn http(&mut self, conn: ConnId) -> Option<&mut HttpServer> {
         match self.connections.get_mut(conn) {
@@ -83,10 +27,15 @@
         }
     }
 
+    /// A client connects; beyond the bound one that waits idle is closed for it.
+    ///
+    /// # Errors
+    /// It is rejected: bytes to send before the connection is closed.
     pub(super) fn accept_http_client(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
-        // While the process stops it listens no more; who had connected before that is told so once it has asked.
-        let open = self.shutdown.phase() != Phase::Stopped;
-        if !open || self.clients.len() >= self.config.bounds.clients && !self.evict_client(now) {
+        // While the process stops it listens no more; who had connected before that is told so once it has
+        // asked.
+        let is_stopped = self.shutdown.phase() == Phase::Stopped;
+        if is_stopped || self.clients.len() >= self.config.bounds.clients && !self.evict_client(now) {
             debug!(clients = self.clients.len(), "client rejected");
             let mut bytes = Vec::new();
             write_answer(&mut bytes, 503, &[], b"no room\n", false);
@@ -104,32 +53,28 @@
     fn evict_client(&mut self, now: Micros) -> bool {
         let evicted = self.clients.slots.evictable(&mut self.connections, now);
         if let Some(conn) = evicted {
-            self.close(conn, "its place is needed", now);
+            self.close(conn, "its slot is needed", now);
         }
         evicted.is_some()
     }
 
+    /// Bytes came from a client.
     pub(super) fn http_received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
         let Some(http) = self.http(conn) else { return };
-        match &mut http.flow {
-            Flow::Lingering(left) if *left > bytes.len() => *left -= bytes.len(),
-            Flow::Lingering(_) => self.close(conn, "it goes on after an error", now),
-            Flow::Open | Flow::LastAnswer => {
-                if http.reader.is_empty() && http.requests > 0 {
-                    http.since = now;
-                }
-                http.reader.push(bytes);
-                let full = !http.wants_read();
-                self.connections.add_partial_bytes(bytes.len());
-                if self.connections.partial_bytes() > self.config.bounds.partial_bytes {
-                    self.reject_malformed(conn, 503, "too much is on its way in", now);
-                } else {
-                    self.read_http(conn, now);
-                }
-                if full {
-                    self.connections.command(Command::Flush(conn));
-                }
-            }
+        match http.receive(bytes, now) {
+            ReceivedBytes::Dropped => return,
+            ReceivedBytes::TooMany => return self.close(conn, "it goes on after an error", now),
+            ReceivedBytes::Buffered => {}
+        }
+        let is_full = !http.wants_read();
+        self.connections.add_partial_bytes(bytes.len());
+        if self.connections.partial_bytes() > self.config.bounds.partial_bytes {
+            self.reject_malformed(conn, 503, "too much is on its way in", now);
+        } else {
+            self.read_http(conn, now);
+        }
+        if is_full {
+            self.connections.command(Command::Flush(conn));
         }
     }
 
@@ -145,28 +90,19 @@
             else {
                 return;
             };
-            if http.flow != Flow::Open
-                || !client.owed.is_empty()
-                || !outbox.is_empty()
-                || http.reader.is_empty()
-            {
+            let is_answered = client.owed.is_empty() && outbox.is_empty();
+            if http.flow() != Flow::Open || !is_answered || !http.has_partial_request() {
                 return;
             }
-            let before = http.reader.len();
-            match http.reader.take() {
-                Ok(Some(request)) => {
-                    let read = before - http.reader.len();
-                    (http.requests, http.since) = (http.requests + 1, now);
-                    if !request.keeps {
-                        http.flow = Flow::LastAnswer;
-                    }
-                    self.connections.sub_partial_bytes(read);
-                    self.handle_request(conn, request, now);
+            match http.take_request(now) {
+                Ok(Some(whole)) => {
+                    self.connections.sub_partial_bytes(whole.bytes);
+                    self.handle_request(conn, whole.request, now);
                 }
                 Ok(None) => {
-                    // The first has its time from when the connection stood.
-                    if http.requests > 0 {
-                        let due = http.since.after(self.config.site.waits.greeting);
+                    // The first has its time from when the connection was opened.
+                    if http.requests() > 0 {
+                        let due = http.since().after(self.config.site.waits.greeting);
                         self.timers.set(due, Timer::StallCheck(conn));
                     }
                     return;
@@ -192,19 +128,19 @@
         let r = match ClientRequest::read(&request, &terms) {
             Ok(r) => r,
             Err(bad) => {
-                debug!(conn = conn.0, %bad, "a request that can't be served");
+                debug!(conn = conn.0, %bad, "invalid request");
                 self.counts.protocol_faults += 1;
                 return self.respond(conn, bad.status(), &[], format!("{bad}\n").as_bytes(), now);
             }
         };
         if self.requests.has_client_id(r.id) {
-            debug!(conn = conn.0, id = r.id, "an id that is open");
+            debug!(conn = conn.0, id = r.id, "request id is in use");
             self.counts.protocol_faults += 1;
             return self.respond(conn, 409, &[], b"a request with this id is open\n", now);
         }
         let deadline = Micros::from_ms(settings.classes[usize::from(r.class)].deadline).0;
         let submit = Submit {
-            id: self.http(conn).map_or(0, |http| http.requests),
+            id: self.http(conn).map_or(0, |http| http.requests()),
             operation: 0,
             class: r.class,
             plan: r.plan,
@@ -231,7 +167,7 @@
         }
     }
 
-    /// A request's final answer, in the words of the client's wire.
+    /// Sends a request's final answer, in the client's protocol.
     pub(super) fn send_to_client(&mut self, conn: ConnId, frame: &Frame<'_>, now: Micros) {
         if self.connections.speaks_frames(conn) {
             self.connections.send_frame(conn, frame);
@@ -242,7 +178,7 @@
                 debug!(
                     conn = conn.0,
                     bytes = payload.len(),
-                    "clients do not read their answers: no room for one"
+                    "clients do not read their answers: no capacity for one more"
                 );
                 self.respond(conn, 500, &[], b"no room for the answer\n", now);
             }
@@ -256,8 +192,8 @@
         }
     }
 
-    /// Guards the memory against clients that read large answers slowly, or not at all: what waits for all of them
-    /// has a bound. An answer beyond it fails.
+    /// Guards the memory against clients that read large answers slowly, or not at all: what waits for all of
+    /// them has a bound. An answer beyond it fails.
     fn has_output_capacity(&self, bytes: usize) -> bool {
         bytes <= BODY_MOST || bytes + self.connections.unread_bytes() <= self.config.bounds.answer_bytes
     }
@@ -271,13 +207,9 @@
         body: &[u8],
         now: Micros,
     ) {
-        let stays = self.shutdown.phase() != Phase::Stopping;
+        let is_stopping = self.shutdown.phase() == Phase::Stopping;
         let Some(http) = self.http(conn) else { return };
-        if !stays && http.flow == Flow::Open {
-            http.flow = Flow::LastAnswer;
-        }
-        http.since = now;
-        let keeps = http.flow == Flow::Open;
+        let keeps = http.start_answer(is_stopping, now);
         self.connections.write(conn, |bytes| write_answer(bytes, status, fields, body, keeps));
     }
 
@@ -294,15 +226,13 @@
     /// Nothing more is read of a client; what still comes is dropped for a while.
     fn linger(&mut self, conn: ConnId, now: Micros) {
         let Some(http) = self.http(conn) else { return };
-        let partial = http.partial_bytes();
-        http.reader = Requests::default();
-        (http.flow, http.since) = (Flow::Lingering(LINGER_BYTES), now);
+        let dropped = http.start_lingering(now);
         let queued = std::mem::replace(&mut http.queued, now);
         self.clients.slots.start_lingering(conn, queued, now);
-        self.connections.sub_partial_bytes(partial);
+        self.connections.sub_partial_bytes(dropped);
         // The client reads to the end of what it was sent and closes in its turn (RFC 9112, 9.6).
         self.connections.command(Command::ShutdownWrite(conn));
-        self.timers.set(now.after(LINGER), Timer::StallCheck(conn));
+        self.timers.set(now.after(LINGER_TIMEOUT), Timer::StallCheck(conn));
     }
 
     /// Something was written, or added: the next request can be read once all is written.
@@ -317,58 +247,63 @@
             return;
         }
         if client.is_half_closed {
-            // What it sent behind its last request is not begun: it has gone.
+            // What it sent behind its last request is not executed: it has disconnected.
             return self.close(conn, "client has all it waits for", now);
         }
-        let full = !http.wants_read();
-        match http.flow {
+        let is_full = !http.wants_read();
+        match http.flow() {
             Flow::Open => self.read_http(conn, now),
             // What it sent behind its last request is not read; a close now could take the answer with it.
             Flow::LastAnswer => self.linger(conn, now),
             Flow::Lingering(_) => {}
         }
-        if full {
+        if is_full {
             // It may be read again.
             self.connections.command(Command::Flush(conn));
         }
     }
 
-    /// Looks whether a connection was at one thing for too long. Guards against heads that never end, half
-    /// requests and silent clients.
+    /// Checks whether a connection has made no progress for too long. Guards against heads that never end,
+    /// half requests and silent clients.
     pub(super) fn check_http_stalled(&mut self, conn: ConnId, now: Micros) {
-        let most = self.config.site.waits.greeting;
+        let timeout = self.config.site.waits.greeting;
         let Some(Connection { peer: Peer::Client(client), protocol: Protocol::HttpServer(http), .. }) =
             self.connections.get(conn)
         else {
             return;
         };
-        let waited = now.since(http.since);
-        match http.flow {
-            Flow::Lingering(_) if waited >= LINGER => self.close(conn, "parted", now),
+        let waited = now.since(http.since());
+        match http.flow() {
+            Flow::Lingering(_) if waited >= LINGER_TIMEOUT => {
+                self.close(conn, "client did not close the connection after its last answer", now)
+            }
             Flow::Lingering(_) => {}
-            _ if !client.owed.is_empty() || waited < most => {}
-            // Silent since it stood: nothing was asked that an answer could be for.
-            _ if http.requests == 0 && http.reader.is_empty() => self.close(conn, "silent", now),
-            _ if !http.reader.is_empty() => self.reject_malformed(conn, 408, "the request does not end", now),
+            _ if !client.owed.is_empty() || waited < timeout => {}
+            // Silent since it was opened: nothing was asked that an answer could be for.
+            _ if http.requests() == 0 && !http.has_partial_request() => self.close(conn, "silent", now),
+            _ if http.has_partial_request() => {
+                self.reject_malformed(conn, 408, "the request does not end", now)
+            }
             _ => {}
         }
     }
 
-    /// Nothing new is taken: connections that rest are shut, so that a request that crosses this is not read and its
-    /// client asks elsewhere; the others after their answer. New ones are left until they have asked.
+    /// Nothing new is accepted: idle connections are shut, so that a request that crosses this is not read
+    /// and its client asks elsewhere; the others after their answer. New ones are left until they have asked.
     pub(super) fn drain_http_clients(&mut self, now: Micros) {
-        let rests = |c: &Connection| match (&c.peer, &c.protocol) {
+        let is_idle = |c: &Connection| match (&c.peer, &c.protocol) {
             (Peer::Client(client), Protocol::HttpServer(http)) => {
-                let old = http.requests > 0 || now.since(http.since) >= SILENT_EVICTABLE_AFTER;
-                old && client.owed.is_empty()
+                let has_had_time = http.requests() > 0 || now.since(http.since()) >= SILENT_EVICTABLE_AFTER;
+                has_had_time
+                    && client.owed.is_empty()
                     && c.outbox.is_empty()
-                    && http.reader.is_empty()
-                    && !matches!(http.flow, Flow::Lingering(_))
+                    && !http.has_partial_request()
+                    && !http.is_lingering()
             }
             _ => false,
         };
-        let rests: Vec<ConnId> =
-            self.connections.iter().filter(|(_, c)| rests(c)).map(|(conn, _)| conn).collect();
-        rests.into_iter().for_each(|conn| self.linger(conn, now));
+        let idle: Vec<ConnId> =
+            self.connections.iter().filter(|(_, c)| is_idle(c)).map(|(conn, _)| conn).collect();
+        idle.into_iter().for_each(|conn| self.linger(conn, now));
     }
 }
--- a/crates/flaxstand-gateway/src/core/metrics.rs
+++ b/crates/flaxstand-gateway/src/core/metrics.rs
@@ -19,15 +19,15 @@
     pub retries_rejected: u64,
     /// Requests that ended failed.
     pub failed: u64,
-    /// Requests whose client went before its answer.
+    /// Requests whose client disconnected before its answer.
     pub abandoned: u64,
     /// Attempts handed to a node's connection.
     pub attempts: u64,
-    /// Ends of attempts that nobody waited for any more.
+    /// Outcomes of attempts that were not in flight any more.
     pub late_outcomes: u64,
     /// Connections closed for what their peer sent.
     pub protocol_faults: u64,
-    /// Nodes looked at: for requests, probes, changes of the list, saves and sweeps.
+    /// Lookups of nodes: for requests, probes, changes of the list, saves and sweeps.
     pub nodes_visited: u64,
     /// Connections looked at where several were iterated over.
     pub connections_walked: u64,
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -2,25 +2,34 @@
 //! It does no I/O and reads no clock. What happens comes in through [`Machine`]; every decision about a
 //! request is the module's, this code only carries events to it and actions from it.
 //!
-//! - [`connection_table`]: connections, moments, commands; [`dispatch`]: what comes on a connection goes to whom
-//! - [`clients`]: who submits, and the bounds on them
-//! - [`requests`]: a request's life from its arrival to its one answer
-//! - [`node_table`]: what is listed; [`node_connections`]: connections to storage nodes, attempts on them
-//! - [`send_permit`]: the gate that the first byte of an attempt passes
-//! - [`admission`]: retries told from first attempts, and throttled under overload
-//! - [`agreement`]: words between initiators, and the rules that hold now
-//! - [`write_back`]: the write-back buffer; [`buffered_requests`]: its place between clients and the module
-//! - [`shutdown`]: from the request to stop until the exit
-//! - [`decision_policy`]: the decision module, or a baseline in its place
-//! - [`metrics`]: what is counted and held
-//! - [`list`]: the node list and its breaks; [`saved_list`]: its copy for the next start
+//! [`Core`] keeps the order of steps. State has owners that keep their fields private:
+//!
+//! | owner | state |
+//! | --- | --- |
+//! | [`connection_table`] | connections, what is read and written on them, commands to the driver |
+//! | [`timers`] | timers that are set |
+//! | [`client_registry`], [`connection_slots`] | count of clients, which gives its slot to a new one |
+//! | [`request_table`], [`pending_request`] | pending requests, their attempts, ids that clients gave them |
+//! | [`upstream_pool`] | connections to nodes, what is in flight on them, which are idle |
+//! | [`pooled_connection`], [`http_connection`] | one HTTP/1.1 connection to a node, or of a client |
+//! | [`admission`] | the retry throttle |
+//! | [`write_back`] | the write-back buffer and its write-outs |
+//! | [`evaluation_schedule`] | when the module evaluates next |
+//! | [`shutdown`] | how far a shutdown has come |
+//! | [`node_table`], [`list`], [`saved_list`] | the endpoint list, and its copy for the next start |
+//! | [`agreement`] | the agreement of initiators on rules |
 //!
-//! Peers speak frames, or the platform's HTTP/1.1 ([`Wire`]). A request's life is the same for both; three
-//! places differ:
+//! Steps, each a module of methods of [`Core`]:
 //!
-//! - [`http_server`]: clients that ask one request at a time of a connection; [`connection_slots`]: who gives way
-//! - [`pooled_attempts`]: connections to a node that carry one request each; [`upstream_pool`]: which there are, and what for
-//! - [`list_calls`]: the list, told by calls that wait; [`platform_list`]: what they tell
+//! - [`dispatch`]: frames, handed on by who the peer is
+//! - [`connection_closing`]: what is settled when a connection is closed
+//! - [`clients`], [`http_server`]: who submits requests, and the bounds on them
+//! - [`requests`]: a request's life from its arrival to its one answer
+//! - [`attempts`]: an attempt's life
+//! - [`buffered_requests`]: requests on their way through the write-back buffer
+//! - [`send_permit`]: whether the first byte of an attempt may be sent
+//! - [`node_connections`], [`pooled_attempts`]: attempts on connections for frames, or for one request each
+//! - [`list_calls`], [`platform_list`]: the endpoint list on the platform's wire
 
 mod admission;
 mod agreement;
@@ -37,6 +46,7 @@
 mod decision_policy;
 mod dispatch;
 mod evaluation_schedule;
+mod http_connection;
 mod http_server;
 mod list;
 mod list_calls;
@@ -178,7 +188,7 @@
         }
     }
 
-    /// How much is held now.
+    /// How much is pending now.
     pub fn footprint(&self) -> Footprint {
         Footprint {
             connections: self.connections.len(),
@@ -195,7 +205,7 @@
         self.list.revision.filter(|_| self.list.told)
     }
 
-    /// Requests held now.
+    /// Requests that are pending now.
     pub fn pending_requests(&self) -> usize {
         self.requests.len()
     }
@@ -214,10 +224,10 @@
         self.config.wire == Wire::Platform
     }
 
-    /// Tells the module all that waits to be told, and does what it wants done at once.
+    /// Delivers all waiting events to the module, and does what it wants done at once.
     fn deliver_events(&mut self, now: Micros) {
         let mut actions = Vec::new();
-        // What the actions cause in turn is told at the next turn: the work of one turn is bounded.
+        // Guards against a turn without end: events that the actions cause are delivered at the next turn.
         for event in std::mem::take(&mut self.events) {
             self.policy.handle(event, now, &mut actions);
             self.evaluation.request();
@@ -225,7 +235,7 @@
         self.perform_actions(&mut actions, now);
     }
 
-    /// The module looks at all that it was told.
+    /// The module evaluates all pending requests.
     fn evaluate(&mut self, now: Micros) {
         self.evaluation.started(now);
         let mut actions = Vec::new();
@@ -233,6 +243,7 @@
         self.perform_actions(&mut actions, now);
     }
 
+    /// A timer is due.
     fn handle_timer(&mut self, timer: Timer, now: Micros) {
         match timer {
             Timer::Deadline(request) => self.deadline_reached(request, now),
@@ -250,7 +261,7 @@
             Timer::DiscoveryCall => self.call_list(now),
             Timer::ListSilence => self.list_silent(now),
             Timer::EndpointsExpire => self.endpoint_trust_due(),
-            // Looked at in every turn.
+            // Settled in every turn.
             Timer::Agreement => {}
             Timer::ShutdownTimeout => self.stop_ends(now),
         }
@@ -313,8 +324,8 @@
 
     fn wrote(&mut self, conn: ConnId, count: usize, now: Micros) {
         self.connections.record_written(conn, count);
-        if let Some(link) = self.pooled_connection(conn) {
-            link.record_sent();
+        if let Some(pooled) = self.pooled_connection(conn) {
+            pooled.record_sent();
         }
         self.client_read(conn, now);
     }
@@ -333,7 +344,10 @@
     }
 
     fn rested(&self, conn: ConnId) -> bool {
-        matches!(self.connections.get(conn).map(|c| &c.protocol), Some(Protocol::HttpClient(link)) if link.is_reused_unwritten())
+        match self.connections.get(conn).map(|c| &c.protocol) {
+            Some(Protocol::HttpClient(pooled)) => pooled.is_reused_unwritten(),
+            _ => false,
+        }
     }
 
     fn stored(&mut self, well: bool, now: Micros) {
--- a/crates/flaxstand-gateway/src/core/node_connections.rs
+++ b/crates/flaxstand-gateway/src/core/node_connections.rs
@@ -1,5 +1,6 @@
-//! Storage nodes: one connection to each, opened by the first attempt, closed when idle or when the node
-//! is gone. What is known of an attempt whose connection broke depends on how much of it had left.
+//! Attempts and probes on connections that carry frames: one to each node, opened by the first attempt,
+//! closed when idle or when the node is removed. Whether an attempt whose connection broke may have run
+//! depends on how much of it was sent.
 
 use super::Core;
 use super::connection_table::{Connection, Peer, Protocol, Stage};
@@ -16,6 +17,7 @@
 use tracing::{debug, info};
 
 impl Core {
+    /// Sends an attempt to its node, at once or when the connection is open.
     pub(super) fn send_attempt(&mut self, attempt: AttemptId, at: NodeId, now: Micros) {
         if self.nodes.get(at).is_none() {
             return;
@@ -37,7 +39,8 @@
         }
     }
 
-    /// A probe, at the module's word. It goes where a connection stands: it is asked for what is out there.
+    /// Sends a probe, as the module asks. On frames it is sent only if a connection is open: it asks for
+    /// attempts there.
     pub(super) fn start_probe(&mut self, at: NodeId, now: Micros) {
         let ends = now.after(self.config.site.waits.dial);
         let probe = ProbeId { node: at, token: self.upstream.next_probe_token() };
@@ -57,7 +60,7 @@
         }
     }
 
-    /// A probe has been out for long enough.
+    /// A probe was not answered in time.
     pub(super) fn probe_timed_out(&mut self, probe: ProbeId, now: Micros) {
         let conn = self.upstream.take_probe_connection(probe);
         self.probe_ended(probe, Outcome::TimedOut);
@@ -66,7 +69,7 @@
         }
     }
 
-    /// The probe that is out ended.
+    /// A probe ended; nothing happens if it is not the one that is out.
     pub(super) fn probe_ended(&mut self, probe: ProbeId, outcome: Outcome) {
         if let Some(times_out_at) = self.upstream.end_probe(probe) {
             self.timers.cancel(times_out_at, Timer::ProbeTimeout(probe));
@@ -81,18 +84,19 @@
         let conn =
             self.connections.dial(&mut self.timers, Peer::Node(at), protocol, node.address.clone(), by);
         self.upstream.set_framed(at, conn);
-        debug!(node = %node.name, address = %node.address, conn = conn.0, "calling a node");
+        debug!(node = %node.name, address = %node.address, conn = conn.0, "connecting to a node");
     }
 
     fn hand_over(&mut self, attempt: AttemptId, conn: ConnId, now: Micros) {
-        let full = self.connections.get(conn).is_some_and(|c| c.outbox.len() > self.config.bounds.node_bytes);
-        if full {
-            // What waits for this node is at its bound; it never left, so it has not run.
+        let is_full =
+            self.connections.get(conn).is_some_and(|c| c.outbox.len() > self.config.bounds.node_bytes);
+        if is_full {
+            // Guards the memory against a node that does not read. It was never sent, so it has not run.
             self.end_attempt(attempt, Outcome::Rejected, now);
             return;
         }
         let Some(pending) = self.requests.get_mut(attempt.request) else { return };
-        // The connection has its turn for a moment; the payload must not be copied once more.
+        // Taken out so that it is not copied once more.
         let payload = std::mem::take(&mut pending.payload);
         let frame = Frame::Attempt(Attempt {
             request: attempt.request.0,
@@ -117,6 +121,7 @@
         self.requests.record_hand_over(attempt, conn, ends);
     }
 
+    /// A node answered our greeting.
     pub(super) fn node_greeted(
         &mut self,
         conn: ConnId,
@@ -141,11 +146,11 @@
             return Err(PeerFault::new(CloseReason::WrongPeer, text));
         }
         let waiting = self.upstream.framed_opened(at, now);
-        // A start that the list has not told yet: the node is as cold as can be. Guards the rule on cold
-        // nodes: of hundreds of hosts whose canaries wait for a dead node, each would send one at once.
+        // Guards slow start: hundreds of initiators whose probes wait for a dead node would all send an
+        // attempt at once to a node that has just restarted, before the list says so.
         let restarted = w.epoch > node.incarnation;
         if restarted {
-            info!(node = %node.name, incarnation = w.epoch, "met a start that the list has not told yet");
+            info!(node = %node.name, incarnation = w.epoch, "a node has restarted, and the endpoint list does not say so yet");
             (node.incarnation, node.started_at) = (w.epoch, Some(now.ms()));
             let entry = node.entry(at);
             self.list.save.learnt(at);
@@ -155,7 +160,7 @@
         self.timers.set(now.after(idle), Timer::IdleTimeout(conn));
         for attempt in waiting {
             if restarted || !self.may_send(attempt, now) {
-                // Not sent: the module sends it when the node bears it, if at all.
+                // The module sends it again when the node can take it, if at all.
                 self.end_attempt(attempt, Outcome::NotSent, now);
             } else {
                 self.hand_over(attempt, conn, now);
@@ -164,7 +169,7 @@
         Ok(())
     }
 
-    /// The connection is no more. An attempt whose last byte had not left can't have run; another may have.
+    /// The connection is closed. An attempt whose last byte was not sent can't have run; another may have.
     pub(super) fn node_disconnected(
         &mut self,
         conn: ConnId,
@@ -174,33 +179,30 @@
         cause: &str,
         now: Micros,
     ) {
-        let Some(out) = self.upstream.framed_closed(at, conn) else { return };
+        let Some(in_flight) = self.upstream.framed_closed(at, conn) else { return };
         if let Some(node) = self.nodes.get(at)
-            && (!out.is_empty() || stage != Stage::Open)
+            && (!in_flight.is_empty() || stage != Stage::Open)
         {
-            info!(node = %node.name, cause, out = out.len(), ?stage, "connection to a node lost");
+            info!(node = %node.name, cause, in_flight = in_flight.len(), ?stage, "connection to a node lost");
         }
-        for attempt in out {
+        for attempt in in_flight {
             self.attempt_connection_lost(attempt, conn, written, now);
         }
     }
 
-    /// Whether this word of an attempt comes from where it was sent; else nobody waits for it any more.
+    /// The attempt that a frame names, if it is in flight on this connection.
     fn in_flight_on(&mut self, conn: ConnId, request: u64, attempt: u32) -> Option<AttemptId> {
         let id = AttemptId { request: RequestId(request), number: AttemptNo(attempt) };
-        if self
-            .requests
-            .attempt(id)
-            .and_then(|f| f.handed_over)
-            .is_some_and(|handed_over| handed_over.conn == conn)
-        {
+        let handed_over = self.requests.attempt(id).and_then(|attempt| attempt.handed_over);
+        if handed_over.is_some_and(|handed_over| handed_over.conn == conn) {
             return Some(id);
         }
         self.counts.late_outcomes += 1;
-        debug!(request, attempt, "word of an attempt that nobody waits for");
+        debug!(request, attempt, "outcome of an attempt that is not in flight");
         None
     }
 
+    /// An attempt has ended at its node.
     pub(super) fn attempt_done(&mut self, conn: ConnId, d: &Done<'_>, now: Micros) {
         let Some(attempt) = self.in_flight_on(conn, d.request, d.attempt) else { return };
         match d.code {
@@ -216,11 +218,12 @@
         }
     }
 
+    /// Part of an attempt's response came.
     pub(super) fn attempt_chunk(&mut self, conn: ConnId, request: u64, attempt: u32, payload: &[u8]) {
         let Some(id) = self.in_flight_on(conn, request, attempt) else { return };
         let Some(pending) = self.requests.get_mut(id.request) else { return };
         if pending.merge_extent.is_some() {
-            // Only the whole of it can be laid over; until then the attempt is like any other.
+            // Buffered writes can be laid over the whole response only.
             if pending.streamed.attempt != id.number {
                 pending.streamed = StreamedParts { attempt: id.number, bytes: Vec::new() };
             }
@@ -235,13 +238,14 @@
         }
     }
 
+    /// An attempt is not in flight at its node any more.
     pub(super) fn attempt_left_node(&mut self, at: NodeId, attempt: AttemptId, now: Micros) {
         if self.upstream.end_attempt(at, attempt, now) {
             self.close_if_removed(at, now);
         }
     }
 
-    /// A node that is gone from the list and has nothing of ours out needs no connection.
+    /// Closes the connection to a node that the list has removed, once nothing is in flight on it.
     pub(super) fn close_if_removed(&mut self, at: NodeId, now: Micros) {
         let is_removed = self.nodes.get(at).is_some_and(|node| node.readiness() == Readiness::Removed);
         if !is_removed || self.upstream.has_in_flight(at) {
@@ -249,10 +253,11 @@
         }
         if let Some(conn) = self.upstream.framed(at) {
             self.upstream.clear_framed(at);
-            self.close(conn, "node is gone", now);
+            self.close(conn, "node is removed", now);
         }
     }
 
+    /// Closes a connection to a node that has been idle for long enough.
     pub(super) fn check_idle(&mut self, conn: ConnId, now: Micros) {
         let Some(Connection { peer: Peer::Node(at), .. }) = self.connections.get(conn) else { return };
         let (at, idle) = (*at, self.config.site.waits.idle);
--- a/crates/flaxstand-gateway/src/core/peer_fault.rs
+++ b/crates/flaxstand-gateway/src/core/peer_fault.rs
@@ -13,6 +13,7 @@
 }
 
 impl PeerFault {
+    /// A fault with this reason.
     pub(super) fn new(close_reason: CloseReason, text: impl Into<String>) -> Self {
         PeerFault { close_reason, text: text.into() }
     }
--- a/crates/flaxstand-gateway/src/core/pending_request.rs
+++ b/crates/flaxstand-gateway/src/core/pending_request.rs
@@ -1,6 +1,6 @@
 //! A client's request or a write-out from its arrival until it is answered and has no attempt in flight.
 
-use super::http_server::Origin;
+use super::http_connection::Origin;
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{Arrival, AttemptNo, ClassId, Key, NodeId, PlanId, RequestId, ShardId, VolumeId};
 use flaxstand_proto::Submit;
--- a/crates/flaxstand-gateway/src/core/pooled_attempts.rs
+++ b/crates/flaxstand-gateway/src/core/pooled_attempts.rs
@@ -1,6 +1,7 @@
-//! Attempts and probes on connections that carry one request each: a pool for every node, the newest idle connection
-//! used first. A response is buffered whole before anything of it is passed on; a connection whose response is invalid,
-//! or brings more than belongs to it, is not used again. Abandoning an attempt closes its connection.
+//! Attempts and probes on connections that carry one request each: a pool for every node, the newest idle
+//! connection used first. A response is buffered whole before anything of it is passed on; a connection whose
+//! response is invalid, or brings more than belongs to it, is not used again. Abandoning an attempt closes
+//! its connection.
 
 use super::Core;
 use super::connection_table::{Connection, Peer, Protocol, Stage};
@@ -20,6 +21,7 @@
 const REMOVED_NODE_RETENTION: Micros = Micros(30_000_000);
 
 impl Core {
+    /// The state of a pooled connection.
     pub(super) fn pooled_connection(&mut self, conn: ConnId) -> Option<&mut PooledConnection> {
         match self.connections.get_mut(conn) {
             Some(Connection { protocol: Protocol::HttpClient(pooled), .. }) => Some(pooled),
@@ -27,7 +29,8 @@
         }
     }
 
-    /// Sends by the newest idle connection to the node, by one that has rested if there is one, or by a new one.
+    /// Sends by the newest idle connection to the node, by one that has rested if there is one, or by a new
+    /// one.
     pub(super) fn send_pooled(&mut self, at: NodeId, exchange: PooledExchange, now: Micros) {
         let Some(address) = self.nodes.get(at).map(|node| node.address.clone()) else { return };
         let rested = |conn: &ConnId| match self.connections.get(*conn).map(|c| &c.protocol) {
@@ -148,6 +151,7 @@
         node.and_then(|node| self.nodes.get(node)).map(|node| node.address.to_string()).unwrap_or_default()
     }
 
+    /// Bytes of a response came.
     pub(super) fn pooled_received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
         let Some(pooled) = self.pooled_connection(conn) else { return };
         if pooled.exchange().is_none() {
@@ -225,7 +229,7 @@
         if self.nodes.get(at).is_some_and(|node| node.readiness() != Readiness::Removed) {
             self.upstream.mark_idle(at, conn, now);
         } else {
-            self.close(conn, "node is gone", now);
+            self.close(conn, "node is removed", now);
         }
     }
 
@@ -264,8 +268,8 @@
         self.close_with_exchange(conn, PooledExchange::Attempt(attempt), "attempt abandoned", outcome, now);
     }
 
-    /// Its client has disconnected: an attempt that was not sent whole is withdrawn. Its connection is closed; one that is
-    /// still being opened is kept, and carries nothing.
+    /// Its client has disconnected: an attempt that was not sent whole is withdrawn. Its connection is
+    /// closed; one that is still being opened is kept, and carries nothing.
     pub(super) fn withdraw_unsent_of_request(&mut self, id: RequestId, now: Micros) {
         let Some(pending) = self.requests.get(id).filter(|_| self.on_platform()) else { return };
         let is_being_sent = |handed_over: &HandOver| {
@@ -322,7 +326,7 @@
     fn evict_longest_idle(&mut self, now: Micros) -> bool {
         let longest = self.upstream.longest_idle();
         if let Some(conn) = longest {
-            self.close(conn, "its place is needed", now);
+            self.close(conn, "its slot is needed", now);
         }
         longest.is_some()
     }
@@ -359,6 +363,6 @@
         self.upstream
             .take_all_idle(at)
             .into_iter()
-            .for_each(|conn| self.close(conn, "its node has moved or is gone", now));
+            .for_each(|conn| self.close(conn, "its node has moved or is removed", now));
     }
 }
--- a/crates/flaxstand-gateway/src/core/pooled_connection.rs
+++ b/crates/flaxstand-gateway/src/core/pooled_connection.rs
@@ -6,12 +6,12 @@
 use flaxstand_http::{Answer, Answers, Fault};
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 
-/// The head of a response that is not whole this long after it began, or a body of which nothing more came for this
-/// long, is invalid.
+/// The head of a response that is not whole this long after it began, or a body of which nothing more came
+/// for this long, is invalid.
 pub(super) const RESPONSE_STALL_TIMEOUT: Micros = Micros(250_000);
-/// For this long after a response a second copy of it may follow. Until then a connection is used again only if no
-/// other is idle, and what equals the last response, head and body, and came in less than half the time that any took
-/// there, is taken for such a copy: served, it would be another request's response.
+/// For this long after a response a second copy of it may follow. Until then a connection is used again only
+/// if no other is idle, and what equals the last response, head and body, and came in less than half the time
+/// that any took there, is taken for such a copy: served, it would be another request's response.
 const DUPLICATE_RESPONSE_WINDOW: Micros = Micros(20_000);
 
 /// What a connection carries.
--- a/crates/flaxstand-gateway/src/core/request_table.rs
+++ b/crates/flaxstand-gateway/src/core/request_table.rs
@@ -23,6 +23,7 @@
         RequestId(self.last_id)
     }
 
+    /// Adds a request.
     pub(super) fn insert(&mut self, id: RequestId, request: PendingRequest) {
         if let Some(origin) = &request.origin {
             self.client_ids.insert(origin.id.clone());
@@ -30,6 +31,7 @@
         self.pending.insert(id, request);
     }
 
+    /// Removes a request, whatever its state.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.pending.remove(&id)?;
         if let Some(origin) = &request.origin {
@@ -47,10 +49,12 @@
         self.remove(id)
     }
 
+    /// A pending request.
     pub(super) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.pending.get(&id)
     }
 
+    /// A pending request, to change it.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.pending.get_mut(&id)
     }
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -1,5 +1,5 @@
-//! The life of a request: accepted, handled as the module asks, answered once, and removed when its last attempt has
-//! ended.
+//! The life of a request: accepted, handled as the module asks, answered once, and removed when its last
+//! attempt has ended.
 
 use super::Core;
 use super::connection_table::Peer;
@@ -89,8 +89,9 @@
         self.answer_failed(id, now);
     }
 
-    /// The client is about to give up: what is in flight is not waited for any longer, and what the module has
-    /// not ended by now is ended here. Guards against a fault of the module that would cost clients their answers.
+    /// The client is about to give up: what is in flight is not waited for any longer, and what the module
+    /// has not ended by now is ended here. Guards against a fault of the module that would cost clients their
+    /// answers.
     pub(super) fn deadline_reached(&mut self, id: RequestId, now: Micros) {
         if self.expire_in_buffer(id, now) {
             return;
--- a/crates/flaxstand-gateway/src/core/send_permit.rs
+++ b/crates/flaxstand-gateway/src/core/send_permit.rs
@@ -1,7 +1,7 @@
-//! Permission to send the first byte of an attempt or a probe. Between the module's decision and the moment at which
-//! the byte would be sent, its client may have disconnected, its time may be over, its node may have begun to drain, or
-//! the endpoint list may have grown too old to act on. What waits in a connection's buffer when one of these happens
-//! is withdrawn.
+//! Permission to send the first byte of an attempt or a probe. Between the module's decision and the moment
+//! at which the byte would be sent, its client may have disconnected, its time may be over, its node may have
+//! begun to drain, or the endpoint list may have grown too old to act on. What waits in a connection's buffer
+//! when one of these happens is withdrawn.
 
 use super::Core;
 use super::connection_table::{Connection, Protocol, Stage};
@@ -40,14 +40,16 @@
         now.ms() < self.policy.endpoints_trusted_until()
     }
 
-    /// Looks at the age of the list once the module has heard all that happened, and again when it becomes too old.
+    /// Looks at the age of the list once the module has heard all that happened, and again when it becomes
+    /// too old.
     pub(super) fn watch_endpoint_trust(&mut self, now: Micros) {
         let until = self.policy.endpoints_trusted_until();
         if until.is_infinite() {
             return;
         }
         let trusted = self.endpoints_are_trusted(now);
-        // Rounded up: woken a moment early it would be found in trust, and looked at again at that same moment.
+        // Rounded up: woken a moment early it would be found in trust, and looked at again at that same
+        // moment.
         self.set_endpoint_trust_timer(trusted.then(|| Micros::from_ms(until).after(Micros(1))));
         if trusted == self.endpoint_trust.is_logged_expired {
             self.endpoint_trust.is_logged_expired = !trusted;
@@ -92,8 +94,8 @@
         self.withdraw_unsent(&all, "the list is too old", now);
     }
 
-    /// Withdraws what was handed to connections of those of these nodes that accept nothing new, and of which no byte was
-    /// sent.
+    /// Withdraws what was handed to connections of those of these nodes that accept nothing new, and of which
+    /// no byte was sent.
     pub(super) fn withdraw_unsent_from_drained(&mut self, nodes: &BTreeSet<NodeId>, now: Micros) {
         let drained = nodes.iter().copied().filter(|at| !self.nodes.serves(*at)).collect();
         self.withdraw_unsent(&drained, "its node takes nothing new", now);
@@ -125,8 +127,8 @@
         attempts.chain(probes).filter(waits).collect()
     }
 
-    /// A retry that waited to be sent until its window was over is withdrawn. Guards against effects after the window in
-    /// which the node remembers the idempotency key.
+    /// A retry that waited to be sent until its window was over is withdrawn. Guards against effects after
+    /// the window in which the node remembers the idempotency key.
     pub(super) fn send_window_ended(&mut self, conn: ConnId, now: Micros) {
         let unsent = self.pooled_connection(conn).filter(|pooled| !pooled.is_sending());
         if let Some(exchange @ PooledExchange::Attempt(attempt)) = unsent.and_then(|pooled| pooled.exchange())
--- a/crates/flaxstand-gateway/src/core/shutdown.rs
+++ b/crates/flaxstand-gateway/src/core/shutdown.rs
@@ -1,5 +1,5 @@
-//! A graceful shutdown: for a grace period nothing changes, then no new requests are accepted and what is pending is
-//! answered, and then the process exits.
+//! A graceful shutdown: for a grace period nothing changes, then no new requests are accepted and what is
+//! pending is answered, and then the process exits.
 
 use super::Core;
 use super::connection_table::{Connection, Peer, Protocol};
@@ -33,6 +33,7 @@
 }
 
 impl Shutdown {
+    /// How far the shutdown has come.
     pub(super) fn phase(&self) -> Phase {
         self.phase
     }
@@ -44,6 +45,7 @@
 }
 
 impl Core {
+    /// Starts the shutdown, if none has started.
     pub(super) fn stop(&mut self, now: Micros) {
         if self.shutdown.phase != Phase::Running {
             return;
@@ -51,7 +53,7 @@
         let waits = &self.config.site.waits;
         self.timers.set(now.after(waits.stop), Timer::ShutdownTimeout);
         self.timers.set(now.after(waits.stop_grace), Timer::ShutdownGraceEnds);
-        info!(held = self.requests.len(), grace_ms = waits.stop_grace.ms(), "stopping");
+        info!(pending = self.requests.len(), grace_ms = waits.stop_grace.ms(), "stopping");
         self.shutdown.phase = Phase::Draining;
         self.shutdown.answer_by = Some(now.after(waits.stop.since(ANSWER_MARGIN)));
         if waits.stop_grace == Micros(0) {
@@ -76,8 +78,8 @@
         }
     }
 
-    /// A client that speaks HTTP has read when it closes in its turn: over what it still sends, a close from here would
-    /// take its answer with it.
+    /// A client that speaks HTTP has read when it closes in its turn: over what it still sends, a close from
+    /// here would take its answer with it.
     fn has_answered_all(&self) -> bool {
         let is_owed = |(_, c): (ConnId, &Connection)| {
             matches!(c.protocol, Protocol::HttpServer(_))
@@ -91,7 +93,7 @@
     /// The shutdown has timed out: what is still pending is failed.
     pub(super) fn stop_ends(&mut self, now: Micros) {
         let owed: Vec<RequestId> = self.requests.owed().collect();
-        warn!(owed = owed.len(), "the stop has lasted long enough: what is still held is failed");
+        warn!(owed = owed.len(), "shutdown timed out: pending requests fail");
         owed.into_iter().for_each(|id| self.fail_request(id, now));
         self.exit(now);
     }
@@ -110,7 +112,7 @@
             self.save_whole(now);
         }
         self.connections.command(Command::Exit);
-        let (buffer, repeats) = (self.buffer_status(now), self.attempt_counts());
-        info!(counts = ?self.counts(), ?buffer, ?repeats, "stopped");
+        let (buffer, attempts) = (self.buffer_status(now), self.attempt_counts());
+        info!(counts = ?self.counts(), ?buffer, ?attempts, "stopped");
     }
 }
--- a/crates/flaxstand-gateway/src/core/upstream_pool.rs
+++ b/crates/flaxstand-gateway/src/core/upstream_pool.rs
@@ -1,5 +1,5 @@
-//! Bookkeeping of connections to storage nodes: which connection leads to which node, what is in flight on them, and
-//! which pooled connections are idle. It opens and closes nothing itself.
+//! Bookkeeping of connections to storage nodes: which connection leads to which node, what is in flight on
+//! them, and which pooled connections are idle. It opens and closes nothing itself.
 
 use super::pending_request::AttemptId;
 use super::timers::ProbeId;
@@ -125,7 +125,8 @@
         std::mem::take(&mut node.waiting)
     }
 
-    /// The connection for frames is closed. Returns what was in flight on it; none if it is not the node's any more.
+    /// The connection for frames is closed. Returns what was in flight on it; none if it is not the node's
+    /// any more.
     pub(super) fn framed_closed(&mut self, node: NodeId, conn: ConnId) -> Option<Vec<AttemptId>> {
         let node = self.node_mut(node).filter(|node| node.framed == Some(conn))?;
         node.framed = None;
--- a/crates/flaxstand-gateway/src/core/write_back.rs
+++ b/crates/flaxstand-gateway/src/core/write_back.rs
@@ -34,7 +34,8 @@
 }
 
 impl WriteBackCoordinator {
-    /// A buffer that goes on with what was recovered. `calendar`: the host's calendar at the start, microseconds.
+    /// A buffer that goes on with what was recovered. `calendar`: the host's calendar at the start,
+    /// microseconds.
     pub(super) fn new(
         settings: WriteBack,
         site: &Site,
@@ -175,7 +176,7 @@
         self.buffer.merge(WriteHandle(id.0), data, now);
     }
 
-    /// Nothing is buffered any more, and what is goes out.
+    /// Buffers nothing more, and writes out what is buffered.
     pub(super) fn drain(&mut self) {
         self.buffer.drain();
     }
--- a/crates/flaxstand-gateway/src/core/write_out_classes.rs
+++ b/crates/flaxstand-gateway/src/core/write_out_classes.rs
@@ -23,8 +23,8 @@
     settings
 }
 
-/// A class as write-outs of this urgency have it: priority in parts of the class's, latency objective in multiples
-/// of it. At the last urgency they have as much priority as anything has.
+/// A class as write-outs of this urgency have it: priority in parts of the class's, latency objective in
+/// multiples of it. At the last urgency they have as much priority as anything has.
 fn class_at_urgency(class: &Class, urgency: Urgency, max_weight: f64) -> Class {
     let (priority_weight, latency_factor) = match urgency {
         Urgency::Idle => (class.priority_weight * 0.05, 4.0),
