--- a/crates/flaxstand-gateway/src/core/discovery/frames_watch.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/frames_watch.rs
@@ -2,8 +2,8 @@
 //! list requested after a gap, and a new connection after one that broke or stalled.
 
 use super::{DiscoveryContext, EndpointDiscovery, EndpointEntry, EndpointUpdate, StalledWatch};
-use crate::core::clients::Fault;
-use crate::core::plumbing::{Protocol, Stage};
+use crate::core::connection_table::{Protocol, Stage};
+use crate::core::peer_fault::PeerFault;
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::ListScope;
 use flaxstand_proto::{CloseReason, Extent, Frame, List, Role, VERSION, VERSION_OLDEST, Welcome};
@@ -61,17 +61,17 @@
         conn: ConnId,
         welcome: &Welcome<'_>,
         context: &mut DiscoveryContext<'_>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), PeerFault> {
         if welcome.role != Role::List || !(VERSION_OLDEST..=VERSION).contains(&welcome.version) {
             let text =
                 format!("expected a list service, met {:?} of version {}", welcome.role, welcome.version);
-            return Err((CloseReason::WrongPeer, text));
+            return Err(PeerFault::new(CloseReason::WrongPeer, text));
         }
-        context.connections.is_at(conn, Stage::Open);
+        context.connections.set_stage(conn, Stage::Open);
         self.watch.record_received(context.now);
         let idle_timeout = context.config.site.timeouts.discovery_idle_timeout;
-        self.schedule_stall_check(context.now.after(idle_timeout), context.connections);
-        context.connections.push(conn, &Frame::Watch);
+        self.schedule_stall_check(context.now.after(idle_timeout), context.timers);
+        context.connections.send_frame(conn, &Frame::Watch);
         Ok(())
     }
 
@@ -84,7 +84,7 @@
     ) {
         self.conn = None;
         warn!(cause, ?stage, "discovery disconnected; the endpoint list stays in use");
-        self.cancel_stall_check(context.connections);
+        self.cancel_stall_check(context.timers);
         self.schedule_retry(context);
     }
 
@@ -133,7 +133,7 @@
         let idle_timeout = context.config.site.timeouts.discovery_idle_timeout;
         let idle_at = self.watch.last_received_at.after(idle_timeout);
         if context.now < idle_at {
-            self.schedule_stall_check(idle_at, context.connections);
+            self.schedule_stall_check(idle_at, context.timers);
             return None;
         }
         let received_within_frame = match context.connections.get(conn).map(|connection| &connection.protocol)
@@ -150,12 +150,12 @@
             }
             FrameProgress::NoFrame => self.request_full_list(conn, context),
         }
-        self.schedule_stall_check(context.now.after(idle_timeout), context.connections);
+        self.schedule_stall_check(context.now.after(idle_timeout), context.timers);
         None
     }
 
     fn request_full_list(&mut self, conn: ConnId, context: &mut DiscoveryContext<'_>) {
         self.watch.is_list_requested = true;
-        context.connections.push(conn, &Frame::GetList);
+        context.connections.send_frame(conn, &Frame::GetList);
     }
 }
--- a/crates/flaxstand-gateway/src/core/discovery/mod.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/mod.rs
@@ -28,7 +28,8 @@
 pub(super) use platform_poll::PollResponse;
 pub(super) use update::{EndpointEntry, EndpointUpdate};
 
-use super::plumbing::{Peer, Plumbing, Protocol, Timer};
+use super::connection_table::{ConnectionTable, Peer, Protocol};
+use super::timers::{Timer, TimerQueue};
 use super::{Backoff, Config, Timeouts, Wire};
 use crate::machine::{ConnId, Micros};
 use cache_schedule::CacheSchedule;
@@ -42,8 +43,10 @@
 
 /// What discovery uses of the core during one call.
 pub(super) struct DiscoveryContext<'a> {
-    /// Connections, timers and commands to the driver.
-    pub(super) connections: &'a mut Plumbing,
+    /// Connections, and commands to the driver.
+    pub(super) connections: &'a mut ConnectionTable,
+    /// Timers of the core.
+    pub(super) timers: &'a mut TimerQueue,
     /// Events for the decision module, in order.
     pub(super) events: &'a mut VecDeque<Event>,
     /// The core's random numbers: the order of draws is a part of its behaviour.
@@ -131,7 +134,7 @@
     pub(super) fn request_changes(&mut self, context: &mut DiscoveryContext<'_>) {
         match self.conn {
             Some(conn) if context.connections.is_open(conn) && context.connections.speaks_frames(conn) => {
-                context.connections.push(conn, &Frame::Watch);
+                context.connections.send_frame(conn, &Frame::Watch);
             }
             Some(_) => {}
             None => self.connect(context),
@@ -151,7 +154,8 @@
             Wire::Platform => (Protocol::DiscoveryPoll, self.start_poll_connection(context)),
         };
         let address = context.config.discovery_address.clone();
-        self.conn = Some(context.connections.dial(Peer::Discovery, protocol, address, deadline));
+        self.conn =
+            Some(context.connections.dial(context.timers, Peer::Discovery, protocol, address, deadline));
     }
 
     /// Checks whether the service has stalled. A watch that has is the caller's to close; a polled call ends
@@ -173,7 +177,7 @@
             context.events.push_back(Event::EndpointList(ListScope::Failed, Vec::new()));
         } else {
             let wait = self.backoff.failed(context.rng);
-            context.connections.at(context.now.after(wait), Timer::DiscoveryCall);
+            context.timers.set(context.now.after(wait), Timer::DiscoveryCall);
         }
     }
 
@@ -184,15 +188,15 @@
     }
 
     /// Checks at this moment, and at no other, whether the service has stalled.
-    fn schedule_stall_check(&mut self, at: Micros, connections: &mut Plumbing) {
-        self.cancel_stall_check(connections);
+    fn schedule_stall_check(&mut self, at: Micros, timers: &mut TimerQueue) {
+        self.cancel_stall_check(timers);
         self.stall_check_at = Some(at);
-        connections.at(at, Timer::DiscoveryStalled);
+        timers.set(at, Timer::DiscoveryStalled);
     }
 
-    fn cancel_stall_check(&mut self, connections: &mut Plumbing) {
+    fn cancel_stall_check(&mut self, timers: &mut TimerQueue) {
         if let Some(at) = self.stall_check_at.take() {
-            connections.cancel(at, Timer::DiscoveryStalled);
+            timers.cancel(at, Timer::DiscoveryStalled);
         }
     }
 }
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -1,16 +1,19 @@
-//! What comes on a connection, handed to whom it concerns, and what hangs on one that is no more.
+//! Frames that come on a connection, handed to whom they concern by who the peer is.
 
 use super::Core;
-use super::agreement::Fellow;
-use super::plumbing::{Peer, Protocol, Stage};
-use super::writeback::Mark;
-use crate::machine::{Command, ConnId, Micros};
-use flaxstand::api::Outcome;
-use flaxstand_proto::{CloseReason, Frame, Hello, Role, VERSION, VERSION_OLDEST};
-use tracing::{info, warn};
+use super::agreement::AgreementPeer;
+use super::connection_table::{Peer, Stage};
+use super::peer_fault::PeerFault;
+use super::timers::ProbeId;
+use super::write_back::OrderingRequest;
+use crate::machine::{ConnId, Micros};
+use flaxstand::api::{NodeId, Outcome};
+use flaxstand_proto::{Frame, Hello, Role, VERSION, VERSION_OLDEST};
+use tracing::info;
 
 impl Core {
-    pub(super) fn greet(&mut self, conn: ConnId) {
+    /// Greets a peer that was connected to.
+    pub(super) fn send_hello(&mut self, conn: ConnId) {
         let hello = Hello {
             role: Role::Initiator,
             versions: (VERSION_OLDEST, VERSION),
@@ -18,135 +21,115 @@
             epoch: self.config.epoch,
             name: &self.config.name,
         };
-        self.plumbing.push(conn, &Frame::Hello(hello));
+        self.connections.send_frame(conn, &Frame::Hello(hello));
     }
 
-    /// Closes a connection from here and settles what hung on it.
-    pub(super) fn hang_up(&mut self, conn: ConnId, close_reason: CloseReason, text: &str, now: Micros) {
-        if self.plumbing.speaks_frames(conn) {
-            self.plumbing.push(conn, &Frame::Bye { close_reason, wait: 0, text });
+    /// A frame came. False: the connection is closed, read no further.
+    pub(super) fn frame_received(&mut self, conn: ConnId, frame: Frame<'_>, now: Micros) -> bool {
+        let Some(c) = self.connections.get(conn) else { return false };
+        if let Frame::Bye { close_reason, text, .. } = frame {
+            info!(conn = conn.0, ?close_reason, text, "peer said goodbye");
+            self.close(conn, "peer said goodbye", now);
+            return false;
         }
-        self.lost(conn, text, true, now);
-    }
-
-    /// A connection is no more.
-    pub(super) fn lost(&mut self, conn: ConnId, cause: &str, by_us: bool, now: Micros) {
-        let Some(c) = self.plumbing.get(conn) else { return };
-        // What is given up must not leave after all: with its last bytes it would run.
-        let last = match c.protocol {
-            Protocol::Frames(_) | Protocol::HttpServer(_) if by_us => Some(c.outbox.pending().to_vec()),
-            _ => by_us.then(Vec::new),
-        };
-        self.gone(conn, cause, last, now);
-    }
-
-    /// The same, closed from here, and nothing that waits on it leaves.
-    pub(super) fn lost_unsaid(&mut self, conn: ConnId, cause: &str, now: Micros) {
-        self.gone(conn, cause, Some(Vec::new()), now);
-    }
-
-    /// Closes it with these last bytes, if it is to be closed, and settles what hung on it.
-    fn gone(&mut self, conn: ConnId, cause: &str, last: Option<Vec<u8>>, now: Micros) {
-        let Some(gone) = self.plumbing.take(conn) else { return };
-        if let Some(last) = last {
-            self.plumbing.command(Command::Close { conn, last });
-        }
-        if let Protocol::HttpServer(http) = &gone.protocol {
-            self.places.remove(conn, http.queued);
-        }
-        match (gone.peer, gone.protocol) {
-            (Peer::Client(client), _) => self.client_lost(conn, &client, cause, now),
-            (Peer::Node(node), Protocol::HttpClient(link)) => {
-                self.link_lost(conn, node, &link, gone.outbox.written(), cause, now);
+        let stage = c.stage;
+        let handled = match &c.peer {
+            Peer::Client(_) => self.client_frame(conn, stage, &frame, now),
+            Peer::Node(node) => {
+                let node = *node;
+                self.node_frame(conn, node, stage, &frame, now)
             }
-            (Peer::Node(node), _) => {
-                self.node_lost(conn, node, gone.stage, gone.outbox.written(), cause, now)
+            Peer::Discovery => self.discovery_frame(conn, stage, &frame, now),
+            Peer::Agreement(peer) => {
+                let is_unidentified = matches!(peer, AgreementPeer::Unidentified);
+                self.agreement_frame(conn, is_unidentified, stage, &frame, now)
             }
-            (Peer::Fellow(fellow), _) => self.fellow_lost(&fellow, cause, now),
-            (Peer::Discovery, Protocol::DiscoveryPoll) => self.discovery_poll_lost(cause, now),
-            (Peer::Discovery, _) => self.discovery_watch_lost(gone.stage, cause, now),
+        };
+        if let Err(fault) = handled {
+            self.close_for_fault(conn, &fault, now);
         }
+        self.connections.get(conn).is_some()
     }
 
-    /// A frame came. False: the connection is gone, read no further.
-    pub(super) fn frame(&mut self, conn: ConnId, frame: Frame<'_>, now: Micros) -> bool {
-        let Some(c) = self.plumbing.get(conn) else { return false };
-        let stage = c.stage;
-        let fault = match (&c.peer, frame) {
-            (_, Frame::Bye { close_reason, text, .. }) => {
-                info!(conn = conn.0, ?close_reason, text, "peer said goodbye");
-                self.lost(conn, "peer said goodbye", true, now);
-                return false;
-            }
-            (Peer::Fellow(Fellow::Unknown), Frame::Hello(h)) if stage == Stage::Greeting => {
-                self.fellow_greeted(conn, &h)
-            }
-            (Peer::Fellow(_), Frame::Welcome(w)) if stage == Stage::Greeting => {
-                self.fellow_welcomed(conn, &w)
-            }
-            (Peer::Fellow(_), Frame::Agreement { bytes }) if stage == Stage::Open => {
-                self.fellow_said(conn, bytes, now)
-            }
-            (Peer::Client(_), Frame::Hello(h)) if stage == Stage::Greeting => self.client_greeted(conn, &h),
-            (Peer::Client(_), Frame::Submit(s)) if stage == Stage::Open => {
-                self.submitted(conn, &s, None, now)
-            }
-            (Peer::Client(_), Frame::Barrier { id, volume, time_left }) if stage == Stage::Open => {
-                self.submitted_mark(conn, id, Mark::Barrier(volume), time_left, now)
-            }
-            (Peer::Client(_), Frame::Flush { id, volume, time_left }) if stage == Stage::Open => {
-                self.submitted_mark(conn, id, Mark::Flush(volume), time_left, now)
-            }
-            (Peer::Client(_), Frame::AskStatus { id }) if stage == Stage::Open => {
-                self.asked_status(conn, id, now);
-                Ok(())
-            }
-            (Peer::Node(node), Frame::Welcome(w)) if stage == Stage::Greeting => {
-                let node = *node;
-                self.node_greeted(conn, node, &w, now)
-            }
-            (Peer::Node(_), Frame::Done(d)) if stage == Stage::Open => {
-                self.attempt_done(conn, &d, now);
-                Ok(())
-            }
-            (Peer::Node(_), Frame::Chunk { request, attempt, payload }) if stage == Stage::Open => {
-                self.attempt_chunk(conn, request, attempt, payload);
-                Ok(())
-            }
-            (Peer::Node(node), Frame::Probed { token, .. }) if stage == Stage::Open => {
-                let node = *node;
-                self.probed(node, token, Outcome::Served);
+    fn client_frame(
+        &mut self,
+        conn: ConnId,
+        stage: Stage,
+        frame: &Frame<'_>,
+        now: Micros,
+    ) -> Result<(), PeerFault> {
+        match (stage, frame) {
+            (Stage::Greeting, Frame::Hello(hello)) => self.client_said_hello(conn, hello),
+            (Stage::Open, Frame::Submit(submit)) => self.submit(conn, submit, None, now),
+            (Stage::Open, Frame::Barrier { id, volume, time_left }) => {
+                self.submit_ordering_request(conn, *id, OrderingRequest::Barrier(*volume), *time_left, now)
+            }
+            (Stage::Open, Frame::Flush { id, volume, time_left }) => {
+                self.submit_ordering_request(conn, *id, OrderingRequest::Flush(*volume), *time_left, now)
+            }
+            (Stage::Open, Frame::AskStatus { id }) => {
+                self.send_buffer_status(conn, *id, now);
                 Ok(())
             }
-            (Peer::Discovery, Frame::Welcome(w)) if stage == Stage::Greeting => {
-                self.discovery_greeted(conn, &w, now)
+            _ => Err(PeerFault::unexpected(frame)),
+        }
+    }
+
+    fn node_frame(
+        &mut self,
+        conn: ConnId,
+        node: NodeId,
+        stage: Stage,
+        frame: &Frame<'_>,
+        now: Micros,
+    ) -> Result<(), PeerFault> {
+        match (stage, frame) {
+            (Stage::Greeting, Frame::Welcome(welcome)) => {
+                return self.node_greeted(conn, node, welcome, now);
             }
-            (Peer::Discovery, Frame::List(l)) if stage == Stage::Open => {
-                self.endpoint_list_received(conn, &l, now);
-                Ok(())
+            (Stage::Open, Frame::Done(done)) => self.attempt_done(conn, done, now),
+            (Stage::Open, Frame::Chunk { request, attempt, payload }) => {
+                self.attempt_chunk(conn, *request, *attempt, payload);
             }
-            (Peer::Discovery, Frame::ListFailed) if stage == Stage::Open => {
-                self.discovery_failed(now);
-                Ok(())
+            (Stage::Open, Frame::Probed { token, .. }) => {
+                self.probe_ended(ProbeId { node, token: *token }, Outcome::Served);
             }
-            (_, other) => Err((CloseReason::Protocol, format!("a frame that has no place here: {other:?}"))),
-        };
-        if let Err((close_reason, text)) = fault {
-            self.protocol_fault(conn, close_reason, &text, now);
+            _ => return Err(PeerFault::unexpected(frame)),
+        }
+        Ok(())
+    }
+
+    fn discovery_frame(
+        &mut self,
+        conn: ConnId,
+        stage: Stage,
+        frame: &Frame<'_>,
+        now: Micros,
+    ) -> Result<(), PeerFault> {
+        match (stage, frame) {
+            (Stage::Greeting, Frame::Welcome(welcome)) => return self.discovery_greeted(conn, welcome, now),
+            (Stage::Open, Frame::List(list)) => self.endpoint_list_received(conn, list, now),
+            (Stage::Open, Frame::ListFailed) => self.discovery_failed(now),
+            _ => return Err(PeerFault::unexpected(frame)),
         }
-        self.plumbing.get(conn).is_some()
+        Ok(())
     }
 
-    pub(super) fn protocol_fault(
+    fn agreement_frame(
         &mut self,
         conn: ConnId,
-        close_reason: CloseReason,
-        text: &str,
+        is_unidentified: bool,
+        stage: Stage,
+        frame: &Frame<'_>,
         now: Micros,
-    ) {
-        let text: String = text.chars().take(200).collect();
-        warn!(conn = conn.0, ?close_reason, text, "closing a connection for what its peer sent");
-        self.counts.protocol_faults += 1;
-        self.hang_up(conn, close_reason, &text, now);
+    ) -> Result<(), PeerFault> {
+        match (stage, frame) {
+            (Stage::Greeting, Frame::Hello(hello)) if is_unidentified => {
+                self.consensus_peer_greeted(conn, hello)
+            }
+            (Stage::Greeting, Frame::Welcome(welcome)) => self.consensus_peer_welcomed(conn, welcome),
+            (Stage::Open, Frame::Agreement { bytes }) => self.consensus_message_received(conn, bytes, now),
+            _ => Err(PeerFault::unexpected(frame)),
+        }
     }
 }
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -5,10 +5,12 @@
 //! behind a request wait until it is answered and the answer written, so that a client that sends without
 //! reading holds up only itself.
 
-use super::client_places::MUTE;
+use super::Core;
 use super::clients::Client;
-use super::plumbing::{Conn, Peer, Protocol, Stage, Timer};
-use super::{Core, Phase};
+use super::connection_slots::SILENT_EVICTABLE_AFTER;
+use super::connection_table::{Connection, Peer, Protocol, Stage};
+use super::shutdown::Phase;
+use super::timers::Timer;
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand_http::{MAX_REQUEST_BODY_BYTES, Request, RequestReader, write_response};
 use flaxstand_platform::{ClientRequest, READY, RequestLimits};
@@ -49,21 +51,27 @@
     /// By which moment it is queued among those that may give their place to a new client.
     pub(super) queued: Micros,
     /// Requests that came whole.
-    pub(super) asked: u64,
+    pub(super) requests: u64,
 }
 
 impl HttpServer {
     fn new(now: Micros) -> Self {
-        HttpServer { reader: RequestReader::default(), flow: Flow::Open, since: now, queued: now, asked: 0 }
+        HttpServer {
+            reader: RequestReader::default(),
+            flow: Flow::Open,
+            since: now,
+            queued: now,
+            requests: 0,
+        }
     }
 
-    /// Bytes held.
-    pub(super) fn held(&self) -> usize {
+    /// Bytes that were read in part.
+    pub(super) fn partial_bytes(&self) -> usize {
         self.reader.len()
     }
 
     /// Its last answer has been given: what still comes is dropped.
-    pub(super) fn is_parting(&self) -> bool {
+    pub(super) fn is_lingering(&self) -> bool {
         matches!(self.flow, Flow::Lingering(_))
     }
 
@@ -75,48 +83,57 @@
 
 impl Core {
     fn http(&mut self, conn: ConnId) -> Option<&mut HttpServer> {
-        match self.plumbing.get_mut(conn) {
-            Some(Conn { protocol: Protocol::HttpServer(http), .. }) => Some(http),
+        match self.connections.get_mut(conn) {
+            Some(Connection { protocol: Protocol::HttpServer(http), .. }) => Some(http),
             _ => None,
         }
     }
 
-    pub(super) fn http_accepted(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
+    pub(super) fn accept_http_client(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         // While the process stops it listens no more; who had connected before that is told so once it has asked.
-        let open = self.phase != Phase::Stopped;
-        if !open || self.clients >= self.config.bounds.max_clients && !self.make_room(now) {
-            debug!(clients = self.clients, "client turned away");
+        let open = self.shutdown.phase() != Phase::Stopped;
+        if !open || self.clients.len() >= self.config.bounds.max_clients && !self.evict_client(now) {
+            debug!(clients = self.clients.len(), "client rejected");
             let mut bytes = Vec::new();
             write_response(&mut bytes, 503, &[], b"no room\n", false);
             return Err(bytes);
         }
-        self.clients += 1;
+        self.clients.connected();
         let protocol = Protocol::HttpServer(HttpServer::new(now));
-        let conn = self.plumbing.open(Peer::Client(Client::default()), Stage::Open, protocol);
-        self.places.add(conn, now);
-        self.plumbing.at(now.after(self.config.site.timeouts.greeting_timeout), Timer::Quiet(conn));
+        let conn = self.connections.open(Peer::Client(Client::default()), Stage::Open, protocol);
+        self.clients.slots.add(conn, now);
+        self.timers.set(now.after(self.config.site.timeouts.greeting_timeout), Timer::StallCheck(conn));
         Ok(conn)
     }
 
+    /// Closes the client that gives its slot to a new one, if there is one.
+    fn evict_client(&mut self, now: Micros) -> bool {
+        let evicted = self.clients.slots.evictable(&mut self.connections, now);
+        if let Some(conn) = evicted {
+            self.close(conn, "its place is needed", now);
+        }
+        evicted.is_some()
+    }
+
     pub(super) fn http_received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
         let Some(http) = self.http(conn) else { return };
         match &mut http.flow {
             Flow::Lingering(left) if *left > bytes.len() => *left -= bytes.len(),
-            Flow::Lingering(_) => self.lost(conn, "it goes on after an error", true, now),
+            Flow::Lingering(_) => self.close(conn, "it goes on after an error", now),
             Flow::Open | Flow::LastAnswer => {
-                if http.reader.is_empty() && http.asked > 0 {
+                if http.reader.is_empty() && http.requests > 0 {
                     http.since = now;
                 }
                 http.reader.push(bytes);
                 let full = !http.wants_read();
-                self.plumbing.partial_bytes += bytes.len();
-                if self.plumbing.partial_bytes > self.config.bounds.max_partial_request_bytes {
-                    self.turn_away(conn, 503, "too much is on its way in", now);
+                self.connections.add_partial_bytes(bytes.len());
+                if self.connections.partial_bytes() > self.config.bounds.max_partial_request_bytes {
+                    self.reject_malformed(conn, 503, "too much is on its way in", now);
                 } else {
                     self.read_http(conn, now);
                 }
                 if full {
-                    self.plumbing.command(Command::Flush(conn));
+                    self.connections.command(Command::Flush(conn));
                 }
             }
         }
@@ -125,9 +142,12 @@
     /// Reads the next request, unless one is open or its answer is not yet written.
     fn read_http(&mut self, conn: ConnId, now: Micros) {
         loop {
-            let Some(Conn {
-                peer: Peer::Client(client), protocol: Protocol::HttpServer(http), outbox, ..
-            }) = self.plumbing.get_mut(conn)
+            let Some(Connection {
+                peer: Peer::Client(client),
+                protocol: Protocol::HttpServer(http),
+                outbox,
+                ..
+            }) = self.connections.get_mut(conn)
             else {
                 return;
             };
@@ -142,30 +162,30 @@
             match http.reader.take() {
                 Ok(Some(request)) => {
                     let read = before - http.reader.len();
-                    (http.asked, http.since) = (http.asked + 1, now);
+                    (http.requests, http.since) = (http.requests + 1, now);
                     if !request.keeps_alive {
                         http.flow = Flow::LastAnswer;
                     }
-                    self.plumbing.partial_bytes -= read;
-                    self.asked(conn, request, now);
+                    self.connections.sub_partial_bytes(read);
+                    self.handle_request(conn, request, now);
                 }
                 Ok(None) => {
                     // The first has its time from when the connection stood.
-                    if http.asked > 0 {
+                    if http.requests > 0 {
                         let due = http.since.after(self.config.site.timeouts.greeting_timeout);
-                        self.plumbing.at(due, Timer::Quiet(conn));
+                        self.timers.set(due, Timer::StallCheck(conn));
                     }
                     return;
                 }
-                Err(fault) => return self.turn_away(conn, fault.status(), &fault.to_string(), now),
+                Err(fault) => return self.reject_malformed(conn, fault.status(), &fault.to_string(), now),
             }
         }
     }
 
     /// A whole request came.
-    fn asked(&mut self, conn: ConnId, request: Request, now: Micros) {
+    fn handle_request(&mut self, conn: ConnId, request: Request, now: Micros) {
         if request.target == READY {
-            let ready = self.phase == Phase::Running && self.nodes.any_serves();
+            let ready = self.shutdown.phase() == Phase::Running && self.nodes.any_serves();
             return self.respond(conn, if ready { 200 } else { 503 }, &[], b"", now);
         }
         let settings = &self.config.site.settings;
@@ -183,14 +203,14 @@
                 return self.respond(conn, bad.status(), &[], format!("{bad}\n").as_bytes(), now);
             }
         };
-        if self.open_ids.contains(r.id) {
+        if self.requests.has_client_id(r.id) {
             debug!(conn = conn.0, id = r.id, "an id that is open");
             self.counts.protocol_faults += 1;
             return self.respond(conn, 409, &[], b"a request with this id is open\n", now);
         }
         let deadline = Micros::from_ms(settings.classes[usize::from(r.class)].deadline).0;
         let submit = Submit {
-            id: self.http(conn).map_or(0, |http| http.asked),
+            id: self.http(conn).map_or(0, |http| http.requests),
             operation: 0,
             class: r.class,
             plan: r.plan,
@@ -213,19 +233,19 @@
             id: r.id.to_owned(),
             key: r.idempotency_key.map(str::to_owned),
         };
-        if let Err((_, text)) = self.submitted(conn, &submit, Some(origin), now) {
-            self.respond(conn, 400, &[], text.as_bytes(), now);
+        if let Err(fault) = self.submit(conn, &submit, Some(origin), now) {
+            self.respond(conn, 400, &[], fault.text.as_bytes(), now);
         }
     }
 
     /// A request's final answer, in the words of the client's wire.
-    pub(super) fn tell_client(&mut self, conn: ConnId, frame: &Frame<'_>, now: Micros) {
-        if self.plumbing.speaks_frames(conn) {
-            self.plumbing.push(conn, frame);
+    pub(super) fn send_to_client(&mut self, conn: ConnId, frame: &Frame<'_>, now: Micros) {
+        if self.connections.speaks_frames(conn) {
+            self.connections.send_frame(conn, frame);
             return;
         }
         match frame {
-            Frame::Served { payload, .. } if !self.has_room(payload.len()) => {
+            Frame::Served { payload, .. } if !self.has_output_capacity(payload.len()) => {
                 debug!(
                     conn = conn.0,
                     bytes = payload.len(),
@@ -245,9 +265,9 @@
 
     /// Guards the memory against clients that read large answers slowly, or not at all: what waits for all of them
     /// has a bound. An answer beyond it fails.
-    fn has_room(&self, bytes: usize) -> bool {
+    fn has_output_capacity(&self, bytes: usize) -> bool {
         bytes <= MAX_REQUEST_BODY_BYTES
-            || bytes + self.plumbing.unread_bytes() <= self.config.bounds.max_response_bytes
+            || bytes + self.connections.unread_bytes() <= self.config.bounds.max_response_bytes
     }
 
     /// Answers the request that a client has open.
@@ -259,53 +279,54 @@
         body: &[u8],
         now: Micros,
     ) {
-        let stays = self.phase != Phase::Stopping;
+        let stays = self.shutdown.phase() != Phase::Stopping;
         let Some(http) = self.http(conn) else { return };
         if !stays && http.flow == Flow::Open {
             http.flow = Flow::LastAnswer;
         }
         http.since = now;
         let keeps = http.flow == Flow::Open;
-        self.plumbing.put(conn, |bytes| write_response(bytes, status, fields, body, keeps));
+        self.connections.write(conn, |bytes| write_response(bytes, status, fields, body, keeps));
     }
 
     /// An error for what can't be read any further. What is still on its way is dropped, so that the client
     /// can read the error.
-    fn turn_away(&mut self, conn: ConnId, status: u16, text: &str, now: Micros) {
+    fn reject_malformed(&mut self, conn: ConnId, status: u16, text: &str, now: Micros) {
         debug!(conn = conn.0, status, text, "closing a connection for what its peer sent");
         self.counts.protocol_faults += 1;
         self.linger(conn, now);
-        self.plumbing
-            .put(conn, |bytes| write_response(bytes, status, &[], format!("{text}\n").as_bytes(), false));
+        self.connections
+            .write(conn, |bytes| write_response(bytes, status, &[], format!("{text}\n").as_bytes(), false));
     }
 
     /// Nothing more is read of a client; what still comes is dropped for a while.
     fn linger(&mut self, conn: ConnId, now: Micros) {
         let Some(http) = self.http(conn) else { return };
-        let held = http.held();
+        let partial = http.partial_bytes();
         http.reader = RequestReader::default();
         (http.flow, http.since) = (Flow::Lingering(LINGER_BYTES), now);
         let queued = std::mem::replace(&mut http.queued, now);
-        self.places.part(conn, queued, now);
-        self.plumbing.partial_bytes -= held;
+        self.clients.slots.start_lingering(conn, queued, now);
+        self.connections.sub_partial_bytes(partial);
         // The client reads to the end of what it was sent and closes in its turn (RFC 9112, 9.6).
-        self.plumbing.command(Command::ShutdownWrite(conn));
-        self.plumbing.at(now.after(LINGER), Timer::Quiet(conn));
+        self.connections.command(Command::ShutdownWrite(conn));
+        self.timers.set(now.after(LINGER), Timer::StallCheck(conn));
     }
 
     /// Something was written, or added: the next request can be read once all is written.
     pub(super) fn http_wrote(&mut self, conn: ConnId, now: Micros) {
-        let Some(Conn { peer: Peer::Client(client), protocol: Protocol::HttpServer(http), outbox, .. }) =
-            self.plumbing.get_mut(conn)
+        let Some(Connection {
+            peer: Peer::Client(client), protocol: Protocol::HttpServer(http), outbox, ..
+        }) = self.connections.get_mut(conn)
         else {
             return;
         };
         if !outbox.is_empty() || !client.owed.is_empty() {
             return;
         }
-        if client.finished {
+        if client.is_half_closed {
             // What it sent behind its last request is not begun: it has gone.
-            return self.lost(conn, "client has all it waits for", true, now);
+            return self.close(conn, "client has all it waits for", now);
         }
         let full = !http.wants_read();
         match http.flow {
@@ -316,37 +337,37 @@
         }
         if full {
             // It may be read again.
-            self.plumbing.command(Command::Flush(conn));
+            self.connections.command(Command::Flush(conn));
         }
     }
 
     /// Looks whether a connection was at one thing for too long. Guards against heads that never end, half
     /// requests and silent clients.
-    pub(super) fn http_quiet(&mut self, conn: ConnId, now: Micros) {
+    pub(super) fn check_http_stalled(&mut self, conn: ConnId, now: Micros) {
         let most = self.config.site.timeouts.greeting_timeout;
-        let Some(Conn { peer: Peer::Client(client), protocol: Protocol::HttpServer(http), .. }) =
-            self.plumbing.get(conn)
+        let Some(Connection { peer: Peer::Client(client), protocol: Protocol::HttpServer(http), .. }) =
+            self.connections.get(conn)
         else {
             return;
         };
         let waited = now.since(http.since);
         match http.flow {
-            Flow::Lingering(_) if waited >= LINGER => self.lost(conn, "parted", true, now),
+            Flow::Lingering(_) if waited >= LINGER => self.close(conn, "parted", now),
             Flow::Lingering(_) => {}
             _ if !client.owed.is_empty() || waited < most => {}
             // Silent since it stood: nothing was asked that an answer could be for.
-            _ if http.asked == 0 && http.reader.is_empty() => self.lost(conn, "silent", true, now),
-            _ if !http.reader.is_empty() => self.turn_away(conn, 408, "the request does not end", now),
+            _ if http.requests == 0 && http.reader.is_empty() => self.close(conn, "silent", now),
+            _ if !http.reader.is_empty() => self.reject_malformed(conn, 408, "the request does not end", now),
             _ => {}
         }
     }
 
     /// Nothing new is taken: connections that rest are shut, so that a request that crosses this is not read and its
     /// client asks elsewhere; the others after their answer. New ones are left until they have asked.
-    pub(super) fn part_with_clients(&mut self, now: Micros) {
-        let rests = |c: &Conn| match (&c.peer, &c.protocol) {
+    pub(super) fn drain_http_clients(&mut self, now: Micros) {
+        let rests = |c: &Connection| match (&c.peer, &c.protocol) {
             (Peer::Client(client), Protocol::HttpServer(http)) => {
-                let old = http.asked > 0 || now.since(http.since) >= MUTE;
+                let old = http.requests > 0 || now.since(http.since) >= SILENT_EVICTABLE_AFTER;
                 old && client.owed.is_empty()
                     && c.outbox.is_empty()
                     && http.reader.is_empty()
@@ -355,7 +376,7 @@
             _ => false,
         };
         let rests: Vec<ConnId> =
-            self.plumbing.iter().filter(|(_, c)| rests(c)).map(|(conn, _)| conn).collect();
+            self.connections.iter().filter(|(_, c)| rests(c)).map(|(conn, _)| conn).collect();
         rests.into_iter().for_each(|conn| self.linger(conn, now));
     }
 }
--- a/crates/flaxstand-gateway/src/settings/site.rs
+++ b/crates/flaxstand-gateway/src/settings/site.rs
@@ -227,17 +227,21 @@
     let volumes = block.integers("volumes", 0..=u64::MAX >> 1);
     let flush_modes = [("nodes", false), ("here", true)];
     let limits = BufferLimits {
-        bytes: bytes("bytes", defaults.bytes),
-        volume_bytes: bytes("volume-bytes", defaults.volume_bytes),
-        age: Micros::from_ms(block.number("age-ms", POSITIVE_MILLISECONDS, Some(defaults.age.ms()))),
-        linger: time("linger-ms", defaults.linger),
-        record_linger: time("record-linger-ms", defaults.record_linger),
-        slow: time("slow-ms", defaults.slow),
-        waiting: block.integer("waiting", 1..=1 << 24, Some(defaults.waiting as u64)) as usize,
-        flush_here: block.choice("flush", &flush_modes, Some(false)).unwrap_or(false),
+        max_bytes: bytes("bytes", defaults.max_bytes),
+        max_volume_bytes: bytes("volume-bytes", defaults.max_volume_bytes),
+        target_age: Micros::from_ms(block.number(
+            "age-ms",
+            POSITIVE_MILLISECONDS,
+            Some(defaults.target_age.ms()),
+        )),
+        merge_delay: time("linger-ms", defaults.merge_delay),
+        record_delay: time("record-linger-ms", defaults.record_delay),
+        max_ack_delay: time("slow-ms", defaults.max_ack_delay),
+        max_waiting: block.integer("waiting", 1..=1 << 24, Some(defaults.max_waiting as u64)) as usize,
+        flush_when_durable: block.choice("flush", &flush_modes, Some(false)).unwrap_or(false),
     };
-    if limits.linger > limits.age {
-        let (linger, age) = (limits.linger.ms(), limits.age.ms());
+    if limits.merge_delay > limits.target_age {
+        let (linger, age) = (limits.merge_delay.ms(), limits.target_age.ms());
         block.report(format!("linger-ms is {linger}, expected at most age-ms, {age}"));
     }
     block.reject_unknown_keys();
--- a/crates/flaxstand-gateway/tests/crossings_drawn.rs
+++ b/crates/flaxstand-gateway/tests/crossings_drawn.rs
@@ -178,7 +178,7 @@
                 let Some(conn) = self.pick(clients) else { return };
                 let (asked, answered) = self.clients.remove(&conn).unwrap();
                 asked[answered..].iter().for_each(|id| self.seen.push((self.w.now, Seen::Gone(*id))));
-                if !self.w.core.finished(conn, self.w.now) {
+                if !self.w.core.peer_finished(conn, self.w.now) {
                     self.w.core.closed(conn, "closed by peer", self.w.now);
                 }
             }
@@ -203,7 +203,7 @@
                     }
                     _ => {
                         self.w.says(conn, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf");
-                        if self.draw(2) == 0 && !self.w.core.finished(conn, now) {
+                        if self.draw(2) == 0 && !self.w.core.peer_finished(conn, now) {
                             self.w.core.closed(conn, "closed by peer", now);
                             self.w.closed.insert(conn);
                             self.w.called.remove(&conn);
@@ -285,7 +285,7 @@
             panic!("seed {seed}, step {step}: {what}");
         }
         let held = p.w.core.footprint();
-        assert!(held.conns <= CLIENTS + LINKS + 1, "seed {seed}, step {step}: {held:?}");
+        assert!(held.connections <= CLIENTS + LINKS + 1, "seed {seed}, step {step}: {held:?}");
     }
     // A stop, in the middle of all that: everything is answered, and nothing is left.
     p.w.core.control(Control::Stop, p.w.now);
@@ -301,7 +301,7 @@
         panic!("seed {seed}, in the stop: {what}");
     }
     let held = p.w.core.footprint();
-    assert_eq!((held.conns, held.partial_bytes), (0, 0), "seed {seed}: {held:?}");
+    assert_eq!((held.connections, held.partial_bytes), (0, 0), "seed {seed}: {held:?}");
     let answered = |id: &u32| p.seen.iter().any(|(_, s)| *s == Seen::Answered(*id));
     // What stands behind an unanswered request of a client is not read.
     for (asked, _) in p.clients.values() {
--- a/crates/flaxstand-gateway/tests/writeback.rs
+++ b/crates/flaxstand-gateway/tests/writeback.rs
@@ -17,8 +17,12 @@
     let mut c = config();
     c.site.classes[0].is_buffered = true;
     c.site.settings.key_cooldown = 20.0;
-    let rules =
-        BufferLimits { linger: Micros(0), record_linger: ms(5), age: ms(2000), ..BufferLimits::default() };
+    let rules = BufferLimits {
+        merge_delay: Micros(0),
+        record_delay: ms(5),
+        target_age: ms(2000),
+        ..BufferLimits::default()
+    };
     c.site.write_back = Some(WriteBack { limits: rules, volumes: None });
     c
 }
@@ -94,7 +98,7 @@
             }
             let Some(batch) = self.w.batches.pop_front() else { return };
             let well = perform(&mut self.disk, &batch).is_ok();
-            self.w.core.stored(well, self.w.now);
+            self.w.core.write_back_stored(well, self.w.now);
             self.w.run(6);
         }
     }
@@ -154,7 +158,7 @@
     d.write(1, ORDER, 7, None, b"seat");
     let batch = d.w.batches.pop_front().unwrap();
     assert!(perform(&mut d.disk, &batch).is_err());
-    d.w.core.stored(false, d.w.now);
+    d.w.core.write_back_stored(false, d.w.now);
     d.w.run(1);
     assert_eq!(d.answers(), []);
     // Meanwhile another extent's write goes through.
