--- a/crates/flaxstand-gateway/src/core/admission.rs
+++ b/crates/flaxstand-gateway/src/core/admission.rs
@@ -87,7 +87,7 @@
 
     /// A client's request has ended: the throttle learns how.
     pub(super) fn record_end(&mut self, request: &PendingRequest, now: Micros) {
-        let is_of_client = matches!(request.original_owner, Owner::Client(..));
+        let is_of_client = matches!(request.original_owner, Owner::Client { .. });
         if request.is_end_recorded || request.is_ordering_request || !is_of_client {
             return;
         }
--- a/crates/flaxstand-gateway/src/core/buffered_requests.rs
+++ b/crates/flaxstand-gateway/src/core/buffered_requests.rs
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// The buffer looks at all that it was told. Returns when it wants to look again.
+    /// Settles the buffer and does what it wants done. Returns when to settle it next.
     pub(super) fn settle_buffer(&mut self, now: Micros) -> Option<Micros> {
         loop {
             let (wake, actions) = self.write_back.as_mut()?.settle(now);
--- a/crates/flaxstand-gateway/src/core/connection_table.rs
+++ b/crates/flaxstand-gateway/src/core/connection_table.rs
@@ -141,7 +141,7 @@
         self.walked.set(self.walked.get() + 1);
     }
 
-    /// How many connections were gone through since the start.
+    /// How many connections were iterated over since the start.
     pub(super) fn walked(&self) -> u64 {
         self.walked.get()
     }
--- a/crates/flaxstand-gateway/src/core/decision_policy.rs
+++ b/crates/flaxstand-gateway/src/core/decision_policy.rs
@@ -15,7 +15,7 @@
 }
 
 impl DecisionPolicy {
-    /// The one that the configuration names, told these settings.
+    /// The policy that the configuration names, with these settings.
     pub(super) fn new(config: &Config, settings: Settings, now: Micros) -> Self {
         let baseline = |placement| DecisionPolicy::Baseline(BaselinePolicy::new(placement, config.seed));
         match config.policy {
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -102,7 +102,7 @@
 pub struct Core {
     config: Config,
     policy: DecisionPolicy,
-    /// Classes that the module was told of: the site's, and after them those of write-outs, if there are any.
+    /// The module's classes: the site's, and after them those of write-outs, if there are any.
     module_classes: Vec<Class>,
     write_back: Option<WriteBackCoordinator>,
     agreed: Option<Agreed>,
@@ -121,7 +121,7 @@
     class_names: Vec<String>,
     list: ListPeer,
     endpoint_trust: EndpointTrust,
-    /// Events for the module that its own actions caused, or that came since it last decided.
+    /// Events that wait to be delivered to the module.
     events: VecDeque<Event>,
     evaluation: EvaluationSchedule,
     shutdown: Shutdown,
--- a/crates/flaxstand-gateway/src/core/node_connections.rs
+++ b/crates/flaxstand-gateway/src/core/node_connections.rs
@@ -233,7 +233,7 @@
         if !std::mem::replace(&mut pending.is_streaming, true) {
             self.events.push_back(Event::ResponseStarted(id.request));
         }
-        if let Some(Owner::Client(client, client_id)) = pending.owner {
+        if let Some(Owner::Client { conn: client, client_id }) = pending.owner {
             self.connections.send_frame(client, &Frame::Part { id: client_id, payload });
         }
     }
--- a/crates/flaxstand-gateway/src/core/pending_request.rs
+++ b/crates/flaxstand-gateway/src/core/pending_request.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Owner {
     /// A client, by its connection and its own number for the request.
-    Client(ConnId, u64),
+    Client { conn: ConnId, client_id: u64 },
     /// The write-back buffer.
     Buffer(WriteOutId),
 }
@@ -44,7 +44,7 @@
 /// Who handles a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Handler {
-    /// The module. `passed_on`: the buffer had it before and is told of its end.
+    /// The module. `passed_on`: the buffer had it before and hears of its end.
     Module { passed_on: bool },
     /// The write-back buffer; the module has not heard of it.
     Buffer,
@@ -161,13 +161,17 @@
             volume_initiators: s.volume_initiators,
             offset: s.at,
             payload: s.payload.to_vec(),
-            ..Self::empty(Owner::Client(conn, s.id), Handler::Module { passed_on: false }, expires_at)
+            ..Self::empty(
+                Owner::Client { conn, client_id: s.id },
+                Handler::Module { passed_on: false },
+                expires_at,
+            )
         }
     }
 
     /// A client's barrier or flush.
     pub(super) fn ordering_request(conn: ConnId, client_id: u64, expires_at: Micros) -> Self {
-        let owner = Owner::Client(conn, client_id);
+        let owner = Owner::Client { conn, client_id };
         PendingRequest { is_ordering_request: true, ..Self::empty(owner, Handler::Buffer, expires_at) }
     }
 
@@ -189,7 +193,7 @@
         }
     }
 
-    /// What the module is told of it; `class` is the module's.
+    /// Its arrival, for the module; `class` is the module's.
     pub(super) fn arrival(&self, id: RequestId, class: usize) -> Arrival {
         Arrival {
             id,
--- a/crates/flaxstand-gateway/src/core/pooled_attempts.rs
+++ b/crates/flaxstand-gateway/src/core/pooled_attempts.rs
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Sends by the newest idle connection to the node, by one that has rested if there is one, or by a new
-    /// one.
+    /// Sends by the newest idle connection to the node, by one whose last response can't be repeated any more
+    /// if there is one, or by a new one.
     pub(super) fn send_pooled(&mut self, at: NodeId, exchange: PooledExchange, now: Micros) {
         let Some(address) = self.nodes.get(at).map(|node| node.address.clone()) else { return };
         let rested = |conn: &ConnId| match self.connections.get(*conn).map(|c| &c.protocol) {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The peer ended its stream in good order: an answer that says no length is whole.
+    /// The peer ended its stream in good order: a response that states no length is whole.
     pub(super) fn pooled_finished(&mut self, conn: ConnId, now: Micros) {
         let Some(pooled) = self.pooled_connection(conn) else { return };
         let before = pooled.partial_bytes();
@@ -181,7 +181,7 @@
         self.pooled_answered(conn, &answer, now);
     }
 
-    /// What came is no answer; what was asked may have run.
+    /// What came is no valid response; what was asked may have run.
     fn response_invalid(&mut self, conn: ConnId, why: &dyn Display, now: Micros) {
         self.counts.protocol_faults += 1;
         let Some(pooled) = self.pooled_connection(conn) else { return };
@@ -210,7 +210,7 @@
         }
         match (exchange, outcome_of(answer)) {
             (PooledExchange::Attempt(attempt), Outcome::Served) => {
-                // Which shard it is from, no client on this wire is told.
+                // Clients on this wire do not learn the shard.
                 self.attempt_served(attempt, 0, &answer.body, now);
             }
             (exchange, outcome) => self.end_exchange(exchange, outcome, now),
@@ -310,7 +310,7 @@
         }
     }
 
-    /// Looks whether a connection was at one thing for too long.
+    /// Checks whether a connection has made no progress for too long.
     pub(super) fn check_stalled(&mut self, conn: ConnId, now: Micros) {
         match self.connections.get_mut(conn) {
             Some(Connection { protocol: Protocol::HttpClient(pooled), .. }) => match pooled.stalls_at() {
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -51,7 +51,7 @@
 
     /// Whether a client waits for it; else the buffer, or nobody.
     pub(super) fn is_client_waiting(&self, id: RequestId) -> bool {
-        self.requests.get(id).is_some_and(|request| matches!(request.owner, Some(Owner::Client(..))))
+        self.requests.get(id).is_some_and(|request| matches!(request.owner, Some(Owner::Client { .. })))
     }
 
     /// The one place from which a request's final answer is sent.
@@ -66,7 +66,7 @@
         let Some(owner) = pending.owner.take() else { return };
         pending.final_answer = final_answer;
         pending.payload = Vec::new();
-        let Owner::Client(conn, client_id) = owner else { return self.remove_if_finished(id, now) };
+        let Owner::Client { conn, client_id } = owner else { return self.remove_if_finished(id, now) };
         if let Some(Peer::Client(client)) = self.connections.get_mut(conn).map(|c| &mut c.peer) {
             client.owed.remove(&client_id);
         }
--- a/crates/flaxstand-gateway/src/core/write_back.rs
+++ b/crates/flaxstand-gateway/src/core/write_back.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The buffer looks at all that it was told. Returns when it wants to look again, and what is to be done.
+    /// Settles the buffer. Returns when to settle it next, and what is to be done.
     pub(super) fn settle(&mut self, now: Micros) -> (Option<Micros>, Vec<Action>) {
         let wake = self.buffer.settle(now);
         (wake, self.buffer.take_actions())
@@ -138,7 +138,7 @@
     pub(super) fn record_end(&mut self, id: RequestId, request: &PendingRequest, now: Micros) {
         match request.original_owner {
             Owner::Buffer(write_out) => self.record_write_out_end(write_out, request, now),
-            Owner::Client(..) => self.record_client_request_end(WriteHandle(id.0), request, now),
+            Owner::Client { .. } => self.record_client_request_end(WriteHandle(id.0), request, now),
         }
     }
 
--- a/crates/flaxstand-gateway/src/core/write_out_classes.rs
+++ b/crates/flaxstand-gateway/src/core/write_out_classes.rs
@@ -1,4 +1,5 @@
-//! What the decision module and the write-back buffer are told of write-outs, from the site's settings.
+//! Classes of write-outs for the decision module, and the write-back buffer's configuration, from the
+//! site's settings.
 
 use super::config::{Site, WriteBack};
 use crate::machine::Micros;
