--- a/crates/flaxstand-gateway/tests/driver.rs
+++ b/crates/flaxstand-gateway/tests/driver.rs
@@ -153,11 +153,14 @@
     assert!(machine.failed.iter().any(|c| c.contains("refused")), "{:?}", machine.failed);
 }
 
-/// Saves and appends step by step, and counts what failed.
+/// Saves and appends step by step, and counts what failed. It pauses after each step: after a long turn the driver
+/// settles the machine once more before it carries out the commands, and the next step would come before the result
+/// of this one.
 struct Saver {
     steps: std::vec::IntoIter<(Command, Option<PathBuf>)>,
     failures: Vec<usize>,
     step: usize,
+    pauses: bool,
     commands: Vec<Command>,
 }
 
@@ -183,7 +186,11 @@
         self.failures.push(self.step);
     }
     fn control(&mut self, _control: Control, _now: Micros) {}
-    fn settle(&mut self, _now: Micros) -> Option<Micros> {
+    fn settle(&mut self, now: Micros) -> Option<Micros> {
+        self.pauses = !self.pauses;
+        if self.pauses {
+            return Some(now);
+        }
         match self.steps.next() {
             Some((command, removed)) => {
                 self.step += 1;
@@ -194,7 +201,7 @@
             }
             None => self.commands.push(Command::Exit),
         }
-        None
+        Some(now)
     }
     fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
@@ -218,7 +225,13 @@
         (save(b"four "), None),
         (more(b"five"), None),
     ];
-    let machine = Saver { steps: steps.into_iter(), failures: Vec::new(), step: 0, commands: Vec::new() };
+    let machine = Saver {
+        steps: steps.into_iter(),
+        failures: Vec::new(),
+        step: 0,
+        pauses: false,
+        commands: Vec::new(),
+    };
     let options = Options { saved_list: Some(path.clone()), ..Options::default() };
     let machine = Driver::new(machine, options).unwrap().run().unwrap();
     assert_eq!(machine.failures, [1, 6]);
