--- a/crates/flaxstand-simulation/src/experiment.rs
+++ b/crates/flaxstand-simulation/src/experiment.rs
@@ -124,7 +124,11 @@
         Ok(experiment)
     }
 
-    fn read(name: &str, text: &str) -> Result<(Experiment, Vec<String>), SettingsError> {
+    /// Reads an experiment and the paths of its days' files.
+    ///
+    /// # Errors
+    /// What is wrong with the file, each with its place.
+    pub fn read(name: &str, text: &str) -> Result<(Experiment, Vec<String>), SettingsError> {
         let source = Source::new(name, text);
         let document = source.parse()?;
         let root = Block::document(&source, &document);
@@ -302,7 +306,7 @@
 ];
 
 /// Mean, and half of its 95% interval; infinite for fewer than two.
-fn interval(values: &[f64]) -> (f64, f64) {
+pub fn interval(values: &[f64]) -> (f64, f64) {
     let n = values.len() as f64;
     let mean = values.iter().sum::<f64>() / n.max(1.0);
     if values.len() < 2 {
@@ -353,24 +357,3 @@
         out
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn intervals_are_students() {
-        let (mean, half) = interval(&[1.0, 2.0, 3.0, 4.0, 5.0]);
-        assert!((mean - 3.0).abs() < 1e-12 && (half - 1.963).abs() < 0.001, "{mean} {half}");
-        assert_eq!(interval(&[1.0]).1, f64::INFINITY);
-    }
-
-    #[test]
-    fn files_with_mistakes_are_told() {
-        let bad =
-            "experiment \"x\" {\n    seeds 3 1\n    day \"d.kdl\"\n    variant \"v\" policy=\"magic\"\n}\n";
-        let problems = Experiment::read("e.kdl", bad).unwrap_err().problems;
-        let lines: Vec<usize> = problems.iter().map(|p| p.line).collect();
-        assert_eq!(lines, [2, 4], "{problems:?}");
-    }
-}
--- a/crates/flaxstand-simulation/src/lib.rs
+++ b/crates/flaxstand-simulation/src/lib.rs
@@ -30,7 +30,7 @@
 pub mod world;
 
 /// A draw from 0 to 1.
-pub(crate) fn random(rng: &mut impl rand_core::RngCore) -> f64 {
+pub fn random(rng: &mut impl rand_core::RngCore) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
--- a/crates/flaxstand-simulation/src/list.rs
+++ b/crates/flaxstand-simulation/src/list.rs
@@ -29,15 +29,23 @@
     format!("node {node} {incarnation} {state} {shard} {zone} {age} {address}")
 }
 
-#[derive(Clone)]
-struct Listed {
-    node: u64,
-    incarnation: u64,
-    state: State,
-    shard: u32,
-    zone: u32,
-    booted: Option<Micros>,
-    address: String,
+/// What the list service says of a node.
+#[derive(Clone, Debug)]
+pub struct Listed {
+    /// The node's number.
+    pub node: u64,
+    /// Its start.
+    pub incarnation: u64,
+    /// Its state.
+    pub state: State,
+    /// The shard that it holds.
+    pub shard: u32,
+    /// Its zone.
+    pub zone: u32,
+    /// When it started; none: long past.
+    pub booted: Option<Micros>,
+    /// Where it is called.
+    pub address: String,
 }
 
 impl Listed {
@@ -116,7 +124,8 @@
         }
     }
 
-    fn parse(words: &[&str], now: Micros) -> Option<Listed> {
+    /// A line as [`node_line`] writes it, without its first word; none: it is no such line.
+    pub fn parse(words: &[&str], now: Micros) -> Option<Listed> {
         let [node, incarnation, state, shard, zone, age, address] = words else { return None };
         Some(Listed {
             node: node.parse().ok()?,
@@ -217,19 +226,3 @@
         self.coming.front().map(|(at, _)| *at)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_line_that_is_told_is_the_line_that_is_read() {
-        let line = node_line(7, 2, "draining", 3, 1, "250", "127.0.0.1:9");
-        let words: Vec<&str> = line.split_whitespace().skip(1).collect();
-        let now = Micros::from_ms(1000.0);
-        let read = ListService::parse(&words, now).expect("it is a node's line");
-        assert_eq!((read.node, read.incarnation, read.state), (7, 2, State::Draining));
-        assert_eq!((read.shard, read.zone, read.address.as_str()), (3, 1, "127.0.0.1:9"));
-        assert_eq!(read.booted, Some(Micros::from_ms(750.0)));
-    }
-}
