--- a/crates/flaxstand-simulation/src/agreed.rs
+++ b/crates/flaxstand-simulation/src/agreed.rs
@@ -16,6 +16,7 @@
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
+use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// How long an initiator has for an answer.
@@ -168,15 +169,26 @@
     None
 }
 
+/// Second octets of the addresses that [`listeners`] gives: the first of them, and how many there are.
+const FIRST_LISTENER_OCTET: u8 = 64;
+const LISTENER_OCTETS: u32 = 32;
+/// Calls of [`listeners`] in this process.
+static LISTENER_CALLS: AtomicU32 = AtomicU32::new(0);
+
 /// Addresses to listen at, also again after a restart: of loopback, but none from which calls are made, so that the
 /// system gives their ports to no call.
 ///
+/// Each call in a process gives other IP addresses than those before it, 32 of them. Guards against one port for two
+/// sites: a port is free again when this returns, and the system may give it to the next call.
+///
 /// # Errors
 /// There are none to be had.
 pub fn listeners(count: usize) -> io::Result<Vec<SocketAddr>> {
     let near = (std::process::id() % 200) as u8;
+    let call = LISTENER_CALLS.fetch_add(1, Ordering::Relaxed) % LISTENER_OCTETS;
+    let second = FIRST_LISTENER_OCTET + call as u8;
     (0..count)
-        .map(|i| TcpListener::bind((Ipv4Addr::new(127, 77, near, 1 + (i % 250) as u8), 0))?.local_addr())
+        .map(|i| TcpListener::bind((Ipv4Addr::new(127, second, near, 1 + (i % 250) as u8), 0))?.local_addr())
         .collect()
 }
 
