--- a/crates/flaxstand-consensus/src/replica/leader.rs
+++ b/crates/flaxstand-consensus/src/replica/leader.rs
@@ -1,7 +1,7 @@
 //! What a leader does: sends entries and heartbeats, counts who has them, steps down when no majority
 //! answers.
 
-use super::progress::RecoveringReplica;
+use super::progress::{Progress, RecoveringReplica};
 use super::{InjectedFault, MAX_MESSAGE_BYTES, Replica, Role};
 use crate::message::MessageBody;
 use crate::replica_id::ReplicaId;
@@ -99,6 +99,26 @@
         self.send(to, body);
     }
 
+    /// An answer to entries that were sent; the sender's progress, if it counts in this term. A later term ends
+    /// this leadership.
+    fn record_append_response(
+        &mut self,
+        from: &ReplicaId,
+        term: u64,
+        request_sent_at: Micros,
+        now: Micros,
+    ) -> Option<&mut Progress> {
+        if term > self.state().term {
+            self.become_follower(term, now);
+            return None;
+        }
+        let is_current = term == self.state().term;
+        let Role::Leader(leader) = &mut self.role else { return None };
+        let peer = leader.peers.get_mut(from).filter(|_| is_current)?;
+        peer.record_response(request_sent_at, now);
+        Some(peer)
+    }
+
     /// The sender has all entries up to `match_index` durable, those sent included.
     pub(super) fn handle_append_accepted(
         &mut self,
@@ -108,15 +128,9 @@
         request_sent_at: Micros,
         now: Micros,
     ) {
-        if term > self.state().term {
-            return self.become_follower(term, now);
-        }
-        let is_current = term == self.state().term;
         let last_index = self.last_index();
         let queued_records = self.persistent.journal().queued_records();
-        let Role::Leader(leader) = &mut self.role else { return };
-        let Some(peer) = leader.peers.get_mut(from).filter(|_| is_current) else { return };
-        peer.record_response(request_sent_at, now);
+        let Some(peer) = self.record_append_response(from, term, request_sent_at, now) else { return };
         let has_advanced = peer.advance_match(match_index, queued_records);
         if has_advanced && peer.match_index < last_index {
             self.send_append(from, now);
@@ -133,14 +147,8 @@
         request_sent_at: Micros,
         now: Micros,
     ) {
-        if term > self.state().term {
-            return self.become_follower(term, now);
-        }
-        let is_current = term == self.state().term;
         let last_index = self.last_index();
-        let Role::Leader(leader) = &mut self.role else { return };
-        let Some(peer) = leader.peers.get_mut(from).filter(|_| is_current) else { return };
-        peer.record_response(request_sent_at, now);
+        let Some(peer) = self.record_append_response(from, term, request_sent_at, now) else { return };
         peer.back_up(match_index, last_index);
         self.send_append(from, now);
         self.advance_commit_index();
--- a/crates/flaxstand-gateway/src/core/agreement/peers.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/peers.rs
@@ -148,14 +148,7 @@
             open.peer = Peer::Agreement(peer);
             open.stage = Stage::Open;
         }
-        let welcome = Welcome {
-            version: VERSION.min(newest),
-            role: Role::Initiator,
-            id: config.index.into(),
-            epoch: config.epoch,
-            name: &config.name,
-        };
-        connections.send_frame(connection, &Frame::Welcome(welcome));
+        connections.send_frame(connection, &Frame::Welcome(config.welcome(newest)));
         Ok(())
     }
 
--- a/crates/flaxstand-gateway/src/core/attempts.rs
+++ b/crates/flaxstand-gateway/src/core/attempts.rs
@@ -1,8 +1,7 @@
 //! Attempts of requests: started and cancelled as the module asks, ended once, and reported to the module.
 
 use super::Core;
-use super::pending_request::FinalAnswer;
-use super::pending_request::{AttemptId, HandOver, InFlightAttempt};
+use super::pending_request::{AttemptId, FinalAnswer, HandOver, InFlightAttempt};
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{AttemptEnd, AttemptNo, Event, NodeId, Outcome, RequestId};
 use flaxstand_proto::Frame;
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -10,7 +10,7 @@
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::{Event, RequestId, VolumeId};
 use flaxstand_proto::{
-    CloseReason, Frame, Hello, Inbox, Refusal, Role, Scope, Submit, VERSION, VERSION_OLDEST, Welcome, encode,
+    CloseReason, Frame, Hello, Inbox, Refusal, Role, Scope, Submit, VERSION, VERSION_OLDEST, encode,
 };
 use rand_core::RngCore as _;
 use std::collections::BTreeMap;
@@ -113,14 +113,7 @@
             return Err(PeerFault::new(CloseReason::Version, text));
         }
         self.connections.set_stage(conn, Stage::Open);
-        let welcome = Welcome {
-            version: VERSION.min(newest),
-            role: Role::Initiator,
-            id: self.config.index.into(),
-            epoch: self.config.epoch,
-            name: &self.config.name.clone(),
-        };
-        self.connections.send_frame(conn, &Frame::Welcome(welcome));
+        self.connections.send_frame(conn, &Frame::Welcome(self.config.welcome(newest)));
         debug!(conn = conn.0, client = hello.name, "client connected");
         Ok(())
     }
--- a/crates/flaxstand-gateway/src/core/config.rs
+++ b/crates/flaxstand-gateway/src/core/config.rs
@@ -4,6 +4,7 @@
 use crate::machine::{Address, Micros};
 use flaxstand::api::Settings;
 use flaxstand_overload::ConnectionRateLimit;
+use flaxstand_proto::{Role, VERSION, Welcome};
 use std::collections::BTreeSet;
 
 /// Which policy decides where requests are sent.
@@ -237,3 +238,16 @@
     /// With whom it agrees on rules, if it does.
     pub consensus: Option<ConsensusConfig>,
 }
+
+impl Config {
+    /// The answer to the greeting of a peer that speaks versions up to `newest`.
+    pub(super) fn welcome(&self, newest: u8) -> Welcome<'_> {
+        Welcome {
+            version: VERSION.min(newest),
+            role: Role::Initiator,
+            id: self.index.into(),
+            epoch: self.epoch,
+            name: &self.name,
+        }
+    }
+}
--- a/crates/flaxstand-gateway/src/core/request_table.rs
+++ b/crates/flaxstand-gateway/src/core/request_table.rs
@@ -5,7 +5,7 @@
 use flaxstand::api::{RequestId, VolumeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All requests from their arrival until they are answered and have no attempt in attempt_in_flight.
+/// All requests from their arrival until they are answered and have no attempt in flight.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
     pending: BTreeMap<RequestId, PendingRequest>,
@@ -40,7 +40,7 @@
         Some(request)
     }
 
-    /// Removes a request that is answered and has no attempt in attempt_in_flight; none: it is not.
+    /// Removes a request that is answered and has no attempt in flight; none: it is not.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.pending.get(&id)?;
         if request.owner.is_some() || !request.in_flight.is_empty() {
--- a/crates/flaxstand-gateway/src/core/write_back.rs
+++ b/crates/flaxstand-gateway/src/core/write_back.rs
@@ -134,7 +134,7 @@
         self.buffer.expire(WriteHandle(id.0), now)
     }
 
-    /// A request is answered and has no attempt in attempt_in_flight.
+    /// A request is answered and has no attempt in flight.
     pub(super) fn record_end(&mut self, id: RequestId, request: &PendingRequest, now: Micros) {
         match request.original_owner {
             Owner::Buffer(write_out) => self.record_write_out_end(write_out, request, now),
--- a/crates/flaxstand-simulation/src/scale/result.rs
+++ b/crates/flaxstand-simulation/src/scale/result.rs
@@ -177,11 +177,6 @@
 }
 
 impl ScaleReport {
-    /// Everything was measured at the size that was asked for.
-    pub fn all_fit(&self) -> bool {
-        self.steps.iter().all(|step| step.does_not_fit.is_empty())
-    }
-
     /// For people.
     pub fn text(&self) -> String {
         let mut out = format!("{}: {} processors, {:.0} MiB\n", self.name, self.processors, self.machine_mib);
