--- a/crates/flaxstand-gateway/tests/list_fleet/main.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/main.rs
@@ -18,6 +18,7 @@
 mod faults;
 mod growth_tests;
 mod hosts;
+mod known_red_tests;
 mod list_service;
 mod list_service_tests;
 mod load_tests;
