--- a/crates/flaxstand-gateway/src/core/admission.rs
+++ b/crates/flaxstand-gateway/src/core/admission.rs
@@ -1,8 +1,8 @@
-//! Admission of clients' attempts while the load is more than can be served: retries are told from first
-//! attempts, and given less weight or rejected.
+//! Admission control of client attempts under overload: the retry throttle distinguishes retries from first
+//! attempts, and lowers their priority or rejects them.
 
 use super::Core;
-use super::pending_request::{FinalAnswer, Owner, PendingRequest};
+use super::pending_request::{FinalResponse, Owner, PendingRequest};
 use crate::machine::Micros;
 use flaxstand::api::{Class, RequestId, Settings};
 use flaxstand_overload::{
@@ -13,32 +13,31 @@
 use rand_pcg::Pcg64Mcg;
 use tracing::{debug, info};
 
-/// How often changes of the load condition are logged.
+/// Interval at which changes of the load condition are logged.
 const LOG_INTERVAL: Micros = Micros(500_000);
 
-/// What becomes of a client's attempt.
+/// Admission decision for a client's attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// It goes on as a first attempt.
+    /// Admitted as a first attempt.
     FirstAttempt,
-    /// It goes on as a retry, with less priority.
+    /// Admitted as a retry, with lower priority.
     Retry,
-    /// It is rejected: to come back after `wait`, as is everything of this scope.
+    /// Rejected. Everything in `scope` is to be retried after `wait`.
     Rejected { wait: Micros, scope: Scope },
 }
 
-/// Decides which attempts of clients go on to the module, by its retry throttle.
+/// Admits client attempts to the module according to a retry throttle.
 #[derive(Debug)]
 pub(super) struct AdmissionGate {
     throttle: RetryThrottle,
     rng: Pcg64Mcg,
-    /// Where the module's classes for retries begin.
+    /// Index of the module's first class for retries.
     first_retry_class: usize,
     next_log_at: Micros,
 }
 
-/// Adds the module's classes for retries: after the classes so far, one for each of the site's, of less
-/// priority.
+/// Appends the module's classes for retries, one for each class of the site, with lower priority.
 pub(super) fn add_retry_classes(settings: &mut Settings, site_classes: usize, rules: &RetryThrottleConfig) {
     let retry_class =
         |c: &Class| Class { priority_weight: c.priority_weight * rules.retry_weight, ..c.clone() };
@@ -47,20 +46,20 @@
 }
 
 impl AdmissionGate {
-    /// A gate whose classes for retries begin at `first_retry_class` of the module's.
+    /// Creates a gate. `first_retry_class` is the index of the module's first class for retries.
     pub(super) fn new(rules: RetryThrottleConfig, first_retry_class: usize, seed: u64, now: Micros) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         AdmissionGate { throttle: RetryThrottle::new(rules), rng, first_retry_class, next_log_at: now }
     }
 
-    /// A number in 0..1.
-    fn draw(&mut self) -> f64 {
+    /// Returns a uniformly distributed random number in 0..1.
+    fn random_unit(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Decides on an attempt that has arrived.
+    /// Decides whether an attempt that has arrived is admitted.
     pub(super) fn admit(&mut self, id: RequestId, request: &PendingRequest, now: Micros) -> Admission {
-        let draw = self.draw();
+        let draw = self.random_unit();
         match self.throttle.admit(&client_attempt(request), now, draw) {
             ThrottleDecision::FullWeight => Admission::FirstAttempt,
             ThrottleDecision::RetryWeight => Admission::Retry,
@@ -76,40 +75,42 @@
         }
     }
 
-    /// The Retry-After in place of the module's, which is the same for all.
+    /// Returns a randomised Retry-After, at most the module's, which is the same for all clients.
     pub(super) fn retry_after(&mut self, of_module: Micros) -> Micros {
         if of_module == Micros(0) {
             return of_module;
         }
-        let draw = self.draw();
+        let draw = self.random_unit();
         self.throttle.retry_after(draw).min(of_module)
     }
 
-    /// A client's request has ended: the throttle learns how.
+    /// Reports the result of a client's request to the throttle.
     pub(super) fn record_end(&mut self, request: &PendingRequest, now: Micros) {
         let is_of_client = matches!(request.original_owner, Owner::Client { .. });
         if request.is_end_recorded || request.is_ordering_request || !is_of_client {
             return;
         }
         let attempt = client_attempt(request);
-        match request.final_answer {
-            FinalAnswer::Served => self.throttle.record_served(&attempt, now),
-            FinalAnswer::NotExecuted(_) | FinalAnswer::Failed => self.throttle.record_rejected(&attempt, now),
-            FinalAnswer::None => {}
+        match request.final_response {
+            FinalResponse::Served => self.throttle.record_served(&attempt, now),
+            FinalResponse::NotExecuted(_) | FinalResponse::Failed => {
+                self.throttle.record_rejected(&attempt, now)
+            }
+            FinalResponse::None => {}
         }
     }
 
-    /// The module's class of a retry of a class of the site's.
+    /// Returns the module's class for retries of one of the site's classes.
     pub(super) fn retry_class(&self, site_class: usize) -> usize {
         self.first_retry_class + site_class
     }
 
-    /// How many attempts were taken for retries, and how many for first attempts.
+    /// Returns how many attempts were classified as retries and as first attempts.
     pub(super) fn attempt_counts(&self) -> RetryDetectionCounts {
         self.throttle.detection_counts()
     }
 
-    /// Logs plans whose load condition has changed since the last look.
+    /// Logs plans whose load condition has changed, at most once per [`LOG_INTERVAL`].
     pub(super) fn log_condition_changes(&mut self, plans: u16, now: Micros) {
         if self.next_log_at > now {
             return;
@@ -122,9 +123,9 @@
 }
 
 impl Core {
-    /// Asks the admission gate about a client's attempt. Returns the module's class for it; none: it is
-    /// rejected.
-    pub(super) fn pass_admission_gate(&mut self, id: RequestId, now: Micros) -> Option<usize> {
+    /// Applies admission control to a client's attempt. Returns the module's class for it, or `None` if it
+    /// was rejected.
+    pub(super) fn apply_admission(&mut self, id: RequestId, now: Micros) -> Option<usize> {
         let request = self.requests.get(id)?;
         let class = usize::from(request.class);
         let Some(gate) = &mut self.gate else { return Some(class) };
@@ -147,11 +148,11 @@
     fn reject_retry(&mut self, id: RequestId, wait: Micros, scope: Scope, now: Micros) {
         self.counts.retries_rejected += 1;
         if let Some(request) = self.requests.get_mut(id) {
-            // The throttle counted it when it arrived.
+            // The throttle has counted the rejection in `admit`.
             request.is_end_recorded = true;
         }
         let (wait, refusal) = (wait.saturating_u32(), Refusal::Storm);
-        self.send_final_answer(id, FinalAnswer::NotExecuted(Micros(0)), now, |id| Frame::Refused {
+        self.send_final_response(id, FinalResponse::NotExecuted(Micros(0)), now, |id| Frame::Refused {
             id,
             wait,
             refusal,
@@ -159,7 +160,7 @@
         });
     }
 
-    /// The module's class of a request.
+    /// Returns the module's class for a request.
     pub(super) fn module_class(&self, request: &PendingRequest) -> usize {
         let class = usize::from(request.class);
         match &self.gate {
--- a/crates/flaxstand-gateway/src/core/backoff.rs
+++ b/crates/flaxstand-gateway/src/core/backoff.rs
@@ -1,33 +1,33 @@
-//! Exponential backoff with decorrelated jitter: each wait is drawn between the first and three times the
-//! last, so that initiators whose calls failed together do not retry together.
+//! Exponential backoff with decorrelated jitter: each delay is random between the minimum and three times the
+//! previous delay, so that initiators whose calls failed at the same time do not retry in step.
 
 use crate::machine::Micros;
 use rand_core::RngCore;
 
-/// The backoff of one peer.
+/// Backoff state for calls to one peer.
 #[derive(Debug)]
 pub struct Backoff {
-    first: Micros,
-    longest: Micros,
+    min: Micros,
+    max: Micros,
     last: Micros,
 }
 
 impl Backoff {
-    /// No wait shorter than `first`, none longer than `longest`.
-    pub fn new(first: Micros, longest: Micros) -> Self {
-        Backoff { first, longest: longest.max(first), last: first }
+    /// Creates a backoff with delays between `min` and `max`.
+    pub fn new(min: Micros, max: Micros) -> Self {
+        Backoff { min, max: max.max(min), last: min }
     }
 
-    /// The delay before the next call, after one more failure.
+    /// Returns the delay before the next call, after another failure.
     pub fn next_delay(&mut self, rng: &mut impl RngCore) -> Micros {
-        let width = (self.last.0.saturating_mul(3)).saturating_sub(self.first.0).max(1);
-        let drawn = self.first.0 + rng.next_u64() % width;
-        self.last = Micros(drawn.min(self.longest.0));
+        let width = (self.last.0.saturating_mul(3)).saturating_sub(self.min.0).max(1);
+        let drawn = self.min.0 + rng.next_u64() % width;
+        self.last = Micros(drawn.min(self.max.0));
         self.last
     }
 
-    /// A call succeeded: the next failure waits for the first wait again.
+    /// Resets the delay to the minimum after a successful call.
     pub fn reset(&mut self) {
-        self.last = self.first;
+        self.last = self.min;
     }
 }
--- a/crates/flaxstand-gateway/src/core/baseline_policy.rs
+++ b/crates/flaxstand-gateway/src/core/baseline_policy.rs
@@ -1,40 +1,40 @@
-//! Baselines beside the module: each request is sent at once in one attempt, to its shard's node; a new
-//! object goes where a textbook rule says. For measurements only.
+//! Baseline policies to compare the decision module with: each request is sent at once, in one attempt, to
+//! its shard's node; a new object is placed by a textbook load-balancing rule. For measurements only.
 
 use flaxstand::api::{Action, Event, ListScope, NodeEntry, NodeId, Outcome, Readiness, RequestId, ShardId};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where new objects go.
+/// Placement rule for new objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// To the nodes in turn.
+    /// The nodes in rotation.
     RoundRobin,
-    /// To the node with the fewest requests of this host in flight; the first of equals.
+    /// The node with the fewest requests of this host in flight; the lowest id on a tie.
     LeastInFlight,
-    /// To the one of two nodes drawn at random that has fewer requests of this host in flight.
+    /// Of two nodes chosen at random, the one with fewer requests of this host in flight.
     TwoChoices,
 }
 
-/// Sends everything at once.
+/// Policy that sends every request immediately, without retries.
 #[derive(Debug)]
 pub struct BaselinePolicy {
     placement: Placement,
     rng: Pcg64Mcg,
-    /// Requests in flight, by node.
+    /// Number of requests in flight, by node.
     in_flight: BTreeMap<NodeId, u64>,
     node_of_request: BTreeMap<RequestId, NodeId>,
     nodes: BTreeMap<NodeId, NodeEntry>,
-    /// Nodes that serve, by shard.
+    /// Serving nodes, by shard.
     by_shard: BTreeMap<ShardId, BTreeSet<NodeId>>,
-    /// Nodes that serve, by their numbers.
+    /// Serving nodes, sorted by id.
     serving: Vec<NodeId>,
-    turn: usize,
+    rotation: usize,
 }
 
 impl BaselinePolicy {
-    /// A baseline that places new objects so.
+    /// Creates a baseline policy with this placement rule.
     pub fn new(placement: Placement, seed: u64) -> Self {
         BaselinePolicy {
             placement,
@@ -44,15 +44,15 @@
             nodes: BTreeMap::new(),
             by_shard: BTreeMap::new(),
             serving: Vec::new(),
-            turn: 0,
+            rotation: 0,
         }
     }
 
-    /// Takes one event; what is to be done is added to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList(ListScope::Failed, _) => actions.push(Action::PollList),
-            Event::EndpointList(scope, entries) => self.listed(scope, entries),
+            Event::EndpointList(scope, entries) => self.apply_list(scope, entries),
             Event::RequestArrived(a) => {
                 let node = match a.shard {
                     Some(shard) => self.node_of(shard),
@@ -72,14 +72,14 @@
                     self.in_flight.entry(node).and_modify(|count| *count = count.saturating_sub(1));
                 }
                 if !e.is_final {
-                    actions.push(Self::answer(e.request, e.outcome));
+                    actions.push(Self::final_action(e.request, e.outcome));
                 }
             }
             _ => {}
         }
     }
 
-    fn answer(request: RequestId, outcome: Outcome) -> Action {
+    fn final_action(request: RequestId, outcome: Outcome) -> Action {
         match outcome {
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => {
                 Action::Reject { request, retry_after: 0.0 }
@@ -92,8 +92,8 @@
         let in_flight = |node: &NodeId| self.in_flight.get(node).copied().unwrap_or(0);
         match self.placement {
             Placement::RoundRobin => {
-                self.turn += 1;
-                self.serving.get(self.turn % self.serving.len().max(1)).copied()
+                self.rotation += 1;
+                self.serving.get(self.rotation % self.serving.len().max(1)).copied()
             }
             Placement::LeastInFlight => self.serving.iter().copied().min_by_key(in_flight),
             Placement::TwoChoices => {
@@ -104,16 +104,16 @@
         }
     }
 
-    fn listed(&mut self, scope: ListScope, entries: Vec<NodeEntry>) {
+    fn apply_list(&mut self, scope: ListScope, entries: Vec<NodeEntry>) {
         if scope != ListScope::Changes {
             self.nodes.clear();
             self.by_shard.clear();
             self.serving.clear();
         }
-        entries.into_iter().for_each(|entry| self.listed_node(entry));
+        entries.into_iter().for_each(|entry| self.apply_entry(entry));
     }
 
-    fn listed_node(&mut self, entry: NodeEntry) {
+    fn apply_entry(&mut self, entry: NodeEntry) {
         if let Some(before) = self.nodes.remove(&entry.node) {
             self.remove_serving(&before);
         }
@@ -124,22 +124,22 @@
     }
 
     fn add_serving(&mut self, entry: &NodeEntry) {
-        if let Err(place) = self.serving.binary_search(&entry.node) {
-            self.serving.insert(place, entry.node);
+        if let Err(index) = self.serving.binary_search(&entry.node) {
+            self.serving.insert(index, entry.node);
         }
         self.by_shard.entry(entry.shard).or_default().insert(entry.node);
     }
 
     fn remove_serving(&mut self, entry: &NodeEntry) {
-        if let Ok(place) = self.serving.binary_search(&entry.node) {
-            self.serving.remove(place);
+        if let Ok(index) = self.serving.binary_search(&entry.node) {
+            self.serving.remove(index);
         }
         if let Some(nodes) = self.by_shard.get_mut(&entry.shard) {
             nodes.remove(&entry.node);
         }
     }
 
-    /// The node of a shard that serves; where there are several, the one that started last.
+    /// Returns the serving node of a shard; if there are several, the one that started last.
     fn node_of(&self, shard: ShardId) -> Option<NodeId> {
         let started = |node: &NodeId| self.nodes.get(node).and_then(|entry| entry.started_at).unwrap_or(0.0);
         let nodes = self.by_shard.get(&shard)?.iter().copied();
--- a/crates/flaxstand-gateway/src/core/buffered_requests.rs
+++ b/crates/flaxstand-gateway/src/core/buffered_requests.rs
@@ -1,10 +1,11 @@
-//! Requests on their way through the write-back buffer. Every write (where writes are buffered at all) goes
-//! to the buffer first; what it passes on, and its own write-outs, are ordinary requests to the module.
+//! Requests that pass through the write-back buffer. If write-back is configured, every write is submitted to
+//! the buffer first. Requests that the buffer passes through, and its write-outs, are ordinary requests to
+//! the module.
 
 use super::Core;
 use super::clients::ReservedRequest;
 use super::peer_fault::PeerFault;
-use super::pending_request::{FinalAnswer, Handler, PendingRequest};
+use super::pending_request::{FinalResponse, Handler, PendingRequest};
 use super::timers::Timer;
 use super::write_back::{OrderingRequest, WriteBackCoordinator};
 use super::write_back_status::status_json;
@@ -19,8 +20,8 @@
 use tracing::{debug, info};
 
 impl Core {
-    /// Buffers writes from now on, as the site's settings say, and goes on with what was read back. Without
-    /// this, or without such settings, every write is passed on.
+    /// Enables write-back according to the site's settings, starting from the state recovered from its log.
+    /// Without this call, or without such settings, writes are passed to the module unbuffered.
     pub fn attach(&mut self, recovered: Recovered, now: Micros) {
         let Some(settings) = self.config.site.write_back.clone() else { return };
         let (site, calendar) = (&self.config.site, self.config.calendar);
@@ -28,12 +29,12 @@
         self.evaluation.request();
     }
 
-    /// The buffer's metrics, where writes are buffered.
+    /// Returns the buffer's metrics, if write-back is enabled.
     pub fn buffer_status(&self, now: Micros) -> Option<Status> {
         self.write_back.as_ref().map(|write_back| write_back.status(now))
     }
 
-    /// What a write may not be, whatever becomes of it.
+    /// Validates the byte range of a write.
     pub(super) fn check_write_range(s: &Submit<'_>) -> Result<(), PeerFault> {
         let Some(at) = s.at else { return Ok(()) };
         let end = at as usize + s.payload.len();
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Offers a request that was accepted to the buffer. True: the buffer has it, and the module must not
-    /// hear of it yet.
+    /// Offers an accepted request to the buffer. Returns whether the buffer took it; if so, the module is not
+    /// notified of it yet.
     pub(super) fn offer_to_buffer(&mut self, id: RequestId, s: &Submit<'_>, now: Micros) -> bool {
         if !s.write {
             return self.read_from_buffer(id, s, now);
@@ -59,7 +60,7 @@
         true
     }
 
-    /// True: the buffer answered the read.
+    /// Returns whether the buffer answered the read.
     fn read_from_buffer(&mut self, id: RequestId, s: &Submit<'_>, now: Micros) -> bool {
         let Some(write_back) = &mut self.write_back else { return false };
         let Some(extent) = s.extent else { return false };
@@ -75,7 +76,7 @@
             BufferedRead::Complete { shard, data } => {
                 self.counts.served += 1;
                 self.counts.served_from_buffer += 1;
-                self.send_final_answer(id, FinalAnswer::Served, now, |id| Frame::Served {
+                self.send_final_response(id, FinalResponse::Served, now, |id| Frame::Served {
                     id,
                     shard,
                     payload: &data,
@@ -85,12 +86,12 @@
         }
     }
 
-    /// A client's barrier or flush.
+    /// Handles a client's barrier or flush.
     pub(super) fn submit_ordering_request(
         &mut self,
         conn: ConnId,
         client_id: u64,
-        mark: OrderingRequest,
+        ordering: OrderingRequest,
         time_left: u32,
         now: Micros,
     ) -> Result<(), PeerFault> {
@@ -102,12 +103,12 @@
         self.requests.insert(id, PendingRequest::ordering_request(conn, client_id, expires_at));
         self.timers.set(expires_at, Timer::Deadline(id));
         match &mut self.write_back {
-            Some(write_back) => write_back.mark(id, mark, now),
+            Some(write_back) => write_back.submit_ordering(id, ordering, now),
             None => {
                 let (wait, refusal, scope) = (0, Refusal::Unbuffered, Scope::All);
                 self.counts.rejected_at_bound += 1;
-                let final_answer = FinalAnswer::NotExecuted(Micros(0));
-                self.send_final_answer(id, final_answer, now, |id| Frame::Refused {
+                let final_response = FinalResponse::NotExecuted(Micros(0));
+                self.send_final_response(id, final_response, now, |id| Frame::Refused {
                     id,
                     wait,
                     refusal,
@@ -118,7 +119,7 @@
         Ok(())
     }
 
-    /// Settles the buffer and does what it wants done. Returns when to settle it next.
+    /// Advances the buffer and performs its actions. Returns when it must be called again.
     pub(super) fn settle_buffer(&mut self, now: Micros) -> Option<Micros> {
         loop {
             let (wake, actions) = self.write_back.as_mut()?.settle(now);
@@ -137,10 +138,14 @@
             Action::PassThrough(handle) => self.forward_to_module(request(handle)),
             Action::Rejected { handle, retry_after } => self.reject_write(request(handle), retry_after, now),
             Action::BarrierSet(handle) => {
-                self.send_final_answer(request(handle), FinalAnswer::Served, now, |id| Frame::Barred { id });
+                self.send_final_response(request(handle), FinalResponse::Served, now, |id| Frame::Barred {
+                    id,
+                });
             }
             Action::Flushed(handle) => {
-                self.send_final_answer(request(handle), FinalAnswer::Served, now, |id| Frame::Flushed { id });
+                self.send_final_response(request(handle), FinalResponse::Served, now, |id| Frame::Flushed {
+                    id,
+                });
             }
             Action::SendWriteOut { id, write, urgency, not_after } => {
                 self.start_write_out(id, write, urgency, not_after, now)
@@ -150,16 +155,16 @@
     }
 
     fn acknowledge_buffered(&mut self, id: RequestId, now: Micros) {
-        debug!(request = id.0, "buffered");
+        debug!(request = id.0, "write buffered");
         self.counts.buffered += 1;
-        self.send_final_answer(id, FinalAnswer::Served, now, |id| Frame::Buffered { id });
+        self.send_final_response(id, FinalResponse::Served, now, |id| Frame::Buffered { id });
     }
 
     fn reject_write(&mut self, id: RequestId, wait: Micros, now: Micros) {
         let wait = wait.saturating_u32();
         let (refusal, scope) = (Refusal::Buffer, Scope::Request);
         self.counts.rejected_at_bound += 1;
-        self.send_final_answer(id, FinalAnswer::NotExecuted(Micros(0)), now, |id| Frame::Refused {
+        self.send_final_response(id, FinalResponse::NotExecuted(Micros(0)), now, |id| Frame::Refused {
             id,
             wait,
             refusal,
@@ -167,10 +172,10 @@
         });
     }
 
-    /// The buffer passes a client's request on to its node.
+    /// Passes a client's request that is not to be buffered to the module.
     fn forward_to_module(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(id) {
-            request.handler = Handler::Module { passed_on: true };
+            request.handler = Handler::Module { passed_through: true };
         }
         if let Some(request) = self.requests.get(id) {
             let arrival = request.arrival(id, self.module_class(request));
@@ -178,7 +183,7 @@
         }
     }
 
-    /// A write-out becomes a request.
+    /// Creates the request for a write-out.
     fn start_write_out(
         &mut self,
         id: WriteOutId,
@@ -194,14 +199,14 @@
         let expires_at = until.map_or(now.after(deadline), |until| now.after(deadline).min(until));
         self.requests.add_volume(VolumeId(write.extent_id.volume));
         let operation = write.operation;
-        debug!(request = request_id.0, attempt = id.0, level = ?urgency, operation, "write-out");
+        debug!(request = request_id.0, attempt = id.0, level = ?urgency, operation, "write-out started");
         let request = PendingRequest::write_out(id, write, expires_at);
         self.events.push_back(Event::RequestArrived(request.arrival(request_id, class)));
         self.requests.insert(request_id, request);
         self.timers.set(expires_at, Timer::Deadline(request_id));
     }
 
-    /// Takes back a write-out that waits with the module at too low a priority, if none of it was sent.
+    /// Withdraws a write-out that the module queues at too low a priority, if no attempt has been started.
     fn withdraw_write_out(&mut self, id: WriteOutId, now: Micros) {
         let Some(write_back) = &mut self.write_back else { return };
         let Some(request) = write_back.request_of(id) else { return };
@@ -214,14 +219,14 @@
         }
     }
 
-    /// A request's deadline has come. False: the buffer does not have it.
+    /// Handles the deadline of a request. Returns whether the buffer holds the request.
     pub(super) fn expire_in_buffer(&mut self, id: RequestId, now: Micros) -> bool {
-        let is_here =
+        let is_in_buffer =
             self.requests.get(id).is_some_and(|r| r.handler == Handler::Buffer && r.owner.is_some());
-        let Some(write_back) = self.write_back.as_mut().filter(|_| is_here) else { return false };
+        let Some(write_back) = self.write_back.as_mut().filter(|_| is_in_buffer) else { return false };
         match write_back.expire(id, now) {
             Expired::Buffered => self.acknowledge_buffered(id, now),
-            // Passed on, and the module has not heard of it: it has not run either.
+            // Passed through, but not yet reported to the module: it has not been executed.
             Expired::Reject | Expired::NotHere => {
                 let wait = Micros::from_ms(self.config.site.settings.max_retry_after);
                 self.reject_write(id, wait, now);
@@ -231,7 +236,7 @@
         true
     }
 
-    /// A node's answer to a read, with what is buffered laid over it.
+    /// Returns a node's response to a read, overlaid with buffered writes.
     pub(super) fn merge_buffered(&mut self, id: RequestId, mut data: Vec<u8>, now: Micros) -> Vec<u8> {
         if let Some(write_back) = &mut self.write_back {
             write_back.merge(id, &mut data, now);
@@ -239,14 +244,14 @@
         data
     }
 
-    /// The buffer's metrics for a client.
+    /// Sends the buffer's metrics to a client.
     pub(super) fn send_buffer_status(&mut self, conn: ConnId, id: u64, now: Micros) {
         let json = self.buffer_status(now).map_or_else(|| "{}".to_owned(), |status| status_json(&status));
         self.connections.send_frame(conn, &Frame::Status { id, json: json.as_bytes() });
-        self.client_wrote(conn, now);
+        self.check_client_output(conn, now);
     }
 
-    /// Buffers nothing more, and writes out what is buffered.
+    /// Stops buffering and starts to write out all buffered writes.
     pub(super) fn drain_buffer(&mut self, now: Micros) {
         if let Some(write_back) = &mut self.write_back {
             write_back.drain();
@@ -254,12 +259,12 @@
             info!(
                 writes = s.writes,
                 bytes = s.bytes,
-                "buffered writes are written out; what is left stays in the log"
+                "stopping: writing out buffered writes; any left at exit stay in the log"
             );
         }
     }
 
-    /// Whether the buffer has nothing more to bring anywhere.
+    /// Returns whether no buffered write is left to be written out.
     pub(super) fn buffer_drained(&self) -> bool {
         self.write_back.as_ref().is_none_or(WriteBackCoordinator::is_drained)
     }
--- a/crates/flaxstand-gateway/src/core/client_registry.rs
+++ b/crates/flaxstand-gateway/src/core/client_registry.rs
@@ -1,27 +1,27 @@
-//! How many clients are connected, and which of those that speak HTTP gives its slot to a new one.
+//! The number of connected clients, and the eviction order of HTTP clients.
 
 use super::connection_slots::ConnectionSlots;
 
-/// Connections of clients.
+/// Client connections.
 #[derive(Debug, Default)]
 pub(super) struct ClientRegistry {
     connected: usize,
-    /// Those that speak HTTP, in the order in which they give way to new ones.
+    /// HTTP clients, in eviction order.
     pub(super) slots: ConnectionSlots,
 }
 
 impl ClientRegistry {
-    /// How many clients are connected.
+    /// Returns the number of connected clients.
     pub(super) fn len(&self) -> usize {
         self.connected
     }
 
-    /// One more client is connected.
+    /// Counts a client that has connected.
     pub(super) fn connected(&mut self) {
         self.connected += 1;
     }
 
-    /// A client's connection is closed.
+    /// Counts a client whose connection is closed.
     pub(super) fn disconnected(&mut self) {
         self.connected -= 1;
     }
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -1,8 +1,9 @@
-//! Clients that speak frames, requests of all clients, and the bounds that keep one from harming the others.
+//! Clients on the frame protocol, requests of all clients, and the limits that isolate clients from each
+//! other.
 
 use super::Core;
 use super::connection_table::{Connection, Peer, Protocol, Stage};
-use super::http_connection::Origin;
+use super::http_connection::ForwardedHead;
 use super::peer_fault::PeerFault;
 use super::pending_request::{Handler, PendingRequest};
 use super::shutdown::Phase;
@@ -16,18 +17,18 @@
 use std::collections::BTreeMap;
 use tracing::{debug, info, warn};
 
-/// A client's connection.
+/// State of a client's connection.
 #[derive(Debug, Default)]
 pub(super) struct Client {
-    /// Its requests that are owed an answer, by its own numbers.
-    pub(super) owed: BTreeMap<u64, RequestId>,
-    /// It is not read until it has read the answers that wait for it.
+    /// Unanswered requests, by the client's request numbers.
+    pub(super) unanswered: BTreeMap<u64, RequestId>,
+    /// Reading is paused until the client has read its pending responses.
     pub(super) is_paused: bool,
-    /// It sends nothing more; its answers still go out.
+    /// The client has shut down its sending side; pending responses are still sent.
     pub(super) is_half_closed: bool,
 }
 
-/// Why a new connection is closed at once.
+/// Reason why a new connection is rejected.
 #[derive(Clone, Copy, Debug)]
 struct ConnectionRejection {
     close_reason: CloseReason,
@@ -36,7 +37,7 @@
 }
 
 impl ConnectionRejection {
-    /// The frame that tells the client.
+    /// Encodes the `Bye` frame for the client.
     fn to_bytes(self) -> Vec<u8> {
         let ConnectionRejection { close_reason, retry_after, text } = self;
         let wait = retry_after.saturating_u32();
@@ -46,14 +47,14 @@
     }
 }
 
-/// A request that a client may have.
+/// Id and deadline of a request that was admitted within the limits.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReservedRequest {
     pub(super) id: RequestId,
     pub(super) expires_at: Micros,
 }
 
-/// A bound that a request is beyond, and what else is.
+/// A limit that a request exceeds, and the scope of the rejection.
 #[derive(Clone, Copy, Debug)]
 struct ExceededBound {
     refusal: Refusal,
@@ -61,10 +62,10 @@
 }
 
 impl Core {
-    /// A client connects.
+    /// Accepts a client's connection.
     ///
     /// # Errors
-    /// It is rejected: bytes to send before the connection is closed.
+    /// The connection is rejected. Contains the bytes to send before it is closed.
     pub(super) fn accept_client(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         if self.on_platform() {
             return self.accept_http_client(now);
@@ -74,7 +75,7 @@
                 clients = self.clients.len(),
                 retry_after_us = rejection.retry_after.0,
                 text = rejection.text,
-                "client rejected"
+                "client connection rejected"
             );
             return Err(rejection.to_bytes());
         }
@@ -85,7 +86,7 @@
         Ok(conn)
     }
 
-    /// Whether a new connection is rejected. The cheapest rejection there is: nothing is kept of the client.
+    /// Returns why a new connection is rejected, if it is. No state is kept for a rejected client.
     fn reject_connection(&mut self, now: Micros) -> Option<ConnectionRejection> {
         let (close_reason, retry_after, text) = (CloseReason::Stopping, Micros(0), "stopping");
         if self.shutdown.phase() != Phase::Running {
@@ -101,7 +102,7 @@
         Some(ConnectionRejection { close_reason, retry_after, text })
     }
 
-    /// A client's first frame came.
+    /// Handles a client's first frame.
     pub(super) fn handle_client_hello(&mut self, conn: ConnId, hello: &Hello<'_>) -> Result<(), PeerFault> {
         if hello.role != Role::Client {
             return Err(PeerFault::protocol(format!("a client was expected, not {:?}", hello.role)));
@@ -118,12 +119,15 @@
         Ok(())
     }
 
-    /// A request came. What can't be one is the client's fault; what is beyond a bound is rejected.
+    /// Handles a client's request. A request beyond a limit is rejected.
+    ///
+    /// # Errors
+    /// The request is invalid.
     pub(super) fn submit(
         &mut self,
         conn: ConnId,
         s: &Submit<'_>,
-        origin: Option<Origin>,
+        forwarded_head: Option<ForwardedHead>,
         now: Micros,
     ) -> Result<(), PeerFault> {
         self.check_ranges(s)?;
@@ -132,12 +136,12 @@
             return Ok(());
         };
         let mut pending = PendingRequest::new(conn, s, reserved.expires_at);
-        pending.origin = origin.map(Box::new);
+        pending.forwarded_head = forwarded_head.map(Box::new);
         self.start_request(reserved.id, pending, s, now);
         Ok(())
     }
 
-    /// Checks that what a request names is there.
+    /// Validates the class, plan, units and byte range of a request.
     fn check_ranges(&self, s: &Submit<'_>) -> Result<(), PeerFault> {
         let site = &self.config.site;
         let max_units = site.settings.max_units;
@@ -153,11 +157,11 @@
         Self::check_write_range(s)
     }
 
-    /// Accepts one more request of a client, or rejects it at a bound (none). `time_left`: microseconds that
-    /// the client waits.
+    /// Reserves an id for a client's request, or rejects the request and returns `None` if a limit is
+    /// reached. `time_left` is the client's remaining timeout in microseconds.
     ///
     /// # Errors
-    /// The client's number for it is in use.
+    /// The client's request number is in use.
     pub(super) fn reserve_request(
         &mut self,
         conn: ConnId,
@@ -169,7 +173,7 @@
         let Some(Connection { peer: Peer::Client(client), .. }) = self.connections.get(conn) else {
             return Ok(None);
         };
-        if client.owed.contains_key(&client_id) {
+        if client.unanswered.contains_key(&client_id) {
             return Err(PeerFault::protocol(format!("number {client_id} is in use")));
         }
         self.counts.accepted += 1;
@@ -180,15 +184,15 @@
         volume.into_iter().for_each(|volume| self.requests.add_volume(volume));
         let id = self.requests.next_id();
         if let Some(Connection { peer: Peer::Client(client), .. }) = self.connections.get_mut(conn) {
-            client.owed.insert(client_id, id);
+            client.unanswered.insert(client_id, id);
         }
         let time_left = Micros(time_left.into()).since(self.config.site.timeouts.response_margin);
         let expires_at = self.shutdown.deadline(now.after(time_left));
         Ok(Some(ReservedRequest { id, expires_at }))
     }
 
-    /// The bound beyond which one more request would be. Guards against one client, or many volumes, that
-    /// take all capacity.
+    /// Returns the limit that another request would exceed, if any. Keeps one client, or many volumes, from
+    /// taking all capacity.
     fn exceeded_bound(&self, client: &Client, volume: Option<VolumeId>) -> Option<ExceededBound> {
         let bounds = &self.config.bounds;
         let is_new_volume = volume.is_some_and(|v| !self.requests.knows_volume(v));
@@ -196,7 +200,7 @@
             (Refusal::Stopping, Scope::All)
         } else if self.requests.len() >= bounds.max_requests {
             (Refusal::Held, Scope::All)
-        } else if client.owed.len() >= bounds.max_requests_per_client {
+        } else if client.unanswered.len() >= bounds.max_requests_per_client {
             (Refusal::Client, Scope::All)
         } else if is_new_volume && self.requests.volumes() >= bounds.max_volumes {
             (Refusal::Held, Scope::Volume)
@@ -209,11 +213,11 @@
     fn reject_at_bound(&mut self, conn: ConnId, client_id: u64, bound: ExceededBound, now: Micros) {
         let ExceededBound { refusal, scope } = bound;
         self.counts.rejected_at_bound += 1;
-        debug!(conn = conn.0, id = client_id, ?refusal, "request rejected at a bound");
+        debug!(conn = conn.0, id = client_id, ?refusal, "request rejected: limit reached");
         let retry_after = Micros::from_ms(self.config.site.settings.max_retry_after).0;
         let wait = u32::try_from(retry_after).unwrap_or(u32::MAX);
         self.send_to_client(conn, &Frame::Refused { id: client_id, wait, refusal, scope }, now);
-        self.client_wrote(conn, now);
+        self.check_client_output(conn, now);
     }
 
     fn start_request(&mut self, id: RequestId, pending: PendingRequest, s: &Submit<'_>, now: Micros) {
@@ -221,7 +225,7 @@
         debug!(request = id.0, owner = ?pending.owner, class = s.class, shard = s.shard, "request accepted");
         self.requests.insert(id, pending);
         self.timers.set(expires_at, Timer::Deadline(id));
-        let Some(class) = self.pass_admission_gate(id, now) else { return };
+        let Some(class) = self.apply_admission(id, now) else { return };
         if !self.offer_to_buffer(id, s, now)
             && let Some(pending) = self.requests.get(id)
         {
@@ -229,44 +233,53 @@
         }
     }
 
-    /// Checks the bounds on what waits for a client to read, after something was added. Guards the memory
-    /// against clients that do not read.
-    pub(super) fn client_wrote(&mut self, conn: ConnId, now: Micros) {
+    /// Enforces the limits on a client's unread output after a write. Bounds the memory taken by clients that
+    /// do not read.
+    pub(super) fn check_client_output(&mut self, conn: ConnId, now: Micros) {
         let bounds = self.config.bounds;
         let Some(c) = self.connections.get_mut(conn) else { return };
         if let Protocol::HttpServer(_) = c.protocol {
-            return self.http_wrote(conn, now);
+            return self.check_http_output(conn, now);
         }
         let Peer::Client(client) = &mut c.peer else { return };
         if c.outbox.len() > bounds.max_client_bytes {
-            warn!(conn = conn.0, bytes = c.outbox.len(), "client does not read its answers: disconnected");
+            warn!(
+                conn = conn.0,
+                bytes = c.outbox.len(),
+                "client does not read its responses; disconnecting it"
+            );
             self.disconnect(conn, CloseReason::Bound, "answers are not read", now);
         } else if c.outbox.len() > bounds.client_pause_bytes && !client.is_paused {
-            debug!(conn = conn.0, bytes = c.outbox.len(), "client is not read until it reads its answers");
+            debug!(
+                conn = conn.0,
+                bytes = c.outbox.len(),
+                "reading from client paused until it reads its responses"
+            );
             client.is_paused = true;
             self.connections.command(Command::Flush(conn));
-        } else if client.is_half_closed && client.owed.is_empty() && c.outbox.is_empty() {
-            self.close(conn, "client has all it asked for", now);
+        } else if client.is_half_closed && client.unanswered.is_empty() && c.outbox.is_empty() {
+            self.close(conn, "all responses to the half-closed client are sent", now);
         }
     }
 
-    /// Checks the same bounds after a client has read.
-    pub(super) fn client_read(&mut self, conn: ConnId, now: Micros) {
+    /// Resumes reading from a paused client once its unread output has shrunk, and enforces the limits.
+    pub(super) fn resume_client(&mut self, conn: ConnId, now: Micros) {
         let Some(c) = self.connections.get_mut(conn) else { return };
         let Peer::Client(client) = &mut c.peer else { return };
         if client.is_paused && c.outbox.len() <= self.config.bounds.client_pause_bytes / 2 {
             client.is_paused = false;
             self.connections.command(Command::Flush(conn));
         }
-        self.client_wrote(conn, now);
+        self.check_client_output(conn, now);
     }
 
-    /// The peer sends nothing more. A client's answers still go out, if it is owed any.
+    /// Handles the end of the peer's stream. Returns whether the connection stays open to send pending
+    /// responses to a client.
     pub(super) fn client_finished(&mut self, conn: ConnId) -> bool {
         let Some(c) = self.connections.get_mut(conn) else { return false };
         match &mut c.peer {
             Peer::Client(client)
-                if (matches!(c.protocol, Protocol::Frames(_)) && !client.owed.is_empty())
+                if (matches!(c.protocol, Protocol::Frames(_)) && !client.unanswered.is_empty())
                     || !c.outbox.is_empty() =>
             {
                 client.is_half_closed = true;
@@ -276,12 +289,12 @@
         }
     }
 
-    /// A client's connection is closed: nobody waits for its requests any more. Their attempts go on and are
-    /// still counted.
+    /// Abandons the requests of a client whose connection is closed. Attempts already in flight continue and
+    /// are still accounted for.
     pub(super) fn client_disconnected(&mut self, conn: ConnId, client: &Client, cause: &str, now: Micros) {
         self.clients.disconnected();
-        debug!(conn = conn.0, cause, owed = client.owed.len(), "client disconnected");
-        for id in client.owed.values() {
+        debug!(conn = conn.0, cause, owed = client.unanswered.len(), "client disconnected");
+        for id in client.unanswered.values() {
             self.counts.abandoned += 1;
             self.withdraw_unsent_of_request(*id, now);
             if let Some(pending) = self.requests.get_mut(*id) {
--- a/crates/flaxstand-gateway/src/core/config.rs
+++ b/crates/flaxstand-gateway/src/core/config.rs
@@ -1,5 +1,5 @@
-//! What the core is configured with. Reloading changes the bounds and the discovery address, the agreement the
-//! decision module's settings.
+//! Configuration of the core. A reload changes the bounds and the discovery address; the agreement changes
+//! the decision module's settings.
 
 use crate::machine::{Address, Micros};
 use flaxstand::api::Settings;
@@ -7,23 +7,24 @@
 use flaxstand_proto::{Role, VERSION, Welcome};
 use std::collections::BTreeSet;
 
-/// Which policy decides where requests are sent.
+/// Policy that decides when and where requests are sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
     /// The decision module.
     #[default]
     Module,
-    /// Everything is sent at once, without retries, new objects to the nodes in turn: a baseline to measure
-    /// against, not for service. So are those below.
+    /// Baseline: sends every request immediately, without retries, and distributes new objects over the nodes
+    /// in rotation. Like the following ones, for comparison in measurements, not for production.
     RoundRobin,
-    /// The same, new objects to the node with the fewest requests of this host in flight.
+    /// Baseline: like `RoundRobin`, with new objects on the node with the fewest requests of this host in
+    /// flight.
     LeastInFlight,
-    /// The same, new objects to the one of two nodes drawn at random that has fewer in flight.
+    /// Baseline: like `RoundRobin`, with new objects on the less loaded of two nodes chosen at random.
     TwoChoices,
 }
 
 impl Policy {
-    /// Every policy, with its name in files and on the command line.
+    /// All policies with their names in files and on the command line.
     pub const ALL: [(&'static str, Policy); 4] = [
         ("module", Policy::Module),
         ("pipe", Policy::RoundRobin),
@@ -31,42 +32,43 @@
         ("two-choices", Policy::TwoChoices),
     ];
 
-    /// Its name in files and on the command line.
+    /// Returns the policy's name in files and on the command line.
     pub fn name(self) -> &'static str {
         Policy::ALL.iter().find(|(_, policy)| *policy == self).map_or("module", |(name, _)| name)
     }
 }
 
-/// Limits of what the core keeps. `docs/settings.md` says what happens at each.
+/// Resource limits of the core. `docs/settings.md` describes what happens when each is reached.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Client connections. One more is rejected with a reason and closed.
+    /// Client connections. Further ones are rejected with a reason and closed.
     pub max_clients: usize,
-    /// Pending requests, answered ones whose attempts still run included. One more is rejected at once.
+    /// Pending requests, including answered ones with attempts in flight. Further ones are rejected at once.
     pub max_requests: usize,
-    /// Requests of one client connection. One more is rejected at once.
+    /// Unanswered requests of one client connection. Further ones are rejected at once.
     pub max_requests_per_client: usize,
-    /// Bytes that wait for one client. Above it nothing is read from the client until it has read.
+    /// Unread output of one client in bytes, above which reading from the client is paused until it has read.
     pub client_pause_bytes: usize,
-    /// Bytes that wait for one client. Above it the client is disconnected. At least `client_pause_bytes`.
+    /// Unread output of one client in bytes, above which it is disconnected. At least `client_pause_bytes`.
     pub max_client_bytes: usize,
-    /// Bytes that wait for one node. Above it an attempt counts as rejected unseen.
+    /// Unsent output of one node connection in bytes, above which an attempt counts as rejected without being
+    /// sent.
     pub max_node_bytes: usize,
-    /// Connections to nodes, where each carries one request. Beyond it the longest idle is closed for a new
-    /// one; where none is idle, an attempt ends as never sent.
+    /// Pooled connections to nodes. At the limit the one idle for longest is closed for a new one; if none is
+    /// idle, the attempt ends as not sent.
     pub max_node_connections: usize,
-    /// Bytes of incomplete requests, over all clients that speak HTTP. The client whose bytes exceed it is
-    /// rejected with a reason and closed.
+    /// Bytes of incomplete requests of all HTTP clients. The client that exceeds it gets an error response
+    /// and is disconnected.
     pub max_partial_request_bytes: usize,
-    /// Bytes of incomplete responses, over all nodes that speak HTTP: the connection whose bytes exceed it
-    /// counts as failed. As many again may wait for clients to read them; a large response beyond that fails.
+    /// Bytes of incomplete responses of all HTTP nodes. The attempt whose response exceeds it fails. The same
+    /// limit applies to responses that HTTP clients have not read; a large response beyond it fails.
     pub max_response_bytes: usize,
-    /// Endpoints: on frames those ever listed since the process started, on the platform those listed or
-    /// lately removed. One more is ignored, with a warning.
+    /// Endpoints: on the frame protocol those ever listed since the process started, on the platform those
+    /// listed or recently removed. Further ones are ignored with a warning.
     pub max_endpoints: usize,
-    /// Volumes that were ever used since the process started. A request of one more is rejected.
+    /// Volumes used since the process started. Requests for further ones are rejected.
     pub max_volumes: usize,
-    /// Client connections that are greeted a second, and at once. One more gets a Retry-After and is closed.
+    /// Rate and burst of client connections. Further ones get a Retry-After and are closed.
     pub connection_rate: ConnectionRateLimit,
 }
 
@@ -89,36 +91,37 @@
     }
 }
 
-/// Bounds of the wait before a retry.
+/// Bounds of the delay before a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffBounds {
-    /// Shortest wait, and the first.
+    /// Shortest delay, also the initial one.
     pub min: Micros,
-    /// Longest wait.
+    /// Longest delay.
     pub max: Micros,
 }
 
 /// Time-outs of the initiator's own connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// A connection that is not open and greeted within this has failed.
+    /// Maximum time to open a connection, including the greeting.
     pub connect_timeout: Micros,
-    /// A client that has not greeted within this is disconnected.
+    /// Maximum time until a client's greeting; on HTTP, until a request is received completely.
     pub greeting_timeout: Micros,
-    /// A connection to a node that carries no attempt is closed after this.
+    /// Idle time after which a connection to a node is closed.
     pub node_idle_timeout: Micros,
-    /// A response leaves this long before its client gives up: time for its transfer.
+    /// Time reserved for the transfer of a response: a request's deadline is this long before its client's
+    /// timeout.
     pub response_margin: Micros,
-    /// Idle time of the discovery watch after which the full list is requested; after as long again it has
-    /// stalled.
+    /// Idle time of the discovery watch after which the full list is requested. After the same time again the
+    /// watch is considered stalled.
     pub discovery_idle_timeout: Micros,
-    /// Wait before the discovery service is called again.
+    /// Delay before the discovery service is called again.
     pub discovery_backoff: BackoffBounds,
-    /// Longest wait for changes that a polled discovery call asks for.
+    /// Longest wait for changes that a long poll of the discovery service requests.
     pub max_long_poll: Micros,
-    /// For so long after a stop was requested everything is as before: clients are still on their way.
+    /// Time after a stop request for which requests are still accepted: clients may not know of the stop yet.
     pub shutdown_grace: Micros,
-    /// What is still pending this long after a stop was requested is failed.
+    /// Time after a stop request at which pending requests fail.
     pub shutdown_timeout: Micros,
 }
 
@@ -139,40 +142,40 @@
     }
 }
 
-/// What only the gateway needs to know of a class.
+/// Properties of a class that only the gateway needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassInfo {
     /// Its name.
     pub name: String,
     /// Responses are streamed.
     pub is_streamed: bool,
-    /// Its writes may be buffered. Its effect is idempotent then, by itself or by a key.
+    /// Writes may be buffered. They are then idempotent, inherently or by an idempotency key.
     pub is_buffered: bool,
 }
 
-/// How writes are buffered.
+/// Write-back settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WriteBack {
     /// The buffer's limits.
     pub limits: flaxstand_write_back::BufferLimits,
-    /// Only writes of these volumes are buffered; none: of all.
+    /// Volumes whose writes are buffered; `None` for all.
     pub volumes: Option<BTreeSet<u64>>,
 }
 
-/// What all initiators of a site have in common.
+/// Settings shared by all initiators of a site.
 #[derive(Clone, Debug)]
 pub struct Site {
     /// Settings of the decision module.
     pub settings: Settings,
-    /// In the order of the module's classes.
+    /// Classes, in the module's order.
     pub classes: Vec<ClassInfo>,
-    /// Names of plans, in the order of the module's.
+    /// Names of plans, in the module's order.
     pub plans: Vec<String>,
     /// Time-outs of connections.
     pub timeouts: Timeouts,
-    /// The write-back buffer, where a class is buffered.
+    /// Write-back settings, if a class is buffered.
     pub write_back: Option<WriteBack>,
-    /// How retry storms are throttled; none: they are not.
+    /// Settings of the retry throttle; `None` disables it.
     pub retry_throttle: Option<flaxstand_overload::RetryThrottleConfig>,
 }
 
@@ -181,34 +184,34 @@
 pub struct ConsensusPeer {
     /// Its name.
     pub name: String,
-    /// Where it listens for other participants.
+    /// Address at which it listens for other participants.
     pub address: Address,
 }
 
-/// With whom an initiator agrees on rules, and with which leases.
+/// Participants and leases of the agreement on rules.
 #[derive(Clone, Debug)]
 pub struct ConsensusConfig {
-    /// The voters, the founder first.
+    /// The voters; the first one bootstraps the cluster.
     pub voters: Vec<ConsensusPeer>,
     /// All other initiators.
     pub other_initiators: Vec<ConsensusPeer>,
-    /// Duration of a lease. At least twice `election_timeout`.
+    /// Lease duration. At least twice `election_timeout`.
     pub lease_duration: Micros,
-    /// Time without a leader after which voters elect one.
+    /// Time without a leader after which voters start an election.
     pub election_timeout: Micros,
-    /// Largest drift between the clocks of two hosts during a lease, as a share of its duration.
+    /// Largest drift between the clocks of two hosts during a lease, as a fraction of its duration.
     pub max_clock_drift: f64,
     /// The rules of the initiator's own settings file.
     pub initial_rules: flaxstand_consensus::rules::Rules,
 }
 
-/// What clients, nodes and the discovery service speak.
+/// Protocol of clients, nodes and the discovery service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Wire {
-    /// Frames: one connection to each peer, many requests on it.
+    /// Frames: one connection to each peer, with multiplexed requests.
     #[default]
     Frames,
-    /// The platform's HTTP/1.1: one request at a time on a connection.
+    /// The platform's HTTP/1.1: one request at a time per connection.
     Platform,
 }
 
@@ -217,30 +220,30 @@
 pub struct Config {
     /// Its name, for logs.
     pub name: String,
-    /// Its number among the site's initiators.
+    /// Its index among the site's initiators.
     pub index: u32,
-    /// Its incarnation; grows at each start.
+    /// Its incarnation number; increases at each start.
     pub epoch: u64,
-    /// The host's calendar when the machine's clock was 0, microseconds since 1970.
+    /// The host's wall-clock time when the machine's clock was 0, in microseconds since 1970.
     pub calendar: u64,
-    /// Seed of its random numbers.
+    /// Seed of its random number generators.
     pub seed: u64,
-    /// Where the discovery service listens.
+    /// Address of the discovery service.
     pub discovery_address: Address,
-    /// The site.
+    /// Settings of the site.
     pub site: Site,
-    /// Its limits.
+    /// Resource limits.
     pub bounds: Bounds,
-    /// What decides.
+    /// Policy that decides about requests.
     pub policy: Policy,
-    /// What its peers speak.
+    /// Protocol of its peers.
     pub wire: Wire,
-    /// With whom it agrees on rules, if it does.
+    /// Configuration of the agreement on rules, if it takes part.
     pub consensus: Option<ConsensusConfig>,
 }
 
 impl Config {
-    /// The answer to the greeting of a peer that speaks versions up to `newest`.
+    /// Returns the reply to the greeting of a peer that supports versions up to `newest`.
     pub(super) fn welcome(&self, newest: u8) -> Welcome<'_> {
         Welcome {
             version: VERSION.min(newest),
--- a/crates/flaxstand-gateway/src/core/connection_closing.rs
+++ b/crates/flaxstand-gateway/src/core/connection_closing.rs
@@ -1,4 +1,4 @@
-//! How connections are closed, and what is settled then.
+//! Closes connections and cleans up the state that depends on them.
 
 use super::Core;
 use super::connection_table::{Peer, Protocol};
@@ -7,11 +7,11 @@
 use flaxstand_proto::{CloseReason, Frame};
 use tracing::warn;
 
-/// Longest text of a fault, characters: it may quote what the peer sent.
+/// Maximum length of a fault's text in characters: it may quote what the peer sent.
 const MAX_FAULT_TEXT: usize = 200;
 
 impl Core {
-    /// Closes a connection for what its peer sent.
+    /// Closes a connection because of a protocol fault of its peer.
     pub(super) fn close_for_fault(&mut self, conn: ConnId, fault: &PeerFault, now: Micros) {
         let close_reason = fault.close_reason;
         let text: String = fault.text.chars().take(MAX_FAULT_TEXT).collect();
@@ -20,7 +20,7 @@
         self.disconnect(conn, close_reason, &text, now);
     }
 
-    /// Closes a connection after telling the peer why, where the protocol has a frame for that.
+    /// Closes a connection; on the frame protocol, a `Bye` frame gives the reason to the peer.
     pub(super) fn disconnect(&mut self, conn: ConnId, close_reason: CloseReason, text: &str, now: Micros) {
         if self.connections.speaks_frames(conn) {
             self.connections.send_frame(conn, &Frame::Bye { close_reason, wait: 0, text });
@@ -28,18 +28,18 @@
         self.close(conn, text, now);
     }
 
-    /// Closes a connection and settles what depended on it.
+    /// Closes a connection and cleans up the state that depends on it.
     pub(super) fn close(&mut self, conn: ConnId, cause: &str, now: Micros) {
         let Some(c) = self.connections.get(conn) else { return };
         let last = match c.protocol {
             Protocol::Frames(_) | Protocol::HttpServer(_) => c.outbox.pending().to_vec(),
-            // An abandoned request must not be sent after all: with its last bytes it would be executed.
+            // Sending the last bytes of an abandoned request would have it executed.
             Protocol::HttpClient(_) | Protocol::DiscoveryPoll => Vec::new(),
         };
         self.close_with_output(conn, last, cause, now);
     }
 
-    /// Closes a connection, and nothing that waits on it is sent.
+    /// Closes a connection without sending its pending output.
     pub(super) fn close_discarding_output(&mut self, conn: ConnId, cause: &str, now: Micros) {
         self.close_with_output(conn, Vec::new(), cause, now);
     }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A connection is closed: removes it and settles what depended on it.
+    /// Removes a closed connection and cleans up the state that depends on it.
     pub(super) fn connection_closed(&mut self, conn: ConnId, cause: &str, now: Micros) {
         let Some(closed) = self.connections.remove(conn) else { return };
         if let Protocol::HttpServer(http) = &closed.protocol {
--- a/crates/flaxstand-gateway/src/core/connection_slots.rs
+++ b/crates/flaxstand-gateway/src/core/connection_slots.rs
@@ -1,30 +1,29 @@
-//! Which client that speaks HTTP gives its connection slot to a new one, when connections are as many as may
-//! be.
+//! Selects the HTTP client connection that is evicted for a new one when the connection limit is reached.
 //!
-//! Connections are queued by since when they have waited, as far as that was known when they were last looked
-//! at. A later request makes that stale, never too late: whoever looks puts a stale one back where it
-//! belongs. So each request costs at most one step of a later look, and none while it is served.
+//! Connections are queued by the start of their current wait, as known when they were last inspected. A later
+//! request makes the queued time stale, but only towards too early: a search requeues the stale entries that
+//! it meets. So each request adds at most one step to a later search, and no work while it is served.
 
 use super::connection_table::{Connection, ConnectionTable, Peer, Protocol};
 use crate::machine::{ConnId, Micros};
 use std::collections::BTreeSet;
 
-/// A connection that has sent nothing yet, among as many as may be, is closed for a new one after this.
-pub(super) const SILENT_EVICTABLE_AFTER: Micros = Micros(250_000);
-/// One that has asked before and waits to ask again: it comes back by a new connection, which costs it
-/// little.
+/// Time after which a connection that has sent no complete request may be evicted for a new one.
+pub(super) const UNUSED_EVICTABLE_AFTER: Micros = Micros(250_000);
+/// Time after which an idle keep-alive connection may be evicted. Shorter, since its client can reconnect at
+/// little cost.
 const IDLE_EVICTABLE_AFTER: Micros = Micros(100_000);
 
-/// Connections of clients that speak HTTP.
+/// HTTP client connections, in eviction order.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionSlots {
-    /// Those that may ask.
+    /// Connections that may send requests.
     waiting: BTreeSet<(Micros, ConnId)>,
-    /// Those whose last answer was an error, or said so: what they send is dropped.
+    /// Connections that have sent their last response and discard further input.
     lingering: BTreeSet<(Micros, ConnId)>,
 }
 
-/// Which connections are looked through.
+/// Queue to search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Queue {
     Waiting,
@@ -32,27 +31,31 @@
 }
 
 impl ConnectionSlots {
-    /// A connection is open.
+    /// Adds a connection that was opened.
     pub(super) fn add(&mut self, conn: ConnId, now: Micros) {
         self.waiting.insert((now, conn));
     }
 
-    /// A connection had its last answer.
+    /// Moves a connection whose last response was sent to the lingering queue.
     pub(super) fn start_lingering(&mut self, conn: ConnId, queued: Micros, now: Micros) {
         self.remove(conn, queued);
         self.lingering.insert((now, conn));
     }
 
-    /// A connection is closed.
+    /// Removes a connection that was closed.
     pub(super) fn remove(&mut self, conn: ConnId, queued: Micros) {
         self.waiting.remove(&(queued, conn));
         self.lingering.remove(&(queued, conn));
     }
 
-    /// The connection to close for a new one: the one that has waited longest without a whole request, those
-    /// that had an error first. Guards against clients that hold connections for nothing, also by the hundred
-    /// a second.
-    pub(super) fn evictable(&mut self, connections: &mut ConnectionTable, now: Micros) -> Option<ConnId> {
+    /// Returns the connection to evict for a new one: the one that has waited longest without a complete
+    /// request, lingering ones first. Protects against clients that hold connections without using them, even
+    /// if they open hundreds per second.
+    pub(super) fn find_evictable(
+        &mut self,
+        connections: &mut ConnectionTable,
+        now: Micros,
+    ) -> Option<ConnId> {
         let lingering = self.longest_waiting(Queue::Lingering, connections, now);
         lingering.or_else(|| self.longest_waiting(Queue::Waiting, connections, now))
     }
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Queues a connection by since when it waits, if it is queued by an earlier moment.
+    /// Requeues a connection whose queued time is stale. Returns whether it was.
     fn requeue_if_stale(
         &mut self,
         queue: Queue,
@@ -98,7 +101,7 @@
         conn: ConnId,
         connections: &mut ConnectionTable,
     ) -> bool {
-        connections.count_walked();
+        connections.count_visited();
         let Some(Connection { protocol: Protocol::HttpServer(http), .. }) = connections.get_mut(conn) else {
             return false;
         };
@@ -114,16 +117,14 @@
     }
 }
 
-/// Whether a connection has waited for so long that it may be closed for another.
+/// Returns whether a connection has waited long enough to be evicted.
 fn is_evictable(c: &Connection, now: Micros) -> bool {
     let (Peer::Client(client), Protocol::HttpServer(http)) = (&c.peer, &c.protocol) else { return false };
     let min_wait = match (http.is_lingering(), http.requests()) {
         (true, _) => Micros(0),
-        (false, 0) => SILENT_EVICTABLE_AFTER,
+        (false, 0) => UNUSED_EVICTABLE_AFTER,
         (false, _) => IDLE_EVICTABLE_AFTER,
     };
-    let has_nothing_owed = client.owed.is_empty() && c.outbox.is_empty();
-    has_nothing_owed
-        && now.since(http.since()) >= min_wait
-        && (http.requests() == 0 || !http.has_partial_request())
+    let is_unused = client.unanswered.is_empty() && c.outbox.is_empty();
+    is_unused && now.since(http.since()) >= min_wait && (http.requests() == 0 || !http.has_partial_request())
 }
--- a/crates/flaxstand-gateway/src/core/connection_table.rs
+++ b/crates/flaxstand-gateway/src/core/connection_table.rs
@@ -1,6 +1,6 @@
-//! Connections with what is read and written on them, and commands to the driver. The table knows whose a
-//! connection is, and nothing of what is done with what comes on it: each kind of peer has a variant of
-//! [`Peer`], and each protocol one of [`Protocol`].
+//! Connections with their input and output buffers, and commands to the driver. The table records the peer
+//! and the protocol of each connection, as variants of [`Peer`] and [`Protocol`], but does not interpret what
+//! is received.
 
 use super::agreement::AgreementPeer;
 use super::clients::Client;
@@ -13,19 +13,19 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whose connection it is.
+/// Peer of a connection.
 #[derive(Debug)]
 pub(super) enum Peer {
     Client(Client),
     Node(NodeId),
     /// The discovery service.
     Discovery,
-    /// Another initiator, or an operator, of the agreement.
+    /// Another initiator in the agreement, or an operator.
     Agreement(AgreementPeer),
 }
 
 impl Peer {
-    /// The node, if it is one.
+    /// Returns the node's id if the peer is a node.
     pub(super) fn node(&self) -> Option<NodeId> {
         match self {
             Peer::Node(node) => Some(*node),
@@ -34,26 +34,26 @@
     }
 }
 
-/// How far a connection has come.
+/// Progress of a connection's establishment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The driver is opening it.
+    /// The driver is opening the connection.
     Connecting,
-    /// It is connected; the peer's first frame has not come.
+    /// Connected; the peer's first frame is outstanding.
     Greeting,
     /// Frames or requests may be sent.
     Open,
 }
 
-/// What is spoken on a connection, and what has come of it in part.
+/// Protocol of a connection, with partially received messages.
 #[derive(Debug)]
 pub(super) enum Protocol {
     Frames(Inbox),
-    /// HTTP that a client asks of us.
+    /// HTTP server side: requests of a client.
     HttpServer(HttpServer),
-    /// HTTP that we ask of a node.
+    /// HTTP client side: requests to a node.
     HttpClient(PooledConnection),
-    /// HTTP that we ask of the discovery service; discovery has the reader.
+    /// HTTP client side: requests to the discovery service. Its reader is in the discovery state.
     DiscoveryPoll,
 }
 
@@ -66,25 +66,25 @@
     pub(super) outbox: Outbox,
 }
 
-/// Connections and commands.
+/// All connections, and the commands queued for the driver.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionTable {
     conns: BTreeMap<ConnId, Connection>,
     next_conn: u64,
-    walked: Cell<u64>,
-    /// Connections that lead to nodes.
+    visited: Cell<u64>,
+    /// Connections to nodes.
     upstream: BTreeSet<ConnId>,
     commands: Vec<Command>,
-    /// Bytes of requests that are not yet whole.
+    /// Bytes of incomplete requests.
     partial_bytes: usize,
-    /// Bytes of nodes' answers that are not yet whole.
+    /// Bytes of incomplete responses of nodes.
     response_bytes: usize,
-    /// Bytes of answers that clients who speak HTTP have not read.
+    /// Bytes of responses not yet written to HTTP clients.
     unread_bytes: usize,
 }
 
 impl ConnectionTable {
-    /// Adds a connection that the driver has, or is opening.
+    /// Adds a connection that the driver has accepted or will open.
     pub(super) fn open(&mut self, peer: Peer, stage: Stage, protocol: Protocol) -> ConnId {
         self.next_conn += 1;
         let id = ConnId(self.next_conn);
@@ -95,7 +95,7 @@
         id
     }
 
-    /// Connects to a peer. The connection has until `by` to be open.
+    /// Connects to a peer. The connection must be open by `by`.
     pub(super) fn dial(
         &mut self,
         timers: &mut TimerQueue,
@@ -110,84 +110,84 @@
         conn
     }
 
-    /// A connection.
+    /// Returns a connection.
     pub(super) fn get(&self, conn: ConnId) -> Option<&Connection> {
         self.conns.get(&conn)
     }
 
-    /// A connection, to change it.
+    /// Returns a connection for modification.
     pub(super) fn get_mut(&mut self, conn: ConnId) -> Option<&mut Connection> {
         self.conns.get_mut(&conn)
     }
 
-    /// All connections. For what concerns every connection; each counts as walked.
+    /// Iterates over all connections. Each counts as visited.
     pub(super) fn iter(&self) -> impl Iterator<Item = (ConnId, &Connection)> {
         self.conns.iter().map(|(id, conn)| {
-            self.count_walked();
+            self.count_visited();
             (*id, conn)
         })
     }
 
-    /// Those that lead to nodes; each counts as walked.
+    /// Iterates over the connections to nodes. Each counts as visited.
     pub(super) fn upstream(&self) -> impl Iterator<Item = (ConnId, &Connection)> {
         self.upstream.iter().filter_map(|id| {
-            self.count_walked();
+            self.count_visited();
             Some((*id, self.conns.get(id)?))
         })
     }
 
-    /// Counts one more connection as walked.
-    pub(super) fn count_walked(&self) {
-        self.walked.set(self.walked.get() + 1);
+    /// Counts a connection as visited in an iteration.
+    pub(super) fn count_visited(&self) {
+        self.visited.set(self.visited.get() + 1);
     }
 
-    /// How many connections were iterated over since the start.
-    pub(super) fn walked(&self) -> u64 {
-        self.walked.get()
+    /// Returns how many connections were visited in iterations since the start.
+    pub(super) fn visited(&self) -> u64 {
+        self.visited.get()
     }
 
-    /// How many connections there are, those being opened included.
+    /// Returns the number of connections, including those being opened.
     pub(super) fn len(&self) -> usize {
         self.conns.len()
     }
 
-    /// Records how far a connection has come.
+    /// Sets a connection's stage.
     pub(super) fn set_stage(&mut self, conn: ConnId, stage: Stage) {
         if let Some(c) = self.conns.get_mut(&conn) {
             c.stage = stage;
         }
     }
 
-    /// Whether frames may pass on it.
+    /// Returns whether frames may be sent on a connection.
     pub(super) fn is_open(&self, conn: ConnId) -> bool {
         self.conns.get(&conn).is_some_and(|c| c.stage == Stage::Open)
     }
 
-    /// Whether frames are spoken on it, and not HTTP.
+    /// Returns whether a connection uses the frame protocol rather than HTTP.
     pub(super) fn speaks_frames(&self, conn: ConnId) -> bool {
         self.conns.get(&conn).is_some_and(|c| matches!(c.protocol, Protocol::Frames(_)))
     }
 
-    /// Puts a frame into a connection's outbox. Returns where it ends in the stream.
+    /// Appends a frame to a connection's outbox. Returns its end offset in the stream.
     pub(super) fn send_frame(&mut self, conn: ConnId, frame: &Frame<'_>) -> u64 {
         self.write(conn, |bytes| encode(frame, bytes))
     }
 
-    /// Puts bytes into a connection's outbox. Returns where they end in the stream.
+    /// Appends bytes to a connection's outbox. Returns their end offset in the stream.
     pub(super) fn write(&mut self, conn: ConnId, add: impl FnOnce(&mut Vec<u8>)) -> u64 {
         let Some(c) = self.conns.get_mut(&conn) else { return u64::MAX };
         if c.outbox.is_empty() {
             self.commands.push(Command::Flush(conn));
         }
         let before = c.outbox.len();
-        let ends = c.outbox.write(add);
+        let end_offset = c.outbox.write(add);
         if let Protocol::HttpServer(_) = c.protocol {
             self.unread_bytes += c.outbox.len() - before;
         }
-        ends
+        end_offset
     }
 
-    /// So many bytes of what waits on a connection were written.
+    /// Records that `count` bytes of a connection's output were written.
     pub(super) fn record_written(&mut self, conn: ConnId, count: usize) {
         let Some(c) = self.conns.get_mut(&conn) else { return };
         let before = c.outbox.len();
@@ -197,44 +197,44 @@
         }
     }
 
-    /// Bytes of requests that are not yet whole.
+    /// Returns the bytes of incomplete requests.
     pub(super) fn partial_bytes(&self) -> usize {
         self.partial_bytes
     }
 
-    /// So many more bytes of requests came that are not yet whole.
+    /// Adds to the bytes of incomplete requests.
     pub(super) fn add_partial_bytes(&mut self, bytes: usize) {
         self.partial_bytes += bytes;
     }
 
-    /// So many bytes of requests became whole, or were dropped.
+    /// Subtracts bytes of requests that were completed or discarded.
     pub(super) fn sub_partial_bytes(&mut self, bytes: usize) {
         self.partial_bytes -= bytes;
     }
 
-    /// Bytes of nodes' responses that are not yet whole.
+    /// Returns the bytes of incomplete responses of nodes.
     pub(super) fn response_bytes(&self) -> usize {
         self.response_bytes
     }
 
-    /// A connection held `before` bytes of a response that is not yet whole, and holds `after`.
+    /// Records that a connection's incomplete response changed from `before` to `after` bytes.
     pub(super) fn record_response_bytes(&mut self, before: usize, after: usize) {
         self.response_bytes = self.response_bytes - before + after;
     }
 
-    /// Bytes that wait for clients who speak HTTP to read them.
+    /// Returns the bytes of responses not yet written to HTTP clients.
     pub(super) fn unread_bytes(&self) -> usize {
         self.unread_bytes
     }
 
-    /// Closes a connection that nothing depends on any more.
+    /// Closes a connection on which no other state depends.
     pub(super) fn discard(&mut self, conn: ConnId) {
         if self.remove(conn).is_some() {
             self.command(Command::Close { conn, last: Vec::new() });
         }
     }
 
-    /// Removes a connection; what it held of a message counts no more.
+    /// Removes a connection and updates the byte counts.
     pub(super) fn remove(&mut self, conn: ConnId) -> Option<Connection> {
         let removed = self.conns.remove(&conn)?;
         self.upstream.remove(&conn);
@@ -249,12 +249,12 @@
         Some(removed)
     }
 
-    /// Wants something done by the driver.
+    /// Queues a command for the driver.
     pub(super) fn command(&mut self, command: Command) {
         self.commands.push(command);
     }
 
-    /// Takes the commands for the driver, in order.
+    /// Takes the queued commands, in order.
     pub(super) fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
--- a/crates/flaxstand-gateway/src/core/decision_policy.rs
+++ b/crates/flaxstand-gateway/src/core/decision_policy.rs
@@ -1,4 +1,4 @@
-//! What decides about requests: the decision module, or a baseline in its place for measurements.
+//! The policy that decides about requests: the decision module, or a baseline for measurements.
 
 use super::admission::add_retry_classes;
 use super::baseline_policy::{BaselinePolicy, Placement};
@@ -15,7 +15,7 @@
 }
 
 impl DecisionPolicy {
-    /// The policy that the configuration names, with these settings.
+    /// Creates the configured policy with these settings.
     pub(super) fn new(config: &Config, settings: Settings, now: Micros) -> Self {
         let baseline = |placement| DecisionPolicy::Baseline(BaselinePolicy::new(placement, config.seed));
         match config.policy {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes one event; what is to be done is added to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub(super) fn handle(&mut self, event: Event, now: Micros, actions: &mut Vec<Action>) {
         match self {
             DecisionPolicy::Scheduler(scheduler) => scheduler.handle(event, now.ms(), actions),
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Until when requests may be sent by the current endpoint list, ms. For baselines it never expires.
+    /// Returns the time in ms until which requests may be sent according to the current endpoint list. For
+    /// baselines it never expires.
     pub(super) fn endpoints_trusted_until(&self) -> f64 {
         match self {
             DecisionPolicy::Scheduler(scheduler) => scheduler.endpoints_trusted_until(),
@@ -46,7 +47,8 @@
     }
 }
 
-/// The module's settings: the site's, and classes for write-outs and retries after the site's own.
+/// Returns the module's settings: those of the site, with classes for write-outs and retries appended to its
+/// classes.
 pub(super) fn module_settings(config: &Config) -> Settings {
     let mut settings = match &config.site.write_back {
         Some(_) => with_write_out_classes(&config.site.settings),
--- a/crates/flaxstand-gateway/src/core/dispatch.rs
+++ b/crates/flaxstand-gateway/src/core/dispatch.rs
@@ -1,4 +1,4 @@
-//! Frames that come on a connection, handed to whom they concern by who the peer is.
+//! Dispatches received frames to their handlers by type of peer and stage of the connection.
 
 use super::Core;
 use super::agreement::AgreementPeer;
@@ -12,7 +12,7 @@
 use tracing::info;
 
 impl Core {
-    /// Greets a peer that was connected to.
+    /// Sends the greeting on a connection that this initiator opened.
     pub(super) fn send_hello(&mut self, conn: ConnId) {
         let hello = Hello {
             role: Role::Initiator,
@@ -24,12 +24,12 @@
         self.connections.send_frame(conn, &Frame::Hello(hello));
     }
 
-    /// A frame came. False: the connection is closed, read no further.
+    /// Handles a received frame. Returns false if the connection was closed and no more is to be read.
     pub(super) fn frame_received(&mut self, conn: ConnId, frame: Frame<'_>, now: Micros) -> bool {
         let Some(c) = self.connections.get(conn) else { return false };
         if let Frame::Bye { close_reason, text, .. } = frame {
-            info!(conn = conn.0, ?close_reason, text, "peer said goodbye");
-            self.close(conn, "peer said goodbye", now);
+            info!(conn = conn.0, ?close_reason, text, "peer sent Bye; closing the connection");
+            self.close(conn, "peer sent Bye", now);
             return false;
         }
         let stage = c.stage;
--- a/crates/flaxstand-gateway/src/core/evaluation_schedule.rs
+++ b/crates/flaxstand-gateway/src/core/evaluation_schedule.rs
@@ -1,45 +1,46 @@
-//! When the decision module evaluates all pending requests: at most once a tick, and only if it was told
-//! something or asked to be woken.
+//! Schedules the decision module's evaluation of all pending requests: at most once per tick, and only if an
+//! event was delivered or a timer of the module has expired.
 
 use crate::machine::Micros;
 use std::collections::BTreeSet;
 
-/// Timers of the module that are kept. Of more the latest are dropped: the module relies on the earliest.
+/// Maximum number of the module's timers. Beyond it the latest are dropped: the module relies on the
+/// earliest.
 const MAX_TIMERS: usize = 256;
 
-/// When the module evaluates next.
+/// Schedule of the module's evaluations.
 #[derive(Debug)]
 pub(super) struct EvaluationSchedule {
-    /// When the module asked to be woken: each of these comes. Guards against a timer that is lost where two
-    /// are set: at the first the module relies on the second, and sets none.
+    /// Timers set by the module. All are kept, not only the earliest: when the first expires the module
+    /// relies on the second one and does not set it again.
     timers: BTreeSet<Micros>,
-    /// The module was told something that it has not evaluated.
+    /// Events were delivered since the last evaluation.
     is_requested: bool,
     last_at: Option<Micros>,
 }
 
 impl EvaluationSchedule {
-    /// The first evaluation is due at once.
+    /// Creates a schedule whose first evaluation is due at once.
     pub(super) fn new() -> Self {
         EvaluationSchedule { timers: BTreeSet::new(), is_requested: true, last_at: None }
     }
 
-    /// The module was told something that it has not evaluated.
+    /// Requests an evaluation after an event was delivered.
     pub(super) fn request(&mut self) {
         self.is_requested = true;
     }
 
-    /// The module asks for an evaluation `after` this time.
+    /// Sets a timer of the module, for an evaluation `after` this time.
     pub(super) fn set_timer(&mut self, after: Micros, now: Micros) {
-        // Rounded up: woken a moment early, the module would find nothing due, take the timer that it set as
-        // still to come, and not be woken again.
+        // Rounded up: if the timer fired a fraction of a microsecond early, the module would find nothing
+        // due, consider the timer still set, and not be called again.
         self.timers.insert(now.after(after).after(Micros(1)));
         if self.timers.len() > MAX_TIMERS {
             self.timers.pop_last();
         }
     }
 
-    /// Whether to evaluate now. Timers that have come are removed then.
+    /// Returns whether an evaluation is due now. If so, removes the expired timers.
     pub(super) fn take_due(&mut self, tick: Micros, now: Micros) -> bool {
         let has_expired_timer = self.timers.first().is_some_and(|at| *at <= now);
         let is_due = (self.is_requested || has_expired_timer) && now >= self.earliest(tick, now);
@@ -49,13 +50,14 @@
         is_due
     }
 
-    /// An evaluation begins.
+    /// Records that an evaluation starts.
     pub(super) fn started(&mut self, now: Micros) {
         self.is_requested = false;
         self.last_at = Some(now);
     }
 
-    /// When to look again, if nothing else happens. `has_events`: events wait for the module.
+    /// Returns when the next evaluation is due if no further event occurs. `has_events`: whether events are
+    /// queued for the module.
     pub(super) fn next_due(&self, has_events: bool, tick: Micros, now: Micros) -> Option<Micros> {
         let earliest = self.earliest(tick, now).max(Micros(now.0 + 1));
         let requested = (self.is_requested || has_events).then_some(earliest);
@@ -63,7 +65,8 @@
         requested.into_iter().chain(timer).min()
     }
 
-    /// Many requests share one evaluation: the next is a tick after the last at the earliest.
+    /// Returns the earliest time of the next evaluation, one tick after the last, so that many requests share
+    /// an evaluation.
     fn earliest(&self, tick: Micros, now: Micros) -> Micros {
         self.last_at.map_or(now, |at| at.after(tick))
     }
--- a/crates/flaxstand-gateway/src/core/http_connection.rs
+++ b/crates/flaxstand-gateway/src/core/http_connection.rs
@@ -1,117 +1,118 @@
-//! The server's side of one client's HTTP/1.1 connection: what has come on it, and whether it goes on.
+//! Server side of a client's HTTP/1.1 connection: received data and keep-alive state.
 
 use crate::machine::Micros;
 use flaxstand_http::{MessageError, Request, RequestReader};
 
-/// After its last answer a client has this long, and may send this many bytes, until it closes the
-/// connection.
+/// Time after the last response within which the client must close the connection.
 pub(super) const LINGER_TIMEOUT: Micros = Micros(500_000);
+/// Bytes that are discarded after the last response before the connection is closed.
 const MAX_LINGER_BYTES: usize = 1 << 20;
 
-/// How a request came, for passing it on unchanged.
+/// Parts of a client's request that are forwarded to the node unchanged.
 #[derive(Clone, Debug)]
-pub(super) struct Origin {
+pub(super) struct ForwardedHead {
     pub(super) method: &'static str,
     pub(super) target: String,
     pub(super) id: String,
     pub(super) key: Option<String>,
 }
 
-/// How far a connection is in its life.
+/// Keep-alive phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Flow {
+pub(super) enum ConnectionPhase {
     Open,
-    /// It ends with the answer to the request that it has open.
-    LastAnswer,
-    /// Its last answer was given: what still comes is dropped, up to this many bytes.
+    /// The connection ends after the response to the current request.
+    Closing,
+    /// The last response was sent. Further input is discarded, up to this many bytes.
     Lingering(usize),
 }
 
-/// What became of bytes that came.
+/// Disposition of received bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReceivedBytes {
-    /// They are part of a request.
+    /// Buffered as part of a request.
     Buffered,
-    /// They came after the last answer.
+    /// Discarded, since the last response was sent.
     Dropped,
-    /// They came after the last answer, and are too many.
+    /// Beyond the limit for input after the last response.
     TooMany,
 }
 
-/// A whole request, and how many bytes it had.
+/// A complete request, and its length in bytes.
 #[derive(Debug)]
-pub(super) struct WholeRequest {
+pub(super) struct CompleteRequest {
     pub(super) request: Request,
     pub(super) bytes: usize,
 }
 
-/// A client's connection.
+/// State of a client's HTTP connection.
 #[derive(Debug)]
 pub(super) struct HttpServer {
     reader: RequestReader,
-    flow: Flow,
+    phase: ConnectionPhase,
     since: Micros,
-    /// By which moment it is queued among those that may give their slot to a new client.
+    /// Time by which the connection is queued in the eviction order.
     pub(super) queued: Micros,
     requests: u64,
 }
 
 impl HttpServer {
-    /// A connection that was just accepted.
+    /// Creates the state of a newly accepted connection.
     pub(super) fn new(now: Micros) -> Self {
         HttpServer {
             reader: RequestReader::default(),
-            flow: Flow::Open,
+            phase: ConnectionPhase::Open,
             since: now,
             queued: now,
             requests: 0,
         }
     }
 
-    /// How far the connection is in its life.
-    pub(super) fn flow(&self) -> Flow {
-        self.flow
+    /// Returns the keep-alive phase.
+    pub(super) fn phase(&self) -> ConnectionPhase {
+        self.phase
     }
 
-    /// Since when a request is on its way in, or the connection waits for one.
+    /// Returns the time of the last change: request begun, request complete, response started or lingering
+    /// started.
     pub(super) fn since(&self) -> Micros {
         self.since
     }
 
-    ///  that came whole.
+    /// Returns the number of complete requests received.
     pub(super) fn requests(&self) -> u64 {
         self.requests
     }
 
-    /// Bytes of requests that are not whole, or not read yet.
+    /// Returns the number of buffered bytes of incomplete or unprocessed requests.
     pub(super) fn partial_bytes(&self) -> usize {
         self.reader.len()
     }
 
-    /// Whether part of a request has come.
+    /// Returns whether part of a request is buffered.
     pub(super) fn has_partial_request(&self) -> bool {
         !self.reader.is_empty()
     }
 
-    /// Its last answer has been given: what still comes is dropped.
+    /// Returns whether the last response was sent and further input is discarded.
     pub(super) fn is_lingering(&self) -> bool {
-        matches!(self.flow, Flow::Lingering(_))
+        matches!(self.phase, ConnectionPhase::Lingering(_))
     }
 
-    /// What a full reader is sent waits with its peer.
+    /// Returns whether more input can be accepted. Input beyond a full buffer stays with the peer.
     pub(super) fn wants_read(&self) -> bool {
         self.is_lingering() || !self.reader.is_full()
     }
 
-    /// Bytes came.
+    /// Handles received bytes.
     pub(super) fn receive(&mut self, bytes: &[u8], now: Micros) -> ReceivedBytes {
-        match &mut self.flow {
-            Flow::Lingering(left) if *left > bytes.len() => {
+        match &mut self.phase {
+            ConnectionPhase::Lingering(left) if *left > bytes.len() => {
                 *left -= bytes.len();
                 ReceivedBytes::Dropped
             }
-            Flow::Lingering(_) => ReceivedBytes::TooMany,
-            Flow::Open | Flow::LastAnswer => {
+            ConnectionPhase::Lingering(_) => ReceivedBytes::TooMany,
+            ConnectionPhase::Open | ConnectionPhase::Closing => {
                 if self.reader.is_empty() && self.requests > 0 {
                     self.since = now;
                 }
@@ -121,36 +122,36 @@
         }
     }
 
-    /// Takes the next request, if it is whole.
+    /// Takes the next request, if it is complete.
     ///
     /// # Errors
-    /// What came is no request, and nothing behind it can be read.
-    pub(super) fn take_request(&mut self, now: Micros) -> Result<Option<WholeRequest>, MessageError> {
+    /// The input is not a valid request; nothing after it can be parsed.
+    pub(super) fn take_request(&mut self, now: Micros) -> Result<Option<CompleteRequest>, MessageError> {
         let before = self.reader.len();
         let Some(request) = self.reader.take()? else { return Ok(None) };
         self.requests += 1;
         self.since = now;
         if !request.keeps_alive {
-            self.flow = Flow::LastAnswer;
+            self.phase = ConnectionPhase::Closing;
         }
-        Ok(Some(WholeRequest { request, bytes: before - self.reader.len() }))
+        Ok(Some(CompleteRequest { request, bytes: before - self.reader.len() }))
     }
 
-    /// An answer is given. Returns whether the connection stays open after it; while the process stops it
-    /// does not.
-    pub(super) fn start_answer(&mut self, is_stopping: bool, now: Micros) -> bool {
-        if is_stopping && self.flow == Flow::Open {
-            self.flow = Flow::LastAnswer;
+    /// Starts a response. Returns whether the connection stays open after it; not while the process is
+    /// stopping.
+    pub(super) fn start_response(&mut self, is_stopping: bool, now: Micros) -> bool {
+        if is_stopping && self.phase == ConnectionPhase::Open {
+            self.phase = ConnectionPhase::Closing;
         }
         self.since = now;
-        self.flow == Flow::Open
+        self.phase == ConnectionPhase::Open
     }
 
-    /// Nothing more is read of the client. Returns how many bytes were dropped.
+    /// Discards all further input of the client. Returns how many buffered bytes were discarded.
     pub(super) fn start_lingering(&mut self, now: Micros) -> usize {
         let dropped = self.reader.len();
         self.reader = RequestReader::default();
-        self.flow = Flow::Lingering(MAX_LINGER_BYTES);
+        self.phase = ConnectionPhase::Lingering(MAX_LINGER_BYTES);
         self.since = now;
         dropped
     }
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -1,15 +1,15 @@
-//! Clients that speak HTTP: one request at a time on a connection, and what each that can't be served gets.
+//! HTTP clients: one request at a time per connection, and error responses.
 //!
-//! What a client sends is trusted no further than it is whole and makes sense: a fault in its framing gets an
-//! error and the connection is closed, one in its meaning an error alone. Neither reaches the module. Bytes
-//! behind a request wait until it is answered and the answer written, so that a client that sends without
-//! reading holds up only itself.
+//! Input is validated before anything reaches the module. A framing error gets an error response and closes
+//! the connection; a semantic error gets an error response only. Pipelined input is not processed until the
+//! current request is answered and its response written, so that a client that sends without reading delays
+//! only itself.
 
 use super::Core;
 use super::clients::Client;
-use super::connection_slots::SILENT_EVICTABLE_AFTER;
+use super::connection_slots::UNUSED_EVICTABLE_AFTER;
 use super::connection_table::{Connection, Peer, Protocol, Stage};
-use super::http_connection::{Flow, HttpServer, LINGER_TIMEOUT, Origin, ReceivedBytes};
+use super::http_connection::{ConnectionPhase, ForwardedHead, HttpServer, LINGER_TIMEOUT, ReceivedBytes};
 use super::shutdown::Phase;
 use super::timers::Timer;
 use crate::machine::{Command, ConnId, Micros};
@@ -20,6 +20,7 @@
 use tracing::debug;
 
 impl Core {
+    /// Returns the HTTP state of a client's connection.
     fn http(&mut self, conn: ConnId) -> Option<&mut HttpServer> {
         match self.connections.get_mut(conn) {
             Some(Connection { protocol: Protocol::HttpServer(http), .. }) => Some(http),
@@ -27,16 +28,16 @@
         }
     }
 
-    /// A client connects; beyond the bound one that waits idle is closed for it.
+    /// Accepts a client's connection; at the limit an idle one is evicted for it.
     ///
     /// # Errors
-    /// It is rejected: bytes to send before the connection is closed.
+    /// The connection is rejected. Contains the bytes to send before it is closed.
     pub(super) fn accept_http_client(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
-        // While the process stops it listens no more; who had connected before that is told so once it has
-        // asked.
+        // While stopping, the process no longer listens. A client that connected before that learns of the
+        // stop from the response to its request.
         let is_stopped = self.shutdown.phase() == Phase::Stopped;
         if is_stopped || self.clients.len() >= self.config.bounds.max_clients && !self.evict_client(now) {
-            debug!(clients = self.clients.len(), "client rejected");
+            debug!(clients = self.clients.len(), "client connection rejected");
             let mut bytes = Vec::new();
             write_response(&mut bytes, 503, &[], b"no room\n", false);
             return Err(bytes);
@@ -49,21 +50,23 @@
         Ok(conn)
     }
 
-    /// Closes the client that gives its slot to a new one, if there is one.
+    /// Closes the connection to evict for a new one. Returns whether there was one.
     fn evict_client(&mut self, now: Micros) -> bool {
-        let evicted = self.clients.slots.evictable(&mut self.connections, now);
+        let evicted = self.clients.slots.find_evictable(&mut self.connections, now);
         if let Some(conn) = evicted {
-            self.close(conn, "its slot is needed", now);
+            self.close(conn, "evicted for a new connection", now);
         }
         evicted.is_some()
     }
 
-    /// Bytes came from a client.
+    /// Handles bytes received from a client.
     pub(super) fn http_received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
         let Some(http) = self.http(conn) else { return };
         match http.receive(bytes, now) {
             ReceivedBytes::Dropped => return,
-            ReceivedBytes::TooMany => return self.close(conn, "it goes on after an error", now),
+            ReceivedBytes::TooMany => {
+                return self.close(conn, "client sent too many bytes after its last response", now);
+            }
             ReceivedBytes::Buffered => {}
         }
         let is_full = !http.wants_read();
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Reads the next request, unless one is open or its answer is not yet written.
+    /// Processes the next request, unless one is unanswered or its response is not yet written.
     fn read_http(&mut self, conn: ConnId, now: Micros) {
         loop {
             let Some(Connection {
@@ -90,17 +93,17 @@
             else {
                 return;
             };
-            let is_answered = client.owed.is_empty() && outbox.is_empty();
-            if http.flow() != Flow::Open || !is_answered || !http.has_partial_request() {
+            let is_answered = client.unanswered.is_empty() && outbox.is_empty();
+            if http.phase() != ConnectionPhase::Open || !is_answered || !http.has_partial_request() {
                 return;
             }
             match http.take_request(now) {
-                Ok(Some(whole)) => {
-                    self.connections.sub_partial_bytes(whole.bytes);
-                    self.handle_request(conn, whole.request, now);
+                Ok(Some(complete)) => {
+                    self.connections.sub_partial_bytes(complete.bytes);
+                    self.handle_request(conn, complete.request, now);
                 }
                 Ok(None) => {
-                    // The first has its time from when the connection was opened.
+                    // For the first request, the check was scheduled when the connection was opened.
                     if http.requests() > 0 {
                         let due = http.since().after(self.config.site.timeouts.greeting_timeout);
                         self.timers.set(due, Timer::StallCheck(conn));
@@ -112,7 +115,7 @@
         }
     }
 
-    /// A whole request came.
+    /// Handles a complete request.
     fn handle_request(&mut self, conn: ConnId, request: Request, now: Micros) {
         if request.target == READY {
             let ready = self.shutdown.phase() == Phase::Running && self.nodes.any_serves();
@@ -128,30 +131,34 @@
         let read = match ClientRequest::read(&request, &limits) {
             Ok(read) => read,
             Err(bad) => {
-                debug!(conn = conn.0, %bad, "invalid request");
+                debug!(conn = conn.0, %bad, "invalid request; responding with an error");
                 self.counts.protocol_faults += 1;
                 return self.respond(conn, bad.status(), &[], format!("{bad}\n").as_bytes(), now);
             }
         };
         if self.requests.has_client_id(read.id) {
-            debug!(conn = conn.0, id = read.id, "request id is in use");
+            debug!(
+                conn = conn.0,
+                id = read.id,
+                "request id is in use by a pending request; responding with 409"
+            );
             self.counts.protocol_faults += 1;
             return self.respond(conn, 409, &[], b"a request with this id is open\n", now);
         }
         let number = self.http(conn).map_or(0, |http| http.requests());
         let submit = self.submit_of(&read, number, &request.body);
-        let origin = Origin {
+        let forwarded_head = ForwardedHead {
             method: if read.is_write { "PUT" } else { "GET" },
             target: request.target.clone(),
             id: read.id.to_owned(),
             key: read.idempotency_key.map(str::to_owned),
         };
-        if let Err(fault) = self.submit(conn, &submit, Some(origin), now) {
+        if let Err(fault) = self.submit(conn, &submit, Some(forwarded_head), now) {
             self.respond(conn, 400, &[], fault.text.as_bytes(), now);
         }
     }
 
-    /// The request as frames would carry it; `number` is its number on the connection.
+    /// Converts a request to its equivalent in the frame protocol. `number` is its number on the connection.
     fn submit_of<'a>(&self, read: &ClientRequest<'_>, number: u64, payload: &'a [u8]) -> Submit<'a> {
         let class = &self.config.site.settings.classes[usize::from(read.class)];
         let deadline = Micros::from_ms(class.deadline).saturating_u32();
@@ -168,13 +175,13 @@
             shard: read.shard,
             units: read.units,
             at: None,
-            // No client waits for longer than its class says; one that says so is not held for longer.
+            // A client's timeout is capped at the deadline of its class.
             time_left: read.time_left_micros.min(deadline),
             payload,
         }
     }
 
-    /// Sends a request's final answer, in the client's protocol.
+    /// Sends a request's final response in the client's protocol.
     pub(super) fn send_to_client(&mut self, conn: ConnId, frame: &Frame<'_>, now: Micros) {
         if self.connections.speaks_frames(conn) {
             self.connections.send_frame(conn, frame);
@@ -185,7 +192,7 @@
                 debug!(
                     conn = conn.0,
                     bytes = payload.len(),
-                    "clients do not read their answers: no capacity for one more"
+                    "unread responses of all clients exceed their limit; responding with 500"
                 );
                 self.respond(conn, 500, &[], b"no room for the answer\n", now);
             }
@@ -199,14 +206,14 @@
         }
     }
 
-    /// Guards the memory against clients that read large answers slowly, or not at all: what waits for all of
-    /// them has a bound. An answer beyond it fails.
+    /// Returns whether a response fits within the limit on unread responses of all clients. Bounds the memory
+    /// taken by clients that read large responses slowly or not at all. A response beyond it fails.
     fn has_output_capacity(&self, bytes: usize) -> bool {
         bytes <= MAX_REQUEST_BODY_BYTES
             || bytes + self.connections.unread_bytes() <= self.config.bounds.max_response_bytes
     }
 
-    /// Answers the request that a client has open.
+    /// Sends the response to a client's current request.
     fn respond(
         &mut self,
         conn: ConnId,
@@ -217,12 +224,12 @@
     ) {
         let is_stopping = self.shutdown.phase() == Phase::Stopping;
         let Some(http) = self.http(conn) else { return };
-        let keeps = http.start_answer(is_stopping, now);
+        let keeps = http.start_response(is_stopping, now);
         self.connections.write(conn, |bytes| write_response(bytes, status, fields, body, keeps));
     }
 
-    /// An error for what can't be read any further. What is still on its way is dropped, so that the client
-    /// can read the error.
+    /// Sends an error response to input that can't be parsed any further. Remaining input is discarded, so
+    /// that the client can read the response before the connection is closed.
     fn reject_malformed(&mut self, conn: ConnId, status: u16, text: &str, now: Micros) {
         debug!(conn = conn.0, status, text, "closing a connection for what its peer sent");
         self.counts.protocol_faults += 1;
@@ -231,48 +238,48 @@
             .write(conn, |bytes| write_response(bytes, status, &[], format!("{text}\n").as_bytes(), false));
     }
 
-    /// Nothing more is read of a client; what still comes is dropped for a while.
+    /// Stops processing a client's input; further input is discarded until the connection is closed.
     fn linger(&mut self, conn: ConnId, now: Micros) {
         let Some(http) = self.http(conn) else { return };
         let dropped = http.start_lingering(now);
         let queued = std::mem::replace(&mut http.queued, now);
         self.clients.slots.start_lingering(conn, queued, now);
         self.connections.sub_partial_bytes(dropped);
-        // The client reads to the end of what it was sent and closes in its turn (RFC 9112, 9.6).
+        // The client reads the response to its end and then closes the connection (RFC 9112, 9.6).
         self.connections.command(Command::ShutdownWrite(conn));
         self.timers.set(now.after(LINGER_TIMEOUT), Timer::StallCheck(conn));
     }
 
-    /// Something was written, or added: the next request can be read once all is written.
-    pub(super) fn http_wrote(&mut self, conn: ConnId, now: Micros) {
+    /// Continues after output was queued or written: once all is written, the next request can be processed.
+    pub(super) fn check_http_output(&mut self, conn: ConnId, now: Micros) {
         let Some(Connection {
             peer: Peer::Client(client), protocol: Protocol::HttpServer(http), outbox, ..
         }) = self.connections.get_mut(conn)
         else {
             return;
         };
-        if !outbox.is_empty() || !client.owed.is_empty() {
+        if !outbox.is_empty() || !client.unanswered.is_empty() {
             return;
         }
         if client.is_half_closed {
-            // What it sent behind its last request is not executed: it has disconnected.
-            return self.close(conn, "client has all it waits for", now);
+            // Pipelined requests are not executed: the client has shut down its sending side.
+            return self.close(conn, "all responses to the half-closed client are sent", now);
         }
         let is_full = !http.wants_read();
-        match http.flow() {
-            Flow::Open => self.read_http(conn, now),
-            // What it sent behind its last request is not read; a close now could take the answer with it.
-            Flow::LastAnswer => self.linger(conn, now),
-            Flow::Lingering(_) => {}
+        match http.phase() {
+            ConnectionPhase::Open => self.read_http(conn, now),
+            // Closing now, with unread input, would reset the connection and could lose the response.
+            ConnectionPhase::Closing => self.linger(conn, now),
+            ConnectionPhase::Lingering(_) => {}
         }
         if is_full {
-            // It may be read again.
+            // Lets the driver resume reading.
             self.connections.command(Command::Flush(conn));
         }
     }
 
-    /// Checks whether a connection has made no progress for too long. Guards against heads that never end,
-    /// half requests and silent clients.
+    /// Closes a connection that has made no progress for too long: an endless head, a partial request or a
+    /// client that sends nothing.
     pub(super) fn check_http_stalled(&mut self, conn: ConnId, now: Micros) {
         let timeout = self.config.site.timeouts.greeting_timeout;
         let Some(Connection { peer: Peer::Client(client), protocol: Protocol::HttpServer(http), .. }) =
@@ -281,14 +288,16 @@
             return;
         };
         let waited = now.since(http.since());
-        match http.flow() {
-            Flow::Lingering(_) if waited >= LINGER_TIMEOUT => {
-                self.close(conn, "client did not close the connection after its last answer", now)
+        match http.phase() {
+            ConnectionPhase::Lingering(_) if waited >= LINGER_TIMEOUT => {
+                self.close(conn, "client did not close the connection after its last response", now)
+            }
+            ConnectionPhase::Lingering(_) => {}
+            _ if !client.unanswered.is_empty() || waited < timeout => {}
+            // Nothing was received since the connection was opened: there is no request to respond to.
+            _ if http.requests() == 0 && !http.has_partial_request() => {
+                self.close(conn, "client sent no request in time", now)
             }
-            Flow::Lingering(_) => {}
-            _ if !client.owed.is_empty() || waited < timeout => {}
-            // Silent since it was opened: nothing was asked that an answer could be for.
-            _ if http.requests() == 0 && !http.has_partial_request() => self.close(conn, "silent", now),
             _ if http.has_partial_request() => {
                 self.reject_malformed(conn, 408, "the request does not end", now)
             }
@@ -296,14 +305,15 @@
         }
     }
 
-    /// Nothing new is accepted: idle connections are shut, so that a request that crosses this is not read
-    /// and its client asks elsewhere; the others after their answer. New ones are left until they have asked.
+    /// Closes idle connections during a shutdown. A request that crosses the close is not processed and its
+    /// client retries elsewhere. Busy connections are closed after their response, new ones after their first
+    /// request.
     pub(super) fn drain_http_clients(&mut self, now: Micros) {
         let is_idle = |c: &Connection| match (&c.peer, &c.protocol) {
             (Peer::Client(client), Protocol::HttpServer(http)) => {
-                let has_had_time = http.requests() > 0 || now.since(http.since()) >= SILENT_EVICTABLE_AFTER;
-                has_had_time
-                    && client.owed.is_empty()
+                let is_past_grace = http.requests() > 0 || now.since(http.since()) >= UNUSED_EVICTABLE_AFTER;
+                is_past_grace
+                    && client.unanswered.is_empty()
                     && c.outbox.is_empty()
                     && !http.has_partial_request()
                     && !http.is_lingering()
--- a/crates/flaxstand-gateway/src/core/metrics.rs
+++ b/crates/flaxstand-gateway/src/core/metrics.rs
@@ -1,57 +1,58 @@
-//! Metrics of the core: counts since the start, and what is pending now.
+//! Metrics of the core: counters since the start, and current sizes.
 
-/// Counts since the start. All only grow.
+/// Counters since the start. They never decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests that came from clients, rejected ones included.
+    /// Requests received from clients, including rejected ones.
     pub accepted: u64,
     /// Requests that ended served.
     pub served: u64,
     /// Writes acknowledged as buffered.
     pub buffered: u64,
-    /// Reads answered from the buffer alone; they count as served too.
+    /// Reads answered from the buffer alone; also counted in `served`.
     pub served_from_buffer: u64,
     /// Requests that the module rejected.
     pub rejected: u64,
-    /// Requests rejected at a bound, by the buffer or while stopping, unseen by the module.
+    /// Requests rejected at a limit, by the buffer or while stopping, without reaching the module.
     pub rejected_at_bound: u64,
-    /// Retries rejected under overload, unseen by the module.
+    /// Retries rejected under overload, without reaching the module.
     pub retries_rejected: u64,
     /// Requests that ended failed.
     pub failed: u64,
-    /// Requests whose client disconnected before its answer.
+    /// Requests whose client disconnected before the response.
     pub abandoned: u64,
     /// Attempts handed to a node's connection.
     pub attempts: u64,
-    /// Outcomes of attempts that were not in flight any more.
+    /// Outcomes received for attempts that were no longer in flight.
     pub late_outcomes: u64,
-    /// Connections closed for what their peer sent.
+    /// Protocol faults of peers.
     pub protocol_faults: u64,
-    /// Lookups of nodes: for requests, probes, changes of the list, saves and sweeps.
+    /// Lookups of nodes, for requests, probes, changes of the list, saves and sweeps.
     pub nodes_visited: u64,
-    /// Connections looked at where several were iterated over.
+    /// Connections visited in iterations over several.
     pub connections_walked: u64,
-    /// Bytes of the node list that were saved.
+    /// Bytes of the endpoint list written to the saved state.
     pub saved_bytes: u64,
-    /// How often all of the list was saved; the other saves hold what changed.
+    /// Full saves of the endpoint list; other saves append changes.
     pub whole_saves: u64,
-    /// Requests that the module had not ended at their deadline. More than 0 is a fault of the module.
+    /// Requests that the module had not ended by their deadline. Any value above 0 indicates a fault of the
+    /// module.
     pub overdue: u64,
 }
 
-/// How much is pending at a moment.
+/// Current sizes of the core's tables and buffers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Footprint {
-    /// Connections, those being opened included.
+    /// Connections, including those being opened.
     pub connections: usize,
-    /// Requests.
+    /// Pending requests.
     pub requests: usize,
-    /// Ids of clients' requests.
+    /// Client request ids in use.
     pub client_request_ids: usize,
     /// Nodes.
     pub nodes: usize,
-    /// Timers.
+    /// Pending timers.
     pub timers: usize,
-    /// Bytes of requests and answers that are not yet whole.
+    /// Bytes of incomplete requests and responses.
     pub partial_bytes: usize,
 }
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -1,35 +1,37 @@
-//! The initiator's core: connections, requests, attempts, timers, and the decision module that they serve.
-//! It does no I/O and reads no clock. What happens comes in through [`Machine`]; every decision about a
-//! request is the module's, this code only carries events to it and actions from it.
+//! The initiator's core: connections, requests, attempts, timers and the decision module.
 //!
-//! [`Core`] keeps the order of steps. State has owners that keep their fields private:
+//! The core does no I/O and reads no clock; the driver reports events through [`Machine`]. The decision
+//! module decides how requests are handled. The core delivers events to it and performs its actions.
 //!
-//! | owner | state |
+//! [`Core`] sequences the steps of a turn. Each part of the state is encapsulated in one module:
+//!
+//! | module | state |
 //! | --- | --- |
-//! | [`connection_table`] | connections, what is read and written on them, commands to the driver |
-//! | [`timers`] | timers that are set |
-//! | [`client_registry`], [`connection_slots`] | count of clients, which gives its slot to a new one |
-//! | [`request_table`], [`pending_request`] | pending requests, their attempts, ids that clients gave them |
-//! | [`upstream_pool`] | connections to nodes, what is in flight on them, which are idle |
-//! | [`pooled_connection`], [`http_connection`] | one HTTP/1.1 connection to a node, or of a client |
+//! | [`connection_table`] | connections, their input and output buffers, commands to the driver |
+//! | [`timers`] | pending timers |
+//! | [`client_registry`], [`connection_slots`] | number of clients; which client is evicted for a new one |
+//! | [`request_table`], [`pending_request`] | pending requests, their attempts, client request ids |
+//! | [`upstream_pool`] | connections to nodes, attempts in flight on them, idle connections |
+//! | [`pooled_connection`], [`http_connection`] | an HTTP/1.1 connection to a node, or from a client |
 //! | [`admission`] | the retry throttle |
-//! | [`write_back`] | the write-back buffer and its write-outs |
-//! | [`evaluation_schedule`] | when the module evaluates next |
-//! | [`shutdown`] | how far a shutdown has come |
-//! | [`endpoint_table`], [`discovery`] | the endpoint list; calls of the discovery service, the cached list |
-//! | [`agreement`] | the agreement of initiators on rules |
+//! | [`write_back`] | write-back buffer and its write-outs |
+//! | [`evaluation_schedule`] | time of the module's next evaluation |
+//! | [`shutdown`] | phase of a shutdown |
+//! | [`endpoint_table`], [`discovery`] | endpoint list; calls to the discovery service, cached list |
+//! | [`agreement`] | agreement of the initiators on rules |
 //!
-//! Steps, each a module of methods of [`Core`]:
+//! Further modules implement steps as methods of [`Core`]:
 //!
-//! - [`dispatch`]: frames, handed on by who the peer is
-//! - [`connection_closing`]: what is settled when a connection is closed
-//! - [`clients`], [`http_server`]: who submits requests, and the bounds on them
-//! - [`requests`]: a request's life from its arrival to its one answer
-//! - [`attempts`]: an attempt's life
-//! - [`buffered_requests`]: requests on their way through the write-back buffer
-//! - [`send_permit`]: whether the first byte of an attempt may be sent
-//! - [`node_connections`], [`pooled_attempts`]: attempts on connections for frames, or for one request each
-//! - [`endpoint_events`]: what becomes of a change of the endpoint list
+//! - [`dispatch`]: dispatches received frames by type of peer
+//! - [`connection_closing`]: closes connections and cleans up dependent state
+//! - [`clients`], [`http_server`]: accept clients and their requests, within limits
+//! - [`requests`]: request life cycle, from arrival to the final response
+//! - [`attempts`]: attempt life cycle
+//! - [`buffered_requests`]: requests that pass through the write-back buffer
+//! - [`send_permit`]: checks whether the first byte of an attempt may be sent
+//! - [`node_connections`], [`pooled_attempts`]: attempts on multiplexed frame connections and on pooled
+//!   HTTP connections
+//! - [`endpoint_events`]: applies changes of the endpoint list
 
 mod admission;
 mod agreement;
@@ -103,7 +105,7 @@
 pub struct Core {
     config: Config,
     policy: DecisionPolicy,
-    /// The module's classes: the site's, and after them those of write-outs, if there are any.
+    /// Classes of the module: those of the site, followed by those for write-outs and retries, if any.
     module_classes: Vec<Class>,
     write_back: Option<WriteBackCoordinator>,
     agreement: Option<Agreement>,
@@ -116,11 +118,11 @@
     requests: RequestTable,
     nodes: EndpointTable,
     upstream: UpstreamPool,
-    /// Names of classes, in the order of the module's.
+    /// Names of the site's classes, in the module's order.
     class_names: Vec<String>,
     discovery: EndpointDiscovery,
     endpoint_trust: EndpointTrust,
-    /// Events that wait to be delivered to the module.
+    /// Events not yet delivered to the module.
     events: VecDeque<Event>,
     evaluation: EvaluationSchedule,
     shutdown: Shutdown,
@@ -128,10 +130,10 @@
 }
 
 impl Core {
-    /// A core that starts now, with the list as it was saved in an earlier life, if there is one.
+    /// Creates a core at time `now`, with the endpoint list that an earlier run of the process saved, if any.
     ///
     /// # Errors
-    /// The saved list is no list. Start without it then.
+    /// The saved list cannot be decoded. The caller may retry with `None`.
     pub fn new(config: Config, saved: Option<&[u8]>, now: Micros) -> Result<Self, SavedListError> {
         let settings = module_settings(&config);
         let gate = config.site.retry_throttle.map(|rules| {
@@ -177,16 +179,16 @@
         Ok(core)
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         Counts {
             nodes_visited: self.nodes.visited() + self.upstream.visited(),
-            connections_walked: self.connections.walked(),
+            connections_walked: self.connections.visited(),
             ..self.counts
         }
     }
 
-    /// How much is pending now.
+    /// Returns the sizes of the core's tables and buffers.
     pub fn footprint(&self) -> Footprint {
         Footprint {
             connections: self.connections.len(),
@@ -198,22 +200,23 @@
         }
     }
 
-    /// Revision of the endpoint list that was last received since the start of the process, if any.
+    /// Returns the last revision of the endpoint list received since the process started, if any.
     pub fn list_revision(&self) -> Option<u64> {
         self.discovery.notified_revision()
     }
 
-    /// Requests that are pending now.
+    /// Returns the number of pending requests.
     pub fn pending_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Client connections now.
+    /// Returns the number of client connections.
     pub fn clients(&self) -> usize {
         self.clients.len()
     }
 
-    /// How retries were distinguished from first attempts, where the retry throttle is configured.
+    /// Returns how many client attempts were classified as retries and as first attempts, if the retry
+    /// throttle is configured.
     pub fn attempt_counts(&self) -> Option<RetryDetectionCounts> {
         self.gate.as_ref().map(AdmissionGate::attempt_counts)
     }
@@ -222,10 +225,10 @@
         self.config.wire == Wire::Platform
     }
 
-    /// Delivers all waiting events to the module, and does what it wants done at once.
+    /// Delivers all queued events to the module and performs the resulting actions.
     fn deliver_events(&mut self, now: Micros) {
         let mut actions = Vec::new();
-        // Guards against a turn without end: events that the actions cause are delivered at the next turn.
+        // Events caused by the actions are delivered in the next turn, so that a turn always ends.
         for event in std::mem::take(&mut self.events) {
             self.policy.handle(event, now, &mut actions);
             self.evaluation.request();
@@ -233,7 +236,7 @@
         self.perform_actions(&mut actions, now);
     }
 
-    /// The module evaluates all pending requests.
+    /// Lets the module evaluate all pending requests and performs the resulting actions.
     fn evaluate(&mut self, now: Micros) {
         self.evaluation.started(now);
         let mut actions = Vec::new();
@@ -241,7 +244,7 @@
         self.perform_actions(&mut actions, now);
     }
 
-    /// A timer is due.
+    /// Handles a timer that is due.
     fn handle_timer(&mut self, timer: Timer, now: Micros) {
         match timer {
             Timer::Deadline(request) => self.deadline_reached(request, now),
@@ -259,9 +262,9 @@
             Timer::DiscoveryCall => self.connect_discovery(now),
             Timer::DiscoveryStalled => self.check_discovery_stalled(now),
             Timer::EndpointsExpire => self.endpoint_trust_due(),
-            // Settled in every turn.
+            // `step_agreement` runs in every turn.
             Timer::Agreement => {}
-            Timer::ShutdownTimeout => self.stop_ends(now),
+            Timer::ShutdownTimeout => self.shutdown_timed_out(now),
         }
     }
 }
@@ -329,7 +332,7 @@
         if let Some(pooled) = self.pooled_connection(conn) {
             pooled.record_sent();
         }
-        self.client_read(conn, now);
+        self.resume_client(conn, now);
     }
 
     fn wants_read(&self, conn: ConnId) -> bool {
@@ -370,14 +373,14 @@
         match control {
             Control::Stop => self.stop(now),
             Control::Reload(reloaded) => {
-                info!(?reloaded, "new bounds, and where the list service is");
+                info!(?reloaded, "settings reloaded: new bounds and discovery address");
                 self.config.bounds = reloaded.bounds;
                 if self.config.discovery_address != reloaded.list {
                     self.config.discovery_address = reloaded.list;
                     self.discovery_moved(now);
                 }
             }
-            // Only where the driver reads it: whoever started the process is gone.
+            // Reported only if the driver reads standard input: the parent process has exited.
             Control::InputEnded => self.stop(now),
             Control::Line(_) => {}
         }
--- a/crates/flaxstand-gateway/src/core/peer_fault.rs
+++ b/crates/flaxstand-gateway/src/core/peer_fault.rs
@@ -1,29 +1,29 @@
-//! What a peer did wrong on its connection.
+//! Protocol faults of peers.
 
 use flaxstand_proto::{CloseReason, Frame};
 use thiserror::Error;
 
-/// A fault for which a peer's connection is closed.
+/// A fault of a peer for which its connection is closed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{text}")]
 pub(super) struct PeerFault {
-    /// What the peer is told in the `Bye` frame.
+    /// Reason given to the peer in the `Bye` frame.
     pub(super) close_reason: CloseReason,
     pub(super) text: String,
 }
 
 impl PeerFault {
-    /// A fault with this reason.
+    /// Creates a fault with this reason and text.
     pub(super) fn new(close_reason: CloseReason, text: impl Into<String>) -> Self {
         PeerFault { close_reason, text: text.into() }
     }
 
-    /// The peer broke the protocol.
+    /// Creates a fault for a protocol violation.
     pub(super) fn protocol(text: impl Into<String>) -> Self {
         Self::new(CloseReason::Protocol, text)
     }
 
-    /// A frame that such a peer may not send, or not yet.
+    /// Creates a fault for a frame that is not allowed from this peer or at this stage.
     pub(super) fn unexpected(frame: &Frame<'_>) -> Self {
         Self::protocol(format!("a frame that has no place here: {frame:?}"))
     }
--- a/crates/flaxstand-gateway/src/core/pending_request.rs
+++ b/crates/flaxstand-gateway/src/core/pending_request.rs
@@ -1,97 +1,99 @@
-//! A client's request or a write-out from its arrival until it is answered and has no attempt in flight.
+//! State of a client's request or a write-out, from its arrival until it is answered and has no attempt in
+//! flight.
 
-use super::http_connection::Origin;
+use super::http_connection::ForwardedHead;
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{Arrival, AttemptNo, ClassId, Key, NodeId, PlanId, RequestId, ShardId, VolumeId};
 use flaxstand_proto::Submit;
 use flaxstand_write_back::{ExtentId, Write, WriteOutId};
 
-/// Names an attempt among all requests.
+/// Identifies an attempt among all requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
     pub(super) request: RequestId,
     pub(super) number: AttemptNo,
 }
 
-/// The connection that an attempt was handed to.
+/// Position of an attempt in the output of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct HandOver {
     pub(super) conn: ConnId,
-    /// Where in its stream the attempt ends, bytes; `u64::MAX` while that is not known.
+    /// End offset of the attempt in the connection's stream, in bytes; `u64::MAX` until it is written to the
+    /// outbox.
     pub(super) end_offset: u64,
 }
 
-/// An attempt that has not ended, those that wait for their node's connection included.
+/// An attempt that has not ended; it may still be queued for its node's connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InFlightAttempt {
     pub(super) number: AttemptNo,
     pub(super) node: NodeId,
     pub(super) started_at: Micros,
-    /// Its first byte must be sent before this.
+    /// Time before which the first byte must be sent.
     pub(super) send_before: Micros,
     pub(super) handed_over: Option<HandOver>,
 }
 
-/// Who is owed an answer.
+/// Recipient of a request's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Owner {
-    /// A client, by its connection and its own number for the request.
+    /// A client, by its connection and its request number.
     Client { conn: ConnId, client_id: u64 },
     /// The write-back buffer.
     Buffer(WriteOutId),
 }
 
-/// Who handles a request now.
+/// Component that currently handles a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Handler {
-    /// The module. `passed_on`: the buffer had it before and is notified of its end.
-    Module { passed_on: bool },
-    /// The write-back buffer; it was not delivered to the module.
+    /// The module. `passed_through`: the buffer passed it through and is notified of its end.
+    Module { passed_through: bool },
+    /// The write-back buffer; the module has not been notified of it.
     Buffer,
 }
 
-/// What a request was answered.
+/// Final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum FinalAnswer {
-    /// Nothing: nobody waited any more.
+pub(super) enum FinalResponse {
+    /// No response was sent.
     None,
     Served,
-    /// It was rejected, with this Retry-After.
+    /// Rejected, with this Retry-After.
     NotExecuted(Micros),
     Failed,
 }
 
-/// The parts of a streamed response that have come so far.
+/// Parts of a streamed response received so far.
 #[derive(Debug)]
 pub(super) struct StreamedParts {
     pub(super) attempt: AttemptNo,
     pub(super) bytes: Vec<u8>,
 }
 
-/// A request that is not answered, or has attempts in flight.
+/// A request that is unanswered or has attempts in flight.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
-    /// Who is owed an answer. None: nobody any more.
+    /// Recipient of the response; `None` once answered or abandoned.
     pub(super) owner: Option<Owner>,
-    /// Whose it was at first.
+    /// Recipient at arrival.
     pub(super) original_owner: Owner,
     pub(super) handler: Handler,
-    pub(super) final_answer: FinalAnswer,
-    /// An attempt has ended that may still be executed.
+    pub(super) final_response: FinalResponse,
+    /// An ended attempt may have been executed, or may still be.
     pub(super) may_have_run: bool,
-    /// A read: what is buffered of this extent is laid over the node's response.
+    /// For a read: extent whose buffered writes are overlaid on the node's response.
     pub(super) merge_extent: Option<ExtentId>,
-    /// Of a response that is to be laid over.
+    /// Partial response of a read with `merge_extent`.
     pub(super) streamed: StreamedParts,
     pub(super) operation: u64,
     pub(super) class: u16,
     pub(super) plan: u16,
     pub(super) is_write: bool,
-    /// How often the client sent this operation before, as it says itself.
+    /// Number of earlier tries of this operation, as reported by the client.
     pub(super) client_retries: u8,
-    /// The admission gate took it for a retry.
+    /// Classified as a retry by the admission gate.
     pub(super) is_retry: bool,
-    /// The admission gate knows how it ended.
+    /// The result was already reported to the retry throttle.
     pub(super) is_end_recorded: bool,
     /// A barrier or a flush.
     pub(super) is_ordering_request: bool,
@@ -100,16 +102,16 @@
     pub(super) shard: Option<u32>,
     pub(super) units: u32,
     pub(super) volume_initiators: u16,
-    /// The byte of the extent at which a write begins; none: it replaces the extent.
+    /// Offset of a write within the extent in bytes; `None` if it replaces the extent.
     pub(super) offset: Option<u32>,
     pub(super) expires_at: Micros,
     pub(super) payload: Vec<u8>,
-    /// How a client of the platform asked for it.
-    pub(super) origin: Option<Box<Origin>>,
-    /// How many attempts the module has asked for.
+    /// For a platform client: parts of the HTTP request to forward.
+    pub(super) forwarded_head: Option<Box<ForwardedHead>>,
+    /// Number of attempts started.
     pub(super) attempts_started: u32,
     pub(super) in_flight: Vec<InFlightAttempt>,
-    /// The client has a part of the response.
+    /// Part of the response was sent to the client.
     pub(super) is_streaming: bool,
 }
 
@@ -119,7 +121,7 @@
             owner: Some(owner),
             original_owner: owner,
             handler,
-            final_answer: FinalAnswer::None,
+            final_response: FinalResponse::None,
             may_have_run: false,
             merge_extent: None,
             streamed: StreamedParts { attempt: AttemptNo(0), bytes: Vec::new() },
@@ -139,14 +141,14 @@
             offset: None,
             expires_at,
             payload: Vec::new(),
-            origin: None,
+            forwarded_head: None,
             attempts_started: 0,
             in_flight: Vec::new(),
             is_streaming: false,
         }
     }
 
-    /// A client's request.
+    /// Creates the state of a client's request.
     pub(super) fn new(conn: ConnId, s: &Submit<'_>, expires_at: Micros) -> Self {
         PendingRequest {
             operation: s.operation,
@@ -163,19 +165,19 @@
             payload: s.payload.to_vec(),
             ..Self::empty(
                 Owner::Client { conn, client_id: s.id },
-                Handler::Module { passed_on: false },
+                Handler::Module { passed_through: false },
                 expires_at,
             )
         }
     }
 
-    /// A client's barrier or flush.
+    /// Creates the state of a client's barrier or flush.
     pub(super) fn ordering_request(conn: ConnId, client_id: u64, expires_at: Micros) -> Self {
         let owner = Owner::Client { conn, client_id };
         PendingRequest { is_ordering_request: true, ..Self::empty(owner, Handler::Buffer, expires_at) }
     }
 
-    /// A write-out of the buffer's.
+    /// Creates the state of a write-out.
     pub(super) fn write_out(id: WriteOutId, w: Write, expires_at: Micros) -> Self {
         PendingRequest {
             operation: w.operation,
@@ -189,11 +191,11 @@
             volume_initiators: w.volume_initiators,
             offset: w.at,
             payload: w.payload,
-            ..Self::empty(Owner::Buffer(id), Handler::Module { passed_on: false }, expires_at)
+            ..Self::empty(Owner::Buffer(id), Handler::Module { passed_through: false }, expires_at)
         }
     }
 
-    /// Its arrival, for the module; `class` is the module's.
+    /// Returns the arrival event's data for the module. `class` is the module's class.
     pub(super) fn arrival(&self, id: RequestId, class: usize) -> Arrival {
         Arrival {
             id,
--- a/crates/flaxstand-gateway/src/core/pooled_attempts.rs
+++ b/crates/flaxstand-gateway/src/core/pooled_attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts and probes on connections that carry one request each: a pool for every node, the newest idle
-//! connection used first. A response is buffered whole before anything of it is passed on; a connection whose
-//! response is invalid, or brings more than belongs to it, is not used again. Abandoning an attempt closes
-//! its connection.
+//! Attempts and probes on pooled HTTP connections, which carry one request at a time. Each node has a pool;
+//! the most recently used idle connection is reused first. A response is buffered completely before it is
+//! passed on. A connection is not reused after an invalid response or excess data. Abandoning an attempt
+//! closes its connection.
 
 use super::Core;
 use super::connection_table::{Connection, Peer, Protocol, Stage};
@@ -15,13 +15,13 @@
 use std::fmt::Display;
 use tracing::{debug, info};
 
-/// How often idle connections are checked.
+/// Interval at which idle connections and removed nodes are checked.
 const SWEEP_INTERVAL: Micros = Micros(1_000_000);
-/// A removed node is kept for this long: lists may flap.
+/// Time for which a removed node is kept, since nodes may flap in the list.
 const REMOVED_NODE_RETENTION: Micros = Micros(30_000_000);
 
 impl Core {
-    /// The state of a pooled connection.
+    /// Returns the state of a pooled connection.
     pub(super) fn pooled_connection(&mut self, conn: ConnId) -> Option<&mut PooledConnection> {
         match self.connections.get_mut(conn) {
             Some(Connection { protocol: Protocol::HttpClient(pooled), .. }) => Some(pooled),
@@ -29,21 +29,24 @@
         }
     }
 
-    /// Sends by the newest idle connection to the node, by one whose last response can't be repeated any more
-    /// if there is one, or by a new one.
-    pub(super) fn send_pooled(&mut self, at: NodeId, exchange: PooledExchange, now: Micros) {
-        let Some(address) = self.nodes.get(at).map(|node| node.address.clone()) else { return };
+    /// Sends an attempt or probe on an idle connection to the node, or on a new one. Prefers the most
+    /// recently used idle connection on which no duplicate of the last response can arrive any more.
+    pub(super) fn send_pooled(&mut self, node_id: NodeId, exchange: PooledExchange, now: Micros) {
+        let Some(address) = self.nodes.get(node_id).map(|node| node.address.clone()) else { return };
         let is_preferred = |conn: &ConnId| match self.connections.get(*conn).map(|c| &c.protocol) {
             Some(Protocol::HttpClient(pooled)) => pooled.is_reuse_preferred(now),
             _ => false,
         };
-        if let Some(conn) = self.upstream.take_idle(at, is_preferred) {
+        if let Some(conn) = self.upstream.take_idle(node_id, is_preferred) {
             self.reuse_connection(conn, exchange);
             return self.write_exchange(conn, now);
         }
         if self.upstream.pooled() >= self.config.bounds.max_node_connections && !self.evict_longest_idle(now)
         {
-            debug!(connections = self.upstream.pooled(), "no upstream connection available");
+            debug!(
+                connections = self.upstream.pooled(),
+                "limit of upstream connections reached and none is idle; not sent"
+            );
             return self.end_exchange(exchange, Outcome::NotSent, now);
         }
         self.upstream.pooled_opened();
@@ -51,14 +54,14 @@
             Protocol::HttpClient(PooledConnection::new(exchange, now)),
             now.after(self.config.site.timeouts.connect_timeout),
         );
-        let conn = self.connections.dial(&mut self.timers, Peer::Node(at), protocol, address, by);
+        let conn = self.connections.dial(&mut self.timers, Peer::Node(node_id), protocol, address, by);
         match exchange {
             PooledExchange::Attempt(attempt) => self.requests.record_hand_over(attempt, conn, u64::MAX),
             PooledExchange::Probe(..) => self.record_probe_connection(exchange, conn),
         }
     }
 
-    /// An idle connection has something to carry.
+    /// Assigns an exchange to an idle connection.
     fn reuse_connection(&mut self, conn: ConnId, exchange: PooledExchange) {
         let Some(pooled) = self.pooled_connection(conn) else { return };
         let idle_since = pooled.reuse(exchange);
@@ -66,14 +69,14 @@
         self.record_probe_connection(exchange, conn);
     }
 
-    /// Which connection carries a probe.
+    /// Records which connection carries a probe.
     fn record_probe_connection(&mut self, exchange: PooledExchange, conn: ConnId) {
         if let PooledExchange::Probe(probe) = exchange {
             self.upstream.set_probe_connection(probe, conn);
         }
     }
 
-    /// What a connection carried has ended without being served.
+    /// Ends an exchange that was not served.
     fn end_exchange(&mut self, exchange: PooledExchange, outcome: Outcome, now: Micros) {
         match exchange {
             PooledExchange::Attempt(attempt) => self.end_attempt(attempt, outcome, now),
@@ -81,28 +84,28 @@
         }
     }
 
-    /// A new connection is open.
+    /// Handles a newly opened connection: sends its exchange, unless that is no longer allowed.
     pub(super) fn pooled_connected(&mut self, conn: ConnId, now: Micros) {
         let Some(Connection { peer, protocol: Protocol::HttpClient(pooled), .. }) =
             self.connections.get(conn)
         else {
             return;
         };
-        let Peer::Node(at) = *peer else { return };
-        // It may have been opened late: what held when it was dialled may hold no longer.
+        let Peer::Node(node_id) = *peer else { return };
+        // Conditions may have changed while the connection was being opened.
         let Some(exchange) = pooled.exchange() else { return };
-        let may = match exchange {
+        let may_send = match exchange {
             PooledExchange::Attempt(attempt) => self.may_send(attempt, now),
-            PooledExchange::Probe(..) => self.node_accepts_work(at, now),
+            PooledExchange::Probe(..) => self.node_accepts_work(node_id, now),
         };
-        if may {
+        if may_send {
             return self.write_exchange(conn, now);
         }
         self.release_connection(conn, now);
         self.end_exchange(exchange, Outcome::NotSent, now);
     }
 
-    /// Puts what a connection carries into its outbox.
+    /// Writes a connection's exchange to its outbox.
     fn write_exchange(&mut self, conn: ConnId, now: Micros) {
         let Some(pooled) = self.pooled_connection(conn) else { return };
         pooled.start_request(now);
@@ -116,23 +119,23 @@
     fn write_attempt(&mut self, conn: ConnId, attempt: AttemptId, now: Micros) {
         let host = self.host_of(conn);
         let Some(pending) = self.requests.get_mut(attempt.request) else { return };
-        let Some(origin) = pending.origin.take() else { return };
+        let Some(forwarded_head) = pending.forwarded_head.take() else { return };
         let payload = std::mem::take(&mut pending.payload);
         let expires_at = pending.expires_at;
         let seconds_left = expires_at.since(now).ms().max(1.0) / 1000.0;
         let timeout = format_args!("{seconds_left:.3}");
         let mut fields: Vec<(&str, &dyn Display)> =
-            vec![("Host", &host), (field::ID, &origin.id), (field::TIMEOUT, &timeout)];
-        if let Some(key) = &origin.key {
+            vec![("Host", &host), (field::ID, &forwarded_head.id), (field::TIMEOUT, &timeout)];
+        if let Some(key) = &forwarded_head.key {
             fields.push((field::KEY, key));
         }
         let body = pending.is_write.then_some(payload.as_slice());
         let end_offset = self.connections.write(conn, |bytes| {
-            write_request(bytes, origin.method, &origin.target, &fields, body);
+            write_request(bytes, forwarded_head.method, &forwarded_head.target, &fields, body);
         });
         self.counts.attempts += 1;
         if let Some(pending) = self.requests.get_mut(attempt.request) {
-            (pending.origin, pending.payload) = (Some(origin), payload);
+            (pending.forwarded_head, pending.payload) = (Some(forwarded_head), payload);
         }
         self.requests.record_hand_over(attempt, conn, end_offset);
         let send_before = self.requests.attempt(attempt).map(|in_flight| in_flight.send_before);
@@ -146,24 +149,24 @@
         self.connections.write(conn, |bytes| write_request(bytes, "GET", HEALTH, &[("Host", &host)], None));
     }
 
-    /// The `Host` field of requests on a connection.
+    /// Returns the `Host` field for requests on a connection.
     fn host_of(&self, conn: ConnId) -> String {
         let node = self.connections.get(conn).and_then(|c| c.peer.node());
         node.and_then(|node| self.nodes.get(node)).map(|node| node.address.to_string()).unwrap_or_default()
     }
 
-    /// Bytes of a response came.
+    /// Handles received bytes of a response.
     pub(super) fn pooled_received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
         let Some(pooled) = self.pooled_connection(conn) else { return };
         if pooled.exchange().is_none() {
-            return self.close(conn, "bytes that nobody asked for", now);
+            return self.close(conn, "received bytes without an outstanding request", now);
         }
         let part = pooled.receive(bytes, now);
         self.connections.record_response_bytes(part.partial_bytes_before, part.partial_bytes_after);
         match part.response {
-            Ok(Some(answer)) => self.pooled_answered(conn, &answer, now),
+            Ok(Some(response)) => self.response_received(conn, &response, now),
             Ok(None) if self.connections.response_bytes() > self.config.bounds.max_response_bytes => {
-                self.response_invalid(conn, &"too much is on its way in from nodes", now);
+                self.response_invalid(conn, &"limit on incomplete responses of nodes exceeded", now);
             }
             Ok(None) if part.is_first => {
                 self.timers.set(now.after(RESPONSE_STALL_TIMEOUT), Timer::StallCheck(conn));
@@ -173,81 +176,88 @@
         }
     }
 
-    /// The peer ended its stream in good order: a response that states no length is whole.
+    /// Handles the orderly end of the peer's stream, which completes a response without a stated length.
     pub(super) fn pooled_finished(&mut self, conn: ConnId, now: Micros) {
         let Some(pooled) = self.pooled_connection(conn) else { return };
         let before = pooled.partial_bytes();
-        let Some(answer) = pooled.finish() else { return };
+        let Some(response) = pooled.finish() else { return };
         self.connections.record_response_bytes(before, 0);
-        self.pooled_answered(conn, &answer, now);
+        self.response_received(conn, &response, now);
     }
 
-    /// What came is no valid response; what was asked may have run.
+    /// Handles an invalid response: closes the connection. The request may have been executed.
     fn response_invalid(&mut self, conn: ConnId, why: &dyn Display, now: Micros) {
         self.counts.protocol_faults += 1;
         let Some(pooled) = self.pooled_connection(conn) else { return };
         let exchange = pooled.take_exchange();
-        debug!(conn = conn.0, %why, begins = pooled.response_beginning(), ?exchange, "invalid response");
+        debug!(
+            conn = conn.0,
+            %why,
+            begins = pooled.response_prefix(),
+            ?exchange,
+            "invalid response; closing the connection"
+        );
         self.close(conn, "invalid response", now);
         if let Some(exchange) = exchange {
             self.end_exchange(exchange, Outcome::Error, now);
         }
     }
 
-    fn pooled_answered(&mut self, conn: ConnId, answer: &Response, now: Micros) {
+    fn response_received(&mut self, conn: ConnId, response: &Response, now: Micros) {
         let Some(pooled) = self.pooled_connection(conn) else { return };
-        let exchange = match pooled.match_response(answer, now) {
-            ResponseMatch::ResponseReader(exchange) => exchange,
+        let exchange = match pooled.match_response(response, now) {
+            ResponseMatch::Matched(exchange) => exchange,
             ResponseMatch::Duplicate => {
-                return self.response_invalid(conn, &"the last answer once more", now);
+                return self.response_invalid(conn, &"duplicate of the previous response", now);
             }
             ResponseMatch::Unrequested => return,
         };
-        // Released first: what the response leads to may use the connection again.
-        if answer.keeps_alive {
+        // Released first, since handling the response may reuse the connection.
+        if response.keeps_alive {
             self.release_connection(conn, now)
         } else {
-            self.close(conn, "it is not kept", now)
+            self.close(conn, "response does not keep the connection alive", now)
         }
-        match (exchange, outcome_of(answer)) {
+        match (exchange, outcome_of(response)) {
             (PooledExchange::Attempt(attempt), Outcome::Served) => {
-                // Clients on this wire do not learn the shard.
-                self.attempt_served(attempt, 0, &answer.body, now);
+                // Responses to platform clients do not contain the shard.
+                self.attempt_served(attempt, 0, &response.body, now);
             }
             (exchange, outcome) => self.end_exchange(exchange, outcome, now),
         }
     }
 
-    /// A connection has nothing to carry.
+    /// Returns a connection without an exchange to the pool.
     fn release_connection(&mut self, conn: ConnId, now: Micros) {
-        let Some(Connection { peer: Peer::Node(at), protocol: Protocol::HttpClient(pooled), .. }) =
+        let Some(Connection { peer: Peer::Node(node_id), protocol: Protocol::HttpClient(pooled), .. }) =
             self.connections.get_mut(conn)
         else {
             return;
         };
         pooled.release(now);
-        let at = *at;
-        if self.nodes.get(at).is_some_and(|node| node.readiness() != Readiness::Removed) {
-            self.upstream.mark_idle(at, conn, now);
+        let node_id = *node_id;
+        if self.nodes.get(node_id).is_some_and(|node| node.readiness() != Readiness::Removed) {
+            self.upstream.mark_idle(node_id, conn, now);
         } else {
-            self.close(conn, "node is removed", now);
+            self.close(conn, "node was removed from the list", now);
         }
     }
 
-    /// A pooled connection is closed. What it carried can't have run unless all of it had been sent.
+    /// Handles a closed pooled connection. Its exchange can't have been executed unless it had been sent
+    /// completely.
     pub(super) fn pooled_closed(
         &mut self,
         conn: ConnId,
-        at: NodeId,
+        node_id: NodeId,
         pooled: &PooledConnection,
         written: u64,
         cause: &str,
         now: Micros,
     ) {
-        self.upstream.pooled_closed(at, conn, pooled.since());
+        self.upstream.pooled_closed(node_id, conn, pooled.since());
         match pooled.exchange() {
             Some(PooledExchange::Attempt(attempt)) => {
-                debug!(request = attempt.request.0, cause, "an attempt's connection is lost");
+                debug!(request = attempt.request.0, cause, "connection of an attempt lost");
                 self.attempt_connection_lost(attempt, conn, written, now);
             }
             Some(exchange) => self.end_exchange(exchange, Outcome::ConnectFailed, now),
@@ -255,7 +265,7 @@
         }
     }
 
-    /// Abandons an attempt: its connection is closed, and nothing else of the node's.
+    /// Abandons an attempt by closing its connection. Other connections to the node stay open.
     pub(super) fn close_abandoned_attempt(
         &mut self,
         handed_over: HandOver,
@@ -263,14 +273,14 @@
         outcome: Outcome,
         now: Micros,
     ) {
-        let HandOver { conn, end_offset: ends } = handed_over;
-        let left = self.connections.get(conn).is_some_and(|c| c.outbox.written() >= ends);
-        let outcome = if left { outcome } else { Outcome::ConnectFailed };
+        let HandOver { conn, end_offset } = handed_over;
+        let was_sent = self.connections.get(conn).is_some_and(|c| c.outbox.written() >= end_offset);
+        let outcome = if was_sent { outcome } else { Outcome::ConnectFailed };
         self.close_with_exchange(conn, PooledExchange::Attempt(attempt), "attempt abandoned", outcome, now);
     }
 
-    /// Its client has disconnected: an attempt that was not sent whole is withdrawn. Its connection is
-    /// closed; one that is still being opened is kept, and carries nothing.
+    /// Withdraws the incompletely sent attempts of a request whose client has disconnected, and closes their
+    /// connections. A connection that is still being opened is kept and returns to the pool.
     pub(super) fn withdraw_unsent_of_request(&mut self, id: RequestId, now: Micros) {
         let Some(pending) = self.requests.get(id).filter(|_| self.on_platform()) else { return };
         let is_being_sent = |handed_over: &HandOver| {
@@ -283,11 +293,17 @@
             .filter_map(|f| Some((f.number, f.handed_over.filter(is_being_sent)?.conn)));
         for (number, conn) in handed_over.collect::<Vec<_>>() {
             let exchange = PooledExchange::Attempt(AttemptId { request: id, number });
-            self.close_with_exchange(conn, exchange, "its client has disconnected", Outcome::NotSent, now);
+            self.close_with_exchange(
+                conn,
+                exchange,
+                "client disconnected before its request was sent",
+                Outcome::NotSent,
+                now,
+            );
         }
     }
 
-    /// Closes a connection under what it carries, which ends so.
+    /// Closes a connection and ends its exchange with this outcome.
     pub(super) fn close_with_exchange(
         &mut self,
         conn: ConnId,
@@ -303,19 +319,19 @@
         self.end_exchange(exchange, outcome, now);
     }
 
-    /// A probe is not waited for any longer.
+    /// Closes the connection of a probe that has timed out.
     pub(super) fn close_abandoned_probe(&mut self, conn: ConnId, probe: ProbeId, now: Micros) {
         let exchange = Some(PooledExchange::Probe(probe));
         if self.pooled_connection(conn).is_some_and(|pooled| pooled.exchange() == exchange) {
-            self.close(conn, "a probe took too long", now);
+            self.close(conn, "probe timed out", now);
         }
     }
 
-    /// Checks whether a connection has made no progress for too long.
+    /// Handles a connection that has made no progress for too long.
     pub(super) fn check_stalled(&mut self, conn: ConnId, now: Micros) {
         match self.connections.get_mut(conn) {
             Some(Connection { protocol: Protocol::HttpClient(pooled), .. }) => match pooled.stalls_at() {
-                Some(due) if due <= now => self.response_invalid(conn, &"it does not end", now),
+                Some(due) if due <= now => self.response_invalid(conn, &"response stalled", now),
                 Some(due) => self.timers.set(due, Timer::StallCheck(conn)),
                 None => {}
             },
@@ -324,15 +340,17 @@
         }
     }
 
+    /// Closes the connection that has been idle for longest. Returns whether there was one.
     fn evict_longest_idle(&mut self, now: Micros) -> bool {
         let longest = self.upstream.longest_idle();
         if let Some(conn) = longest {
-            self.close(conn, "its slot is needed", now);
+            self.close(conn, "evicted for a new connection", now);
         }
         longest.is_some()
     }
 
-    /// Closes what has idled for long, before its node does, and drops nodes that were removed long ago.
+    /// Closes connections whose idle timeout has expired, before their nodes do, and drops nodes removed
+    /// longer ago than [`REMOVED_NODE_RETENTION`].
     pub(super) fn sweep(&mut self, now: Micros) {
         self.close_expired_idle(now);
         self.remove_expired_nodes(now);
@@ -354,16 +372,16 @@
             self.close_idle_connections(id, now);
             self.upstream.remove_node(id);
             if let Some(node) = self.nodes.remove(id) {
-                info!(node = %node.name, "removed node dropped");
+                info!(node = %node.name, "node removed from the list earlier is dropped");
             }
         }
     }
 
-    /// Closes a node's idle connections: its address is no longer what they lead to.
-    pub(super) fn close_idle_connections(&mut self, at: NodeId, now: Micros) {
+    /// Closes a node's idle connections after its address has changed or it was removed.
+    pub(super) fn close_idle_connections(&mut self, node_id: NodeId, now: Micros) {
         self.upstream
-            .take_all_idle(at)
+            .take_all_idle(node_id)
             .into_iter()
-            .for_each(|conn| self.close(conn, "its node has moved or is removed", now));
+            .for_each(|conn| self.close(conn, "node was removed or its address has changed", now));
     }
 }
--- a/crates/flaxstand-gateway/src/core/pooled_connection.rs
+++ b/crates/flaxstand-gateway/src/core/pooled_connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to a node: what it carries, and whether what comes on it answers that.
+//! State of an HTTP/1.1 connection to a node: its current exchange, and matching of responses to it.
 
 use super::pending_request::AttemptId;
 use super::timers::ProbeId;
@@ -6,47 +6,49 @@
 use flaxstand_http::{MessageError, Response, ResponseReader};
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 
-/// The head of a response that is not whole this long after it began, or a body of which nothing more came
-/// for this long, is invalid.
+/// A response is invalid if its head is incomplete this long after its first byte, or if its body makes no
+/// progress for this long.
 pub(super) const RESPONSE_STALL_TIMEOUT: Micros = Micros(250_000);
-/// For this long after a response a second copy of it may follow. Until then a connection is used again only
-/// if no other is idle, and what equals the last response, head and body, and came in less than half the time
-/// that any took there, is taken for such a copy: served, it would be another request's response.
+/// Time after a response within which a duplicate of it may arrive. During this time a connection is reused
+/// only if no other is idle, and a response is treated as a duplicate if it equals the last one, head and
+/// body, and its latency is less than half the lowest on this connection. Otherwise the duplicate would be
+/// served as the response to another request.
 const DUPLICATE_RESPONSE_WINDOW: Micros = Micros(20_000);
 
-/// What a connection carries.
+/// Request that a connection currently carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PooledExchange {
     Attempt(AttemptId),
     Probe(ProbeId),
 }
 
-/// A response that came whole.
+/// The last complete response.
 #[derive(Clone, Copy, Debug)]
 struct LastResponse {
     at: Micros,
     fingerprint: u64,
 }
 
-/// What a whole response is to its connection.
+/// Classification of a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseMatch {
     /// The response to this exchange, which has ended.
-    ResponseReader(PooledExchange),
-    /// The last response once more.
+    Matched(PooledExchange),
+    /// A duplicate of the last response.
     Duplicate,
-    /// Nothing was asked.
+    /// No request was outstanding.
     Unrequested,
 }
 
-/// Bytes that were read, and the response if it is whole by now.
+/// Result of reading bytes of a response.
 #[derive(Debug)]
 pub(super) struct ReceivedPart {
-    /// Bytes that were held before and are held now.
+    /// Buffered bytes of an incomplete response, before and after.
     pub(super) partial_bytes_before: usize,
     pub(super) partial_bytes_after: usize,
-    /// Nothing of the response had come before.
+    /// These are the first bytes of the response.
     pub(super) is_first: bool,
+    /// The response, if complete.
     pub(super) response: Result<Option<Response>, MessageError>,
 }
 
@@ -55,20 +57,21 @@
 pub(super) struct PooledConnection {
     reader: ResponseReader,
     exchange: Option<PooledExchange>,
-    /// When its response began, or in a body when it last went on; or when it fell idle.
+    /// Last progress of the response (its first byte, or the last part of its body), or the start of the idle
+    /// time.
     since: Micros,
-    /// It was idle, and nothing has been written of what it carries now.
+    /// The connection was idle before the current exchange, none of which has been written.
     is_reused_unwritten: bool,
-    /// The first byte of what it carries was sent.
+    /// The first byte of the current exchange was sent.
     is_sending: bool,
-    asked_at: Micros,
+    requested_at: Micros,
     last_response: Option<LastResponse>,
-    /// The shortest time that a response took.
+    /// Lowest response latency on this connection.
     min_latency: Micros,
 }
 
 impl PooledConnection {
-    /// A connection that is being opened for this.
+    /// Creates the state of a connection that is being opened for this exchange.
     pub(super) fn new(exchange: PooledExchange, now: Micros) -> Self {
         PooledConnection {
             reader: ResponseReader::default(),
@@ -76,68 +79,68 @@
             since: now,
             is_reused_unwritten: false,
             is_sending: false,
-            asked_at: now,
+            requested_at: now,
             last_response: None,
             min_latency: Micros(u64::MAX),
         }
     }
 
-    /// What it carries now.
+    /// Returns the current exchange.
     pub(super) fn exchange(&self) -> Option<PooledExchange> {
         self.exchange
     }
 
-    /// Bytes of a response that is not whole yet.
+    /// Returns the buffered bytes of an incomplete response.
     pub(super) fn partial_bytes(&self) -> usize {
         self.reader.len()
     }
 
-    /// When its response last made progress; or since when it is idle.
+    /// Returns when the response last made progress, or since when the connection has been idle.
     pub(super) fn since(&self) -> Micros {
         self.since
     }
 
-    /// Whether it was idle, and nothing has been written of what it carries now.
+    /// Returns whether the connection was idle before the current exchange and none of that has been written.
     pub(super) fn is_reused_unwritten(&self) -> bool {
         self.is_reused_unwritten
     }
 
-    /// Whether the first byte of what it carries was sent.
+    /// Returns whether the first byte of the current exchange was sent.
     pub(super) fn is_sending(&self) -> bool {
         self.is_sending
     }
 
-    /// Whether no copy of its last response can follow any more.
+    /// Returns whether a duplicate of the last response can no longer arrive.
     pub(super) fn is_reuse_preferred(&self, now: Micros) -> bool {
         now.since(self.since) >= DUPLICATE_RESPONSE_WINDOW
     }
 
-    /// It carries this from now on. Returns since when it was idle.
+    /// Assigns an exchange to the idle connection. Returns since when it was idle.
     pub(super) fn reuse(&mut self, exchange: PooledExchange) -> Micros {
         self.exchange = Some(exchange);
         self.is_reused_unwritten = true;
         self.since
     }
 
-    /// What it carries is put into its outbox.
+    /// Records that the current exchange is written to the outbox.
     pub(super) fn start_request(&mut self, now: Micros) {
-        self.asked_at = now;
+        self.requested_at = now;
         self.is_sending = false;
     }
 
-    /// Bytes of what it carries were sent.
+    /// Records that bytes of the current exchange were sent.
     pub(super) fn record_sent(&mut self) {
         self.is_reused_unwritten = false;
         self.is_sending = true;
     }
 
-    /// It carries nothing from now on, and is idle.
+    /// Ends the exchange; the connection becomes idle.
     pub(super) fn release(&mut self, now: Micros) {
         self.exchange = None;
         self.since = now;
     }
 
-    /// It carries nothing from now on, and is about to be closed.
+    /// Takes the exchange of a connection that is about to be closed.
     pub(super) fn take_exchange(&mut self) -> Option<PooledExchange> {
         self.exchange.take()
     }
@@ -154,21 +157,21 @@
         ReceivedPart { partial_bytes_before, partial_bytes_after: self.reader.len(), is_first, response }
     }
 
-    /// The peer ended its stream: a response that states no length is whole.
+    /// Handles the end of the peer's stream, which completes a response without a stated length.
     pub(super) fn finish(&mut self) -> Option<Response> {
         self.reader.end()
     }
 
-    /// The first bytes of what came, for the log.
-    pub(super) fn response_beginning(&self) -> String {
+    /// Returns the first bytes received, for the log.
+    pub(super) fn response_prefix(&self) -> String {
         self.reader.received_prefix()
     }
 
-    /// A response came whole. Guards against a second copy of the last one.
+    /// Matches a complete response to the current exchange, and detects duplicates of the last response.
     pub(super) fn match_response(&mut self, response: &Response, now: Micros) -> ResponseMatch {
         let Some(exchange) = self.exchange else { return ResponseMatch::Unrequested };
         let fingerprint = fingerprint(response);
-        let latency = now.since(self.asked_at);
+        let latency = now.since(self.requested_at);
         let is_copy = |last: LastResponse| {
             now.since(last.at) < DUPLICATE_RESPONSE_WINDOW && last.fingerprint == fingerprint
         };
@@ -178,17 +181,17 @@
         self.last_response = Some(LastResponse { at: now, fingerprint });
         self.min_latency = self.min_latency.min(latency);
         self.exchange = None;
-        ResponseMatch::ResponseReader(exchange)
+        ResponseMatch::Matched(exchange)
     }
 
-    /// When a response that has begun is invalid unless it makes progress; none: none has begun.
+    /// Returns when a response in progress is considered stalled; `None` if no response is in progress.
     pub(super) fn stalls_at(&self) -> Option<Micros> {
         let has_begun = self.exchange.is_some() && !self.reader.is_empty();
         has_begun.then(|| self.since.after(RESPONSE_STALL_TIMEOUT))
     }
 }
 
-/// Tells responses apart.
+/// Hashes a response to recognise duplicates.
 fn fingerprint(response: &Response) -> u64 {
     let mut hasher = DefaultHasher::new();
     response.hash(&mut hasher);
--- a/crates/flaxstand-gateway/src/core/request_table.rs
+++ b/crates/flaxstand-gateway/src/core/request_table.rs
@@ -1,23 +1,23 @@
-//! Requests that are pending, with their attempts, and what identifies them to clients.
+//! Pending requests with their attempts and client request ids.
 
 use super::pending_request::{AttemptId, HandOver, InFlightAttempt, PendingRequest};
 use crate::machine::ConnId;
 use flaxstand::api::{RequestId, VolumeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All requests from their arrival until they are answered and have no attempt in flight.
+/// All requests, from their arrival until they are answered and have no attempt in flight.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
     pending: BTreeMap<RequestId, PendingRequest>,
     last_id: u64,
-    /// Ids that clients of the platform gave the requests that are pending.
+    /// Request ids given by platform clients, of pending requests.
     client_ids: BTreeSet<String>,
-    /// Volumes that requests have named since the start.
+    /// Volumes referred to by requests since the start.
     volumes: BTreeSet<VolumeId>,
 }
 
 impl RequestTable {
-    /// A number for one more request. Numbers are not used again.
+    /// Returns the id for the next request. Ids are not reused.
     pub(super) fn next_id(&mut self) -> RequestId {
         self.last_id += 1;
         RequestId(self.last_id)
@@ -25,22 +25,22 @@
 
     /// Adds a request.
     pub(super) fn insert(&mut self, id: RequestId, request: PendingRequest) {
-        if let Some(origin) = &request.origin {
-            self.client_ids.insert(origin.id.clone());
+        if let Some(forwarded_head) = &request.forwarded_head {
+            self.client_ids.insert(forwarded_head.id.clone());
         }
         self.pending.insert(id, request);
     }
 
-    /// Removes a request, whatever its state.
+    /// Removes a request in any state.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.pending.remove(&id)?;
-        if let Some(origin) = &request.origin {
-            self.client_ids.remove(&origin.id);
+        if let Some(forwarded_head) = &request.forwarded_head {
+            self.client_ids.remove(&forwarded_head.id);
         }
         Some(request)
     }
 
-    /// Removes a request that is answered and has no attempt in flight; none: it is not.
+    /// Removes a request if it is answered and has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) -> Option<PendingRequest> {
         let request = self.pending.get(&id)?;
         if request.owner.is_some() || !request.in_flight.is_empty() {
@@ -49,32 +49,32 @@
         self.remove(id)
     }
 
-    /// A pending request.
+    /// Returns a pending request.
     pub(super) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.pending.get(&id)
     }
 
-    /// A pending request, to change it.
+    /// Returns a pending request for modification.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.pending.get_mut(&id)
     }
 
-    /// How many are pending.
+    /// Returns the number of pending requests.
     pub(super) fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether an answer is owed to anyone for this request.
-    pub(super) fn is_owed(&self, id: RequestId) -> bool {
+    /// Returns whether a request is pending without a final response.
+    pub(super) fn is_unanswered(&self, id: RequestId) -> bool {
         self.get(id).is_some_and(|request| request.owner.is_some())
     }
 
-    /// Requests for which an answer is owed, in the order of arrival.
-    pub(super) fn owed(&self) -> impl Iterator<Item = RequestId> {
+    /// Iterates over the requests without a final response, in order of arrival.
+    pub(super) fn unanswered(&self) -> impl Iterator<Item = RequestId> {
         self.pending.iter().filter(|(_, request)| request.owner.is_some()).map(|(id, _)| *id)
     }
 
-    /// An attempt that is in flight, or waits for its node's connection.
+    /// Returns an attempt that is in flight or queued for its node's connection.
     pub(super) fn attempt(&self, id: AttemptId) -> Option<&InFlightAttempt> {
         self.get(id.request)?.in_flight.iter().find(|attempt| attempt.number == id.number)
     }
@@ -86,7 +86,7 @@
         Some(in_flight.swap_remove(index))
     }
 
-    /// An attempt is in a connection's outbox, and ends at this byte of its stream.
+    /// Records that an attempt was handed to a connection and ends at this offset of its stream.
     pub(super) fn record_hand_over(&mut self, id: AttemptId, conn: ConnId, end_offset: u64) {
         let in_flight = self.get_mut(id.request).map(|request| &mut request.in_flight);
         let attempt = in_flight.and_then(|all| all.iter_mut().find(|attempt| attempt.number == id.number));
@@ -95,27 +95,27 @@
         }
     }
 
-    /// Whether a client of the platform has a request pending under this id.
+    /// Returns whether a pending request of a platform client has this id.
     pub(super) fn has_client_id(&self, id: &str) -> bool {
         self.client_ids.contains(id)
     }
 
-    /// How many ids of clients are in use.
+    /// Returns the number of client request ids in use.
     pub(super) fn client_ids(&self) -> usize {
         self.client_ids.len()
     }
 
-    /// Whether a request has named this volume before.
+    /// Returns whether an earlier request referred to this volume.
     pub(super) fn knows_volume(&self, volume: VolumeId) -> bool {
         self.volumes.contains(&volume)
     }
 
-    /// How many volumes requests have named.
+    /// Returns the number of volumes referred to by requests.
     pub(super) fn volumes(&self) -> usize {
         self.volumes.len()
     }
 
-    /// A request names a volume.
+    /// Adds a volume that a request refers to.
     pub(super) fn add_volume(&mut self, volume: VolumeId) {
         self.volumes.insert(volume);
     }
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -1,9 +1,9 @@
-//! The life of a request: accepted, handled as the module asks, answered once, and removed when its last
-//! attempt has ended.
+//! Request life cycle: a request is accepted, handled as the module decides, answered exactly once, and
+//! removed when its last attempt has ended.
 
 use super::Core;
 use super::connection_table::Peer;
-use super::pending_request::{AttemptId, FinalAnswer, Handler, Owner};
+use super::pending_request::{AttemptId, FinalResponse, Handler, Owner};
 use super::timers::Timer;
 use crate::machine::Micros;
 use flaxstand::api::{Action, AttemptNo, Event, Outcome, RequestId};
@@ -11,7 +11,7 @@
 use tracing::{debug, error};
 
 impl Core {
-    /// Does what the module wants done.
+    /// Performs the module's actions.
     pub(super) fn perform_actions(&mut self, actions: &mut Vec<Action>, now: Micros) {
         for action in actions.drain(..) {
             match action {
@@ -27,7 +27,7 @@
                 }
                 Action::Fail { request } => {
                     debug!(request = request.0, "request failed");
-                    self.answer_failed(request, now);
+                    self.send_failed(request, now);
                 }
                 Action::SetTimer { after } => self.evaluation.set_timer(Micros::from_ms(after), now),
                 Action::PollList => self.request_endpoint_changes(now),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Rejects a request. `module_retry_after`: what the module advises.
+    /// Rejects a request. `module_retry_after` is the Retry-After set by the module.
     fn reject_request(&mut self, request: RequestId, module_retry_after: Micros, now: Micros) {
         let retry_after = match &mut self.gate {
             Some(gate) => gate.retry_after(module_retry_after),
@@ -45,53 +45,57 @@
         debug!(request = request.0, retry_after_us = wait, "request rejected");
         self.counts.rejected += u64::from(self.is_client_waiting(request));
         let (refusal, scope) = (Refusal::Load, Scope::Request);
-        let final_answer = FinalAnswer::NotExecuted(module_retry_after);
-        self.send_final_answer(request, final_answer, now, |id| Frame::Refused { id, wait, refusal, scope });
+        let final_response = FinalResponse::NotExecuted(module_retry_after);
+        self.send_final_response(request, final_response, now, |id| Frame::Refused {
+            id,
+            wait,
+            refusal,
+            scope,
+        });
     }
 
-    /// Whether a client waits for it; else the buffer, or nobody.
+    /// Returns whether a client is waiting for the response, rather than the buffer or nobody.
     pub(super) fn is_client_waiting(&self, id: RequestId) -> bool {
         self.requests.get(id).is_some_and(|request| matches!(request.owner, Some(Owner::Client { .. })))
     }
 
-    /// The one place from which a request's final answer is sent.
-    pub(super) fn send_final_answer<'a>(
+    /// Sends a request's final response, at most once. All final responses are sent from here.
+    pub(super) fn send_final_response<'a>(
         &mut self,
         id: RequestId,
-        final_answer: FinalAnswer,
+        final_response: FinalResponse,
         now: Micros,
         frame: impl FnOnce(u64) -> Frame<'a>,
     ) {
         let Some(pending) = self.requests.get_mut(id) else { return };
         let Some(owner) = pending.owner.take() else { return };
-        pending.final_answer = final_answer;
+        pending.final_response = final_response;
         pending.payload = Vec::new();
         let Owner::Client { conn, client_id } = owner else { return self.remove_if_finished(id, now) };
         if let Some(Peer::Client(client)) = self.connections.get_mut(conn).map(|c| &mut c.peer) {
-            client.owed.remove(&client_id);
+            client.unanswered.remove(&client_id);
         }
         self.send_to_client(conn, &frame(client_id), now);
         self.remove_if_finished(id, now);
-        self.client_wrote(conn, now);
+        self.check_client_output(conn, now);
     }
 
-    fn answer_failed(&mut self, id: RequestId, now: Micros) {
+    fn send_failed(&mut self, id: RequestId, now: Micros) {
         self.counts.failed += u64::from(self.is_client_waiting(id));
-        self.send_final_answer(id, FinalAnswer::Failed, now, |id| Frame::Failed { id });
+        self.send_final_response(id, FinalResponse::Failed, now, |id| Frame::Failed { id });
     }
 
-    /// Fails a request without the module: it is told that nobody waits any more.
+    /// Fails a request without a decision of the module, and notifies the module.
     pub(super) fn fail_request(&mut self, id: RequestId, now: Micros) {
         let Some(pending) = self.requests.get(id).filter(|request| request.owner.is_some()) else { return };
         if pending.handler != Handler::Buffer {
             self.events.push_back(Event::ClientGone(id));
         }
-        self.answer_failed(id, now);
+        self.send_failed(id, now);
     }
 
-    /// The client is about to give up: what is in flight is not waited for any longer, and what the module
-    /// has not ended by now is ended here. Guards against a fault of the module that would cost clients their
-    /// answers.
+    /// Handles a request's deadline: cancels its attempts and, if the module does not end the request, fails
+    /// it. Ensures that clients get a response despite a fault of the module.
     pub(super) fn deadline_reached(&mut self, id: RequestId, now: Micros) {
         if self.expire_in_buffer(id, now) {
             return;
@@ -105,18 +109,18 @@
             self.cancel_attempt(AttemptId { request: id, number }, Outcome::TimedOut, now);
         }
         self.deliver_events(now);
-        if self.requests.is_owed(id) {
-            // It came with less time than an answer takes to arrive: the module has not evaluated it yet.
+        if self.requests.is_unanswered(id) {
+            // A request that arrived with too little time left may not have been evaluated by the module yet.
             self.evaluate(now);
         }
-        if self.requests.is_owed(id) {
-            error!(request = id.0, "the module gave no answer in time: request failed");
+        if self.requests.is_unanswered(id) {
+            error!(request = id.0, "module did not end the request by its deadline; failing it");
             self.counts.overdue += 1;
             self.fail_request(id, now);
         }
     }
 
-    /// Removes a request that is answered and has nothing in flight.
+    /// Removes a request if it is answered and has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId, now: Micros) {
         let Some(finished) = self.requests.remove_if_finished(id) else { return };
         self.timers.cancel(finished.expires_at, Timer::Deadline(id));
--- a/crates/flaxstand-gateway/src/core/send_permit.rs
+++ b/crates/flaxstand-gateway/src/core/send_permit.rs
@@ -1,7 +1,6 @@
-//! Permission to send the first byte of an attempt or a probe. Between the module's decision and the moment
-//! at which the byte would be sent, its client may have disconnected, its time may be over, its node may have
-//! begun to drain, or the endpoint list may have grown too old to act on. What waits in a connection's buffer
-//! when one of these happens is withdrawn.
+//! Checks whether the first byte of an attempt or a probe may be sent. Between the module's decision and the
+//! transmission, the client may disconnect, the deadline may pass, the node may start to drain, or the
+//! endpoint list may expire. In these cases an unsent exchange in a connection's outbox is withdrawn.
 
 use super::Core;
 use super::connection_table::{Connection, Protocol, Stage};
@@ -13,17 +12,17 @@
 use std::collections::BTreeSet;
 use tracing::{info, warn};
 
-/// For how long the endpoint list may be acted on.
+/// Tracks when the endpoint list expires.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTrust {
-    /// When it is looked at next: what the module said last.
+    /// Time of the timer for the next check, from the expiry time last reported by the module.
     expires_at: Option<Micros>,
-    /// It has been logged that the list is too old.
+    /// The expiry of the list was logged.
     is_logged_expired: bool,
 }
 
 impl Core {
-    /// Whether the first byte of an attempt may be sent now. Asked just before it would be.
+    /// Returns whether the first byte of an attempt may be sent now. Called immediately before sending.
     pub(super) fn may_send(&self, attempt: AttemptId, now: Micros) -> bool {
         let Some(pending) = self.requests.get(attempt.request) else { return false };
         let Some(in_flight) = self.requests.attempt(attempt) else { return false };
@@ -31,7 +30,7 @@
         pending.owner.is_some() && is_in_time && self.node_accepts_work(in_flight.node, now)
     }
 
-    /// Whether anything may be sent to a node: it serves, as far as the endpoint list may be trusted.
+    /// Returns whether new work may be sent to a node: it is serving, and the endpoint list has not expired.
     pub(super) fn node_accepts_work(&self, node: NodeId, now: Micros) -> bool {
         self.nodes.serves(node) && self.endpoints_are_trusted(now)
     }
@@ -40,16 +39,16 @@
         now.ms() < self.policy.endpoints_trusted_until()
     }
 
-    /// Checks the age of the endpoint list after all events of the turn are delivered to the module, and
-    /// again when it becomes too old.
+    /// Checks whether the endpoint list has expired. Called after all events of the turn are delivered to the
+    /// module; sets a timer for the expiry.
     pub(super) fn watch_endpoint_trust(&mut self, now: Micros) {
         let until = self.policy.endpoints_trusted_until();
         if until.is_infinite() {
             return;
         }
         let trusted = self.endpoints_are_trusted(now);
-        // Rounded up: woken a moment early it would be found in trust, and looked at again at that same
-        // moment.
+        // Rounded up: a timer that fires a fraction of a microsecond early would find the list still valid,
+        // and be set again for the same time.
         self.set_endpoint_trust_timer(trusted.then(|| Micros::from_ms(until).after(Micros(1))));
         if trusted == self.endpoint_trust.is_logged_expired {
             self.endpoint_trust.is_logged_expired = !trusted;
@@ -76,65 +75,73 @@
     fn log_endpoint_trust(&self, trusted: bool) {
         let revision = self.discovery.revision();
         if trusted {
-            info!(revision, "the endpoint list is received again: requests are sent");
+            info!(revision, "endpoint list is up to date again; resuming requests");
         } else {
             let pending = self.requests.len();
-            warn!(revision, pending, "the endpoint list is too old to act on: requests are rejected");
+            warn!(revision, pending, "endpoint list is too old; rejecting requests until it is updated");
         }
     }
 
-    /// The moment has come at which the list may be too old. It is looked at at the end of this turn.
+    /// Handles the timer for the list's expiry. The list is checked at the end of this turn.
     pub(super) fn endpoint_trust_due(&mut self) {
         self.endpoint_trust.expires_at = None;
     }
 
-    /// The list has grown too old: withdraws all of which no byte was sent.
+    /// Withdraws all exchanges of which no byte was sent, after the list has expired.
     fn withdraw_all_unsent(&mut self, now: Micros) {
         let all: BTreeSet<NodeId> = self.connections.upstream().filter_map(|(_, c)| c.peer.node()).collect();
-        self.withdraw_unsent(&all, "the list is too old", now);
+        self.withdraw_unsent(&all, "endpoint list expired before sending", now);
     }
 
-    /// Withdraws what was handed to connections of those of these nodes that accept nothing new, and of which
-    /// no byte was sent.
+    /// Withdraws exchanges of which no byte was sent, from those of these nodes that no longer accept new
+    /// work.
     pub(super) fn withdraw_unsent_from_drained(&mut self, nodes: &BTreeSet<NodeId>, now: Micros) {
-        let drained = nodes.iter().copied().filter(|at| !self.nodes.serves(*at)).collect();
-        self.withdraw_unsent(&drained, "its node takes nothing new", now);
+        let drained = nodes.iter().copied().filter(|node_id| !self.nodes.serves(*node_id)).collect();
+        self.withdraw_unsent(&drained, "node stopped serving before sending", now);
     }
 
     fn withdraw_unsent(&mut self, nodes: &BTreeSet<NodeId>, why: &str, now: Micros) {
-        let mut waiting: Vec<(ConnId, PooledExchange)> =
-            nodes.iter().flat_map(|at| self.unsent_exchanges(*at)).collect();
-        waiting.sort_by_key(|(conn, _)| *conn);
-        for (conn, exchange) in waiting {
+        let mut unsent: Vec<(ConnId, PooledExchange)> =
+            nodes.iter().flat_map(|node_id| self.unsent_exchanges(*node_id)).collect();
+        unsent.sort_by_key(|(conn, _)| *conn);
+        for (conn, exchange) in unsent {
             self.close_with_exchange(conn, exchange, why, Outcome::NotSent, now);
         }
     }
 
-    /// Open pooled connections to a node that have sent nothing of what they carry.
-    fn unsent_exchanges(&self, at: NodeId) -> Vec<(ConnId, PooledExchange)> {
+    /// Returns the open pooled connections to a node that have sent no byte of their exchange.
+    fn unsent_exchanges(&self, node_id: NodeId) -> Vec<(ConnId, PooledExchange)> {
         let handed_over = |attempt| {
             Some((self.requests.attempt(attempt)?.handed_over?.conn, PooledExchange::Attempt(attempt)))
         };
-        let attempts = self.upstream.in_flight(at).into_iter().filter_map(handed_over);
-        let probes =
-            self.upstream.probe_connections(at).map(|(probe, conn)| (conn, PooledExchange::Probe(probe)));
-        let waits = |(conn, exchange): &(ConnId, PooledExchange)| match self.connections.get(*conn) {
+        let attempts = self.upstream.in_flight(node_id).into_iter().filter_map(handed_over);
+        let probes = self
+            .upstream
+            .probe_connections(node_id)
+            .map(|(probe, conn)| (conn, PooledExchange::Probe(probe)));
+        let is_unsent = |(conn, exchange): &(ConnId, PooledExchange)| match self.connections.get(*conn) {
             Some(Connection { stage: Stage::Open, protocol: Protocol::HttpClient(pooled), .. }) => {
                 !pooled.is_sending() && pooled.exchange() == Some(*exchange)
             }
             _ => false,
         };
-        attempts.chain(probes).filter(waits).collect()
+        attempts.chain(probes).filter(is_unsent).collect()
     }
 
-    /// A retry that waited to be sent until its window was over is withdrawn. Guards against effects after
-    /// the window in which the node remembers the idempotency key.
+    /// Withdraws a retry that was not sent within its send window. Prevents it from being executed after the
+    /// node has discarded the idempotency key.
     pub(super) fn send_window_ended(&mut self, conn: ConnId, now: Micros) {
         let unsent = self.pooled_connection(conn).filter(|pooled| !pooled.is_sending());
         if let Some(exchange @ PooledExchange::Attempt(attempt)) = unsent.and_then(|pooled| pooled.exchange())
             && !self.may_send(attempt, now)
         {
-            self.close_with_exchange(conn, exchange, "its window is over", Outcome::NotSent, now);
+            self.close_with_exchange(
+                conn,
+                exchange,
+                "send window ended before sending",
+                Outcome::NotSent,
+                now,
+            );
         }
     }
 }
--- a/crates/flaxstand-gateway/src/core/shutdown.rs
+++ b/crates/flaxstand-gateway/src/core/shutdown.rs
@@ -1,5 +1,5 @@
-//! A graceful shutdown: for a grace period nothing changes, then no new requests are accepted and what is
-//! pending is answered, and then the process exits.
+//! Graceful shutdown: requests are accepted during a grace period; then no new ones are accepted and pending
+//! ones are answered; then the process exits.
 
 use super::Core;
 use super::connection_table::{Connection, Peer, Protocol};
@@ -9,17 +9,17 @@
 use flaxstand_proto::CloseReason;
 use tracing::{info, warn};
 
-/// Answers leave this long before the shutdown times out.
+/// Time before the shutdown timeout at which the last responses are due.
 const ANSWER_MARGIN: Micros = Micros(50_000);
 
-/// How far a shutdown has come.
+/// Phase of a shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Phase {
     #[default]
     Running,
-    /// A stop was asked for, and clients that do not know yet are still served as before.
+    /// Grace period after a stop request: requests are still accepted.
     Draining,
-    /// No new requests; what is pending is answered, then the process exits.
+    /// No new requests are accepted; the process exits once pending ones are answered.
     Stopping,
     Stopped,
 }
@@ -28,24 +28,24 @@
 #[derive(Debug, Default)]
 pub(super) struct Shutdown {
     phase: Phase,
-    /// Once a stop was asked for: when the last answer must have left.
+    /// Time by which the last response must be sent, once a stop was requested.
     answer_by: Option<Micros>,
 }
 
 impl Shutdown {
-    /// How far the shutdown has come.
+    /// Returns the phase.
     pub(super) fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The deadline of a request that would have this one while nothing stops.
+    /// Caps a request's deadline at the end of the shutdown, if one has started.
     pub(super) fn deadline(&self, deadline: Micros) -> Micros {
         self.answer_by.map_or(deadline, |by| deadline.min(by))
     }
 }
 
 impl Core {
-    /// Starts the shutdown, if none has started.
+    /// Starts the shutdown unless it has already started.
     pub(super) fn stop(&mut self, now: Micros) {
         if self.shutdown.phase != Phase::Running {
             return;
@@ -53,7 +53,11 @@
         let timeouts = &self.config.site.timeouts;
         self.timers.set(now.after(timeouts.shutdown_timeout), Timer::ShutdownTimeout);
         self.timers.set(now.after(timeouts.shutdown_grace), Timer::ShutdownGraceEnds);
-        info!(pending = self.requests.len(), grace_ms = timeouts.shutdown_grace.ms(), "stopping");
+        info!(
+            pending = self.requests.len(),
+            grace_ms = timeouts.shutdown_grace.ms(),
+            "stop requested; shutting down"
+        );
         self.shutdown.phase = Phase::Draining;
         self.shutdown.answer_by = Some(now.after(timeouts.shutdown_timeout.since(ANSWER_MARGIN)));
         if timeouts.shutdown_grace == Micros(0) {
@@ -61,7 +65,7 @@
         }
     }
 
-    /// No new requests from now on; what is pending is answered.
+    /// Stops accepting requests at the end of the grace period; pending ones are still answered.
     pub(super) fn stop_accepting(&mut self, now: Micros) {
         if self.shutdown.phase == Phase::Draining {
             self.shutdown.phase = Phase::Stopping;
@@ -71,30 +75,31 @@
         }
     }
 
-    /// Exits once all that was pending has been answered and read by its client.
+    /// Exits once all pending requests are answered and the responses received by their clients.
     pub(super) fn exit_if_done(&mut self, now: Micros) {
-        if self.shutdown.phase == Phase::Stopping && self.has_answered_all() {
+        if self.shutdown.phase == Phase::Stopping && self.has_delivered_all() {
             self.exit(now);
         }
     }
 
-    /// A client that speaks HTTP has read when it closes in its turn: over what it still sends, a close from
-    /// here would take its answer with it.
-    fn has_answered_all(&self) -> bool {
-        let is_owed = |(_, c): (ConnId, &Connection)| {
+    /// Returns whether all responses are delivered and the buffer is drained. An HTTP client confirms receipt
+    /// by closing its connection; closing it from this side could reset it while the client still sends, and
+    /// lose the response.
+    fn has_delivered_all(&self) -> bool {
+        let is_undelivered = |(_, c): (ConnId, &Connection)| {
             matches!(c.protocol, Protocol::HttpServer(_))
                 || matches!(c.peer, Peer::Client(_)) && !c.outbox.is_empty()
         };
-        self.requests.owed().next().is_none()
-            && !self.connections.iter().any(is_owed)
+        self.requests.unanswered().next().is_none()
+            && !self.connections.iter().any(is_undelivered)
             && self.buffer_drained()
     }
 
-    /// The shutdown has timed out: what is still pending is failed.
-    pub(super) fn stop_ends(&mut self, now: Micros) {
-        let owed: Vec<RequestId> = self.requests.owed().collect();
-        warn!(owed = owed.len(), "shutdown timed out: pending requests fail");
-        owed.into_iter().for_each(|id| self.fail_request(id, now));
+    /// Handles the shutdown timeout: fails the pending requests and exits.
+    pub(super) fn shutdown_timed_out(&mut self, now: Micros) {
+        let unanswered: Vec<RequestId> = self.requests.unanswered().collect();
+        warn!(owed = unanswered.len(), "shutdown timed out; failing pending requests");
+        unanswered.into_iter().for_each(|id| self.fail_request(id, now));
         self.exit(now);
     }
 
@@ -103,11 +108,11 @@
             return;
         }
         self.shutdown.phase = Phase::Stopped;
-        // Until then it acts, and needs its lease.
+        // The lease was needed until here, to act on the agreed rules.
         self.release_lease(now);
         let conns: Vec<ConnId> = self.connections.iter().map(|(conn, _)| conn).collect();
         conns.into_iter().for_each(|conn| self.disconnect(conn, CloseReason::Stopping, "stopping", now));
-        // What was learnt of the nodes since the list last changed is kept for the next start.
+        // Saves what was learned about the nodes since the last save, for the next start.
         if self.nodes.listed() > 0 && !self.on_platform() {
             self.save_all_endpoints(now);
         }
--- a/crates/flaxstand-gateway/src/core/timers.rs
+++ b/crates/flaxstand-gateway/src/core/timers.rs
@@ -4,57 +4,57 @@
 use flaxstand::api::{NodeId, RequestId};
 use std::collections::BTreeSet;
 
-/// What is due at a moment. Of timers due at the same moment the one that stands first here comes first.
+/// Kind of timer. Timers that are due at the same time fire in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A request's client is about to give up.
+    /// A request's deadline.
     Deadline(RequestId),
-    /// A connection should be open by now.
+    /// Time limit for opening a connection.
     ConnectTimeout(ConnId),
-    /// A connection to a node may have idled long enough.
+    /// Check the idle timeout of a connection to a node.
     IdleTimeout(ConnId),
-    /// A probe has been out for long enough.
+    /// Timeout of a probe.
     ProbeTimeout(ProbeId),
-    /// A connection that speaks HTTP may have made no progress for too long.
+    /// Check whether an HTTP connection makes progress.
     StallCheck(ConnId),
-    /// A retry that was handed to a connection may no longer be sent.
+    /// End of the time in which a retry that was handed to a connection may be sent.
     SendWindowEnds(ConnId),
-    /// Look for pooled connections that have idled long enough, and nodes that were removed long ago.
+    /// Periodic removal of idle pooled connections and of nodes removed from the list.
     Sweep,
-    /// The time is over in which a stop changes nothing yet.
+    /// End of the grace period of a shutdown.
     ShutdownGraceEnds,
-    /// Call the list service.
+    /// Call the discovery service.
     DiscoveryCall,
-    /// Has the discovery service stalled?
+    /// Check whether the discovery service has stalled.
     DiscoveryStalled,
-    /// The endpoint list may have grown too old to act on.
+    /// Expiry of the endpoint list.
     EndpointsExpire,
-    /// The agreement has something to do.
+    /// Next step of the agreement.
     Agreement,
-    /// A stop has lasted long enough.
+    /// Timeout of a shutdown.
     ShutdownTimeout,
 }
 
-/// Names a probe of a node.
+/// Identifies a probe of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ProbeId {
     pub(super) node: NodeId,
     pub(super) token: u64,
 }
 
-/// Timers that are set, by when they are due.
+/// Pending timers, ordered by due time.
 #[derive(Debug, Default)]
 pub(super) struct TimerQueue {
     timers: BTreeSet<(Micros, Timer)>,
 }
 
 impl TimerQueue {
-    /// Sets a timer. The same timer may be set for several moments.
+    /// Sets a timer. The same timer may be set for several times.
     pub(super) fn set(&mut self, at: Micros, timer: Timer) {
         self.timers.insert((at, timer));
     }
 
-    /// Removes a timer that was set for this moment.
+    /// Cancels a timer that was set for this time.
     pub(super) fn cancel(&mut self, at: Micros, timer: Timer) {
         self.timers.remove(&(at, timer));
     }
@@ -66,12 +66,12 @@
         Some(first.1)
     }
 
-    /// When the next is due.
+    /// Returns when the next timer is due.
     pub(super) fn next_due(&self) -> Option<Micros> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// How many are set.
+    /// Returns the number of pending timers.
     pub(super) fn len(&self) -> usize {
         self.timers.len()
     }
