--- a/crates/flaxstand-gateway/src/core/upstream_pool.rs
+++ b/crates/flaxstand-gateway/src/core/upstream_pool.rs
@@ -1,5 +1,5 @@
-//! Bookkeeping of connections to storage nodes: which connection leads to which node, what is in flight on
-//! them, and which pooled connections are idle. It opens and closes nothing itself.
+//! Bookkeeping of connections to storage nodes: the connections of each node, the attempts in flight on them,
+//! and the idle pooled connections. Opens and closes no connections itself.
 
 use super::pending_request::AttemptId;
 use super::timers::ProbeId;
@@ -8,29 +8,29 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A probe that has not been answered.
+/// An unanswered probe.
 #[derive(Clone, Copy, Debug)]
 struct OutstandingProbe {
     token: u64,
-    /// When it ends unanswered.
+    /// Time at which it times out.
     times_out_at: Micros,
 }
 
-/// Connections to one node and what is in flight on them.
+/// Connections to a node, and its attempts and probes in flight.
 #[derive(Debug, Default)]
 struct NodeConnections {
-    /// The one connection that carries frames.
+    /// The frame connection.
     framed: Option<ConnId>,
-    /// Pooled connections that wait for a request, the longest idle first.
+    /// Idle pooled connections, the one idle for longest first.
     idle: Vec<ConnId>,
-    /// Attempts that wait for the connection, in the order of sending.
+    /// Attempts queued until the frame connection is open, in sending order.
     waiting: Vec<AttemptId>,
-    /// Attempts without an end, those that wait included.
+    /// Attempts in flight, including queued ones.
     in_flight: BTreeSet<AttemptId>,
     probe: Option<OutstandingProbe>,
-    /// Pooled connections that carry probes, by the probe's token.
+    /// Pooled connections that carry probes, by probe token.
     probe_connections: BTreeMap<u64, ConnId>,
-    /// Since when nothing has been in flight.
+    /// Time since which no attempt has been in flight.
     idle_since: Micros,
 }
 
@@ -38,9 +38,9 @@
 #[derive(Debug, Default)]
 pub(super) struct UpstreamPool {
     nodes: BTreeMap<NodeId, NodeConnections>,
-    /// Connections that carry one request each.
+    /// Number of pooled connections.
     pooled: usize,
-    /// Those of them that carry nothing, by since when.
+    /// Idle pooled connections, ordered by the start of the idle time.
     idle: BTreeSet<(Micros, ConnId)>,
     next_probe: u64,
     visited: Cell<u64>,
@@ -57,29 +57,29 @@
         self.nodes.get_mut(&node)
     }
 
-    /// How often a node was looked at since the start.
+    /// Returns the number of node lookups since the start.
     pub(super) fn visited(&self) -> u64 {
         self.visited.get()
     }
 
-    /// Drops what is known of a node that is listed no more and has nothing in flight.
+    /// Removes the state of a node that is no longer listed and has nothing in flight.
     pub(super) fn remove_node(&mut self, node: NodeId) {
         self.nodes.remove(&node);
     }
 
-    /// An attempt is to go to a node.
+    /// Records an attempt as in flight at a node.
     pub(super) fn start_attempt(&mut self, node: NodeId, attempt: AttemptId) {
         self.nodes.entry(node).or_default().in_flight.insert(attempt);
     }
 
-    /// An attempt waits until the node's connection is open.
+    /// Queues an attempt until the node's frame connection is open.
     pub(super) fn queue_attempt(&mut self, node: NodeId, attempt: AttemptId) {
         if let Some(node) = self.node_mut(node) {
             node.waiting.push(attempt);
         }
     }
 
-    /// An attempt has ended. True: nothing else is in flight at the node.
+    /// Removes an ended attempt. Returns whether no other attempt is in flight at the node.
     pub(super) fn end_attempt(&mut self, node: NodeId, attempt: AttemptId, now: Micros) -> bool {
         let Some(node) = self.node_mut(node) else { return false };
         node.in_flight.remove(&attempt);
@@ -91,42 +91,42 @@
         is_idle
     }
 
-    /// Attempts that have no end yet, in the order of their numbers.
+    /// Returns the attempts in flight at a node, ordered by id.
     pub(super) fn in_flight(&self, node: NodeId) -> Vec<AttemptId> {
         self.node(node).map(|node| node.in_flight.iter().copied().collect()).unwrap_or_default()
     }
 
-    /// Whether an attempt has no end yet.
+    /// Returns whether an attempt is in flight at a node.
     pub(super) fn has_in_flight(&self, node: NodeId) -> bool {
         self.node(node).is_some_and(|node| !node.in_flight.is_empty())
     }
 
-    /// The connection that carries frames.
+    /// Returns a node's frame connection.
     pub(super) fn framed(&self, node: NodeId) -> Option<ConnId> {
         self.node(node)?.framed
     }
 
-    /// A connection for frames is being opened.
+    /// Sets a node's frame connection, which is being opened.
     pub(super) fn set_framed(&mut self, node: NodeId, conn: ConnId) {
         self.nodes.entry(node).or_default().framed = Some(conn);
     }
 
-    /// The connection for frames is about to be closed.
+    /// Clears a node's frame connection, which is about to be closed.
     pub(super) fn clear_framed(&mut self, node: NodeId) {
         if let Some(node) = self.node_mut(node) {
             node.framed = None;
         }
     }
 
-    /// The connection for frames is open. Returns the attempts that waited for it.
+    /// Records that a node's frame connection is open. Returns the attempts queued for it.
     pub(super) fn framed_opened(&mut self, node: NodeId, now: Micros) -> Vec<AttemptId> {
         let Some(node) = self.node_mut(node) else { return Vec::new() };
         node.idle_since = now;
         std::mem::take(&mut node.waiting)
     }
 
-    /// The connection for frames is closed. Returns what was in flight on it; none if it is not the node's
-    /// any more.
+    /// Records that a frame connection was closed. Returns the attempts in flight on it, or `None` if it is
+    /// no longer the node's connection.
     pub(super) fn framed_closed(&mut self, node: NodeId, conn: ConnId) -> Option<Vec<AttemptId>> {
         let node = self.node_mut(node).filter(|node| node.framed == Some(conn))?;
         node.framed = None;
@@ -134,60 +134,60 @@
         Some(node.in_flight.iter().copied().collect())
     }
 
-    /// Since when the node has had nothing in flight; now if it has.
+    /// Returns since when no attempt has been in flight at a node; `now` if one is.
     pub(super) fn idle_since(&self, node: NodeId, now: Micros) -> Option<Micros> {
         let node = self.node(node)?;
         Some(if node.in_flight.is_empty() { node.idle_since } else { now })
     }
 
-    /// A token for the next probe.
+    /// Returns the token for the next probe.
     pub(super) fn next_probe_token(&mut self) -> u64 {
         self.next_probe += 1;
         self.next_probe
     }
 
-    /// A probe is out from now on, in place of an earlier one.
+    /// Records a probe as outstanding; it replaces an earlier one.
     pub(super) fn start_probe(&mut self, probe: ProbeId, times_out_at: Micros) {
         let outstanding = OutstandingProbe { token: probe.token, times_out_at };
         self.nodes.entry(probe.node).or_default().probe = Some(outstanding);
     }
 
-    /// A probe has ended. Returns when it would have timed out, if it was the one that is out.
+    /// Records the end of a probe. Returns when it would have timed out, if it was the outstanding one.
     pub(super) fn end_probe(&mut self, ended: ProbeId) -> Option<Micros> {
         let node = self.node_mut(ended.node)?;
         node.probe_connections.remove(&ended.token);
         Some(node.probe.take_if(|probe| probe.token == ended.token)?.times_out_at)
     }
 
-    /// Which connection carries a probe.
+    /// Records which connection carries a probe.
     pub(super) fn set_probe_connection(&mut self, probe: ProbeId, conn: ConnId) {
         if let Some(node) = self.node_mut(probe.node) {
             node.probe_connections.insert(probe.token, conn);
         }
     }
 
-    /// The connection that carries a probe, which is not waited for any more.
+    /// Takes the connection that carries a probe, after the probe has timed out.
     pub(super) fn take_probe_connection(&mut self, probe: ProbeId) -> Option<ConnId> {
         self.node_mut(probe.node)?.probe_connections.remove(&probe.token)
     }
 
-    /// Probes that pooled connections carry, each with its connection.
+    /// Iterates over the probes on pooled connections to a node, with their connections.
     pub(super) fn probe_connections(&self, node: NodeId) -> impl Iterator<Item = (ProbeId, ConnId)> {
         let connections = self.node(node).into_iter().flat_map(|node| &node.probe_connections);
         connections.map(move |(token, conn)| (ProbeId { node, token: *token }, *conn))
     }
 
-    /// How many pooled connections there are, those being opened included.
+    /// Returns the number of pooled connections, including those being opened.
     pub(super) fn pooled(&self) -> usize {
         self.pooled
     }
 
-    /// A pooled connection is being opened.
+    /// Counts a pooled connection that is being opened.
     pub(super) fn pooled_opened(&mut self) {
         self.pooled += 1;
     }
 
-    /// A pooled connection is closed.
+    /// Removes a pooled connection that was closed.
     pub(super) fn pooled_closed(&mut self, node: NodeId, conn: ConnId, idle_since: Micros) {
         self.pooled -= 1;
         self.idle.remove(&(idle_since, conn));
@@ -196,36 +196,36 @@
         }
     }
 
-    /// Takes the newest idle connection that is `preferred`, or else the newest.
+    /// Takes the most recently used idle connection that is `preferred`, or else the most recently used one.
     pub(super) fn take_idle(&mut self, node: NodeId, preferred: impl Fn(&ConnId) -> bool) -> Option<ConnId> {
         let idle = &mut self.node_mut(node)?.idle;
         let index = idle.iter().rposition(preferred).or(idle.len().checked_sub(1))?;
         Some(idle.remove(index))
     }
 
-    /// A connection that was taken is not idle any more.
+    /// Records that a connection taken from the pool is no longer idle.
     pub(super) fn mark_busy(&mut self, conn: ConnId, idle_since: Micros) {
         self.idle.remove(&(idle_since, conn));
     }
 
-    /// A connection carries nothing from now on.
+    /// Adds a connection without an exchange to the idle ones.
     pub(super) fn mark_idle(&mut self, node: NodeId, conn: ConnId, now: Micros) {
         self.nodes.entry(node).or_default().idle.push(conn);
         self.idle.insert((now, conn));
     }
 
-    /// The connection that has been idle for longest, of all nodes.
+    /// Returns the connection that has been idle for longest, over all nodes.
     pub(super) fn longest_idle(&self) -> Option<ConnId> {
         self.idle.first().map(|(_, conn)| *conn)
     }
 
-    /// Connections that have been idle for this long or longer, the longest idle first.
+    /// Returns the connections that have been idle for at least `age`, the longest idle first.
     pub(super) fn idle_for(&self, age: Micros, now: Micros) -> Vec<ConnId> {
         let is_old = |(since, _): &&(Micros, ConnId)| now.since(*since) >= age;
         self.idle.iter().take_while(is_old).map(|(_, conn)| *conn).collect()
     }
 
-    /// Takes all idle connections of a node, to be closed.
+    /// Takes all idle connections of a node, for closing.
     pub(super) fn take_all_idle(&mut self, node: NodeId) -> Vec<ConnId> {
         self.node_mut(node).map(|node| std::mem::take(&mut node.idle)).unwrap_or_default()
     }
--- a/crates/flaxstand-gateway/src/core/write_back.rs
+++ b/crates/flaxstand-gateway/src/core/write_back.rs
@@ -1,7 +1,7 @@
-//! The write-back buffer with what the core knows of its write-outs.
+//! Connects the write-back buffer to the core's requests.
 
 use super::config::{Site, WriteBack};
-use super::pending_request::{FinalAnswer, Handler, Owner, PendingRequest};
+use super::pending_request::{FinalResponse, Handler, Owner, PendingRequest};
 use super::write_out_classes::{buffer_config, write_out_class};
 use crate::machine::Micros;
 use flaxstand::api::RequestId;
@@ -14,27 +14,27 @@
 };
 use std::collections::BTreeMap;
 
-/// A client's mark in the order of its writes.
+/// A client's request that orders its writes.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum OrderingRequest {
-    /// Of this volume.
+    /// Barrier on a volume.
     Barrier(u64),
-    /// Of this volume, or of all.
+    /// Flush of a volume, or of all volumes.
     Flush(Option<u64>),
 }
 
-/// Buffers writes, and knows which request each write-out is.
+/// The write-back buffer, and the requests of its write-outs.
 #[derive(Debug)]
 pub(super) struct WriteBackCoordinator {
     buffer: WriteBackBuffer,
     settings: WriteBack,
-    /// Classes of the site; the module's own for write-outs follow them.
+    /// Number of the site's classes; the module's classes for write-outs follow them.
     site_classes: usize,
     write_outs: BTreeMap<WriteOutId, RequestId>,
 }
 
 impl WriteBackCoordinator {
-    /// A buffer that goes on with what was recovered. `calendar`: the host's calendar at the start,
+    /// Creates a buffer from recovered state. `calendar` is the host's wall-clock time at the start, in
     /// microseconds.
     pub(super) fn new(
         settings: WriteBack,
@@ -48,26 +48,26 @@
         WriteBackCoordinator { buffer, settings, site_classes, write_outs: BTreeMap::new() }
     }
 
-    /// How a batch went that `Command::StoreWriteBack` asked for.
-    pub(super) fn stored(&mut self, well: bool, now: Micros) {
-        self.buffer.batch_stored(well, now);
+    /// Handles the result of a `Command::StoreWriteBack`.
+    pub(super) fn stored(&mut self, is_stored: bool, now: Micros) {
+        self.buffer.batch_stored(is_stored, now);
     }
 
-    /// The buffer's metrics.
+    /// Returns the buffer's metrics.
     pub(super) fn status(&self, now: Micros) -> Status {
         self.buffer.status(now)
     }
 
-    /// A read of an extent: what the buffer has to do with it.
+    /// Reads an extent from the buffer.
     pub(super) fn read(&mut self, id: RequestId, extent: ExtentId) -> BufferedRead {
         self.buffer.read(WriteHandle(id.0), extent)
     }
 
-    /// A write: to be buffered if it may be, or else to keep its place in the order of writes.
+    /// Submits a write, to be buffered if allowed, or else to be passed through in order.
     pub(super) fn write(&mut self, id: RequestId, s: &Submit<'_>, now: Micros) {
         let handle = WriteHandle(id.0);
         let extent_id = s.extent.map(|extent| ExtentId { volume: s.volume, extent });
-        // A new object has no node yet, and the volume may be one that is not buffered.
+        // Not buffered: new objects, which have no shard yet, and volumes or classes without write-back.
         match (extent_id, s.shard) {
             (Some(extent_id), Some(shard)) if self.may_buffer(s) => {
                 let write = Write {
@@ -92,21 +92,21 @@
         is_buffered_volume && self.buffer.buffering(s.class) != BufferingMode::Never
     }
 
-    /// A client's barrier or flush.
-    pub(super) fn mark(&mut self, id: RequestId, mark: OrderingRequest, now: Micros) {
-        match mark {
+    /// Submits a client's barrier or flush.
+    pub(super) fn submit_ordering(&mut self, id: RequestId, ordering: OrderingRequest, now: Micros) {
+        match ordering {
             OrderingRequest::Barrier(volume) => self.buffer.submit_barrier(WriteHandle(id.0), volume, now),
             OrderingRequest::Flush(volume) => self.buffer.submit_flush(WriteHandle(id.0), volume),
         }
     }
 
-    /// Settles the buffer. Returns when to settle it next, and what is to be done.
+    /// Advances the buffer. Returns when it must be called again, and its actions.
     pub(super) fn settle(&mut self, now: Micros) -> (Option<Micros>, Vec<Action>) {
         let wake = self.buffer.settle(now);
         (wake, self.buffer.take_actions())
     }
 
-    /// A write-out becomes this request. Returns the module's class for it.
+    /// Records the request of a write-out. Returns the module's class for it.
     pub(super) fn start_write_out(
         &mut self,
         id: WriteOutId,
@@ -118,23 +118,23 @@
         write_out_class(self.site_classes, class, urgency)
     }
 
-    /// The request that a write-out is.
+    /// Returns the request of a write-out.
     pub(super) fn request_of(&self, id: WriteOutId) -> Option<RequestId> {
         self.write_outs.get(&id).copied()
     }
 
-    /// A write-out is taken back before any of it was sent.
+    /// Withdraws a write-out of which nothing was sent.
     pub(super) fn withdraw(&mut self, id: WriteOutId, now: Micros) {
         self.write_outs.remove(&id);
         self.buffer.write_out_ended(id, WriteOutResult::Cancelled, now);
     }
 
-    /// A request's deadline has come while the buffer has it.
+    /// Handles the deadline of a request that the buffer holds.
     pub(super) fn expire(&mut self, id: RequestId, now: Micros) -> Expired {
         self.buffer.expire(WriteHandle(id.0), now)
     }
 
-    /// A request is answered and has no attempt in flight.
+    /// Reports the end of a request to the buffer, once it is answered and has no attempt in flight.
     pub(super) fn record_end(&mut self, id: RequestId, request: &PendingRequest, now: Micros) {
         match request.original_owner {
             Owner::Buffer(write_out) => self.record_write_out_end(write_out, request, now),
@@ -146,42 +146,44 @@
         if self.write_outs.remove(&id).is_none() {
             return;
         }
-        let unsure = request.may_have_run;
-        let result = match request.final_answer {
-            FinalAnswer::Served => WriteOutResult::Confirmed { may_still_run: unsure },
-            FinalAnswer::NotExecuted(_) | FinalAnswer::Failed | FinalAnswer::None if unsure => {
+        let may_have_run = request.may_have_run;
+        let result = match request.final_response {
+            FinalResponse::Served => WriteOutResult::Confirmed { may_still_run: may_have_run },
+            FinalResponse::NotExecuted(_) | FinalResponse::Failed | FinalResponse::None if may_have_run => {
                 WriteOutResult::Unknown
             }
-            FinalAnswer::NotExecuted(wait) => WriteOutResult::NotExecuted { retry_after: wait },
-            FinalAnswer::Failed | FinalAnswer::None => WriteOutResult::NotExecuted { retry_after: Micros(0) },
+            FinalResponse::NotExecuted(wait) => WriteOutResult::NotExecuted { retry_after: wait },
+            FinalResponse::Failed | FinalResponse::None => {
+                WriteOutResult::NotExecuted { retry_after: Micros(0) }
+            }
         };
         self.buffer.write_out_ended(id, result, now);
     }
 
     fn record_client_request_end(&mut self, handle: WriteHandle, request: &PendingRequest, now: Micros) {
         match request.handler {
-            Handler::Module { passed_on: true } => {
+            Handler::Module { passed_through: true } => {
                 self.buffer.pass_through_ended(handle, request.may_have_run, now)
             }
             Handler::Buffer => self.buffer.abandon(handle, now),
-            Handler::Module { passed_on: false } if request.merge_extent.is_some() => {
+            Handler::Module { passed_through: false } if request.merge_extent.is_some() => {
                 self.buffer.abandon(handle, now)
             }
-            Handler::Module { passed_on: false } => {}
+            Handler::Module { passed_through: false } => {}
         }
     }
 
-    /// Lays what is buffered over a node's answer to a read.
+    /// Overlays a node's response to a read with buffered writes.
     pub(super) fn merge(&mut self, id: RequestId, data: &mut Vec<u8>, now: Micros) {
         self.buffer.merge_read(WriteHandle(id.0), data, now);
     }
 
-    /// Buffers nothing more, and writes out what is buffered.
+    /// Stops buffering and starts to write out all buffered writes.
     pub(super) fn drain(&mut self) {
         self.buffer.drain();
     }
 
-    /// Whether the buffer has nothing more to bring anywhere.
+    /// Returns whether no buffered write is left to be written out.
     pub(super) fn is_drained(&self) -> bool {
         self.buffer.is_drained()
     }
--- a/crates/flaxstand-gateway/src/core/write_back_status.rs
+++ b/crates/flaxstand-gateway/src/core/write_back_status.rs
@@ -1,8 +1,8 @@
-//! The write-back buffer's metrics as clients are told them.
+//! JSON encoding of the write-back buffer's metrics for clients.
 
 use flaxstand_write_back::Status;
 
-/// Metrics as a JSON object. Names carry their units.
+/// Encodes the metrics as a JSON object. Units are part of the names.
 pub(super) fn status_json(s: &Status) -> String {
     let mut out = String::from("{");
     let metrics: [(&str, u64); 20] = [
--- a/crates/flaxstand-gateway/src/core/write_out_classes.rs
+++ b/crates/flaxstand-gateway/src/core/write_out_classes.rs
@@ -1,4 +1,4 @@
-//! Classes of write-outs for the decision module, and the write-back buffer's configuration, from the
+//! Derives the decision module's classes for write-outs and the write-back buffer's configuration from the
 //! site's settings.
 
 use super::config::{Site, WriteBack};
@@ -10,12 +10,12 @@
 use flaxstand_write_back::retry_budget::WriteOutRetryBudget;
 use flaxstand_write_back::writeout::Urgency;
 
-/// The module's class of a write-out, which follow the site's own.
+/// Returns the index of the module's class for a write-out. These classes follow the site's.
 pub(super) fn write_out_class(site_classes: usize, class: u16, urgency: Urgency) -> usize {
     site_classes + usize::from(class) * Urgency::ALL.len() + urgency as usize
 }
 
-/// Adds the module's classes for write-outs: after the site's classes, one for each of them and each urgency.
+/// Appends the module's classes for write-outs, one for each class of the site and each urgency.
 pub(super) fn with_write_out_classes(settings: &Settings) -> Settings {
     let max_weight = settings.classes.iter().map(|c| c.priority_weight).fold(0.0, f64::max);
     let by_urgency = |class| Urgency::ALL.map(|urgency| class_at_urgency(class, urgency, max_weight));
@@ -25,8 +25,8 @@
     settings
 }
 
-/// A class as write-outs of this urgency have it: priority in parts of the class's, latency objective in
-/// multiples of it. At the last urgency they have as much priority as anything has.
+/// Derives the class for write-outs of this urgency. Its priority is a fraction of the original class's, its
+/// latency objective a multiple. At the highest urgency it has the highest priority of all classes.
 fn class_at_urgency(class: &Class, urgency: Urgency, max_weight: f64) -> Class {
     let (priority_weight, latency_factor) = match urgency {
         Urgency::Idle => (class.priority_weight * 0.05, 4.0),
@@ -39,13 +39,14 @@
         priority_weight,
         latency_objective,
         deadline: class.deadline.max(latency_objective),
-        // No client waits for it: it is worth as much after the objective as before.
+        // No client waits for a write-out, so its value does not decrease after the latency objective.
         late_value: 1.0,
         ..class.clone()
     }
 }
 
-/// The buffer's configuration. `calendar`: the host's calendar at the start, microseconds.
+/// Returns the buffer's configuration. `calendar` is the host's wall-clock time at the start, in
+/// microseconds.
 pub(super) fn buffer_config(write_back: &WriteBack, site: &Site, calendar: u64) -> Config {
     let buffering = |(info, class): (&super::ClassInfo, &Class)| match (info.is_buffered, class.effect) {
         (true, Effect::Idempotent) => BufferingMode::Idempotent,
--- a/crates/flaxstand-gateway/src/lib.rs
+++ b/crates/flaxstand-gateway/src/lib.rs
@@ -1,5 +1,6 @@
-//! The initiator. [`core`] takes what happened and says what to do; it never touches a socket, a file or a
-//! clock. [`driver`] runs any such [`machine::Machine`] on epoll; [`settings`] reads its files.
+//! The initiator. [`core`] is a state machine that handles events and emits commands, without access to
+//! sockets, files or clocks. [`driver`] runs any such [`machine::Machine`] on epoll; [`settings`] reads the
+//! settings files.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/flaxstand-gateway/src/machine.rs
+++ b/crates/flaxstand-gateway/src/machine.rs
@@ -1,5 +1,5 @@
-//! The interface between a driver, which does the I/O, and the state machine that it runs, which does none. The
-//! initiator's core is such a machine, and so is each simulated peer of a rehearsal: one driver runs them all.
+//! Interface between a driver, which does the I/O, and the state machine that it runs, which does none. The
+//! initiator's core and each simulated peer of a rehearsal are such machines; the same driver runs them all.
 
 pub use flaxstand_proto::Micros;
 use std::fmt;
@@ -7,29 +7,30 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// A connection. Numbers are not used again, so that an event of an old one can't be taken for a new one's.
+/// Id of a connection. Ids are not reused, so that an event of a closed connection can't be attributed to a
+/// new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnId(pub u64);
 
-/// Where a peer listens.
+/// Address at which a peer listens.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Address {
-    /// A numeric address and port. Names are not looked up: that would block.
+    /// A numeric address and port. Host names are not supported: resolving them would block.
     Tcp(std::net::SocketAddr),
-    /// A socket file.
+    /// Path of a Unix domain socket.
     Unix(PathBuf),
 }
 
-/// A text that is not an address.
+/// The text is not a valid address.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("{0:?} is no address: expected \"IP:PORT\" or \"unix:PATH\"")]
+#[error("{0:?} is not a valid address: expected \"IP:PORT\" or \"unix:PATH\"")]
 pub struct AddressError(pub String);
 
 impl FromStr for Address {
     type Err = AddressError;
     fn from_str(text: &str) -> Result<Self, AddressError> {
         match text.strip_prefix("unix:") {
-            // A socket file's name holds at most 107 bytes on Linux.
+            // Linux limits the path of a socket to 107 bytes.
             Some(path) if !path.is_empty() && path.len() < 108 && !path.contains('\0') => {
                 Ok(Address::Unix(PathBuf::from(path)))
             }
@@ -48,122 +49,128 @@
     }
 }
 
-/// A file that is only appended to.
+/// An append-only file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sink {
-    /// Events that were observed.
+    /// Observed events.
     Record,
     /// Data of a simulated node.
     Data,
 }
 
-/// A command of a machine to its driver. Commands are carried out in order, after each turn.
+/// A command of a machine to its driver. Commands are executed in order, after each turn.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Open a connection; [`Machine::connected`] or [`Machine::connect_failed`] follows.
     Connect {
-        /// Its number.
+        /// Id of the connection.
         conn: ConnId,
         /// Address of the peer.
         address: Address,
     },
-    /// Look again at what this connection has to write and whether it may be read.
+    /// Check again what this connection has to write and whether it may be read.
     Flush(ConnId),
-    /// Write what of `last` goes at once and close. No further event of this connection follows.
+    /// Write as much of `last` as possible without blocking, then close. No further event of this connection
+    /// follows.
     Close {
-        /// Its number.
+        /// Id of the connection.
         conn: ConnId,
-        /// Bytes that its outbox still held.
+        /// Remaining output of the connection.
         last: Vec<u8>,
     },
-    /// Send nothing more on this connection once all that waits is written; its peer may still send, and is read.
+    /// Shut down the sending side of this connection once its pending output is written. The peer may still
+    /// send, and is read.
     ShutdownWrite(ConnId),
-    /// Replace the machine's saved state by these bytes.
+    /// Replace the machine's saved state with these bytes.
     SaveList(Vec<u8>),
-    /// Append these bytes to the machine's saved state. A crash may leave a part of them.
+    /// Append these bytes to the machine's saved state. After a crash, a part of them
+    /// may be present.
     AppendList(Vec<u8>),
-    /// Append these bytes to one of a simulated peer's files, before its answers are written.
+    /// Append these bytes to one of a simulated peer's files, before its responses are written.
     AppendOutput(Sink, Vec<u8>),
     /// Store this batch in the write-back log; [`Machine::write_back_stored`] follows. One at a time.
     StoreWriteBack(flaxstand_storage::Batch),
     /// Store this batch in the consensus log; [`Machine::consensus_stored`] follows. One at a time.
     StoreConsensus(flaxstand_storage::Batch),
-    /// Replace the file of the replicated state by these bytes, durably.
+    /// Durably replace the file of the replicated state with these bytes.
     SaveReplicatedState(Vec<u8>),
-    /// Accept no more connections.
+    /// Stop accepting connections.
     StopListening,
     /// Write a line to standard output.
     Print(String),
-    /// The machine is done.
+    /// The machine has finished; stop running it.
     Exit,
 }
 
-/// What may change while a process runs.
+/// Settings that can be changed at run time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reloaded {
-    /// Limits.
+    /// Resource limits.
     pub bounds: crate::core::Bounds,
     /// Address of the endpoint discovery service.
     pub list: Address,
 }
 
-/// What reaches a machine beside its connections.
+/// An event that does not belong to a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Control {
     /// Stop gracefully.
     Stop,
-    /// What the settings say now.
+    /// Apply reloaded settings.
     Reload(Reloaded),
-    /// A line of standard input, where the driver reads it.
+    /// A line of standard input, if the driver reads it.
     Line(String),
     /// Standard input ended.
     InputEnded,
 }
 
-/// A state machine that a driver runs. All calls of one turn have the same time, and time never goes back. The
-/// driver calls [`settle`](Machine::settle) after all else of a turn, then takes the commands.
+/// A state machine that a driver runs. All calls of a turn have the same time, and time never decreases. At
+/// the end of a turn the driver calls [`settle`](Machine::settle), then takes the commands.
 pub trait Machine {
-    /// A peer connected to a listener, by the order in which the driver was told to listen.
+    /// Reports that a peer connected to a listener. `listener` is the index in the driver's list of
+    /// listeners.
     ///
     /// # Errors
-    /// The connection is rejected: the bytes are written if they go at once, then it is closed.
+    /// The connection is rejected. The driver writes as many of these bytes as possible without blocking,
+    /// then closes it.
     fn accepted(&mut self, listener: usize, now: Micros) -> Result<ConnId, Vec<u8>>;
-    /// A connection that the machine asked for is open.
+    /// Reports that a connection requested by [`Command::Connect`] is open.
     fn connected(&mut self, conn: ConnId, now: Micros);
-    /// It could not be opened; no further event of it follows.
+    /// Reports that a connection could not be opened. No further event of it follows.
     fn connect_failed(&mut self, conn: ConnId, cause: &str, now: Micros);
-    /// Bytes were received.
+    /// Reports received bytes.
     fn received(&mut self, conn: ConnId, bytes: &[u8], now: Micros);
-    /// The peer ended its stream, all of which was received, but may still read. A reset is no such end. Returns
-    /// false to have the connection closed.
+    /// Reports that the peer shut down its sending side and all its data was received. The peer may still
+    /// read. Not called for a reset. Returns false to have the connection closed.
     fn peer_finished(&mut self, conn: ConnId, now: Micros) -> bool;
-    /// The connection broke or was closed; no further event of it follows.
+    /// Reports that a connection broke or was closed. No further event of it follows.
     fn closed(&mut self, conn: ConnId, cause: &str, now: Micros);
-    /// Bytes that wait to be written.
+    /// Returns the pending output of a connection.
     fn outgoing(&self, conn: ConnId) -> &[u8];
-    /// This many of them were written.
+    /// Reports that this many bytes of the pending output were written.
     fn written(&mut self, conn: ConnId, count: usize, now: Micros);
-    /// Whether the connection may be read now.
+    /// Returns whether the connection may be read now.
     fn wants_read(&self, conn: ConnId) -> bool;
-    /// Whether the end of the peer's stream is to be reported at once, although bytes before it are not read now.
+    /// Returns whether the end of the peer's stream is to be reported at once, even while reading is paused.
     fn wants_peer_end(&self, _conn: ConnId) -> bool {
         false
     }
-    /// Whether the connection was idle since its last message. Then the driver checks, before it writes, whether
-    /// anything was received or the peer has closed it: it is of no further use, and nothing was sent.
+    /// Returns whether the connection has been idle since its last message. If so, the driver checks before
+    /// writing whether data was received or the peer has closed the connection; in that case it is unusable,
+    /// and nothing is sent.
     fn is_idle(&self, _conn: ConnId) -> bool {
         false
     }
-    /// A batch of the write-back log was stored, or failed.
+    /// Reports whether a batch of the write-back log was stored.
     fn write_back_stored(&mut self, _is_stored: bool, _now: Micros) {}
-    /// A batch of the consensus log was stored, or failed.
+    /// Reports whether a batch of the consensus log was stored.
     fn consensus_stored(&mut self, _is_stored: bool, _now: Micros) {}
-    /// The saved state could not be replaced or appended to: what it holds now is not known.
+    /// Reports that replacing or appending to the saved state failed. Its content is now undefined.
     fn save_failed(&mut self, _now: Micros) {}
-    /// An event from outside the connections.
+    /// Reports an event that does not belong to a connection.
     fn control(&mut self, control: Control, now: Micros);
-    /// Every event of this moment was reported. Returns when to call again at the latest.
+    /// Completes a turn, after all its events were reported. Returns the latest time of the next call.
     fn settle(&mut self, now: Micros) -> Option<Micros>;
-    /// Takes the commands, in order.
+    /// Takes the queued commands, in order.
     fn take_commands(&mut self) -> Vec<Command>;
 }
