--- a/crates/flaxstand-gateway/src/core/connection_closing.rs
+++ b/crates/flaxstand-gateway/src/core/connection_closing.rs
@@ -55,7 +55,7 @@
     pub(super) fn connection_closed(&mut self, conn: ConnId, cause: &str, now: Micros) {
         let Some(closed) = self.connections.remove(conn) else { return };
         if let Protocol::HttpServer(http) = &closed.protocol {
-            self.clients.slots.remove(conn, http.queued);
+            self.clients.slots.remove(conn, http.queued_at);
         }
         let written = closed.outbox.written();
         match (closed.peer, closed.protocol) {
--- a/crates/flaxstand-gateway/src/core/connection_slots.rs
+++ b/crates/flaxstand-gateway/src/core/connection_slots.rs
@@ -109,7 +109,7 @@
         if since == queued {
             return false;
         }
-        http.queued = since;
+        http.queued_at = since;
         let queue = self.queue(queue);
         queue.remove(&(queued, conn));
         queue.insert((since, conn));
@@ -125,6 +125,6 @@
         (false, 0) => UNUSED_EVICTABLE_AFTER,
         (false, _) => IDLE_EVICTABLE_AFTER,
     };
-    let is_unused = client.unanswered.is_empty() && c.outbox.is_empty();
-    is_unused && now.since(http.since()) >= min_wait && (http.requests() == 0 || !http.has_partial_request())
+    let is_idle = client.unanswered.is_empty() && c.outbox.is_empty();
+    is_idle && now.since(http.since()) >= min_wait && (http.requests() == 0 || !http.has_partial_request())
 }
--- a/crates/flaxstand-gateway/src/core/http_connection.rs
+++ b/crates/flaxstand-gateway/src/core/http_connection.rs
@@ -52,7 +52,7 @@
     phase: ConnectionPhase,
     since: Micros,
     /// Time by which the connection is queued in the eviction order.
-    pub(super) queued: Micros,
+    pub(super) queued_at: Micros,
     requests: u64,
 }
 
@@ -63,7 +63,7 @@
             reader: RequestReader::default(),
             phase: ConnectionPhase::Open,
             since: now,
-            queued: now,
+            queued_at: now,
             requests: 0,
         }
     }
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -242,7 +242,7 @@
     fn linger(&mut self, conn: ConnId, now: Micros) {
         let Some(http) = self.http(conn) else { return };
         let dropped = http.start_lingering(now);
-        let queued = std::mem::replace(&mut http.queued, now);
+        let queued = std::mem::replace(&mut http.queued_at, now);
         self.clients.slots.start_lingering(conn, queued, now);
         self.connections.sub_partial_bytes(dropped);
         // The client reads the response to its end and then closes the connection (RFC 9112, 9.6).
