--- a/crates/flaxstand-bench-adapter/src/inbound.rs
+++ b/crates/flaxstand-bench-adapter/src/inbound.rs
@@ -269,7 +269,7 @@
             InstanceEvent::RequestArrived(arrival) => Event::RequestArrived(arrival.into_arrival(context)?),
             InstanceEvent::ResponseStarted(started) => Event::ResponseStarted(RequestId(started.request)),
             InstanceEvent::AttemptEnded(ended) => Event::AttemptEnded(ended.into_attempt_end()?),
-            InstanceEvent::ClientGone(gone) => Event::ClientGone(RequestId(gone.request)),
+            InstanceEvent::ClientGone(gone) => Event::ClientDisconnected(RequestId(gone.request)),
             InstanceEvent::ProbeEnded(ended) => {
                 let outcome = outcome_of(ended.outcome)?;
                 Event::ProbeEnded(context.names.node_id(&ended.node), outcome)
--- a/crates/flaxstand-gateway/src/core/buffered_requests.rs
+++ b/crates/flaxstand-gateway/src/core/buffered_requests.rs
@@ -210,7 +210,7 @@
             if let Some(removed) = self.requests.remove(request) {
                 self.timers.cancel(removed.expires_at, Timer::Deadline(request));
             }
-            self.events.push_back(Event::ClientGone(request));
+            self.events.push_back(Event::ClientDisconnected(request));
         }
     }
 
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -288,7 +288,7 @@
                 pending.owner = None;
                 pending.payload = Vec::new();
                 if pending.handler != Handler::Buffer {
-                    self.events.push_back(Event::ClientGone(*id));
+                    self.events.push_back(Event::ClientDisconnected(*id));
                 }
             }
             self.remove_if_finished(*id, now);
--- a/crates/flaxstand-gateway/src/core/requests.rs
+++ b/crates/flaxstand-gateway/src/core/requests.rs
@@ -84,7 +84,7 @@
     pub(super) fn fail_request(&mut self, id: RequestId, now: Micros) {
         let Some(pending) = self.requests.get(id).filter(|request| request.owner.is_some()) else { return };
         if pending.handler != Handler::Buffer {
-            self.events.push_back(Event::ClientGone(id));
+            self.events.push_back(Event::ClientDisconnected(id));
         }
         self.answer_failed(id, now);
     }
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,13 +1,13 @@
-//! What a volume may send: its reserve, its limit, and the weight of what goes beyond the reserve.
+//! Admission control per volume: reserve, rate limit, and the weight of traffic beyond the reserve.
 //!
-//! The rates of a volume's plan count over all initiators; an even part is this initiator's. A request that
-//! the limit holds for too long is rejected; `deadlines` has the moment and the answer.
+//! The rates of a plan apply to a volume across all initiators; each initiator enforces an even share. A
+//! request that the limit would hold for too long is rejected; see `deadlines` for when and how.
 
 use crate::api::{Arrival, Millis, PlanId, Settings, VolumeId};
 use crate::recent::{RECENT_TIME, RecentSum};
 use std::collections::BTreeMap;
 
-/// Rates are stated a second, times in milliseconds.
+/// Rates are per second, times are in milliseconds.
 const MILLIS_PER_SECOND: Millis = 1000.0;
 
 /// The quota of one volume at this initiator.
@@ -15,9 +15,9 @@
     pub(crate) plan: PlanId,
     /// Initiators that share the volume.
     initiators: f64,
-    /// Units that still have full weight.
+    /// Units available at full weight.
     reserve: f64,
-    /// Tokens of the limit's bucket, units.
+    /// Tokens in the bucket of the rate limit, units.
     limit_tokens: f64,
     refilled_at: Millis,
     /// Units sent beyond the reserve recently.
@@ -25,8 +25,8 @@
 }
 
 impl VolumeQuota {
-    /// For a volume that was not heard of before. The limit's bucket is empty when this initiator starts,
-    /// since what it sent before a restart is not known.
+    /// Creates the quota of a new volume. The token bucket starts empty as of the start of this initiator,
+    /// since traffic sent before a restart is unknown.
     fn new(plan: PlanId, settings: &Settings, started_at: Millis) -> Self {
         VolumeQuota {
             plan,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Refills reserve and limit up to now.
+    /// Refills the reserve and the token bucket up to `now`.
     fn refill(&mut self, settings: &Settings, now: Millis) {
         let reserve_rate = settings.plans[self.plan.0].reserve_rate / self.initiators;
         let refilled = self.reserve + reserve_rate * (now - self.refilled_at) / MILLIS_PER_SECOND;
@@ -47,7 +47,7 @@
         self.refilled_at = now;
     }
 
-    /// Tokens in the limit's bucket at a moment, units, if nothing is sent until then.
+    /// Returns the tokens in the bucket at `at`, units, if nothing is sent until then.
     fn tokens_at(&self, settings: &Settings, at: Millis) -> f64 {
         let plan = &settings.plans[self.plan.0];
         if plan.limit_rate <= 0.0 {
@@ -58,17 +58,18 @@
         filled.min(plan.limit_burst / self.initiators)
     }
 
-    /// Guards the volume's limit: whether a request's first attempt may be sent at a moment.
+    /// Enforces the rate limit of the volume: returns whether the first attempt of a request may be sent at
+    /// `at`.
     pub(crate) fn limit_allows(&self, units: f64, settings: &Settings, at: Millis) -> bool {
         self.tokens_at(settings, at) >= units
     }
 
-    /// Units of the reserve that are left.
+    /// Returns the remaining reserve, units.
     pub(crate) fn reserve(&self) -> f64 {
         self.reserve
     }
 
-    /// Takes a request's units when its first attempt is sent. Retries take none.
+    /// Consumes the units of a request when its first attempt is sent. Retries consume none.
     fn take(&mut self, units: f64, now: Millis) {
         self.limit_tokens -= units;
         if self.reserve >= units {
@@ -78,34 +79,36 @@
         }
     }
 
-    /// Weight of a unit that is `units_over` units beyond the reserve: that of the volume's share as long as
-    /// it takes no more than it is sized for, then falling to that of spare capacity.
+    /// Returns the weight of a unit that is `units_over` units beyond the reserve. It equals `shared_weight`
+    /// while the recent traffic of the volume is within its base rate, then falls towards `spare_weight`.
     pub(crate) fn over_reserve_weight(&self, units_over: f64, settings: &Settings, now: Millis) -> f64 {
-        let sized_for = settings.plans[self.plan.0].base_rate * RECENT_TIME / MILLIS_PER_SECOND;
+        let base_units = settings.plans[self.plan.0].base_rate * RECENT_TIME / MILLIS_PER_SECOND;
         let recent = self.recent_over_reserve.get(now) + units_over;
-        let within_share = (sized_for / recent.max(sized_for)).min(1.0);
-        settings.spare_weight + (settings.shared_weight - settings.spare_weight) * within_share
+        let base_share = (base_units / recent.max(base_units)).min(1.0);
+        settings.spare_weight + (settings.shared_weight - settings.spare_weight) * base_share
     }
 }
 
-/// The quotas of all volumes. One is made when a volume's first request arrives, and stays.
+/// The quotas of all volumes. A quota is created when the first request of a volume arrives, and is never
+/// removed.
 #[derive(Default)]
 pub(crate) struct VolumeQuotas(BTreeMap<VolumeId, VolumeQuota>);
 
 impl VolumeQuotas {
-    /// Makes the quota of an arrival's volume if there is none, and notes how many initiators share it.
+    /// Creates the quota of the arrival's volume if it does not exist, and updates the number of initiators
+    /// that share it.
     pub(crate) fn register(&mut self, arrival: &Arrival, settings: &Settings, started_at: Millis) {
         let new_quota = || VolumeQuota::new(arrival.plan, settings, started_at);
         let quota = self.0.entry(arrival.volume).or_insert_with(new_quota);
         quota.initiators = quota.initiators.max(f64::from(arrival.volume_initiators));
     }
 
-    /// The quota of a volume that a request of this scheduler names.
-    pub(crate) fn of(&self, volume: VolumeId) -> &VolumeQuota {
-        self.0.get(&volume).expect("a volume is registered when its request arrives, and stays")
+    /// Returns the quota of a volume. A request of this volume must have been registered.
+    pub(crate) fn get(&self, volume: VolumeId) -> &VolumeQuota {
+        self.0.get(&volume).expect("volume is registered when its first request arrives and is never removed")
     }
 
-    /// Takes a request's units when its first attempt is sent.
+    /// Consumes the units of a request when its first attempt is sent.
     pub(crate) fn take(&mut self, volume: VolumeId, units: f64, now: Millis) {
         if let Some(quota) = self.0.get_mut(&volume) {
             quota.take(units, now);
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,7 +1,7 @@
-//! The decision module's interface: plain values, no transport. All times are milliseconds on one
-//! monotonic clock; all durations are milliseconds too.
+//! Interface of the decision module: plain values, independent of transport. All times are milliseconds on
+//! one monotonic clock; durations are milliseconds as well.
 
-/// A moment or a duration in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
 
 macro_rules! id {
@@ -12,15 +12,15 @@
     };
 }
 
-id!(/// One attempt of a client to have an operation done.
+id!(/// A request of a client.
     RequestId, u64);
-id!(/// A storage node's process, as the node list names it.
+id!(/// A storage node, as named in the endpoint list.
     NodeId, u32);
 id!(/// A volume.
     VolumeId, u64);
-id!(/// An item of data.
+id!(/// The key of a data item.
     Key, u64);
-id!(/// A part of the data; one node holds it at a time.
+id!(/// A partition of the data; served by one node at a time.
     ShardId, i64);
 id!(/// Index into [`Settings::classes`].
     ClassId, usize);
@@ -28,10 +28,10 @@
     PlanId, usize);
 id!(/// A zone of the site.
     ZoneId, u32);
-id!(/// Number of a request's attempt, from 0 in the order of sending.
+id!(/// Sequence number of an attempt within its request, starting at 0.
     AttemptNo, u32);
 
-/// Which nodes deduplicate requests with one idempotency key among themselves.
+/// The set of nodes that share deduplication state for idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every node.
@@ -45,147 +45,149 @@
 /// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// A second execution is harmless.
+    /// Repeated execution has no further effect.
     Idempotent,
-    /// Requests carry an idempotency key: nodes drop a second one for `window` after the first attempt that
-    /// may have been executed.
+    /// Requests carry an idempotency key: nodes discard a duplicate that arrives within `window` after the
+    /// first attempt that may have been executed.
     IdempotencyKey {
-        /// Which nodes know of the first attempt.
+        /// The nodes that share deduplication state with the node of the first attempt.
         group: DeduplicationScope,
-        /// How long they remember it, ms.
+        /// How long those nodes retain the key, ms.
         window: Millis,
     },
-    /// Must never be executed twice.
+    /// Must not be executed more than once.
     AtMostOnce,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Latency within which an answer has its full value, ms.
+    /// Latency up to which a response has its full value, ms.
     pub latency_objective: Millis,
-    /// The objective grows by this multiple of the request's own service time.
+    /// The objective is extended by this multiple of the service time of the request.
     pub objective_stretch: f64,
-    /// How long a client waits over all its attempts, ms.
+    /// How long a client waits across all attempts, ms.
     pub deadline: Millis,
-    /// Share of the value that an answer after the objective has, 0 to 1.
+    /// Share of the value that a response has after the objective has passed, 0 to 1.
     pub late_value: f64,
-    /// Weight of a request of this class against those of others.
+    /// Weight of requests of this class relative to other classes.
     pub priority_weight: f64,
-    /// Whether it may be executed more than once.
+    /// Whether a request may be executed more than once.
     pub effect: Effect,
-    /// Requests with one key are executed one after the other.
+    /// Requests with the same key are executed sequentially, in order of arrival.
     pub in_order: bool,
 }
 
-/// A service plan of volumes; its rates count for a volume over all initiators.
+/// A service plan for volumes. Its rates apply to a volume across all initiators.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Units a second a volume is sized for.
+    /// Units per second that a volume is provisioned for.
     pub base_rate: f64,
-    /// Units a second that have full value.
+    /// Units per second that have full weight.
     pub reserve_rate: f64,
-    /// Units a second at which the limit's token bucket fills; 0: no limit.
+    /// Refill rate of the limit's token bucket, units per second; 0: no limit.
     pub limit_rate: f64,
-    /// Capacity of that bucket, units.
+    /// Capacity of the token bucket, units.
     pub limit_burst: f64,
     /// Factor on the priority weight of requests.
     pub priority_factor: f64,
 }
 
-/// The budget of retries: attempts beyond each request's first.
+/// Budget for retries, that is, for all attempts after the first of each request.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Retries allowed however light the traffic.
+    /// Minimum number of retries allowed, regardless of traffic.
     pub floor: f64,
-    /// Retries allowed for each request that arrived.
+    /// Additional retries allowed per request that arrived.
     pub ratio: f64,
-    /// Length of the window in which both are counted, ms.
+    /// Length of the sliding window in which arrivals and retries are counted, ms.
     pub span: Millis,
 }
 
-/// When a change of the endpoint list binds an initiator that was not notified of it.
+/// When a change of the endpoint list takes effect for an initiator that has not been notified of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NotificationTerms {
-    /// So long after the discovery service had it and could be reached, ms.
+    /// Time after the discovery service had the change and was reachable, ms.
     pub notified_within: Millis,
-    /// So long after the initiator was told that the service is at another address, ms.
+    /// Time after the initiator was notified that the service moved to another address, ms.
     pub notified_after_move: Millis,
-    /// Requests may go to a node for so long after the change that drains it binds, ms.
+    /// How long requests may still be sent to a node after the change that drains it takes effect, ms.
     pub drain_grace: Millis,
 }
 
-/// The settings of an initiator, as its site states them.
+/// The settings of an initiator, from the configuration of its site.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many initiators there are.
+    /// Number of initiators.
     pub initiators: u32,
     /// Classes of requests.
     pub classes: Vec<Class>,
     /// Plans of volumes.
     pub plans: Vec<Plan>,
-    /// The endpoint list is polled; else it is pushed.
+    /// Whether the endpoint list is polled; otherwise it is pushed.
     pub polls_list: bool,
-    /// The initiator must have polled the list within this, ms.
+    /// Maximum interval between polls of the list, ms.
     pub poll_within: Millis,
-    /// When changes of the list bind; none: not stated, and no list is ever too old to act on.
+    /// When changes of the list take effect. `None`: not specified, and the list never expires.
     pub notification_terms: Option<NotificationTerms>,
-    /// Attempts a request may have.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Attempts of one request that may be in flight at once, 1 or more; above 1 requests may be hedged.
+    /// Maximum number of attempts of one request in flight at once, 1 or more; above 1, requests may be
+    /// hedged.
     pub max_concurrent_attempts: u32,
-    /// An attempt in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub may_cancel: bool,
-    /// Nodes may be probed by health checks.
+    /// Whether nodes may be probed by health checks.
     pub may_probe: bool,
-    /// Longest Retry-After that clients honour, ms; 0: rejections carry none.
+    /// Longest Retry-After that clients honour, ms; 0: rejections carry no Retry-After.
     pub max_retry_after: Millis,
-    /// Share of its capacity that a node has at its start, 0 to 1.
+    /// Share of its full capacity that a node has when it starts, 0 to 1.
     pub initial_capacity: f64,
-    /// Time from a node's start until it has its full capacity, ms.
+    /// Time from the start of a node until it reaches full capacity, ms.
     pub warm_up_time: Millis,
-    /// A node that is warming up fails when all initiators together send it more than this multiple of its
-    /// present capacity within `slow_start_window`.
+    /// A node that is warming up fails if all initiators together send it more than this multiple of its
+    /// current capacity within `slow_start_window`.
     pub overload_multiple: f64,
-    /// Window in which the load of a node that is warming up is counted, ms.
+    /// Window over which the load of a node that is warming up is measured, ms.
     pub slow_start_window: Millis,
-    /// Units within `slow_start_window`, from all initiators, that it always bears.
+    /// Units within `slow_start_window`, from all initiators, that a node that is warming up can always
+    /// handle.
     pub slow_start_min_units: f64,
-    /// Pause of an ordered key after an attempt that may still be executed, ms.
+    /// Cool-down of an ordered key after an attempt that may still be executing, ms.
     pub key_cooldown: Millis,
-    /// Budget of retries, where one is stated.
+    /// Retry budget, if one is configured.
     pub retry_budget: Option<RetryBudget>,
-    /// Mean units of a request.
+    /// Mean number of units per request.
     pub mean_units: f64,
-    /// Largest number of units of a request.
+    /// Maximum number of units per request.
     pub max_units: f64,
-    /// Factor on the weight of units beyond the reserve, within the volume's share, 0 to 1.
+    /// Factor on the weight of units beyond the reserve while the volume stays within its base rate, 0 to 1.
     pub shared_weight: f64,
-    /// Factor on the weight of units beyond reserve and share, 0 to 1.
+    /// Factor on the weight of units beyond both the reserve and the base rate, 0 to 1.
     pub spare_weight: f64,
-    /// Shortest interval between two evaluations, ms.
+    /// Minimum interval between two evaluations, ms.
     pub tick: Millis,
 }
 
 impl Settings {
-    /// The tightest latency objective of a class, ms; infinite without a class.
+    /// Returns the tightest latency objective of all classes, ms; infinite if there are no classes.
     pub fn tightest_objective(&self) -> Millis {
         self.classes.iter().map(|class| class.latency_objective).fold(Millis::INFINITY, Millis::min)
     }
 
-    /// The largest weight that a request may have, for its class and plan.
+    /// Returns the largest weight that any combination of class and plan gives a request.
     pub fn max_priority_weight(&self) -> f64 {
         let priority_factor = self.plans.iter().map(|plan| plan.priority_factor).fold(0.0, f64::max);
         self.classes.iter().map(|class| class.priority_weight * priority_factor).fold(0.0, f64::max)
     }
 }
 
-/// A node's state in the endpoint list.
+/// Readiness of a node according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// Takes work.
+    /// Accepts requests.
     Serving,
-    /// Finishes its work; nothing new.
+    /// Completes requests in flight and accepts no new ones.
     Draining,
     /// No longer listed.
     #[default]
@@ -199,52 +201,52 @@
     pub node: NodeId,
     /// Its state.
     pub readiness: Readiness,
-    /// When its process started last, unless long past.
+    /// When its process last started; `None` if that was long ago.
     pub started_at: Option<Millis>,
-    /// Its nominal size relative to others; 0: not stated.
+    /// Its nominal size relative to other nodes; 0: not specified.
     pub size: f64,
-    /// Unloaded service time of a unit there, ms, as an earlier process of this host learnt it; none:
+    /// Service time of a unit without queueing, ms, as measured by an earlier process of this host; `None`:
     /// unknown.
     pub service_time: Option<Millis>,
     /// Its zone.
     pub zone: ZoneId,
-    /// The shard it holds.
+    /// The shard that it serves.
     pub shard: ShardId,
 }
 
-/// How a list relates to the one that the module has.
+/// How a received list relates to the current list of the module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Changed entries.
+    /// Only entries that changed.
     Changes,
-    /// All entries; an absent node is gone.
+    /// All entries; nodes that are absent from it have been removed.
     Full,
-    /// The list as this host last saved it; may be stale.
+    /// The list that this host last persisted; may be stale.
     Cached,
-    /// The call failed or the subscription dropped; nothing changes.
+    /// The call failed or the subscription was interrupted; the list is unchanged.
     Failed,
 }
 
-/// What became of a call of the discovery service, beside the list that it may bring.
+/// Progress or result of a call to the discovery service, apart from any list that it returns.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryCall {
-    /// It was made.
+    /// The call was sent.
     Started {
-        /// How long the service may hold it until something changes (long poll), ms.
+        /// How long the service may delay its response until the list changes (long poll), ms.
         long_poll: Millis,
     },
-    /// Its response has begun to arrive and is not complete.
+    /// The first bytes of the response arrived; the response is incomplete.
     ResponseBegan,
-    /// The service, or something before it, answered that it cannot tell the list now.
+    /// The service, or a proxy in front of it, responded that the list is currently unavailable.
     Rejected {
-        /// How long after the call was made, ms.
+        /// Time since the call was sent, ms.
         elapsed: Millis,
     },
-    /// Its response was arriving so slowly that it was given up.
+    /// The response arrived too slowly and was abandoned.
     Abandoned,
-    /// It had no response: the service could not be reached, was silent, or the connection broke.
+    /// No response: the service was unreachable or did not answer, or the connection broke.
     Unanswered,
-    /// The service is at another address from now on.
+    /// The service moved to another address.
     ServiceMoved,
 }
 
@@ -255,19 +257,19 @@
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// The plan of its volume.
+    /// The service plan of its volume.
     pub plan: PlanId,
-    /// Its item of data, if it names one.
+    /// The key of its data item, if it names one.
     pub key: Option<Key>,
     /// When the client stops waiting.
     pub expires_at: Millis,
     /// Its volume.
     pub volume: VolumeId,
-    /// Units of work that it counts as.
+    /// Its cost in units of work.
     pub units: f64,
-    /// The shard that holds its data; none: a new object.
+    /// The shard that holds its data; `None`: a new object.
     pub shard: Option<ShardId>,
-    /// Initiators that share the volume.
+    /// Number of initiators that share the volume.
     pub volume_initiators: u32,
 }
 
@@ -276,17 +278,17 @@
 pub enum Outcome {
     /// Served.
     Served,
-    /// The node returned an error; it may have been executed.
+    /// The node returned an error; the request may have been executed.
     Error,
-    /// Rejected without being executed: the node's queue is full, or it drains.
+    /// Rejected without being executed: the queue of the node is full, or the node is draining.
     Rejected,
-    /// No answer in time; it may still be executed.
+    /// Timed out; the request may still be executed.
     TimedOut,
-    /// No connection; it was not executed.
+    /// The connection could not be established; the request was not executed.
     ConnectFailed,
-    /// Connection lost; it may have been executed.
+    /// The connection was lost; the request may have been executed.
     Reset,
-    /// Cancelled; it may have been executed.
+    /// Cancelled; the request may have been executed.
     Cancelled,
     /// Never sent.
     NotSent,
@@ -301,76 +303,78 @@
     pub attempt: AttemptNo,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since it was sent, ms.
+    /// Time since the attempt was sent, ms.
     pub latency: Millis,
-    /// The request has its answer: nothing more is to be sent for it.
+    /// Whether the request is complete and needs no further attempt.
     pub is_final: bool,
 }
 
-/// What the scheduler is notified of.
+/// Input events of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Entries of the endpoint list.
     EndpointList(ListScope, Vec<NodeEntry>),
-    /// What became of a call of the discovery service, where the deployment has [`NotificationTerms`].
+    /// Progress or result of a call to the discovery service, where the deployment specifies
+    /// [`NotificationTerms`].
     DiscoveryCall(DiscoveryCall),
     /// A request arrived.
     RequestArrived(Arrival),
-    /// A streamed answer started: the attempt belongs to the client now.
+    /// Streaming of the response to the client started; the scheduler must neither cancel nor answer the
+    /// request any more.
     ResponseStarted(RequestId),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A probe of a node ended, well or not.
+    /// A probe of a node ended, successfully or not.
     ProbeEnded(NodeId, Outcome),
-    /// Nobody waits for this request any more.
-    ClientGone(RequestId),
-    /// Settings that hold from now on, also for what is queued or in flight. Classes and plans keep their
-    /// numbers.
+    /// The client of this request disconnected.
+    ClientDisconnected(RequestId),
+    /// New settings. They also apply to requests that are queued or in flight. The indices of classes and
+    /// plans stay the same.
     SettingsChanged(Box<Settings>),
-    /// A timer fired, or all events of this moment have been handed in: evaluate.
+    /// A timer fired, or all events of the current batch have been delivered: evaluate.
     Evaluate,
 }
 
-/// What the scheduler wants done, in order.
+/// Actions that the scheduler requests, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The destination.
         node: NodeId,
-        /// Its first byte must leave before this, or it ends as [`Outcome::NotSent`]: a connection may come
-        /// up late.
+        /// Its first byte must be written before this time, or the attempt ends as [`Outcome::NotSent`]:
+        /// establishing a connection may take too long.
         until: Millis,
     },
-    /// Cancel an attempt; it ends as cancelled unless it ends otherwise first.
+    /// Cancel an attempt. It ends as cancelled unless another outcome comes first.
     Cancel {
-        /// The request; it may be over.
+        /// The request; it may already have ended.
         request: RequestId,
         /// Which attempt.
         attempt: AttemptNo,
     },
-    /// Probe a node; one [`Event::ProbeEnded`] comes back.
+    /// Probe a node. Exactly one [`Event::ProbeEnded`] follows.
     Probe {
         /// Which one.
         node: NodeId,
     },
-    /// Final answer: rejected; it was not executed, or a retry is harmless.
+    /// Final response: rejected. The request was not executed, or a retry is harmless.
     Reject {
         /// The request.
         request: RequestId,
         /// Retry-After, ms; 0: none.
         retry_after: Millis,
     },
-    /// Final answer: failed; nothing is promised.
+    /// Final response: failed. The request may or may not have been executed.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Hand in [`Event::Evaluate`] again after this long.
+    /// Deliver [`Event::Evaluate`] again after this delay.
     SetTimer {
-        /// How long from now, ms.
+        /// Delay from now, ms.
         after: Millis,
     },
     /// Poll the endpoint list.
--- a/src/concurrency_limit.rs
+++ b/src/concurrency_limit.rs
@@ -1,48 +1,48 @@
-//! How many attempts may be in flight at a node, and how long its queue is.
+//! Concurrency limit and queue delay estimate of a node.
 //!
-//! The limit follows AIMD: an answer without queue delay raises it, one that queued lowers it. Requests wait
-//! at this initiator, where their order is chosen, and not in a node's queue.
+//! The limit follows AIMD: a response without queue delay raises it, a response that was queued lowers it.
+//! Requests queue at this initiator, where their order can be chosen, rather than at the node.
 
 use crate::api::Millis;
 use crate::in_flight::InFlightAttempt;
 use crate::service_time::{NEW_SAMPLE_WEIGHT, SERVICE_TIME_VARIATION};
 
-/// The most attempts in flight at one node.
+/// Upper bound of the limit.
 pub(crate) const MAX_CONCURRENCY: f64 = 8.0;
-/// The limit at a node that nothing was sent to yet.
+/// Initial limit of a node to which nothing has been sent.
 const INITIAL_CONCURRENCY: f64 = MAX_CONCURRENCY / 2.0;
-/// The least that the limit falls to.
+/// Lower bound of the limit.
 const MIN_CONCURRENCY: f64 = 1.0;
-/// What is left of the limit after an attempt that queued too long.
+/// Factor applied to the limit after an attempt that was queued for too long.
 const DECREASE_FACTOR: f64 = 0.75;
-/// Queue delay that is tolerated, as a share of the tightest latency objective.
+/// Tolerated queue delay, as a share of the tightest latency objective.
 pub(crate) const TOLERATED_QUEUE_SHARE: f64 = 0.06;
-/// Time constant with which a reported queue delay fades, ms: a queue that nobody feeds is soon gone.
+/// Time constant with which a reported queue delay decays, ms: a queue without new arrivals drains quickly.
 const REPORT_FADE_TIME: Millis = 1000.0;
 
-/// The limit of attempts in flight at one node.
+/// Limit of attempts in flight at one node.
 #[derive(Default)]
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
     last_decrease_at: Millis,
 }
 
-/// An answer as the limit sees it.
-pub(crate) struct AnswerTimes {
-    /// From sending to answer, ms.
+/// Timing of a response, as input to the limit.
+pub(crate) struct ResponseTimes {
+    /// From sending the attempt to its response, ms.
     pub(crate) latency: Millis,
-    /// Part of it beyond the request's own service time, ms.
+    /// Part of the latency beyond the expected service time of the request, ms.
     pub(crate) queue_delay: Millis,
 }
 
-impl AnswerTimes {
-    /// By how much the service time itself may vary, ms.
+impl ResponseTimes {
+    /// Returns by how much the service time may exceed its expected value, ms.
     fn variation(&self) -> Millis {
         SERVICE_TIME_VARIATION * (self.latency - self.queue_delay)
     }
 
-    /// The queue delay that is there even if the service time was as long as it may be, ms.
-    pub(crate) fn certain_queue_delay(&self) -> Millis {
+    /// Returns the lower bound of the queue delay, assuming the longest plausible service time, ms.
+    pub(crate) fn min_queue_delay(&self) -> Millis {
         (self.queue_delay - self.variation()).max(0.0)
     }
 
@@ -52,51 +52,53 @@
 }
 
 impl ConcurrencyLimit {
-    /// For a node that nothing was sent to yet.
+    /// Creates the limit of a node to which nothing has been sent.
     pub(crate) fn new() -> Self {
         ConcurrencyLimit { limit: INITIAL_CONCURRENCY, last_decrease_at: 0.0 }
     }
 
-    /// For a node whose process has just started: one attempt at a time until answers raise the limit.
+    /// Creates the limit of a node whose process has just started: one attempt at a time until responses
+    /// raise the limit.
     pub(crate) fn after_restart() -> Self {
         ConcurrencyLimit { limit: MIN_CONCURRENCY, last_decrease_at: 0.0 }
     }
 
-    /// Whether one more attempt may be sent beside those in flight.
-    pub(crate) fn allows_more_than(&self, in_flight: usize) -> bool {
+    /// Returns whether another attempt may be sent in addition to those in flight.
+    pub(crate) fn allows_another(&self, in_flight: usize) -> bool {
         (in_flight as f64) < self.limit.floor()
     }
 
-    /// Whether the limit, and not a lack of requests, bounds what is in flight. Only then may it rise.
+    /// Returns whether the limit, rather than a lack of requests, bounds the attempts in flight. Only then
+    /// may the limit rise.
     pub(crate) fn is_reached_by(&self, in_flight: usize) -> bool {
         in_flight as f64 + 1.0 > self.limit
     }
 
-    /// Learns from an answer. Attempts that queued together lower the limit once.
-    pub(crate) fn record_answer(
+    /// Updates the limit from a response. Attempts that were queued together lower the limit only once.
+    pub(crate) fn record_response(
         &mut self,
-        answer: &AnswerTimes,
+        times: &ResponseTimes,
         was_reached: bool,
         objective: Millis,
         now: Millis,
     ) {
-        if answer.has_tolerable_queue_delay(objective) {
+        if times.has_tolerable_queue_delay(objective) {
             if was_reached {
                 self.limit = (self.limit + 1.0 / self.limit).min(MAX_CONCURRENCY);
             }
-        } else if now - self.last_decrease_at > answer.latency {
+        } else if now - self.last_decrease_at > times.latency {
             self.decrease();
             self.last_decrease_at = now;
         }
     }
 
-    /// The node's queue was full, or it was too long: fewer attempts from now on.
+    /// Lowers the limit after a full or too long queue.
     pub(crate) fn decrease(&mut self) {
         self.limit = (self.limit * DECREASE_FACTOR).max(MIN_CONCURRENCY);
     }
 }
 
-/// The delay in one node's queue, as it was last reported.
+/// The last reported queue delay of one node.
 #[derive(Default)]
 pub(crate) struct QueueDelay {
     reported: Millis,
@@ -104,37 +106,38 @@
 }
 
 impl QueueDelay {
-    /// As last reported, ms, however long ago.
+    /// Returns the last reported queue delay, ms, regardless of its age.
     pub(crate) fn last_reported(&self) -> Millis {
         self.reported
     }
 
-    /// As reported, ms; an old report fades to the delay at a usual node.
-    pub(crate) fn estimate(&self, usual: Millis, now: Millis) -> Millis {
-        usual + (self.reported - usual) * self.freshness_weight(now)
+    /// Returns the estimated queue delay, ms. An old report decays towards the delay at a typical node.
+    pub(crate) fn estimate(&self, typical: Millis, now: Millis) -> Millis {
+        typical + (self.reported - typical) * self.freshness_weight(now)
     }
 
-    /// Takes a report into the running mean; the older the last one, the more this one counts.
+    /// Adds a report to the running mean. The older the previous report, the greater the weight of the new
+    /// one.
     pub(crate) fn record_queue_delay(&mut self, delay: Millis, now: Millis) {
         let weight = (1.0 - self.freshness_weight(now)).max(NEW_SAMPLE_WEIGHT);
         self.reported += weight * (delay - self.reported);
         self.reported_at = now;
     }
 
-    /// Replaces what was reported.
+    /// Replaces the reported queue delay.
     pub(crate) fn set(&mut self, delay: Millis, now: Millis) {
         self.reported = delay;
         self.reported_at = now;
     }
 
-    /// How much the last report still counts, 0 to 1.
+    /// Returns the remaining weight of the last report, 0 to 1.
     fn freshness_weight(&self, now: Millis) -> f64 {
         (-(now - self.reported_at) / REPORT_FADE_TIME).exp()
     }
 }
 
-/// The queue delay that an unanswered attempt implies, ms. None once overtaken: it is lost or long, not
-/// queued.
+/// Returns the queue delay implied by an attempt in flight, ms; 0 once the attempt was overtaken, as it is
+/// then lost or slow rather than queued.
 pub(crate) fn implied_queue_delay(attempt: &InFlightAttempt, service_time: Millis, now: Millis) -> Millis {
     if attempt.is_overtaken() {
         return 0.0;
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -1,13 +1,14 @@
-//! When a request's final answer is due, and which one it is.
+//! Determines when a request gets its final response, and which one.
 //!
-//! A request that is not served ends for one of these reasons:
-//! - the endpoint list is too old to send anything on ([`ExpiryInputs::final_answer_is_due`]);
-//! - its client would leave before an answer, or could no longer ask elsewhere (the same);
-//! - its volume's limit or its node's warm-up would hold it for too long (the same);
-//! - what is due before it takes so long that it would expire (`dispatch`);
-//! - an attempt ended, and it can't have another one ([`is_due_after_attempt`]).
+//! An unserved request ends for one of these reasons:
+//! - the endpoint list has expired ([`ExpiryInputs::final_response_is_due`]);
+//! - its client would time out before a response, or would have no time left to retry elsewhere (same
+//!   function);
+//! - the rate limit of its volume or the slow start of its node would hold it for too long (same function);
+//! - requests that are due earlier take so long that it would expire (`dispatch`);
+//! - an attempt ended and no further attempt is allowed ([`is_due_after_attempt`]).
 //!
-//! [`final_answer`] then tells a rejection with Retry-After from a failure.
+//! [`final_response`] chooses between a rejection with Retry-After and a failure.
 
 use crate::admission::VolumeQuotas;
 use crate::api::{Action, Arrival, Class, Effect, Millis, Settings};
@@ -17,58 +18,61 @@
 use crate::request::{Deadlines, Request};
 use crate::retries::{is_retryable, is_safe_for_client_to_retry};
 
-/// A final answer leaves this long before it has to, ms, beyond one evaluation interval and one tick.
-const FINAL_ANSWER_MARGIN: Millis = 4.0;
-/// Share of its client's time for which a request is held without an attempt.
+/// A final response is sent this long before the deadline, ms, in addition to one evaluation interval and one
+/// tick.
+const FINAL_RESPONSE_MARGIN: Millis = 4.0;
+/// Share of the client's remaining time for which a request is held before its first attempt.
 const HOLD_SHARE: f64 = 0.5;
 
-/// The deadlines of a request that arrives now, at nodes that need `service_time` ms a unit.
+/// Computes the deadlines of a request that arrives now, with a service time of `service_time` ms per unit.
 pub(crate) fn deadlines_of(arrival: &Arrival, class: &Class, service_time: Millis, now: Millis) -> Deadlines {
     let stretch = class.objective_stretch * arrival.units * service_time;
     let due_at = now + (class.latency_objective + stretch).min(class.deadline);
     let expires_at = arrival.expires_at;
     Deadlines {
-        // A client that leaves before the objective has passed must be answered before it leaves.
+        // If the client times out before the objective, the response is due before the client times out.
         due_at: due_at.min(expires_at),
         hold_until: now + HOLD_SHARE * (expires_at - now),
         expires_at,
     }
 }
 
-/// What the end of a held request depends on.
+/// Inputs to the decision whether a held request expires.
 pub(crate) struct ExpiryInputs<'a> {
     pub(crate) settings: &'a Settings,
     pub(crate) fleet: &'a FleetEstimates,
     pub(crate) nodes: &'a NodeTable,
     pub(crate) quotas: &'a VolumeQuotas,
-    /// Whether anything may be sent on the endpoint list that is known.
+    /// Whether the endpoint list is recent enough to send requests.
     pub(crate) endpoints_trusted: bool,
     pub(crate) now: Millis,
 }
 
 impl ExpiryInputs<'_> {
-    /// Whether a held request gets its final answer now. One never sent gets it while its client can still
-    /// ask elsewhere; at once where the endpoint list is too old, and where waiting can't help.
-    pub(crate) fn final_answer_is_due(&self, request: &Request) -> bool {
-        let latest_at = self.latest_final_answer_at(request);
+    /// Returns whether a held request gets its final response now. A request without attempts gets it while
+    /// its client still has time to retry elsewhere, and immediately if the endpoint list has expired or
+    /// waiting cannot help.
+    pub(crate) fn final_response_is_due(&self, request: &Request) -> bool {
+        let latest_at = self.latest_final_response_at(request);
         request.is_held()
             && (!self.endpoints_trusted
                 || self.now >= latest_at
                 || request.has_no_attempt() && !self.can_be_sent_by(request, latest_at))
     }
 
-    /// The last moment at which the final answer is sure to reach the client in time.
-    fn latest_final_answer_at(&self, request: &Request) -> Millis {
-        let margin = EVALUATION_INTERVAL + self.settings.tick + FINAL_ANSWER_MARGIN;
+    /// Returns the latest time at which a final response reliably reaches the client in time.
+    fn latest_final_response_at(&self, request: &Request) -> Millis {
+        let margin = EVALUATION_INTERVAL + self.settings.tick + FINAL_RESPONSE_MARGIN;
         let deadlines = &request.deadlines;
         let end = if request.has_no_attempt() { deadlines.hold_until } else { deadlines.expires_at };
         end - margin
     }
 
-    /// Whether the volume's limit and the warm-up of the request's node will let it go by then.
+    /// Returns whether the rate limit of the volume and the slow start of the node will allow the request by
+    /// `at`.
     fn can_be_sent_by(&self, request: &Request, at: Millis) -> bool {
         let units = request.arrival.units;
-        if !self.quotas.of(request.arrival.volume).limit_allows(units, self.settings, at) {
+        if !self.quotas.get(request.arrival.volume).limit_allows(units, self.settings, at) {
             return false;
         }
         let node = request.node.and_then(|id| self.nodes.get(id));
@@ -76,8 +80,8 @@
     }
 }
 
-/// Whether a request gets its final answer when one of its attempts ended without serving it: its client has
-/// left, or it can't have another attempt. An answer that streams is the client's.
+/// Returns whether a request gets its final response after one of its attempts ended without serving it: it
+/// has expired, or no further attempt is allowed. A request whose response is streaming gets none.
 pub(crate) fn is_due_after_attempt(
     request: &Request,
     effect: Effect,
@@ -85,14 +89,14 @@
     now: Millis,
 ) -> bool {
     let is_expired = now >= request.deadlines.expires_at;
-    let is_spent = request.attempts.len() >= max_attempts as usize;
-    let cannot_continue = request.is_held() && (is_spent || !is_retryable(request, effect));
+    let attempts_are_exhausted = request.attempts.len() >= max_attempts as usize;
+    let cannot_continue = request.is_held() && (attempts_are_exhausted || !is_retryable(request, effect));
     !request.is_streaming && (is_expired || cannot_continue)
 }
 
-/// Guards against telling a client that a retry is harmless when it is not. The final answer of a request
-/// that is not served: rejected where its client may be told to retry, else failed.
-pub(crate) fn final_answer(
+/// Returns the final response for an unserved request: a rejection if the client may safely retry, otherwise
+/// a failure. Guards against advising a client to retry when a second execution would be harmful.
+pub(crate) fn final_response(
     request: &Request,
     is_expired: bool,
     effect: Effect,
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! Which request leaves next at a node, and the gate before each send.
+//! Selects the request that is sent next at a node, and checks every send against all rules.
 //!
-//! Held requests leave earliest due first, of those that can make their objective. The exception is the queue
-//! that a request may join at the node: the less it counts, the shorter.
+//! Held requests are sent earliest due first, among those that can still meet their objective. In addition,
+//! each request may only join a queue up to a maximum delay: the lower its weight, the shorter the queue.
 
 use crate::admission::{VolumeQuota, VolumeQuotas};
 use crate::api::{Action, AttemptNo, Class, Millis, NodeId, RequestId, Settings, VolumeId};
@@ -13,15 +13,15 @@
 use crate::retries::{RetryWindow, effect_allows, may_be_sent_until};
 use std::collections::BTreeMap;
 
-/// Queue that a request of the largest weight may join beyond the tolerated one, in tightest latency
-/// objectives.
+/// Queue delay that a request of the largest weight may join in addition to the tolerated one, in multiples
+/// of the tightest latency objective.
 const MAX_QUEUE_SHARE: f64 = 2.5;
-/// Share of the expected latency within which an answer may well arrive.
-const OPTIMISM_FACTOR: f64 = 0.7;
+/// Share of the expected latency that a fast response may take.
+const BEST_CASE_LATENCY_FACTOR: f64 = 0.7;
 /// Factor on the weight of a client's retry.
 const CLIENT_RETRY_WEIGHT: f64 = 0.3;
 
-/// Everything that the sends of one evaluation depend on and change.
+/// State that the sends of one evaluation read and update.
 pub(crate) struct Dispatch<'a> {
     pub(crate) settings: &'a Settings,
     pub(crate) fleet: &'a FleetEstimates,
@@ -29,35 +29,35 @@
     pub(crate) requests: &'a mut RequestTable,
     pub(crate) quotas: &'a mut VolumeQuotas,
     pub(crate) retry_window: &'a mut RetryWindow,
-    /// Whether anything may be sent on the endpoint list that is known.
+    /// Whether the endpoint list is recent enough to send requests.
     pub(crate) endpoints_trusted: bool,
     pub(crate) now: Millis,
     pub(crate) actions: &'a mut Vec<Action>,
 }
 
-/// A held request as the order at one node sees it.
+/// A held request in the send order of one node.
 struct RankedRequest {
     id: RequestId,
     due_at: Millis,
     expires_at: Millis,
-    /// Time that it takes the node, ms.
+    /// Service time at the node, ms.
     service_time: Millis,
-    /// Expected time from its sending to its answer, ms.
+    /// Expected time from sending to response, ms.
     latency: Millis,
-    /// The longest queue at the node that it may join, ms.
+    /// Maximum queue delay at the node that it may join, ms.
     max_queue_delay: Millis,
 }
 
-/// What a request counts against others, as factors from 0 to 1.
+/// Weight factors of a request relative to others, 0 to 1.
 struct Weights {
-    /// By what is left of its volume's reserve.
+    /// From the remaining reserve of its volume.
     reserve: f64,
-    /// By its class and plan.
+    /// From its class and plan.
     priority: f64,
 }
 
 impl RankedRequest {
-    fn is_timely(&self, now: Millis) -> bool {
+    fn is_on_time(&self, now: Millis) -> bool {
         now + self.latency <= self.due_at
     }
 
@@ -67,10 +67,12 @@
 }
 
 impl Dispatch<'_> {
-    /// Sends, node by node, what may leave now. No node is removed while it runs, so indexing a node holds.
+    /// Sends held requests, node by node, as far as the rules allow. No node is removed meanwhile, so
+    /// indexing by node id does not fail.
     pub(crate) fn send_held_requests(&mut self) {
         for (node, mut waiting) in self.held_by_node() {
-            // The node's capacity is asked first, so that a node without any costs no walk over its requests.
+            // Check the capacity first, so that a node without capacity does not cost an iteration over its
+            // requests.
             while self.nodes[node].has_capacity(self.fleet, self.now) {
                 waiting.retain(|id| self.is_held(*id) && self.may_send(*id, node));
                 let Some(next) = self.choose_next(&waiting, node) else { break };
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Held requests by the node that they wait for, in the order of ids.
+    /// Returns the held requests by assigned node, in the order of ids.
     fn held_by_node(&self) -> BTreeMap<NodeId, Vec<RequestId>> {
         let mut held: BTreeMap<NodeId, Vec<RequestId>> = BTreeMap::new();
         for request in self.requests.held() {
@@ -98,13 +100,14 @@
         &self.settings.classes[request.arrival.class.0]
     }
 
-    /// The gate that every send passes.
+    /// Returns whether an attempt of a request may be sent to a node now. Every send passes this check.
     pub(crate) fn may_send(&self, id: RequestId, node: NodeId) -> bool {
         let (Some(request), Some(node)) = (self.requests.get(id), self.nodes.get(node)) else { return false };
         self.request_allows(request) && self.node_allows(node, request) && self.rules_allow(node, request)
     }
 
-    /// Guards against attempts for a request that has ended or expired, and beyond the attempts it may have.
+    /// Guards against attempts for requests that have ended or expired, and against exceeding the attempt
+    /// limits.
     fn request_allows(&self, request: &Request) -> bool {
         !request.is_over
             && self.now < request.deadlines.expires_at
@@ -112,8 +115,8 @@
             && request.in_flight().count() < self.settings.max_concurrent_attempts as usize
     }
 
-    /// Guards against sends to a node that drains, as far as the endpoint list can be trusted; that is
-    /// ejected, unresponsive or at its concurrency limit; or that is warming up and would be overloaded.
+    /// Guards against sends to a node that is draining, ejected, unresponsive, at its concurrency limit, or
+    /// would be overloaded during its warm-up, and against sends based on an expired endpoint list.
     fn node_allows(&self, node: &Node, request: &Request) -> bool {
         node.is_serving()
             && self.endpoints_trusted
@@ -121,37 +124,37 @@
             && node.slow_start_allows(request.arrival.units, self.fleet, self.settings, self.now)
     }
 
-    /// Guards against reordering within a key, a second execution, a volume beyond its limit, and retry
-    /// storms.
+    /// Guards against reordering within a key, repeated execution, exceeding the rate limit of a volume, and
+    /// retry storms.
     fn rules_allow(&self, node: &Node, request: &Request) -> bool {
         let class = self.class_of(request);
         let (tick, now) = (self.settings.tick, self.now);
-        self.requests.is_turn_of(request, class, now)
+        self.requests.is_next_for_key(request, class, now)
             && effect_allows(request, node.entry(), class.effect, tick, now)
             && if request.has_no_attempt() {
-                let quota = self.quotas.of(request.arrival.volume);
+                let quota = self.quotas.get(request.arrival.volume);
                 quota.limit_allows(request.arrival.units, self.settings, now)
             } else {
                 self.retry_window.allows_retry(self.settings.retry_budget, tick, now)
             }
     }
 
-    /// The request that leaves next. A late one joins only if nothing of this initiator is in flight there.
-    /// What can no more be answered in its client's time gets its final answer.
+    /// Returns the request to send next. A late request is sent only if this initiator has nothing in flight
+    /// at the node. Requests that can no longer be answered before they expire get their final response.
     fn choose_next(&mut self, waiting: &[RequestId], node: NodeId) -> Option<RequestId> {
         let ranked = self.rank(waiting, node);
-        let (timely, mut late): (Vec<_>, Vec<_>) =
-            ranked.into_iter().partition(|request| request.is_timely(self.now));
+        let (on_time, mut late): (Vec<_>, Vec<_>) =
+            ranked.into_iter().partition(|request| request.is_on_time(self.now));
         late.sort_by(|one, other| other.max_queue_delay.total_cmp(&one.max_queue_delay));
-        let next = self.first_that_may_join(&timely, &late, node);
-        self.end_hopeless(timely.iter().chain(&late));
+        let next = self.first_request_allowed_to_join(&on_time, &late, node);
+        self.end_requests_that_would_expire(on_time.iter().chain(&late));
         next
     }
 
-    /// The first timely request that may join the node's queue, or else the first late one.
-    fn first_that_may_join(
+    /// Returns the first on-time request that may join the queue of the node, or else the first late one.
+    fn first_request_allowed_to_join(
         &self,
-        timely: &[RankedRequest],
+        on_time: &[RankedRequest],
         late: &[RankedRequest],
         node: NodeId,
     ) -> Option<RequestId> {
@@ -161,12 +164,12 @@
         let may_join_late = |request: &&RankedRequest| {
             may_join(request) && node.in_flight().is_empty() && request.is_answered_before_expiry(self.now)
         };
-        let next = timely.iter().find(may_join).or(late.iter().find(may_join_late));
+        let next = on_time.iter().find(may_join).or(late.iter().find(may_join_late));
         next.map(|request| request.id)
     }
 
-    /// Gives the final answer to what would expire if it left after all that are ranked before it.
-    fn end_hopeless<'r>(&mut self, ranked: impl Iterator<Item = &'r RankedRequest>) {
+    /// Ends requests that would expire if they were sent after all requests ranked before them.
+    fn end_requests_that_would_expire<'r>(&mut self, ranked: impl Iterator<Item = &'r RankedRequest>) {
         let mut wait = 0.0;
         for request in ranked {
             if request.is_answered_before_expiry(self.now + wait) {
@@ -177,7 +180,8 @@
         }
     }
 
-    /// Earliest due first, with the queue that each may join. A volume's reserve goes to those due first.
+    /// Ranks requests by due time, each with the queue delay that it may join. The reserve of a volume goes
+    /// to the requests that are due first.
     fn rank(&self, ids: &[RequestId], node: NodeId) -> Vec<RankedRequest> {
         let node = &self.nodes[node];
         let queue_delay = node.queue_delay(self.fleet, self.now);
@@ -190,7 +194,7 @@
         });
         let mut ranked = Vec::with_capacity(by_due.len());
         for request in by_due {
-            let quota = self.quotas.of(request.arrival.volume);
+            let quota = self.quotas.get(request.arrival.volume);
             let reserve = reserves.entry(request.arrival.volume).or_insert(quota.reserve());
             *reserve -= request.arrival.units;
             let weights = Weights {
@@ -202,7 +206,7 @@
         ranked
     }
 
-    /// Factor on a request's weight with `reserve_left` units of its volume's reserve left after it.
+    /// Returns the weight factor of a request that leaves `reserve_left` units in the reserve of its volume.
     fn reserve_weight(&self, quota: &VolumeQuota, reserve_left: f64) -> f64 {
         if reserve_left >= 0.0 {
             return 1.0;
@@ -210,14 +214,15 @@
         quota.over_reserve_weight(-reserve_left, self.settings, self.now)
     }
 
-    /// Weight of a request by its class and its volume's plan, as a share of the largest.
+    /// Returns the weight factor of a request from its class and the plan of its volume, relative to the
+    /// largest weight.
     fn priority_weight(&self, request: &Request, quota: &VolumeQuota, max_weight: f64) -> f64 {
         let retry_weight = if request.is_client_retry { CLIENT_RETRY_WEIGHT } else { 1.0 };
         let plan = &self.settings.plans[quota.plan.0];
         retry_weight * self.class_of(request).priority_weight * plan.priority_factor / max_weight
     }
 
-    /// What order and queue limit at a node depend on, for one request.
+    /// Computes the ranking inputs of one request at a node.
     fn ranked_request(
         &self,
         request: &Request,
@@ -241,15 +246,15 @@
         }
     }
 
-    /// Latency that is reckoned with, ms, where service and queue take `estimate` ms. A request that came
-    /// with less time than its objective has only this chance, so the estimate is taken with optimism.
+    /// Returns the expected latency, ms, given an `estimate` of queue delay plus service time. A request that
+    /// expires before its objective cannot be retried, so it is given the best-case factor.
     fn expected_latency(&self, request: &Request, estimate: Millis) -> Millis {
-        let has_one_chance = request.deadlines.due_at >= request.deadlines.expires_at;
-        let optimism = if has_one_chance { OPTIMISM_FACTOR } else { 1.0 };
-        optimism * self.fleet.latency_ratio(self.now).max(OPTIMISM_FACTOR) * estimate
+        let expires_before_objective = request.deadlines.due_at >= request.deadlines.expires_at;
+        let factor = if expires_before_objective { BEST_CASE_LATENCY_FACTOR } else { 1.0 };
+        factor * self.fleet.latency_ratio(self.now).max(BEST_CASE_LATENCY_FACTOR) * estimate
     }
 
-    /// Sends an attempt; does nothing for a request that has ended.
+    /// Sends an attempt. Does nothing for a request that has ended.
     pub(crate) fn send(&mut self, id: RequestId, to: NodeId) {
         let (Some(request), Some(node)) = (self.requests.get(id), self.nodes.get(to)) else { return };
         let number = AttemptNo(request.attempts.len() as u32);
--- a/src/endpoint_freshness.rs
+++ b/src/endpoint_freshness.rs
@@ -1,69 +1,72 @@
-//! For how long the endpoint list that this initiator has may be acted on.
+//! Determines how long the current endpoint list may be used for sending requests.
 //!
-//! A change of the list binds an initiator at the latest some seconds after the discovery service had it and
-//! could be reached, whether or not the initiator was notified of it. From then on a request may be sent to a
-//! draining node for a short grace only. An initiator that has received nothing for that long may therefore
-//! send nothing: any node of its list may be draining. While the service can't be reached no change binds, so
-//! an outage of the service alone never makes the list too old.
+//! A change of the list takes effect for an initiator at the latest some seconds after the discovery service
+//! had it and was reachable, whether or not the initiator was notified. From then on, requests may be sent to
+//! a draining node for a short grace period only. An initiator that has received nothing for that long must
+//! therefore stop sending, because any node of its list may be draining. While the service is unreachable, no
+//! change takes effect, so an outage of the service alone never makes the list expire.
 //!
-//! This module is told what becomes of each call of the service, and answers until when requests may be sent.
-//! It is asked before each decision to send, and by the gateway before the first byte of an attempt leaves.
+//! This module is notified of the progress and result of each call to the service and computes until when
+//! requests may be sent. The scheduler checks this before each send decision, and the gateway before it
+//! writes the first byte of an attempt.
 
 use crate::api::{DiscoveryCall, Millis, NotificationTerms};
 use std::collections::VecDeque;
 
-/// Kept back from every span, ms: the process may stall for 150 ms between reading its clock and writing, and
-/// a list or a request may be some milliseconds on its way.
+/// Safety margin subtracted from every time span, ms: the process may stall for 150 ms between reading its
+/// clock and writing, and a list or a request may take some milliseconds in transit.
 const SAFETY_MARGIN: Millis = 250.0;
-/// The service counts as unreachable after so many unanswered calls in a row, made over
-/// [`MIN_UNREACHABLE_SPAN`]: some lost calls, or one watch that went silent, may happen to a service that
+/// The service is considered unreachable after this many consecutive unanswered calls over at least
+/// [`MIN_UNREACHABLE_SPAN`]. A few lost calls, or one watch without a response, also occur when the service
 /// works.
 const UNREACHABLE_AFTER_CALLS: u32 = 3;
-/// See [`UNREACHABLE_AFTER_CALLS`], ms.
+/// Minimum time span of the calls counted by [`UNREACHABLE_AFTER_CALLS`], ms.
 const MIN_UNREACHABLE_SPAN: Millis = 2000.0;
-/// The same where the service has moved, ms: a list at a new address binds sooner, so less counts as an
-/// outage.
+/// The same after the service has moved, ms. A list at a new address takes effect sooner, so a longer span of
+/// unanswered calls is required before they count as an outage.
 const MIN_UNREACHABLE_SPAN_AFTER_MOVE: Millis = 3000.0;
-/// An immediate rejection shows a service that works, and outweighs so many unanswered calls.
+/// An immediate rejection shows that the service is reachable and cancels out this many unanswered calls.
 const REJECTION_OUTWEIGHS_CALLS: u32 = 2;
-/// A rejection later than this shows nothing: the call waited, at a busy service or at one that is down, ms.
+/// A later rejection, ms, is no evidence: the call was waiting at a service that is overloaded or down.
 const IMMEDIATE_REJECTION_TIMEOUT: Millis = 50.0;
-/// The most moves of the service that are remembered. Of more than these the earliest and the last count.
+/// Maximum number of moves of the service that are kept. When there are more, the earliest ones and the
+/// latest one are kept.
 const MAX_MOVES: usize = 16;
 
-/// What is known of the age of the endpoint list.
+/// Tracks the age of the endpoint list.
 #[derive(Debug)]
 pub(crate) struct EndpointFreshness {
-    /// None: this deployment states no such terms, and the list never grows too old.
+    /// `None`: this deployment specifies no terms, and the list never expires.
     terms: Option<NotificationTerms>,
-    /// The last moment at which the list had every change that bound this initiator: when it was last
-    /// received, or when the service could not be reached.
+    /// Last time at which the list is known to include every change that had taken effect: when it was last
+    /// received, or when the service was unreachable.
     current_at: Millis,
     call: PendingCall,
-    /// Calls in a row that showed no service, up to [`UNREACHABLE_AFTER_CALLS`].
+    /// Consecutive unanswered calls, up to [`UNREACHABLE_AFTER_CALLS`].
     unanswered_calls: u32,
-    /// When the first of them was made.
+    /// When the first of them was sent.
     unanswered_since: Millis,
-    /// Since when a response has been arriving that is not complete. What it tells binds from then on.
+    /// When the first bytes of a response arrived that is still incomplete. The changes in it take effect
+    /// from then on.
     response_began_at: Option<Millis>,
-    /// The same of the first response that was abandoned since the list was last received.
+    /// The same for the first response that was abandoned since the list was last received.
     abandoned_since: Option<Millis>,
-    /// When this initiator was told that the service is at another address, in order. What the service has
-    /// some seconds later binds then, whatever was received before; a move is forgotten once the list is from
-    /// after that.
+    /// When this initiator was notified of moves of the service, in order. Changes that the service has take
+    /// effect [`NotificationTerms::notified_after_move`] later, whatever was received before. A move is
+    /// removed once the list was received late enough after it.
     moves: VecDeque<Millis>,
 }
 
-/// The call that was made last.
+/// The most recent call.
 #[derive(Debug)]
 struct PendingCall {
     started_at: Millis,
-    /// How long it asked the service to wait for a change, ms.
+    /// How long the service may delay the response until the list changes, ms.
     long_poll: Millis,
 }
 
 impl EndpointFreshness {
-    /// For an initiator that starts now, perhaps with a cached list.
+    /// Creates the state of an initiator that starts now, possibly with a cached list.
     pub(crate) fn new(terms: Option<NotificationTerms>, now: Millis) -> Self {
         EndpointFreshness {
             terms,
@@ -77,8 +80,8 @@
         }
     }
 
-    /// The service told the list, or that it has no changes. The response may have been on its way for long:
-    /// it was written at the earliest when the call was made, or without a change when its long poll ended.
+    /// Records a response with the list, or without changes. The response may have been in transit for long:
+    /// it was written at the earliest when the call was sent, or, without a change, when its long poll ended.
     pub(crate) fn record_list(&mut self, has_changes: bool, now: Millis) {
         let waited = if has_changes { 0.0 } else { self.call.long_poll };
         let written_at = (self.call.started_at + waited).min(now);
@@ -86,10 +89,10 @@
         self.response_began_at = None;
         self.abandoned_since = None;
         self.unanswered_calls = 0;
-        self.forget_moves();
+        self.prune_moves();
     }
 
-    /// Something became of a call.
+    /// Records the progress or result of a call.
     pub(crate) fn record_call(&mut self, call: DiscoveryCall, now: Millis) {
         match call {
             DiscoveryCall::Started { long_poll } => {
@@ -115,7 +118,8 @@
         }
     }
 
-    /// After enough unanswered calls in a row the service was unreachable when the last of them was made.
+    /// Records an unanswered call. After enough of them in a row, the service was unreachable when the last
+    /// one was sent.
     fn record_unanswered_call(&mut self) {
         let started_at = self.call.started_at;
         self.response_began_at = None;
@@ -140,15 +144,15 @@
         self.moves.push_back(now);
     }
 
-    /// Forgets moves after which the list was received late enough.
-    fn forget_moves(&mut self) {
+    /// Removes moves after which the list was received late enough.
+    fn prune_moves(&mut self) {
         let Some(terms) = self.terms else { return };
-        let is_settled = |moved_at: &mut Millis| *moved_at + terms.notified_after_move <= self.current_at;
-        while self.moves.pop_front_if(is_settled).is_some() {}
+        let is_superseded = |moved_at: &mut Millis| *moved_at + terms.notified_after_move <= self.current_at;
+        while self.moves.pop_front_if(is_superseded).is_some() {}
     }
 
-    /// Until when requests may be sent on the list. It moves back when a response begins to arrive, and when
-    /// the service moves.
+    /// Returns the time until which requests may be sent based on the list. It moves back when a response
+    /// starts to arrive and when the service moves.
     pub(crate) fn trusted_until(&self) -> Millis {
         let Some(terms) = self.terms else { return Millis::INFINITY };
         let by_age = self.current_at + terms.notified_within;
@@ -157,7 +161,7 @@
         by_age.min(by_move).min(by_response) + terms.drain_grace - SAFETY_MARGIN
     }
 
-    /// Whether requests may be sent on the list now.
+    /// Returns whether requests may be sent based on the list now.
     pub(crate) fn is_trusted(&self, now: Millis) -> bool {
         now < self.trusted_until()
     }
--- a/src/endpoint_polling.rs
+++ b/src/endpoint_polling.rs
@@ -1,34 +1,35 @@
-//! When the endpoint list is polled, and how long a failed poll waits.
+//! Schedules polls of the endpoint list, with back-off after failures.
 
 use crate::api::Millis;
 use crate::random::Random;
 
-/// Back-off after the first failed poll, ms; doubles with each that fails after it.
+/// Back-off after the first failed poll, ms. It doubles with each further failure.
 const MIN_POLL_BACKOFF: Millis = 200.0;
-/// The longest back-off, ms. A rejected poll costs the discovery service too: polls of all initiators each
-/// second may keep it from answering.
+/// Maximum back-off, ms. Rejected polls also load the discovery service: if all initiators poll every second,
+/// it may not be able to respond at all.
 const MAX_POLL_BACKOFF: Millis = 1300.0;
-/// The back-off doubles this many times at most.
+/// Maximum number of doublings of the back-off.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// The polls of the endpoint list.
+/// Schedule of the polls of the endpoint list.
 pub(crate) struct EndpointPolling {
     next_poll_at: Option<Millis>,
     consecutive_failures: u32,
 }
 
 impl EndpointPolling {
-    /// For an initiator that starts now; the first poll is due at once where the list is polled.
+    /// Creates the schedule of an initiator that starts now. If the list is polled, the first poll is due
+    /// immediately.
     pub(crate) fn new(polls_list: bool, now: Millis) -> Self {
         EndpointPolling { next_poll_at: polls_list.then_some(now), consecutive_failures: 0 }
     }
 
-    /// When the next poll is due, if one is.
+    /// Returns when the next poll is due, if one is scheduled.
     pub(crate) fn next_poll_at(&self) -> Option<Millis> {
         self.next_poll_at
     }
 
-    /// Whether a poll is to be made now; it is due no more then.
+    /// Returns whether a poll is due now, and removes it from the schedule.
     pub(crate) fn take_due(&mut self, now: Millis) -> bool {
         self.next_poll_at.take_if(|at| now >= *at).is_some()
     }
@@ -37,7 +38,7 @@
         self.consecutive_failures = 0;
     }
 
-    /// Schedules the next poll after a back-off with jitter: between half of it and all of it.
+    /// Schedules the next poll after a back-off with jitter, between half and all of the back-off.
     pub(crate) fn record_failure(&mut self, random: &mut Random, now: Millis) {
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         let backoff = (MIN_POLL_BACKOFF * f64::from(1 << doublings)).min(MAX_POLL_BACKOFF);
--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -1,7 +1,7 @@
-//! What the nodes show together: service time, queue delay, and by how much latencies exceed what was
-//! expected.
+//! Fleet-wide estimates: service time, queue delay, and the ratio of actual to expected latency.
 //!
-//! An initiator of many hears from each node seldom, so what one node shows is completed by what all show.
+//! With many initiators, each receives few samples per node, so estimates per node are completed by those of
+//! the whole fleet.
 
 use crate::api::{AttemptEnd, Millis, Outcome, Settings};
 use crate::in_flight::InFlightAttempt;
@@ -10,62 +10,63 @@
 use crate::service_time::NEW_SAMPLE_WEIGHT;
 use flaxstand_index::{SortedSamples, lower_median};
 
-/// After this without a send to a node its queue delay is no longer reported, ms.
-pub(crate) const REPORTED_FOR: Millis = 2.0 * RECENT_TIME;
-/// Samples of service time count as no more than this multiple of the median: a late first answer tells
-/// little.
-const MAX_SAMPLE_TO_MEDIAN: f64 = 2.0;
-/// The most that one latency counts, as a multiple of the latency expected.
+/// Time after the last send to a node at which its queue delay is no longer reported, ms.
+pub(crate) const QUEUE_DELAY_REPORT_TIMEOUT: Millis = 2.0 * RECENT_TIME;
+/// Service time samples are capped at this multiple of the median, because a slow first response says little
+/// about the service time.
+const MAX_SAMPLE_TO_MEDIAN_RATIO: f64 = 2.0;
+/// Cap on the ratio of actual to expected latency of one response.
 const MAX_LATENCY_RATIO: f64 = 10.0;
-/// Expected latencies count as no less than this, ms, when latencies are compared with them.
+/// Lower bound of the expected latency in that ratio, ms.
 const MIN_EXPECTED_LATENCY: Millis = 1.0;
-/// Units sent recently from which a node counts as in use by this initiator.
+/// Recently sent units above which this initiator uses a node.
 pub(crate) const IN_USE_UNITS: f64 = 0.1;
 
-/// What the nodes report at one moment, for [`FleetEstimates::refresh`].
+/// Aggregated reports of all nodes, input of [`FleetEstimates::refresh`].
 pub(crate) struct NodeReports<'a> {
-    /// Queue delays of the nodes that were sent something recently, ms.
+    /// Queue delays of nodes with recent sends, ms.
     pub(crate) queue_delays: Vec<Millis>,
-    /// Service times of a unit at all nodes where one is known, ms.
+    /// Service times of a unit at all nodes where it is known, ms.
     pub(crate) service_times: &'a SortedSamples,
-    /// Nodes that take work.
+    /// Number of serving nodes.
     pub(crate) serving: usize,
-    /// Sum of their nominal sizes.
+    /// Sum of the nominal sizes of the serving nodes.
     pub(crate) serving_size: f64,
-    /// Those of them that this initiator uses.
+    /// Number of serving nodes that this initiator uses.
     pub(crate) in_use: usize,
 }
 
-/// What is known of a usual node, and of the initiators that share the nodes.
+/// Estimates for a typical node and for the initiators that share the nodes.
 #[derive(Default)]
 pub(crate) struct FleetEstimates {
-    /// The tightest latency objective of a class, ms.
+    /// The tightest latency objective of all classes, ms.
     pub(crate) latency_objective: Millis,
-    /// Queue delay at a usual node, ms.
+    /// Queue delay at a typical node, ms.
     pub(crate) queue_delay: Millis,
-    /// Service time of a unit at a usual node without queueing, ms.
+    /// Service time of a unit at a typical node without queueing, ms.
     pub(crate) service_time: Millis,
-    /// Mean nominal size of the nodes that take work.
+    /// Mean nominal size of the serving nodes.
     pub(crate) node_size: f64,
-    /// Initiators that send to one node, this one included.
+    /// Number of initiators that send to each node, including this one.
     pub(crate) initiators_per_node: f64,
-    /// This initiator's place in time among all, drawn from 0 to 1, so that they don't act at one moment.
+    /// Random phase of this initiator, 0 to 1, so that initiators do not act simultaneously.
     pub(crate) phase: f64,
     /// When this initiator started.
     pub(crate) started_at: Millis,
-    /// Answers that were lost recently.
+    /// Recent losses of responses.
     pub(crate) losses: RecentLosses,
-    /// Running mean of (latency / expected latency - 1); fades to none.
+    /// Running mean of (latency / expected latency - 1); decays to 0.
     excess_latency: RecentSum,
 }
 
 impl FleetEstimates {
-    /// For an initiator that starts now and has sent nothing.
+    /// Creates the estimates of an initiator that starts now and has sent nothing.
     pub(crate) fn new(settings: &Settings, phase: f64, now: Millis) -> Self {
         let latency_objective = settings.tightest_objective();
         FleetEstimates {
             latency_objective,
-            // A request of mean size takes a quarter of the tightest objective, until something was served.
+            // Until a request has been served, assume that a request of mean size takes a quarter of the
+            // tightest objective.
             service_time: latency_objective / settings.mean_units.max(1.0) / 4.0,
             initiators_per_node: f64::from(settings.initiators),
             phase,
@@ -74,23 +75,23 @@
         }
     }
 
-    /// Takes in what the nodes report. An initiator that uses a part of the nodes takes it that as large a
-    /// part of the others uses each node; shortly after its start it counts all.
+    /// Updates the estimates from the reports of the nodes. Assumes that every initiator uses the same share
+    /// of the nodes as this one; shortly after the start, assumes that all initiators use every node.
     pub(crate) fn refresh(&mut self, reports: NodeReports<'_>, initiators: u32, now: Millis) {
         self.queue_delay = lower_median(reports.queue_delays.into_iter()).unwrap_or(0.0);
         let service_times = reports.service_times;
         if let Some(median) = service_times.nth(service_times.len() / 2) {
-            let capped_mean = service_times.capped_mean(MAX_SAMPLE_TO_MEDIAN * median);
+            let capped_mean = service_times.capped_mean(MAX_SAMPLE_TO_MEDIAN_RATIO * median);
             self.service_time = capped_mean.unwrap_or(median);
         }
         let serving = reports.serving.max(1) as f64;
         self.node_size = reports.serving_size / serving;
-        let has_just_started = now < self.started_at + REPORTED_FOR;
-        let share_in_use = if has_just_started { 1.0 } else { reports.in_use.max(1) as f64 / serving };
+        let has_recently_started = now < self.started_at + QUEUE_DELAY_REPORT_TIMEOUT;
+        let share_in_use = if has_recently_started { 1.0 } else { reports.in_use.max(1) as f64 / serving };
         self.initiators_per_node = 1.0 + share_in_use * f64::from(initiators.saturating_sub(1));
     }
 
-    /// Learns from an attempt's end: whether answers get lost, and latency against what was expected.
+    /// Updates loss detection and the latency ratio from the end of an attempt.
     pub(crate) fn record_attempt_end(
         &mut self,
         attempt: &InFlightAttempt,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Latencies as a multiple of what was expected of them.
+    /// Returns the ratio of actual to expected latency.
     pub(crate) fn latency_ratio(&self, now: Millis) -> f64 {
         1.0 + self.excess_latency.get(now)
     }
--- a/src/evaluation_timer.rs
+++ b/src/evaluation_timer.rs
@@ -1,20 +1,21 @@
-//! When the scheduler asks to be evaluated again.
+//! Schedules the next evaluation.
 
 use crate::api::{Action, Millis};
 
-/// Interval between two evaluations while a request waits, ms.
+/// Interval between evaluations while a request waits, ms.
 pub(crate) const EVALUATION_INTERVAL: Millis = 10.0;
-/// Interval while attempts are in flight and none waits, as a share of the tightest latency objective.
+/// Interval while attempts are in flight and no request waits, as a share of the tightest latency objective.
 const IDLE_INTERVAL_SHARE: f64 = 1.0 / 4.0;
 
-/// The timer that was asked for last.
+/// The timer that was requested last.
 #[derive(Default)]
 pub(crate) struct EvaluationTimer {
     due_at: Option<Millis>,
 }
 
 impl EvaluationTimer {
-    /// Asks for an evaluation, unless one is due by then; no later than `next_poll_at`.
+    /// Requests a timer for the next evaluation, at `next_poll_at` at the latest, unless a timer is due by
+    /// then.
     pub(crate) fn schedule(
         &mut self,
         is_waiting: bool,
--- a/src/hedging.rs
+++ b/src/hedging.rs
@@ -1,30 +1,30 @@
-//! What is done about an answer that is presumed lost: a second attempt beside the first, or a cancelled one
-//! that is sent again.
+//! Recovers from lost responses: sends a hedged attempt, or cancels the lost attempt so that a retry can
+//! follow.
 //!
-//! Guards against waiting for an answer that never comes until the client leaves.
+//! Guards against waiting for a lost response until the client times out.
 
 use crate::api::{Action, Effect, Millis, NodeId, RequestId, Settings};
 use crate::dispatch::Dispatch;
 use crate::estimates::FleetEstimates;
 use crate::request::Request;
 
-/// An attempt whose answer is presumed lost.
+/// An attempt whose response is presumed lost.
 struct LostAttempt {
     request: RequestId,
     node: NodeId,
 }
 
-/// Whether answers were lost recently, and a request may have another attempt while one is in flight.
+/// Returns whether responses were lost recently and recovery is permitted by the settings.
 pub(crate) fn is_enabled(settings: &Settings, fleet: &FleetEstimates, now: Millis) -> bool {
     (may_hedge(settings) || settings.may_cancel) && fleet.losses.are_frequent(now)
 }
 
-/// Whether a request may have two attempts in flight.
+/// Returns whether a request may have more than one attempt in flight.
 pub(crate) fn may_hedge(settings: &Settings) -> bool {
     settings.max_concurrent_attempts > 1
 }
 
-/// Probes nodes where an attempt is overdue, and hedges or cancels what is presumed lost.
+/// Probes nodes with an overdue attempt, and hedges or cancels attempts that are presumed lost.
 pub(crate) fn recover_lost_attempts(dispatch: &mut Dispatch<'_>) {
     if !is_enabled(dispatch.settings, dispatch.fleet, dispatch.now) {
         return;
@@ -48,7 +48,7 @@
     dispatch.actions.push(Action::Probe { node });
 }
 
-/// Sends a hedged attempt; where that is not allowed, cancels the lost one so that a retry can follow.
+/// Sends a hedged attempt. Where hedging is disabled, cancels the lost attempt so that a retry can follow.
 fn hedge_or_cancel(dispatch: &mut Dispatch<'_>, lost: &LostAttempt) {
     let Some(request) = dispatch.requests.get(lost.request) else { return };
     if !can_recover_in_time(dispatch, request, lost.node) {
@@ -64,7 +64,8 @@
     }
 }
 
-/// Whether the lost attempt is the only one in flight, and another can still make the latency objective.
+/// Returns whether the lost attempt is the only one in flight and another one can still meet the latency
+/// objective.
 fn can_recover_in_time(dispatch: &Dispatch<'_>, request: &Request, node: NodeId) -> bool {
     let service_time = dispatch.nodes[node].service_time_of(request.arrival.units, dispatch.fleet);
     request.in_flight().count() == 1
@@ -73,7 +74,7 @@
         && dispatch.now + service_time <= request.deadlines.due_at
 }
 
-/// Whether a cancelled attempt, which may have been executed, can be followed by another.
+/// Returns whether a cancelled attempt, which may have been executed, may be followed by another one.
 fn may_be_sent_again(request: &Request, settings: &Settings) -> bool {
     let effect = settings.classes[request.arrival.class.0].effect;
     effect == Effect::Idempotent && request.attempts.len() < settings.max_attempts as usize
--- a/src/in_flight.rs
+++ b/src/in_flight.rs
@@ -8,17 +8,18 @@
     pub(crate) request: RequestId,
     pub(crate) number: AttemptNo,
     pub(crate) sent_at: Millis,
-    /// Units of work that it counts as.
+    /// Its cost in units of work.
     pub(crate) units: f64,
-    /// Latency that was expected when it was sent, ms.
+    /// Expected latency at the time of sending, ms.
     pub(crate) expected_latency: Millis,
-    /// When the answer of an attempt or probe sent later arrived. Nodes begin work in the order of its
-    /// arrival, so this attempt had begun by then.
+    /// When the response to an attempt or probe that was sent later arrived. Nodes start work in order of
+    /// arrival, so this attempt had been started by then.
     pub(crate) overtaken_at: Option<Millis>,
 }
 
 impl InFlightAttempt {
-    /// The longest that it may take without queueing, ms, at a node that needs `service_time` ms a unit.
+    /// Returns the longest plausible latency without queueing, ms, at a service time of `service_time` ms per
+    /// unit.
     pub(crate) fn max_service_time(&self, service_time: Millis) -> Millis {
         (1.0 + SERVICE_TIME_VARIATION) * (mean_work(self.units) * service_time)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! flaxstand: a host-side scheduler for a shared disk pool.
 //!
-//! [`api`] is the interface (settings, events, actions, ids); [`scheduler`] takes events and hands out
-//! actions. Each rule stands in a module of its own, named for the decision it makes. None of them does I/O,
-//! reads a clock or keeps global state.
+//! [`api`] is the interface (settings, events, actions, ids); [`scheduler`] processes events and returns
+//! actions. Each rule is implemented in its own module, named after the decision it makes. No module does
+//! I/O, reads a clock or keeps global state.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,4 +1,5 @@
-//! Which node a request waits for: that of its shard, or for a new object one drawn by fitness.
+//! Assigns a node to each held request: the node of its shard, or for a new object a node drawn at random,
+//! weighted by fitness.
 
 use crate::api::{Effect, Millis, NodeId, RequestId, Settings, ShardId};
 use crate::concurrency_limit::MAX_CONCURRENCY;
@@ -10,12 +11,13 @@
 use flaxstand_index::place_by_weight;
 use std::collections::BTreeMap;
 
-/// Fitness falls by this factor with each percent of the recent units that a node of mean size was sent.
-const USAGE_AGGRESSION: f64 = 1.05;
-/// The least fitness, so that every candidate may be drawn.
+/// Base of the usage penalty: fitness is divided by this factor for each percent of the recent units that a
+/// node of mean size received.
+const USAGE_PENALTY_BASE: f64 = 1.05;
+/// Minimum fitness, so that every candidate may be drawn.
 const MIN_FITNESS: f64 = 0.01;
 
-/// What placement depends on, beside the requests.
+/// Inputs of placement, apart from the requests.
 pub(crate) struct PlacementInputs<'a> {
     pub(crate) settings: &'a Settings,
     pub(crate) fleet: &'a FleetEstimates,
@@ -23,41 +25,40 @@
     pub(crate) now: Millis,
 }
 
-/// A node that takes work, as the draw sees it.
+/// A serving node as a candidate of the draw.
 struct Candidate {
     node: NodeId,
     is_outlier: bool,
-    /// Whether the node's service time is known.
+    /// Whether the service time of the node is known.
     is_measured: bool,
-    /// Requests of this initiator, in flight there and waiting for it.
+    /// Requests of this initiator, both in flight at the node and waiting for it.
     own_requests: f64,
-    /// Requests of others that its queue delay tells of.
+    /// Requests of other initiators, estimated from the queue delay of the node.
     other_requests: f64,
-    /// Its part of the units sent recently, percent, by its size.
+    /// Its share of the recently sent units, in percent, relative to its size.
     usage: f64,
-    /// As a multiple of the mean.
+    /// Nominal size relative to the mean.
     size: f64,
-    /// Share of its capacity that it has while it warms up, 0 to 1.
+    /// Share of its capacity that is available during warm-up, 0 to 1.
     capacity_share: f64,
 }
 
 impl Candidate {
-    /// Queue term times usage term.
+    /// Returns the product of queue term and usage term.
     fn fitness(&self) -> f64 {
         let queue = (self.own_requests + self.other_requests) / self.size / MAX_CONCURRENCY;
-        let usage = if self.usage > 0.0 { USAGE_AGGRESSION.powf(self.usage) } else { 1.0 };
+        let usage = if self.usage > 0.0 { USAGE_PENALTY_BASE.powf(self.usage) } else { 1.0 };
         (self.size * (1.0 - queue).max(0.0) / usage).max(MIN_FITNESS)
     }
 }
 
-/// A request that no node is bound to.
+/// A request that is not bound to a shard.
 struct NewObject {
     id: RequestId,
     due_at: Millis,
 }
 
-/// Gives every held request the node it waits for. New objects are drawn for in the order in which they are
-/// due.
+/// Assigns a node to every held request. New objects are drawn for in order of due time.
 pub(crate) fn place_requests(requests: &mut RequestTable, inputs: &PlacementInputs<'_>, random: &mut Random) {
     let mut waiting: BTreeMap<NodeId, f64> = BTreeMap::new();
     let mut new_objects = Vec::new();
@@ -83,8 +84,8 @@
     }
 }
 
-/// The shard that a request must go to: that of its data, or where a second execution elsewhere would do
-/// harm, that of the attempt that may have been executed.
+/// Returns the shard that a request is bound to: that of its data, or, if a second execution elsewhere would
+/// be harmful, that of the attempt that may have been executed.
 fn bound_shard(request: &Request, settings: &Settings) -> Option<ShardId> {
     let is_idempotent = settings.classes[request.arrival.class.0].effect == Effect::Idempotent;
     let executed = request.first_possibly_executed().filter(|_| !is_idempotent);
@@ -92,7 +93,8 @@
 }
 
 impl PlacementInputs<'_> {
-    /// The nodes to draw from; outliers only if all are. The one walk over all listed nodes.
+    /// Returns the candidates of the draw; outliers are included only if all nodes are outliers. This is the
+    /// only iteration over all listed nodes in an evaluation.
     fn candidates(&self, waiting: &BTreeMap<NodeId, f64>) -> Vec<Candidate> {
         let mut total_units = 0.0;
         let mut candidates = Vec::with_capacity(self.nodes.members());
@@ -113,13 +115,13 @@
         candidates
     }
 
-    /// A node with its usage not yet divided by the total.
+    /// Creates a candidate with its usage not yet divided by the total.
     fn candidate(&self, id: NodeId, node: &Node, waiting: f64, recent_units: f64) -> Candidate {
         let queued_units = node.queue_delay(self.fleet, self.now) / node.unit_service_time(self.fleet);
         Candidate {
             node: id,
             is_outlier: node.is_outlier(self.fleet, self.now),
-            is_measured: node.learnt_service_time().is_some(),
+            is_measured: node.measured_service_time().is_some(),
             own_requests: node.in_flight().len() as f64 + waiting,
             other_requests: queued_units / self.settings.mean_units.max(1.0),
             usage: 100.0 * recent_units,
@@ -129,20 +131,21 @@
     }
 }
 
-/// Draws a candidate by fitness and gives its index; none without a candidate. One that is warming up counts
-/// by the capacity that it has, one that was never measured by no more than the mean of those that were.
+/// Draws a candidate weighted by fitness and returns its index, or `None` without candidates. A node that is
+/// warming up is weighted by its available capacity. The fitness of a node without a known service time is
+/// capped at the mean of the others.
 fn draw(candidates: &[Candidate], random: &mut Random) -> Option<usize> {
     let fitness: Vec<f64> = candidates.iter().map(Candidate::fitness).collect();
-    let max_unmeasured = mean_measured_fitness(candidates, &fitness).unwrap_or(f64::INFINITY);
-    let weigh = |(candidate, fitness): (&Candidate, &f64)| {
-        let max_fitness = if candidate.is_measured { f64::INFINITY } else { max_unmeasured };
+    let max_unmeasured_fitness = mean_measured_fitness(candidates, &fitness).unwrap_or(f64::INFINITY);
+    let weight_of = |(candidate, fitness): (&Candidate, &f64)| {
+        let max_fitness = if candidate.is_measured { f64::INFINITY } else { max_unmeasured_fitness };
         candidate.capacity_share * fitness.min(max_fitness)
     };
-    let weights: Vec<f64> = candidates.iter().zip(&fitness).map(weigh).collect();
+    let weights: Vec<f64> = candidates.iter().zip(&fitness).map(weight_of).collect();
     place_by_weight(&weights, random.unit() * weights.iter().sum::<f64>())
 }
 
-/// Mean fitness of the candidates whose service time is known; none without one.
+/// Returns the mean fitness of the candidates with a known service time, or `None` if there are none.
 fn mean_measured_fitness(candidates: &[Candidate], fitness: &[f64]) -> Option<f64> {
     let with_fitness = candidates.iter().zip(fitness);
     let measured: Vec<f64> =
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,9 +1,10 @@
-//! The scheduler's one source of random numbers, seeded by the host so that a run can be repeated.
+//! The only source of random numbers of the scheduler. The host provides the seed, so that runs are
+//! reproducible.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A seeded generator.
+/// A seeded pseudo-random number generator.
 pub(crate) struct Random(Pcg64Mcg);
 
 impl Random {
@@ -11,7 +12,7 @@
         Random(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    /// The next number, uniform in 0 to 1, without 1.
+    /// Returns the next number, uniformly distributed in [0, 1).
     pub(crate) fn unit(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,19 +1,19 @@
-//! A client's request: its attempts, and what is known of their execution.
+//! State of a client request and its attempts.
 
 use crate::api::{Arrival, AttemptNo, Millis, NodeId, ShardId, ZoneId};
 
-/// What is known of an attempt's execution.
+/// Execution state of an attempt.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Execution {
-    /// It has not ended.
+    /// The attempt has not ended.
     InFlight,
-    /// It ended and certainly was not executed.
+    /// The attempt ended and was not executed.
     NotExecuted,
-    /// It ended and may have been, or may still be, executed.
+    /// The attempt ended and may have been executed or may still be executing.
     Unknown,
 }
 
-/// One attempt to have a request executed.
+/// One attempt of a request.
 pub(crate) struct Attempt {
     pub(crate) shard: ShardId,
     pub(crate) zone: ZoneId,
@@ -22,29 +22,29 @@
     pub(crate) execution: Execution,
 }
 
-/// The times that bound a request.
+/// Deadlines of a request.
 #[derive(Clone, Copy)]
 pub(crate) struct Deadlines {
-    /// An answer has its full value until then.
+    /// Until then, a response has its full value.
     pub(crate) due_at: Millis,
-    /// It is held without an attempt until then; its client still has time to try elsewhere.
+    /// Until then, the request may be held without an attempt; its client still has time to retry elsewhere.
     pub(crate) hold_until: Millis,
-    /// Its client stops waiting then.
+    /// The client times out then.
     pub(crate) expires_at: Millis,
 }
 
-/// A request without a final answer, or with attempts in flight.
+/// A request without a final response, or with attempts in flight.
 pub(crate) struct Request {
     pub(crate) arrival: Arrival,
     pub(crate) deadlines: Deadlines,
     pub(crate) attempts: Vec<Attempt>,
-    /// Where it waits: the node of its shard, or for a new object the one drawn.
+    /// The assigned node: that of its shard, or for a new object the one drawn.
     pub(crate) node: Option<NodeId>,
-    /// It has its final answer, or nobody waits for it.
+    /// Whether it has its final response, or its client disconnected.
     pub(crate) is_over: bool,
-    /// Its answer has started, so the client owns the attempt.
+    /// Whether its response is streaming to the client.
     pub(crate) is_streaming: bool,
-    /// Its client asks again for an item that was not served here recently.
+    /// Whether it is a retry by a client of an item that was recently not served here.
     pub(crate) is_client_retry: bool,
 }
 
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Whether nothing was sent for it yet.
+    /// Returns whether no attempt was sent yet.
     pub(crate) fn has_no_attempt(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// Numbers of the attempts in flight.
+    /// Returns the numbers of the attempts in flight.
     pub(crate) fn in_flight(&self) -> impl Iterator<Item = AttemptNo> {
         let numbered = self.attempts.iter().enumerate();
         let in_flight = numbered.filter(|(_, attempt)| attempt.execution == Execution::InFlight);
@@ -77,12 +77,12 @@
         self.in_flight().next().is_some()
     }
 
-    /// Whether it waits here for its next attempt.
+    /// Returns whether it is waiting for its next attempt.
     pub(crate) fn is_held(&self) -> bool {
         !self.is_over && !self.has_attempt_in_flight()
     }
 
-    /// The first attempt that may have been executed.
+    /// Returns the first attempt that may have been executed.
     pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.execution != Execution::NotExecuted)
     }
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -1,7 +1,7 @@
-//! All requests without a final answer, or with attempts in flight, and the one place where a request ends.
+//! All requests without a final response, or with attempts in flight. Requests end only here.
 
 use crate::api::{Action, Arrival, AttemptEnd, Class, Millis, NodeId, Outcome, RequestId, Settings};
-use crate::deadlines::{deadlines_of, final_answer, is_due_after_attempt};
+use crate::deadlines::{deadlines_of, final_response, is_due_after_attempt};
 use crate::key_order::KeyOrder;
 use crate::request::{Attempt, Execution, Request};
 use crate::retries::UnservedItems;
@@ -25,26 +25,27 @@
         self.requests.is_empty()
     }
 
-    /// Requests that wait here for their next attempt, in the order of ids.
+    /// Returns the requests that wait for their next attempt, in the order of ids.
     pub(crate) fn held(&self) -> impl Iterator<Item = &Request> {
         self.requests.values().filter(|request| request.is_held())
     }
 
-    /// The same, to be changed.
+    /// Mutable variant of [`Self::held`].
     pub(crate) fn held_mut(&mut self) -> impl Iterator<Item = &mut Request> {
         self.requests.values_mut().filter(|request| request.is_held())
     }
 
-    /// Whether it is the request's turn among those of its key, where its class is executed in order.
-    pub(crate) fn is_turn_of(&self, request: &Request, class: &Class, now: Millis) -> bool {
+    /// Returns whether the request is next among those with its key; always true for classes without
+    /// ordering.
+    pub(crate) fn is_next_for_key(&self, request: &Request, class: &Class, now: Millis) -> bool {
         let Some(key) = request.arrival.key.filter(|_| class.in_order) else { return true };
-        self.key_order.is_turn_of(key, request.arrival.id, request.has_no_attempt(), now)
+        self.key_order.is_next(key, request.arrival.id, request.has_no_attempt(), now)
     }
 }
 
-/// What happens to requests.
+/// Updates of requests.
 impl RequestTable {
-    /// Takes a request that arrives now, at nodes that need `service_time` ms a unit.
+    /// Adds a request that arrives now, with a service time of `service_time` ms per unit.
     pub(crate) fn insert(
         &mut self,
         arrival: Arrival,
@@ -74,8 +75,8 @@
         self.requests.entry(id).and_modify(|request| request.attempts.push(attempt));
     }
 
-    /// Notes what an attempt's end tells of its execution. Gives the node it was sent to; none if the attempt
-    /// is not known.
+    /// Records whether an attempt that ended may have been executed. Returns the node it was sent to, or
+    /// `None` if the attempt is unknown.
     pub(crate) fn record_execution(&mut self, ended: &AttemptEnd) -> Option<NodeId> {
         let request = self.requests.get_mut(&ended.request)?;
         let attempt = request.attempts.get_mut(ended.attempt.0 as usize)?;
@@ -86,7 +87,7 @@
         Some(attempt.node)
     }
 
-    /// Guards against reordering by an attempt that may still be executed: its key pauses.
+    /// Starts the cool-down of a key after an attempt that may still be executing. Guards against reordering.
     pub(crate) fn start_key_cooldown(&mut self, ended: &AttemptEnd, settings: &Settings, now: Millis) {
         let Some(request) = self.requests.get(&ended.request) else { return };
         let may_still_run = matches!(ended.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Decides how a request goes on after the end of one of its attempts.
+    /// Ends a request or leaves it held for its next attempt after one of its attempts ended.
     pub(crate) fn continue_or_end(
         &mut self,
         ended: &AttemptEnd,
@@ -106,12 +107,12 @@
     ) {
         let id = ended.request;
         let Some(request) = self.requests.get_mut(&id) else { return };
-        // A new object that failed is drawn again.
+        // Draw another node for a new object.
         request.node = None;
         let effect = settings.classes[request.arrival.class.0].effect;
         if ended.is_final || request.is_over {
-            // What is still in flight would keep its key's turn, and count against a node's concurrency
-            // limit.
+            // Attempts still in flight would block the queue of their key and count against the concurrency
+            // limit of a node.
             if settings.may_cancel && !request.is_over {
                 actions.extend(request.in_flight().map(|attempt| Action::Cancel { request: id, attempt }));
             }
@@ -123,10 +124,10 @@
     }
 }
 
-/// The end of requests.
+/// End of requests.
 impl RequestTable {
-    /// Gives the final answer to a request that is not served. Guards against a second final answer, and
-    /// against one after the answer has started.
+    /// Sends the final response of an unserved request. Guards against a second final response and against
+    /// one after streaming has started.
     pub(crate) fn end_unserved(
         &mut self,
         id: RequestId,
@@ -142,12 +143,12 @@
             self.unserved_items.record(request.arrival.volume, key, request.deadlines.expires_at);
         }
         let effect = settings.classes[request.arrival.class.0].effect;
-        actions.push(final_answer(request, is_expired, effect, settings.max_retry_after));
+        actions.push(final_response(request, is_expired, effect, settings.max_retry_after));
         self.end(id, settings);
     }
 
-    /// Nothing more is to be sent for a request. It is forgotten once nothing of it is in flight; only then
-    /// its key's turn passes on.
+    /// Marks a request as ended. It is removed, along with its place in the queue of its key, once it has no
+    /// attempts in flight.
     pub(crate) fn end(&mut self, id: RequestId, settings: &Settings) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_over = true;
@@ -156,12 +157,12 @@
         }
         let in_order = settings.classes[request.arrival.class.0].in_order;
         if let (true, Some(key)) = (in_order, request.arrival.key) {
-            self.key_order.leave(key, id);
+            self.key_order.remove(key, id);
         }
         self.requests.remove(&id);
     }
 
-    /// Forgets keys and items that no longer matter.
+    /// Removes expired keys and items.
     pub(crate) fn prune(&mut self, now: Millis) {
         self.key_order.prune(now);
         self.unserved_items.prune(now);
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -1,4 +1,5 @@
-//! Whether another attempt of a request is harmless, until when, and whether the retry budget allows it.
+//! Rules for retries: whether another attempt is harmless, until when it may be sent, and whether the retry
+//! budget allows it.
 
 use crate::api::{
     AttemptNo, DeduplicationScope, Effect, Key, Millis, NodeEntry, RequestId, RetryBudget, VolumeId,
@@ -6,11 +7,11 @@
 use crate::request::Request;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A client whose request was not served is expected to ask again within this after its deadline, ms.
+/// Time after its deadline within which a client with an unserved request is expected to retry, ms.
 const CLIENT_RETRY_TIMEOUT: Millis = 2000.0;
 
-/// Until when another attempt's first byte may leave: its client waits, and nodes deduplicate. One tick is
-/// kept from the end of the deduplication window.
+/// Returns the time until which the first byte of another attempt may be written: the client is waiting and
+/// nodes deduplicate. A margin of one tick is subtracted from the end of the deduplication window.
 pub(crate) fn may_be_sent_until(request: &Request, effect: Effect, tick: Millis) -> Millis {
     let expires_at = request.deadlines.expires_at;
     let Effect::IdempotencyKey { window, .. } = effect else { return expires_at };
@@ -19,7 +20,7 @@
     window_end.min(expires_at)
 }
 
-/// Guards against a second execution: whether another attempt at this node is harmless.
+/// Returns whether another attempt at this node is harmless. Guards against repeated execution.
 pub(crate) fn effect_allows(
     request: &Request,
     entry: &NodeEntry,
@@ -42,12 +43,12 @@
     }
 }
 
-/// Whether the request may have another attempt at some node, as far as its effect goes.
+/// Returns whether its effect allows another attempt of the request at any node.
 pub(crate) fn is_retryable(request: &Request, effect: Effect) -> bool {
     effect != Effect::AtMostOnce || request.first_possibly_executed().is_none()
 }
 
-/// Whether the client may be told that a retry of its own is harmless. Its retry may go to any node.
+/// Returns whether a retry by the client is harmless. Such a retry may go to any node.
 pub(crate) fn is_safe_for_client_to_retry(request: &Request, effect: Effect) -> bool {
     let is_safe_anywhere =
         matches!(effect, Effect::Idempotent | Effect::IdempotencyKey { group: DeduplicationScope::All, .. });
@@ -61,7 +62,7 @@
     number: AttemptNo,
 }
 
-/// Requests and retries within the span of the retry budget.
+/// Arrivals and retries within the window of the retry budget.
 #[derive(Default)]
 pub(crate) struct RetryWindow {
     arrivals: VecDeque<Millis>,
@@ -77,12 +78,13 @@
         self.retries.push_back(SentRetry { at: now, request, number });
     }
 
-    /// An attempt never left, so it takes nothing of the budget.
+    /// Removes a retry that was never sent, so that it does not count against the budget.
     pub(crate) fn refund(&mut self, request: RequestId, number: AttemptNo) {
         self.retries.retain(|retry| retry.request != request || retry.number != number);
     }
 
-    /// Whether the budget allows one more retry. Counted to the safe side of the window's edge by one tick.
+    /// Returns whether the budget allows another retry. Both window edges are shifted by one tick to the safe
+    /// side.
     pub(crate) fn allows_retry(&self, budget: Option<RetryBudget>, tick: Millis, now: Millis) -> bool {
         let Some(budget) = budget else { return true };
         let within = self.arrivals.iter().filter(|at| now - **at < budget.span - tick);
@@ -92,7 +94,7 @@
         retries + 1.0 <= budget.floor + budget.ratio * arrivals
     }
 
-    /// Forgets what no longer counts.
+    /// Removes entries outside the window.
     pub(crate) fn prune(&mut self, budget: Option<RetryBudget>, tick: Millis, now: Millis) {
         let span = budget.map_or(0.0, |budget| budget.span) + tick;
         while self.arrivals.pop_front_if(|at| now - *at > span).is_some() {}
@@ -100,8 +102,8 @@
     }
 }
 
-/// Items whose request was not served here, by when its client left: who asks for one next is a client's
-/// retry.
+/// Items with an unserved request, by the time the client timed out. The next request for such an item is
+/// considered a retry by the client.
 #[derive(Default)]
 pub(crate) struct UnservedItems(BTreeMap<(VolumeId, Key), Millis>);
 
@@ -110,7 +112,7 @@
         self.0.insert((volume, key), expires_at);
     }
 
-    /// Whether a request for this item is a client's retry; only the first one is.
+    /// Returns whether a request for this item is a retry by a client. Only the first such request is.
     pub(crate) fn take_retry(&mut self, volume: VolumeId, key: Key, now: Millis) -> bool {
         self.0.remove(&(volume, key)).is_some_and(|expired_at| now < expired_at + CLIENT_RETRY_TIMEOUT)
     }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,8 +1,7 @@
-//! The scheduler of one initiator: takes events, and at each evaluation hands out actions in a fixed order of
-//! steps.
+//! The scheduler of one initiator. It processes events; each evaluation runs a fixed sequence of steps and
+//! returns actions.
 //!
-//! The rules stand in the modules beside this one, each named for its decision. `docs/design.md` explains
-//! them.
+//! Each rule is implemented in its own module, named after the decision it makes. See `docs/design.md`.
 
 use crate::admission::VolumeQuotas;
 use crate::api::{
@@ -21,7 +20,7 @@
 use crate::request_table::RequestTable;
 use crate::retries::RetryWindow;
 
-/// The decisions of one initiator.
+/// Makes the scheduling decisions of one initiator.
 pub struct Scheduler {
     settings: Settings,
     random: Random,
@@ -36,7 +35,7 @@
 }
 
 impl Scheduler {
-    /// A scheduler that has just started and knows nothing. Equal seeds and events give equal actions.
+    /// Creates a scheduler without endpoints or requests. The same seed and events produce the same actions.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         let mut random = Random::seeded(seed);
         let phase = random.unit();
@@ -54,35 +53,37 @@
         }
     }
 
-    /// Takes one event; what is to be done is added to `actions`.
+    /// Processes one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList(scope, entries) => self.apply_endpoint_list(scope, &entries, now),
             Event::DiscoveryCall(call) => self.endpoint_freshness.record_call(call, now),
-            Event::RequestArrived(arrival) => self.take_request(arrival, now),
+            Event::RequestArrived(arrival) => self.accept_request(arrival, now),
             Event::ResponseStarted(id) => self.requests.set_streaming(id),
             Event::AttemptEnded(ended) => self.record_attempt_end(&ended, now, actions),
             Event::ProbeEnded(id, outcome) => {
                 self.nodes.update(id, |node| node.record_probe_end(outcome, now));
             }
-            Event::ClientGone(id) => self.requests.end(id, &self.settings),
+            Event::ClientDisconnected(id) => self.requests.end(id, &self.settings),
             Event::SettingsChanged(settings) => self.change_settings(*settings),
             Event::Evaluate => self.evaluate(now, actions),
         }
     }
 
-    /// Service time of a unit that was learnt at a node, for a later process of this host, ms.
+    /// Returns the measured service time of a unit at a node, ms, so that the host can persist it across a
+    /// restart.
     pub fn service_time_of(&self, node: NodeId) -> Option<Millis> {
-        self.nodes.get(node)?.learnt_service_time()
+        self.nodes.get(node)?.measured_service_time()
     }
 
-    /// Until when requests may be sent on the endpoint list that is known. Asked again before a first byte
-    /// leaves.
+    /// Returns the time until which requests may be sent based on the current endpoint list. The host checks
+    /// it again before it writes the first byte of an attempt.
     pub fn endpoints_trusted_until(&self) -> Millis {
         self.endpoint_freshness.trusted_until()
     }
 
-    /// How often a node was looked at since the start, by its id or in a walk: a measure of work.
+    /// Returns the number of node visits since the start, by look-up or iteration. A measure of work for
+    /// tests.
     pub fn nodes_visited(&self) -> u64 {
         self.nodes.visited()
     }
@@ -104,10 +105,10 @@
             let new_node = || Node::new(entry, now);
             self.nodes.update_or_insert_with(entry.node, new_node, |node| node.apply_entry(entry, now));
         }
-        self.nodes.remove_active(Node::is_disposable);
+        self.nodes.remove_active(Node::is_removable);
     }
 
-    fn take_request(&mut self, arrival: Arrival, now: Millis) {
+    fn accept_request(&mut self, arrival: Arrival, now: Millis) {
         self.retry_window.record_arrival(now);
         self.quotas.register(&arrival, &self.settings, self.fleet.started_at);
         self.requests.insert(arrival, &self.settings, self.fleet.service_time, now);
@@ -128,7 +129,7 @@
         self.requests.continue_or_end(ended, &self.settings, now, actions);
     }
 
-    /// What the end of an attempt tells of its node and of all nodes.
+    /// Updates the estimates for the node and for the fleet from the end of an attempt.
     fn record_end_at_node(&mut self, node: NodeId, ended: &AttemptEnd, now: Millis) {
         let fleet = &mut self.fleet;
         self.nodes.update(node, |node| {
@@ -139,7 +140,7 @@
         });
     }
 
-    /// The steps of one evaluation.
+    /// Runs the steps of one evaluation.
     fn evaluate(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if self.endpoint_polling.take_due(now) {
             actions.push(Action::PollList);
@@ -154,7 +155,7 @@
     }
 
     fn refresh_estimates(&mut self, now: Millis) {
-        self.nodes.retain_active(|node| !node.is_at_rest(now));
+        self.nodes.retain_active(|node| !node.is_idle(now));
         let reports = node::reports(&self.nodes, &self.fleet, now);
         self.fleet.refresh(reports, self.settings.initiators, now);
     }
@@ -168,7 +169,7 @@
             endpoints_trusted: self.endpoint_freshness.is_trusted(now),
             now,
         };
-        let due = self.requests.held().filter(|request| inputs.final_answer_is_due(request));
+        let due = self.requests.held().filter(|request| inputs.final_response_is_due(request));
         let ids: Vec<RequestId> = due.map(|request| request.arrival.id).collect();
         for id in ids {
             self.requests.end_unserved(id, false, &self.settings, actions);
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,8 +1,8 @@
-//! How much a node that is warming up may be sent, over all initiators.
+//! Slow start: limits the load that all initiators together send to a node during its warm-up.
 //!
-//! A node's process has a part of its capacity at its start and the whole of it after `warm_up_time`. It
-//! fails when all initiators together send it more than `overload_multiple` of its present capacity within
-//! `slow_start_window`. Each initiator keeps to an even share of that.
+//! A node process starts with a share of its capacity and reaches full capacity after `warm_up_time`. It
+//! fails if all initiators together send it more than `overload_multiple` of its current capacity within
+//! `slow_start_window`. Each initiator is limited to an even share of that load.
 
 use crate::api::{Millis, Settings};
 use crate::estimates::FleetEstimates;
@@ -10,53 +10,55 @@
 use crate::service_time::mean_work;
 use std::collections::VecDeque;
 
-/// Share of the allowance that is used; the rest is for handshakes and for what a restarted initiator forgot.
+/// Share of the tolerated load that is used. The remainder covers handshakes and sends that a restarted
+/// initiator has no record of.
 const SLOW_START_SHARE: f64 = 0.7;
-/// A restart that was inferred is believed for this multiple of [`RECENT_TIME`], plus the initiator's phase.
+/// Time for which an inferred restart is assumed, as a multiple of [`RECENT_TIME`], plus the phase of the
+/// initiator.
 const INFERRED_RESTART_FACTOR: f64 = 0.5;
 
-/// Units sent at a moment.
+/// Units sent at one time.
 struct SentUnits {
     at: Millis,
     units: f64,
 }
 
-/// A restart that the endpoint list did not tell of.
+/// A restart that was inferred before the endpoint list reported it.
 #[derive(Default)]
 struct InferredRestart {
     at: Millis,
-    believed_until: Millis,
+    assumed_until: Millis,
 }
 
-/// The warm-up of one node.
+/// Warm-up state of one node.
 #[derive(Default)]
 pub(crate) struct SlowStart {
-    /// When the list first named the process that runs now, or it was inferred to have started.
-    noticed_at: Millis,
+    /// When the list first contained the current process, or its start was inferred.
+    first_seen_at: Millis,
     inferred_restart: InferredRestart,
-    /// What was sent within the slow-start window.
+    /// Sends within the slow-start window.
     recent: VecDeque<SentUnits>,
 }
 
-/// The node whose warm-up is asked about.
+/// Properties of the node that is checked.
 pub(crate) struct WarmingNode {
-    /// When its process started, as the endpoint list has it.
+    /// When its process started, according to the endpoint list.
     pub(crate) started_at: Option<Millis>,
-    /// When this initiator last sent to it.
+    /// When this initiator last sent to the node.
     pub(crate) last_sent_at: Millis,
-    /// Its nominal size as a multiple of the mean.
+    /// Its nominal size relative to the mean.
     pub(crate) relative_size: f64,
 }
 
 impl SlowStart {
-    /// For a process that the endpoint list names from now on.
+    /// Creates the state of a process that is listed from now on.
     pub(crate) fn new(now: Millis) -> Self {
-        SlowStart { noticed_at: now, ..SlowStart::default() }
+        SlowStart { first_seen_at: now, ..SlowStart::default() }
     }
 
-    /// Share of its capacity that the node has at least, 0 to 1.
+    /// Returns the minimum share of its capacity that the node has, 0 to 1.
     pub(crate) fn capacity_share(&self, started_at: Option<Millis>, settings: &Settings, now: Millis) -> f64 {
-        let inferred = (now < self.inferred_restart.believed_until).then_some(self.inferred_restart.at);
+        let inferred = (now < self.inferred_restart.assumed_until).then_some(self.inferred_restart.at);
         match inferred.or(started_at) {
             Some(start) if now < start + settings.warm_up_time => {
                 let progress = (now - start).max(0.0) / settings.warm_up_time;
@@ -66,9 +68,10 @@
         }
     }
 
-    /// Guards against overloading a node that is warming up: within each window this initiator sends its
-    /// share. A request larger than the share waits as many windows as it fills shares, the first time from
-    /// this initiator's phase on.
+    /// Returns whether a request may be sent. Guards against overloading a node that is warming up: this
+    /// initiator sends at most its share per window. A request larger than the share is sent alone, after a
+    /// wait of as many windows as it needs shares. The first one also waits for a part of that, by the phase
+    /// of this initiator, after the node was first seen.
     pub(crate) fn allows(
         &self,
         units: f64,
@@ -89,11 +92,11 @@
         }
         let wait = settings.slow_start_window * work / share;
         let is_spaced = now >= node.last_sent_at + wait;
-        let has_phase_passed = now >= self.noticed_at + fleet.phase * wait;
+        let has_phase_passed = now >= self.first_seen_at + fleet.phase * wait;
         is_spaced && has_phase_passed && sent == 0.0
     }
 
-    /// Work sent within a window up to now, units.
+    /// Returns the work sent within a window up to now, in units.
     fn sent_within(&self, window: Millis, now: Millis) -> f64 {
         let within = self.recent.iter().filter(|sent| now - sent.at < window);
         within.map(|sent| mean_work(sent.units)).sum()
@@ -104,19 +107,21 @@
         self.recent.retain(|sent| now - sent.at < window);
     }
 
-    /// Guards against overloading a node that was unresponsive and comes back cold before the list tells: all
-    /// initiators hold requests for it, and their connections break at one moment.
+    /// Assumes a restart of a node that was unresponsive. Guards against overloading it when it comes back
+    /// cold before the list reports it: all initiators hold requests for it, and their connections break at
+    /// the same time.
     pub(crate) fn infer_restart(&mut self, phase: f64, now: Millis) {
-        if now < self.inferred_restart.believed_until {
+        if now < self.inferred_restart.assumed_until {
             return;
         }
-        let believed_until = now + RECENT_TIME * (INFERRED_RESTART_FACTOR + phase);
-        self.inferred_restart = InferredRestart { at: now, believed_until };
-        self.noticed_at = now;
+        let assumed_until = now + RECENT_TIME * (INFERRED_RESTART_FACTOR + phase);
+        self.inferred_restart = InferredRestart { at: now, assumed_until };
+        self.first_seen_at = now;
     }
 }
 
-/// Units that this initiator may send to a node within one window, at the pace of a usual node.
+/// Returns the units that this initiator may send to a node within one window, at the service time of a
+/// typical node.
 fn window_share(
     capacity_share: f64,
     node: &WarmingNode,
@@ -127,9 +132,8 @@
     let window = settings.slow_start_window;
     let tolerated = (settings.overload_multiple * capacity_share * window / fleet.service_time)
         .max(settings.slow_start_min_units * mean_work(1.0));
-    // What an earlier process of this host sent to the node is not known: the share grows over the first
-    // window.
+    // Sends by an earlier process of this host are unknown, so the share grows over the first window.
     let started_before_host = node.started_at.is_some_and(|at| at < fleet.started_at);
-    let known = if started_before_host { ((now - fleet.started_at) / window).min(1.0) } else { 1.0 };
-    known * SLOW_START_SHARE * tolerated * node.relative_size / fleet.initiators_per_node
+    let elapsed_share = if started_before_host { ((now - fleet.started_at) / window).min(1.0) } else { 1.0 };
+    elapsed_share * SLOW_START_SHARE * tolerated * node.relative_size / fleet.initiators_per_node
 }
--- a/tests/common/script.rs
+++ b/tests/common/script.rs
@@ -171,7 +171,7 @@
         }
         match self.draw.below(100) {
             0 => self.change_settings(),
-            1 | 2 => Event::ClientGone(self.some_request()),
+            1 | 2 => Event::ClientDisconnected(self.some_request()),
             3 => Event::ResponseStarted(self.some_request()),
             4..15 => self.probe_ended(),
             _ => self.end(),
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -188,7 +188,7 @@
             let arrival =
                 Arrival { volume: VolumeId(volume), ..arrival(volume + 1_000_000, Some(0), bench.now) };
             bench.handle(Event::RequestArrived(arrival));
-            bench.handle(Event::ClientGone(RequestId(volume + 1_000_000)));
+            bench.handle(Event::ClientDisconnected(RequestId(volume + 1_000_000)));
         }
         let least = (0..ROUNDS).map(|_| bench.time(Bench::evaluate)).fold(f64::INFINITY, f64::min);
         println!("| {volumes} | {least:.2} |");
--- a/tests/plain/scheduler.rs
+++ b/tests/plain/scheduler.rs
@@ -710,7 +710,7 @@
             Event::ProbeEnded(id, outcome) => {
                 self.nodes.entry(id).and_modify(|n| n.record_probe_end(outcome, now));
             }
-            Event::ClientGone(id) => self.end_request(id),
+            Event::ClientDisconnected(id) => self.end_request(id),
             Event::SettingsChanged(settings) => {
                 (self.fleet.latency_objective, self.max_priority_weight) =
                     objective_and_max_weight(&settings);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -67,7 +67,7 @@
 fn nothing_is_sent_for_a_request_that_its_client_left() {
     let mut host = Host::new(settings(), 1);
     host.handle(Event::RequestArrived(arrival(1, Some(0), host.now + 400.0)));
-    host.handle(Event::ClientGone(RequestId(1)));
+    host.handle(Event::ClientDisconnected(RequestId(1)));
     host.advance(500.0);
     assert_eq!(host.take_actions(), []);
 }
@@ -331,7 +331,7 @@
     host.end_attempt(1, 0, Outcome::Served, 20.0);
     assert_eq!(host.take_sends(), [(2, 0)]);
     // The client leaves, but the attempt has no outcome yet: the turn does not pass on.
-    host.handle(Event::ClientGone(RequestId(2)));
+    host.handle(Event::ClientDisconnected(RequestId(2)));
     host.advance(100.0);
     assert_eq!(host.take_sends(), []);
     host.end_attempt(2, 0, Outcome::Reset, 150.0);
@@ -361,7 +361,7 @@
             retries += usize::from(attempt > 0);
             host.end_attempt(id, attempt, Outcome::Error, 1.0);
         }
-        host.handle(Event::ClientGone(RequestId(id)));
+        host.handle(Event::ClientDisconnected(RequestId(id)));
     }
     assert_eq!(retries, 3, "2 and a tenth of 10 requests");
 }
