--- a/src/api.rs
+++ b/src/api.rs
@@ -126,7 +126,7 @@
     pub plans: Vec<Plan>,
     /// Whether the endpoint list is polled; otherwise it is pushed.
     pub polls_list: bool,
-    /// Maximum interval between polls of the list, ms.
+    /// Time within which the initiator must have polled the list, ms.
     pub poll_within: Millis,
     /// When changes of the list take effect. `None`: not specified, and the list never expires.
     pub notification_terms: Option<NotificationTerms>,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, arrivals and endpoint lists for the scheduler's tests, and a host that records its actions.
+//! Settings, arrivals and endpoint lists for the scheduler tests, and a simulated host that records actions.
 #![allow(dead_code)]
 
 use flaxstand::api::*;
@@ -77,16 +77,16 @@
     }
 }
 
-/// A scheduler with a clock and a record of its actions.
+/// A scheduler with a simulated clock that records its actions.
 pub struct Host {
     pub scheduler: Scheduler,
     pub now: Millis,
-    /// Actions since the last `take_actions`.
+    /// Actions since the last call of `take_actions`.
     pub actions: Vec<Action>,
 }
 
 impl Host {
-    /// A scheduler that knows `nodes` warm nodes; node and shard have one number.
+    /// Creates a scheduler with `nodes` warm nodes; each node serves the shard of the same number.
     pub fn new(settings: Settings, nodes: u32) -> Self {
         Self::seeded(settings, nodes, 7)
     }
@@ -99,7 +99,7 @@
         host
     }
 
-    /// Hands in an event without an evaluation.
+    /// Delivers an event without an evaluation.
     pub fn handle(&mut self, event: Event) {
         self.scheduler.handle(event, self.now, &mut self.actions);
     }
@@ -114,7 +114,7 @@
         self.handle(Event::Evaluate);
     }
 
-    /// Lets time pass, with an evaluation each 5 ms.
+    /// Advances the clock, with an evaluation every 5 ms.
     pub fn advance(&mut self, time: Millis) {
         let end = self.now + time;
         while self.now < end {
@@ -134,7 +134,7 @@
         self.handle(Event::Evaluate);
     }
 
-    /// Serves one request at a node, so that its service time is known.
+    /// Serves one request at a node, so that the service time of the node is measured.
     pub fn serve_one(&mut self, id: u64, shard: i64, latency: Millis) {
         self.arrive(arrival(id, Some(shard), self.now + 1500.0));
         self.now += latency;
@@ -142,14 +142,14 @@
         self.take_actions();
     }
 
-    /// The actions since the last call, without timers.
+    /// Returns the actions since the last call, without timers.
     pub fn take_actions(&mut self) -> Vec<Action> {
         let mut actions = std::mem::take(&mut self.actions);
         actions.retain(|a| !matches!(a, Action::SetTimer { .. }));
         actions
     }
 
-    /// Requests sent since the last call, in order, with their node.
+    /// Returns the requests sent since the last call and their nodes, in order.
     pub fn take_sends(&mut self) -> Vec<(u64, u32)> {
         let send = |a| match a {
             Action::Send { request, node, .. } => Some((request.0, node.0)),
--- a/tests/common/module.rs
+++ b/tests/common/module.rs
@@ -1,11 +1,11 @@
-//! The decision module and its differential reference behind one trait, for tests that compare them.
+//! A common trait for the decision module and its reference implementation, for tests that compare them.
 #![allow(dead_code)]
 
 use crate::plain;
 use flaxstand::api::*;
 use flaxstand::scheduler;
 
-/// What both implementations can do.
+/// Operations of both implementations.
 pub trait Module {
     const NAME: &'static str;
     fn start(settings: Settings, seed: u64, now: Millis) -> Self;
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -1,5 +1,5 @@
-//! What events cost against the number of listed nodes, for the module and its reference. Times are only
-//! printed, by tests that run when asked for:
+//! Cost of events by the number of listed nodes, for the module and its reference. Times are only printed, by
+//! tests that are ignored unless requested:
 //!
 //!     cargo test --release -p flaxstand --test cost -- --ignored --nocapture --test-threads=1
 
@@ -15,25 +15,26 @@
 use module::Module;
 use std::time::{Duration, Instant};
 
-/// Listed nodes, and how many of them are in use.
+/// Numbers of listed nodes and of nodes in use.
 const SIZES: [(u32, u32); 7] =
     [(30, 30), (100, 100), (300, 100), (1000, 100), (3000, 100), (25_000, 100), (25_000, 0)];
-/// Each figure is the least mean of so many rounds; in each round all sizes take their turn.
+/// Number of rounds. Each figure is the minimum of the means of all rounds; every round measures all sizes in
+/// turn.
 const ROUNDS: u32 = 15;
-/// How long one round goes on, at least.
-const ROUND: Duration = Duration::from_millis(20);
-/// Latency of each served request, ms, and the time between two of them.
+/// Minimum duration of a round.
+const MIN_ROUND_DURATION: Duration = Duration::from_millis(20);
+/// Latency of each served request and interval between requests, ms.
 const LATENCY: Millis = 3.0;
-/// Time from one evaluation to the next, ms: short, so that nodes in use stay so.
-const STEP: Millis = 0.01;
-/// Start of the clock, ms.
-const START: Millis = 100_000.0;
+/// Interval between evaluations, ms: so short that nodes in use stay in use.
+const EVALUATION_STEP: Millis = 0.01;
+/// Initial time of the clock, ms.
+const START_TIME: Millis = 100_000.0;
 
-/// A module that knows `listed` nodes and their service times, `used` of which were sent to recently.
+/// A module with `listed` nodes of known service times, `used` of which received requests recently.
 struct Bench<M> {
     module: M,
     now: Millis,
-    next: u64,
+    next_id: u64,
     listed: u32,
     used: u32,
     actions: Vec<Action>,
@@ -41,8 +42,8 @@
 
 impl<M: Module> Bench<M> {
     fn new(listed: u32, used: u32) -> Self {
-        let module = M::start(settings(), 7, START);
-        let mut bench = Bench { module, now: START, next: 0, listed, used, actions: Vec::new() };
+        let module = M::start(settings(), 7, START_TIME);
+        let mut bench = Bench { module, now: START_TIME, next_id: 0, listed, used, actions: Vec::new() };
         let entries = (0..listed).map(|node| bench.entry(node)).collect();
         bench.handle(Event::EndpointList(ListScope::Full, entries));
         bench.handle(Event::Evaluate);
@@ -53,7 +54,7 @@
     }
 
     fn entry(&self, node: u32) -> NodeEntry {
-        // One in twenty is slow, beyond what the mean service time counts in full.
+        // One node in twenty is slow enough to be capped in the mean service time.
         let service_time = Some(if node % 20 == 7 { 15.0 } else { 2.0 + f64::from(node % 101) / 100.0 });
         NodeEntry { size: 1.0 + f64::from(node % 3), service_time, ..entry(node, Readiness::Serving, None) }
     }
@@ -64,13 +65,13 @@
     }
 
     fn evaluate(&mut self) {
-        self.now += STEP;
+        self.now += EVALUATION_STEP;
         self.handle(Event::Evaluate);
     }
 
-    /// Arrival, evaluation, end, evaluation; the shards of the nodes in use take turns.
+    /// Runs one request: arrival, evaluation, end, evaluation. Cycles through the shards of the nodes in use.
     fn request_to_shard(&mut self) {
-        let shard = self.next % u64::from(self.used.max(1));
+        let shard = self.next_id % u64::from(self.used.max(1));
         self.request(Some(shard as i64));
     }
 
@@ -79,8 +80,8 @@
     }
 
     fn request(&mut self, shard: Option<i64>) {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         self.now += LATENCY;
         self.handle(Event::RequestArrived(arrival(id, shard, self.now + 1500.0)));
         self.handle(Event::Evaluate);
@@ -98,51 +99,51 @@
         self.handle(Event::Evaluate);
     }
 
-    /// The last listed node restarts: one changed entry, then an evaluation.
+    /// Restarts the last listed node: one changed entry, then an evaluation.
     fn changed_entry(&mut self) {
-        self.now += STEP;
+        self.now += EVALUATION_STEP;
         let started_at = Some(self.now);
         let changed = NodeEntry { started_at, ..self.entry(self.listed - 1) };
         self.handle(Event::EndpointList(ListScope::Changes, vec![changed]));
         self.handle(Event::Evaluate);
     }
 
-    /// The full list again, then an evaluation.
-    fn whole_list(&mut self) {
-        self.now += STEP;
+    /// Delivers the full list again, then evaluates.
+    fn full_list(&mut self) {
+        self.now += EVALUATION_STEP;
         let entries = (0..self.listed).map(|node| self.entry(node)).collect();
         self.handle(Event::EndpointList(ListScope::Full, entries));
         self.handle(Event::Evaluate);
     }
 
-    /// Mean time of one call over a round, in microseconds.
-    fn time(&mut self, call: fn(&mut Self)) -> f64 {
-        let (begun, mut calls) = (Instant::now(), 0);
-        while begun.elapsed() < ROUND {
-            call(self);
-            calls += 1;
+    /// Returns the mean time of one call over a round, in microseconds.
+    fn mean_time_us(&mut self, operation: fn(&mut Self)) -> f64 {
+        let (started, mut count) = (Instant::now(), 0);
+        while started.elapsed() < MIN_ROUND_DURATION {
+            operation(self);
+            count += 1;
         }
-        begun.elapsed().as_secs_f64() * 1e6 / f64::from(calls)
+        started.elapsed().as_secs_f64() * 1e6 / f64::from(count)
     }
 }
 
-/// The least mean time of a call at each size, in microseconds.
-fn min_times<M: Module>(call: fn(&mut Bench<M>)) -> Vec<f64> {
+/// Returns the minimum mean time of a call at each size, in microseconds.
+fn min_times_us<M: Module>(operation: fn(&mut Bench<M>)) -> Vec<f64> {
     let mut benches: Vec<Bench<M>> = SIZES.iter().map(|(listed, used)| Bench::new(*listed, *used)).collect();
-    let mut least = vec![f64::INFINITY; SIZES.len()];
+    let mut min_times_so_far = vec![f64::INFINITY; SIZES.len()];
     for _ in 0..ROUNDS {
-        for (bench, least) in benches.iter_mut().zip(&mut least) {
-            *least = bench.time(call).min(*least);
+        for (bench, min_time) in benches.iter_mut().zip(&mut min_times_so_far) {
+            *min_time = bench.mean_time_us(operation).min(*min_time);
         }
     }
-    least
+    min_times_so_far
 }
 
 fn print_costs<M: Module>() {
-    let evaluations = min_times::<M>(Bench::evaluate);
-    let requests = min_times::<M>(Bench::request_to_shard);
-    let changes = min_times::<M>(Bench::changed_entry);
-    let objects = min_times::<M>(Bench::new_object);
+    let evaluations = min_times_us::<M>(Bench::evaluate);
+    let requests = min_times_us::<M>(Bench::request_to_shard);
+    let changes = min_times_us::<M>(Bench::changed_entry);
+    let objects = min_times_us::<M>(Bench::new_object);
     println!(
         "{}: us per call; listed, in use: evaluation, request to a shard, changed entry, new object",
         M::NAME
@@ -155,7 +156,7 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn cost_of_the_plain_version() {
+fn cost_of_the_reference() {
     print_costs::<plain::scheduler::Scheduler>();
 }
 
@@ -167,10 +168,10 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn cost_of_whole_lists() {
+fn cost_of_full_lists() {
     let (plain, module) = (
-        min_times::<plain::scheduler::Scheduler>(Bench::whole_list),
-        min_times::<Scheduler>(Bench::whole_list),
+        min_times_us::<plain::scheduler::Scheduler>(Bench::full_list),
+        min_times_us::<Scheduler>(Bench::full_list),
     );
     println!("full list and an evaluation, us; listed, in use: plain, indexed");
     for (at, (listed, used)) in SIZES.iter().enumerate() {
@@ -180,8 +181,8 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn cost_of_an_evaluation_by_volumes_ever_seen() {
-    println!("evaluation with 100 nodes in use, us; volumes ever seen: indexed");
+fn cost_of_an_evaluation_by_number_of_known_volumes() {
+    println!("evaluation with 100 nodes in use, us; known volumes: indexed");
     for volumes in [1, 1000, 10_000] {
         let mut bench = Bench::<Scheduler>::new(100, 100);
         for volume in 0..volumes {
@@ -190,34 +191,34 @@
             bench.handle(Event::RequestArrived(arrival));
             bench.handle(Event::ClientDisconnected(RequestId(volume + 1_000_000)));
         }
-        let least = (0..ROUNDS).map(|_| bench.time(Bench::evaluate)).fold(f64::INFINITY, f64::min);
-        println!("| {volumes} | {least:.2} |");
+        let min_time = (0..ROUNDS).map(|_| bench.mean_time_us(Bench::evaluate)).fold(f64::INFINITY, f64::min);
+        println!("| {volumes} | {min_time:.2} |");
     }
 }
 
-/// Resident memory of this process, bytes.
-fn resident() -> u64 {
-    let statm = std::fs::read_to_string("/proc/self/statm").expect("Linux tells a process its memory");
+/// Returns the resident memory of this process, bytes.
+fn resident_bytes() -> u64 {
+    let statm = std::fs::read_to_string("/proc/self/statm").expect("/proc/self/statm can be read");
     let pages = statm.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok());
-    pages.expect("the second figure is a number") * 4096
+    pages.expect("the second field of /proc/self/statm is a number") * 4096
 }
 
 fn print_memory<M: Module>() {
     let (listed, modules) = (25_000, 8);
-    let before = resident();
-    let kept: Vec<_> = (0..modules).map(|_| Bench::<M>::new(listed, 0)).collect();
-    let each = (resident() - before) / (kept.len() as u64 * u64::from(listed));
-    println!("{}: {each} bytes of resident memory for each listed node", M::NAME);
+    let before = resident_bytes();
+    let benches: Vec<_> = (0..modules).map(|_| Bench::<M>::new(listed, 0)).collect();
+    let bytes_per_node = (resident_bytes() - before) / (benches.len() as u64 * u64::from(listed));
+    println!("{}: {bytes_per_node} bytes of resident memory per listed node", M::NAME);
 }
 
-/// Run alone, so that no freed memory is reused.
+/// Must run alone, so that freed memory of other tests is not reused.
 #[test]
 #[ignore = "a measurement"]
-fn memory_of_the_plain_version() {
+fn memory_of_the_reference() {
     print_memory::<plain::scheduler::Scheduler>();
 }
 
-/// Run alone, so that no freed memory is reused.
+/// Must run alone, so that freed memory of other tests is not reused.
 #[test]
 #[ignore = "a measurement"]
 fn memory_of_the_module() {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,25 +1,25 @@
-//! Limits on the files of the decision module that the operators ask for: line length, and their listing in
-//! the deploy file.
+//! Checks on the source files of the decision module: line length, and listing in the deploy file.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 const MAX_LINE_CHARACTERS: usize = 110;
-/// Files of `src/` that hold the interface and no decision.
-const NO_DECISIONS: [&str; 2] = ["api.rs", "lib.rs"];
+/// Files of `src/` that contain the interface and no decisions.
+const INTERFACE_FILES: [&str; 2] = ["api.rs", "lib.rs"];
 
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-fn name_of(path: &Path) -> String {
-    path.file_name().expect("a file's path").to_string_lossy().into_owned()
+fn file_name(path: &Path) -> String {
+    path.file_name().expect("path has a file name").to_string_lossy().into_owned()
 }
 
-/// All files of `src/`, which has no folders.
+/// Returns all files of `src/`, which has no subdirectories.
 fn module_files() -> Vec<PathBuf> {
-    let entries = fs::read_dir(root().join("src")).expect("src/ can be read");
-    let mut files: Vec<PathBuf> = entries.map(|entry| entry.expect("an entry of src/").path()).collect();
+    let entries = fs::read_dir(root().join("src")).expect("src/ is readable");
+    let mut files: Vec<PathBuf> =
+        entries.map(|entry| entry.expect("entry of src/ is readable").path()).collect();
     files.sort();
     assert!(
         files.iter().all(|path| path.extension().is_some_and(|extension| extension == "rs")),
@@ -29,26 +29,38 @@
 }
 
 #[test]
-fn no_line_of_the_module_passes_110_characters() {
+fn no_line_of_the_module_exceeds_110_characters() {
     let files = module_files();
-    assert!(files.iter().any(|path| name_of(path) == "scheduler.rs"), "{files:?}");
+    assert!(files.iter().any(|path| file_name(path) == "scheduler.rs"), "{files:?}");
     for path in files {
-        let text = fs::read_to_string(&path).expect("a source file can be read");
+        let text = fs::read_to_string(&path).expect("source file is readable");
         for (number, line) in text.lines().enumerate() {
             let length = line.chars().count();
-            assert!(length <= MAX_LINE_CHARACTERS, "{}: line {} is too long", path.display(), number + 1);
+            assert!(
+                length <= MAX_LINE_CHARACTERS,
+                "{}:{}: {length} characters, at most {MAX_LINE_CHARACTERS} allowed",
+                path.display(),
+                number + 1
+            );
         }
     }
 }
 
-/// Guards against a new file of decisions that the deploy file does not list under `policy`.
+/// Guards against a new decision file that the deploy file does not list under `policy`.
 #[test]
-fn each_file_of_decisions_is_listed_as_policy() {
+fn each_decision_file_is_listed_as_policy() {
     let deploy =
-        fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file can be read");
-    let policy = deploy.lines().find(|line| line.starts_with("policy = ")).expect("a line of policy files");
-    for name in module_files().iter().map(|path| name_of(path)) {
+        fs::read_to_string(root().join("deploy/balancer.toml")).expect("deploy/balancer.toml is readable");
+    let policy = deploy
+        .lines()
+        .find(|line| line.starts_with("policy = "))
+        .expect("deploy/balancer.toml has a policy line");
+    for name in module_files().iter().map(|path| file_name(path)) {
         let is_listed = policy.contains(&format!("\"src/{name}\""));
-        assert_eq!(is_listed, !NO_DECISIONS.contains(&name.as_str()), "src/{name}");
+        assert_eq!(
+            is_listed,
+            !INTERFACE_FILES.contains(&name.as_str()),
+            "src/{name}: wrongly listed or missing under policy in deploy/balancer.toml"
+        );
     }
 }
--- a/tests/list_calls.rs
+++ b/tests/list_calls.rs
@@ -1,4 +1,5 @@
-//! Initiators that start together and make more calls than the discovery service can answer at once.
+//! A fleet of initiators that start at the same time and make more calls than the discovery service can
+//! handle at once.
 
 mod common;
 
@@ -10,48 +11,49 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Time that the service spends on a call that it rejects, or that brings no change, microseconds.
-const CALL: u64 = 28_000;
-/// Time that it spends on a full list, microseconds.
-const WHOLE_LIST: u64 = 3 * CALL;
-/// Work that may queue at it, microseconds: a call beyond that is rejected at once, and so, when its turn
-/// comes, is one that has waited for longer.
+/// Cost of a call that the service rejects or that returns no change, in microseconds of its time.
+const CALL_COST: u64 = 28_000;
+/// Cost of a call that returns a full list, microseconds.
+const FULL_LIST_COST: u64 = 3 * CALL_COST;
+/// Maximum queued work at the service, microseconds. A call beyond that is rejected immediately; a queued
+/// call that would wait for longer is rejected when its wait reaches it.
 const MAX_QUEUED_WORK: u64 = 1_000_000;
-/// Initiators that start together.
-const HOSTS: usize = 24;
-/// A change of the list comes this often, and each initiator that watches calls again, microseconds.
-const CHANGES: u64 = 1_000_000;
-/// Simulated time, microseconds.
+/// Number of initiators.
+const INITIATORS: usize = 24;
+/// Interval between changes of the list, after each of which every watching initiator calls again,
+/// microseconds.
+const CHANGE_INTERVAL: u64 = 1_000_000;
+/// Simulated duration, microseconds.
 const DURATION: u64 = 20_000_000;
-/// Every initiator gets a list within this of its start, or of a rejected watch, ms: half of the simulated
-/// time. A fleet that keeps the service from answering gets none at all.
+/// Maximum time until an initiator gets a list after its start or a rejected watch, ms: half of the simulated
+/// time. If the fleet overloads the service, initiators get none at all.
 const MAX_WAIT: Millis = 10_000.0;
 
-/// What happens next.
+/// Simulation events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ServiceEvent {
     /// The initiator is evaluated.
-    Decide(usize),
-    /// The service answers the initiator.
-    Answered(usize),
-    /// It rejects the initiator's call.
+    Evaluate(usize),
+    /// The service responds to the initiator.
+    Responded(usize),
+    /// The service rejects the call of the initiator.
     CallRejected(usize),
     /// The list changes.
-    Changed,
-    /// The initiator, whose watch was answered, watches again.
-    WatchAgain(usize),
+    ListChanged,
+    /// The initiator starts its next watch.
+    WatchRestarted(usize),
 }
 
 struct Fleet {
     hosts: Vec<Host>,
-    /// Since when an initiator has no watch, microseconds; none: it watches.
+    /// Start of the current period without a watch, microseconds; `None` while the initiator is watching.
     waiting_since: Vec<Option<u64>>,
-    /// Initiators that have a list of this service: they get changes only.
-    holds_list: Vec<bool>,
+    /// Whether an initiator has a list of this service and therefore gets changes only.
+    has_list: Vec<bool>,
     longest_wait: u64,
-    /// Until when the service is at work.
+    /// Time until which the service is busy, microseconds.
     busy_until: u64,
-    agenda: BinaryHeap<Reverse<(u64, ServiceEvent)>>,
+    event_queue: BinaryHeap<Reverse<(u64, ServiceEvent)>>,
     rng: Pcg64Mcg,
 }
 
@@ -64,96 +66,97 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let settings = Settings { polls_list: true, ..settings() };
         let mut hosts = Vec::new();
-        let mut agenda = BinaryHeap::new();
-        for number in 0..HOSTS {
+        let mut event_queue = BinaryHeap::new();
+        for number in 0..INITIATORS {
             let mut scheduler = Scheduler::new(settings.clone(), rng.next_u64(), 0.0);
-            let saved = Event::EndpointList(ListScope::Cached, vec![entry(0, Readiness::Serving, None)]);
-            scheduler.handle(saved, 0.0, &mut Vec::new());
+            let cached_list =
+                Event::EndpointList(ListScope::Cached, vec![entry(0, Readiness::Serving, None)]);
+            scheduler.handle(cached_list, 0.0, &mut Vec::new());
             hosts.push(Host { scheduler, now: 0.0, actions: Vec::new() });
-            agenda.push(Reverse((0, ServiceEvent::Decide(number))));
+            event_queue.push(Reverse((0, ServiceEvent::Evaluate(number))));
         }
-        agenda.push(Reverse((CHANGES, ServiceEvent::Changed)));
-        let waiting_since = vec![Some(0); HOSTS];
-        let holds_list = vec![false; HOSTS];
-        Fleet { hosts, waiting_since, holds_list, longest_wait: 0, busy_until: 0, agenda, rng }
+        event_queue.push(Reverse((CHANGE_INTERVAL, ServiceEvent::ListChanged)));
+        let waiting_since = vec![Some(0); INITIATORS];
+        let has_list = vec![false; INITIATORS];
+        Fleet { hosts, waiting_since, has_list, longest_wait: 0, busy_until: 0, event_queue, rng }
     }
 
-    fn at(&mut self, at: u64, happening: ServiceEvent) {
-        self.agenda.push(Reverse((at, happening)));
+    fn schedule(&mut self, at: u64, event: ServiceEvent) {
+        self.event_queue.push(Reverse((at, event)));
     }
 
-    /// Hands an initiator the result of its call, and evaluates it.
-    fn tell(&mut self, host: usize, scope: ListScope, at: u64) {
+    /// Delivers the result of a call to an initiator and evaluates it.
+    fn deliver(&mut self, host: usize, scope: ListScope, at: u64) {
         self.hosts[host].now = at as Millis / 1000.0;
         let entries =
             if scope == ListScope::Full { vec![entry(0, Readiness::Serving, None)] } else { vec![] };
         self.hosts[host].handle(Event::EndpointList(scope, entries));
-        self.decide(host, at);
+        self.evaluate(host, at);
     }
 
-    fn decide(&mut self, host: usize, at: u64) {
+    fn evaluate(&mut self, host: usize, at: u64) {
         self.hosts[host].now = at as Millis / 1000.0;
         self.hosts[host].handle(Event::Evaluate);
         for action in std::mem::take(&mut self.hosts[host].actions) {
             match action {
                 Action::PollList => self.call(host, at),
                 Action::SetTimer { after } => {
-                    let wake = at + (after * 1000.0).ceil() as u64;
-                    self.at(wake, ServiceEvent::Decide(host));
+                    let timer_at = at + (after * 1000.0).ceil() as u64;
+                    self.schedule(timer_at, ServiceEvent::Evaluate(host));
                 }
-                other => panic!("{other:?}"),
+                other => panic!("unexpected action {other:?}"),
             }
         }
     }
 
-    /// The service takes the call, or rejects it, which takes its time too.
+    /// The service accepts or rejects a call. A rejection costs time as well.
     fn call(&mut self, host: usize, at: u64) {
-        let begins = self.busy_until.max(at);
-        if begins - at > MAX_QUEUED_WORK {
-            self.busy_until = begins + CALL;
-            return self.at(at, ServiceEvent::CallRejected(host));
+        let start_at = self.busy_until.max(at);
+        if start_at - at > MAX_QUEUED_WORK {
+            self.busy_until = start_at + CALL_COST;
+            return self.schedule(at, ServiceEvent::CallRejected(host));
         }
-        self.busy_until = begins + if self.holds_list[host] { CALL } else { WHOLE_LIST };
+        self.busy_until = start_at + if self.has_list[host] { CALL_COST } else { FULL_LIST_COST };
         if self.busy_until - at > MAX_QUEUED_WORK {
-            return self.at(at + MAX_QUEUED_WORK, ServiceEvent::CallRejected(host));
+            return self.schedule(at + MAX_QUEUED_WORK, ServiceEvent::CallRejected(host));
         }
-        self.at(self.busy_until, ServiceEvent::Answered(host));
+        self.schedule(self.busy_until, ServiceEvent::Responded(host));
     }
 
-    fn answered(&mut self, host: usize, at: u64) {
-        let scope = if self.holds_list[host] { ListScope::Changes } else { ListScope::Full };
-        self.holds_list[host] = true;
+    fn respond(&mut self, host: usize, at: u64) {
+        let scope = if self.has_list[host] { ListScope::Changes } else { ListScope::Full };
+        self.has_list[host] = true;
         if let Some(since) = self.waiting_since[host].take() {
             self.longest_wait = self.longest_wait.max(at - since);
         }
-        self.tell(host, scope, at);
+        self.deliver(host, scope, at);
     }
 
-    /// All who watch are answered and call again, spread over a third of a second.
-    fn changed(&mut self, at: u64) {
-        for host in 0..HOSTS {
+    /// Notifies all watching initiators. Each of them calls again within a third of a second.
+    fn notify_watchers(&mut self, at: u64) {
+        for host in 0..INITIATORS {
             if self.waiting_since[host].is_none() {
-                let again = at + (random(&mut self.rng) * 330_000.0) as u64;
-                self.at(again, ServiceEvent::WatchAgain(host));
+                let call_at = at + (random(&mut self.rng) * 330_000.0) as u64;
+                self.schedule(call_at, ServiceEvent::WatchRestarted(host));
             }
         }
-        self.at(at + CHANGES, ServiceEvent::Changed);
+        self.schedule(at + CHANGE_INTERVAL, ServiceEvent::ListChanged);
     }
 
-    /// The longest that an initiator was without a list, ms.
+    /// Runs the simulation and returns the longest time that an initiator was without a list, ms.
     fn longest_wait(mut self) -> Millis {
-        while let Some(Reverse((at, happening))) = self.agenda.pop()
+        while let Some(Reverse((at, event))) = self.event_queue.pop()
             && at < DURATION
         {
-            match happening {
-                ServiceEvent::Decide(host) => self.decide(host, at),
-                ServiceEvent::Answered(host) => self.answered(host, at),
+            match event {
+                ServiceEvent::Evaluate(host) => self.evaluate(host, at),
+                ServiceEvent::Responded(host) => self.respond(host, at),
                 ServiceEvent::CallRejected(host) => {
                     self.waiting_since[host].get_or_insert(at);
-                    self.tell(host, ListScope::Failed, at);
+                    self.deliver(host, ListScope::Failed, at);
                 }
-                ServiceEvent::Changed => self.changed(at),
-                ServiceEvent::WatchAgain(host) => self.call(host, at),
+                ServiceEvent::ListChanged => self.notify_watchers(at),
+                ServiceEvent::WatchRestarted(host) => self.call(host, at),
             }
         }
         let waiting = self.waiting_since.iter().flatten().map(|since| DURATION - since).max();
@@ -161,16 +164,21 @@
     }
 }
 
-/// Guards against a poll back-off that is too short: rejected calls cost the service too, and a fleet that
-/// retries too soon keeps it from answering anybody.
+/// Guards against a poll back-off that is too short: rejected calls also load the service, and a fleet that
+/// retries too soon prevents it from responding at all.
 #[test]
 fn initiators_that_start_together_do_not_overload_a_small_discovery_service() {
-    let mut late = Vec::new();
+    let mut violations = Vec::new();
     for seed in 0..100 {
-        let longest = Fleet::new(seed).longest_wait();
-        if longest > MAX_WAIT {
-            late.push(format!("seed {seed}: {longest:.0} ms"));
+        let longest_wait_ms = Fleet::new(seed).longest_wait();
+        if longest_wait_ms > MAX_WAIT {
+            violations.push(format!("seed {seed}: without a list for {longest_wait_ms:.0} ms"));
         }
     }
-    assert!(late.is_empty(), "{} of 100:\n{}", late.len(), late.join("\n"));
+    assert!(
+        violations.is_empty(),
+        "{} of 100 runs exceed {MAX_WAIT} ms:\n{}",
+        violations.len(),
+        violations.join("\n")
+    );
 }
--- a/tests/losses.rs
+++ b/tests/losses.rs
@@ -1,15 +1,15 @@
-//! Lost answers, clients with little time, nodes of several sizes.
+//! Lost responses, clients with short deadlines, and nodes of different sizes.
 
 mod common;
 
 use common::*;
 use flaxstand::api::*;
 
-fn hedging() -> Settings {
+fn hedging_settings() -> Settings {
     Settings { max_concurrent_attempts: 2, may_probe: true, ..settings() }
 }
 
-/// Sends a request, and another after it that is answered first.
+/// Sends a request, and a later one whose response arrives first.
 fn send_and_overtake(host: &mut Host, first: Arrival) {
     let later = first.id.0 + 1;
     host.arrive(first);
@@ -20,7 +20,8 @@
     host.end_attempt(later, 0, Outcome::Served, 20.0);
 }
 
-/// A host of one node that has just lost an answer: that of a later request arrived, its own never did.
+/// Returns a host with one node and a recent loss: the response to a later request arrived, that to the first
+/// one did not.
 fn after_a_loss(settings: Settings) -> Host {
     let mut host = Host::new(settings, 1);
     for id in 0..10 {
@@ -40,18 +41,18 @@
 
 #[test]
 fn an_attempt_that_a_probe_overtook_is_hedged_and_then_cancelled() {
-    let mut host = after_a_loss(hedging());
+    let mut host = after_a_loss(hedging_settings());
     host.arrive(arrival(10, Some(0), host.now + 1500.0));
     assert_eq!(host.take_sends(), [(10, 0)]);
     host.advance(80.0);
     assert_eq!(
         probes(&host.take_actions()),
         1,
-        "in flight for longer than its service time: a queue, or a lost answer?"
+        "an attempt in flight for longer than its service time triggers a probe"
     );
     host.handle(Event::ProbeEnded(NodeId(0), Outcome::Served));
     host.handle(Event::Evaluate);
-    assert_eq!(host.take_sends(), [], "it had begun by then and may still be served");
+    assert_eq!(host.take_sends(), [], "the attempt had started by then and may still be served");
     host.advance(80.0);
     assert_eq!(host.take_sends(), [(10, 0)]);
     host.end_attempt(10, 1, Outcome::Served, 20.0);
@@ -59,8 +60,8 @@
 }
 
 #[test]
-fn a_queue_is_not_taken_for_a_lost_answer_while_the_probe_waits_too() {
-    let mut host = after_a_loss(hedging());
+fn a_queue_is_not_mistaken_for_a_lost_response_while_the_probe_is_queued_too() {
+    let mut host = after_a_loss(hedging_settings());
     host.arrive(arrival(10, Some(0), host.now + 1500.0));
     host.take_actions();
     host.advance(80.0);
@@ -72,7 +73,7 @@
 
 #[test]
 fn without_a_recent_loss_nothing_is_probed_or_hedged() {
-    let mut host = Host::new(hedging(), 1);
+    let mut host = Host::new(hedging_settings(), 1);
     host.serve_one(1000, 0, 20.0);
     host.arrive(arrival(10, Some(0), host.now + 1500.0));
     host.take_actions();
@@ -93,9 +94,9 @@
 }
 
 #[test]
-fn a_request_that_must_not_run_twice_is_neither_hedged_nor_cancelled() {
+fn an_at_most_once_request_is_neither_hedged_nor_cancelled() {
     for max_concurrent_attempts in [1, 2] {
-        let mut settings = Settings { max_concurrent_attempts, ..hedging() };
+        let mut settings = Settings { max_concurrent_attempts, ..hedging_settings() };
         settings.classes[1].effect = Effect::AtMostOnce;
         let mut host = after_a_loss(settings);
         let first = Arrival { class: ClassId(1), ..arrival(10, Some(0), host.now + 1500.0) };
@@ -107,17 +108,18 @@
             "{actions:?}"
         );
         host.end_attempt(10, 0, Outcome::Error, 830.0);
-        assert!(is_failed(&host.take_actions(), 10), "its final answer comes at once");
+        assert!(is_failed(&host.take_actions(), 10), "the request fails immediately, without a retry");
     }
 }
 
 #[test]
-fn a_lost_answer_is_not_reported_as_queue_delay() {
+fn a_lost_response_is_not_reported_as_queue_delay() {
     let mut host = Host::new(settings(), 3);
     for id in 0..9 {
         host.serve_one(1000 + id, (id % 3) as i64, 20.0);
     }
-    // All three nodes owe an answer that will not come; a queue of a second would reject what has less time.
+    // The responses of all three nodes are lost. If they were reported as a queue delay of a second, a
+    // request with less time would be rejected.
     for id in 0..3 {
         host.arrive(arrival(id, Some(id as i64), host.now + 1500.0));
     }
@@ -129,13 +131,13 @@
 }
 
 #[test]
-fn latencies_beyond_the_expected_raise_what_is_expected_until_they_fade() {
-    let takes = |latency: Millis, after: Millis| {
+fn high_latencies_raise_the_expected_latency_until_they_decay() {
+    let is_sent = |latency: Millis, after: Millis| {
         let mut host = Host::new(settings(), 20);
         for id in 0..12 {
             host.serve_one(1000 + id, id as i64, 20.0);
         }
-        // Each at a node of its own: most nodes report no queue.
+        // Each at a different node, so that most nodes report no queue.
         for id in 0..3 {
             host.serve_one(2000 + id, 12 + id as i64, latency);
         }
@@ -143,20 +145,26 @@
         host.arrive(arrival(10, Some(19), host.now + 45.0));
         !is_rejected(&host.take_actions(), 10)
     };
-    assert!(takes(20.0, 5.0), "as expected: it is tried");
-    assert!(!takes(160.0, 5.0), "eight times as long as expected: it can't be answered in 45 ms");
-    assert!(takes(160.0, 8000.0), "where no answer comes the ratio fades, or it would reject for ever");
+    assert!(is_sent(20.0, 5.0), "latencies are as expected: the request is sent");
+    assert!(!is_sent(160.0, 5.0), "latencies are eight times as long as expected: 45 ms are not enough");
+    assert!(
+        is_sent(160.0, 8000.0),
+        "without responses the ratio decays, otherwise requests would be rejected forever"
+    );
 }
 
 #[test]
 fn a_request_that_slow_start_would_hold_too_long_is_rejected_at_once() {
     let settings = Settings { initiators: 2000, ..settings() };
     let mut host = Host::new(settings, 1);
-    let booted = host.now - 100.0;
-    host.apply_list(ListScope::Changes, vec![entry(0, Readiness::Serving, Some(booted))]);
+    let started_at = host.now - 100.0;
+    host.apply_list(ListScope::Changes, vec![entry(0, Readiness::Serving, Some(started_at))]);
     host.arrive(Arrival { units: 8.0, ..arrival(1, Some(0), host.now + 1500.0) });
     host.advance(20.0);
-    assert!(is_rejected(&host.take_actions(), 1), "thousands of initiators: its turn comes minutes later");
+    assert!(
+        is_rejected(&host.take_actions(), 1),
+        "with thousands of initiators, slow start would hold the request for minutes"
+    );
 }
 
 #[test]
@@ -170,15 +178,15 @@
     host.arrive(arrival(2, Some(0), host.now + 1500.0));
     host.advance(20.0);
     let actions = host.take_actions();
-    assert!(is_rejected(&actions, 1), "four seconds of the limit: {actions:?}");
-    assert!(!is_rejected(&actions, 2), "one that the limit will let go waits: {actions:?}");
+    assert!(is_rejected(&actions, 1), "the limit would hold request 1 for four seconds: {actions:?}");
+    assert!(!is_rejected(&actions, 2), "the limit allows request 2 in time, so it waits: {actions:?}");
 }
 
 #[test]
 fn new_objects_go_to_nodes_by_their_nominal_size() {
     let mut host = Host::new(settings(), 2);
-    let sized = |node, size| NodeEntry { size, ..entry(node, Readiness::Serving, None) };
-    host.apply_list(ListScope::Full, vec![sized(0, 3.0), sized(1, 1.0)]);
+    let entry_with_size = |node, size| NodeEntry { size, ..entry(node, Readiness::Serving, None) };
+    host.apply_list(ListScope::Full, vec![entry_with_size(0, 3.0), entry_with_size(1, 1.0)]);
     let mut sent = [0, 0];
     for id in 0..400 {
         host.arrive(arrival(id, None, host.now + 1500.0));
@@ -192,38 +200,43 @@
 }
 
 #[test]
-fn a_request_with_little_time_is_tried_where_it_has_a_chance() {
-    let tries = |left: Millis| {
+fn a_request_with_little_time_is_sent_if_it_may_succeed() {
+    let is_sent = |time_left: Millis| {
         let mut host = Host::new(settings(), 1);
         for id in 0..30 {
             host.serve_one(1000 + id, 0, 40.0);
         }
-        host.arrive(Arrival { units: 3.0, ..arrival(1, Some(0), host.now + left) });
+        host.arrive(Arrival { units: 3.0, ..arrival(1, Some(0), host.now + time_left) });
         !is_rejected(&host.take_actions(), 1)
     };
-    assert!(tries(180.0), "a latency of 200 ms is expected: 180 may well do");
-    assert!(!tries(90.0));
+    assert!(is_sent(180.0), "the expected latency is 200 ms: 180 ms may be enough");
+    assert!(!is_sent(90.0), "the expected latency is 200 ms: 90 ms are not enough");
 }
 
 #[test]
-fn a_learnt_service_time_is_kept_for_the_same_process_and_void_for_another() {
-    let learnt = |booted, service_time| NodeEntry { service_time, ..entry(0, Readiness::Serving, booted) };
+fn a_measured_service_time_is_kept_for_the_same_process_and_reset_for_another() {
+    let listed_entry =
+        |started_at, service_time| NodeEntry { service_time, ..entry(0, Readiness::Serving, started_at) };
     let mut host = Host::new(settings(), 0);
-    host.apply_list(ListScope::Cached, vec![learnt(None, Some(70.0))]);
+    host.apply_list(ListScope::Cached, vec![listed_entry(None, Some(70.0))]);
     assert_eq!(host.scheduler.service_time_of(NodeId(0)), Some(70.0));
-    host.apply_list(ListScope::Full, vec![learnt(None, None)]);
+    host.apply_list(ListScope::Full, vec![listed_entry(None, None)]);
     assert_eq!(
         host.scheduler.service_time_of(NodeId(0)),
         Some(70.0),
-        "the list states none: what was learnt stays"
+        "the list contains no service time: the measured value is kept"
+    );
+    host.apply_list(ListScope::Changes, vec![listed_entry(Some(host.now), None)]);
+    assert_eq!(
+        host.scheduler.service_time_of(NodeId(0)),
+        None,
+        "the process changed: the measured value is reset"
     );
-    host.apply_list(ListScope::Changes, vec![learnt(Some(host.now), None)]);
-    assert_eq!(host.scheduler.service_time_of(NodeId(0)), None, "another process: to be learnt again");
 }
 
 #[test]
-fn a_hedged_attempt_that_fails_ends_nothing_while_the_first_is_in_flight() {
-    let mut settings = hedging();
+fn a_failed_hedged_attempt_does_not_end_the_request_while_the_first_is_in_flight() {
+    let mut settings = hedging_settings();
     settings.max_attempts = 2;
     let mut host = after_a_loss(settings);
     host.arrive(arrival(10, Some(0), host.now + 1500.0));
@@ -232,21 +245,21 @@
     host.advance(80.0);
     host.take_actions();
     host.end_attempt(10, 1, Outcome::Error, 5.0);
-    assert_eq!(host.take_actions(), [], "the first may still be answered");
+    assert_eq!(host.take_actions(), [], "the first attempt may still be served");
     host.end_attempt(10, 0, Outcome::Error, 200.0);
-    assert!(is_rejected(&host.take_actions(), 10), "both failed, and no third is allowed");
+    assert!(is_rejected(&host.take_actions(), 10), "both attempts failed and no third one is allowed");
 }
 
 #[test]
 fn a_lost_attempt_does_not_count_against_the_concurrency_limit() {
-    let sent_at_once = |answered: bool| {
-        let mut settings = hedging();
+    let sent_at_once = |first_is_served: bool| {
+        let mut settings = hedging_settings();
         settings.classes[1].effect = Effect::AtMostOnce;
         let mut host = after_a_loss(settings);
         let first = Arrival { class: ClassId(1), ..arrival(10, Some(0), host.now + 3000.0) };
         send_and_overtake(&mut host, first);
         host.advance(10.0);
-        if answered {
+        if first_is_served {
             host.end_attempt(10, 0, Outcome::Served, 35.0);
         }
         host.advance(100.0);
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -1,6 +1,7 @@
-//! The reference of `tests/equivalence.rs`: a second implementation of the decision module, kept deliberately
-//! independent. It walks and sorts all listed nodes at each evaluation and has no indexes. It shares nothing with
-//! `src/` but the interface; a test crate that uses it has `flaxstand::api` in its root.
+//! Reference implementation for `tests/equivalence.rs`: a second, deliberately independent implementation of
+//! the decision module. It iterates over and sorts all listed nodes at each evaluation and has no indexes. It
+//! shares nothing with `src/` but the interface. A test crate that includes it must have `flaxstand::api` in
+//! its root.
 #![allow(dead_code)]
 
 pub mod scheduler;
--- a/tests/plain/scheduler.rs
+++ b/tests/plain/scheduler.rs
@@ -1,69 +1,71 @@
-//! A second implementation of the decisions in `src/`, kept deliberately independent: the reference of
-//! `tests/equivalence.rs`. One file, no indexes; each evaluation walks and sorts all listed nodes.
+//! A second, deliberately independent implementation of the decisions in `src/`: the reference for
+//! `tests/equivalence.rs`. One file without indexes; each evaluation iterates over and sorts all listed
+//! nodes.
 //!
-//! It shares no code with `src/` but the interface: a fault in a shared part would be the same in both and go
-//! unseen. Change it by hand, from the rule, and never by copying from `src/`.
+//! It shares no code with `src/` but the interface, since a fault in shared code would occur in both and stay
+//! undetected. Change it by hand, from the rule; never copy from `src/`.
 
 use crate::api::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most attempts in flight at one node.
+/// Maximum concurrency limit of a node.
 const MAX_CONCURRENCY: f64 = 8.0;
-/// Queue that a request of the largest weight may join, in tightest latency objectives.
+/// Queue delay that a request of the largest weight may join, as a multiple of the tightest latency
+/// objective.
 const MAX_QUEUE_SHARE: f64 = 2.5;
-/// Aggression factor of the usage term.
-const USAGE_AGGRESSION: f64 = 1.05;
-/// Units sent recently that make a node one that this initiator uses.
+/// Base of the exponential usage term.
+const USAGE_PENALTY_BASE: f64 = 1.05;
+/// Recently sent units above which this initiator counts a node as in use.
 const IN_USE_UNITS: f64 = 0.1;
-/// The least fitness of a node that may be drawn.
+/// Lower bound of the fitness of a candidate.
 const MIN_FITNESS: f64 = 0.01;
-/// Time constant of sums of what happened recently, ms.
+/// Decay time constant of sums of recent events, ms.
 const RECENT_TIME: Millis = 2000.0;
-/// Queue delay at a node that is tolerated, in tightest latency objectives.
+/// Queue delay that is tolerated at a node, as a multiple of the tightest latency objective.
 const TOLERATED_QUEUE_SHARE: f64 = 0.06;
-/// Share of its own service time by which an attempt may take longer unqueued.
+/// Maximum deviation of an unqueued attempt above its expected service time, as a share of it.
 const SERVICE_TIME_VARIATION: f64 = 0.5;
-/// What is left of a node's concurrency limit when its queue was longer than tolerated.
+/// Multiplicative decrease of the concurrency limit after a queue delay beyond the tolerated one.
 const DECREASE_FACTOR: f64 = 0.75;
 /// Weight of a new sample in running means.
 const NEW_SAMPLE_WEIGHT: f64 = 0.2;
-/// Time constant with which a reported queue delay fades, ms.
+/// Decay time constant of a reported queue delay, ms.
 const REPORT_FADE_TIME: Millis = 1000.0;
-/// A node is unresponsive when an attempt has been in flight for this multiple of its expected latency.
+/// Multiple of its expected latency after which an attempt in flight makes its node unresponsive.
 const UNRESPONSIVE_LATENCY_FACTOR: f64 = 4.0;
-/// Share of the expected latency within which a request may well be answered.
-const OPTIMISM_FACTOR: f64 = 0.7;
-/// The most that one latency counts, as a multiple of the latency expected.
+/// Share of the expected latency that a request may take in the best case.
+const BEST_CASE_LATENCY_FACTOR: f64 = 0.7;
+/// Upper bound of the ratio of actual to expected latency of one response.
 const MAX_LATENCY_RATIO: f64 = 10.0;
-/// Recent losses of answers from which more are expected.
+/// Decayed count of lost responses from which further losses are expected.
 const FREQUENT_LOSSES: f64 = 0.05;
-/// Consecutive failures after which a node is ejected.
+/// Number of consecutive failures that eject a node.
 const EJECT_AFTER_FAILURES: u32 = 2;
-/// The shortest back-off between trial requests, ms.
+/// Minimum back-off between trial requests, ms.
 const MIN_TRIAL_BACKOFF: Millis = 50.0;
-/// The longest back-off between trial requests, ms.
+/// Maximum back-off between trial requests, ms.
 const MAX_TRIAL_BACKOFF: Millis = 400.0;
-/// Share used of what a warming node tolerates.
+/// Share of the tolerated load of a warming node that is used.
 const SLOW_START_SHARE: f64 = 0.7;
-/// The longest time between two evaluations while a request waits, ms.
+/// Maximum interval between evaluations while a request waits, ms.
 const EVALUATION_INTERVAL: Millis = 10.0;
-/// A held request is ended this long before its client leaves, ms, beyond one evaluation interval and one
-/// tick.
-const FINAL_ANSWER_MARGIN: Millis = 4.0;
-/// Share of its client's time for which a request is held without an attempt.
+/// Margin by which a held request ends before its deadline, ms, in addition to one evaluation interval and
+/// one tick.
+const FINAL_RESPONSE_MARGIN: Millis = 4.0;
+/// Share of a client's time for which a request without attempts is held.
 const HOLD_SHARE: f64 = 0.5;
-/// A client that was not served is expected to retry within this, ms.
+/// Period in which a client with an unserved request is expected to retry, ms.
 const CLIENT_RETRY_TIMEOUT: Millis = 2000.0;
-/// Factor on the weight of a client's retry.
+/// Weight factor of retries by clients.
 const CLIENT_RETRY_WEIGHT: f64 = 0.3;
-/// The shortest back-off of a failed poll, ms.
+/// Minimum back-off after a failed poll, ms.
 const MIN_POLL_BACKOFF: Millis = 200.0;
-/// The longest back-off of a failed poll, ms.
+/// Maximum back-off after a failed poll, ms.
 const MAX_POLL_BACKOFF: Millis = 1300.0;
 
-/// A sum that decays with time constant `RECENT_TIME`.
+/// An exponentially decaying sum with time constant `RECENT_TIME`.
 #[derive(Clone, Copy, Default)]
 struct DecayingSum {
     value: f64,
@@ -79,12 +81,12 @@
     }
 }
 
-/// Mean work of a request, in units: what it counts is its size rounded up to whole units.
+/// Mean work of a request, in units. Its size is rounded up to whole units, so the mean is half a unit less.
 fn mean_work(units: f64) -> f64 {
     (units - 0.5).max(0.5)
 }
 
-/// The tightest latency objective, ms, and the largest weight of a request, for its class and plan.
+/// Returns the tightest latency objective, ms, and the largest weight of a request over classes and plans.
 fn objective_and_max_weight(settings: &Settings) -> (Millis, f64) {
     let latency_objective =
         settings.classes.iter().map(|c| c.latency_objective).fold(Millis::INFINITY, Millis::min);
@@ -105,9 +107,10 @@
     number: AttemptNo,
     sent_at: Millis,
     units: f64,
-    /// Latency that was expected, ms.
+    /// Expected latency when it was sent, ms.
     expected: Millis,
-    /// When an answer or a probe sent later came: nodes take work in turn, so it had begun by then.
+    /// When the response to a later attempt or probe arrived. Nodes start work in order of arrival, so this
+    /// attempt had been started by then.
     overtaken_at: Option<Millis>,
 }
 
@@ -119,24 +122,24 @@
     concurrency_limit: f64,
     last_decrease_at: Millis,
     last_sent_at: Millis,
-    /// When the list first named the process that runs now, or its restart was inferred.
-    noticed_at: Millis,
-    /// A restart that the list did not tell of, and until when it is believed.
+    /// When the list first contained the current process, or its restart was inferred.
+    process_seen_at: Millis,
+    /// Time of a restart that the list has not reported, and how long it is assumed.
     inferred_restart_at: Millis,
-    inferred_until: Millis,
-    /// Service time of a unit, ms: falls fast, rises slowly.
+    restart_assumed_until: Millis,
+    /// Running estimate of the service time of a unit, ms; falls fast, rises slowly.
     unit_service_time: Option<f64>,
-    /// Queue delay as last reported, ms, and when.
+    /// Last reported queue delay, ms, and when it was reported.
     reported_queue_delay: Millis,
     reported_at: Millis,
     consecutive_failures: u32,
     next_trial_at: Millis,
-    /// When the probe in flight was sent, and from when on another may be.
+    /// When the probe in flight was sent, and the earliest time of the next one.
     probe_sent_at: Option<Millis>,
     next_probe_at: Millis,
-    /// Units sent recently, for the usage term.
+    /// Decayed sum of sent units, for the usage term.
     recent_units: DecayingSum,
-    /// Sends within the slow-start window: when, units.
+    /// Sends within the slow-start window: time and units.
     recent_sends: VecDeque<(Millis, f64)>,
 }
 
@@ -146,13 +149,13 @@
         Node {
             entry: entry.clone(),
             concurrency_limit,
-            noticed_at: now,
+            process_seen_at: now,
             unit_service_time,
             ..Node::default()
         }
     }
 
-    /// Takes an entry of the list; a new process makes all void that was learnt of the old one.
+    /// Applies an entry of the list. A new process resets all estimates.
     fn apply_entry(&mut self, entry: &NodeEntry, now: Millis) {
         if entry.started_at.is_some() && entry.started_at != self.entry.started_at {
             let in_flight = std::mem::take(&mut self.in_flight);
@@ -161,14 +164,15 @@
         self.entry = entry.clone();
     }
 
-    /// Its nominal size against the mean of those listed.
+    /// Nominal size relative to the mean of the serving nodes.
     fn relative_size(&self, fleet: &FleetEstimates) -> f64 {
         if self.entry.size > 0.0 && fleet.node_size > 0.0 { self.entry.size / fleet.node_size } else { 1.0 }
     }
 
-    /// Share of its capacity that the node has at least; 1 once warm.
+    /// Minimum share of its capacity that the node has; 1 once it is warm.
     fn capacity_share(&self, settings: &Settings, now: Millis) -> f64 {
-        match (now < self.inferred_until).then_some(self.inferred_restart_at).or(self.entry.started_at) {
+        match (now < self.restart_assumed_until).then_some(self.inferred_restart_at).or(self.entry.started_at)
+        {
             Some(at) if now < at + settings.warm_up_time => {
                 settings.initial_capacity
                     + (1.0 - settings.initial_capacity) * ((now - at).max(0.0) / settings.warm_up_time)
@@ -177,8 +181,9 @@
         }
     }
 
-    /// Slow start: within each window, this initiator's share, at the pace of a usual node. A request larger
-    /// than the share waits as many windows as it fills shares, first from the initiator's phase on.
+    /// Applies slow start: per window, this initiator sends at most its share, calculated with the service
+    /// time of a typical node. A larger request is sent alone after as many windows as it needs shares; the
+    /// phase of the initiator offsets the first one.
     fn slow_start_allows(
         &self,
         units: f64,
@@ -196,21 +201,23 @@
         let tolerated = (settings.overload_multiple * capacity_share * settings.slow_start_window
             / fleet.unit_service_time)
             .max(settings.slow_start_min_units * mean_work(1.0));
-        // What an earlier process of this host sent is not known: the share grows over the first window.
+        // Sends of an earlier process of this host are unknown: the share grows over the first window.
         let started_before_host = self.entry.started_at.is_some_and(|at| at < fleet.started_at);
-        let known = if started_before_host {
+        let window_share_elapsed = if started_before_host {
             ((now - fleet.started_at) / settings.slow_start_window).min(1.0)
         } else {
             1.0
         };
-        let share =
-            known * SLOW_START_SHARE * tolerated * self.relative_size(fleet) / fleet.initiators_per_node;
+        let share = window_share_elapsed * SLOW_START_SHARE * tolerated * self.relative_size(fleet)
+            / fleet.initiators_per_node;
         let wait = settings.slow_start_window * units / share;
         recent + units <= share
-            || now >= self.last_sent_at + wait && now >= self.noticed_at + fleet.phase * wait && recent == 0.0
+            || now >= self.last_sent_at + wait
+                && now >= self.process_seen_at + fleet.phase * wait
+                && recent == 0.0
     }
 
-    /// Whether an attempt not overtaken has been in flight far longer than usual.
+    /// Whether an attempt that was not overtaken exceeds its response time-out.
     fn is_unresponsive(&self, fleet: &FleetEstimates, now: Millis) -> bool {
         let queue_delay = self.reported_queue_delay.max(fleet.queue_delay);
         self.in_flight.iter().any(|o| {
@@ -218,13 +225,13 @@
         })
     }
 
-    /// An unresponsive node gets trial requests, ever more rarely.
+    /// Whether a trial request to an unresponsive node is due; the intervals grow.
     fn trial_is_due(&self, now: Millis) -> bool {
         let oldest = self.in_flight.iter().map(|o| o.sent_at).fold(now, Millis::min);
         now - self.last_sent_at >= (self.last_sent_at - oldest).max(MAX_TRIAL_BACKOFF)
     }
 
-    /// How long an attempt may be in flight behind such a queue before more is wrong than the queue.
+    /// Returns the time in flight that a queue delay of `queue_delay` cannot explain.
     fn response_timeout(
         &self,
         queue_delay: Millis,
@@ -235,25 +242,26 @@
             .max(fleet.latency_objective)
     }
 
-    /// Something sent at `sent_at` was answered: what was sent before and is in flight was overtaken.
+    /// Marks earlier attempts as overtaken after a response to something sent at `sent_at`.
     fn mark_overtaken(&mut self, sent_at: Millis, now: Millis) {
         let older = self.in_flight.iter_mut().filter(|o| o.sent_at < sent_at && o.overtaken_at.is_none());
         older.for_each(|o| o.overtaken_at = Some(now));
     }
 
-    /// Whether an attempt was overtaken so long ago that it should have been served: its answer is lost.
+    /// Whether the response to an attempt is presumed lost: it was overtaken longer ago than its maximum
+    /// service time.
     fn is_presumed_lost(&self, attempt: &InFlightAttempt, fleet: &FleetEstimates, now: Millis) -> bool {
         attempt.overtaken_at.is_some_and(|at| now - at > self.max_service_time(attempt, fleet))
     }
 
-    /// Whether a probe would tell a lost answer from a queue: an attempt is overdue.
+    /// Whether to send a probe that distinguishes a lost response from a queue: an attempt is overdue.
     fn probe_is_due(&self, fleet: &FleetEstimates, now: Millis) -> bool {
         let estimate = self.estimated_queue_delay(fleet, now);
         let is_overdue = |o: &InFlightAttempt| {
             o.overtaken_at.is_none() && now - o.sent_at > self.max_service_time(o, fleet) + estimate
         };
-        let serves = self.entry.readiness == Readiness::Serving;
-        serves
+        let is_serving = self.entry.readiness == Readiness::Serving;
+        is_serving
             && self.probe_sent_at.is_none()
             && now >= self.next_probe_at
             && self.in_flight.iter().any(is_overdue)
@@ -263,23 +271,25 @@
         self.consecutive_failures >= EJECT_AFTER_FAILURES || self.is_unresponsive(fleet, now)
     }
 
-    /// Concurrency limit and health: whether one more attempt may be sent. One presumed lost takes no room.
+    /// Whether concurrency limit and health allow another attempt. Attempts that are presumed lost do not
+    /// count.
     fn has_capacity(&self, fleet: &FleetEstimates, now: Millis) -> bool {
         if self.consecutive_failures >= EJECT_AFTER_FAILURES {
             return self.in_flight.is_empty() && now >= self.next_trial_at;
         }
-        let waited_for = self.in_flight.iter().filter(|o| !self.is_presumed_lost(o, fleet, now)).count();
-        (waited_for as f64) < self.concurrency_limit.floor()
+        let pending_attempts =
+            self.in_flight.iter().filter(|o| !self.is_presumed_lost(o, fleet, now)).count();
+        (pending_attempts as f64) < self.concurrency_limit.floor()
             && (!self.is_unresponsive(fleet, now) || self.trial_is_due(now))
     }
 
-    /// Queue delay, ms, as last reported: an old report fades to that of a usual node.
+    /// Returns the estimated queue delay, ms: the last report, decaying towards that of a typical node.
     fn estimated_queue_delay(&self, fleet: &FleetEstimates, now: Millis) -> Millis {
         fleet.queue_delay + (self.reported_queue_delay - fleet.queue_delay) * self.freshness_weight(now)
     }
 
-    /// Queue delay, ms, as last reported and as the attempts in flight imply it. An attempt in flight far
-    /// longer than that shows an unhealthy node or a lost answer, no queue.
+    /// Returns the queue delay, ms, from the last report and from attempts in flight. An attempt in flight
+    /// for far longer indicates an unhealthy node or a lost response rather than a queue.
     fn queue_delay(&self, fleet: &FleetEstimates, now: Millis) -> Millis {
         let may_be_queued = |o: &&InFlightAttempt| {
             now - o.sent_at
@@ -293,42 +303,42 @@
             .fold(estimate, f64::max)
     }
 
-    /// Queue delay that the attempt sent last implies, if it was sent recently and tells anything yet. One
-    /// report a node, and none of an attempt that has been in flight for far longer than the queue reported
-    /// here.
+    /// Returns the queue delay implied by the attempt sent last, if it was sent recently and already provides
+    /// a value. One report per node; none from an attempt that has been in flight for far longer than the
+    /// queue delay reported here.
     fn reported_queue_delay(&self, fleet: &FleetEstimates, now: Millis) -> Option<Millis> {
-        let was_sent_to = now - self.last_sent_at < 2.0 * RECENT_TIME;
+        let has_recent_sends = now - self.last_sent_at < 2.0 * RECENT_TIME;
         let Some(last) = self.in_flight.iter().find(|o| o.sent_at == self.last_sent_at) else {
-            return was_sent_to.then_some(self.reported_queue_delay);
+            return has_recent_sends.then_some(self.reported_queue_delay);
         };
         let implied = self.implied_queue_delay(last, fleet, now);
         let is_within_bounds =
             now - last.sent_at < self.response_timeout(self.reported_queue_delay, last, fleet);
-        (was_sent_to && implied > 0.0 && is_within_bounds).then_some(implied)
+        (has_recent_sends && implied > 0.0 && is_within_bounds).then_some(implied)
     }
 
-    /// How much the last report of the queue delay still counts.
+    /// Returns the remaining weight of the last queue delay report.
     fn freshness_weight(&self, now: Millis) -> f64 {
         (-(now - self.reported_at) / REPORT_FADE_TIME).exp()
     }
 
-    /// Service time of a unit here, ms; that of a usual node as long as none was served.
+    /// Returns the service time of a unit here, ms; that of a typical node if none has been measured.
     fn service_time(&self, fleet: &FleetEstimates) -> Millis {
         self.unit_service_time.map_or(fleet.unit_service_time, |t| t.max(fleet.unit_service_time))
     }
 
-    /// Time that a request takes here without queueing, ms.
+    /// Returns the service time of a request here, ms, without queueing.
     fn expected_service_time(&self, units: f64, fleet: &FleetEstimates) -> Millis {
         mean_work(units) * self.service_time(fleet)
     }
 
-    /// The longest that an attempt may take without queueing, ms.
+    /// Returns the maximum time that an attempt takes without queueing, ms.
     fn max_service_time(&self, attempt: &InFlightAttempt, fleet: &FleetEstimates) -> Millis {
         (1.0 + SERVICE_TIME_VARIATION) * self.expected_service_time(attempt.units, fleet)
     }
 
-    /// The queue delay that an unanswered attempt implies; none once overtaken: it is lost or long, not
-    /// queued.
+    /// Returns the queue delay implied by an attempt in flight; 0 once overtaken, as it is then lost or slow
+    /// rather than queued.
     fn implied_queue_delay(&self, attempt: &InFlightAttempt, fleet: &FleetEstimates, now: Millis) -> Millis {
         if attempt.overtaken_at.is_some() {
             0.0
@@ -337,7 +347,7 @@
         }
     }
 
-    /// Takes a report of the queue delay; the older the last one, the more this one counts.
+    /// Records a queue delay. The older the last report, the greater the weight of this one.
     fn record_queue_delay(&mut self, wait: Millis, now: Millis) {
         let weight = (1.0 - self.freshness_weight(now)).max(NEW_SAMPLE_WEIGHT);
         self.reported_queue_delay += weight * (wait - self.reported_queue_delay);
@@ -368,7 +378,8 @@
         self.recent_sends.retain(|(at, _)| now - at < slow_start_window);
     }
 
-    /// A probe's latency is the queue delay, and what was sent before it has begun by its end.
+    /// Records the end of a probe. Its latency is a queue delay; everything sent before it had been started
+    /// by its end.
     fn record_probe_end(&mut self, outcome: Outcome, now: Millis) {
         let Some(sent_at) = self.probe_sent_at.take() else { return };
         if outcome == Outcome::Served {
@@ -379,7 +390,8 @@
         }
     }
 
-    /// Learns from an attempt's end: health from failures, service time and concurrency limit from latency.
+    /// Updates the node from the end of an attempt: health from failures, service time and concurrency limit
+    /// from latency.
     fn record_attempt_end(&mut self, index: usize, ended: &AttemptEnd, fleet: &FleetEstimates, now: Millis) {
         let limit_was_reached = self.in_flight.len() as f64 + 1.0 > self.concurrency_limit;
         let queue_delay = self.queue_delay(fleet, now);
@@ -389,12 +401,12 @@
             fleet,
         );
         let attempt = self.in_flight.swap_remove(index);
-        // A node that was unresponsive may come back cold before the list tells: all initiators hold requests for
-        // it, and their connections break at one moment.
-        if ended.outcome == Outcome::Reset && ended.latency > timeout && now >= self.inferred_until {
+        // An unresponsive node may come back cold before the list reports it, while all initiators hold
+        // requests for it and their connections break at the same time.
+        if ended.outcome == Outcome::Reset && ended.latency > timeout && now >= self.restart_assumed_until {
             self.inferred_restart_at = now;
-            self.inferred_until = now + RECENT_TIME * (0.5 + fleet.phase);
-            self.noticed_at = now;
+            self.restart_assumed_until = now + RECENT_TIME * (0.5 + fleet.phase);
+            self.process_seen_at = now;
         }
         match ended.outcome {
             Outcome::Served => {
@@ -408,15 +420,15 @@
                 };
                 self.unit_service_time =
                     Some(self.unit_service_time.map_or(service_time, |t| t + weight * (service_time - t)));
-                let answer_queue_delay = ended.latency - self.expected_service_time(attempt.units, fleet);
+                let response_queue_delay = ended.latency - self.expected_service_time(attempt.units, fleet);
                 self.record_queue_delay(
-                    (answer_queue_delay - SERVICE_TIME_VARIATION * (ended.latency - answer_queue_delay))
+                    (response_queue_delay - SERVICE_TIME_VARIATION * (ended.latency - response_queue_delay))
                         .max(0.0),
                     now,
                 );
-                if answer_queue_delay
+                if response_queue_delay
                     <= TOLERATED_QUEUE_SHARE * fleet.latency_objective
-                        + SERVICE_TIME_VARIATION * (ended.latency - answer_queue_delay)
+                        + SERVICE_TIME_VARIATION * (ended.latency - response_queue_delay)
                 {
                     if limit_was_reached {
                         self.concurrency_limit =
@@ -427,15 +439,15 @@
                     self.last_decrease_at = now;
                 }
             }
-            // Its queue holds more than any latency objective allows.
+            // A full queue exceeds every latency objective.
             Outcome::Rejected => {
                 self.concurrency_limit = (self.concurrency_limit * DECREASE_FACTOR).max(1.0);
                 (self.reported_queue_delay, self.reported_at) =
                     (queue_delay.max(fleet.latency_objective), now);
             }
             Outcome::NotSent => {}
-            // A client that left early says nothing about the node's health, nor does an answer that was
-            // lost.
+            // An early time-out of a client says nothing about the health of the node, nor does a lost
+            // response.
             Outcome::TimedOut if ended.latency < timeout => {
                 (self.reported_queue_delay, self.reported_at) = (queue_delay, now)
             }
@@ -450,13 +462,13 @@
     }
 }
 
-/// One volume: this initiator's part of its reserve and of its limit.
+/// Quota of one volume: the shares of its reserve and of its limit that this initiator has.
 struct VolumeQuota {
     plan: PlanId,
     initiators: f64,
-    /// Units that still have full weight.
+    /// Units available at full weight.
     reserve: f64,
-    /// Limit units that may still be sent.
+    /// Units that the limit allows now.
     limit_tokens: f64,
     refilled_at: Millis,
     /// Units sent beyond the reserve recently.
@@ -464,8 +476,8 @@
 }
 
 impl VolumeQuota {
-    /// An even part of reserve and limit is this initiator's. The limit's bucket is empty at its start, since
-    /// what it sent before a restart is unknown.
+    /// Refills reserve and limit with the even share of this initiator. The limit starts empty, since sends
+    /// before a restart are unknown.
     fn refill(&mut self, settings: &Settings, now: Millis) {
         let rate = settings.plans[self.plan.0].reserve_rate / self.initiators;
         self.reserve =
@@ -474,7 +486,7 @@
         self.refilled_at = now;
     }
 
-    /// Units that the limit allows at a moment from the last refill on, if none is sent until then.
+    /// Returns the units that the limit allows at `at`, if none are sent until then.
     fn tokens_at(&self, settings: &Settings, at: Millis) -> f64 {
         let plan = &settings.plans[self.plan.0];
         if plan.limit_rate <= 0.0 {
@@ -485,17 +497,18 @@
         filled.min(plan.limit_burst / self.initiators)
     }
 
-    /// Weight of a unit that is `units_over` units beyond the reserve: that of the share as long as the
-    /// volume takes no more than it is sized for, then falling to that of spare capacity.
+    /// Returns the weight of a unit that is `units_over` units beyond the reserve: the shared weight while
+    /// the volume is within its base rate, then falling to the spare weight.
     fn over_reserve_weight(&self, units_over: f64, settings: &Settings, now: Millis) -> f64 {
-        let sized_for = settings.plans[self.plan.0].base_rate * RECENT_TIME / 1000.0;
-        let within_share =
-            (sized_for / (self.recent_over_reserve.get(now) + units_over).max(sized_for)).min(1.0);
-        settings.spare_weight + (settings.shared_weight - settings.spare_weight) * within_share
+        let provisioned_units = settings.plans[self.plan.0].base_rate * RECENT_TIME / 1000.0;
+        let provisioned_share = (provisioned_units
+            / (self.recent_over_reserve.get(now) + units_over).max(provisioned_units))
+        .min(1.0);
+        settings.spare_weight + (settings.shared_weight - settings.spare_weight) * provisioned_share
     }
 }
 
-/// What is known of an attempt's execution.
+/// Whether an attempt may have been executed.
 #[derive(Clone, Copy, PartialEq)]
 enum Execution {
     InFlight,
@@ -511,18 +524,18 @@
     execution: Execution,
 }
 
-/// One request: attempts, due time, what may have been executed.
+/// One request with its attempts and deadlines.
 struct Request {
     arrival: Arrival,
     due_at: Millis,
-    /// Until when it may be held without an attempt.
+    /// Time until which it may be held without an attempt.
     hold_until: Millis,
     attempts: Vec<Attempt>,
-    /// Where it waits: the node of its shard, or for a new object the one drawn.
+    /// Assigned node: the one of its shard, or the one drawn for a new object.
     node: Option<NodeId>,
     is_over: bool,
     is_streaming: bool,
-    /// Its client asks again for an item that was not served here recently.
+    /// Whether a client retries an item that was recently not served here.
     is_client_retry: bool,
 }
 
@@ -537,7 +550,7 @@
     fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|t| t.execution != Execution::NotExecuted)
     }
-    /// Until when another attempt may leave: its client waits, and nodes deduplicate.
+    /// Returns the time until which another attempt may be sent: the client is waiting and nodes deduplicate.
     fn may_be_sent_until(&self, effect: Effect, tick: Millis) -> Millis {
         let Effect::IdempotencyKey { window, .. } = effect else { return self.arrival.expires_at };
         let window_end =
@@ -560,7 +573,7 @@
             }
         }
     }
-    /// Whether its client may be told that a retry is harmless.
+    /// Whether a retry by the client is harmless.
     fn is_safe_for_client_to_retry(&self, effect: Effect) -> bool {
         let is_safe_anywhere = matches!(
             effect,
@@ -570,40 +583,40 @@
     }
 }
 
-/// Requests of one key that take turns.
+/// Requests of one key, which run one at a time.
 #[derive(Default)]
 struct KeyQueue {
     waiting: VecDeque<RequestId>,
     cooldown_until: Millis,
 }
 
-/// A held request as the order at one node sees it.
+/// A held request in the send order of one node.
 struct RankedRequest {
     id: RequestId,
     due_at: Millis,
     expires_at: Millis,
-    /// Time that it takes the node, and time from its sending to its answer, ms.
+    /// Service time at the node, and time from sending to response, ms.
     expected_service_time: Millis,
     latency: Millis,
-    /// The longest queue at the node that it may join, ms.
+    /// Maximum queue delay that it may join, ms.
     max_queue_delay: Millis,
 }
 
-/// What holds of a usual node, and of the initiators that share the nodes.
+/// Estimates for a typical node and for the initiators that share the nodes.
 struct FleetEstimates {
     /// The tightest latency objective, ms.
     latency_objective: Millis,
-    /// Delay in its queue, ms.
+    /// Its queue delay, ms.
     queue_delay: Millis,
     /// Service time of a unit, ms.
     unit_service_time: Millis,
-    /// Answers lost recently.
+    /// Decayed count of lost responses.
     recent_losses: DecayingSum,
-    /// Its nominal size: the mean of those that are ready.
+    /// Mean nominal size of the serving nodes.
     node_size: f64,
-    /// Running mean of (latency / expected latency - 1); fades to none.
+    /// Running mean of (latency / expected latency - 1); decays to 0.
     excess_latency: DecayingSum,
-    /// Initiators that send to it, and this one's place among them in time, 0 to 1.
+    /// Number of initiators per node, and the random phase of this one, 0 to 1.
     initiators_per_node: f64,
     phase: f64,
     /// When this initiator started.
@@ -611,7 +624,7 @@
 }
 
 impl FleetEstimates {
-    /// What an attempt's end tells of all nodes: whether answers get lost, latency against what was expected.
+    /// Updates the fleet from the end of an attempt: lost responses, and actual against expected latency.
     fn record_attempt_end(
         &mut self,
         attempt: &InFlightAttempt,
@@ -630,13 +643,13 @@
             self.excess_latency.add(NEW_SAMPLE_WEIGHT * (ratio - self.latency_ratio(now)), now);
         }
     }
-    /// Latencies as a multiple of what was expected of them.
+    /// Returns the ratio of actual to expected latency.
     fn latency_ratio(&self, now: Millis) -> f64 {
         1.0 + self.excess_latency.get(now)
     }
 }
 
-/// The decisions of one initiator.
+/// Reference scheduler of one initiator.
 pub struct Scheduler {
     settings: Settings,
     rng: Pcg64Mcg,
@@ -645,12 +658,12 @@
     volumes: BTreeMap<VolumeId, VolumeQuota>,
     requests: BTreeMap<RequestId, Request>,
     key_queues: BTreeMap<Key, KeyQueue>,
-    /// Items whose request was not served, by when its client left.
+    /// Items with an unserved request, by the time the client timed out.
     unserved_items: BTreeMap<(VolumeId, Key), Millis>,
-    /// For the retry budget: when requests arrived, and when retries were sent.
+    /// For the retry budget: times of arrivals and of retries.
     arrivals: VecDeque<Millis>,
     retries: VecDeque<(Millis, RequestId, AttemptNo)>,
-    /// The largest weight of a request, for its class and plan.
+    /// Largest weight of a request over classes and plans.
     max_priority_weight: f64,
     timer_due_at: Option<Millis>,
     next_poll_at: Option<Millis>,
@@ -658,7 +671,7 @@
 }
 
 impl Scheduler {
-    /// A scheduler that has just started and knows nothing.
+    /// Creates a scheduler without endpoints or requests.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         let (latency_objective, max_priority_weight) = objective_and_max_weight(&settings);
         let (nodes, volumes, requests, key_queues, unserved_items, arrivals, retries) = Default::default();
@@ -696,13 +709,13 @@
         }
     }
 
-    /// Takes one event; what is to be done is added to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, event: Event, now: Millis, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList(scope, entries) => self.apply_endpoint_list(scope, &entries, now),
-            // It knows no terms of the list: equal decisions are asked for where none are stated.
+            // Notification terms are not implemented here: decisions are only compared without them.
             Event::DiscoveryCall(_) => {}
-            Event::RequestArrived(arrival) => self.take_request(arrival, now),
+            Event::RequestArrived(arrival) => self.handle_arrival(arrival, now),
             Event::ResponseStarted(id) => {
                 self.requests.entry(id).and_modify(|request| request.is_streaming = true);
             }
@@ -720,7 +733,7 @@
         }
     }
 
-    /// Service time of a unit that was learnt at a node, ms.
+    /// Returns the measured service time of a unit at a node, ms.
     pub fn service_time_of(&self, node: NodeId) -> Option<Millis> {
         self.nodes.get(&node)?.unit_service_time
     }
@@ -742,11 +755,11 @@
         self.nodes.retain(|_, n| n.entry.readiness != Readiness::Removed || !n.in_flight.is_empty());
     }
 
-    fn take_request(&mut self, arrival: Arrival, now: Millis) {
+    fn handle_arrival(&mut self, arrival: Arrival, now: Millis) {
         self.arrivals.push_back(now);
         let class = &self.settings.classes[arrival.class.0];
         let stretch = class.objective_stretch * arrival.units * self.fleet.unit_service_time;
-        // A client that leaves before the objective has passed must be answered before it leaves.
+        // If the client times out before the objective, the response is due before that.
         let due_at = (now + (class.latency_objective + stretch).min(class.deadline)).min(arrival.expires_at);
         if let (true, Some(key)) = (class.in_order, arrival.key) {
             self.key_queues.entry(key).or_default().waiting.push_back(arrival.id);
@@ -763,8 +776,9 @@
         let volume = self.volumes.entry(arrival.volume).or_insert_with(new);
         volume.initiators = volume.initiators.max(f64::from(arrival.volume_initiators));
         let hold_until = now + HOLD_SHARE * (arrival.expires_at - now);
-        let unserved_at = arrival.key.and_then(|key| self.unserved_items.remove(&(arrival.volume, key)));
-        let is_client_retry = unserved_at.is_some_and(|at| now < at + CLIENT_RETRY_TIMEOUT);
+        let unserved_expired_at =
+            arrival.key.and_then(|key| self.unserved_items.remove(&(arrival.volume, key)));
+        let is_client_retry = unserved_expired_at.is_some_and(|at| now < at + CLIENT_RETRY_TIMEOUT);
         let (attempts, node, is_over, is_streaming) = (Vec::new(), None, false, false);
         let request =
             Request { arrival, due_at, hold_until, attempts, node, is_over, is_streaming, is_client_retry };
@@ -794,30 +808,31 @@
         if let (true, Some(key)) = (class.in_order && may_still_run, request.arrival.key) {
             self.key_queues.entry(key).or_default().cooldown_until = now + self.settings.key_cooldown;
         }
-        let is_spent = request.attempts.len() >= self.settings.max_attempts as usize;
+        let no_attempts_left = request.attempts.len() >= self.settings.max_attempts as usize;
         let (is_over, is_streaming, is_expired) =
             (request.is_over, request.is_streaming, now >= request.arrival.expires_at);
         let is_retryable = class.effect != Effect::AtMostOnce || request.first_possibly_executed().is_none();
-        // A new object that failed is drawn again.
+        // A new object is drawn again after a failure.
         request.node = None;
         if ended.is_final || is_over {
-            // What is still in flight would keep its key's turn, and count against a concurrency limit.
+            // Other attempts in flight would block their key and count against a concurrency limit.
             if self.settings.may_cancel && !is_over {
                 actions.extend(request.in_flight().map(|attempt| Action::Cancel { request: id, attempt }));
             }
             self.end_request(id);
-        } else if !is_streaming && (is_expired || request.is_held() && (is_spent || !is_retryable)) {
+        } else if !is_streaming && (is_expired || request.is_held() && (no_attempts_left || !is_retryable)) {
             self.end_unserved(id, is_expired, actions);
         }
     }
 
     fn end_request(&mut self, id: RequestId) {
         self.requests.entry(id).and_modify(|request| request.is_over = true);
-        self.forget(id);
+        self.remove_if_ended(id);
     }
 
-    /// Forgets a request that is over once nothing of it is in flight; only then its key's turn passes on.
-    fn forget(&mut self, id: RequestId) {
+    /// Removes an ended request once it has no attempts in flight; only then the next request of its key may
+    /// start.
+    fn remove_if_ended(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if !request.is_over || request.in_flight().next().is_some() {
             return;
@@ -831,7 +846,7 @@
         self.requests.remove(&id);
     }
 
-    /// The one place that gives final answers: rejected where a client's retry is harmless, else failed.
+    /// Sends all final responses: a rejection if a retry by the client is harmless, otherwise a failure.
     fn end_unserved(&mut self, id: RequestId, is_expired: bool, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.is_over || request.is_streaming {
@@ -874,26 +889,26 @@
         }
     }
 
-    /// Held requests get their final answer before the client leaves, one never sent while it can still ask
-    /// elsewhere; at once where by then slow start or the volume's limit would still not let them go.
+    /// Ends held requests before their deadline; those without an attempt while the client can still retry
+    /// elsewhere, and immediately if slow start or the volume limit would hold them for too long.
     fn end_expired_requests(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let margin = EVALUATION_INTERVAL + self.settings.tick + FINAL_ANSWER_MARGIN;
+        let margin = EVALUATION_INTERVAL + self.settings.tick + FINAL_RESPONSE_MARGIN;
         let is_due = |request: &Request| {
             let is_first = request.attempts.is_empty();
             let latest_at = if is_first { request.hold_until } else { request.arrival.expires_at } - margin;
-            let is_too_cold = |n: &Node| {
+            let slow_start_holds = |n: &Node| {
                 !n.slow_start_allows(request.arrival.units, &self.fleet, &self.settings, latest_at)
             };
             let is_over_limit = || {
                 self.volumes[&request.arrival.volume].tokens_at(&self.settings, latest_at)
                     < request.arrival.units
             };
-            let can_not_be_sent = || {
+            let cannot_be_sent = || {
                 is_first
                     && (is_over_limit()
-                        || request.node.and_then(|id| self.nodes.get(&id)).is_some_and(is_too_cold))
+                        || request.node.and_then(|id| self.nodes.get(&id)).is_some_and(slow_start_holds))
             };
-            request.is_held() && (now >= latest_at || can_not_be_sent())
+            request.is_held() && (now >= latest_at || cannot_be_sent())
         };
         let ids: Vec<_> = self
             .requests
@@ -904,19 +919,21 @@
         ids.into_iter().for_each(|id| self.end_unserved(id, false, actions));
     }
 
-    /// What the nodes show together. An initiator that uses a part of the nodes takes it that as large a part
-    /// of the others uses each node; shortly after its start it counts all.
+    /// Updates the fleet-wide estimates. Assumes that each initiator uses the same share of the nodes as this
+    /// one; shortly after its start, that every initiator uses every node.
     fn refresh_estimates(&mut self, now: Millis) {
         let mut reports: Vec<Millis> =
             self.nodes.values().filter_map(|n| n.reported_queue_delay(&self.fleet, now)).collect();
         reports.sort_by(f64::total_cmp);
         self.fleet.queue_delay = reports.get(reports.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
-        let mut known: Vec<Millis> = self.nodes.values().filter_map(|n| n.unit_service_time).collect();
-        known.sort_by(f64::total_cmp);
-        if let Some(middle) = known.get(known.len() / 2).copied() {
-            // A first answer that came late says little of the service time.
+        let mut known_service_times: Vec<Millis> =
+            self.nodes.values().filter_map(|n| n.unit_service_time).collect();
+        known_service_times.sort_by(f64::total_cmp);
+        if let Some(median) = known_service_times.get(known_service_times.len() / 2).copied() {
+            // Cap each value, because a slow first response says little about the service time.
             self.fleet.unit_service_time =
-                known.iter().map(|t| t.min(2.0 * middle)).sum::<Millis>() / known.len() as f64;
+                known_service_times.iter().map(|t| t.min(2.0 * median)).sum::<Millis>()
+                    / known_service_times.len() as f64;
         }
         let serving = self.nodes.values().filter(|n| n.entry.readiness == Readiness::Serving);
         self.fleet.node_size =
@@ -930,7 +947,7 @@
         self.fleet.initiators_per_node = 1.0 + share * f64::from(self.settings.initiators.saturating_sub(1));
     }
 
-    /// Gives every held request the node it waits for: its shard's, or one drawn by fitness.
+    /// Assigns a node to every held request: that of its shard, or one drawn by fitness.
     fn place_requests(&mut self, now: Millis) {
         let mut by_shard: BTreeMap<ShardId, NodeId> = BTreeMap::new();
         for (id, node) in self.nodes.iter().filter(|(_, n)| n.entry.readiness == Readiness::Serving) {
@@ -963,7 +980,8 @@
         }
     }
 
-    /// The draw over serving nodes; outliers only if all are, a warming node by the capacity that it has.
+    /// Draws a serving node by fitness, an outlier only if all nodes are; a warming node is weighted by its
+    /// available capacity.
     fn draw(&mut self, waiting: &BTreeMap<NodeId, f64>, now: Millis) -> Option<NodeId> {
         let serving: Vec<_> =
             self.nodes.iter().filter(|(_, n)| n.entry.readiness == Readiness::Serving).collect();
@@ -978,7 +996,7 @@
                 / self.settings.mean_units.max(1.0);
             let requests = n.in_flight.len() as f64 + waiting.get(id).copied().unwrap_or(0.0) + others;
             let usage = if total > 0.0 { 100.0 * n.recent_units.get(now) / total / size } else { 0.0 };
-            (size * (1.0 - requests / size / MAX_CONCURRENCY).max(0.0) / USAGE_AGGRESSION.powf(usage))
+            (size * (1.0 - requests / size / MAX_CONCURRENCY).max(0.0) / USAGE_PENALTY_BASE.powf(usage))
                 .max(MIN_FITNESS)
         };
         let measured: Vec<f64> = candidates
@@ -987,18 +1005,18 @@
             .map(|(id, n)| fitness(id, n))
             .collect();
         let average = measured.iter().sum::<f64>() / measured.len().max(1) as f64;
-        let weigh = |(id, n): &(&NodeId, &Node)| {
+        let node_weight = |(id, n): &(&NodeId, &Node)| {
             let is_unmeasured = n.unit_service_time.is_none() && !measured.is_empty();
             let max_fitness = if is_unmeasured { average.min(fitness(id, n)) } else { fitness(id, n) };
             (**id, max_fitness * n.capacity_share(&self.settings, now))
         };
-        let weights: Vec<(NodeId, f64)> = candidates.iter().map(weigh).collect();
-        let mut point = random(&mut self.rng) * weights.iter().map(|(_, w)| w).sum::<f64>();
-        let holds_point = |(_, weight): &&(NodeId, f64)| {
-            point -= weight;
-            point < 0.0
+        let weights: Vec<(NodeId, f64)> = candidates.iter().map(node_weight).collect();
+        let mut remaining = random(&mut self.rng) * weights.iter().map(|(_, w)| w).sum::<f64>();
+        let contains_drawn_value = |(_, weight): &&(NodeId, f64)| {
+            remaining -= weight;
+            remaining < 0.0
         };
-        weights.iter().find(holds_point).or(weights.last()).map(|(id, _)| *id)
+        weights.iter().find(contains_drawn_value).or(weights.last()).map(|(id, _)| *id)
     }
 
     fn send_held_requests(&mut self, now: Millis, actions: &mut Vec<Action>) {
@@ -1009,7 +1027,7 @@
             }
         }
         for (node, mut ids) in held {
-            // The node's capacity is asked first, so that a full node costs no walk.
+            // Check the capacity first, so that a full node costs no iteration.
             while self.nodes[&node].has_capacity(&self.fleet, now) {
                 ids.retain(|id| {
                     self.requests.get(id).is_some_and(Request::is_held) && self.may_send(*id, node, now)
@@ -1021,14 +1039,14 @@
         self.recover_lost_attempts(now, actions);
     }
 
-    /// Whether answers were lost recently, and a request may have another attempt while one is in flight.
+    /// Whether responses were lost recently and the settings permit recovery.
     fn hedging_is_enabled(&self, now: Millis) -> bool {
         (self.settings.max_concurrent_attempts > 1 || self.settings.may_cancel)
             && self.fleet.recent_losses.get(now) >= FREQUENT_LOSSES
     }
 
-    /// Nodes with overdue attempts are probed, and what the probe or a later answer overtook is hedged or
-    /// cancelled where another attempt can still make the latency objective.
+    /// Probes nodes with overdue attempts. Hedges or cancels attempts that are presumed lost, if another
+    /// attempt can still meet the latency objective.
     fn recover_lost_attempts(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if !self.hedging_is_enabled(now) {
             return;
@@ -1070,12 +1088,12 @@
         }
     }
 
-    /// The gate that every send passes.
+    /// Checks all rules for a send.
     fn may_send(&self, id: RequestId, at: NodeId, now: Millis) -> bool {
         let (Some(request), Some(node)) = (self.requests.get(&id), self.nodes.get(&at)) else { return false };
         let class = &self.settings.classes[request.arrival.class.0];
         let is_first = request.attempts.is_empty();
-        let is_turn =
+        let is_next_for_key =
             match request.arrival.key.filter(|_| class.in_order).and_then(|k| self.key_queues.get(&k)) {
                 Some(queue) => {
                     queue.waiting.front() == Some(&id) && (!is_first || now >= queue.cooldown_until)
@@ -1090,7 +1108,7 @@
             && node.has_capacity(&self.fleet, now)
             && node.slow_start_allows(request.arrival.units, &self.fleet, &self.settings, now)
             && request.attempts.len() < self.settings.max_attempts as usize
-            && is_turn
+            && is_next_for_key
             && (!is_first || volume.tokens_at(&self.settings, now) >= request.arrival.units)
             && request.effect_allows(node, class.effect, self.settings.tick, now)
             && (is_first || self.retry_budget_allows(now))
@@ -1098,7 +1116,7 @@
 
     fn retry_budget_allows(&self, now: Millis) -> bool {
         let Some(budget) = self.settings.retry_budget else { return true };
-        // Counted to the safe side of the window's edge by one tick.
+        // Both window edges are shifted by one tick to the safe side.
         let arrivals =
             self.arrivals.iter().filter(|at| now - **at < budget.span - self.settings.tick).count() as f64;
         let retries =
@@ -1107,9 +1125,9 @@
         retries + 1.0 <= budget.floor + budget.ratio * arrivals
     }
 
-    /// Earliest due first, of what can make its objective. The exception: a request of less weight joins only
-    /// shorter queues, and a late one only if nothing of this initiator is in flight there. What can no more
-    /// be answered in its client's time gets its final answer.
+    /// Chooses the request to send next: earliest due first, among those that can meet their objective. A
+    /// request of lower weight joins only shorter queues, and a late one is sent only if this initiator has
+    /// nothing in flight there. Requests that would expire get their final response.
     fn choose_next(
         &mut self,
         ids: &[RequestId],
@@ -1117,7 +1135,7 @@
         now: Millis,
         actions: &mut Vec<Action>,
     ) -> Option<RequestId> {
-        let (timely, mut late): (Vec<_>, Vec<_>) =
+        let (on_time, mut late): (Vec<_>, Vec<_>) =
             self.rank(ids, at, now).into_iter().partition(|request| now + request.latency <= request.due_at);
         late.sort_by(|x, y| y.max_queue_delay.total_cmp(&x.max_queue_delay));
         let node = &self.nodes[&at];
@@ -1127,13 +1145,13 @@
                 && node.in_flight.is_empty()
                 && queue_delay <= request.max_queue_delay
         };
-        let next = timely
+        let next = on_time
             .iter()
             .find(|request| queue_delay <= request.max_queue_delay)
             .or(late.iter().find(may_join_late))
             .map(|request| request.id);
         let mut wait = 0.0;
-        for request in timely.iter().chain(&late) {
+        for request in on_time.iter().chain(&late) {
             if now + wait + request.latency > request.expires_at {
                 self.end_unserved(request.id, false, actions);
             } else {
@@ -1143,7 +1161,7 @@
         next
     }
 
-    /// Earliest due first, with the queue that each may join by its weight.
+    /// Ranks requests by due time, each with the queue delay that its weight permits.
     fn rank(&self, ids: &[RequestId], at: NodeId, now: Millis) -> Vec<RankedRequest> {
         let node = &self.nodes[&at];
         let queue_delay = node.queue_delay(&self.fleet, now);
@@ -1160,10 +1178,11 @@
                 volume.over_reserve_weight(-*reserve, &self.settings, now)
             };
             let expected_service_time = node.expected_service_time(request.arrival.units, &self.fleet);
-            // One that came with less time than its objective has only this chance.
-            let optimism = if request.due_at >= request.arrival.expires_at { OPTIMISM_FACTOR } else { 1.0 };
-            let latency = optimism
-                * self.fleet.latency_ratio(now).max(OPTIMISM_FACTOR)
+            // A request that expires before its objective has no second chance.
+            let latency_factor =
+                if request.due_at >= request.arrival.expires_at { BEST_CASE_LATENCY_FACTOR } else { 1.0 };
+            let latency = latency_factor
+                * self.fleet.latency_ratio(now).max(BEST_CASE_LATENCY_FACTOR)
                 * (queue_delay + expected_service_time);
             let class = &self.settings.classes[request.arrival.class.0];
             let late_value = if now + latency > request.due_at { class.late_value } else { 1.0 };
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -1,5 +1,6 @@
-//! What the module decided in an earlier build, as a checksum of its actions over drawn sequences of events.
-//! `equivalence.rs` compares two implementations that may change together; this holds both against the past.
+//! Regression test of decisions: compares a checksum of actions over random event sequences with that of an
+//! earlier build. `equivalence.rs` compares two implementations that may change together; this test pins both
+//! to recorded results.
 
 mod common;
 #[path = "common/script.rs"]
@@ -13,7 +14,7 @@
 const SEEDS: u64 = 60;
 const EVENTS: usize = 900;
 
-/// FNV-1a, 64 bits, over the parts of actions.
+/// FNV-1a, 64 bits, over the fields of actions.
 struct Checksum(u64);
 
 impl Checksum {
@@ -24,7 +25,7 @@
     }
 
     fn add_action(&mut self, action: &Action) {
-        let parts = match *action {
+        let fields = match *action {
             Action::Send { request, node, until } => [1, request.0, node.0.into(), until.to_bits()],
             Action::Cancel { request, attempt } => [2, request.0, attempt.0.into(), 0],
             Action::Probe { node } => [3, node.0.into(), 0, 0],
@@ -33,11 +34,11 @@
             Action::SetTimer { after } => [6, after.to_bits(), 0, 0],
             Action::PollList => [7, 0, 0, 0],
         };
-        parts.into_iter().for_each(|part| self.add(part));
+        fields.into_iter().for_each(|field| self.add(field));
     }
 }
 
-fn play(seed: u64) -> (usize, u64) {
+fn run_sequence(seed: u64) -> (usize, u64) {
     let mut script = Script::new(seed);
     let mut scheduler = Scheduler::new(script.settings(), seed, script.now);
     let (mut count, mut checksum) = (0, Checksum(0xcbf2_9ce4_8422_2325));
@@ -48,7 +49,7 @@
             scheduler.handle(event, script.now, &mut actions);
             actions.iter().for_each(|action| checksum.add_action(action));
             count += actions.len();
-            script.take(&actions);
+            script.apply_actions(&actions);
         }
     }
     let service_times = (0..script.nodes).filter_map(|node| scheduler.service_time_of(NodeId(node)));
@@ -56,11 +57,11 @@
     (count, checksum.0)
 }
 
-/// Guards against a change of arithmetic, of the order of random draws, or of the order of actions.
+/// Guards against changes of arithmetic, of the order of random draws, or of the order of actions.
 #[test]
-fn drawn_sequences_are_decided_as_recorded() {
+fn decisions_for_random_sequences_match_the_recording() {
     let line = |seed| {
-        let (count, checksum) = play(seed);
+        let (count, checksum) = run_sequence(seed);
         format!("seed {seed}: {count} actions, {checksum:016x}\n")
     };
     let text: String = (0..SEEDS).map(line).collect();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,18 +1,18 @@
-//! The safeguards of the module: each test fails when its safeguard is removed.
+//! Safeguards of the module. Each test fails if its safeguard is removed.
 
 mod common;
 
 use common::*;
 use flaxstand::api::*;
 
-fn keyed(group: DeduplicationScope, window: Millis) -> Settings {
+fn idempotency_key_settings(group: DeduplicationScope, window: Millis) -> Settings {
     let mut settings = settings();
     settings.classes[0].effect = Effect::IdempotencyKey { group, window };
     settings
 }
 
 #[test]
-fn a_request_never_sent_is_rejected_by_half_of_its_clients_time() {
+fn an_unsent_request_is_rejected_within_half_of_its_clients_time() {
     let mut host = Host::new(settings(), 0);
     host.arrive(arrival(1, Some(0), host.now + 800.0));
     host.advance(370.0);
@@ -20,11 +20,11 @@
     host.advance(29.0);
     assert!(is_rejected(&host.take_actions(), 1));
     host.advance(500.0);
-    assert_eq!(host.take_actions(), [], "one final answer, nothing after it");
+    assert_eq!(host.take_actions(), [], "exactly one final response");
 }
 
 #[test]
-fn a_held_request_that_was_sent_is_answered_before_its_client_leaves() {
+fn a_held_request_with_an_attempt_is_answered_before_its_client_times_out() {
     let mut host = Host::new(settings(), 1);
     host.arrive(arrival(1, Some(0), host.now + 800.0));
     assert_eq!(host.take_sends(), [(1, 0)]);
@@ -37,11 +37,11 @@
 }
 
 #[test]
-fn a_node_that_left_the_list_leaves_nothing_behind() {
+fn a_removed_node_leaves_no_state() {
     let mut host = Host::new(settings(), 1);
     host.serve_one(1, 0, 20.0);
     assert!(host.scheduler.service_time_of(NodeId(0)).is_some());
-    // A new object that was drawn for it waits on when all are gone.
+    // A new object that was assigned to it stays held after all nodes are removed.
     host.apply_list(ListScope::Changes, vec![entry(0, Readiness::Draining, None)]);
     host.arrive(arrival(2, None, host.now + 800.0));
     host.advance(20.0);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_request_that_its_client_left() {
+fn nothing_is_sent_after_the_client_disconnected() {
     let mut host = Host::new(settings(), 1);
     host.handle(Event::RequestArrived(arrival(1, Some(0), host.now + 400.0)));
     host.handle(Event::ClientDisconnected(RequestId(1)));
@@ -81,26 +81,26 @@
         assert_eq!(host.take_sends(), [(1, 0)], "attempt {attempt}");
         host.end_attempt(1, attempt, Outcome::Error, 5.0);
     }
-    assert!(is_rejected(&host.take_actions(), 1), "no attempt is left: rejected at once");
+    assert!(is_rejected(&host.take_actions(), 1), "all attempts are used: rejected immediately");
 }
 
 #[test]
-fn a_draining_or_absent_node_gets_nothing_new() {
+fn a_draining_or_absent_node_gets_no_new_requests() {
     let mut host = Host::new(settings(), 2);
     host.apply_list(ListScope::Changes, vec![entry(0, Readiness::Draining, None)]);
     host.arrive(arrival(1, Some(0), host.now + 300.0));
     assert_eq!(host.take_sends(), []);
     host.apply_list(ListScope::Full, vec![entry(0, Readiness::Serving, None)]);
     host.arrive(arrival(2, Some(1), host.now + 300.0));
-    assert_eq!(host.take_sends(), [(1, 0)], "back in the list; node 1 is absent from it");
+    assert_eq!(host.take_sends(), [(1, 0)], "node 0 is listed again, node 1 is absent");
     host.apply_list(ListScope::Failed, vec![]);
     host.end_attempt(1, 0, Outcome::Served, 20.0);
     host.arrive(arrival(3, Some(0), host.now + 300.0));
-    assert_eq!(host.take_sends(), [(3, 0)], "a failed call changes nothing");
+    assert_eq!(host.take_sends(), [(3, 0)], "a failed call leaves the list unchanged");
 }
 
 #[test]
-fn a_successor_takes_over_its_shard() {
+fn a_successor_node_takes_over_the_shard() {
     let mut host = Host::new(settings(), 1);
     let successor =
         NodeEntry { shard: ShardId(0), ..entry(9, Readiness::Serving, Some(host.now - 50_000.0)) };
@@ -123,8 +123,8 @@
     assert_eq!(host.take_actions(), [Action::PollList]);
 }
 
-/// Simulates a warming node that answers each attempt with `outcome` after `latency`, and returns the most
-/// units that this initiator sent it within any second.
+/// Simulates a warming node that ends each attempt with `outcome` after `latency`. Returns the maximum number
+/// of units that this initiator sends it within a second.
 fn max_sent_while_warming(outcome: Outcome, latency: Millis) -> f64 {
     let mut host = Host::new(settings(), 2);
     for id in 0..20 {
@@ -154,32 +154,37 @@
 }
 
 #[test]
-fn a_warming_node_gets_at_most_this_initiators_share_even_when_it_rejects_fast() {
-    // A node that rejected requests as full gets none within the latency objective, warming up or not.
-    for (outcome, latency, least) in [(Outcome::Served, 20.0, 2.0), (Outcome::Rejected, 1.0, 1.0)] {
-        let most = max_sent_while_warming(outcome, latency);
-        // 4 x its capacity three seconds after the start (0.44), at 20 ms a unit, halved for two initiators.
-        assert!(most >= least && most <= 4.0 * 0.44 * 1000.0 / 20.0 / 2.0, "{outcome:?}: {most}");
+fn a_warming_node_gets_at_most_this_initiators_share_even_when_it_rejects_immediately() {
+    // A node that rejects requests because its queue is full gets no more for the duration of the latency
+    // objective, warming up or not.
+    for (outcome, latency, min_units) in [(Outcome::Served, 20.0, 2.0), (Outcome::Rejected, 1.0, 1.0)] {
+        let max_units = max_sent_while_warming(outcome, latency);
+        // 4 times its capacity three seconds after the start (0.44), at 20 ms per unit, halved for two
+        // initiators.
+        assert!(
+            max_units >= min_units && max_units <= 4.0 * 0.44 * 1000.0 / 20.0 / 2.0,
+            "{outcome:?}: {max_units} units within a second"
+        );
     }
 }
 
-/// The most units that `hosts` initiators together send within a second to a node that has just started, when
-/// each has requests for it all the time; each of them uses `used` of ten nodes.
-fn max_sent_while_warming_by_all(hosts: u32, used: u32) -> f64 {
-    let settings = Settings { initiators: hosts, plans: vec![plan(1000.0)], ..settings() };
-    let users = u64::from((hosts * used).div_ceil(10));
+/// Returns the maximum number of units that `initiators` initiators together send within a second to a node
+/// that has just started. Each of them always has requests for it and uses `used_nodes` of ten nodes.
+fn max_sent_while_warming_by_all(initiators: u32, used_nodes: u32) -> f64 {
+    let settings = Settings { initiators, plans: vec![plan(1000.0)], ..settings() };
+    let active_initiators = u64::from((initiators * used_nodes).div_ceil(10));
     let mut sends: Vec<Millis> = vec![];
-    for seed in 0..users {
+    for seed in 0..active_initiators {
         let mut host = Host::seeded(settings.clone(), 10, seed);
         host.advance(5000.0);
-        for id in 0..u64::from(used) {
+        for id in 0..u64::from(used_nodes) {
             host.serve_one(1_000_000 + id, id as i64, 20.0);
         }
         host.apply_list(ListScope::Changes, vec![entry(0, Readiness::Serving, Some(host.now))]);
         let started = host.now;
         for id in 0..40 {
             host.arrive(arrival(id, Some(0), host.now + 1500.0));
-            host.arrive(arrival(1000 + id, Some((id % u64::from(used)) as i64), host.now + 1500.0));
+            host.arrive(arrival(1000 + id, Some((id % u64::from(used_nodes)) as i64), host.now + 1500.0));
             host.now += 70.0;
             host.advance(5.0);
             for (id, node) in host.take_sends() {
@@ -195,20 +200,24 @@
 
 #[test]
 fn initiators_together_never_overload_a_warming_node() {
-    for (hosts, used) in [(1, 10), (3, 10), (30, 10), (30, 3), (300, 10), (300, 3)] {
-        let most = max_sent_while_warming_by_all(hosts, used);
-        // 4 x its capacity four seconds after the start (0.52), at 20 ms a unit.
-        assert!((1.0..=4.0 * 0.52 * 1000.0 / 20.0).contains(&most), "{hosts} hosts, {used}: {most}");
+    for (initiators, used_nodes) in [(1, 10), (3, 10), (30, 10), (30, 3), (300, 10), (300, 3)] {
+        let max_units = max_sent_while_warming_by_all(initiators, used_nodes);
+        // 4 times its capacity four seconds after the start (0.52), at 20 ms per unit.
+        assert!(
+            (1.0..=4.0 * 0.52 * 1000.0 / 20.0).contains(&max_units),
+            "{initiators} initiators, {used_nodes} nodes each: {max_units} units within a second"
+        );
     }
 }
 
-/// Units that `hosts` initiators together send within the first second to a warm node that was unresponsive
-/// for a second and whose connections then break at one moment: it comes back cold, and no list tells of it
-/// yet. Each initiator has one attempt in flight there, which may be retried, and three more requests held.
-fn sent_after_restart_by_all(hosts: u32) -> f64 {
-    let settings = Settings { initiators: hosts, ..settings() };
+/// Returns the units that `initiators` initiators together send within a second after connections to a warm
+/// node break simultaneously. The node was unresponsive for a second and comes back cold, and no list reports
+/// it yet. Each initiator has one attempt in flight there, which may be retried, and holds three more
+/// requests.
+fn sent_after_restart_by_all(initiators: u32) -> f64 {
+    let settings = Settings { initiators, ..settings() };
     let mut sends: Vec<Millis> = vec![];
-    for seed in 0..u64::from(hosts) {
+    for seed in 0..u64::from(initiators) {
         let mut host = Host::seeded(settings.clone(), 10, seed);
         host.advance(5000.0);
         (0..10).for_each(|id| host.serve_one(1_000_000 + id, id as i64, 20.0));
@@ -221,30 +230,33 @@
         assert!(trials.len() <= 1);
         host.end_attempt(1, 0, Outcome::Reset, 1000.0);
         trials.iter().for_each(|(id, _)| host.end_attempt(*id, 0, Outcome::Reset, 100.0));
-        let back = host.now;
+        let reset_at = host.now;
         let before = sends.len();
-        while host.now < back + 1000.0 || host.now < back + 5000.0 && sends.len() == before {
-            sends.extend(host.take_sends().iter().map(|_| host.now - back));
+        while host.now < reset_at + 1000.0 || host.now < reset_at + 5000.0 && sends.len() == before {
+            sends.extend(host.take_sends().iter().map(|_| host.now - reset_at));
             host.advance(10.0);
         }
-        assert!(sends.len() > before, "it is used again even if no list ever tells");
+        assert!(sends.len() > before, "the node is used again even if no list reports the restart");
     }
     sends.iter().filter(|at| **at < 1000.0).count() as f64
 }
 
 #[test]
-fn initiators_do_not_overload_a_node_that_restarted_before_the_list_tells() {
-    for hosts in [30, 150] {
-        let most = sent_after_restart_by_all(hosts);
-        // 4 x its capacity within the second after its start (0.28), at 20 ms a unit.
-        assert!(most <= 4.0 * 0.28 * 1000.0 / 20.0, "{hosts} hosts: {most}");
+fn initiators_do_not_overload_a_restarted_node_before_the_list_reports_it() {
+    for initiators in [30, 150] {
+        let max_units = sent_after_restart_by_all(initiators);
+        // 4 times its capacity a second after its start (0.28), at 20 ms per unit.
+        assert!(
+            max_units <= 4.0 * 0.28 * 1000.0 / 20.0,
+            "{initiators} initiators: {max_units} units within a second"
+        );
     }
 }
 
-/// Guards against a node that is left nearly unused for two seconds because two spoilt answers were taken for
-/// a restart.
+/// Guards against leaving a node nearly unused for two seconds because two failed attempts are mistaken for a
+/// restart.
 #[test]
-fn a_node_that_failed_twice_and_answers_is_not_taken_for_restarted() {
+fn a_node_that_failed_twice_and_recovered_is_not_presumed_restarted() {
     let mut host = Host::new(Settings { initiators: 30, ..settings() }, 1);
     (0..5).for_each(|id| host.serve_one(100 + id, 0, 20.0));
     host.arrive(arrival(1, Some(0), host.now + 1400.0));
@@ -254,7 +266,7 @@
     host.take_actions();
     (2..6).for_each(|id| {
         host.arrive(arrival(id, Some(0), host.now + 1400.0));
-        assert_eq!(host.take_sends(), [(id, 0)], "at once");
+        assert_eq!(host.take_sends(), [(id, 0)], "sent immediately");
         host.end_attempt(id, 0, Outcome::Served, 20.0);
         host.take_actions();
     });
@@ -274,25 +286,25 @@
     assert_eq!(
         host.take_actions(),
         [Action::Fail { request: RequestId(1) }],
-        "not rejected: it may have been executed"
+        "fails rather than being rejected, because it may have been executed"
     );
 }
 
 #[test]
 fn a_request_with_idempotency_key_stays_in_its_scope_and_window() {
-    let mut host = Host::new(keyed(DeduplicationScope::Shard, 300.0), 4);
+    let mut host = Host::new(idempotency_key_settings(DeduplicationScope::Shard, 300.0), 4);
     host.arrive(arrival(1, None, host.now + 1500.0));
     let first = host.take_sends()[0].1;
     host.end_attempt(1, 0, Outcome::Error, 5.0);
     host.advance(100.0);
-    assert_eq!(host.take_sends(), [(1, first)], "the same shard");
+    assert_eq!(host.take_sends(), [(1, first)], "the retry stays in the shard of the first attempt");
     host.advance(150.0);
     host.end_attempt(1, 1, Outcome::Error, 250.0);
     host.advance(60.0);
     host.take_actions();
     host.end_attempt(1, 2, Outcome::Error, 5.0);
     host.advance(2000.0);
-    assert_eq!(host.take_sends(), [], "the window has passed");
+    assert_eq!(host.take_sends(), [], "no retry after the end of the deduplication window");
 }
 
 #[test]
@@ -302,7 +314,7 @@
         (DeduplicationScope::Zone, false),
         (DeduplicationScope::Shard, false),
     ] {
-        let mut host = Host::new(keyed(scope, 50.0), 2);
+        let mut host = Host::new(idempotency_key_settings(scope, 50.0), 2);
         host.arrive(arrival(1, Some(0), host.now + 400.0));
         host.handle(Event::EndpointList(ListScope::Changes, vec![entry(0, Readiness::Draining, None)]));
         host.end_attempt(1, 0, Outcome::Reset, 5.0);
@@ -317,7 +329,7 @@
 }
 
 #[test]
-fn requests_of_a_key_take_turns_and_the_key_pauses_after_a_lost_attempt() {
+fn requests_of_a_key_run_one_at_a_time_with_a_cooldown_after_a_lost_attempt() {
     let mut settings = settings();
     settings.classes[0].in_order = true;
     settings.key_cooldown = 200.0;
@@ -330,13 +342,13 @@
     assert_eq!(host.take_sends(), [(1, 0)]);
     host.end_attempt(1, 0, Outcome::Served, 20.0);
     assert_eq!(host.take_sends(), [(2, 0)]);
-    // The client leaves, but the attempt has no outcome yet: the turn does not pass on.
+    // The client disconnects, but its attempt is still in flight: the next request of the key must wait.
     host.handle(Event::ClientDisconnected(RequestId(2)));
     host.advance(100.0);
     assert_eq!(host.take_sends(), []);
     host.end_attempt(2, 0, Outcome::Reset, 150.0);
     host.advance(195.0);
-    assert_eq!(host.take_sends(), [], "the key pauses");
+    assert_eq!(host.take_sends(), [], "the key is in its cool-down");
     host.advance(10.0);
     assert_eq!(host.take_sends(), [(3, 0)]);
 }
@@ -363,7 +375,7 @@
         }
         host.handle(Event::ClientDisconnected(RequestId(id)));
     }
-    assert_eq!(retries, 3, "2 and a tenth of 10 requests");
+    assert_eq!(retries, 3, "the floor of 2 plus a tenth of 10 requests");
 }
 
 #[test]
@@ -381,16 +393,16 @@
             host.end_attempt(id, 0, Outcome::Served, 10.0);
         }
     }
-    // Four seconds at half of 20 units a second.
-    assert!((30.0..=40.0).contains(&sent), "{sent}");
+    // Four seconds at half of 20 units per second.
+    assert!((30.0..=40.0).contains(&sent), "expected 30 to 40 units, sent {sent}");
 }
 
 #[test]
-fn a_streamed_answer_that_started_belongs_to_the_client() {
+fn a_streaming_response_is_neither_cancelled_nor_answered() {
     let mut host = Host::new(settings(), 1);
     host.arrive(arrival(1, Some(0), host.now + 300.0));
     host.take_actions();
     host.handle(Event::ResponseStarted(RequestId(1)));
     host.advance(2000.0);
-    assert_eq!(host.take_actions(), [], "neither cancelled nor answered");
+    assert_eq!(host.take_actions(), [], "a streaming response is neither cancelled nor answered");
 }
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -1,55 +1,60 @@
-//! Work grows with the nodes in use, not with the nodes listed: measured in visits of nodes, which the
-//! scheduler counts.
+//! Work per event grows with the number of nodes in use, not with the number of listed nodes. Work is
+//! measured in node visits, which the scheduler counts.
 
 mod common;
 
 use common::*;
 use flaxstand::api::*;
 
-/// Nodes that get requests; the others are listed only.
+/// Number of nodes that get requests; the others are only listed.
 const IN_USE: u32 = 100;
-/// Listed nodes: hardly more than are in use, and as many as a site may list.
+/// Numbers of listed nodes: hardly more than are in use, and as many as a large site lists.
 const FEW: u32 = IN_USE + 1;
 const MANY: u32 = 25_000;
 
-/// Settings under which a node's share is the same however many are listed: there is no other initiator.
-fn alone() -> Settings {
+/// Settings with a single initiator, so that its share of a node does not depend on the number of listed
+/// nodes.
+fn single_initiator_settings() -> Settings {
     Settings { initiators: 1, max_concurrent_attempts: 2, may_probe: true, ..settings() }
 }
 
-/// A host with all of its nodes in use, and the others at rest.
-struct Site {
+/// A host with [`IN_USE`] nodes in use and the others idle.
+struct Fleet {
     host: Host,
-    next: u64,
+    next_id: u64,
 }
 
-impl Site {
+impl Fleet {
     fn new(listed: u32) -> Self {
-        let mut site = Site { host: Host::new(alone(), listed), next: 0 };
-        site.host.now += 10_000.0;
+        let mut fleet = Fleet { host: Host::new(single_initiator_settings(), listed), next_id: 0 };
+        fleet.host.now += 10_000.0;
         for _ in 0..2 {
-            (0..IN_USE).for_each(|shard| site.request(Some(i64::from(shard)), &[Outcome::Served]));
+            (0..IN_USE).for_each(|shard| fleet.request(Some(i64::from(shard)), &[Outcome::Served]));
         }
-        site
+        fleet
     }
 
-    /// A request from its arrival to its end; its attempts end with these outcomes, one after the other.
+    /// Runs a request from its arrival to its end. Its attempts end with these outcomes, in order.
     fn request(&mut self, shard: Option<i64>, outcomes: &[Outcome]) {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         self.host.arrive(arrival(id, shard, self.host.now + 1500.0));
         for (attempt, outcome) in (0..).zip(outcomes) {
-            assert_eq!(self.host.take_sends().len(), 1, "attempt {attempt} of request {id} is sent at once");
+            assert_eq!(
+                self.host.take_sends().len(),
+                1,
+                "attempt {attempt} of request {id} is sent immediately"
+            );
             self.host.now += 3.0;
             self.host.end_attempt(id, attempt, *outcome, 3.0);
         }
         self.host.take_actions();
     }
 
-    /// Visits of nodes during a part of the site's life.
-    fn visits_during(&mut self, during: impl Fn(&mut Self)) -> u64 {
+    /// Returns the number of node visits while `scenario` runs.
+    fn count_visits(&mut self, scenario: impl Fn(&mut Self)) -> u64 {
         let before = self.host.scheduler.nodes_visited();
-        during(self);
+        scenario(self);
         self.host.scheduler.nodes_visited() - before
     }
 
@@ -63,69 +68,72 @@
     }
 }
 
-/// Visits of nodes during the same part of two sites' lives, with few and with many listed.
-fn visits_with_few_and_many(during: impl Fn(&mut Site)) -> (u64, u64) {
-    (Site::new(FEW).visits_during(&during), Site::new(MANY).visits_during(&during))
+/// Returns the number of node visits while `scenario` runs, with few and with many listed nodes.
+fn visits_with_few_and_many(scenario: impl Fn(&mut Fleet)) -> (u64, u64) {
+    (Fleet::new(FEW).count_visits(&scenario), Fleet::new(MANY).count_visits(&scenario))
 }
 
 #[test]
-fn an_evaluation_does_not_visit_nodes_at_rest() {
-    let (few, many) = visits_with_few_and_many(Site::evaluate);
+fn an_evaluation_does_not_visit_idle_nodes() {
+    let (few, many) = visits_with_few_and_many(Fleet::evaluate);
     assert_eq!(few, many);
-    assert!(many <= 4 * u64::from(IN_USE), "each node in use a few times at most: {many}");
+    assert!(
+        many <= 4 * u64::from(IN_USE),
+        "each node in use is visited a few times at most, got {many} visits"
+    );
 }
 
 #[test]
-fn a_request_to_a_shard_does_not_visit_nodes_at_rest() {
-    let (few, many) = visits_with_few_and_many(|site| site.request(Some(3), &[Outcome::Served]));
+fn a_request_to_a_shard_does_not_visit_idle_nodes() {
+    let (few, many) = visits_with_few_and_many(|fleet| fleet.request(Some(3), &[Outcome::Served]));
     assert_eq!(few, many);
-    assert!(many <= 12 * u64::from(IN_USE), "{many}");
+    assert!(many <= 12 * u64::from(IN_USE), "{many} visits");
 }
 
 #[test]
-fn a_changed_entry_does_not_visit_other_nodes_at_rest() {
-    let at_rest = IN_USE;
-    for node in [3, at_rest] {
-        let (few, many) = visits_with_few_and_many(|site| {
-            site.change(node, Readiness::Draining, None);
-            site.change(node, Readiness::Serving, Some(site.host.now));
-            site.change(node, Readiness::Removed, None);
-            site.change(node, Readiness::Serving, None);
+fn a_changed_entry_does_not_visit_other_idle_nodes() {
+    let idle_node = IN_USE;
+    for node in [3, idle_node] {
+        let (few, many) = visits_with_few_and_many(|fleet| {
+            fleet.change(node, Readiness::Draining, None);
+            fleet.change(node, Readiness::Serving, Some(fleet.host.now));
+            fleet.change(node, Readiness::Removed, None);
+            fleet.change(node, Readiness::Serving, None);
         });
         assert_eq!(few, many, "node {node}");
-        assert!(many <= 24 * u64::from(IN_USE), "{many}");
+        assert!(many <= 24 * u64::from(IN_USE), "{many} visits");
     }
 }
 
 #[test]
-fn lost_answers_are_searched_among_nodes_in_use_only() {
-    let (few, many) = visits_with_few_and_many(|site| {
+fn loss_detection_visits_only_nodes_in_use() {
+    let (few, many) = visits_with_few_and_many(|fleet| {
         let (lost, later) = (900_000, 900_001);
-        site.host.arrive(arrival(lost, Some(3), site.host.now + 1500.0));
-        site.host.now += 1.0;
-        site.host.arrive(arrival(later, Some(3), site.host.now + 1500.0));
-        site.host.now += 3.0;
-        site.host.end_attempt(later, 0, Outcome::Served, 3.0);
-        site.host.advance(300.0);
-        site.host.end_attempt(lost, 0, Outcome::TimedOut, 304.0);
-        site.host.arrive(arrival(lost + 2, Some(4), site.host.now + 1500.0));
-        site.host.advance(150.0);
-        let probes = site.host.take_actions().iter().filter(|a| matches!(a, Action::Probe { .. })).count();
-        assert!(probes > 0, "an attempt that is in flight for long is probed for");
+        fleet.host.arrive(arrival(lost, Some(3), fleet.host.now + 1500.0));
+        fleet.host.now += 1.0;
+        fleet.host.arrive(arrival(later, Some(3), fleet.host.now + 1500.0));
+        fleet.host.now += 3.0;
+        fleet.host.end_attempt(later, 0, Outcome::Served, 3.0);
+        fleet.host.advance(300.0);
+        fleet.host.end_attempt(lost, 0, Outcome::TimedOut, 304.0);
+        fleet.host.arrive(arrival(lost + 2, Some(4), fleet.host.now + 1500.0));
+        fleet.host.advance(150.0);
+        let probes = fleet.host.take_actions().iter().filter(|a| matches!(a, Action::Probe { .. })).count();
+        assert!(probes > 0, "an overdue attempt triggers a probe");
     });
     assert_eq!(few, many);
 }
 
 #[test]
-fn a_long_run_does_not_visit_nodes_at_rest() {
-    let (few, many) = visits_with_few_and_many(|site| {
+fn a_long_run_does_not_visit_idle_nodes() {
+    let (few, many) = visits_with_few_and_many(|fleet| {
         for step in 0..2000 {
             let shard = i64::from(step * 7 % IN_USE);
             let outcomes = [Outcome::Error, Outcome::Served];
-            site.request(Some(shard), if step % 97 == 5 { &outcomes } else { &outcomes[1..] });
+            fleet.request(Some(shard), if step % 97 == 5 { &outcomes } else { &outcomes[1..] });
             if step % 50 == 0 {
-                site.change(step / 50, Readiness::Draining, None);
-                site.change(step / 50, Readiness::Serving, None);
+                fleet.change(step / 50, Readiness::Draining, None);
+                fleet.change(step / 50, Readiness::Serving, None);
             }
         }
     });
@@ -133,33 +141,44 @@
 }
 
 #[test]
-fn nodes_that_were_in_use_come_to_rest() {
-    let mut site = Site::new(MANY);
-    site.host.advance(30_000.0);
-    assert_eq!(site.visits_during(Site::evaluate), 0);
+fn nodes_become_idle_after_use() {
+    let mut fleet = Fleet::new(MANY);
+    fleet.host.advance(30_000.0);
+    assert_eq!(fleet.count_visits(Fleet::evaluate), 0);
 }
 
 #[test]
-fn new_objects_of_one_evaluation_take_one_walk_over_serving_nodes() {
+fn new_objects_of_one_evaluation_take_one_iteration_over_serving_nodes() {
     let draw = |objects: u64| {
-        move |site: &mut Site| {
+        move |fleet: &mut Fleet| {
             for id in 0..objects {
-                site.host.handle(Event::RequestArrived(arrival(800_000 + id, None, site.host.now + 1500.0)));
+                fleet.host.handle(Event::RequestArrived(arrival(
+                    800_000 + id,
+                    None,
+                    fleet.host.now + 1500.0,
+                )));
             }
-            site.evaluate();
+            fleet.evaluate();
         }
     };
-    let further = |count: (u64, u64)| count.1 - count.0;
-    assert_eq!(further(visits_with_few_and_many(draw(1))), u64::from(MANY - FEW), "each serving node once");
+    let additional_visits = |count: (u64, u64)| count.1 - count.0;
+    assert_eq!(
+        additional_visits(visits_with_few_and_many(draw(1))),
+        u64::from(MANY - FEW),
+        "each serving node is visited once"
+    );
     let listed = u64::from(MANY);
-    let (one, ten) = (Site::new(MANY).visits_during(draw(1)), Site::new(MANY).visits_during(draw(10)));
-    assert!(one >= listed && ten < one + listed, "ten draws take the one walk too: {one}, {ten}");
+    let (one, ten) = (Fleet::new(MANY).count_visits(draw(1)), Fleet::new(MANY).count_visits(draw(10)));
+    assert!(
+        one >= listed && ten < one + listed,
+        "ten draws share one iteration: {one} visits for one, {ten} for ten"
+    );
 }
 
 #[test]
-fn a_full_list_takes_a_few_walks() {
-    let mut site = Site::new(MANY);
+fn a_full_list_takes_few_iterations() {
+    let mut fleet = Fleet::new(MANY);
     let entries: Vec<NodeEntry> = (0..MANY).map(|node| entry(node, Readiness::Serving, None)).collect();
-    let visits = site.visits_during(|site| site.host.apply_list(ListScope::Full, entries.clone()));
-    assert!(visits <= 8 * u64::from(MANY), "{visits}");
+    let visits = fleet.count_visits(|fleet| fleet.host.apply_list(ListScope::Full, entries.clone()));
+    assert!(visits <= 8 * u64::from(MANY), "{visits} visits");
 }
