--- a/tests/plain/scheduler.rs
+++ b/tests/plain/scheduler.rs
@@ -220,14 +220,15 @@
     /// Whether an attempt that was not overtaken exceeds its response time-out.
     fn is_unresponsive(&self, fleet: &FleetEstimates, now: Millis) -> bool {
         let queue_delay = self.reported_queue_delay.max(fleet.queue_delay);
-        self.in_flight.iter().any(|o| {
-            now - o.sent_at > self.response_timeout(queue_delay, o, fleet) && o.overtaken_at.is_none()
+        self.in_flight.iter().any(|attempt| {
+            now - attempt.sent_at > self.response_timeout(queue_delay, attempt, fleet)
+                && attempt.overtaken_at.is_none()
         })
     }
 
     /// Whether a trial request to an unresponsive node is due; the intervals grow.
     fn trial_is_due(&self, now: Millis) -> bool {
-        let oldest = self.in_flight.iter().map(|o| o.sent_at).fold(now, Millis::min);
+        let oldest = self.in_flight.iter().map(|attempt| attempt.sent_at).fold(now, Millis::min);
         now - self.last_sent_at >= (self.last_sent_at - oldest).max(MAX_TRIAL_BACKOFF)
     }
 
@@ -244,8 +245,11 @@
 
     /// Marks earlier attempts as overtaken after a response to something sent at `sent_at`.
     fn mark_overtaken(&mut self, sent_at: Millis, now: Millis) {
-        let older = self.in_flight.iter_mut().filter(|o| o.sent_at < sent_at && o.overtaken_at.is_none());
-        older.for_each(|o| o.overtaken_at = Some(now));
+        let older = self
+            .in_flight
+            .iter_mut()
+            .filter(|attempt| attempt.sent_at < sent_at && attempt.overtaken_at.is_none());
+        older.for_each(|attempt| attempt.overtaken_at = Some(now));
     }
 
     /// Whether the response to an attempt is presumed lost: it was overtaken longer ago than its maximum
@@ -257,8 +261,9 @@
     /// Whether to send a probe that distinguishes a lost response from a queue: an attempt is overdue.
     fn probe_is_due(&self, fleet: &FleetEstimates, now: Millis) -> bool {
         let estimate = self.estimated_queue_delay(fleet, now);
-        let is_overdue = |o: &InFlightAttempt| {
-            o.overtaken_at.is_none() && now - o.sent_at > self.max_service_time(o, fleet) + estimate
+        let is_overdue = |attempt: &InFlightAttempt| {
+            attempt.overtaken_at.is_none()
+                && now - attempt.sent_at > self.max_service_time(attempt, fleet) + estimate
         };
         let is_serving = self.entry.readiness == Readiness::Serving;
         is_serving
@@ -278,7 +283,7 @@
             return self.in_flight.is_empty() && now >= self.next_trial_at;
         }
         let pending_attempts =
-            self.in_flight.iter().filter(|o| !self.is_presumed_lost(o, fleet, now)).count();
+            self.in_flight.iter().filter(|attempt| !self.is_presumed_lost(attempt, fleet, now)).count();
         (pending_attempts as f64) < self.concurrency_limit.floor()
             && (!self.is_unresponsive(fleet, now) || self.trial_is_due(now))
     }
@@ -291,15 +296,15 @@
     /// Returns the queue delay, ms, from the last report and from attempts in flight. An attempt in flight
     /// for far longer indicates an unhealthy node or a lost response rather than a queue.
     fn queue_delay(&self, fleet: &FleetEstimates, now: Millis) -> Millis {
-        let may_be_queued = |o: &&InFlightAttempt| {
-            now - o.sent_at
-                < UNRESPONSIVE_LATENCY_FACTOR * (self.max_service_time(o, fleet) + fleet.queue_delay)
+        let may_be_queued = |attempt: &&InFlightAttempt| {
+            now - attempt.sent_at
+                < UNRESPONSIVE_LATENCY_FACTOR * (self.max_service_time(attempt, fleet) + fleet.queue_delay)
         };
         let estimate = self.estimated_queue_delay(fleet, now);
         self.in_flight
             .iter()
             .filter(may_be_queued)
-            .map(|o| self.implied_queue_delay(o, fleet, now))
+            .map(|attempt| self.implied_queue_delay(attempt, fleet, now))
             .fold(estimate, f64::max)
     }
 
@@ -308,7 +313,7 @@
     /// queue delay reported here.
     fn reported_queue_delay(&self, fleet: &FleetEstimates, now: Millis) -> Option<Millis> {
         let has_recent_sends = now - self.last_sent_at < 2.0 * RECENT_TIME;
-        let Some(last) = self.in_flight.iter().find(|o| o.sent_at == self.last_sent_at) else {
+        let Some(last) = self.in_flight.iter().find(|attempt| attempt.sent_at == self.last_sent_at) else {
             return has_recent_sends.then_some(self.reported_queue_delay);
         };
         let implied = self.implied_queue_delay(last, fleet, now);
@@ -542,7 +547,9 @@
 impl Request {
     fn in_flight(&self) -> impl Iterator<Item = AttemptNo> {
         let numbered = self.attempts.iter().enumerate();
-        numbered.filter(|(_, t)| t.execution == Execution::InFlight).map(|(no, _)| AttemptNo(no as u32))
+        numbered
+            .filter(|(_, t)| t.execution == Execution::InFlight)
+            .map(|(number, _)| AttemptNo(number as u32))
     }
     fn is_held(&self) -> bool {
         !self.is_over && self.in_flight().next().is_none()
@@ -721,7 +728,7 @@
             }
             Event::AttemptEnded(ended) => self.handle_attempt_end(&ended, now, actions),
             Event::ProbeEnded(id, outcome) => {
-                self.nodes.entry(id).and_modify(|n| n.record_probe_end(outcome, now));
+                self.nodes.entry(id).and_modify(|node| node.record_probe_end(outcome, now));
             }
             Event::ClientDisconnected(id) => self.end_request(id),
             Event::SettingsChanged(settings) => {
@@ -747,12 +754,12 @@
         }
         self.failed_polls = 0;
         if scope != ListScope::Changes {
-            self.nodes.values_mut().for_each(|n| n.entry.readiness = Readiness::Removed);
+            self.nodes.values_mut().for_each(|node| node.entry.readiness = Readiness::Removed);
         }
         for entry in entries {
             self.nodes.entry(entry.node).or_insert_with(|| Node::new(entry, now)).apply_entry(entry, now);
         }
-        self.nodes.retain(|_, n| n.entry.readiness != Readiness::Removed || !n.in_flight.is_empty());
+        self.nodes.retain(|_, node| node.entry.readiness != Readiness::Removed || !node.in_flight.is_empty());
     }
 
     fn handle_arrival(&mut self, arrival: Arrival, now: Millis) {
@@ -793,7 +800,8 @@
             _ => Execution::Unknown,
         };
         let (class, id) = (&self.settings.classes[request.arrival.class.0], ended.request);
-        let is_this_attempt = |o: &InFlightAttempt| o.request == id && o.number == ended.attempt;
+        let is_this_attempt =
+            |attempt: &InFlightAttempt| attempt.request == id && attempt.number == ended.attempt;
         if let Some(node) = self.nodes.get_mut(&attempt.node)
             && let Some(index) = node.in_flight.iter().position(is_this_attempt)
         {
@@ -802,7 +810,7 @@
             node.record_attempt_end(index, ended, &self.fleet, now);
         }
         if ended.outcome == Outcome::NotSent {
-            self.retries.retain(|(_, request, no)| (*request, *no) != (id, ended.attempt));
+            self.retries.retain(|(_, request, number)| (*request, *number) != (id, ended.attempt));
         }
         let may_still_run = matches!(ended.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
         if let (true, Some(key)) = (class.in_order && may_still_run, request.arrival.key) {
@@ -896,8 +904,8 @@
         let is_due = |request: &Request| {
             let is_first = request.attempts.is_empty();
             let latest_at = if is_first { request.hold_until } else { request.arrival.expires_at } - margin;
-            let slow_start_holds = |n: &Node| {
-                !n.slow_start_allows(request.arrival.units, &self.fleet, &self.settings, latest_at)
+            let slow_start_holds = |node: &Node| {
+                !node.slow_start_allows(request.arrival.units, &self.fleet, &self.settings, latest_at)
             };
             let is_over_limit = || {
                 self.volumes[&request.arrival.volume].tokens_at(&self.settings, latest_at)
@@ -923,11 +931,11 @@
     /// one; shortly after its start, that every initiator uses every node.
     fn refresh_estimates(&mut self, now: Millis) {
         let mut reports: Vec<Millis> =
-            self.nodes.values().filter_map(|n| n.reported_queue_delay(&self.fleet, now)).collect();
+            self.nodes.values().filter_map(|node| node.reported_queue_delay(&self.fleet, now)).collect();
         reports.sort_by(f64::total_cmp);
         self.fleet.queue_delay = reports.get(reports.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
         let mut known_service_times: Vec<Millis> =
-            self.nodes.values().filter_map(|n| n.unit_service_time).collect();
+            self.nodes.values().filter_map(|node| node.unit_service_time).collect();
         known_service_times.sort_by(f64::total_cmp);
         if let Some(median) = known_service_times.get(known_service_times.len() / 2).copied() {
             // Cap each value, because a slow first response says little about the service time.
@@ -935,10 +943,11 @@
                 known_service_times.iter().map(|t| t.min(2.0 * median)).sum::<Millis>()
                     / known_service_times.len() as f64;
         }
-        let serving = self.nodes.values().filter(|n| n.entry.readiness == Readiness::Serving);
+        let serving = self.nodes.values().filter(|node| node.entry.readiness == Readiness::Serving);
         self.fleet.node_size =
-            serving.clone().map(|n| n.entry.size).sum::<f64>() / serving.clone().count().max(1) as f64;
-        let in_use = serving.clone().filter(|n| n.recent_units.get(now) > IN_USE_UNITS).count().max(1) as f64;
+            serving.clone().map(|node| node.entry.size).sum::<f64>() / serving.clone().count().max(1) as f64;
+        let in_use =
+            serving.clone().filter(|node| node.recent_units.get(now) > IN_USE_UNITS).count().max(1) as f64;
         let share = if now < self.fleet.started_at + 2.0 * RECENT_TIME {
             1.0
         } else {
@@ -950,7 +959,7 @@
     /// Assigns a node to every held request: that of its shard, or one drawn by fitness.
     fn place_requests(&mut self, now: Millis) {
         let mut by_shard: BTreeMap<ShardId, NodeId> = BTreeMap::new();
-        for (id, node) in self.nodes.iter().filter(|(_, n)| n.entry.readiness == Readiness::Serving) {
+        for (id, node) in self.nodes.iter().filter(|(_, node)| node.entry.readiness == Readiness::Serving) {
             let newest = by_shard.entry(node.entry.shard).or_insert(*id);
             if self.nodes[newest].entry.started_at.unwrap_or(0.0) < node.entry.started_at.unwrap_or(0.0) {
                 *newest = *id;
@@ -984,31 +993,31 @@
     /// available capacity.
     fn draw(&mut self, waiting: &BTreeMap<NodeId, f64>, now: Millis) -> Option<NodeId> {
         let serving: Vec<_> =
-            self.nodes.iter().filter(|(_, n)| n.entry.readiness == Readiness::Serving).collect();
+            self.nodes.iter().filter(|(_, node)| node.entry.readiness == Readiness::Serving).collect();
         let healthy: Vec<_> =
-            serving.iter().filter(|(_, n)| !n.is_outlier(&self.fleet, now)).copied().collect();
+            serving.iter().filter(|(_, node)| !node.is_outlier(&self.fleet, now)).copied().collect();
         let candidates = if healthy.is_empty() { serving } else { healthy };
-        let total: f64 = self.nodes.values().map(|n| n.recent_units.get(now)).sum();
-        let fitness = |id: &NodeId, n: &Node| {
-            let size = n.relative_size(&self.fleet);
-            let others = n.queue_delay(&self.fleet, now)
-                / n.service_time(&self.fleet)
+        let total: f64 = self.nodes.values().map(|node| node.recent_units.get(now)).sum();
+        let fitness = |id: &NodeId, node: &Node| {
+            let size = node.relative_size(&self.fleet);
+            let others = node.queue_delay(&self.fleet, now)
+                / node.service_time(&self.fleet)
                 / self.settings.mean_units.max(1.0);
-            let requests = n.in_flight.len() as f64 + waiting.get(id).copied().unwrap_or(0.0) + others;
-            let usage = if total > 0.0 { 100.0 * n.recent_units.get(now) / total / size } else { 0.0 };
+            let requests = node.in_flight.len() as f64 + waiting.get(id).copied().unwrap_or(0.0) + others;
+            let usage = if total > 0.0 { 100.0 * node.recent_units.get(now) / total / size } else { 0.0 };
             (size * (1.0 - requests / size / MAX_CONCURRENCY).max(0.0) / USAGE_PENALTY_BASE.powf(usage))
                 .max(MIN_FITNESS)
         };
         let measured: Vec<f64> = candidates
             .iter()
-            .filter(|(_, n)| n.unit_service_time.is_some())
-            .map(|(id, n)| fitness(id, n))
+            .filter(|(_, node)| node.unit_service_time.is_some())
+            .map(|(id, node)| fitness(id, node))
             .collect();
         let average = measured.iter().sum::<f64>() / measured.len().max(1) as f64;
-        let node_weight = |(id, n): &(&NodeId, &Node)| {
-            let is_unmeasured = n.unit_service_time.is_none() && !measured.is_empty();
-            let max_fitness = if is_unmeasured { average.min(fitness(id, n)) } else { fitness(id, n) };
-            (**id, max_fitness * n.capacity_share(&self.settings, now))
+        let node_weight = |(id, node): &(&NodeId, &Node)| {
+            let is_unmeasured = node.unit_service_time.is_none() && !measured.is_empty();
+            let max_fitness = if is_unmeasured { average.min(fitness(id, node)) } else { fitness(id, node) };
+            (**id, max_fitness * node.capacity_share(&self.settings, now))
         };
         let weights: Vec<(NodeId, f64)> = candidates.iter().map(node_weight).collect();
         let mut remaining = random(&mut self.rng) * weights.iter().map(|(_, w)| w).sum::<f64>();
@@ -1063,8 +1072,8 @@
             lost.extend(
                 node.in_flight
                     .iter()
-                    .filter(|o| node.is_presumed_lost(o, &self.fleet, now))
-                    .map(|o| (o.request, *id)),
+                    .filter(|attempt| node.is_presumed_lost(attempt, &self.fleet, now))
+                    .map(|attempt| (attempt.request, *id)),
             );
         }
         for (id, node) in lost {
