--- a/tests/losses.rs
+++ b/tests/losses.rs
@@ -132,7 +132,7 @@
 
 #[test]
 fn high_latencies_raise_the_expected_latency_until_they_decay() {
-    let is_sent = |latency: Millis, after: Millis| {
+    let is_accepted = |latency: Millis, after: Millis| {
         let mut host = Host::new(settings(), 20);
         for id in 0..12 {
             host.serve_one(1000 + id, id as i64, 20.0);
@@ -145,10 +145,10 @@
         host.arrive(arrival(10, Some(19), host.now + 45.0));
         !is_rejected(&host.take_actions(), 10)
     };
-    assert!(is_sent(20.0, 5.0), "latencies are as expected: the request is sent");
-    assert!(!is_sent(160.0, 5.0), "latencies are eight times as long as expected: 45 ms are not enough");
+    assert!(is_accepted(20.0, 5.0), "latencies are as expected: the request is not rejected");
+    assert!(!is_accepted(160.0, 5.0), "latencies are eight times as long as expected: 45 ms are not enough");
     assert!(
-        is_sent(160.0, 8000.0),
+        is_accepted(160.0, 8000.0),
         "without responses the ratio decays, otherwise requests would be rejected forever"
     );
 }
@@ -201,7 +201,7 @@
 
 #[test]
 fn a_request_with_little_time_is_sent_if_it_may_succeed() {
-    let is_sent = |time_left: Millis| {
+    let is_accepted = |time_left: Millis| {
         let mut host = Host::new(settings(), 1);
         for id in 0..30 {
             host.serve_one(1000 + id, 0, 40.0);
@@ -209,8 +209,8 @@
         host.arrive(Arrival { units: 3.0, ..arrival(1, Some(0), host.now + time_left) });
         !is_rejected(&host.take_actions(), 1)
     };
-    assert!(is_sent(180.0), "the expected latency is 200 ms: 180 ms may be enough");
-    assert!(!is_sent(90.0), "the expected latency is 200 ms: 90 ms are not enough");
+    assert!(is_accepted(180.0), "the expected latency is 200 ms: 180 ms may be enough");
+    assert!(!is_accepted(90.0), "the expected latency is 200 ms: 90 ms are not enough");
 }
 
 #[test]
