--- a/crates/flaxstand-cli/tests/agreement/main.rs
+++ b/crates/flaxstand-cli/tests/agreement/main.rs
@@ -289,7 +289,7 @@
     let held = f.until("the status to say who holds it up, or that it is over", |f| {
         let told = text(&f.command(0, &["status"]).stdout);
         let over = told.contains("version 2 is in force");
-        (told.contains("held up by i3: it may act on what was before") || over).then_some(told)
+        (told.contains("held up by i3: it may act on the previous rules") || over).then_some(told)
     });
     assert!(held.contains("leads in term"), "{held}");
     assert_eq!(f.command(0, &["wait"]).status.code(), Some(0));
--- a/crates/flaxstand-consensus/src/journal.rs
+++ b/crates/flaxstand-consensus/src/journal.rs
@@ -1,13 +1,14 @@
-//! The journal: makes a replica's state durable before any message tells of it. It queues records, makes one
-//! batch of them at a time for the storage, and says up to which record all is durable.
+//! Write-ahead journal of a replica: makes its state durable before any message that depends on it is sent.
+//! Queues records, hands the storage one batch at a time, and reports up to which record everything is
+//! durable.
 //!
-//! A segment begins with a checkpoint, the whole state; each further batch is one frame of records. The first
-//! batch after a start, the one after a failure and the one after a compaction begin a new segment, and only
-//! then the older ones are removed.
+//! A segment starts with a checkpoint of the complete state; each further batch is one frame of records.
+//! The first batch after a start, after a failed write and after a compaction starts a new segment; older
+//! segments are removed only after that.
 //!
-//! - `record`: the durable state and records of its changes
-//! - `frame`: their bytes
-//! - `recovery`: reading a folder back
+//! - `record`: the durable state and the records of its changes
+//! - `frame`: encoding of a batch
+//! - `recovery`: reads a journal directory after a start
 
 mod frame;
 mod record;
@@ -19,56 +20,57 @@
 use flaxstand_proto::Micros;
 use flaxstand_storage::{Batch, StorageOp};
 
-/// A segment is closed once it is as long as this beyond its checkpoint, bytes.
+/// A segment is closed once it holds this many bytes after its checkpoint.
 const MAX_SEGMENT_BYTES: usize = 1 << 20;
-/// First wait before a failed batch is tried again.
+/// Initial delay before a failed batch is retried.
 const MIN_RETRY_DELAY: Micros = Micros(10_000);
-/// Longest wait before a failed batch is tried again.
+/// Maximum delay before a failed batch is retried.
 const MAX_RETRY_DELAY: Micros = Micros(1_000_000);
 
 /// The batch that the storage is writing.
 #[derive(Clone, Debug)]
 struct WriteInFlight {
-    /// All records up to this one are durable if it succeeds.
+    /// All records up to this number are durable if the write succeeds.
     last_record: u64,
-    /// The log's last entry as it then stands in the storage.
+    /// Index of the last log entry that is stored if the write succeeds.
     last_index: u64,
-    /// Bytes that it adds to the segment, a checkpoint not counted.
+    /// Bytes that the write adds to the segment, excluding a checkpoint.
     bytes: usize,
-    /// It begins a segment, in place of all others.
+    /// Whether the write starts a new segment that replaces all others.
     begins_segment: bool,
 }
 
-/// The storage refused the last batch.
+/// Retry state after a failed batch; the delay doubles with each failure.
 #[derive(Clone, Copy, Debug)]
 struct Retry {
     at: Micros,
     delay: Micros,
 }
 
-/// The journal.
+/// The journal of one replica.
 #[derive(Clone, Debug)]
 pub struct Journal {
     queue: Vec<Record>,
-    /// Number of the last record that was ever queued. A checkpoint counts as one.
+    /// Number of the last queued record. A checkpoint counts as one record.
     queued_records: u64,
-    /// Number of the last record that is durable.
+    /// Number of the last durable record.
     durable_records: u64,
-    /// The last entry of the log that is durable and was not overwritten since.
+    /// Index of the last log entry that is durable and has not been overwritten since.
     durable_index: u64,
     write_in_flight: Option<WriteInFlight>,
-    /// Segments that are there, the last one written to. None is written to after a failure.
+    /// Existing segments; the last one is the current one. After a failed write no existing segment is
+    /// appended to.
     segments: Vec<u64>,
     next_segment: u64,
     next_frame: u64,
-    /// Bytes in the segment after its checkpoint. None: the next batch begins a new segment.
+    /// Bytes in the current segment after its checkpoint. `None` if the next batch starts a new segment.
     segment_bytes: Option<usize>,
     retry: Option<Retry>,
     failures: u64,
 }
 
 impl Journal {
-    /// A journal on a storage with these segments. Its first batch is a checkpoint.
+    /// Creates a journal on a storage that holds these segments. Its first batch is a checkpoint.
     pub fn new(segments: Vec<u64>) -> Journal {
         let next_segment = segments.iter().max().map_or(1, |newest| newest + 1);
         Journal {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Queues a record.
+    /// Queues a record to be written.
     pub fn append(&mut self, record: Record) {
         if let Record::Entries { first_index, .. } = &record {
             self.invalidate_from(*first_index);
@@ -95,15 +97,16 @@
         self.queued_records += 1;
     }
 
-    /// Has the whole state written to a new segment next; its log then ends at `last_index`.
+    /// Requests a checkpoint: the next batch writes the complete state, with a log that ends at
+    /// `last_index`, to a new segment.
     pub fn request_checkpoint(&mut self, last_index: u64) {
         self.segment_bytes = None;
         self.queued_records += 1;
         self.invalidate_from(last_index + 1);
     }
 
-    /// Entries from an index on are others than those that are durable or being written. Guards against a
-    /// quorum that counts an overwritten entry.
+    /// Marks the entries from an index on as replaced by others that are not durable yet. Prevents a quorum
+    /// from counting an overwritten entry.
     fn invalidate_from(&mut self, first_index: u64) {
         self.durable_index = self.durable_index.min(first_index - 1);
         if let Some(write_in_flight) = &mut self.write_in_flight {
@@ -111,12 +114,12 @@
         }
     }
 
-    /// Number of the last record that was queued: a message made now waits until that many are durable.
+    /// Number of the last queued record. A message created now may be sent once this record is durable.
     pub fn queued_records(&self) -> u64 {
         self.queued_records
     }
 
-    /// Number of the last record that is durable.
+    /// Number of the last durable record.
     pub fn durable_records(&self) -> u64 {
         self.durable_records
     }
@@ -126,17 +129,17 @@
         self.durable_index
     }
 
-    /// How many batches failed so far.
+    /// Number of batches that failed so far.
     pub fn failures(&self) -> u64 {
         self.failures
     }
 
-    /// Whether the last batch failed and is to be tried again.
+    /// Whether the last batch failed and is to be retried.
     pub fn is_failing(&self) -> bool {
         self.retry.is_some()
     }
 
-    /// The next batch to store, if there is something to store and no batch is in flight.
+    /// Returns the next batch to store, if there is unwritten data and no batch is in flight.
     pub fn next_batch(&mut self, state: &DurableState, now: Micros) -> Option<Batch> {
         let waits_for_retry = self.retry.is_some_and(|retry| retry.at > now);
         if self.write_in_flight.is_some() || waits_for_retry || self.durable_records == self.queued_records {
@@ -156,8 +159,8 @@
         Some(Batch { ops })
     }
 
-    /// Writes the queued records behind the last frame of the segment. Returns the calls and the frame's
-    /// bytes.
+    /// Appends the queued records to the current segment as one frame. Returns the storage operations and
+    /// the size of the frame.
     fn append_ops(&mut self, number: u64) -> Option<(Vec<StorageOp>, usize)> {
         let records = std::mem::take(&mut self.queue);
         let frame = frame::encode(number, &records);
@@ -166,7 +169,7 @@
         Some((vec![StorageOp::Append(segment, frame), StorageOp::Sync(segment)], bytes))
     }
 
-    /// Writes the whole state to a new segment, in place of all others.
+    /// Writes the complete state to a new segment that replaces all others.
     fn checkpoint_ops(&mut self, number: u64, state: &DurableState) -> Vec<StorageOp> {
         self.queue.clear();
         let segment = self.next_segment;
@@ -178,7 +181,8 @@
             StorageOp::Sync(segment),
             StorageOp::SyncFolder,
         ];
-        // Removed only behind the sync: guards against a loss of power that leaves no segment with a state.
+        // Older segments are removed only after the sync: a power loss must not leave the directory without
+        // any checkpoint.
         ops.extend(self.segments.iter().copied().map(StorageOp::Remove));
         ops.push(StorageOp::SyncFolder);
         self.segments.push(segment);
@@ -186,8 +190,8 @@
         ops
     }
 
-    /// Records how the batch in flight ended. After a failure the whole state goes to a new segment: what the
-    /// failed batch left behind is not known.
+    /// Records the outcome of the batch in flight. After a failure the complete state is written to a new
+    /// segment, because it is unknown how much of the failed batch was written.
     pub fn batch_stored(&mut self, succeeded: bool, now: Micros) {
         let Some(write_in_flight) = self.write_in_flight.take() else { return };
         if succeeded {
@@ -207,7 +211,8 @@
         }
     }
 
-    /// When to ask for a batch again, if time alone makes one due.
+    /// When to call [`Journal::next_batch`] again if nothing else happens first: the time of a pending
+    /// retry.
     pub fn wake_at(&self) -> Option<Micros> {
         let is_idle = self.write_in_flight.is_none() && self.durable_records != self.queued_records;
         self.retry.filter(|_| is_idle).map(|retry| retry.at)
--- a/crates/flaxstand-consensus/src/journal/frame.rs
+++ b/crates/flaxstand-consensus/src/journal/frame.rs
@@ -1,26 +1,26 @@
-//! The frame of one batch in a segment: marker, length, number, checksum, records.
+//! Encoding of one batch in a segment: magic bytes, length, number, checksum, records.
 
 use super::record::Record;
 
-const MARKER: [u8; 4] = *b"fag1";
-/// Bytes of marker (4), length of the body (4), frame number (8) and checksum (4).
+const MAGIC: [u8; 4] = *b"fag1";
+/// Size of the header: magic bytes (4), body length (4), frame number (8), checksum (4).
 const HEADER_BYTES: usize = 4 + 4 + 8 + 4;
 
-/// A frame that was read.
+/// A decoded frame.
 #[derive(Debug)]
 pub(super) struct Frame {
-    /// Its number, from 1 at each start.
+    /// Frame number; counts from 1 at each start.
     pub(super) number: u64,
     pub(super) records: Vec<Record>,
-    /// Bytes that it takes.
+    /// Size of the encoded frame in bytes.
     pub(super) length: usize,
 }
 
-/// Writes a frame.
+/// Encodes a batch of records.
 pub(super) fn encode(number: u64, records: &[Record]) -> Vec<u8> {
-    let body = postcard::to_stdvec(records).expect("plain values can be written");
+    let body = postcard::to_stdvec(records).expect("records can be serialised");
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
-    bytes.extend_from_slice(&MARKER);
+    bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&number.to_le_bytes());
     let checksum = crc32c::crc32c_append(crc32c::crc32c(&bytes[4..]), &body);
@@ -29,7 +29,7 @@
     bytes
 }
 
-/// Reads the frame at the start of `bytes`; none if there is no intact one.
+/// Decodes the frame at the start of `bytes`; `None` if there is no intact frame.
 pub(super) fn decode(bytes: &[u8]) -> Option<Frame> {
     let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
     let field = |from: usize, to: usize| header.get(from..to);
@@ -37,8 +37,8 @@
     let number = u64::from_le_bytes(field(8, 16)?.try_into().ok()?);
     let checksum = u32::from_le_bytes(field(16, 20)?.try_into().ok()?);
     let body = rest.get(..body_length)?;
-    let is_intact = header.starts_with(&MARKER)
-        && crc32c::crc32c_append(crc32c::crc32c(&header[4..16]), body) == checksum;
+    let is_intact =
+        header.starts_with(&MAGIC) && crc32c::crc32c_append(crc32c::crc32c(&header[4..16]), body) == checksum;
     if !is_intact {
         return None;
     }
@@ -46,9 +46,9 @@
     Some(Frame { number, records, length: HEADER_BYTES + body_length })
 }
 
-/// Whether an intact frame with a number above `number` stands anywhere after the first byte.
+/// Whether an intact frame with a number greater than `number` starts anywhere after the first byte.
 pub(super) fn has_later_frame(bytes: &[u8], number: u64) -> bool {
-    let is_marked = |at: &usize| bytes[*at..].starts_with(&MARKER);
+    let has_magic = |at: &usize| bytes[*at..].starts_with(&MAGIC);
     let is_later = |at: usize| decode(&bytes[at..]).is_some_and(|frame| frame.number > number);
-    (1..bytes.len()).filter(is_marked).any(is_later)
+    (1..bytes.len()).filter(has_magic).any(is_later)
 }
--- a/crates/flaxstand-consensus/src/journal/record.rs
+++ b/crates/flaxstand-consensus/src/journal/record.rs
@@ -1,56 +1,56 @@
-//! What the journal stores: a replica's whole durable state, and records of its changes.
+//! Data that the journal stores: the complete durable state of a replica, and records of its changes.
 
 use crate::log::{Entry, Log};
 use crate::replica_id::{Incarnation, LastSeen, ReplicaId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// All that a replica must not forget. Postcard writes the fields in this order and without names.
+/// State of a replica that must survive a restart. Postcard encodes the fields in this order without names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DurableState {
-    /// The replica.
+    /// Identity of the replica.
     pub id: ReplicaId,
-    /// Its newest incarnation.
+    /// Its latest incarnation.
     pub incarnation: Incarnation,
-    /// The cluster that it belongs to; 0: none yet.
+    /// The cluster it belongs to; 0 if none yet.
     pub cluster_id: u64,
-    /// Its term.
+    /// Its current term.
     pub term: u64,
-    /// The candidate that it voted for in that term.
+    /// The candidate it voted for in the current term.
     pub voted_for: Option<ReplicaId>,
-    /// Its log.
+    /// The replicated log.
     pub log: Log,
-    /// How many promises (terms, votes, entries) it has written down, over all incarnations of this instance.
+    /// Number of promises (terms, votes, entries) recorded over all incarnations of this instance.
     pub promises_written: u64,
-    /// The newest seen of each other replica whose message it acted on.
+    /// Latest incarnation seen of each other replica whose messages were processed.
     pub last_seen: BTreeMap<ReplicaId, LastSeen>,
 }
 
 /// A change of the durable state. Postcard numbers the variants by their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// All of it.
+    /// The complete state (a checkpoint).
     State(Box<DurableState>),
-    /// A new term, or a vote in it.
+    /// A new term, or a vote in the current one.
     HardState {
         /// The term.
         term: u64,
         /// The candidate voted for.
         voted_for: Option<ReplicaId>,
     },
-    /// The entries from an index on.
+    /// Log entries that replace those from an index on.
     Entries {
-        /// Index of the first.
+        /// Index of the first entry.
         first_index: u64,
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// The newest seen of another replica.
+    /// Latest incarnation seen of another replica.
     LastSeen(ReplicaId, LastSeen),
 }
 
 impl DurableState {
-    /// The state of a replica that has promised nothing yet.
+    /// State of a replica that has not made any promise yet.
     pub fn new(id: ReplicaId, incarnation: Incarnation) -> DurableState {
         DurableState {
             id,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Replays a record.
+    /// Applies a record during recovery.
     pub(super) fn replay(&mut self, record: Record) {
         match record {
             Record::State(state) => *self = *state,
--- a/crates/flaxstand-consensus/src/journal/recovery.rs
+++ b/crates/flaxstand-consensus/src/journal/recovery.rs
@@ -1,32 +1,34 @@
-//! Reads a replica's folder back after a start.
+//! Reads a replica's journal directory after a start.
 
 use super::frame::{decode, has_later_frame};
 use super::record::{DurableState, Record};
 use flaxstand_storage::Storage;
 use std::io;
 
-/// What a folder held.
+/// Result of reading a journal directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveredState {
-    /// Nothing that anything was sent after: the replica is new.
+    /// No durable state: the replica is new.
     Empty,
-    /// Its state.
+    /// The recovered state.
     Intact(Box<DurableState>),
-    /// Something that messages may have told of is gone: where and why, for operators.
+    /// Durable state that earlier messages may depend on is lost. Holds the position and the reason, for
+    /// operators.
     Damaged(String),
 }
 
-/// Reads a folder back.
+/// Reads a journal directory.
 ///
 /// # Errors
-/// The storage can't be read at all. That says nothing of what is on it: try again, or look at the disk.
+/// The storage can't be read. This does not mean that its contents are damaged; the caller may retry.
 pub fn recover(storage: &mut dyn Storage) -> io::Result<RecoveredState> {
     let mut segments = storage.segments()?;
     segments.sort_unstable();
     for segment in segments.into_iter().rev() {
         let bytes = storage.read(segment)?;
         match recover_segment(segment, &bytes) {
-            // Begun and never durable: nothing was sent since the segment before it.
+            // Segment without a durable checkpoint: no message was sent after the previous segment's last
+            // record.
             RecoveredState::Empty => {}
             recovered => return Ok(recovered),
         }
@@ -42,19 +44,21 @@
         for record in frame.records {
             match (&mut state, record) {
                 (Some(state), record) => state.replay(record),
-                (none, Record::State(first)) => *none = Some(*first),
+                (slot, Record::State(checkpoint)) => *slot = Some(*checkpoint),
                 (None, _) => {
-                    return RecoveredState::Damaged(format!("segment {segment} begins with no state"));
+                    return RecoveredState::Damaged(format!(
+                        "journal segment {segment} does not start with a checkpoint"
+                    ));
                 }
             }
         }
         at += frame.length;
         last_number = frame.number;
     }
-    // A torn last frame was never durable, so nothing was sent after it. One with an intact later frame
-    // behind it was: without it the replica would forget promises.
+    // A torn last frame was never durable, so no message depends on it. A damaged frame that is followed by
+    // an intact one was durable: ignoring it would drop promises.
     if has_later_frame(&bytes[at..], last_number) {
-        return RecoveredState::Damaged(format!("segment {segment} is damaged at byte {at}"));
+        return RecoveredState::Damaged(format!("journal segment {segment} is damaged at byte {at}"));
     }
     state.map_or(RecoveredState::Empty, |state| RecoveredState::Intact(Box::new(state)))
 }
--- a/crates/flaxstand-consensus/src/lease_manager.rs
+++ b/crates/flaxstand-consensus/src/lease_manager.rs
@@ -1,9 +1,9 @@
-//! The lease manager: the leader's part in leases and rollouts (leases after Gray and Cheriton). It grants
-//! leases and records which member confirmed which stage.
+//! Lease management on the leader (leases as described by Gray and Cheriton): grants leases to members and
+//! tracks which member has confirmed which rollout stage.
 //!
 //! - `messages`: lease requests and responses
-//! - `member_lease`: what the leader knows of one member
-//! - `rollout_gate`: when the next stage may begin
+//! - `member_lease`: lease state of one member
+//! - `rollout_gate`: decides when the next stage may start
 
 mod member_lease;
 mod messages;
@@ -19,28 +19,29 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a leader decides on a lease request.
+/// Outcome of a lease request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
-    /// What the member is sent.
+    /// Response to send to the member.
     pub response: LeaseResponse,
-    /// It is no member yet and asks to be one.
+    /// Whether the sender is not a member yet and should be proposed as one.
     pub wants_to_join: bool,
-    /// It did not confirm the present stage: its copy of the replicated state may be another cluster's.
+    /// Whether the sender did not confirm the current stage. Its copy of the replicated state may then be
+    /// from another cluster.
     pub is_unconfirmed: bool,
 }
 
-/// A member as its leader sees it, for operators. Sent, and shown as JSON, as a tuple.
+/// A member as seen by the leader, for operators. Serialised, also as JSON, as a tuple.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, bool, bool, u64)", into = "(String, bool, bool, u64)")]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// It has a lease of any stage.
+    /// Whether it holds a lease for any stage.
     pub has_lease: bool,
-    /// It confirmed the present stage.
+    /// Whether it has confirmed the current stage.
     pub has_confirmed: bool,
-    /// How long ago its last request came, milliseconds.
+    /// Time since its last request in milliseconds.
     pub last_contact_ms: u64,
 }
 
@@ -56,15 +57,15 @@
     }
 }
 
-/// A leader's lease manager. Its leases live in memory: a new leader waits until all that others granted have
-/// ended.
+/// Lease state of a leader. Leases are kept in memory only: a new leader waits until all leases that
+/// earlier leaders granted have expired.
 #[derive(Debug)]
 pub struct LeaseManager {
-    /// Leases of earlier leaders may last until then.
-    earlier_leaders_until: Micros,
-    /// How long a lease is for its member.
+    /// Leases granted by earlier leaders may be valid until this time.
+    earlier_leases_until: Micros,
+    /// Length of a lease as granted to the member.
     span: Micros,
-    /// How long it counts here: the same with the clocks' error on top.
+    /// Length of a lease as counted by the leader: `span` extended by the clock error.
     counted_span: Micros,
     stage: u64,
     leases: BTreeMap<String, MemberLease>,
@@ -74,15 +75,16 @@
 }
 
 impl LeaseManager {
-    /// Of a leader that begins to lead now. Leases last `span`; two clocks differ by at most `clock_error` of
-    /// it over that time.
+    /// Creates the lease manager of a leader elected at `now`. Leases last `span`; two clocks diverge by at
+    /// most the fraction `clock_error` of it over that time.
     pub fn new(span: Micros, clock_error: f64, injected_fault: InjectedFault, now: Micros) -> LeaseManager {
-        // Twice: the member's clock may be slow by the error, and the clock here fast by it.
+        // The error counts twice: the member's clock may be slow by it while the leader's clock is fast by
+        // it.
         let counted_span = Micros((span.0 as f64 * (1.0 + 2.0 * clock_error)).ceil() as u64);
-        // Guards against a stage that begins while a member acts on a lease of the leader before.
+        // Prevents a stage from starting while a member holds a lease from an earlier leader.
         let awaits_earlier_leaders = injected_fault != InjectedFault::EarlierLeadersIgnored;
         LeaseManager {
-            earlier_leaders_until: if awaits_earlier_leaders { now.after(counted_span) } else { now },
+            earlier_leases_until: if awaits_earlier_leaders { now.after(counted_span) } else { now },
             span,
             counted_span,
             stage: 0,
@@ -92,8 +94,8 @@
         }
     }
 
-    /// The replicated state is at this stage. If that is another than before, leases so far were for an older
-    /// one.
+    /// Sets the current rollout stage. If it has changed, all existing leases become leases for an older
+    /// stage.
     pub fn set_stage(&mut self, stage: u64) {
         if stage != self.stage {
             self.stage = stage;
@@ -101,10 +103,11 @@
         }
     }
 
-    /// Decides on a request.
+    /// Decides on a lease request.
     ///
-    /// A member whose copy of the replicated state is older than `index` is sent `state`. Until `leads_until`
-    /// no other replica can lead: guards against a lease that a later leader does not wait for.
+    /// A member whose copy of the replicated state is older than `index` is sent `state`. Until
+    /// `leads_until` no other replica can become leader; no lease is granted after that time, since a later
+    /// leader would not wait for it.
     pub fn decide(
         &mut self,
         request: &LeaseRequest,
@@ -125,7 +128,7 @@
             newer_state: None,
         };
         if lease.epoch > request.epoch {
-            // A later start of the member took its place.
+            // A later start of this member has already sent a request.
             return Decision { response, wants_to_join: false, is_unconfirmed: false };
         }
         if lease.epoch != request.epoch {
@@ -142,8 +145,8 @@
             lease.release();
         } else if may_grant {
             response.lease = Some(self.span.0);
-            // Counted from the grant, with the clocks' error on top; the member counts from its request,
-            // which is earlier. So a lease ends at its member first.
+            // Counted from the grant and extended by the clock error, while the member counts from its
+            // earlier request: the lease expires on the member first.
             lease.grant(now.after(self.counted_span));
         }
         if request.state_index < index {
@@ -153,14 +156,14 @@
         Decision { response, wants_to_join, is_unconfirmed }
     }
 
-    /// How many members were examined so far to decide whether a version may come into force: for tests of
-    /// how the work of a rollout grows with the members.
+    /// Number of members examined so far to decide whether a version may come into force. Lets tests check
+    /// how the cost of a rollout grows with the number of members.
     #[doc(hidden)]
     pub fn members_examined(&self) -> u64 {
         self.members_examined
     }
 
-    /// Each initiator that has asked for a lease.
+    /// Status of each initiator that has requested a lease.
     pub fn members(&self, now: Micros) -> Vec<MemberStatus> {
         let status = |(name, lease): (&String, &MemberLease)| MemberStatus {
             name: name.clone(),
@@ -172,14 +175,15 @@
     }
 }
 
-/// Whether a request confirms the present stage.
+/// Whether a request confirms the current stage.
 #[derive(Debug, PartialEq, Eq)]
 enum Confirmation {
-    /// The member acts on the present stage, or on the fallback rules, and knows what the stage means.
+    /// The member acts on the current stage, or on the fallback rules, and interprets the stage as the
+    /// leader does.
     Confirmed,
-    /// It is at another stage.
+    /// The member is at another stage.
     NotYet,
-    /// It can't act on the present stage: why, in words for operators.
+    /// The member can't act on the current stage; holds the reason, for operators.
     Unable(String),
 }
 
@@ -191,10 +195,12 @@
         if request.stage != state.stage {
             return Confirmation::NotYet;
         }
-        // Guards against a build that reads the same rules otherwise.
+        // Detects builds that interpret the same rules differently.
         let compares_digests = injected_fault != InjectedFault::DigestNotCompared;
         if request.digest != state.digest() && compares_digests {
-            return Confirmation::Unable("it understands the rules otherwise: another build".to_owned());
+            return Confirmation::Unable(
+                "it runs another build, which interprets the rules differently".to_owned(),
+            );
         }
         Confirmation::Confirmed
     }
--- a/crates/flaxstand-consensus/src/lease_manager/member_lease.rs
+++ b/crates/flaxstand-consensus/src/lease_manager/member_lease.rs
@@ -1,54 +1,54 @@
-//! What the leader knows of one member's leases, moments by its own clock.
+//! Lease state of one member, as tracked by the leader. All times are by the leader's clock.
 
 use flaxstand_proto::Micros;
 
-/// A member's leases, and whether it confirmed the present stage.
+/// Leases of a member, and whether it has confirmed the current stage.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MemberLease {
-    /// Which start of the member.
+    /// Epoch of the member: increases with each of its starts.
     pub(super) epoch: u64,
-    /// It confirmed the present stage.
+    /// Whether it has confirmed the current stage.
     pub(super) has_confirmed: bool,
-    /// Why it can't act on the present stage, in words for operators.
+    /// Why it can't act on the current stage, for operators.
     pub(super) unable_reason: Option<String>,
-    /// Until when it may act on an older stage.
+    /// Expiry of its lease for an older stage.
     older_stage_until: Micros,
-    /// Until when it may act on the present stage.
+    /// Expiry of its lease for the current stage.
     present_stage_until: Micros,
-    /// Until when an earlier start of the member may act on anything: its process may have been stopped, not
-    /// ended.
+    /// Expiry of leases of an earlier start of the member: that process may be suspended rather than
+    /// terminated.
     earlier_start_until: Micros,
     pub(super) last_contact_at: Micros,
 }
 
 impl MemberLease {
-    /// Until when the member, or an earlier start of it, may act on a stage before the present one.
+    /// Until when the member, or an earlier start of it, may act on a stage before the current one.
     pub(super) fn older_stage_until(&self) -> Micros {
         self.older_stage_until.max(self.earlier_start_until)
     }
 
-    /// Until when an earlier start of the member may act on anything.
+    /// Until when an earlier start of the member may act on any stage.
     pub(super) fn earlier_start_until(&self) -> Micros {
         self.earlier_start_until
     }
 
-    /// Until when this start of it has a lease of any stage.
+    /// Until when this start of the member holds a lease for any stage.
     pub(super) fn leased_until(&self) -> Micros {
         self.older_stage_until.max(self.present_stage_until)
     }
 
-    /// Grants a lease of the present stage.
+    /// Grants a lease for the current stage.
     pub(super) fn grant(&mut self, until: Micros) {
         self.present_stage_until = self.present_stage_until.max(until);
     }
 
-    /// A later start of the member: what an earlier one may still act on is kept.
+    /// Handles a restart of the member. Leases of the earlier start stay in effect until they expire.
     pub(super) fn restart(&mut self, epoch: u64) {
         let earlier_start_until = self.earlier_start_until.max(self.leased_until());
         *self = MemberLease { epoch, earlier_start_until, ..MemberLease::default() };
     }
 
-    /// Another stage begins: leases so far are for an older one.
+    /// Starts a new stage: all existing leases become leases for an older one.
     pub(super) fn begin_stage(&mut self) {
         self.older_stage_until = self.leased_until();
         self.present_stage_until = Micros(0);
@@ -56,7 +56,7 @@
         self.unable_reason = None;
     }
 
-    /// The member gives its lease back.
+    /// The member releases its lease.
     pub(super) fn release(&mut self) {
         self.older_stage_until = Micros(0);
         self.present_stage_until = Micros(0);
--- a/crates/flaxstand-consensus/src/lease_manager/messages.rs
+++ b/crates/flaxstand-consensus/src/lease_manager/messages.rs
@@ -1,42 +1,43 @@
-//! Lease requests and responses. Postcard writes the fields in this order and without names.
+//! Lease requests and responses. Postcard encodes the fields in this order without names.
 
 use crate::replicated_state::IndexedState;
 use serde::{Deserialize, Serialize};
 
-/// A member asks for a lease.
+/// A member's request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// Which start of it.
+    /// Epoch of the member: increases with each of its starts.
     pub epoch: u64,
-    /// The request's number among those of this start.
+    /// Sequence number of the request within the epoch.
     pub seq: u64,
-    /// Index of the replicated state that it has.
+    /// Index of the member's copy of the replicated state.
     pub state_index: u64,
-    /// The stage that it acts on, with a lease or without.
+    /// The stage that the member acts on, with or without a lease.
     pub stage: u64,
-    /// What that stage means to it ([`crate::replicated_state::ReplicatedState::digest`]).
+    /// Digest of that stage as the member interprets it
+    /// ([`crate::replicated_state::ReplicatedState::digest`]).
     pub digest: u64,
-    /// Why it can't act on the version that is being rolled out, in words for operators.
+    /// Why the member can't act on the version that is being rolled out, for operators.
     pub unable_reason: Option<String>,
-    /// It gives its lease back.
+    /// Whether the member releases its lease.
     pub releases_lease: bool,
 }
 
-/// The leader's response.
+/// The leader's response to a lease request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Name of the member that asked.
+    /// Name of the requesting member.
     pub name: String,
-    /// Which start of it.
+    /// Epoch of the requesting member.
     pub epoch: u64,
-    /// The request's number.
+    /// Sequence number of the request.
     pub seq: u64,
-    /// How long the lease is, counted from the request, microseconds; none: it gets none now.
+    /// Length of the lease in microseconds, counted from the request; `None` if no lease is granted.
     pub lease: Option<u64>,
     /// The stage that the lease is for.
     pub stage: u64,
-    /// The replicated state, where the member has an older one.
+    /// The replicated state, if the member's copy is older.
     pub newer_state: Option<IndexedState>,
 }
--- a/crates/flaxstand-consensus/src/lease_manager/rollout_gate.rs
+++ b/crates/flaxstand-consensus/src/lease_manager/rollout_gate.rs
@@ -1,6 +1,6 @@
-//! When the next stage of a rollout may begin: once every member has confirmed the present one, or has no
-//! lease for an older one any more. Guards against two initiators that act on stages which do not follow each
-//! other.
+//! Gate between the stages of a rollout. The next stage may start once every member has confirmed the
+//! current one or no longer holds a lease for an older one. Prevents two initiators from acting on stages
+//! that are not consecutive.
 
 use super::LeaseManager;
 use super::member_lease::MemberLease;
@@ -9,45 +9,45 @@
 use flaxstand_proto::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Members without confirmation that the history names, most.
+/// Maximum number of unconfirmed members that a history entry names.
 const MAX_NAMED_MEMBERS: usize = 8;
 
-/// What keeps the next stage from beginning. Sent, and shown as JSON, under these names.
+/// A condition that prevents the next stage from starting. Serialised, also as JSON, under these names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Blocker {
-    /// The member, or all that an earlier leader granted leases to.
+    /// The member concerned, or a description of all members with leases from an earlier leader.
     pub who: String,
-    /// Why, in words for operators.
+    /// The reason, for operators.
     pub why: String,
-    /// In how long that ends by itself, milliseconds; none: it does not.
+    /// Time in milliseconds until the condition ends by itself; `None` if it does not.
     pub ends_ms: Option<u64>,
 }
 
 impl LeaseManager {
-    /// What keeps the next stage from beginning; empty: nothing does.
+    /// Conditions that prevent the next stage from starting; empty if it may start.
     pub fn blockers(&self, state: &ReplicatedState, now: Micros) -> Vec<Blocker> {
-        let needs_everyone = state.needs_everyone();
+        let needs_all_members = state.needs_all_members();
         let mut blockers = Vec::new();
         // A new leader does not know which leases earlier leaders granted.
-        if now < self.earlier_leaders_until {
+        if now < self.earlier_leases_until {
             blockers.push(Blocker {
-                who: "the change of leader".to_owned(),
-                why: "leases that the leader before gave may not have ended".to_owned(),
-                ends_ms: Some(ms_until(self.earlier_leaders_until, now)),
+                who: "the previous leader".to_owned(),
+                why: "leases that it granted may not have expired".to_owned(),
+                ends_ms: Some(ms_until(self.earlier_leases_until, now)),
             });
         }
         let members = state.members.keys();
-        blockers.extend(members.filter_map(|name| self.member_blocker(name, state, needs_everyone, now)));
+        blockers.extend(members.filter_map(|name| self.member_blocker(name, state, needs_all_members, now)));
         blockers
     }
 
-    /// Whether a member keeps the next stage from beginning. With `needs_everyone` each member has to
-    /// confirm.
+    /// Returns the condition, if any, by which a member prevents the next stage from starting. With
+    /// `needs_all_members` each member has to confirm, even one without a lease.
     fn member_blocker(
         &self,
         name: &str,
         state: &ReplicatedState,
-        needs_everyone: bool,
+        needs_all_members: bool,
         now: Micros,
     ) -> Option<Blocker> {
         let lease = self.leases.get(name).filter(|_| self.stage == state.stage);
@@ -60,10 +60,10 @@
         let awaits_leases = self.injected_fault != InjectedFault::LeasesNotAwaited;
         let (why, ends_ms) = if let Some(reason) = lease.and_then(|lease| lease.unable_reason.clone()) {
             (reason, None)
-        } else if needs_everyone && !has_confirmed {
-            ("the floor changes: its own word is needed".to_owned(), None)
+        } else if needs_all_members && !has_confirmed {
+            ("the floor changes: this member has to confirm the version".to_owned(), None)
         } else if now < older_stage_until && awaits_leases {
-            let why = "it may act on what was before until its lease ends".to_owned();
+            let why = "it may act on the previous rules until its lease expires".to_owned();
             (why, Some(ms_until(older_stage_until, now)))
         } else {
             return None;
@@ -71,18 +71,23 @@
         Some(Blocker { who: name.to_owned(), why, ends_ms })
     }
 
-    /// The change that puts the version being rolled out in force, if there is one and nothing blocks it.
-    /// `calendar`: microseconds since 1970, for the history.
-    pub fn change_in_force(&mut self, state: &ReplicatedState, calendar: u64, now: Micros) -> Option<Change> {
+    /// Returns the change that puts the version being rolled out in force, if there is one and nothing
+    /// blocks it. `unix_time` is in microseconds and goes into the history.
+    pub fn change_in_force(
+        &mut self,
+        state: &ReplicatedState,
+        unix_time: u64,
+        now: Micros,
+    ) -> Option<Change> {
         let next = state.next.as_ref()?;
         self.members_examined += state.members.len() as u64;
         if !self.blockers(state, now).is_empty() {
             return None;
         }
-        Some(Change::InForce { number: next.number, why: self.confirmations(state), at: calendar })
+        Some(Change::InForce { number: next.number, why: self.confirmations(state), at: unix_time })
     }
 
-    /// How many members confirmed, and which did not, in words for the history.
+    /// Summary for the history: how many members confirmed, and which did not.
     fn confirmations(&self, state: &ReplicatedState) -> String {
         let has_confirmed = |name: &&String| self.leases.get(*name).is_some_and(|lease| lease.has_confirmed);
         let (confirmed, unconfirmed): (Vec<&String>, Vec<&String>) =
@@ -97,6 +102,6 @@
     }
 }
 
-fn ms_until(moment: Micros, now: Micros) -> u64 {
-    moment.since(now).0.div_ceil(1000)
+fn ms_until(deadline: Micros, now: Micros) -> u64 {
+    deadline.since(now).0.div_ceil(1000)
 }
--- a/crates/flaxstand-consensus/src/lib.rs
+++ b/crates/flaxstand-consensus/src/lib.rs
@@ -1,22 +1,22 @@
-//! What initiators agree on: a replicated log after Raft (Ongaro's thesis), the numbered versions of the
-//! rules that it holds, leases on them, and their staged rollout. `docs/agreement.md` says what is promised.
+//! Consensus between initiators: a replicated log based on Raft (Ongaro's thesis), the versions of the
+//! rules that it stores, leases on these versions, and their staged rollout. `docs/agreement.md` describes
+//! the guarantees.
 //!
-//! Raft as implemented here: pre-vote, check-quorum, commitment in the leader's own term only, snapshots, one
-//! change of the voters at a time. A small electorate of initiators has a replica; all initiators are
-//! members.
+//! Raft as implemented here: pre-vote, check-quorum, commitment of entries of the leader's own term only,
+//! snapshots, single-server membership changes. A small group of initiators runs a replica; all initiators
+//! are members.
 //!
-//! Nothing here touches a socket, a file or a clock. The owner hands in messages, moments and the outcome of
-//! batches, and takes messages to send, batches to store and what was committed.
+//! The crate does no I/O and reads no clock. The caller passes in messages, the current time and the
+//! outcome of storage batches, and takes messages to send, batches to store and committed changes.
 //!
-//! - [`participant`]: one initiator: its replica, if it has one, its membership, and the routing between;
-//!   what the owner calls
-//! - [`member`]: leases as their holder sees them; [`lease_manager`]: as the leader does
-//! - [`replicated_state`]: the replicated state; [`rules`]: its rules, and which of two values is the
-//!   narrower
+//! - [`participant`]: one initiator: its replica, if it has one, its membership, and the routing of lease
+//!   requests; the entry point for callers
+//! - [`member`]: leases on the member's side; [`lease_manager`]: leases on the leader's side
+//! - [`replicated_state`]: the replicated state; [`rules`]: its rules, and which of two values is narrower
 //! - [`replica`]: one replica of the log: elections, replication, recovery
-//! - [`log`]: entries and the snapshot before them; [`message`]: messages between replicas
-//! - [`replica_id`]: the identity of a replica, and its incarnations
-//! - [`journal`]: what must be durable before it is sent, and reading it back
+//! - [`log`]: log entries and snapshots; [`message`]: messages between replicas
+//! - [`replica_id`]: identity and incarnations of a replica
+//! - [`journal`]: durable storage of a replica's state, and its recovery
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/flaxstand-consensus/src/log.rs
+++ b/crates/flaxstand-consensus/src/log.rs
@@ -1,54 +1,55 @@
-//! The replicated log: entries, and the snapshot in place of those before them.
+//! The replicated log: a snapshot and the entries after it.
 
 use crate::replica_id::ReplicaId;
 use serde::{Deserialize, Serialize};
 
-/// What an entry holds. Stored and sent: postcard numbers the variants by their order.
+/// Payload of a log entry. Stored and sent: postcard numbers the variants by their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// The first entry of a leader's term (Raft's no-op): earlier entries are committed behind it.
+    /// No-op entry at the start of a leader's term: entries of earlier terms are committed through it.
     NoOp,
-    /// The voters from this entry on, whether it is committed or not.
+    /// Changes the voters. Takes effect when appended, whether committed or not.
     Voters(Vec<ReplicaId>),
-    /// A change of the owner's state.
+    /// An opaque change of the application state.
     Change(Vec<u8>),
 }
 
-/// An entry. Its index is its place in the log.
+/// A log entry. Its index is its position in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term in which a leader wrote it.
+    /// Term of the leader that created it.
     pub term: u64,
-    /// What it holds.
+    /// The payload.
     pub payload: EntryPayload,
 }
 
-/// Term and index of a log's last entry, ordered as Raft compares logs: by term, then by index (§5.4.1).
+/// Term and index of the last entry of a log. Ordered by term, then by index, as Raft compares logs
+/// (§5.4.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The entry's term.
+    /// Term of the entry.
     pub term: u64,
-    /// The entry's index.
+    /// Index of the entry.
     pub index: u64,
 }
 
-/// The state that all entries up to an index lead to.
+/// Application state after all entries up to an index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Index of the last entry in it.
+    /// Index of the last entry included.
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the last entry included.
     pub term: u64,
-    /// The voters as of that entry.
+    /// Voters as of the last entry included.
     pub voters: Vec<ReplicaId>,
-    /// The owner's state.
+    /// Encoded application state.
     pub state: Vec<u8>,
 }
 
-/// The log.
+/// A snapshot and the log entries that follow it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Log {
-    /// What stands before the entries.
+    /// The snapshot that precedes the entries.
     pub snapshot: Snapshot,
     /// Entries from `snapshot.index + 1` on.
     pub entries: Vec<Entry>,
@@ -66,13 +67,13 @@
         LogPosition { term, index: self.last_index() }
     }
 
-    /// The entry at an index; none if it is in the snapshot or beyond the end.
+    /// Returns the entry at an index; `None` if it is compacted or beyond the end of the log.
     pub fn entry(&self, index: u64) -> Option<&Entry> {
         let at = index.checked_sub(self.snapshot.index + 1)?;
         self.entries.get(usize::try_from(at).ok()?)
     }
 
-    /// Term of the entry at an index; none before the snapshot's last entry and beyond the end.
+    /// Term of the entry at an index; `None` before the snapshot index and beyond the end of the log.
     pub fn term(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -80,7 +81,7 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// Entries after an index, as many as fit in `max_bytes`, at least one.
+    /// Returns entries after an index, as many as fit in `max_bytes` but at least one.
     pub fn entries_after(&self, index: u64, max_bytes: usize) -> Vec<Entry> {
         let skipped = index.saturating_sub(self.snapshot.index) as usize;
         let mut size = 0;
@@ -92,24 +93,24 @@
         self.entries.iter().skip(skipped).take_while(fits).cloned().collect()
     }
 
-    /// The voters: those of the newest configuration entry in the log, committed or not (Raft §6).
+    /// Current voters: those of the latest configuration entry in the log, committed or not (Raft §6).
     pub fn voters(&self) -> &[ReplicaId] {
         let newest = self.entries.iter().rev().find_map(Entry::voters);
         newest.unwrap_or(&self.snapshot.voters)
     }
 
-    /// Index of the entry, or of the snapshot, that [`Log::voters`] come from.
+    /// Index of the entry or snapshot that defines [`Log::voters`].
     pub fn voters_index(&self) -> u64 {
         let newest = self.entries.iter().rposition(|entry| entry.voters().is_some());
         newest.map_or(self.snapshot.index, |at| self.snapshot.index + 1 + at as u64)
     }
 
-    /// Drops the entries from an index on.
+    /// Removes the entries from an index on.
     pub fn truncate(&mut self, from: u64) {
         self.entries.truncate(from.saturating_sub(self.snapshot.index + 1) as usize);
     }
 
-    /// Puts `state`, made of all entries up to `index`, in place of those entries.
+    /// Replaces all entries up to `index` with a snapshot of the application state.
     pub fn compact(&mut self, index: u64, state: Vec<u8>) {
         let Some(term) = self.term(index) else { return };
         let count = (index - self.snapshot.index) as usize;
@@ -121,7 +122,7 @@
 }
 
 impl Entry {
-    /// About how many bytes it takes in a message.
+    /// Approximate size of the entry in a message, in bytes.
     pub fn size(&self) -> usize {
         32 + match &self.payload {
             EntryPayload::NoOp => 0,
--- a/crates/flaxstand-consensus/src/member.rs
+++ b/crates/flaxstand-consensus/src/member.rs
@@ -1,9 +1,9 @@
-//! A member: any initiator, with a replica or without. It acts on the replicated state's rules as long as it
-//! has a lease for the state's stage, and on the fallback rules otherwise.
+//! Lease holder: any initiator, with or without a replica. It acts on the replicated rules while it holds a
+//! lease for the current stage, and on the fallback rules otherwise.
 //!
-//! A lease counts from the moment of its *request*, on a clock that goes on while the process is stopped and
-//! does not follow the calendar. The leader counts from the grant, which is later, and adds the clocks'
-//! stated error: a lease never ends here after it ended there.
+//! The member counts a lease from the time it sent the *request*, on a monotonic clock that also advances
+//! while the process is suspended. The leader counts from the later grant and adds the configured clock
+//! error, so a lease always expires on the member before it expires on the leader.
 
 use crate::lease_manager::{LeaseRequest, LeaseResponse};
 use crate::replica::InjectedFault;
@@ -12,47 +12,49 @@
 use flaxstand_proto::Micros;
 use std::collections::BTreeMap;
 
-/// Requests whose responses may still come, most. The oldest is forgotten then.
+/// Maximum number of requests in flight. Beyond it the oldest one is dropped.
 const MAX_PENDING_REQUESTS: usize = 16;
-/// How many times a lease is renewed in its span.
+/// Number of renewals per lease period.
 const RENEWALS_PER_LEASE: u64 = 4;
 
-/// What a member acts on. Log lines and scripts hold these names.
+/// The rules that a member acts on. Log lines and scripts contain the variant names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ActiveRules {
-    /// The fallback rules: it has no lease.
+    /// The fallback rules: the member has no lease.
     Fallback,
-    /// The narrower of the version in force (first number) and the one being rolled out (second number).
+    /// The narrower of the version in force (first number) and the version being rolled out (second
+    /// number).
     Transition(u64, u64),
     /// The version in force, by its number.
     Version(u64),
 }
 
-/// A member.
+/// Lease state of one initiator.
 #[derive(Debug)]
 pub struct Member {
     name: String,
     epoch: u64,
     replicated_state: Option<ReplicatedState>,
-    /// The log index of that state; 0 without one.
+    /// Log index of the replicated state; 0 without one.
     state_index: u64,
-    /// Until when it acts on the state. A lease for an older stage holds for a newer one too: who acts on the
-    /// newer contradicts nobody who may act on the older, and the older is no longer acted on here.
+    /// Expiry of the lease. A lease for an older stage also covers a newer one: the rules of the newer
+    /// stage contradict nobody who may still act on the older one, and this member no longer acts on the
+    /// older one.
     lease_until: Option<Micros>,
-    /// By number: when each request was sent whose response may still come.
+    /// Requests in flight by sequence number, with the time each was sent.
     pending: BTreeMap<u64, Micros>,
     next_request: u64,
     request_at: Micros,
     lease_span: Micros,
-    is_leaving: bool,
-    /// The state has to be saved before its stage is confirmed.
+    is_releasing_lease: bool,
+    /// Whether the replicated state has to be saved before its stage may be confirmed.
     is_unsaved: bool,
     injected_fault: InjectedFault,
 }
 
 impl Member {
-    /// A member that starts, with the state that it saved before. `lease_span` is how long a lease is
-    /// expected to be, until the first response tells.
+    /// Creates a member from the state it saved before. `lease_span` is the expected length of a lease
+    /// until the first response arrives.
     pub fn new(
         name: String,
         epoch: u64,
@@ -72,29 +74,29 @@
             next_request: 1,
             request_at: now,
             lease_span,
-            is_leaving: false,
+            is_releasing_lease: false,
             is_unsaved: false,
             injected_fault,
         }
     }
 
-    /// The replicated state as it is known here.
+    /// The local copy of the replicated state.
     pub fn replicated_state(&self) -> Option<&ReplicatedState> {
         self.replicated_state.as_ref()
     }
 
-    /// The same with its index.
+    /// The local copy of the replicated state with its log index.
     pub fn indexed_state(&self) -> Option<IndexedState> {
         let state = self.replicated_state.clone()?;
         Some(IndexedState { index: self.state_index, state })
     }
 
-    /// The stage of the replicated state; 0 without one.
+    /// Stage of the replicated state; 0 without one.
     pub fn stage(&self) -> u64 {
         self.replicated_state.as_ref().map_or(0, |state| state.stage)
     }
 
-    /// Takes a replicated state in place of an older one. Guards against a late response that takes the rules
+    /// Replaces the replicated state if the given one is newer. A delayed response must not move the rules
     /// back to an earlier stage.
     pub fn update_state(&mut self, index: u64, state: &ReplicatedState) {
         let accepts_older =
@@ -106,13 +108,14 @@
         }
     }
 
-    /// The state that is to be saved now, if it changed: before anything later is sent.
+    /// Returns the replicated state if it has changed since the last call. It must be saved before any
+    /// later message is sent.
     pub fn take_unsaved(&mut self) -> Option<IndexedState> {
         let is_unsaved = std::mem::take(&mut self.is_unsaved);
         if is_unsaved { self.indexed_state() } else { None }
     }
 
-    /// What it acts on at a moment.
+    /// The rules that the member acts on at `now`.
     pub fn active_rules(&self, now: Micros) -> ActiveRules {
         let Some(state) = self.replicated_state.as_ref().filter(|_| self.has_lease(now)) else {
             return ActiveRules::Fallback;
@@ -133,37 +136,37 @@
         self.lease_until.is_some_and(|until| now < until || ignores_expiry)
     }
 
-    /// The rules that it acts on, given the rules of its own settings.
-    pub fn rules(&self, started_with: &Rules, now: Micros) -> Rules {
-        let Some(state) = &self.replicated_state else { return started_with.fallback_rules() };
+    /// The values of the active rules. `local_rules` are those of the initiator's own settings.
+    pub fn rules(&self, local_rules: &Rules, now: Micros) -> Rules {
+        let Some(state) = &self.replicated_state else { return local_rules.fallback_rules() };
         if self.active_rules(now) != ActiveRules::Fallback {
             return state.rules();
         }
         if state.in_force.number == 0 {
-            return started_with.fallback_rules();
+            return local_rules.fallback_rules();
         }
         let fallback = state.in_force.rules.fallback_rules();
         match &state.next {
-            // While the fallback rules change, the narrower of both.
+            // While the fallback rules change, the narrower of both apply.
             Some(next) => fallback.narrower(&next.rules.fallback_rules()),
             None => fallback,
         }
     }
 
-    /// Until when the lease holds if no response comes; none: it never had one, or gave it back.
+    /// Expiry of the lease if it is not renewed; `None` if there is no lease or it was released.
     pub fn lease_until(&self) -> Option<Micros> {
         self.lease_until
     }
 
-    /// Gives the lease back with the next request, and acts on the fallback rules from now on.
+    /// Releases the lease with the next request and acts on the fallback rules from now on.
     pub fn release_lease(&mut self, now: Micros) {
-        self.is_leaving = true;
+        self.is_releasing_lease = true;
         self.lease_until = None;
         self.request_at = now;
     }
 
-    /// The lease request that is due now, if one is. To be sent at once. None while the state is not saved:
-    /// guards against a stage that is confirmed and forgotten.
+    /// Returns the lease request that is due, if any; it must be sent at once. Returns none while the state
+    /// is unsaved: a restart could otherwise lose a stage that was confirmed.
     pub fn lease_request(&mut self, now: Micros) -> Option<LeaseRequest> {
         if now < self.request_at || self.is_unsaved {
             return None;
@@ -183,30 +186,30 @@
             stage: self.stage(),
             digest: self.replicated_state.as_ref().map_or(0, ReplicatedState::digest),
             unable_reason: self.unable_reason(),
-            releases_lease: self.is_leaving,
+            releases_lease: self.is_releasing_lease,
         })
     }
 
-    /// Why it can't act on the newest version, in words for operators: a newer build made keys that it does
-    /// not know.
+    /// Why the member can't act on the latest version, for operators: a newer build introduced keys that
+    /// this one does not support.
     fn unable_reason(&self) -> Option<String> {
         let state = self.replicated_state.as_ref()?;
         let newest = state.next.as_ref().unwrap_or(&state.in_force);
         let unknown_keys = newest.rules.unknown_keys().join(", ");
-        (!unknown_keys.is_empty()).then(|| format!("it does not know {unknown_keys}"))
+        (!unknown_keys.is_empty()).then(|| format!("its build does not support {unknown_keys}"))
     }
 
-    /// When the next request is due, or the lease ends.
+    /// When the next request is due or the lease expires.
     pub fn wake_at(&self, now: Micros) -> Micros {
-        // A lease that has ended already wakes nobody.
+        // An expired lease needs no timer.
         let ends = self.lease_until.filter(|until| now < *until);
         ends.map_or(self.request_at, |until| self.request_at.min(until))
     }
 
-    /// Handles a response: a lease for the stage that it names, if that is the stage here by now.
+    /// Handles a lease response. The lease is accepted only if it is for the stage that the member is at.
     pub fn handle_lease_response(&mut self, response: &LeaseResponse, now: Micros) {
         let Some(requested_at) = self.pending.remove(&response.seq) else { return };
-        if response.epoch != self.epoch || self.is_leaving {
+        if response.epoch != self.epoch || self.is_releasing_lease {
             return;
         }
         if let Some(newer) = &response.newer_state {
--- a/crates/flaxstand-consensus/src/message.rs
+++ b/crates/flaxstand-consensus/src/message.rs
@@ -1,104 +1,108 @@
-//! Messages between replicas. They may be lost, doubled, late and out of order.
+//! Messages between replicas. They may be lost, duplicated, delayed and reordered.
 //!
-//! Bytes are postcard's: variants and fields are numbered by their order here and written without names. New
-//! variants come last; no field may be added.
+//! The encoding is postcard: variants and fields are numbered by their order and written without names. New
+//! variants go last; no field may be added.
 
 use crate::log::{Entry, LogPosition, Snapshot};
 use crate::replica_id::{Incarnation, LastSeen, ReplicaId};
 use serde::{Deserialize, Serialize};
 
-/// A message.
+/// A message between replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The cluster that it belongs to; 0: its sender is in none yet.
+    /// Cluster of the sender; 0 if it belongs to none yet.
     pub cluster_id: u64,
-    /// Its sender.
+    /// The sender.
     pub from: ReplicaId,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// How many promises (terms, votes, entries) the sender has written down.
+    /// Number of promises (terms, votes, entries) the sender has recorded.
     pub promises_written: u64,
-    /// The name that it is sent to.
+    /// Name of the receiver.
     pub to: String,
-    /// Which instance of that name, where the sender knows.
+    /// Instance of the receiver, if the sender knows it.
     pub to_instance: Option<u64>,
     /// The sender's term.
     pub term: u64,
-    /// What it asks or answers.
+    /// The request or response.
     pub body: MessageBody,
 }
 
-/// What a message asks or answers.
+/// A request or response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// The bootstrap replica asks whether the receiver is in no cluster either.
+    /// From the bootstrapping replica: asks whether the receiver belongs to no cluster.
     BootstrapRequest,
-    /// It is in none.
+    /// Response: the sender belongs to no cluster.
     BootstrapReady,
-    /// It is in one.
+    /// Response: the sender belongs to a cluster.
     ClusterExists,
-    /// A new replica asks to be made a voter.
+    /// A new replica asks to become a voter.
     JoinRequest,
-    /// After a start: has a later incarnation of the sender been seen?
+    /// After a start: asks whether a later incarnation of the sender has been seen.
     IncarnationRequest,
-    /// None later than this one; or the answering replica is new itself and knows nothing any more.
+    /// Response: no incarnation later than this one has been seen, or the responding replica is itself new
+    /// and has no record of any.
     IncarnationResponse(Incarnation),
-    /// A later incarnation of the receiver was seen: it runs on an old copy of its folder.
+    /// A later incarnation of the receiver has been seen: the receiver runs on a stale copy of its
+    /// directory.
     Superseded(LastSeen),
-    /// From the leader to one that campaigns: it is no voter any more.
+    /// From the leader to a candidate that is no longer a voter.
     NoLongerVoter,
-    /// Would the receiver vote for the sender in `term + 1`? The last position in the sender's log.
+    /// Asks whether the receiver would vote for the sender in `term + 1`. Holds the last position in the
+    /// sender's log.
     PreVoteRequest(LogPosition),
-    /// The answer.
+    /// Response to a pre-vote request.
     PreVoteResponse {
         /// The term asked about.
         term: u64,
         /// Whether the vote would be granted.
         granted: bool,
     },
-    /// A request for the receiver's vote in this term. The last position in the sender's log.
+    /// Asks for the receiver's vote in the current term. Holds the last position in the sender's log.
     VoteRequest(LogPosition),
-    /// Whether the vote is granted.
+    /// Response to a vote request.
     VoteResponse {
-        /// Whether it is.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// The leader's entries after `prev_index`; with none of them it is a heartbeat.
+    /// The leader's log entries after `prev_index`; without entries it is a heartbeat.
     AppendRequest {
-        /// Index of the entry before the first.
+        /// Index of the entry that precedes `entries`.
         prev_index: u64,
-        /// Term of that entry.
+        /// Term of the entry that precedes `entries`.
         prev_term: u64,
-        /// Entries, maybe none.
+        /// Entries to append; may be empty.
         entries: Vec<Entry>,
-        /// All entries up to there are committed.
+        /// Index up to which all entries are committed.
         commit_index: u64,
-        /// The leader's clock when it sent this, microseconds. The response carries it back.
+        /// Send time by the leader's clock in microseconds, echoed in the response.
         sent_at: u64,
     },
-    /// The leader's snapshot, in place of entries that it no longer has.
+    /// The leader's snapshot, sent when the entries that the receiver lacks have been compacted.
     InstallSnapshot {
         /// The snapshot.
         snapshot: Snapshot,
-        /// The leader's clock when it sent this, microseconds. The response carries it back.
+        /// Send time by the leader's clock in microseconds, echoed in the response.
         sent_at: u64,
     },
-    /// All entries up to an index are durable here as the leader has them.
+    /// All entries up to `match_index` are durable on the sender and match the leader's log.
     AppendAccepted {
-        /// That index.
+        /// Index of the last matching entry.
         match_index: u64,
         /// `sent_at` of the request.
         request_sent_at: u64,
     },
-    /// The entries up to this index are here, of a replica that is still recovering: they count for no
+    /// Index of the last matching entry of a replica that is still recovering. It does not count towards a
     /// quorum.
     RecoveryProgress(u64),
-    /// From the leader to a recovering replica, in this incarnation: a majority without it has confirmed the
-    /// leader, and all that is committed is in its log.
+    /// From the leader to a recovering replica in this incarnation: a majority without it has confirmed the
+    /// leader, and its log holds all committed entries.
     RecoveryComplete(Incarnation),
-    /// The entry at `prev_index` was not here, or its sender does not lead any more.
+    /// The log does not contain the entry at `prev_index`, or the sender of the request is no longer the
+    /// leader.
     AppendRejected {
-        /// All entries up to there match the leader's.
+        /// Index up to which all entries match the leader's log.
         match_index: u64,
         /// `sent_at` of the request.
         request_sent_at: u64,
--- a/crates/flaxstand-consensus/src/participant.rs
+++ b/crates/flaxstand-consensus/src/participant.rs
@@ -1,16 +1,17 @@
-//! The agreement of one initiator: its replica, if it has one, its membership, and the routing between. What
-//! the owner (the gateway's core, or a test) calls; messages in, messages out, no I/O.
+//! Consensus state of one initiator: its replica, if it has one, its membership, and the routing of lease
+//! requests. The API for callers (the gateway core and tests); messages in, messages out, no I/O.
 //!
-//! A member's lease requests go to its *upstream*: an initiator with a replica, or a neighbour where it
-//! reaches none. Each forwards what it can't decide on, the leader responds, and responses go back the way
-//! the requests came. An upstream that does not respond is left for the next.
+//! A member sends its lease requests to its *upstream*: an initiator with a replica, or a neighbour if it
+//! can reach none. Every initiator that can't decide a request forwards it towards the leader, and
+//! responses return along the same path. A member switches to the next upstream if the current one does not
+//! respond.
 //!
 //! - `protocol`: messages between initiators and with operators
-//! - `upstreams`, `routing`: the way of lease requests and responses
-//! - `applied`, `replication`: the replicated state, and what a leader does by itself
-//! - `admission`: which initiators a leader admits as members
-//! - `operators`: requests of operators, and the status report
-//! - `rollout_bounds`: bounds that follow from the settings
+//! - `upstreams`, `routing`: forwarding of lease requests and responses
+//! - `applied`, `replication`: the replicated state, and actions that the leader takes by itself
+//! - `admission`: admission of new members by the leader
+//! - `operators`: operator requests and the status report
+//! - `rollout_bounds`: time bounds derived from the settings
 
 mod admission;
 mod applied;
@@ -39,81 +40,82 @@
 use tracing::{info, warn};
 use upstreams::Upstreams;
 
-/// The configuration of one initiator's part in the agreement. The reader of the settings file
-/// checks the constraints named here.
+/// Configuration of one participant. The settings parser validates the constraints stated here.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the initiator.
     pub name: String,
-    /// Which start of it; grows with each.
+    /// Epoch of the process: increases with each start.
     pub epoch: u64,
-    /// Names of the initiators with a replica, the one that bootstraps the cluster first. The same
-    /// everywhere.
+    /// Names of the initiators with a replica; the first one bootstraps the cluster. Must be the same on
+    /// all initiators.
     pub voters: Vec<String>,
-    /// Names of other initiators that it may ask where it reaches no replica.
+    /// Names of other initiators to send lease requests to if no replica is reachable.
     pub neighbours: Vec<String>,
-    /// How long a lease is; at least twice `election_timeout`. The same everywhere.
+    /// Length of a lease; at least twice `election_timeout`. Must be the same on all initiators.
     pub lease: Micros,
-    /// By what part of a lease two clocks may differ over it, 0 to 0.1. The same everywhere.
+    /// Maximum clock drift over a lease as a fraction of its length, 0 to 0.1. Must be the same on all
+    /// initiators.
     pub clock_error: f64,
-    /// How long replicas have no contact with a leader before they elect one.
+    /// Time without contact with a leader after which replicas start an election.
     pub election_timeout: Micros,
-    /// Seed of random numbers, another one at each start.
+    /// Random seed; differs at each start.
     pub seed: u64,
-    /// The rules of its own settings: it acts on their fallback rules until it has a replicated state.
-    pub started_with: Rules,
-    /// A fault that tests inject.
+    /// Rules of the initiator's own settings. Their fallback rules apply until a replicated state is
+    /// available.
+    pub local_rules: Rules,
+    /// Fault injected by tests.
     #[doc(hidden)]
     pub injected_fault: InjectedFault,
 }
 
-/// The rules that the owner was told to act on, and their stage.
+/// The active rules and stage that the caller was last notified of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Notified {
     active_rules: ActiveRules,
     stage: u64,
 }
 
-/// The agreement of one initiator.
+/// Consensus state of one initiator.
 #[derive(Debug)]
 pub struct Participant {
     config: Config,
     replica: Option<Replica>,
-    /// Of a leader.
+    /// Set while this initiator is the leader.
     leases: Option<LeaseManager>,
     member: Member,
-    /// Of an initiator with a replica: the replicated state.
+    /// The replicated state, on initiators with a replica.
     applied: Applied,
     admission: Admission,
     routes: Routes,
     upstreams: Upstreams,
-    /// By index of the entry that it waits for: an operator's connection.
+    /// Connections of operators that wait for a change, by the index of its log entry.
     pending_operations: BTreeMap<u64, u64>,
     outgoing: VecDeque<(Destination, PeerMessage)>,
-    /// None before the first call of [`Participant::take_rules_change`].
+    /// `None` before the first call of [`Participant::take_rules_change`].
     notified: Option<Notified>,
-    /// The host's calendar when the clock was 0, microseconds since 1970.
-    calendar_at_start: u64,
+    /// Wall-clock time at clock 0, in microseconds since the Unix epoch.
+    unix_time_at_start: u64,
 }
 
-/// What was found in the folder of a replica.
+/// Contents of a replica's journal directory.
 #[derive(Debug, Default)]
 pub struct StoredReplica {
-    /// Its state; none: it is new, or its disk was lost.
+    /// The recovered state; `None` if the replica is new or its disk was lost.
     pub state: Option<DurableState>,
-    /// Segments in the folder.
+    /// Segments in the directory.
     pub segments: Vec<u64>,
 }
 
 impl Participant {
-    /// The agreement of an initiator that starts. `stored`: the folder of its replica; none: it has no
-    /// replica. `saved`: the replicated state that it saved before. `calendar`: the host's calendar when the
-    /// clock was 0, microseconds since 1970.
+    /// Starts a participant. `stored` is the content of the replica's directory, `None` for an initiator
+    /// without a replica. `saved` is the replicated state saved before. `unix_time` is the wall-clock time
+    /// at clock 0, in microseconds.
     pub fn new(
         config: Config,
         stored: Option<StoredReplica>,
         saved: Option<IndexedState>,
-        calendar: u64,
+        unix_time: u64,
         now: Micros,
     ) -> Participant {
         let replica = stored.map(|stored| start_replica(&config, stored, now));
@@ -131,13 +133,13 @@
             pending_operations: BTreeMap::new(),
             outgoing: VecDeque::new(),
             notified: None,
-            calendar_at_start: calendar,
+            unix_time_at_start: unix_time,
             config,
         }
     }
 
-    /// Handles a message that came on the connection that the owner numbered so. `from`: the initiator at its
-    /// other end, none for an operator.
+    /// Handles a message received on a connection, which the caller identifies by a number. `from` is the
+    /// initiator at the other end; `None` for an operator.
     pub fn receive(&mut self, connection: u64, from: Option<&str>, message: PeerMessage, now: Micros) {
         match (message, from) {
             (PeerMessage::Replica(message), Some(name)) if message.from.name == name => {
@@ -152,12 +154,12 @@
             (PeerMessage::OperatorRequest(request), None) => {
                 self.handle_operator_request(connection, request, now);
             }
-            (message, from) => warn!(?from, ?message, "an unexpected message is dropped"),
+            (message, from) => warn!(?from, ?message, "unexpected message dropped"),
         }
         self.apply_committed(now);
     }
 
-    /// Time has passed.
+    /// Processes timers that are due at `now`.
     pub fn tick(&mut self, now: Micros) {
         if let Some(replica) = &mut self.replica
             && replica.wake_at() <= now
@@ -169,18 +171,19 @@
         self.routes.expire(self.config.lease, now);
     }
 
-    /// When [`Participant::tick`] is to be called at the latest.
+    /// Latest time at which [`Participant::tick`] must be called.
     pub fn wake_at(&self, now: Micros) -> Micros {
         let member_at = self.member.wake_at(now);
         self.replica.as_ref().map_or(member_at, |replica| replica.wake_at().min(member_at))
     }
 
-    /// The next batch that a replica has to store. One at a time; [`Participant::batch_stored`] follows.
+    /// Returns the next batch for the storage. Only one batch is in flight at a time; report its outcome
+    /// with [`Participant::batch_stored`].
     pub fn next_batch(&mut self, now: Micros) -> Option<Batch> {
         self.replica.as_mut()?.next_batch(now)
     }
 
-    /// Records how the batch ended.
+    /// Records the outcome of the batch in flight.
     pub fn batch_stored(&mut self, succeeded: bool, now: Micros) {
         if let Some(replica) = &mut self.replica {
             replica.batch_stored(succeeded, now);
@@ -188,13 +191,13 @@
         self.apply_committed(now);
     }
 
-    /// The replicated state to be saved in place of the one before, if it changed: at once, before messages
-    /// go out.
+    /// Returns the replicated state if it has changed. The caller must save it before it sends further
+    /// messages.
     pub fn take_unsaved(&mut self) -> Option<Vec<u8>> {
         self.member.take_unsaved().map(|unsaved| unsaved.bytes())
     }
 
-    /// Messages to send, and where to.
+    /// Returns the messages to send with their destinations.
     pub fn take_outgoing(&mut self) -> Vec<(Destination, PeerMessage)> {
         let mut outgoing: Vec<(Destination, PeerMessage)> = self.outgoing.drain(..).collect();
         if let Some(replica) = &mut self.replica {
@@ -207,8 +210,8 @@
         outgoing
     }
 
-    /// The rules to act on from now on, if they are others than at the last call. To be called in each turn
-    /// before anything is sent: guards against a lease that ended while the process was stopped.
+    /// Returns the active rules if they have changed since the last call. Must be called in each event-loop
+    /// iteration before anything is sent, because a lease may have expired while the process was suspended.
     pub fn take_rules_change(&mut self, now: Micros) -> Option<Rules> {
         let active_rules = self.member.active_rules(now);
         let stage = self.member.stage();
@@ -224,15 +227,15 @@
         };
         info!(from = ?before, to = ?active_rules, stage, cause, "rules");
         self.notified = Some(Notified { active_rules, stage });
-        Some(self.member.rules(&self.config.started_with, now))
+        Some(self.member.rules(&self.config.local_rules, now))
     }
 
-    /// What it acts on.
+    /// The rules that this initiator acts on.
     pub fn active_rules(&self, now: Micros) -> ActiveRules {
         self.member.active_rules(now)
     }
 
-    /// The number of the version in force that it acts on, 0 with the fallback rules.
+    /// Number of the version in force that this initiator acts on; 0 with the fallback rules.
     pub fn version(&self, now: Micros) -> u64 {
         match self.member.active_rules(now) {
             ActiveRules::Fallback => 0,
@@ -240,47 +243,47 @@
         }
     }
 
-    /// Gives the lease back; the process is about to end.
+    /// Releases the lease before the process exits.
     pub fn release_lease(&mut self, now: Micros) {
         self.member.release_lease(now);
         self.tick(now);
     }
 
-    /// The replica's state, if it has one.
+    /// Status of the replica, if this initiator has one.
     pub fn replica_status(&self, now: Micros) -> Option<Status> {
         self.replica.as_ref().map(|replica| replica.status(now))
     }
 
-    /// The replicated state as it is known here.
+    /// The local copy of the replicated state.
     pub fn replicated_state(&self) -> Option<&ReplicatedState> {
         self.member.replicated_state()
     }
 
-    /// See [`LeaseManager::members_examined`]; 0 where this initiator does not lead.
+    /// See [`LeaseManager::members_examined`]; 0 if this initiator is not the leader.
     #[doc(hidden)]
     pub fn members_examined(&self) -> u64 {
         self.leases.as_ref().map_or(0, LeaseManager::members_examined)
     }
 
-    /// Lowers the number of members that this initiator admits while it leads: for tests of what happens
-    /// beyond it. `MAX_MEMBERS` can't be raised.
+    /// Lowers the maximum number of members that this initiator admits as leader, to test the limit. Can't
+    /// raise it above `MAX_MEMBERS`.
     #[doc(hidden)]
     pub fn limit_members(&mut self, max_members: usize) {
         self.admission.limit(max_members);
     }
 
-    /// Of a leader: until when no other replica can lead.
+    /// On a leader: until when no other replica can become leader.
     fn leads_until(&self, now: Micros) -> Option<Micros> {
         self.replica.as_ref()?.leads_until(now)
     }
 
-    /// The leader's name, as far as the replica here knows.
+    /// Name of the leader, if the local replica knows it.
     fn leader(&self) -> Option<String> {
         self.replica.as_ref()?.leader().map(str::to_owned)
     }
 }
 
-/// How many heartbeats a leader sends in an election timeout.
+/// Number of heartbeats per election timeout.
 const HEARTBEATS_PER_ELECTION_TIMEOUT: u64 = 5;
 
 fn start_replica(config: &Config, stored: StoredReplica, now: Micros) -> Replica {
--- a/crates/flaxstand-consensus/src/participant/admission.rs
+++ b/crates/flaxstand-consensus/src/participant/admission.rs
@@ -1,73 +1,75 @@
-//! Which initiators the leader admits as members, up to a bound on their number.
+//! Admission of new members by the leader, up to a maximum number.
 //!
-//! One beyond the bound is refused without a log entry. It asks again at its usual pace, and is admitted once
-//! a member was forgotten.
+//! An initiator beyond the maximum is rejected without a log entry. It keeps sending requests at the normal
+//! rate and is admitted once a member has been removed.
 
 use crate::replicated_state::MAX_MEMBERS;
 use std::collections::BTreeSet;
 use tracing::warn;
 
-/// Refused initiators that are remembered, most. Refusals of further ones are not logged one by one.
-const MAX_LOGGED_REFUSALS: usize = 1_024;
+/// Maximum number of rejected initiators that are tracked. Rejections beyond it are not logged
+/// individually.
+const MAX_LOGGED_REJECTIONS: usize = 1_024;
 
-/// What a leader does with an initiator that asks to join.
+/// Outcome of a request to join.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
-    /// Its `Join` may be proposed.
+pub(super) enum AdmissionDecision {
+    /// The `Join` change may be proposed.
     Admit,
-    /// Uncommitted log entries may take the last places: its next request is decided on.
-    Later,
-    /// There are as many members as may be.
-    Refuse,
+    /// Uncommitted log entries may use up the remaining capacity. The decision is deferred to the
+    /// initiator's next request.
+    Defer,
+    /// The maximum number of members is reached.
+    Reject,
 }
 
-/// Admission of new members by a leader.
+/// Admission state of a leader.
 #[derive(Debug)]
 pub(super) struct Admission {
     max_members: usize,
-    /// Initiators whose refusal was logged.
-    refused: BTreeSet<String>,
+    /// Initiators whose rejection has been logged.
+    logged_rejections: BTreeSet<String>,
 }
 
 impl Admission {
-    /// Admission up to [`MAX_MEMBERS`].
+    /// Admits up to [`MAX_MEMBERS`] members.
     pub(super) fn new() -> Admission {
-        Admission { max_members: MAX_MEMBERS, refused: BTreeSet::new() }
+        Admission { max_members: MAX_MEMBERS, logged_rejections: BTreeSet::new() }
     }
 
-    /// Lowers the bound; it can't be raised.
+    /// Lowers the maximum number of members; it can't be raised.
     pub(super) fn limit(&mut self, max_members: usize) {
         self.max_members = self.max_members.min(max_members);
     }
 
-    /// Decides on an initiator that is no member. There are `members` already, and `uncommitted` log entries,
-    /// each of which may be another's `Join`.
-    pub(super) fn decide(&mut self, name: &str, members: usize, uncommitted: u64) -> Verdict {
+    /// Decides on an initiator that is not a member. `members` is the current number of members; each of
+    /// the `uncommitted` log entries may be the `Join` of another one.
+    pub(super) fn decide(&mut self, name: &str, members: usize, uncommitted: u64) -> AdmissionDecision {
         let capacity = self.max_members.saturating_sub(members) as u64;
         if capacity == 0 {
-            self.log_refusal(name);
-            return Verdict::Refuse;
+            self.log_rejection(name);
+            return AdmissionDecision::Reject;
         }
         if uncommitted >= capacity {
-            return Verdict::Later;
+            return AdmissionDecision::Defer;
         }
-        self.refused.remove(name);
-        Verdict::Admit
+        self.logged_rejections.remove(name);
+        AdmissionDecision::Admit
     }
 
-    /// Logs the first refusal of each initiator.
-    fn log_refusal(&mut self, name: &str) {
-        if self.refused.len() >= MAX_LOGGED_REFUSALS || self.refused.contains(name) {
+    /// Logs the first rejection of each initiator.
+    fn log_rejection(&mut self, name: &str) {
+        if self.logged_rejections.len() >= MAX_LOGGED_REJECTIONS || self.logged_rejections.contains(name) {
             return;
         }
-        self.refused.insert(name.to_owned());
+        self.logged_rejections.insert(name.to_owned());
         let most = self.max_members;
         warn!(
             host = name,
-            most, "not admitted: there are as many members as may be; forget one that is gone"
+            most, "host not admitted: the maximum number of members is reached; forget a decommissioned one"
         );
-        if self.refused.len() == MAX_LOGGED_REFUSALS {
-            warn!(logged = MAX_LOGGED_REFUSALS, "refusals of further hosts are not logged");
+        if self.logged_rejections.len() == MAX_LOGGED_REJECTIONS {
+            warn!(logged = MAX_LOGGED_REJECTIONS, "further rejected hosts are not logged");
         }
     }
 }
--- a/crates/flaxstand-consensus/src/participant/applied.rs
+++ b/crates/flaxstand-consensus/src/participant/applied.rs
@@ -1,12 +1,12 @@
-//! The replicated state that a replica makes of the committed log.
+//! The replicated state that results from the committed log entries.
 
 use crate::replicated_state::{Change, ChangeError, ReplicatedState};
 use thiserror::Error;
 
-/// Why a committed entry changes nothing. Its text is shown to operators.
+/// Why a committed entry has no effect. The text is shown to operators.
 #[derive(Debug, Error)]
 pub(super) enum ApplyError {
-    /// A newer build wrote it in a form that this one can't read.
+    /// The entry was written by a newer build in a format that this one can't decode.
     #[error("a newer build wrote it: {0}")]
     Unreadable(postcard::Error),
     /// The state does not allow the change.
@@ -14,27 +14,27 @@
     NotAllowed(#[from] ChangeError),
 }
 
-/// The replicated state, and the entries that it is made of.
+/// The replicated state with the log indices at which it changed.
 ///
-/// Its indices are those of log entries, so they compare across leaders and restarts: a copy with index `i`
-/// is the state after entry `i`. Replicas may know different indices for the same state, since a snapshot
-/// does not tell which entry changed it last and its own index is taken. Each is one of an entry at or after
-/// the last change, so a member with an older copy has a lower index than any of them, and is sent the state.
+/// Log indices are comparable across leaders and restarts: a copy with index `i` is the state after entry
+/// `i`. Replicas may assign different indices to the same state, because a snapshot does not record which
+/// entry changed it last and its own index is used instead. Each such index is at or after the last change,
+/// so a member with an older copy has a lower index than any of them and is sent the state.
 #[derive(Debug, Default)]
 pub(super) struct Applied {
-    /// The newest entry that was applied.
+    /// Index of the last applied entry.
     index: u64,
-    /// The state changed last at this entry, or before it.
+    /// Index of the last change of the state, or a later index if the state was loaded from a snapshot.
     state_index: u64,
-    /// Likewise for all of it but the list of members, on which only replicas act: leaders send other members
-    /// the state when their copy is older than this.
+    /// The same for all of the state except the list of members, which only replicas use: leaders send the
+    /// state to members whose copy is older than this.
     versions_index: u64,
     state: ReplicatedState,
 }
 
 impl Applied {
-    /// The state of a snapshot.
-    pub(super) fn of_snapshot(index: u64, state: ReplicatedState) -> Applied {
+    /// Loads the state of a snapshot.
+    pub(super) fn from_snapshot(index: u64, state: ReplicatedState) -> Applied {
         Applied { index, state_index: index, versions_index: index, state }
     }
 
@@ -54,16 +54,17 @@
         &self.state
     }
 
-    /// Applies a committed entry. Returns the version's number; 0 where the change concerns none.
+    /// Applies a committed entry. Returns the number of the version concerned, or 0 if the change concerns
+    /// none.
     ///
     /// # Errors
-    /// The entry changes nothing here.
+    /// The entry has no effect.
     pub(super) fn apply(&mut self, index: u64, bytes: &[u8]) -> Result<u64, ApplyError> {
         self.index = index;
         let change = match postcard::from_bytes::<Change>(bytes) {
             Ok(change) => change,
             Err(error) => {
-                // Where a newer build leads, members may have been sent what it made of the entry.
+                // If a newer build is leading, it may have sent members the state after this entry.
                 self.state_index = index;
                 self.versions_index = index;
                 return Err(ApplyError::Unreadable(error));
@@ -72,7 +73,8 @@
         let stage = self.state.stage;
         let member_count = self.state.members.len();
         let outcome = self.state.apply(change);
-        // Each change of versions begins a stage; one of the members adds a name or takes one away.
+        // Every change of the versions starts a new stage; every change of the members changes their
+        // number.
         if self.state.stage != stage {
             self.state_index = index;
             self.versions_index = index;
--- a/crates/flaxstand-consensus/src/participant/operators.rs
+++ b/crates/flaxstand-consensus/src/participant/operators.rs
@@ -1,4 +1,4 @@
-//! Requests of operators, and the status report.
+//! Operator requests and the status report.
 
 use super::{
     Destination, OperatorReply, OperatorRequest, Participant, PeerMessage, StatusReport, VersionNumbers,
@@ -9,28 +9,28 @@
 use flaxstand_proto::Micros;
 use thiserror::Error;
 
-/// Changes of operators that are not committed yet, most.
+/// Maximum number of operator changes that are not committed yet.
 const MAX_PENDING_OPERATIONS: usize = 16;
-/// Blockers that a refusal names, most.
+/// Maximum number of blockers that an error message lists.
 const MAX_NAMED_BLOCKERS: usize = 4;
 
-/// Why an operator's change is not proposed. Its text is the reply.
+/// Why an operator's change is not proposed. The text is sent as the reply.
 #[derive(Debug, Error)]
 enum OperationError {
-    /// Only the leader proposes; its name, where it is known.
+    /// Only the leader proposes changes. Holds the leader's name, if known.
     #[error("not the leader")]
     NotLeader(Option<String>),
-    /// Too many operators wait.
-    #[error("too much is being agreed on: try again later")]
+    /// Too many operator changes are pending.
+    #[error("{MAX_PENDING_OPERATIONS} operator changes are pending: try again later")]
     TooManyPending,
-    #[error("a file of {0} bytes, at most {MAX_TEXT_BYTES} are taken")]
+    #[error("the file has {0} bytes, the maximum is {MAX_TEXT_BYTES}")]
     TextTooLarge(usize),
-    #[error("rules of {0} bytes, at most {MAX_RULES_BYTES} are taken")]
+    #[error("the encoded rules have {0} bytes, the maximum is {MAX_RULES_BYTES}")]
     RulesTooLarge(usize),
-    /// Members may still act on the stage before the present one.
-    #[error("the passage before is not over: {0}")]
+    /// Members may still act on the stage before the current one.
+    #[error("the previous rollout is not complete: {0}")]
     RolloutNotOver(String),
-    #[error("{0} has a lease: it is there")]
+    #[error("{0} holds a lease, so it is still running")]
     MemberHasLease(String),
     #[error(transparent)]
     Propose(ProposeError),
@@ -40,13 +40,13 @@
     fn from(error: OperationError) -> OperatorReply {
         match error {
             OperationError::NotLeader(leader) => OperatorReply::NotLeader(leader),
-            refused => OperatorReply::Refused(refused.to_string()),
+            other => OperatorReply::Refused(other.to_string()),
         }
     }
 }
 
 impl Participant {
-    /// Handles an operator's request. A change is replied to once it is committed.
+    /// Handles an operator request. The reply to a change is sent once the change is committed.
     pub(super) fn handle_operator_request(&mut self, connection: u64, request: OperatorRequest, now: Micros) {
         let change = match request {
             OperatorRequest::Status => {
@@ -74,10 +74,10 @@
         self.outgoing.push_back((Destination::Connection(connection), PeerMessage::OperatorReply(reply)));
     }
 
-    /// Proposes a change. Returns the index of its entry.
+    /// Proposes a change. Returns the index of its log entry.
     fn propose(&mut self, change: &Change, now: Micros) -> Result<u64, OperationError> {
-        let surely_leads = self.leads_until(now).is_some();
-        let Some(replica) = self.replica.as_mut().filter(|_| surely_leads) else {
+        let has_proven_leadership = self.leads_until(now).is_some();
+        let Some(replica) = self.replica.as_mut().filter(|_| has_proven_leadership) else {
             return Err(OperationError::NotLeader(self.leader()));
         };
         if self.pending_operations.len() >= MAX_PENDING_OPERATIONS {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Whether a change may be proposed now, by what only a leader knows: leases, and sizes with them.
+    /// Checks a change against state that only the leader has (leases) and against the size limits.
     fn check_change(&self, change: &Change, now: Micros) -> Result<(), OperationError> {
         match change {
             Change::Propose { version, .. } => self.check_version(version, now),
@@ -108,7 +108,7 @@
         if rules_bytes > MAX_RULES_BYTES {
             return Err(OperationError::RulesTooLarge(rules_bytes));
         }
-        // Guards against a third stage before everyone has left the first.
+        // Prevents a third stage from starting before all members have left the first.
         let state = self.applied.state();
         let blockers = leases.blockers(state, now);
         let is_after_rollout = state.in_force.number > 0 && state.next.is_none();
@@ -120,7 +120,7 @@
         Ok(())
     }
 
-    /// A member with a lease is not forgotten. Guards against a rollout that does not wait for it.
+    /// A member that holds a lease can't be removed: a rollout would not wait for it.
     fn check_has_no_lease(&self, name: &str, now: Micros) -> Result<(), OperationError> {
         let Some(leases) = &self.leases else { return Ok(()) };
         let has_lease = leases.members(now).iter().any(|member| member.name == name && member.has_lease);
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    /// The agreement as this initiator sees it.
+    /// Status report of this initiator.
     pub fn report(&self, now: Micros) -> StatusReport {
         let mut report = StatusReport {
             name: self.config.name.clone(),
@@ -160,7 +160,7 @@
     }
 }
 
-/// In words for operators.
+/// Description of the active rules for operators.
 fn describe(active_rules: ActiveRules) -> String {
     match active_rules {
         ActiveRules::Fallback => "the floor".to_owned(),
--- a/crates/flaxstand-consensus/src/participant/protocol.rs
+++ b/crates/flaxstand-consensus/src/participant/protocol.rs
@@ -1,7 +1,7 @@
 //! Messages between initiators and with operators.
 //!
-//! Bytes are postcard's: variants and fields are numbered by their order here and written without names. New
-//! variants come last; no field may be added. [`StatusReport`] is also shown as JSON, under the names of
+//! The encoding is postcard: variants and fields are numbered by their order and written without names. New
+//! variants go last; no field may be added. [`StatusReport`] is also printed as JSON, with the names of
 //! `settings status --json`.
 
 use crate::lease_manager::{Blocker, LeaseRequest, LeaseResponse, MemberStatus};
@@ -12,20 +12,20 @@
 /// A message between initiators or with an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Between replicas.
+    /// Message between replicas.
     Replica(Message),
     /// A member's lease request.
     LeaseRequest {
-        /// How many times it was forwarded.
+        /// Number of times the request was forwarded.
         hops: u8,
         /// The request.
         request: LeaseRequest,
     },
-    /// The response to one.
+    /// Response to a lease request.
     LeaseResponse(Box<LeaseResponse>),
     /// An operator's request.
     OperatorRequest(OperatorRequest),
-    /// The reply to one.
+    /// Reply to an operator request.
     OperatorReply(OperatorReply),
 }
 
@@ -34,48 +34,48 @@
 pub enum OperatorRequest {
     /// Proposes a version.
     Propose {
-        /// Number of the version in force that it was made from.
+        /// Number of the version in force that the proposal is based on.
         base: u64,
-        /// The version.
+        /// The proposed version.
         version: Version,
     },
-    /// Gives up the version that is being rolled out.
+    /// Withdraws the version that is being rolled out.
     Withdraw {
-        /// Its number.
+        /// Number of the version.
         number: u64,
-        /// Who withdraws it.
+        /// Name of the person who withdraws it.
         by: String,
-        /// When, microseconds since 1970.
+        /// Time in microseconds since the Unix epoch.
         at: u64,
     },
-    /// Removes an initiator that is gone for good from the members.
+    /// Removes an initiator that was decommissioned from the members.
     Forget(String),
-    /// Asks for a [`StatusReport`].
+    /// Requests a [`StatusReport`].
     Status,
-    /// Asks for the replicated state: versions and history.
+    /// Requests the replicated state: versions and history.
     ReplicatedState,
 }
 
-/// The reply to an operator.
+/// Reply to an operator request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorReply {
-    /// The change is committed; the version's number, or 0 where it concerns none.
+    /// The change is committed. Holds the number of the version, or 0 if the change concerns none.
     Committed(u64),
-    /// It changed nothing: why.
+    /// The change has no effect; holds the reason.
     Refused(String),
-    /// Only the leader can decide; its name, where one is known.
+    /// Only the leader can process the request. Holds the leader's name, if known.
     NotLeader(Option<String>),
-    /// The report.
+    /// The status report.
     Status(Box<StatusReport>),
-    /// The replicated state; none: not known here.
+    /// The replicated state; `None` if it is not available here.
     ReplicatedState(Option<Box<IndexedState>>),
 }
 
-/// Numbers of versions. Sent, and shown as JSON, as a pair.
+/// Version numbers. Serialised, also as JSON, as a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, Option<u64>)", into = "(u64, Option<u64>)")]
 pub struct VersionNumbers {
-    /// The version in force; 0: there is none yet.
+    /// The version in force; 0 if there is none yet.
     pub in_force: u64,
     /// The version that is being rolled out.
     pub next: Option<u64>,
@@ -93,45 +93,45 @@
     }
 }
 
-/// The agreement as one initiator sees it.
+/// Consensus status of one initiator.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
     /// Name of the reporting initiator.
     pub name: String,
-    /// Role of its replica, in words for operators; none: it has no replica.
+    /// Role of its replica as shown to operators; `None` without a replica.
     #[serde(rename = "keeper")]
     pub replica: Option<String>,
-    /// The leader's name, where it is known.
+    /// Name of the leader, if known.
     pub leader: Option<String>,
-    /// The replica's term.
+    /// Current term of the replica.
     pub term: u64,
     /// Names of the voters.
     #[serde(rename = "electorate")]
     pub voters: Vec<String>,
-    /// Of a leader: voters that it has not heard from for an election timeout.
+    /// On a leader: voters without contact for an election timeout.
     #[serde(rename = "silent")]
     pub unresponsive: Vec<String>,
-    /// What it acts on, in words for operators.
+    /// Description of the active rules for operators.
     #[serde(rename = "acting")]
     pub active_rules: String,
-    /// How long its lease lasts if no response comes, milliseconds.
+    /// Remaining time of the lease in milliseconds if it is not renewed.
     pub lease_ms: u64,
-    /// The versions.
+    /// Numbers of the versions in force and in rollout.
     pub versions: VersionNumbers,
-    /// The stage of the rollout.
+    /// Rollout stage.
     pub stage: u64,
-    /// Of a leader: what keeps the next stage from beginning.
+    /// On a leader: conditions that prevent the next stage from starting.
     #[serde(rename = "holds")]
     pub blockers: Vec<Blocker>,
-    /// Of a leader: initiators that have asked for a lease.
+    /// On a leader: initiators that have requested a lease.
     pub members: Vec<MemberStatus>,
 }
 
-/// Where a message goes.
+/// Destination of a message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Destination {
-    /// The initiator of this name.
+    /// The initiator with this name.
     Peer(String),
-    /// Back on the connection that the owner numbered so.
+    /// The connection with this number, as assigned by the caller.
     Connection(u64),
 }
--- a/crates/flaxstand-consensus/src/participant/replication.rs
+++ b/crates/flaxstand-consensus/src/participant/replication.rs
@@ -1,5 +1,4 @@
-//! From committed entries to the replicated state and the rollout: what a replica applies, and what a leader
-//! does by itself.
+//! Applies committed entries to the replicated state and advances the rollout on the leader.
 
 use super::applied::Applied;
 use super::{OperatorReply, Participant};
@@ -9,11 +8,11 @@
 use flaxstand_proto::Micros;
 use tracing::{info, warn};
 
-/// Entries that a replica keeps one by one before the replicated state takes their place.
+/// Number of log entries that a replica keeps before it compacts them into a snapshot.
 const MAX_LOG_ENTRIES: u64 = 64;
 
 impl Participant {
-    /// Applies what is committed. A leader then moves the rollout on.
+    /// Applies committed entries. On the leader, also advances the rollout.
     pub(super) fn apply_committed(&mut self, now: Micros) {
         let Some(replica) = &mut self.replica else { return };
         for committed in replica.take_committed() {
@@ -35,8 +34,10 @@
 
     fn install_snapshot(&mut self, index: u64, bytes: &[u8]) {
         match ReplicatedState::read(bytes) {
-            Ok(state) => self.applied = Applied::of_snapshot(index, state),
-            Err(error) => warn!(%error, index, "a snapshot can't be read as a replicated state"),
+            Ok(state) => self.applied = Applied::from_snapshot(index, state),
+            Err(error) => {
+                warn!(%error, index, "cannot decode a snapshot; keeping the previous replicated state")
+            }
         }
     }
 
@@ -44,7 +45,7 @@
         let outcome = self.applied.apply(index, bytes);
         if let Err(error) = &outcome {
             let why = error.to_string();
-            info!(index, why, "a committed change has no effect");
+            info!(index, why, "committed change has no effect");
         }
         if let Some(connection) = self.pending_operations.remove(&index) {
             let reply = match outcome {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Of a leader: puts the version that is being rolled out in force once nothing blocks it.
+    /// On a leader: puts the version that is being rolled out in force once nothing blocks it.
     fn advance_rollout(&mut self, now: Micros) {
         let Some(replica) = &mut self.replica else { return };
         let config = &self.config;
@@ -71,25 +72,25 @@
             LeaseManager::new(config.lease, config.clock_error, config.injected_fault, now)
         });
         leases.set_stage(self.applied.state().stage);
-        // Only while no other replica can lead: guards against leases that another leader granted and this
-        // one does not know.
-        let surely_leads = replica.leads_until(now).is_some_and(|until| now < until);
+        // Only while no other replica can become leader: another leader may have granted leases that this
+        // one does not know of.
+        let has_proven_leadership = replica.leads_until(now).is_some_and(|until| now < until);
         let has_uncommitted = replica.last_index() > replica.commit_index();
-        if !surely_leads || has_uncommitted {
+        if !has_proven_leadership || has_uncommitted {
             return;
         }
-        let calendar = self.calendar_at_start + now.0;
-        if let Some(change) = leases.change_in_force(self.applied.state(), calendar, now) {
-            // Where it is not appended, the next turn proposes it again.
+        let unix_time = self.unix_time_at_start + now.0;
+        if let Some(change) = leases.change_in_force(self.applied.state(), unix_time, now) {
+            // If the change is not appended, the next iteration proposes it again.
             let _ = replica.propose(change.bytes(), now);
         }
     }
 
-    /// Operators that wait for a change are told that it may be lost.
+    /// Discards leader state and notifies waiting operators that their changes may be lost.
     fn stop_leading(&mut self) {
         self.leases = None;
         for connection in std::mem::take(&mut self.pending_operations).into_values() {
-            let why = "the leader was lost before it was agreed on: look at the history, and try again";
+            let why = "the leader changed before the change was committed: check the history and try again";
             self.reply(connection, OperatorReply::Refused(why.into()));
         }
     }
--- a/crates/flaxstand-consensus/src/participant/rollout_bounds.rs
+++ b/crates/flaxstand-consensus/src/participant/rollout_bounds.rs
@@ -1,29 +1,31 @@
-//! Bounds that follow from the settings of leases and elections, for operators.
+//! Time bounds of a rollout, derived from the lease and election settings, for operators.
 
-/// Bounds that follow from the settings, milliseconds.
+/// Time bounds in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutBounds {
-    /// T: how long two initiators may act on rules that contradict each other. Leases end at the member
-    /// before the leader counts them as ended; what is left is a turn of the process in which a lease was
-    /// good, and what a clock that runs twice as wrong as stated would add.
+    /// T: maximum time for which two initiators may act on contradicting rules. Leases expire on the member
+    /// before the leader counts them as expired; what remains is one event-loop iteration that started with
+    /// a valid lease, plus the error of a clock that drifts by twice the configured value.
     pub contradiction_ms: f64,
-    /// How long a version takes at most from its proposal until it is in force, with a leader: a member that
-    /// is cut off blocks it until its lease ends.
+    /// Maximum time from the proposal of a version until it is in force, with a stable leader. A
+    /// partitioned member blocks the rollout until its lease expires.
     pub rollout_ms: f64,
-    /// The same if the leader is lost meanwhile: another is elected, and waits for leases of the one before.
+    /// The same bound if the leader is lost during the rollout: a new leader is elected and waits for the
+    /// leases of the previous one to expire.
     pub rollout_without_leader_ms: f64,
 }
 
-/// The longest turn of a process, milliseconds: from the check of a lease to the last byte that it sends.
-const MAX_TURN_MS: f64 = 100.0;
+/// Maximum length of an event-loop iteration in milliseconds, from the check of a lease to the last byte
+/// sent.
+const MAX_ITERATION_MS: f64 = 100.0;
 
 impl RolloutBounds {
-    /// The bounds for a lease's length and an election timeout, milliseconds, and the part of a lease by
-    /// which clocks may differ.
+    /// Computes the bounds from the lease length and the election timeout in milliseconds, and the maximum
+    /// clock drift as a fraction of a lease.
     pub fn of(lease_ms: f64, clock_error: f64, election_ms: f64) -> RolloutBounds {
         let counted_lease_ms = lease_ms * (1.0 + 2.0 * clock_error);
         RolloutBounds {
-            contradiction_ms: (MAX_TURN_MS + 2.0 * clock_error * lease_ms).ceil(),
+            contradiction_ms: (MAX_ITERATION_MS + 2.0 * clock_error * lease_ms).ceil(),
             rollout_ms: (counted_lease_ms + election_ms).ceil(),
             rollout_without_leader_ms: (2.0 * counted_lease_ms + 4.0 * election_ms).ceil(),
         }
--- a/crates/flaxstand-consensus/src/participant/upstreams.rs
+++ b/crates/flaxstand-consensus/src/participant/upstreams.rs
@@ -1,20 +1,20 @@
-//! The initiators that a member may send its lease requests to, and the one that it uses.
+//! The initiators that a member may send its lease requests to, and the current choice.
 
 use flaxstand_proto::Micros;
 use tracing::debug;
 
-/// A member's upstreams.
+/// Upstreams of a member.
 #[derive(Debug)]
 pub(super) struct Upstreams {
     names: Vec<String>,
     current: usize,
-    /// When the current one responded last, or was chosen.
+    /// Time of the last response, or of the switch to the current upstream.
     last_response_at: Micros,
 }
 
 impl Upstreams {
-    /// Initiators with a replica, of which members choose their first by a hash of their own name, so that
-    /// they spread over all; then neighbours, for a member that reaches no replica.
+    /// The list starts with the initiators that have a replica, rotated by a hash of the member's own name
+    /// to spread the load; neighbours follow, for members that reach no replica.
     pub(super) fn new(own_name: &str, voters: &[String], neighbours: &[String], now: Micros) -> Upstreams {
         let others = |names: &[String]| -> Vec<String> {
             names.iter().filter(|name| *name != own_name).cloned().collect()
@@ -35,13 +35,13 @@
         self.last_response_at = now;
     }
 
-    /// Goes on to the next upstream if the current one has not responded for `timeout`.
-    pub(super) fn leave_unresponsive(&mut self, timeout: Micros, now: Micros) {
+    /// Switches to the next upstream if the current one has not responded for `timeout`.
+    pub(super) fn switch_if_unresponsive(&mut self, timeout: Micros, now: Micros) {
         if now.since(self.last_response_at) <= timeout {
             return;
         }
         self.current = (self.current + 1) % self.names.len().max(1);
         self.last_response_at = now;
-        debug!(upstream = self.current(), "another upstream");
+        debug!(upstream = self.current(), "upstream did not respond; switching to the next one");
     }
 }
--- a/crates/flaxstand-consensus/src/replica.rs
+++ b/crates/flaxstand-consensus/src/replica.rs
@@ -1,16 +1,17 @@
-//! One replica of the log: messages, time and outcomes of batches in; messages, batches and what is committed
-//! out.
+//! One replica of the log. Input: messages, the current time and the outcome of storage batches. Output:
+//! messages, storage batches and committed changes.
 //!
-//! Parts, each with its own state:
-//! - `persistent`: the durable state and its journal; `outbox`: messages that wait until what they tell is
-//!   durable
-//! - `commit`: what is committed, and how far the owner was given it
+//! Components, each with its own state:
+//! - `persistent`: the durable state and its journal; `outbox`: messages held back until the state they
+//!   depend on is durable
+//! - `commit`: commit index, and delivery of committed entries to the caller
 //! - `election`: terms, votes, the election deadline
-//! - `leader_state`, with `progress` and `quorum`: a leader's view of the others, and what their majorities
-//!   prove
-//! - `bootstrap`: the first voters; `recovery`: what a replica may promise after a start
+//! - `leader_state`, with `progress` and `quorum`: replication progress of the other replicas as tracked by
+//!   the leader, and what a majority of them confirms
+//! - `bootstrap`: initial voters; `recovery`: restrictions on a replica after a start
 //!
-//! Steps: `leader` and `follower` handle requests and responses, `membership` changes the voters.
+//! Message handling: `leader` and `follower` process requests and responses, `membership` changes the
+//! voters.
 
 mod bootstrap;
 mod commit;
@@ -49,30 +50,30 @@
 use std::collections::BTreeSet;
 use tracing::{debug, warn};
 
-/// Most bytes of a change.
+/// Maximum size of a change in bytes.
 pub const MAX_CHANGE_BYTES: usize = 128 << 10;
-/// Most bytes of the owner's state.
+/// Maximum size of the application state in bytes.
 pub const MAX_STATE_BYTES: usize = 768 << 10;
-/// Most bytes of entries in one message, where one entry alone is not larger.
+/// Maximum size of the entries in one message in bytes. A single larger entry is still sent.
 pub const MAX_MESSAGE_BYTES: usize = 256 << 10;
-/// Most entries that are not committed yet. A change beyond them has to wait.
+/// Maximum number of uncommitted entries. Further changes are rejected until some are committed.
 pub const MAX_UNCOMMITTED_ENTRIES: u64 = 16;
 
 #[derive(Clone, Debug)]
 enum Role {
     Follower,
-    /// It asks whether it would be elected.
+    /// In the pre-vote phase: asks whether it would be elected.
     PreCandidate {
         granted: BTreeSet<ReplicaId>,
     },
-    /// It asks for votes in its term.
+    /// Asks for votes in its term.
     Candidate {
         granted: BTreeSet<ReplicaId>,
     },
     Leader(LeaderState),
 }
 
-/// A replica.
+/// One replica of the log.
 #[derive(Clone, Debug)]
 pub struct Replica {
     config: Config,
@@ -84,12 +85,12 @@
     election: ElectionState,
     recovery: RecoveryState,
     bootstrap: BootstrapState,
-    /// When a replica that is new, recovering or no voter announces itself again.
+    /// When a replica that is new, recovering or not a voter sends its next announcement.
     announce_at: Micros,
 }
 
 impl Replica {
-    /// A replica that starts, with what its folder held and the segments in it.
+    /// Starts a replica with the recovered state and the existing journal segments.
     pub fn start(
         config: Config,
         recovered: Option<DurableState>,
@@ -98,7 +99,8 @@
     ) -> Replica {
         let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
         let nonce = rng.next_u64();
-        // One that belongs to no cluster has promised nothing under its instance, and may be an old copy.
+        // State without a cluster holds no promises of its instance, and the directory may be a stale copy:
+        // draw a new instance.
         let mut state = recovered.filter(|state| state.cluster_id != 0).unwrap_or_else(|| {
             let id = ReplicaId { name: config.name.clone(), instance: rng.next_u64() };
             DurableState::new(id, Incarnation::default())
@@ -109,7 +111,8 @@
             promises_at_start: state.promises_written,
         };
         let is_in_cluster = state.cluster_id != 0;
-        // It may have heard from a leader just before it stopped: it grants no vote for an election timeout.
+        // The replica may have had contact with a leader just before it stopped, so it grants no vote for
+        // an election timeout.
         let last_leader_contact = is_in_cluster.then_some(now);
         let mut replica = Replica {
             commit: CommitProgress::new(state.log.snapshot.index),
@@ -131,8 +134,8 @@
         replica
     }
 
-    /// Handles a message. One that is not for this replica, is of another cluster, or comes from an old copy
-    /// of its sender is dropped.
+    /// Handles a message. Drops messages that are addressed to another replica, belong to another cluster,
+    /// or come from a stale copy of the sender.
     pub fn receive(&mut self, message: Message, now: Micros) {
         let is_known =
             message.from.name != self.config.name && self.config.names.contains(&message.from.name);
@@ -140,7 +143,7 @@
         let is_for_us = message.to == self.config.name
             && message.to_instance.is_none_or(|instance| instance == own_instance);
         if !is_known || !is_for_us || !self.accept_cluster(&message) || !self.accept_incarnation(&message) {
-            debug!(?message, is_known, is_for_us, "a message is dropped");
+            debug!(?message, is_known, is_for_us, "message dropped");
             return;
         }
         self.handle(message, now);
@@ -164,8 +167,8 @@
                 self.send(&from, MessageBody::NoLongerVoter);
             }
             MessageBody::PreVoteRequest(log) => self.handle_pre_vote_request(&from, term, log, now),
-            MessageBody::PreVoteResponse { term: asked_term, granted } => {
-                self.handle_pre_vote_response(from, term, asked_term, granted, now);
+            MessageBody::PreVoteResponse { term: requested_term, granted } => {
+                self.handle_pre_vote_response(from, term, requested_term, granted, now);
             }
             MessageBody::VoteRequest(log) => self.handle_vote_request(&from, term, log, now),
             MessageBody::VoteResponse { granted } => self.handle_vote_response(from, term, granted, now),
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Time has passed: sends heartbeats, announces itself, or campaigns.
+    /// Processes due timers: sends heartbeats, announces the replica, or starts an election.
     pub fn tick(&mut self, now: Micros) {
         self.advance_commit_index();
         if self.is_leader() {
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Asks the others for what keeps this replica from taking part.
+    /// Requests what the replica needs to take part: a cluster, the end of its recovery, or a vote.
     fn announce(&mut self, now: Micros) {
         if self.state().cluster_id == 0 {
             self.announce_new(now);
@@ -215,7 +218,7 @@
         }
     }
 
-    /// When [`Replica::tick`] is to be called at the latest.
+    /// Latest time at which [`Replica::tick`] must be called.
     pub fn wake_at(&self) -> Micros {
         let next = match &self.role {
             Role::Leader(leader) => leader.heartbeat_at,
@@ -225,10 +228,10 @@
         self.persistent.journal().wake_at().map_or(next, |at| at.min(next))
     }
 
-    /// Appends a change to the log of a leader and sends it to the others.
+    /// Appends a change to the leader's log and replicates it.
     ///
     /// # Errors
-    /// It was not appended, and never will be by this call.
+    /// The change was not appended.
     pub fn propose(&mut self, change: Vec<u8>, now: Micros) -> Result<Proposed, ProposeError> {
         if !self.is_leader() {
             return Err(ProposeError::NotLeader { leader: self.leader().map(str::to_owned) });
@@ -244,24 +247,29 @@
         Ok(Proposed { term: self.state().term, index })
     }
 
-    /// The next batch to store. One at a time; [`Replica::batch_stored`] follows.
+    /// Returns the next batch for the storage. Only one batch is in flight at a time; report its outcome
+    /// with [`Replica::batch_stored`].
     pub fn next_batch(&mut self, now: Micros) -> Option<Batch> {
         self.persistent.next_batch(now)
     }
 
-    /// Records how the batch ended.
+    /// Records the outcome of the batch in flight.
     pub fn batch_stored(&mut self, succeeded: bool, now: Micros) {
         self.persistent.batch_stored(succeeded, now);
         if !succeeded {
-            // A leader that can't write stops sending and is replaced. All that matters is sent again later.
+            // A leader that can't write stops sending and is replaced. Dropped messages are covered by
+            // retransmission.
             let failures = self.persistent.journal().failures();
-            warn!(failures, "a batch was not stored: messages that wait for it are dropped");
+            warn!(
+                failures,
+                "cannot store a journal batch; dropping the messages that depend on it and retrying"
+            );
             self.outbox.clear();
         }
         self.advance_commit_index();
     }
 
-    /// Messages to send: those that tell nothing that is not durable yet.
+    /// Returns the messages that depend on durable state only.
     pub fn take_messages(&mut self) -> Vec<Message> {
         let durable_records = if self.config.injected_fault == InjectedFault::SentBeforeDurable {
             u64::MAX
@@ -271,27 +279,27 @@
         self.outbox.take_sendable(durable_records)
     }
 
-    /// What was committed since the last call, in the order of the log.
+    /// Returns what was committed since the last call, in log order.
     pub fn take_committed(&mut self) -> Vec<Committed> {
         self.advance_commit_index();
         self.commit.take(&self.persistent.state().log)
     }
 
-    /// How many entries the owner has been given and could [`Replica::compact`].
+    /// Number of entries that were delivered to the caller and can be removed by [`Replica::compact`].
     pub fn compactable_entries(&self) -> u64 {
         self.commit.applied_index() - self.state().log.snapshot.index
     }
 
-    /// Puts the owner's `state`, made of all that it was given, in place of the log's entries.
+    /// Replaces all delivered log entries with a snapshot of the application state.
     ///
     /// # Panics
-    /// `state` is larger than [`MAX_STATE_BYTES`], which the owner is to prevent.
+    /// If `state` is larger than [`MAX_STATE_BYTES`].
     pub fn compact(&mut self, state: Vec<u8>) {
-        assert!(state.len() <= MAX_STATE_BYTES, "the owner bounds its state");
+        assert!(state.len() <= MAX_STATE_BYTES, "state of {} bytes exceeds the maximum", state.len());
         self.persistent.compact(self.commit.applied_index(), state);
     }
 
-    /// Its state, for operators.
+    /// Status for operators.
     pub fn status(&self, now: Micros) -> Status {
         let state = self.state();
         let role = match &self.role {
@@ -316,12 +324,13 @@
         }
     }
 
-    /// Its durable state, as it stands with all that is not durable yet.
+    /// Current state to be persisted, including changes that are not durable yet.
     pub fn state(&self) -> &DurableState {
         self.persistent.state()
     }
 
-    /// All that decides what it does next, without moments: for a search over states.
+    /// Everything that determines the replica's future behaviour except timestamps, as a key for
+    /// state-space exploration in tests.
     #[doc(hidden)]
     pub fn search_key(&self, now: Micros) -> String {
         let role = match &self.role {
@@ -337,22 +346,22 @@
         format!("{state:?} {role} {commit_index} {has_leader_contact} {recovery:?} {waiting:?}")
     }
 
-    /// Whether it leads, as far as it knows.
+    /// Whether this replica considers itself the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The leader's name, where it is known.
+    /// Name of the leader, if known.
     pub fn leader(&self) -> Option<&str> {
         self.election.leader.as_ref().map(|leader| leader.name.as_str())
     }
 
-    /// Index of the last entry of its log.
+    /// Index of the last log entry.
     pub fn last_index(&self) -> u64 {
         self.state().log.last_index()
     }
 
-    /// All entries up to there are committed.
+    /// Index up to which all entries are committed.
     pub fn commit_index(&self) -> u64 {
         self.commit.commit_index()
     }
@@ -366,7 +375,7 @@
         self.election.reset_deadline(&mut self.rng, now);
     }
 
-    /// Queues a message to an instance.
+    /// Queues a message to a specific instance.
     fn send(&mut self, to: &ReplicaId, body: MessageBody) {
         self.enqueue(to.name.clone(), Some(to.instance), body);
     }
@@ -380,7 +389,7 @@
         }
     }
 
-    /// To all other names of the settings, whatever their instances are now.
+    /// Queues a message to all other configured replicas, whatever their current instances are.
     fn send_to_all_names(&mut self, body: &MessageBody) {
         let is_other = |name: &&String| **name != self.config.name;
         let others: Vec<String> = self.config.names.iter().filter(is_other).cloned().collect();
@@ -389,7 +398,7 @@
         }
     }
 
-    /// The message leaves once all that was recorded so far is durable.
+    /// Queues a message. It is sent once all records queued so far are durable.
     fn enqueue(&mut self, to: String, to_instance: Option<u64>, body: MessageBody) {
         let state = self.persistent.state();
         let message = Message {
--- a/crates/flaxstand-consensus/src/replica/bootstrap.rs
+++ b/crates/flaxstand-consensus/src/replica/bootstrap.rs
@@ -1,6 +1,6 @@
-//! The first voters. The first replica of the settings bootstraps the cluster once *all* others have told it,
-//! in answer to this very incarnation, that they belong to none. One that lost its disk is told that the
-//! cluster exists, and asks to join like any other.
+//! Bootstrap of a cluster. The first configured replica creates the cluster once *all* others have
+//! confirmed, in response to its current incarnation, that they belong to none. A replica that lost its
+//! disk is notified that the cluster exists and asks to join like any other.
 
 use super::Replica;
 use crate::log::Snapshot;
@@ -11,28 +11,28 @@
 use std::collections::BTreeSet;
 use tracing::{info, warn};
 
-/// Index and term of the snapshot that a cluster begins with.
+/// Index and term of the initial snapshot of a cluster.
 const FIRST_INDEX: u64 = 1;
 const FIRST_TERM: u64 = 1;
 
-/// What a new replica has learnt of a cluster.
+/// Bootstrap state of a new replica.
 #[derive(Clone, Debug, Default)]
 pub(super) struct BootstrapState {
-    /// Other replicas that belong to no cluster either.
+    /// Other replicas that have confirmed that they belong to no cluster.
     ready: BTreeSet<ReplicaId>,
-    /// There is a cluster already.
+    /// Whether another replica has reported an existing cluster.
     cluster_exists: bool,
 }
 
 impl BootstrapState {
-    /// Of a replica that belonged to a cluster and comes back as a new instance.
+    /// State for a replica that was a member of a cluster and restarts as a new instance.
     pub(super) fn with_existing_cluster(self) -> BootstrapState {
         BootstrapState { cluster_exists: true, ..self }
     }
 }
 
 impl Replica {
-    /// A new replica announces itself: to bootstrap, or to join.
+    /// Announces a new replica: starts the bootstrap or asks to join.
     pub(super) fn announce_new(&mut self, now: Micros) {
         let is_first = self.config.names.first() == Some(&self.config.name);
         if !is_first || self.bootstrap.cluster_exists {
@@ -51,7 +51,7 @@
         let mut voters: Vec<ReplicaId> = std::mem::take(&mut self.bootstrap.ready).into_iter().collect();
         voters.push(self.state().id.clone());
         voters.sort();
-        info!(voters = ?voters, "bootstrapping the agreement");
+        info!(voters = ?voters, "all replicas are new; bootstrapping the cluster");
         let cluster_id = self.rng.next_u64() | 1;
         let state = self.config.initial_state.clone();
         self.persistent
@@ -67,7 +67,8 @@
         self.send(from, body);
     }
 
-    /// The newest instance of a name counts: it may have been started anew meanwhile.
+    /// Records a confirmation. Only the latest instance of a name counts, since it may have been restarted
+    /// since the previous one.
     pub(super) fn handle_bootstrap_ready(&mut self, from: ReplicaId) {
         if self.state().cluster_id == 0 {
             let ready = &mut self.bootstrap.ready;
@@ -78,13 +79,13 @@
 
     pub(super) fn handle_cluster_exists(&mut self) {
         if self.state().cluster_id == 0 && !self.bootstrap.cluster_exists {
-            info!("there is an agreement already: asking to join");
+            info!("the cluster already exists; asking to join");
             self.bootstrap.cluster_exists = true;
         }
     }
 
-    /// Whether a message may belong to this cluster. A new replica enters the cluster whose leader or
-    /// candidate addresses it by its instance.
+    /// Whether a message belongs to this cluster. A new replica joins the cluster whose leader or candidate
+    /// addresses its instance.
     pub(super) fn accept_cluster(&mut self, message: &Message) -> bool {
         let own_cluster_id = self.state().cluster_id;
         if message.cluster_id == 0 || message.cluster_id == own_cluster_id {
@@ -95,7 +96,7 @@
                 theirs = message.cluster_id,
                 ours = own_cluster_id,
                 from = message.from.name,
-                "a message of another agreement is dropped"
+                "message from another cluster dropped"
             );
             return false;
         }
@@ -107,14 +108,14 @@
                 | MessageBody::VoteRequest(_)
         );
         if is_from_voter && message.to_instance == Some(self.state().id.instance) {
-            info!(cluster = message.cluster_id, from = message.from.name, "joining the agreement");
+            info!(cluster = message.cluster_id, from = message.from.name, "joining the cluster");
             self.persistent.join_cluster(message.cluster_id);
             self.bootstrap.ready.clear();
         }
         true
     }
 
-    /// A new replica asks to join.
+    /// Handles a request of a new replica to join.
     pub(super) fn handle_join_request(&mut self, from: ReplicaId, now: Micros) {
         if let super::Role::Leader(leader) = &mut self.role {
             leader.record_join_request(from, now);
--- a/crates/flaxstand-consensus/src/replica/commit.rs
+++ b/crates/flaxstand-consensus/src/replica/commit.rs
@@ -1,21 +1,21 @@
-//! What is committed, and how far the owner was given it.
+//! Commit index, and delivery of committed entries to the caller.
 
 use super::Committed;
 use crate::log::{EntryPayload, Log, Snapshot};
 use std::collections::VecDeque;
 
-/// Commit and apply progress. The applied index never passes the commit index.
+/// Commit and delivery progress. The applied index never exceeds the commit index.
 #[derive(Clone, Debug)]
 pub(super) struct CommitProgress {
     commit_index: u64,
-    /// The owner was given all entries up to there.
+    /// Index up to which all entries were delivered to the caller.
     applied_index: u64,
-    /// For the owner.
+    /// Items not yet taken by the caller.
     undelivered: VecDeque<Committed>,
 }
 
 impl CommitProgress {
-    /// After a start: what the snapshot holds is committed.
+    /// State after a start: the snapshot is committed.
     pub(super) fn new(snapshot_index: u64) -> CommitProgress {
         CommitProgress {
             commit_index: snapshot_index,
@@ -32,24 +32,24 @@
         self.applied_index
     }
 
-    /// All entries up to an index are committed. Never goes back.
+    /// Advances the commit index. It never moves back.
     pub(super) fn advance_to(&mut self, index: u64) {
         self.commit_index = self.commit_index.max(index);
     }
 
-    /// The owner gets a snapshot in place of what it has.
+    /// Queues a snapshot that replaces the caller's application state.
     pub(super) fn deliver_snapshot(&mut self, snapshot: &Snapshot) {
         self.applied_index = snapshot.index;
         self.undelivered
             .push_back(Committed::Snapshot { index: snapshot.index, state: snapshot.state.clone() });
     }
 
-    /// A new instance: nothing that was committed for the one before counts.
+    /// Resets the progress for a new instance, which has no committed entries.
     pub(super) fn reset(&mut self) {
         *self = CommitProgress::new(0);
     }
 
-    /// What was committed since the last call, in the order of the log.
+    /// Returns what was committed since the last call, in log order.
     pub(super) fn take(&mut self, log: &Log) -> Vec<Committed> {
         while self.applied_index < self.commit_index {
             self.applied_index += 1;
--- a/crates/flaxstand-consensus/src/replica/config.rs
+++ b/crates/flaxstand-consensus/src/replica/config.rs
@@ -1,63 +1,63 @@
-//! The configuration of a replica.
+//! Configuration of a replica.
 
 use flaxstand_proto::Micros;
 
-/// Faults that tests inject to see that they would be caught. Never set in service.
+/// Faults injected by tests to verify that the checks detect them. Never set in production.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// An entry of an earlier term counts as committed by the number of its holders.
+    /// An entry of an earlier term is committed by counting its replicas.
     EarlierTermCommitted,
-    /// Messages are sent before what they tell is durable.
+    /// Messages are sent before the state they depend on is durable.
     SentBeforeDurable,
-    /// Votes are not written down.
+    /// Votes are not persisted.
     VoteNotPersisted,
-    /// After a start a replica votes without asking whether a later incarnation was seen.
+    /// A replica votes after a start without asking whether a later incarnation has been seen.
     StaleCopyVotes,
-    /// A vote is granted to a candidate whose log is older.
+    /// A vote is granted to a candidate with an outdated log.
     StaleLogElected,
-    /// A leader that no majority answers goes on leading.
+    /// A leader without contact with a majority does not step down.
     QuorumCheckSkipped,
-    /// Entries that do not follow the local log are appended all the same.
+    /// Entries are appended although the preceding entry is missing.
     LogGapAccepted,
-    /// A version that is being rolled out is acted on alone at once.
+    /// A version that is being rolled out takes effect without the transition stage.
     TransitionSkipped,
-    /// A lease that has expired is acted on.
+    /// An expired lease still counts as valid.
     LeaseExpiryIgnored,
-    /// A lease counts from its response, not from its request.
+    /// A lease is counted from its response instead of its request.
     LeaseFromResponse,
-    /// A new leader does not wait for leases that earlier leaders granted.
+    /// A new leader does not wait for the leases of earlier leaders to expire.
     EarlierLeadersIgnored,
-    /// A member that has a lease and has not confirmed is not waited for.
+    /// A rollout does not wait for unconfirmed members that hold a lease.
     LeasesNotAwaited,
-    /// An older replicated state takes the place of a newer one.
+    /// An older replicated state replaces a newer one.
     OlderStateAccepted,
-    /// What a member understood is not compared.
+    /// The digest that a member confirms is not compared.
     DigestNotCompared,
 }
 
-/// The configuration of a replica.
+/// Configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name; one of `names`.
+    /// Name of the replica; must be one of `names`.
     pub name: String,
-    /// Names of all replicas, the same and in the same order on each. The first of them bootstraps the
-    /// cluster when all are new.
+    /// Names of all replicas, in the same order on each of them. The first one bootstraps the cluster when
+    /// all are new.
     pub names: Vec<String>,
-    /// A replica that has had no contact with a leader for this long, and up to twice as long at random,
-    /// campaigns.
+    /// Minimum time without contact with a leader before a replica starts an election. The actual time is
+    /// random, up to twice this value.
     pub election_timeout: Micros,
-    /// How often a leader sends heartbeats; a quarter of `election_timeout` or less, so that single losses do
-    /// not start elections.
+    /// Interval between a leader's heartbeats; at most a quarter of `election_timeout`, so that single lost
+    /// messages do not trigger elections.
     pub heartbeat_interval: Micros,
-    /// Seed of its random numbers; another one at each start, or two incarnations draw the same nonce.
+    /// Random seed; must differ at each start, or two incarnations draw the same nonce.
     pub seed: u64,
-    /// The owner's state that a new cluster begins with, bytes.
+    /// Encoded application state of a new cluster.
     pub initial_state: Vec<u8>,
-    /// A fault that tests inject.
+    /// Fault injected by tests.
     #[doc(hidden)]
     pub injected_fault: InjectedFault,
 }
--- a/crates/flaxstand-consensus/src/replica/election.rs
+++ b/crates/flaxstand-consensus/src/replica/election.rs
@@ -11,13 +11,13 @@
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// The leader as a replica knows it, and when the replica campaigns without one.
+/// The known leader and the election timer.
 #[derive(Clone, Debug)]
 pub(super) struct ElectionState {
     pub(super) leader: Option<ReplicaId>,
-    /// When a leader's message came last.
+    /// Time of the last message from a leader.
     last_leader_contact: Option<Micros>,
-    /// When the replica campaigns.
+    /// When the replica starts an election.
     deadline: Micros,
     timeout: Micros,
 }
@@ -31,13 +31,14 @@
         self.deadline
     }
 
-    /// Draws the next deadline: one to two election timeouts from now, so that candidates rarely collide.
+    /// Sets the next deadline to a random time, one to two election timeouts from now, to make split votes
+    /// rare.
     pub(super) fn reset_deadline(&mut self, rng: &mut impl RngCore, now: Micros) {
         let timeout = self.timeout.0.max(1);
         self.deadline = now.after(Micros(timeout + rng.next_u64() % timeout));
     }
 
-    /// A leader's message came. Returns whether it is another leader than before.
+    /// Records a message from a leader. Returns whether the leader has changed.
     pub(super) fn record_leader_contact(&mut self, leader: &ReplicaId, now: Micros) -> bool {
         self.last_leader_contact = Some(now);
         let is_new = self.leader.as_ref() != Some(leader);
@@ -47,31 +48,33 @@
         is_new
     }
 
-    /// Whether a leader's message came within an election timeout.
+    /// Whether a leader's message arrived within the last election timeout.
     pub(super) fn has_recent_leader_contact(&self, now: Micros) -> bool {
         self.last_leader_contact.is_some_and(|at| now.since(at) < self.timeout)
     }
 
-    /// A new instance has heard from nobody.
-    pub(super) fn forget_leader(&mut self) {
+    /// Clears all contact with leaders, for a new instance.
+    pub(super) fn clear_leader(&mut self) {
         self.leader = None;
         self.last_leader_contact = None;
     }
 }
 
 impl Replica {
-    /// Whether it may become a candidate. A recovering replica may not: it may have voted already.
+    /// Whether this replica may become a candidate. A recovering replica may not, since it may already have
+    /// voted in an earlier incarnation.
     pub(super) fn may_campaign(&self) -> bool {
         self.state().cluster_id != 0 && !self.recovery.is_recovering() && self.is_voter() && !self.is_leader()
     }
 
-    /// Whether this replica withholds its vote because a leader is there. Leases rest on it
-    /// ([`Replica::leads_until`]), and it guards a leader against voters that it alone does not reach.
-    fn has_leader(&self, now: Micros) -> bool {
+    /// Whether this replica rejects votes because a leader is active. Leases depend on this
+    /// ([`Replica::leads_until`]). It also protects a leader from voters that only lost their own
+    /// connection to it.
+    fn has_active_leader(&self, now: Micros) -> bool {
         self.is_leader() || self.election.has_recent_leader_contact(now)
     }
 
-    /// Enters a term that another replica began, or falls back to follower in its own.
+    /// Enters a term started by another replica, or steps down to follower in the current term.
     pub(super) fn become_follower(&mut self, term: u64, now: Micros) {
         if term > self.state().term {
             self.persistent.set_term_and_vote(term, None);
@@ -79,7 +82,7 @@
         }
         if !matches!(self.role, Role::Follower) {
             if self.is_leader() {
-                info!(term, "no longer the leader");
+                info!(term, "stepped down as leader");
             }
             self.election.leader = None;
             self.role = Role::Follower;
@@ -87,8 +90,8 @@
         }
     }
 
-    /// Asks whether it would be elected, without a new term: a replica that was cut off does not push the
-    /// others through terms when it comes back.
+    /// Starts a pre-vote: asks whether it would be elected without starting a new term. A replica that
+    /// returns from a partition therefore does not force new terms on the others.
     pub(super) fn start_pre_vote(&mut self, now: Micros) {
         self.reset_election_deadline(now);
         self.election.leader = None;
@@ -97,7 +100,7 @@
         self.count_votes(now);
     }
 
-    /// Begins a term, votes for itself and asks for the others' votes.
+    /// Starts a new term, votes for itself and requests the votes of the others.
     fn start_election(&mut self, now: Micros) {
         self.reset_election_deadline(now);
         self.election.leader = None;
@@ -121,17 +124,17 @@
 
     fn become_leader(&mut self, now: Micros) {
         let state = self.state();
-        info!(term = state.term, "became the leader");
+        info!(term = state.term, "elected leader");
         let others = state.log.voters().iter().filter(|voter| **voter != state.id).cloned();
         self.role = Role::Leader(LeaderState::new(others, state.log.last_index(), now));
         self.election.leader = Some(self.state().id.clone());
-        // Entries of earlier terms are committed only behind one of this term (Raft §5.4.2).
+        // Entries of earlier terms are committed only through an entry of this term (Raft §5.4.2).
         self.persistent.append_own_entry(EntryPayload::NoOp);
         self.broadcast_append(now);
     }
 
-    /// Whether a candidate's log holds all that may be committed: its last entry is at least as new as ours
-    /// (Raft §5.4.1). Guards against a leader that lacks a committed entry.
+    /// Whether a candidate's log is at least as up to date as the local one (Raft §5.4.1). Prevents the
+    /// election of a leader that lacks a committed entry.
     fn is_up_to_date(&self, candidate: LogPosition) -> bool {
         candidate >= self.state().log.last_position()
             || self.config.injected_fault == InjectedFault::StaleLogElected
@@ -148,8 +151,9 @@
             return;
         }
         let next_term = term + 1;
-        let granted =
-            !self.has_leader(now) && next_term > self.state().term && self.is_up_to_date(candidate_log);
+        let granted = !self.has_active_leader(now)
+            && next_term > self.state().term
+            && self.is_up_to_date(candidate_log);
         self.send(from, MessageBody::PreVoteResponse { term: next_term, granted });
     }
 
@@ -157,14 +161,14 @@
         &mut self,
         from: ReplicaId,
         term: u64,
-        asked_term: u64,
+        requested_term: u64,
         is_granted: bool,
         now: Micros,
     ) {
         if term > self.state().term {
             return self.become_follower(term, now);
         }
-        let is_current = asked_term == self.state().term + 1;
+        let is_current = requested_term == self.state().term + 1;
         if let Role::PreCandidate { granted } = &mut self.role
             && is_granted
             && is_current
@@ -181,9 +185,9 @@
         candidate_log: LogPosition,
         now: Micros,
     ) {
-        // A recovering replica may have voted in an incarnation that it does not know: guards against a
-        // second vote in one term.
-        if self.recovery.is_recovering() || self.has_leader(now) && term > self.state().term {
+        // A recovering replica may have voted in an unknown incarnation: voting now could be a second vote
+        // in the same term.
+        if self.recovery.is_recovering() || self.has_active_leader(now) && term > self.state().term {
             return;
         }
         if term > self.state().term {
@@ -202,8 +206,8 @@
         self.send(from, MessageBody::VoteResponse { granted });
     }
 
-    /// Records the vote. The response waits in the outbox until it is durable: guards against a second vote
-    /// after a restart.
+    /// Records the vote. The response stays in the outbox until the vote is durable; otherwise the replica
+    /// could vote again in the same term after a restart.
     fn vote_for(&mut self, candidate: ReplicaId) {
         if self.config.injected_fault == InjectedFault::VoteNotPersisted {
             self.persistent.vote_without_record(candidate);
--- a/crates/flaxstand-consensus/src/replica/follower.rs
+++ b/crates/flaxstand-consensus/src/replica/follower.rs
@@ -1,4 +1,4 @@
-//! What a replica does with a leader's requests (Raft §5.3, §7).
+//! Handling of the leader's requests (Raft §5.3, §7).
 
 use super::{InjectedFault, Replica};
 use crate::log::{Entry, Snapshot};
@@ -7,7 +7,7 @@
 use flaxstand_proto::Micros;
 use tracing::info;
 
-/// A leader's entries and what stands before them.
+/// Contents of an append request.
 pub(super) struct Append {
     pub(super) prev_index: u64,
     pub(super) prev_term: u64,
@@ -16,25 +16,25 @@
     pub(super) commit_index: u64,
 }
 
-/// What became of a leader's request.
+/// Outcome of a request from the leader.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum AppendOutcome {
-    /// All entries up to there are in the log as the leader has them.
+    /// All entries up to this index match the leader's log.
     Accepted(u64),
-    /// What came does not follow the log here, or its sender does not lead any more. All entries up to there
-    /// match.
+    /// The entries do not continue the local log, or the sender is no longer the leader. All entries up to
+    /// this index match the leader's log.
     Rejected(u64),
 }
 
 impl Replica {
-    /// Whether the message comes from this term's leader, who is followed from now on.
+    /// Returns whether the sender is the leader of the current term, and follows it if so.
     fn accept_leader(&mut self, from: &ReplicaId, term: u64, now: Micros) -> bool {
         if term < self.state().term {
             return false;
         }
         self.become_follower(term, now);
         if self.election.record_leader_contact(from, now) {
-            info!(leader = from.name, term, "following a leader");
+            info!(leader = from.name, term, "following a new leader");
         }
         self.reset_election_deadline(now);
         true
@@ -55,7 +55,7 @@
         let is_in_snapshot = prev_index < log.snapshot.index;
         let follows_log = is_in_snapshot || log.term(prev_index) == Some(prev_term);
         if !follows_log && self.config.injected_fault != InjectedFault::LogGapAccepted {
-            // What is committed here the leader has as well.
+            // Committed entries are always part of the leader's log.
             return AppendOutcome::Rejected(self.commit_index());
         }
         let last_sent = prev_index + entries.len() as u64;
@@ -66,8 +66,8 @@
         AppendOutcome::Accepted(match_index)
     }
 
-    /// Appends what is not in the log yet. Entries that are stay, with all that follows them: a late message
-    /// must not take back what a newer one brought.
+    /// Appends the entries that the log lacks. Existing entries and those after them are kept: a delayed
+    /// request must not remove entries that a later one appended.
     fn append_missing(&mut self, first_index: u64, entries: Vec<Entry>) {
         let log = &self.state().log;
         let is_present = |(index, entry): &(u64, Entry)| {
@@ -76,7 +76,10 @@
         let missing: Vec<(u64, Entry)> = (first_index..).zip(entries).skip_while(is_present).collect();
         let Some((first_missing, _)) = missing.first() else { return };
         let first_missing = *first_missing;
-        assert!(first_missing > self.commit_index(), "a committed entry is never overwritten");
+        assert!(
+            first_missing > self.commit_index(),
+            "entries from {first_missing} on would overwrite committed ones"
+        );
         let entries = missing.into_iter().map(|(_, entry)| entry).collect();
         self.persistent.replace_entries(first_missing, entries);
     }
@@ -92,7 +95,7 @@
             return AppendOutcome::Rejected(0);
         }
         if snapshot.index > self.commit_index() {
-            info!(index = snapshot.index, "installing a snapshot");
+            info!(index = snapshot.index, "installing the leader's snapshot");
             self.commit.advance_to(snapshot.index);
             self.persistent.install_snapshot(snapshot);
             self.commit.deliver_snapshot(&self.persistent.state().log.snapshot);
@@ -100,7 +103,7 @@
         AppendOutcome::Accepted(self.commit_index())
     }
 
-    /// Answers a leader's request, sent at `request_sent_at` by the leader's clock.
+    /// Responds to a leader's request that was sent at `request_sent_at` by the leader's clock.
     pub(super) fn respond_to_leader(
         &mut self,
         leader: &ReplicaId,
@@ -109,8 +112,8 @@
     ) {
         let (AppendOutcome::Accepted(match_index) | AppendOutcome::Rejected(match_index)) = outcome;
         let body = if self.recovery.is_recovering() {
-            // Guards against an old copy of the folder that confirms what a later incarnation may have
-            // confirmed otherwise.
+            // A stale copy of the directory must not confirm entries: a later incarnation may have
+            // confirmed different ones.
             MessageBody::RecoveryProgress(match_index)
         } else if matches!(outcome, AppendOutcome::Accepted(_)) {
             MessageBody::AppendAccepted { match_index, request_sent_at }
--- a/crates/flaxstand-consensus/src/replica/leader.rs
+++ b/crates/flaxstand-consensus/src/replica/leader.rs
@@ -1,5 +1,5 @@
-//! What a leader does: sends entries and heartbeats, counts who has them, steps down when no majority
-//! answers.
+//! Leader: replicates entries, sends heartbeats, tracks acknowledgements, and steps down without contact with
+//! a majority.
 
 use super::progress::{Progress, RecoveringReplica};
 use super::{InjectedFault, MAX_MESSAGE_BYTES, Replica, Role};
@@ -8,17 +8,20 @@
 use flaxstand_proto::Micros;
 use tracing::{info, warn};
 
-/// The share of an election timeout for which a majority's answers prove leadership: a tenth is left for
-/// clocks.
+/// Fraction of an election timeout for which the responses of a majority prove leadership. The remaining
+/// tenth is the margin for clock drift.
 const LEADERSHIP_NUMERATOR: u64 = 9;
 const LEADERSHIP_DENOMINATOR: u64 = 10;
 
 impl Replica {
-    /// Sends heartbeats as often as a leader does, or steps down.
+    /// Sends heartbeats when due, or steps down.
     pub(super) fn tick_leader(&mut self, now: Micros) {
-        // Check-quorum: guards against a leader that was replaced while it was cut off, and would go on.
+        // Check-quorum: a partitioned leader that has been replaced must step down.
         if !self.has_quorum_contact(now) && self.config.injected_fault != InjectedFault::QuorumCheckSkipped {
-            warn!(term = self.state().term, "no majority answers");
+            warn!(
+                term = self.state().term,
+                "no contact with a majority within the election timeout; stepping down"
+            );
             return self.become_follower(self.state().term, now);
         }
         let Role::Leader(leader) = &self.role else { return };
@@ -35,16 +38,17 @@
         leader.has_quorum_contact(state.log.voters(), &state.id, self.config.election_timeout, now)
     }
 
-    /// Whether an entry of this leader's own term is committed. Until then it may not know all that is
-    /// committed (Raft §8).
+    /// Whether an entry of the current term is committed. Before that, a new leader may not know all
+    /// committed entries (Raft §8).
     pub(super) fn has_committed_in_term(&self) -> bool {
         let state = self.state();
         state.log.term(self.commit_index()) == Some(state.term)
     }
 
-    /// Until when no other replica can lead, as far as a majority's answers prove: nobody who heard this
-    /// leader grants a vote for an election timeout, counted from when the message came, which is after it
-    /// was sent. None: it does not lead, or may not know yet all that is committed.
+    /// Until when no other replica can become leader, as proven by the responses of a majority. A replica
+    /// that received a request from this leader grants no vote for an election timeout after receipt, which
+    /// is later than the send time used here. `None` if this replica is not the leader or may not know all
+    /// committed entries yet.
     pub fn leads_until(&self, now: Micros) -> Option<Micros> {
         let Role::Leader(leader) = &self.role else { return None };
         if !self.has_committed_in_term() {
@@ -56,7 +60,7 @@
         Some(proven_at.after(Micros(span)))
     }
 
-    /// Of a leader: voters that it has not heard from for an election timeout.
+    /// On a leader: voters without contact for an election timeout.
     pub(super) fn unresponsive(&self, now: Micros) -> Vec<String> {
         let Role::Leader(leader) = &self.role else { return Vec::new() };
         let state = self.state();
@@ -69,7 +73,7 @@
         voters.filter(|voter| !is_responsive(voter)).map(|voter| voter.name.clone()).collect()
     }
 
-    /// Sends every peer the entries that it lacks; none of them is a heartbeat.
+    /// Sends every peer the entries it lacks; a request without entries is a heartbeat.
     pub(super) fn broadcast_append(&mut self, now: Micros) {
         let Role::Leader(leader) = &mut self.role else { return };
         leader.heartbeat_at = now.after(self.config.heartbeat_interval);
@@ -93,14 +97,14 @@
                 commit_index: self.commit_index(),
                 sent_at: now.0,
             },
-            // The entries that it lacks are in the snapshot.
+            // The missing entries have been compacted into the snapshot.
             None => MessageBody::InstallSnapshot { snapshot: log.snapshot.clone(), sent_at: now.0 },
         };
         self.send(to, body);
     }
 
-    /// An answer to entries that were sent; the sender's progress, if it counts in this term. A later term ends
-    /// this leadership.
+    /// Records a response to an append request. Returns the sender's progress if the response is of the
+    /// current term. A later term ends this replica's leadership.
     fn record_append_response(
         &mut self,
         from: &ReplicaId,
@@ -119,7 +123,7 @@
         Some(peer)
     }
 
-    /// The sender has all entries up to `match_index` durable, those sent included.
+    /// The sender's log matches up to `match_index`, and those entries are durable.
     pub(super) fn handle_append_accepted(
         &mut self,
         from: &ReplicaId,
@@ -138,7 +142,7 @@
         self.advance_commit_index();
     }
 
-    /// The sender lacks the entry before those sent. Entries up to `match_index` are there.
+    /// The sender lacks the entry before those sent. Its log matches up to `match_index`.
     pub(super) fn handle_append_rejected(
         &mut self,
         from: &ReplicaId,
@@ -154,7 +158,7 @@
         self.advance_commit_index();
     }
 
-    /// A recovering replica says what it has. It counts for no quorum.
+    /// Records the log position of a recovering replica. It does not count towards a quorum.
     pub(super) fn handle_recovery_progress(&mut self, from: &ReplicaId, term: u64, match_index: u64) {
         let is_current = term == self.state().term;
         let last_index = self.last_index();
@@ -167,7 +171,7 @@
         }
     }
 
-    /// Tells recovering replicas that are up to date that they take part again.
+    /// Notifies recovering replicas that have caught up that they may vote and confirm entries again.
     fn complete_recoveries(&mut self, now: Micros) {
         if !self.has_committed_in_term() {
             return;
@@ -177,7 +181,7 @@
         let recovered = leader.recovered_replicas(state.log.voters(), &state.id, self.commit_index());
         for (replica, incarnation) in recovered {
             self.send(&replica, MessageBody::RecoveryComplete(incarnation));
-            // The message may be lost: it is sent again if the replica asks again.
+            // The message may be lost. If the replica announces itself again, the message is sent again.
             if let Role::Leader(leader) = &mut self.role
                 && let Some(peer) = leader.peers.get_mut(&replica)
             {
@@ -186,8 +190,9 @@
         }
     }
 
-    /// Commits what a majority has durable, if its last entry is of this leader's own term: guards against an
-    /// entry of an earlier term that a later leader could still overwrite (Raft §5.4.2, figure 8).
+    /// Advances the commit index to what a majority has made durable, provided that the last such entry is
+    /// of the current term. An entry of an earlier term could still be overwritten by a later leader (Raft
+    /// §5.4.2, figure 8).
     pub(super) fn advance_commit_index(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         let state = self.persistent.state();
@@ -204,11 +209,11 @@
             return;
         }
         self.commit.advance_to(index);
-        // Followers get it at the next tick.
+        // Notify the followers at the next tick.
         leader.heartbeat_at = Micros(0);
         let is_removed = !voters.contains(&state.id) && state.log.voters_index() <= index;
         if is_removed {
-            info!("no longer a voter");
+            info!("removed from the voters; stepping down");
             self.role = Role::Follower;
             self.election.leader = None;
         }
--- a/crates/flaxstand-consensus/src/replica/leader_state.rs
+++ b/crates/flaxstand-consensus/src/replica/leader_state.rs
@@ -1,4 +1,4 @@
-//! A leader's view of the other replicas, and what their quorums prove.
+//! Replication state of the other replicas as tracked by the leader, and what a majority of them confirms.
 
 use super::progress::{Progress, RecoveringReplica};
 use super::quorum::{is_majority, majority_value};
@@ -7,10 +7,10 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// A leader takes on replicas that ask to join while it has fewer peers than this, voters included.
+/// Maximum number of peers, voters included, up to which a leader accepts replicas that ask to join.
 const MAX_PEERS_WITH_LEARNERS: usize = 8;
 
-/// A leader's view of the others.
+/// The leader's view of its peers.
 #[derive(Clone, Debug)]
 pub(super) struct LeaderState {
     pub(super) peers: BTreeMap<ReplicaId, Progress>,
@@ -24,7 +24,7 @@
         LeaderState { peers, heartbeat_at: now }
     }
 
-    /// Whether a majority, the leader included, was heard from within an election timeout.
+    /// Whether a majority, including the leader, has been in contact within `timeout`.
     pub(super) fn has_quorum_contact(
         &self,
         voters: &[ReplicaId],
@@ -37,7 +37,8 @@
         })
     }
 
-    /// The moment at or after which a majority, the leader included, has heard from the leader.
+    /// Latest time such that a majority, including the leader, has acknowledged a request sent at or after
+    /// it.
     pub(super) fn quorum_sent_at(
         &self,
         voters: &[ReplicaId],
@@ -46,12 +47,12 @@
     ) -> Option<Micros> {
         majority_value(voters, |voter| match self.peers.get(voter) {
             _ if voter == leader => now,
-            peer => peer.map_or(Micros(0), |peer| peer.newest_answered_sent_at),
+            peer => peer.map_or(Micros(0), |peer| peer.last_acked_sent_at),
         })
     }
 
-    /// The index up to which a majority has all entries durable. `own_index`: the same of the leader;
-    /// `durable_records`: how far its journal is durable.
+    /// Index up to which all entries are durable on a majority. `own_index` is the leader's own durable
+    /// index; `durable_records` is the number of the last durable record in the leader's journal.
     pub(super) fn quorum_match_index(
         &mut self,
         voters: &[ReplicaId],
@@ -66,9 +67,9 @@
         })
     }
 
-    /// Recovering replicas that have all that is committed, where a majority *without* them has answered what
-    /// was sent after they asked. Nobody else leads then, and whatever such a replica promised in an
-    /// incarnation that it does not know, that majority has gone on from.
+    /// Recovering replicas that have all committed entries, provided that a majority *without* them has
+    /// responded to requests sent after they announced themselves. Then no other replica can be leader, and
+    /// the log of that majority supersedes any promise that such a replica made in an unknown incarnation.
     pub(super) fn recovered_replicas(
         &self,
         voters: &[ReplicaId],
@@ -79,7 +80,7 @@
         for (replica, peer) in &self.peers {
             let Some(recovering) = peer.recovering else { continue };
             let confirms_leader = |voter: &ReplicaId| {
-                let has_answered = |other: &Progress| other.newest_answered_sent_at > recovering.requested_at;
+                let has_answered = |other: &Progress| other.last_acked_sent_at > recovering.requested_at;
                 voter != replica && (voter == leader || self.peers.get(voter).is_some_and(has_answered))
             };
             if recovering.match_index >= commit_index && is_majority(voters, confirms_leader) {
@@ -89,7 +90,8 @@
         recovered
     }
 
-    /// A replica started and asks whether a later incarnation of it was seen.
+    /// Handles the announcement of a replica that started and asks whether a later incarnation of it has
+    /// been seen.
     pub(super) fn record_recovering(&mut self, replica: &ReplicaId, incarnation: Incarnation, now: Micros) {
         if let Some(progress) = self.peers.get_mut(replica)
             && progress.recovering.is_none_or(|recovering| recovering.incarnation != incarnation)
@@ -98,12 +100,12 @@
         }
     }
 
-    /// A replica that is no voter asks to join.
+    /// Handles a join request of a replica that is not a voter.
     pub(super) fn record_join_request(&mut self, replica: ReplicaId, now: Micros) {
         if let Some(progress) = self.peers.get_mut(&replica) {
             progress.last_contact_at = now;
         } else if self.peers.len() < MAX_PEERS_WITH_LEARNERS {
-            info!(name = replica.name, "a new keeper asks to join");
+            info!(name = replica.name, "new replica asks to join; replicating the log to it");
             self.peers.insert(replica, Progress::new(1, now));
         }
     }
--- a/crates/flaxstand-consensus/src/replica/membership.rs
+++ b/crates/flaxstand-consensus/src/replica/membership.rs
@@ -1,5 +1,5 @@
-//! Changes of the voters by the leader, one replica at a time: any two sets of voters that follow each other
-//! share a replica in every pair of majorities (Ongaro's thesis, §4.1).
+//! Membership changes by the leader, one replica at a time, so that any majority of one configuration
+//! overlaps with any majority of the next (Ongaro's thesis, §4.1).
 
 use super::leader_state::LeaderState;
 use super::progress::Progress;
@@ -9,17 +9,17 @@
 use flaxstand_proto::Micros;
 use tracing::info;
 
-/// A replica counts as lost, and another instance of its name may take its place, after so many election
-/// timeouts without contact.
+/// Number of election timeouts without contact after which a replica counts as lost and another instance of
+/// its name may replace it.
 const LOST_AFTER_ELECTION_TIMEOUTS: u64 = 4;
 
 impl Replica {
-    /// Makes learners voters and removes voters that are lost.
+    /// Updates the set of peers, promotes learners to voters, and removes lost voters.
     pub(super) fn update_voters(&mut self, now: Micros) {
         let lost_after = Micros(self.config.election_timeout.0 * LOST_AFTER_ELECTION_TIMEOUTS);
         let commit_index = self.commit_index();
-        // The present voters are committed, in a log of which this leader knows all that is committed: guards
-        // against two changes at a time.
+        // The current configuration must be committed, and the leader must know all committed entries.
+        // Prevents two concurrent membership changes.
         let may_change = self.state().log.voters_index() <= commit_index && self.has_committed_in_term();
         let Role::Leader(leader) = &mut self.role else { return };
         let state = self.persistent.state();
@@ -40,7 +40,7 @@
     }
 }
 
-/// The voters after the next change; none if there is nothing to change.
+/// Returns the next set of voters; `None` if there is nothing to change.
 fn next_voters(
     leader: &LeaderState,
     voters: &[ReplicaId],
@@ -54,17 +54,18 @@
     let learners = leader.peers.iter().filter(|(peer, _)| !voters.contains(peer));
     for (learner, progress) in learners {
         match voters.iter().find(|voter| voter.name == learner.name) {
-            // Not while the old instance answers: two processes under one name are an operator's mistake.
+            // The old instance must be lost: two running processes with the same name are a configuration
+            // error.
             Some(old) if is_lost(old) => {
-                info!(name = old.name, "a keeper that lost its disk gives up its vote");
+                info!(name = old.name, "removing a lost voter that a new instance of its name replaces");
                 return Some(voters.iter().filter(|voter| *voter != old).cloned().collect());
             }
             None if progress.match_index >= commit_index => {
-                info!(name = learner.name, "a new keeper gets a vote");
-                let mut more = voters.to_vec();
-                more.push(learner.clone());
-                more.sort();
-                return Some(more);
+                info!(name = learner.name, "replica has caught up; adding it to the voters");
+                let mut extended = voters.to_vec();
+                extended.push(learner.clone());
+                extended.sort();
+                return Some(extended);
             }
             _ => {}
         }
--- a/crates/flaxstand-consensus/src/replica/outbox.rs
+++ b/crates/flaxstand-consensus/src/replica/outbox.rs
@@ -1,47 +1,48 @@
-//! Messages that wait until what they tell is durable. Guards against a promise that is sent and then
-//! forgotten.
+//! Messages held back until the state they depend on is durable. Otherwise a replica could send a promise
+//! and lose it in a restart.
 
 use crate::message::{Message, MessageBody};
 use std::collections::VecDeque;
 
-/// Messages that wait for the disk, most. The oldest is dropped then: all that matters is sent again.
-const MAX_WAITING_MESSAGES: usize = 256;
+/// Maximum number of messages pending for the disk. Beyond it the oldest one is dropped; the protocol
+/// retransmits.
+const MAX_PENDING_MESSAGES: usize = 256;
 
 #[derive(Clone, Debug)]
-struct Waiting {
-    /// The message may be sent once this record of the journal is durable.
+struct PendingMessage {
+    /// Journal record that must be durable before the message is sent.
     after_record: u64,
     message: Message,
 }
 
-/// Messages in the order in which they were made.
+/// Pending messages in the order in which they were created.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outbox {
-    waiting: VecDeque<Waiting>,
+    pending: VecDeque<PendingMessage>,
 }
 
 impl Outbox {
-    /// Queues a message behind a record of the journal.
+    /// Queues a message that depends on a journal record.
     pub(super) fn push(&mut self, after_record: u64, message: Message) {
-        if self.waiting.len() >= MAX_WAITING_MESSAGES {
-            self.waiting.pop_front();
+        if self.pending.len() >= MAX_PENDING_MESSAGES {
+            self.pending.pop_front();
         }
-        self.waiting.push_back(Waiting { after_record, message });
+        self.pending.push_back(PendingMessage { after_record, message });
     }
 
-    /// Messages that tell nothing beyond the journal's record `durable_records`.
+    /// Returns the messages whose records are durable, given the last durable record.
     pub(super) fn take_sendable(&mut self, durable_records: u64) -> Vec<Message> {
-        let is_sendable = |waiting: &&Waiting| waiting.after_record <= durable_records;
-        let count = self.waiting.iter().take_while(is_sendable).count();
-        self.waiting.drain(..count).map(|waiting| waiting.message).collect()
+        let is_sendable = |pending: &&PendingMessage| pending.after_record <= durable_records;
+        let count = self.pending.iter().take_while(is_sendable).count();
+        self.pending.drain(..count).map(|pending| pending.message).collect()
     }
 
     pub(super) fn clear(&mut self) {
-        self.waiting.clear();
+        self.pending.clear();
     }
 
-    /// What the waiting messages say.
+    /// Bodies of the pending messages.
     pub(super) fn bodies(&self) -> Vec<&MessageBody> {
-        self.waiting.iter().map(|waiting| &waiting.message.body).collect()
+        self.pending.iter().map(|pending| &pending.message.body).collect()
     }
 }
--- a/crates/flaxstand-consensus/src/replica/progress.rs
+++ b/crates/flaxstand-consensus/src/replica/progress.rs
@@ -1,15 +1,15 @@
-//! What a leader knows of one other replica.
+//! Replication state of one other replica, as tracked by the leader.
 
 use crate::replica_id::Incarnation;
 use flaxstand_proto::Micros;
 
-/// A replica that started in this incarnation and may run on an old copy of its folder.
+/// A replica that has started in this incarnation and may be running on a stale copy of its directory.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecoveringReplica {
     pub(super) incarnation: Incarnation,
-    /// When it asked whether a later incarnation was seen.
+    /// When it announced itself.
     pub(super) requested_at: Micros,
-    /// All entries up to there are in its log since.
+    /// Index up to which its log matches since then.
     pub(super) match_index: u64,
 }
 
@@ -19,23 +19,23 @@
     }
 }
 
-/// A replica's progress as its leader sees it.
+/// Replication progress of one replica.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
-    /// All entries up to there are durable there.
+    /// Index up to which all entries are durable on the replica.
     pub(super) match_index: u64,
-    /// `match_index` counts for a quorum once this record of the leader's own journal is durable: until then
-    /// an old copy of the replica's folder would not be recognised.
+    /// `match_index` counts towards a quorum once this record of the leader's own journal is durable;
+    /// before that, a stale copy of the replica's directory could not be detected.
     counts_after_record: u64,
-    /// What counts for a quorum.
+    /// The part of `match_index` that counts towards a quorum.
     pub(super) quorum_match_index: u64,
-    /// The entry to send next.
+    /// Index of the next entry to send.
     pub(super) next_index: u64,
-    /// When a response, or a request to join, came last.
+    /// Time of the last response or join request.
     pub(super) last_contact_at: Micros,
-    /// When the newest request was sent that it has answered.
-    pub(super) newest_answered_sent_at: Micros,
-    /// It started, and was not brought up to date yet.
+    /// Send time of the latest request that it has responded to.
+    pub(super) last_acked_sent_at: Micros,
+    /// Set while the replica is recovering after a start.
     pub(super) recovering: Option<RecoveringReplica>,
 }
 
@@ -47,26 +47,26 @@
             quorum_match_index: 0,
             next_index,
             last_contact_at: now,
-            newest_answered_sent_at: Micros(0),
+            last_acked_sent_at: Micros(0),
             recovering: None,
         }
     }
 
-    /// Whether it was heard from within `timeout`.
+    /// Whether it was in contact within `timeout`.
     pub(super) fn is_responsive(&self, timeout: Micros, now: Micros) -> bool {
         now.since(self.last_contact_at) < timeout
     }
 
-    /// It answered, as one that takes part. `request_sent_at` is bounded by the clock here: guards leases
-    /// against an answer that claims a time to come.
+    /// Records a response of a replica that is not recovering. `request_sent_at` is capped at the current
+    /// time: a response with a time in the future must not extend leadership, on which leases depend.
     pub(super) fn record_response(&mut self, request_sent_at: Micros, now: Micros) {
         self.last_contact_at = now;
         self.recovering = None;
-        self.newest_answered_sent_at = self.newest_answered_sent_at.max(request_sent_at.min(now));
+        self.last_acked_sent_at = self.last_acked_sent_at.max(request_sent_at.min(now));
     }
 
-    /// All entries up to an index are durable there. Returns whether that is more than before: a late
-    /// response says less than what came before it.
+    /// Records that all entries up to an index are durable on the replica. Returns whether the index has
+    /// advanced; a delayed response may report a lower one.
     pub(super) fn advance_match(&mut self, match_index: u64, queued_records: u64) -> bool {
         let has_advanced = match_index > self.match_index;
         if has_advanced {
@@ -77,12 +77,12 @@
         has_advanced
     }
 
-    /// It rejected an append; entries up to `match_index` are there.
+    /// Handles a rejected append; the replica's log matches up to `match_index`.
     pub(super) fn back_up(&mut self, match_index: u64, last_index: u64) {
         self.next_index = (match_index.max(self.match_index) + 1).min(last_index + 1);
     }
 
-    /// Counts `match_index` for a quorum if the leader's journal has reached the record that it waits for.
+    /// Counts `match_index` towards a quorum if the record it depends on is durable.
     pub(super) fn count_durable(&mut self, durable_records: u64) {
         if self.counts_after_record <= durable_records {
             self.quorum_match_index = self.match_index;
--- a/crates/flaxstand-consensus/src/replica/quorum.rs
+++ b/crates/flaxstand-consensus/src/replica/quorum.rs
@@ -1,13 +1,13 @@
-//! Majorities of the voters.
+//! Majorities among the voters.
 
 use crate::replica_id::ReplicaId;
 
-/// Whether a majority of the voters has a property.
+/// Whether the predicate holds for a majority of the voters.
 pub(super) fn is_majority(voters: &[ReplicaId], has: impl Fn(&ReplicaId) -> bool) -> bool {
     voters.iter().filter(|voter| has(voter)).count() > voters.len() / 2
 }
 
-/// The greatest value that a majority of the voters has reached; none without voters.
+/// The greatest value that a majority of the voters has reached; `None` without voters.
 pub(super) fn majority_value<T: Ord + Copy>(
     voters: &[ReplicaId],
     value: impl Fn(&ReplicaId) -> T,
--- a/crates/flaxstand-consensus/src/replica/recovery.rs
+++ b/crates/flaxstand-consensus/src/replica/recovery.rs
@@ -1,18 +1,22 @@
-//! What a replica may promise after a start.
+//! Restrictions on a replica after a start, until its state is known to be current.
 //!
-//! - **A lost disk.** A replica whose folder is empty or damaged draws a new instance. It is no voter; the
-//!   leader makes it one, by two changes of the voters, once the instance of that name before it has been
-//!   unresponsive for long.
-//! - **An old copy.** Each start is an incarnation, durable before anything is sent, and each message tells
-//!   how many promises (terms, votes, entries) its sender has written down. Whoever acts on a message has
-//!   recorded both, durably. An incarnation that begins with fewer promises than were seen is that of an old
-//!   copy, and gives its instance up: it comes back as new. After a start a replica neither votes nor
-//!   confirms entries until one of these holds: *all* others have answered that they saw no more than it
-//!   knows, or that they lost their disks (some alone would not do: a promise is known to whom it was made);
-//!   or a leader that a majority *without* it has just confirmed has brought it up to date. The price: of
-//!   three replicas, one that starts while another is unresponsive has no vote until that one is back, or
-//!   another machine was started under its name. One folder at a time may be an old copy, and not while
-//!   another replica's disk is lost.
+//! **Lost disk.** A replica whose directory is empty or damaged draws a new instance, which is not a voter.
+//! The leader replaces the previous instance of that name, by two membership changes, once that instance
+//! has been unresponsive for long enough.
+//!
+//! **Stale copy.** Each start is an incarnation, which is durable before anything is sent, and each message
+//! carries the number of promises (terms, votes, entries) that its sender has recorded. A receiver durably
+//! records both before it processes a message. An incarnation that starts with fewer promises than were
+//! seen before runs on a stale copy of the directory; it gives up its instance and restarts as a new one.
+//!
+//! After a start a replica neither votes nor confirms entries until one of these conditions holds:
+//! - *All* others have responded that they have seen no later state, or that they lost their disks. A
+//!   subset is not enough, because a promise is known only to its receivers.
+//! - A leader that a majority *without* this replica has just confirmed has brought its log up to date.
+//!
+//! Consequence: of three replicas, one that starts while another is unresponsive can't vote until that one
+//! returns or another machine is started under its name. The scheme tolerates one stale directory at a
+//! time, and not while the disk of another replica is lost.
 
 use super::{InjectedFault, Replica, Role};
 use crate::message::{Message, MessageBody};
@@ -22,12 +26,13 @@
 use std::collections::BTreeSet;
 use tracing::{info, warn};
 
-/// Whether a replica may run on an old copy of its folder.
+/// Whether a replica may be running on a stale copy of its directory.
 #[derive(Clone, Debug)]
 pub(super) enum RecoveryState {
-    /// It takes part.
+    /// The replica votes and confirms entries.
     Complete,
-    /// It neither votes nor confirms entries. Names of the others that have seen no later incarnation.
+    /// The replica neither votes nor confirms entries. Holds the names of the others that have seen no
+    /// later incarnation.
     Recovering { answered: BTreeSet<String> },
 }
 
@@ -36,7 +41,7 @@
         matches!(self, RecoveryState::Recovering { .. })
     }
 
-    /// The names that have answered, while it is recovering.
+    /// Names of the replicas that have responded; `None` if not recovering.
     pub(super) fn answered(&self) -> Option<&BTreeSet<String>> {
         match self {
             RecoveryState::Complete => None,
@@ -46,16 +51,16 @@
 }
 
 impl Replica {
-    /// After a start the others are asked before anything is promised, also where the folder knows of no
-    /// vote: a later incarnation may have given one.
+    /// Starts the recovery. It is required even if the directory records no vote, because a later
+    /// incarnation may have voted.
     pub(super) fn start_recovery(&mut self) {
         if self.config.names.len() > 1 && self.config.injected_fault != InjectedFault::StaleCopyVotes {
             self.recovery = RecoveryState::Recovering { answered: BTreeSet::new() };
         }
     }
 
-    /// A replica that started asks whether a later incarnation of it was seen.
-    /// [`Replica::accept_incarnation`] has compared it already.
+    /// Handles the announcement of a replica that started. [`Replica::accept_incarnation`] has already
+    /// compared the incarnation.
     pub(super) fn handle_incarnation_request(
         &mut self,
         from: &ReplicaId,
@@ -68,7 +73,7 @@
         self.send(from, MessageBody::IncarnationResponse(incarnation));
     }
 
-    /// Another replica saw no more than this one knows, or lost its own disk.
+    /// Another replica has seen no later state of this one, or lost its own disk.
     pub(super) fn handle_incarnation_response(&mut self, from: ReplicaId) {
         let voters = self.state().log.voters();
         let mut others: BTreeSet<String> = voters.iter().map(|voter| voter.name.clone()).collect();
@@ -81,28 +86,28 @@
         if others.is_subset(answered) {
             info!(
                 incarnation = self.state().incarnation.count,
-                "no later incarnation was seen: recovery complete"
+                "no other replica has seen a later incarnation; recovery complete"
             );
             self.recovery = RecoveryState::Complete;
         }
     }
 
-    /// The leader proved without this replica that it leads, and this replica has all that is committed.
+    /// The leader has proven its leadership without this replica, whose log holds all committed entries.
     pub(super) fn handle_recovery_complete(&mut self, term: u64, incarnation: Incarnation) {
         let is_current = term == self.state().term && incarnation == self.state().incarnation;
         if is_current && self.recovery.is_recovering() {
             self.recovery = RecoveryState::Complete;
-            info!(incarnation = incarnation.count, "brought up to date by a leader: recovery complete");
+            info!(incarnation = incarnation.count, "log is up to date with the leader; recovery complete");
         }
     }
 
-    /// Whether the message comes from its sender's newest incarnation, which is recorded before the message
-    /// is acted on. The sender of an older one, or of one that begins with less than was seen before, is told
-    /// so.
+    /// Whether a message comes from its sender's latest incarnation, which is recorded before the message
+    /// is processed. A sender with an older incarnation, or one that starts with fewer promises than were
+    /// seen before, is notified.
     pub(super) fn accept_incarnation(&mut self, message: &Message) -> bool {
         let seen = LastSeen { incarnation: message.incarnation, promises_written: message.promises_written };
         match self.state().last_seen.get(&message.from).copied() {
-            // A late message of one incarnation tells less.
+            // A delayed message of the same incarnation may carry a lower count.
             Some(newest)
                 if seen.incarnation == newest.incarnation
                     && seen.promises_written <= newest.promises_written =>
@@ -120,39 +125,40 @@
         }
     }
 
-    /// Guards against an old copy of the folder: promises beyond it are not known here. A late message of an
-    /// earlier incarnation is answered like this too, so both are compared once more.
+    /// Handles the report of a later incarnation: promises made after the local copy of the directory are
+    /// unknown here. The incarnations are compared again, because a delayed message of an earlier
+    /// incarnation triggers the same report.
     pub(super) fn handle_superseded(&mut self, newest: LastSeen) {
         let own = self.state().incarnation;
         if own.superseded_by(newest) {
-            warn!(?own, ?newest, "a later incarnation of this keeper was seen");
+            warn!(?own, ?newest, "another replica has seen a later incarnation of this one");
             self.renew_instance("its folder is an old copy");
         }
     }
 
-    /// Another instance of this name votes in its place.
+    /// Another instance of this name has replaced this one as a voter.
     pub(super) fn handle_no_longer_voter(&mut self) {
         if self.is_voter() {
-            self.renew_instance("another has its place in the electorate");
+            self.renew_instance("another instance has replaced it as a voter");
         }
     }
 
-    /// Comes back as another instance, which has promised nothing yet.
+    /// Restarts as a new instance without promises.
     fn renew_instance(&mut self, reason: &str) {
-        warn!(why = reason, "coming back as a new keeper");
+        warn!(why = reason, "restarting as a new replica instance");
         let id = ReplicaId { name: self.config.name.clone(), instance: self.rng.next_u64() };
         let incarnation = Incarnation { count: 1, nonce: self.rng.next_u64(), promises_at_start: 0 };
         self.persistent.reset(id, incarnation);
         self.role = Role::Follower;
-        self.election.forget_leader();
+        self.election.clear_leader();
         self.recovery = RecoveryState::Complete;
         self.bootstrap = std::mem::take(&mut self.bootstrap).with_existing_cluster();
         self.outbox.clear();
         self.commit.reset();
     }
 
-    /// Of a leader: whether a replica that campaigns is no voter any more, and that is committed. Guards
-    /// against a folder put back from before its replica was replaced: it would campaign for ever.
+    /// On a leader: whether a candidate has been removed from the voters by a committed change. A replica
+    /// restored from a backup older than its removal would otherwise start elections forever.
     pub(super) fn is_removed(&self, from: &ReplicaId) -> bool {
         let log = &self.state().log;
         self.is_leader() && log.voters_index() <= self.commit_index() && !log.voters().contains(from)
--- a/crates/flaxstand-consensus/src/replica/status.rs
+++ b/crates/flaxstand-consensus/src/replica/status.rs
@@ -1,69 +1,72 @@
-//! What a replica tells its owner and operators.
+//! Types that a replica exposes to its caller and to operators.
 
 use super::{MAX_CHANGE_BYTES, MAX_UNCOMMITTED_ENTRIES};
 use crate::log::LogPosition;
 use crate::replica_id::ReplicaId;
 use thiserror::Error;
 
-/// What is committed, in the order of the log.
+/// A committed item, delivered in log order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Committed {
-    /// A change that the owner proposed somewhere.
+    /// A committed change.
     Change {
-        /// Index of its entry.
+        /// Index of the log entry.
         index: u64,
-        /// The change.
+        /// The encoded change.
         change: Vec<u8>,
     },
-    /// The owner's state after all changes up to an index, in place of what the owner has.
+    /// Application state after all entries up to an index; replaces the caller's state.
     Snapshot {
-        /// Index of the last entry in it.
+        /// Index of the last entry included.
         index: u64,
-        /// The state.
+        /// The encoded state.
         state: Vec<u8>,
     },
 }
 
-/// A change that a leader appended to its log. It is committed once [`Committed::Change`] of this index
-/// carries it, and lost if that index carries another.
+/// Position of a change that a leader appended to its log. The change is committed once
+/// [`Committed::Change`] with this index carries it, and lost if that index carries another change.
 pub type Proposed = LogPosition;
 
 /// Why a change was not appended to the log.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ProposeError {
     /// Only the leader appends changes.
-    #[error("not the leader; {}", leader.as_ref().map_or("none is known".to_owned(), |l| format!("{l} is")))]
+    #[error(
+        "not the leader; {}",
+        leader.as_ref().map_or("no leader is known".to_owned(), |name| format!("the leader is {name}"))
+    )]
     NotLeader {
-        /// Its name, where one is known.
+        /// Name of the leader, if known.
         leader: Option<String>,
     },
-    /// Too many entries are not committed yet.
-    #[error("{MAX_UNCOMMITTED_ENTRIES} changes are not agreed on yet: try again later")]
+    /// Too many entries are uncommitted.
+    #[error("{MAX_UNCOMMITTED_ENTRIES} changes are not committed yet: try again later")]
     Busy,
-    /// It has more bytes (given here) than [`MAX_CHANGE_BYTES`].
-    #[error("a change of {0} bytes, at most {MAX_CHANGE_BYTES} are taken")]
+    /// The change, whose size in bytes is given here, is larger than [`MAX_CHANGE_BYTES`].
+    #[error("the change has {0} bytes, the maximum is {MAX_CHANGE_BYTES}")]
     TooLarge(usize),
 }
 
-/// The role of a replica.
+/// Role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaRole {
-    /// It belongs to no cluster yet, or lost its disk, and asks to join.
+    /// Belongs to no cluster yet, or lost its disk, and asks to join.
     New,
-    /// It waits until others confirm that its folder is no old copy. It neither votes nor confirms entries.
+    /// Waits for confirmation that its directory is not a stale copy. Neither votes nor confirms entries.
     Recovering,
-    /// It is no voter.
+    /// Receives the log but is not a voter.
     Learner,
-    /// It follows a leader, or waits for one.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// It campaigns.
+    /// Requests votes or pre-votes.
     Candidate,
-    /// It leads.
+    /// Replicates the log to the others.
     Leader,
 }
 
 impl ReplicaRole {
-    /// Its name in reports to operators.
+    /// Name of the role in reports to operators.
     pub fn report_name(self) -> &'static str {
         match self {
             ReplicaRole::New => "new",
@@ -76,27 +79,27 @@
     }
 }
 
-/// A replica's state, for operators.
+/// Status of a replica, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Its role.
+    /// The role.
     pub role: ReplicaRole,
-    /// Its identity.
+    /// Identity of the replica.
     pub id: ReplicaId,
-    /// How often it started.
+    /// Number of times the replica has started.
     pub incarnation: u64,
-    /// Its term.
+    /// The current term.
     pub term: u64,
-    /// The leader's name, where one is known.
+    /// Name of the leader, if known.
     pub leader: Option<String>,
-    /// All entries up to there are committed.
+    /// Index up to which all entries are committed.
     pub commit_index: u64,
-    /// The last entry of its log.
+    /// Index of the last log entry.
     pub last_index: u64,
-    /// The voters.
+    /// The current voters.
     pub voters: Vec<ReplicaId>,
-    /// Of a leader: voters that it has not heard from for an election timeout.
+    /// On a leader: voters without contact for an election timeout.
     pub unresponsive: Vec<String>,
-    /// Its disk does not take what has to be durable.
+    /// Whether the last write to the disk failed and is being retried.
     pub is_disk_failing: bool,
 }
--- a/crates/flaxstand-consensus/src/replica_id.rs
+++ b/crates/flaxstand-consensus/src/replica_id.rs
@@ -1,42 +1,43 @@
-//! The identity of a replica, and its incarnations: which of its starts is the newest that others have seen.
+//! Identity of a replica, and its incarnations, which number its starts.
 
 use serde::{Deserialize, Serialize};
 
-/// A replica as the configuration of the electorate names it. Its instance is drawn when its folder is empty:
-/// a replica whose disk was lost is another replica under the same name.
+/// Identity of a replica in the cluster configuration. The instance is drawn when the directory is empty,
+/// so a replica that lost its disk is a different replica with the same name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ReplicaId {
-    /// The initiator's name.
+    /// Name of the initiator.
     pub name: String,
-    /// Drawn at random with an empty folder.
+    /// Random number drawn when the directory is empty.
     pub instance: u64,
 }
 
-/// One start of a replica, durable before anything is sent in it. Counts grow; where two incarnations have
-/// the same count, or one begins with fewer promises than were seen of the one before it, the folder was
-/// copied.
+/// One start of a replica; durable before any message of that start is sent. Counts increase. If two
+/// incarnations have the same count, or one starts with fewer promises than were seen of the previous one,
+/// the directory was copied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// One more at each start.
+    /// Number of the start.
     pub count: u64,
-    /// Drawn at each start.
+    /// Random number drawn at each start.
     pub nonce: u64,
-    /// How many promises (terms, votes, entries) it began with.
+    /// Number of promises (terms, votes, entries) recorded when it started.
     pub promises_at_start: u64,
 }
 
-/// The newest that was seen of a replica.
+/// Latest state seen of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LastSeen {
-    /// Its incarnation.
+    /// Its latest incarnation.
     pub incarnation: Incarnation,
-    /// How many promises it had written down.
+    /// Number of promises it had recorded.
     pub promises_written: u64,
 }
 
 impl Incarnation {
-    /// Whether a replica in this incarnation runs on an old copy of its folder, given what was seen of its
-    /// name: a later start, another start of the same count, or more promises than it began with.
+    /// Whether this incarnation runs on a stale copy of its directory, given the latest state seen of the
+    /// same instance: a later start, another start with the same count, or more promises than this one
+    /// started with.
     pub fn superseded_by(self, seen: LastSeen) -> bool {
         let other = seen.incarnation;
         other.count > self.count
