--- a/crates/flaxstand-consensus/src/replicated_state.rs
+++ b/crates/flaxstand-consensus/src/replicated_state.rs
@@ -1,169 +1,172 @@
-//! The replicated state: which version of the rules is in force, which is being rolled out, which initiators
-//! are members. It is made of the committed changes alone, so it is the same at every replica at the same
-//! index.
+//! The replicated state: the version of the rules in force, the version being rolled out, and the members.
+//! It depends on the committed changes only, so it is the same on every replica at the same index.
 //!
-//! A rollout is staged: the version in force; both versions, of which everyone acts on the narrower; the new
-//! version. Two stages that follow each other never contradict, and none begins before everyone has left the
-//! stage before the present one ([`crate::lease_manager`]).
+//! A rollout has three stages: the version in force; the transition, in which everyone acts on the narrower
+//! of both versions; the new version. Consecutive stages never contradict each other, and a stage starts
+//! only after all members have left the stage before the current one ([`crate::lease_manager`]).
 
 use crate::rules::{Objection, Rules};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use thiserror::Error;
 
-/// Most bytes of a version's file.
+/// Maximum size of a version's source file in bytes.
 pub const MAX_TEXT_BYTES: usize = 32 << 10;
-/// Most bytes of a version's rules as they are stored.
+/// Maximum encoded size of a version's rules in bytes.
 pub const MAX_RULES_BYTES: usize = 48 << 10;
-/// Versions before the one in force that are kept for `revert`.
+/// Number of previous versions kept for `revert`.
 const MAX_PREVIOUS_VERSIONS: usize = 4;
-/// Steps that the history holds.
+/// Maximum number of steps in the history.
 const MAX_HISTORY_STEPS: usize = 256;
-/// Most members. One more is not admitted.
+/// Maximum number of members. Further initiators are not admitted.
 pub const MAX_MEMBERS: usize = 4096;
 
 /// A version of the rules.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Version {
-    /// Its number, from 1.
+    /// Version number, starting at 1.
     pub number: u64,
     /// The rules.
     pub rules: Rules,
-    /// The file they were read from.
+    /// Text of the file that the rules were read from.
     pub text: String,
-    /// Who proposed it.
+    /// Name of the person who proposed it.
     pub by: String,
-    /// When, microseconds since 1970 by the proposer's calendar.
+    /// Time of the proposal by the proposer's clock, in microseconds since the Unix epoch.
     pub at: u64,
 }
 
-/// A step of a rollout, for the history.
+/// A rollout step in the history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStep {
-    /// The version.
+    /// Number of the version.
     pub number: u64,
-    /// The stage that began with it.
+    /// The stage that the step started.
     pub stage: u64,
-    /// What happened, in words for operators.
+    /// What happened, for operators.
     pub description: String,
-    /// When, microseconds since 1970 by the calendar of whoever proposed the step.
+    /// Time by the proposer's clock, in microseconds since the Unix epoch.
     pub at: u64,
 }
 
-/// A change of the replicated state, as an entry of the log holds it. Postcard numbers variants and fields by
-/// their order and writes no names.
+/// A change of the replicated state, stored in a log entry. Postcard numbers variants and fields by their
+/// order and writes no names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// A version that is to follow the one that its proposer knew.
+    /// Proposes a version to replace the one in force.
     Propose {
-        /// Number of the version in force that it was made from.
+        /// Number of the version in force that the proposal is based on.
         base: u64,
-        /// The version; its number is given when the change is applied.
+        /// The version. Its number is assigned when the change is applied.
         version: Version,
     },
-    /// The version that is being rolled out is given up.
+    /// Withdraws the version that is being rolled out.
     Withdraw {
-        /// Its number.
+        /// Number of the version.
         number: u64,
-        /// Who withdraws it.
+        /// Name of the person who withdraws it.
         by: String,
-        /// When, microseconds since 1970.
+        /// Time in microseconds since the Unix epoch.
         at: u64,
     },
-    /// Everyone acts on the narrower of both versions or has no lease: the version being rolled out comes
-    /// into force.
+    /// Puts the version that is being rolled out in force: every member acts on the narrower of both
+    /// versions or has no lease.
     InForce {
-        /// Its number.
+        /// Number of the version.
         number: u64,
-        /// Who confirmed, and whose lease ended, in words for operators.
+        /// Which members confirmed and whose leases expired, for operators.
         why: String,
-        /// When, microseconds since 1970.
+        /// Time in microseconds since the Unix epoch.
         at: u64,
     },
-    /// An initiator is a member from now on.
+    /// Adds an initiator to the members.
     Join(String),
-    /// It is none any more.
+    /// Removes an initiator from the members.
     Forget(String),
 }
 
 impl Change {
-    /// As an entry of the log holds it.
+    /// Encodes the change for a log entry.
     pub fn bytes(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("plain values can be written")
+        postcard::to_stdvec(self).expect("plain data can be serialised")
     }
 }
 
-/// Why a change changes nothing. Its text is shown to operators.
+/// Why a change has no effect. The text is shown to operators.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ChangeError {
     /// The version to withdraw or to put in force is not being rolled out.
-    #[error("version {number} is not under way")]
+    #[error("version {number} is not being rolled out")]
     NotInRollout {
-        /// Its number.
+        /// Number of the version.
         number: u64,
     },
     /// Another version is being rolled out.
-    #[error("version {number} is under way: wait for it or withdraw it")]
+    #[error("version {number} is being rolled out: wait until it is in force or withdraw it")]
     RolloutInProgress {
-        /// Its number.
+        /// Number of that version.
         number: u64,
     },
-    /// The proposal was made from a version that is not in force any more.
-    #[error("made from version {base}, {in_force} is in force: look at what changed and propose anew")]
+    /// The proposal is based on a version that is no longer in force.
+    #[error(
+        "the proposal is based on version {base}, but version {in_force} is in force: \
+         review the changes and propose again"
+    )]
     StaleBase {
-        /// The version that it was made from.
+        /// The version that the proposal is based on.
         base: u64,
         /// The version in force.
         in_force: u64,
     },
-    /// The version may not follow the one in force.
+    /// The version may not replace the one in force.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     Objections(Vec<Objection>),
-    /// There are [`MAX_MEMBERS`] members.
-    #[error("{MAX_MEMBERS} members, one more is not taken in")]
+    /// The number of members has reached [`MAX_MEMBERS`].
+    #[error("the maximum of {MAX_MEMBERS} members is reached")]
     TooManyMembers,
-    /// The initiator to forget is no member.
-    #[error("{name} is no member")]
+    /// The initiator to remove is not a member.
+    #[error("{name} is not a member")]
     NotAMember {
-        /// Its name.
+        /// Name of the initiator.
         name: String,
     },
 }
 
-/// The replicated state. Postcard writes the fields in this order and without names.
+/// The replicated state. Postcard encodes the fields in this order without names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// One more with each step of a rollout.
+    /// Rollout stage; incremented by each rollout step.
     pub stage: u64,
-    /// The version in force; number 0 before there is any.
+    /// The version in force; its number is 0 before there is any.
     pub in_force: Version,
     /// The version that is being rolled out.
     pub next: Option<Version>,
-    /// Number of the last version that was ever proposed.
+    /// Number of the last version proposed.
     pub last_number: u64,
-    /// Versions that were in force before, the newest last.
+    /// Versions previously in force, latest last.
     pub previous: VecDeque<Version>,
-    /// Steps of rollouts, the newest last.
+    /// Rollout steps, latest last.
     pub history: VecDeque<RolloutStep>,
-    /// Initiators that were ever granted a lease and not forgotten since. Only replicas act on it, and theirs
-    /// alone is up to date: other members are not sent the state where nothing else changed.
+    /// Initiators that were granted a lease and not removed since. Only replicas use this field, and only
+    /// their copies are current: a change of the members alone is not sent to other members.
     pub members: BTreeMap<String, ()>,
 }
 
-/// A copy of the replicated state and how new it is. Stored and sent as a pair.
+/// The replicated state with the log index it corresponds to. Stored and sent as a pair.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IndexedState {
-    /// Index of the log entry after which the state was so.
+    /// Index of the log entry that the state results from.
     pub index: u64,
-    /// The state.
+    /// The replicated state.
     pub state: ReplicatedState,
 }
 
 impl ReplicatedState {
-    /// Applies a committed change. Returns the version's number; 0 where the change concerns none.
+    /// Applies a committed change. Returns the number of the version concerned, or 0 if the change concerns
+    /// none.
     ///
     /// # Errors
-    /// The state does not allow the change, and is as before.
+    /// The state does not allow the change and is not modified.
     pub fn apply(&mut self, change: Change) -> Result<u64, ChangeError> {
         match change {
             Change::Propose { base, version } => self.propose(base, version),
@@ -193,7 +196,7 @@
         version.number = self.last_number;
         let (number, by, at) = (version.number, version.by.clone(), version.at);
         if is_first {
-            // Nobody acts on any version yet: all act on the fallback rules of their settings.
+            // No version is in force yet: every initiator acts on the fallback rules of its own settings.
             self.put_in_force(version, format!("the first, proposed by {by}"), at);
         } else {
             self.next = Some(version);
@@ -229,7 +232,7 @@
         }
     }
 
-    /// Takes the version that is being rolled out, if it has this number.
+    /// Removes and returns the version that is being rolled out, if it has this number.
     fn take_next(&mut self, number: u64) -> Result<Version, ChangeError> {
         self.next.take_if(|next| next.number == number).ok_or(ChangeError::NotInRollout { number })
     }
@@ -254,8 +257,8 @@
         self.history.push_back(RolloutStep { number, stage: self.stage, description, at });
     }
 
-    /// The rules to act on with a lease for this stage: during a rollout the narrower of both versions, which
-    /// contradicts neither.
+    /// Rules to act on with a lease for the current stage. During a rollout these are the narrower of both
+    /// versions, which contradict neither.
     pub fn rules(&self) -> Rules {
         match &self.next {
             Some(next) => self.in_force.rules.narrower(&next.rules),
@@ -263,44 +266,44 @@
         }
     }
 
-    /// A digest of what acting on this stage means to this build: what a member confirms.
+    /// Digest of the current stage as this build interprets it. Members confirm a stage with it.
     pub fn digest(&self) -> u64 {
         self.rules().digest() ^ self.stage.rotate_left(32)
     }
 
-    /// Whether those who act on the fallback rules of the version in force contradict the version that is
-    /// being rolled out. Then each member has to confirm, also those without a lease.
-    pub fn needs_everyone(&self) -> bool {
+    /// Whether the fallback rules of the version in force contradict the version being rolled out. In that
+    /// case every member has to confirm, including those without a lease.
+    pub fn needs_all_members(&self) -> bool {
         let Some(next) = &self.next else { return false };
         let fallback = self.in_force.rules.fallback_rules();
-        // Keys without an order keep the fallback's value in the narrower of both.
+        // For keys without an order, the result keeps the fallback value.
         fallback.narrower(&next.rules).values != fallback.values
     }
 
-    /// As bytes.
+    /// Encodes the state.
     pub fn bytes(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("plain values can be written")
+        postcard::to_stdvec(self).expect("plain data can be serialised")
     }
 
-    /// From bytes.
+    /// Decodes a state.
     ///
     /// # Errors
-    /// They are no replicated state.
+    /// The bytes are not an encoded replicated state.
     pub fn read(bytes: &[u8]) -> Result<ReplicatedState, postcard::Error> {
         postcard::from_bytes(bytes)
     }
 }
 
 impl IndexedState {
-    /// As bytes.
+    /// Encodes the state with its index.
     pub fn bytes(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("plain values can be written")
+        postcard::to_stdvec(self).expect("plain data can be serialised")
     }
 
-    /// From bytes.
+    /// Decodes a state with its index.
     ///
     /// # Errors
-    /// They are no replicated state with its index.
+    /// The bytes are not an encoded replicated state with an index.
     pub fn read(bytes: &[u8]) -> Result<IndexedState, postcard::Error> {
         postcard::from_bytes(bytes)
     }
--- a/crates/flaxstand-consensus/src/rules.rs
+++ b/crates/flaxstand-consensus/src/rules.rs
@@ -1,8 +1,8 @@
-//! The rules as values by key.
+//! Rules as key-value pairs.
 //!
-//! - `narrowing`: the one table that says, key by key, which of two values is narrower
-//! - `fallback`: what is acted on without a lease
-//! - `changes`: what a proposal changes, and why it may not follow the version in force
+//! - `narrowing`: table that defines, for each key, which of two values is narrower
+//! - `fallback`: rules that apply without a lease
+//! - `changes`: differences between versions, and validation of a proposed version
 
 mod changes;
 mod fallback;
@@ -16,14 +16,14 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A value of a rule. Stored and sent: postcard numbers the variants by their order.
+/// Value of a rule. Stored and sent: postcard numbers the variants by their order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Value {
     /// A number.
     Number(f64),
-    /// True or false.
+    /// A Boolean.
     Flag(bool),
-    /// A word.
+    /// A string.
     Text(String),
 }
 
@@ -37,38 +37,39 @@
     }
 }
 
-/// A set of rules: every key that must be the same on all initiators, with its value. What bounds nothing is
-/// absent.
+/// A set of rules: the value of every key that must be the same on all initiators. A key that is absent
+/// sets no bound.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// By key, as in [`NARROWING_TABLE`].
+    /// Values by key, as in [`NARROWING_TABLE`].
     pub values: BTreeMap<String, Value>,
-    /// What no version may be narrower than: acted on without a lease ([`Rules::fallback_rules`]). A key that
-    /// is absent has no safe value, and what needs it is refused.
+    /// Values that apply without a lease ([`Rules::fallback_rules`]); no version may be narrower. A key
+    /// that is absent has no safe value, and operations that need it are rejected.
     pub fallback: BTreeMap<String, Value>,
 }
 
 impl Rules {
-    /// A digest of what these rules mean to this build. Guards against two builds that read the same rules
-    /// otherwise: the table's version is part of it.
+    /// Digest of the rules as this build interprets them. It includes the table version, so that builds
+    /// which interpret the same rules differently are detected.
     pub fn digest(&self) -> u64 {
         let bytes =
-            postcard::to_stdvec(&(NARROWING_TABLE_VERSION, self)).expect("plain values can be written");
+            postcard::to_stdvec(&(NARROWING_TABLE_VERSION, self)).expect("plain data can be serialised");
         let mut first_bytes = [0; 8];
         first_bytes.copy_from_slice(&blake3::hash(&bytes).as_bytes()[..8]);
         u64::from_le_bytes(first_bytes)
     }
 
-    /// Keys that this build does not know: a newer one made them. A member that has any confirms nothing.
+    /// Keys that this build does not support because a newer build introduced them. A member with any such
+    /// key confirms no stage.
     pub fn unknown_keys(&self) -> Vec<&str> {
         let keys = self.values.keys().chain(self.fallback.keys()).map(String::as_str);
         keys.filter(|key| narrowing_of(key).is_none()).collect()
     }
 
-    /// Key by key the narrower value of both rules.
+    /// Combines the narrower value of each key.
     pub fn narrower(&self, other: &Rules) -> Rules {
         let mut fallback = narrower_values(&self.fallback, &other.fallback);
-        // A key that is absent from either fallback has no safe value there.
+        // A key that is absent from either set of fallback values has no safe value in the result.
         fallback.retain(|key, _| self.fallback.contains_key(key) && other.fallback.contains_key(key));
         Rules { values: narrower_values(&self.values, &other.values), fallback }
     }
--- a/crates/flaxstand-consensus/src/rules/changes.rs
+++ b/crates/flaxstand-consensus/src/rules/changes.rs
@@ -1,47 +1,49 @@
-//! What a proposed version changes, and why it may not follow the one in force.
+//! Differences between a proposed version and the one in force, and validation of the proposal.
 
 use super::narrowing::{narrower_value, narrowing_of};
 use super::{Narrowing, Rules, Value};
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// What a proposal does to a key.
+/// Change of a key by a proposal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyChange {
     /// The key.
     pub key: String,
-    /// Its value now; none: it is absent and bounds nothing.
+    /// Current value; `None` if the key is absent and sets no bound.
     pub before: Option<Value>,
-    /// Its value in the proposal.
+    /// Proposed value.
     pub after: Option<Value>,
-    /// What the change means for the rollout.
+    /// Effect of the change on the rollout.
     pub kind: ChangeKind,
 }
 
-/// What a change of a value means for the rollout.
+/// Effect of a change on the rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// Less is allowed: acted on as soon as an initiator has the version.
+    /// The new value allows less. It takes effect on each initiator as soon as it receives the version.
     Narrows,
-    /// More is allowed: acted on once nobody acts on the old value any more.
+    /// The new value allows more. It takes effect once no initiator acts on the old value.
     Widens,
-    /// There is no value between that both allow: the key has no effect until the version is in force.
+    /// No value is compatible with both. The key has no effect until the version is in force.
     Blocks,
-    /// It contradicts nothing.
+    /// Old and new value do not contradict each other.
     Unordered,
 }
 
-/// Why rules may not follow others. Its text is shown to operators.
+/// Why a version may not replace another. The text is shown to operators.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum Objection {
-    /// A newer build made the key.
-    #[error("{key} is not known to this build")]
+    /// A newer build introduced the key.
+    #[error("this build does not support the key {key}")]
     UnknownKey {
         /// The key.
         key: String,
     },
-    /// There is no way from the old value to the new one.
-    #[error("{key} can't be changed while initiators run: narrow it by its other keys, or start all anew")]
+    /// No transition from the old value to the new one exists.
+    #[error(
+        "{key} can't be changed while initiators run: narrow it through its other keys or restart all of them"
+    )]
     ImmutableKey {
         /// The key.
         key: String,
@@ -51,7 +53,7 @@
     NarrowerThanFallback {
         /// The key.
         key: String,
-        /// Its value in the version.
+        /// Value in the version.
         value: Value,
         /// Its fallback value.
         fallback: Value,
@@ -59,7 +61,7 @@
 }
 
 impl Rules {
-    /// Key by key, what changes from these rules to `to`.
+    /// Lists the keys whose values differ between these rules and `to`.
     pub fn changes(&self, to: &Rules) -> Vec<KeyChange> {
         let transition = self.narrower(to);
         let keys: BTreeSet<&String> = self.values.keys().chain(to.values.keys()).collect();
@@ -83,7 +85,7 @@
         changes
     }
 
-    /// Why these rules may not follow `from`; empty: they may.
+    /// Lists the reasons why these rules may not replace `from`; empty if they may.
     pub fn objections(&self, from: &Rules) -> Vec<Objection> {
         let unknown = self.unknown_keys().into_iter();
         let mut objections: Vec<Objection> =
--- a/crates/flaxstand-consensus/src/rules/fallback.rs
+++ b/crates/flaxstand-consensus/src/rules/fallback.rs
@@ -1,24 +1,24 @@
-//! The fallback rules: what an initiator without a lease acts on.
+//! Fallback rules: the rules that an initiator without a lease acts on.
 
 use super::narrowing::{has_field, narrowing_of};
 use super::{Narrowing, Rules, Value};
 use std::collections::BTreeMap;
 
-/// Endings of keys that the fallback rules set to 0 where they give no value: nothing of the kind is done.
+/// Suffixes of keys whose fallback is 0 if none is configured, which disables the feature concerned.
 const ZERO_WITHOUT_FALLBACK: [&str; 6] =
     ["limit-rate", "limit-burst", "fall-multiple", "bears-units", "budget.floor", "budget.ratio"];
 
 impl Rules {
-    /// What may be acted on without a lease: the fallback values, and where there is none, values with which
-    /// nothing of the kind is done. No version may be narrower ([`Rules::objections`]), so nobody contradicts
-    /// them.
+    /// Rules that apply without a lease: the configured fallback values and, for keys without one, values
+    /// that disable the feature concerned. No version may be narrower ([`Rules::objections`]), so they
+    /// contradict no initiator that holds a lease.
     pub fn fallback_rules(&self) -> Rules {
         let mut values: BTreeMap<String, Value> = self
             .values
             .iter()
             .map(|(key, value)| (key.clone(), fallback_value(key, value, self.fallback.get(key))))
             .collect();
-        // A plan without a limit has one here: a version to come may have any.
+        // A plan without a limit also gets one here, because a later version may introduce any limit.
         let is_plan = |key: &&String| key.starts_with("plan.") && !has_field(key);
         for plan in self.values.keys().filter(is_plan) {
             for field in ["limit-rate", "limit-burst"] {
@@ -38,7 +38,7 @@
     }
 }
 
-/// A key's value in the fallback rules, given its value in force and the fallback stated for it.
+/// Fallback value of a key, given its value in force and the configured fallback, if any.
 fn fallback_value(key: &str, in_force: &Value, stated: Option<&Value>) -> Value {
     let Some(narrowing) = narrowing_of(key) else { return in_force.clone() };
     if matches!(narrowing, Narrowing::Unordered | Narrowing::Immutable) {
@@ -50,8 +50,8 @@
     match (narrowing, in_force) {
         (Narrowing::False, _) => Value::Flag(false),
         (Narrowing::True, _) => Value::Flag(true),
-        (Narrowing::Earliest(words), _) => Value::Text(words[0].to_owned()),
-        // One attempt: a request can't be served with none.
+        (Narrowing::Earliest(order), _) => Value::Text(order[0].to_owned()),
+        // A request needs at least one attempt.
         (_, Value::Number(attempts)) if key == "site.max-attempts" => Value::Number(attempts.min(1.0)),
         (Narrowing::Smaller, Value::Number(_)) if is_zero_without_fallback(key) => Value::Number(0.0),
         _ => in_force.clone(),
--- a/crates/flaxstand-consensus/src/rules/narrowing.rs
+++ b/crates/flaxstand-consensus/src/rules/narrowing.rs
@@ -1,33 +1,34 @@
-//! Which of two values of a rule is narrower: allows no more than the other does. All that says "narrower"
-//! reads [`NARROWING_TABLE`]: what is acted on while a version is rolled out, what may be proposed, the
-//! fallback rules, and what operators are shown.
+//! Defines which of two values of a rule is narrower, that is, allows no more than the other.
+//! [`NARROWING_TABLE`] is the only source for this order: the transition rules of a rollout, the validation
+//! of proposals, the fallback rules and the output for operators all use it.
 
 use super::Value;
 use std::collections::BTreeMap;
 
-/// Which of two values of a key is the narrower.
+/// Order of the values of a key: which of two is narrower.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Narrowing {
-    /// The smaller number; one that is absent bounds nothing.
+    /// The smaller number is narrower; an absent value sets no bound.
     Smaller,
-    /// The larger number; one that is absent bounds nothing.
+    /// The larger number is narrower; an absent value sets no bound.
     Larger,
-    /// `#false`.
+    /// `#false` is narrower.
     False,
-    /// `#true`.
+    /// `#true` is narrower.
     True,
-    /// The word that comes first in this list.
+    /// The string that comes first in this list is narrower.
     Earliest(&'static [&'static str]),
-    /// Neither. While the change is rolled out these keys have these values, with which the key has no
-    /// effect.
+    /// Neither value is narrower. During a rollout these keys get these values, which disable the feature
+    /// that uses the key.
     Incompatible(&'static [(&'static str, f64)]),
-    /// Both: it is each initiator's own choice and contradicts nothing.
+    /// Either value is acceptable: each initiator chooses its own, and different values do not contradict
+    /// each other.
     Unordered,
-    /// None: a change of it is rejected.
+    /// The value can't be changed; a proposal that changes it is rejected.
     Immutable,
 }
 
-/// The table, by key; `*` stands for a name. `docs/agreement.md` has it with the reasons.
+/// Order of the values by key; `*` stands for a name. `docs/agreement.md` lists it with the reasons.
 pub const NARROWING_TABLE: &[(&str, Narrowing)] = &[
     ("site.initiators", Narrowing::Larger),
     ("site.list", Narrowing::Immutable),
@@ -47,7 +48,7 @@
     ("site.cold.from", Narrowing::Smaller),
     ("site.cold.warm-ms", Narrowing::Larger),
     ("site.cold.fall-multiple", Narrowing::Smaller),
-    // Two windows of different length: neither bounds what the other counts.
+    // Windows of different lengths: a limit in one does not bound what the other counts.
     (
         "site.cold.fall-ms",
         Narrowing::Incompatible(&[("site.cold.fall-multiple", 0.0), ("site.cold.bears-units", 0.0)]),
@@ -59,7 +60,8 @@
         "site.budget.span-ms",
         Narrowing::Incompatible(&[("site.budget.floor", 0.0), ("site.budget.ratio", 0.0)]),
     ),
-    // Clients number them: one that is new, gone or elsewhere would be taken for another.
+    // Clients refer to classes by number: adding, removing or moving one would change which class a number
+    // refers to.
     ("class.*", Narrowing::Immutable),
     ("class.*.effect", Narrowing::Earliest(&["once", "keyed", "repeatable"])),
     ("class.*.group", Narrowing::Earliest(&["shard", "zone", "all"])),
@@ -81,16 +83,16 @@
     ("plan.*.price", Narrowing::Unordered),
 ];
 
-/// Part of each digest of rules: a build with another table understands rules otherwise and confirms none.
-/// One more with each change of [`NARROWING_TABLE`].
+/// Included in each digest of rules: a build with a different table interprets rules differently and must
+/// not confirm them. Increment with each change of [`NARROWING_TABLE`].
 pub const NARROWING_TABLE_VERSION: u32 = 1;
 
-/// The table's row for a key; none: this build does not know the key.
+/// Looks up the table row for a key; `None` if this build does not support the key.
 pub fn narrowing_of(key: &str) -> Option<Narrowing> {
     let mut parts = key.split('.');
     let (kind, name) = (parts.next()?, parts.next());
     let pattern = match (kind, name, key.rsplit_once('.')) {
-        // A name may hold dots.
+        // Names may contain dots.
         ("class" | "plan", Some(_), _) if !has_field(key) => format!("{kind}.*"),
         ("class" | "plan", Some(_), Some((_, field))) => format!("{kind}.*.{field}"),
         _ => key.to_owned(),
@@ -99,38 +101,38 @@
     row.map(|(_, narrowing)| *narrowing)
 }
 
-/// Whether a key of a class or plan ends in one of its fields, and is not its bare name.
+/// Whether the key of a class or plan ends in a field name, as opposed to a bare class or plan.
 pub(super) fn has_field(key: &str) -> bool {
     let Some((before, field)) = key.rsplit_once('.') else { return false };
     let kind = key.split('.').next().unwrap_or_default();
     before.contains('.') && NARROWING_TABLE.iter().any(|(row, _)| *row == format!("{kind}.*.{field}"))
 }
 
-/// The narrower of two values of a key; none: this build does not know the key.
+/// Returns the narrower of two values of a key; `None` if this build does not support the key.
 pub(super) fn narrower_value<'a>(
     narrowing: Option<Narrowing>,
     a: &'a Value,
     b: &'a Value,
 ) -> Option<&'a Value> {
-    let place = |words: &[&str], value: &Value| match value {
-        Value::Text(text) => words.iter().position(|word| word == text).unwrap_or(0),
+    let rank = |order: &[&str], value: &Value| match value {
+        Value::Text(text) => order.iter().position(|entry| entry == text).unwrap_or(0),
         _ => 0,
     };
     match (narrowing?, a, b) {
-        // Of two incompatible values either does, as long as all take the same: it has no effect meanwhile.
+        // For incompatible values either one will do, as long as all initiators choose the same: it has no
+        // effect during the rollout.
         (Narrowing::Smaller | Narrowing::Incompatible(_), Value::Number(x), Value::Number(y)) => {
             Some(if x <= y { a } else { b })
         }
         (Narrowing::Larger, Value::Number(x), Value::Number(y)) => Some(if x >= y { a } else { b }),
         (Narrowing::False, Value::Flag(x), _) => Some(if *x { b } else { a }),
         (Narrowing::True, Value::Flag(x), _) => Some(if *x { a } else { b }),
-        (Narrowing::Earliest(words), ..) => Some(if place(words, a) <= place(words, b) { a } else { b }),
+        (Narrowing::Earliest(order), ..) => Some(if rank(order, a) <= rank(order, b) { a } else { b }),
         _ => Some(a),
     }
 }
 
-/// Key by key the narrower of two sets of values. Whoever acts on the result contradicts nobody who acts on
-/// either.
+/// Combines the narrower value of each key. The result contradicts neither set of values.
 pub(super) fn narrower_values(
     a: &BTreeMap<String, Value>,
     b: &BTreeMap<String, Value>,
--- a/crates/flaxstand-consensus/tests/capacity/fleet.rs
+++ b/crates/flaxstand-consensus/tests/capacity/fleet.rs
@@ -237,7 +237,7 @@
             clock_error: CLOCK_ERROR,
             election_timeout: ELECTION,
             seed: self.rng.next_u64(),
-            started_with: rules(100.0),
+            local_rules: rules(100.0),
             injected_fault: InjectedFault::None,
         };
         let stored = (host < REPLICAS).then(StoredReplica::default);
--- a/crates/flaxstand-consensus/tests/members/main.rs
+++ b/crates/flaxstand-consensus/tests/members/main.rs
@@ -49,7 +49,7 @@
             clock_error: 0.001,
             election_timeout: Micros(500_000),
             seed: 1,
-            started_with: Rules::default(),
+            local_rules: Rules::default(),
             injected_fault: InjectedFault::None,
         }
     }
--- a/crates/flaxstand-consensus/tests/participants/harness.rs
+++ b/crates/flaxstand-consensus/tests/participants/harness.rs
@@ -191,7 +191,7 @@
             clock_error: CLOCK_ERROR,
             election_timeout: ms(150),
             seed,
-            started_with: rules(100.0, "repeatable"),
+            local_rules: rules(100.0, "repeatable"),
             injected_fault,
         };
         let stored = host.has_replica.then(|| StoredReplica {
--- a/crates/flaxstand-consensus/tests/participants/main.rs
+++ b/crates/flaxstand-consensus/tests/participants/main.rs
@@ -176,11 +176,13 @@
     // too.
     low.rules.fallback.insert("plan.gold.limit-rate".into(), Value::Number(0.5));
     replicated_state.apply(Change::Propose { base: 1, version: low }).expect("with its fallback");
-    assert!(replicated_state.needs_everyone());
+    assert!(replicated_state.needs_all_members());
     let leases = LeaseManager::new(ms(600), 0.0, InjectedFault::None, ms(0));
     let blockers = leases.blockers(&replicated_state, ms(60_000));
     assert!(
-        blockers.iter().any(|h| h.why.contains("its own word is needed") && h.ends_ms.is_none()),
+        blockers
+            .iter()
+            .any(|h| h.why.contains("this member has to confirm the version") && h.ends_ms.is_none()),
         "{blockers:?}"
     );
     // Cut off, it acts on the narrower of both fallback rules.
--- a/crates/flaxstand-consensus/tests/recorded/stored.rs
+++ b/crates/flaxstand-consensus/tests/recorded/stored.rs
@@ -243,7 +243,7 @@
         clock_error: 0.01,
         election_timeout: ms(150),
         seed: 5,
-        started_with: replicated_state().in_force.rules,
+        local_rules: replicated_state().in_force.rules,
         injected_fault,
     };
     let stored = |state| Some(StoredReplica { state, segments: vec![SEGMENT] });
--- a/crates/flaxstand-gateway/src/core/agreement/mod.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/mod.rs
@@ -50,7 +50,7 @@
             clock_error: settings.max_clock_drift,
             election_timeout: settings.election_timeout,
             seed: self.config.seed ^ self.config.epoch,
-            started_with: settings.initial_rules.clone(),
+            local_rules: settings.initial_rules.clone(),
             injected_fault: InjectedFault::None,
         };
         let all = settings.voters.iter().chain(&settings.other_initiators);
