--- a/crates/flaxstand-consensus/src/member.rs
+++ b/crates/flaxstand-consensus/src/member.rs
@@ -147,7 +147,7 @@
         }
         let fallback = state.in_force.rules.fallback_rules();
         match &state.next {
-            // While the fallback rules change, the narrower of both apply.
+            // While the fallback rules change, the narrower of both applies.
             Some(next) => fallback.narrower(&next.rules.fallback_rules()),
             None => fallback,
         }
--- a/crates/flaxstand-consensus/src/replica.rs
+++ b/crates/flaxstand-consensus/src/replica.rs
@@ -231,7 +231,7 @@
     /// Appends a change to the leader's log and replicates it.
     ///
     /// # Errors
-    /// The change was not appended.
+    /// The change was not appended, and this call does not append it later.
     pub fn propose(&mut self, change: Vec<u8>, now: Micros) -> Result<Proposed, ProposeError> {
         if !self.is_leader() {
             return Err(ProposeError::NotLeader { leader: self.leader().map(str::to_owned) });
