--- a/crates/flaxstand-cli/src/buffer.rs
+++ b/crates/flaxstand-cli/src/buffer.rs
@@ -49,8 +49,8 @@
         Ok(recovered) => {
             let (segments, bytes) = (recovered.segments.len(), log_bytes(&recovered));
             println!("{segments} segments, {bytes} bytes, {} records: sound", recovered.records);
-            if recovered.torn > 0 {
-                println!("{} bytes at the end were never synced and count for nothing", recovered.torn);
+            if recovered.torn_bytes > 0 {
+                println!("{} bytes at the end were never synced and count for nothing", recovered.torn_bytes);
             }
             Ok(())
         }
@@ -88,7 +88,7 @@
 fn decide_parked(folder: &Path, number: u64, verdict: ParkedDecisionArgument) -> Result<(), CommandError> {
     let decision = match verdict {
         ParkedDecisionArgument::Done => ParkedDecision::Done,
-        ParkedDecisionArgument::Again => ParkedDecision::Again,
+        ParkedDecisionArgument::Again => ParkedDecision::Resend,
     };
     let mut storage = SegmentFolder::open(folder).map_err(in_folder(folder))?;
     let is_decided = decide(&mut storage, Seq(number), decision).map_err(in_folder(folder))?;
@@ -142,7 +142,7 @@
         "log_bytes": log_bytes(recovered),
         "oldest_us": writes.iter().map(|live| age(live.accepted).0).max().unwrap_or(0),
         "parked": writes.iter().filter(|live| live.parked).count(),
-        "torn_bytes": recovered.torn,
+        "torn_bytes": recovered.torn_bytes,
     });
     object.to_string()
 }
--- a/crates/flaxstand-consensus/tests/participants/harness.rs
+++ b/crates/flaxstand-consensus/tests/participants/harness.rs
@@ -213,7 +213,7 @@
         if power {
             host.disk.lose_power()
         } else {
-            host.disk.lose_process()
+            host.disk.crash_process()
         }
         (host.agreement, host.storing, host.active_rules) = (None, None, ActiveRules::Fallback);
     }
--- a/crates/flaxstand-consensus/tests/replicas/harness.rs
+++ b/crates/flaxstand-consensus/tests/replicas/harness.rs
@@ -134,13 +134,13 @@
         // A batch in flight is written in part.
         if let Some((_, batch)) = node.storing.take() {
             let dies = self.rng.next_u64() % 6;
-            node.disk.set(Faults { dies_at: Some(dies), ..Faults::default() });
+            node.disk.set(Faults { crash_at_call: Some(dies), ..Faults::default() });
             let _ = perform(&mut node.disk, &batch);
         }
         if power {
             node.disk.lose_power()
         } else {
-            node.disk.lose_process()
+            node.disk.crash_process()
         }
         node.replica = None;
     }
@@ -167,7 +167,7 @@
     }
 
     pub fn inject_disk_fault(&mut self, at: usize, full_at: Option<u64>, sync_fails_at: Option<u64>) {
-        self.nodes[at].disk.set(Faults { full_at, sync_fails_at, dies_at: None });
+        self.nodes[at].disk.set(Faults { capacity: full_at, sync_fails_at, crash_at_call: None });
     }
 
     /// Proposes a change at every replica that takes itself for the leader.
--- a/crates/flaxstand-gateway/src/core/buffered_requests.rs
+++ b/crates/flaxstand-gateway/src/core/buffered_requests.rs
@@ -11,7 +11,7 @@
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::{Event, RequestId, VolumeId};
 use flaxstand_proto::{Frame, Refusal, Scope, Submit};
-use flaxstand_write_back::image::MAX_EXTENT_BYTES;
+use flaxstand_write_back::merge::MAX_EXTENT_BYTES;
 use flaxstand_write_back::writeout::Urgency;
 use flaxstand_write_back::{
     Action, BufferedRead, Expired, ExtentId, Recovered, Status, Write, WriteHandle, WriteOutId,
@@ -222,7 +222,7 @@
         match write_back.expire(id, now) {
             Expired::Buffered => self.acknowledge_buffered(id, now),
             // Passed on, and the module has not heard of it: it has not run either.
-            Expired::Reject | Expired::NotHere => {
+            Expired::Reject | Expired::NotPending => {
                 let wait = Micros::from_ms(self.config.site.settings.max_retry_after);
                 self.reject_write(id, wait, now);
             }
--- a/crates/flaxstand-gateway/src/core/write_out_classes.rs
+++ b/crates/flaxstand-gateway/src/core/write_out_classes.rs
@@ -65,6 +65,6 @@
         key_cooldown: Micros::from_ms(site.settings.key_cooldown),
         classes: site.classes.iter().zip(&site.settings.classes).map(buffering).collect(),
         retry_budget: site.settings.retry_budget.map(retry_budget),
-        calendar: WallClock(calendar),
+        wall_clock_origin: WallClock(calendar),
     }
 }
--- a/crates/flaxstand-gateway/src/settings/site.rs
+++ b/crates/flaxstand-gateway/src/settings/site.rs
@@ -189,7 +189,7 @@
 /// `max_advice_ms`: longest Retry-After that a client may be told, ms.
 fn read_retry_throttle(block: Option<&Block<'_>>, max_advice_ms: f64) -> Option<RetryThrottleConfig> {
     let max_advice = Micros::from_ms(max_advice_ms);
-    let defaults = RetryThrottleConfig { max_advice, ..RetryThrottleConfig::default() };
+    let defaults = RetryThrottleConfig { max_retry_after: max_advice, ..RetryThrottleConfig::default() };
     let Some(block) = block else { return Some(defaults) };
     let is_throttling = block.flag("damping", true);
     let default_memory = defaults.retry_memory.ms();
@@ -202,7 +202,8 @@
             POSITIVE_MILLISECONDS,
             Some(default_memory),
         )),
-        remembered: block.integer("remembered", 1..=1 << 24, Some(defaults.remembered as u64)) as usize,
+        max_remembered: block.integer("remembered", 1..=1 << 24, Some(defaults.max_remembered as u64))
+            as usize,
         ..defaults
     };
     block.reject_unknown_keys();
--- a/crates/flaxstand-gateway/tests/writeback.rs
+++ b/crates/flaxstand-gateway/tests/writeback.rs
@@ -174,7 +174,7 @@
 #[test]
 fn a_full_disk_lets_writes_through_and_one_that_was_being_stored_fails_in_time() {
     let mut d = Desk::new(buffering());
-    d.disk.set(Faults { full_at: Some(20), ..Faults::default() });
+    d.disk.set(Faults { capacity: Some(20), ..Faults::default() });
     d.write(1, ORDER, 7, None, b"seat");
     for _ in 0..200 {
         d.store();
--- a/crates/flaxstand-overload/src/lib.rs
+++ b/crates/flaxstand-overload/src/lib.rs
@@ -1,10 +1,10 @@
-//! Retry and reconnect storms: detecting them and shedding the load that they add. `docs/storms.md` describes
-//! the policy. No I/O, no clock, no random source: times and draws are arguments.
+//! Detects retry and reconnect storms and sheds the load that they add. `docs/storms.md` describes the
+//! policy. The crate does no I/O and has no clock or random source: times and jitter are arguments.
 //!
-//! - [`retry_detection`]: is an attempt a first one, or a retry of one that was rejected or abandoned
-//! - [`load_condition`]: is a volume's, a plan's or all load calm, a surge of new demand, or a retry storm
-//! - [`retry_throttle`]: at what priority weight an attempt is admitted, and which retries are rejected
-//! - [`connection_rate`]: how fast clients may connect
+//! - [`retry_detection`]: classifies an attempt as a first attempt or a retry
+//! - [`load_condition`]: classifies the load of a volume, of a plan or overall as calm, surge or retry storm
+//! - [`retry_throttle`]: chooses the priority weight of an attempt, and rejects retries during a storm
+//! - [`connection_rate`]: limits the rate of new connections
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/flaxstand-overload/src/load_condition.rs
+++ b/crates/flaxstand-overload/src/load_condition.rs
@@ -1,45 +1,44 @@
-//! Whether load is calm, a surge of new demand or a retry storm, from the attempts of the last two seconds
-//! compared with the usual number.
+//! Classifies load as calm, a surge of new demand or a retry storm. Compares the attempts of the last two
+//! seconds with a moving average.
 //!
-//! In a storm most attempts are retries, and serving them completes little work. A surge is many first
-//! attempts: these clients ask for the first time and must not be throttled.
+//! In a storm most attempts are retries, and serving them completes little work. In a surge most are first
+//! attempts, which must not be throttled.
 
 use crate::retry_detection::AttemptKind;
 use flaxstand_proto::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Buckets of a window.
+/// Number of buckets in a window.
 const BUCKETS: usize = 10;
-/// Time that a bucket covers.
 const BUCKET_DURATION: Micros = Micros(200_000);
-/// Length of a window, seconds: [`BUCKETS`] times [`BUCKET_DURATION`].
+/// Length of a window in seconds: [`BUCKETS`] times [`BUCKET_DURATION`].
 pub(crate) const WINDOW_SECONDS: f64 = 2.0;
-/// Attempts in a window below which it is calm whatever they are: too few to judge by.
+/// A window with fewer attempts is always calm: they are too few to classify.
 const MIN_ATTEMPTS: u32 = 10;
-/// Share of retries among a window's attempts at which a storm begins.
+/// Share of retries among the attempts of a window at which a storm begins.
 const STORM_BEGINS_AT: f64 = 0.4;
-/// Share of retries below which a storm is over. Below where it begins, so that it doesn't flap.
+/// Share of retries below which a storm ends. Lower than [`STORM_BEGINS_AT`] as hysteresis against flapping.
 const STORM_ENDS_BELOW: f64 = 0.2;
-/// First attempts, as a multiple of the usual number, at which a surge begins.
+/// First attempts, as a multiple of the baseline, at which a surge begins.
 const SURGE_BEGINS_AT: f64 = 1.6;
-/// Multiple below which a surge is over. Below where it begins, so that it doesn't flap.
+/// Multiple below which a surge ends. Lower than [`SURGE_BEGINS_AT`] as hysteresis against flapping.
 const SURGE_ENDS_BELOW: f64 = 1.2;
-/// Weight of a new bucket in the moving average of usual first attempts: about a minute's memory.
-const USUAL_WEIGHT: f64 = 0.2 / 60.0;
-/// Most buckets that are aged one by one after a pause: 400 windows.
+/// Weight of a new bucket in the moving average of first attempts: a time constant of about a minute.
+const BASELINE_WEIGHT: f64 = 0.2 / 60.0;
+/// Maximum number of buckets that are advanced one by one after an idle period: 400 windows.
 const MAX_AGED_BUCKETS: u64 = BUCKETS as u64 * 400;
-/// Most scopes that windows are kept for; of more, the volume that was idle for longest is dropped.
+/// Maximum number of scopes with a window. Beyond it the volume that has been idle longest is evicted.
 pub const MAX_SCOPES: usize = 4096;
 
-/// Attempts that are judged together.
+/// Set of attempts that is classified as a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// All of this initiator.
+    /// All attempts at this initiator.
     All,
-    /// Those of a plan's volumes, by the plan's index.
+    /// Attempts for the volumes of a plan, by the index of the plan.
     Plan(u16),
-    /// Those of one volume.
+    /// Attempts for one volume.
     Volume(u64),
 }
 
@@ -53,19 +52,19 @@
     }
 }
 
-/// Condition of a scope's load.
+/// Load condition of a scope.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadCondition {
-    /// As usual.
+    /// Normal load.
     #[default]
     Calm,
-    /// Many more first attempts than usual.
+    /// Many more first attempts than the baseline.
     Surge,
     /// A large share of the attempts are retries.
     Storm,
 }
 
-/// Attempts and their ends that were counted in one bucket, or in a whole window.
+/// Counts of attempts and their outcomes, in one bucket or in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
     /// First attempts that arrived.
@@ -89,14 +88,14 @@
     }
 }
 
-/// Sliding window over the last two seconds of one scope.
+/// Sliding window over the last two seconds for one scope.
 #[derive(Clone, Debug, Default)]
 struct Window {
     buckets: [AttemptCounts; BUCKETS],
-    /// Number of the bucket that is being filled, counted from the clock's 0.
+    /// Number of the current bucket, counted from time 0 of the clock.
     current: u64,
-    /// Moving average of first attempts in a window; `None` before the first window is complete.
-    usual_first_attempts: Option<f64>,
+    /// Moving average of first attempts per window; `None` until the first window is complete.
+    baseline_first_attempts: Option<f64>,
     completed_buckets: u64,
     condition: LoadCondition,
 }
@@ -121,20 +120,20 @@
     fn complete_bucket(&mut self) {
         self.completed_buckets += 1;
         if self.completed_buckets >= BUCKETS as u64 {
-            self.update_usual();
+            self.update_baseline();
         }
         let next = self.current_index();
         self.buckets[next] = AttemptCounts::default();
     }
 
-    /// Only calm windows count: what a surge or a storm brings is not usual.
-    fn update_usual(&mut self) {
+    /// Updates the moving average from calm windows only: surges and storms must not raise the baseline.
+    fn update_baseline(&mut self) {
         let first_attempts = f64::from(self.counts().first_attempts);
-        let weight = if self.condition == LoadCondition::Calm { USUAL_WEIGHT } else { 0.0 };
-        let usual = self
-            .usual_first_attempts
-            .map_or(first_attempts, |usual| usual + weight * (first_attempts - usual));
-        self.usual_first_attempts = Some(usual);
+        let weight = if self.condition == LoadCondition::Calm { BASELINE_WEIGHT } else { 0.0 };
+        let baseline = self
+            .baseline_first_attempts
+            .map_or(first_attempts, |baseline| baseline + weight * (first_attempts - baseline));
+        self.baseline_first_attempts = Some(baseline);
     }
 
     fn current_index(&self) -> usize {
@@ -147,7 +146,7 @@
         &mut self.buckets[index]
     }
 
-    /// Sums over the window.
+    /// Returns the sums over the window.
     fn counts(&self) -> AttemptCounts {
         let sum = |count: fn(&AttemptCounts) -> u32| self.buckets.iter().map(count).sum();
         AttemptCounts {
@@ -158,13 +157,14 @@
         }
     }
 
-    /// The rule: a storm by the share of retries, else a surge by the multiple of usual first attempts, else
-    /// calm; each begins at one threshold and ends below a lower one.
+    /// Classifies the window: a storm by its share of retries, else a surge by the ratio of first attempts to
+    /// the baseline, else calm. Storms and surges have separate thresholds for begin and end.
     fn evaluate(&mut self, now: Micros) -> LoadCondition {
         self.advance(now);
         let counts = self.counts();
         let first_attempts = f64::from(counts.first_attempts);
-        let multiple_of_usual = first_attempts / self.usual_first_attempts.unwrap_or(first_attempts).max(1.0);
+        let multiple_of_baseline =
+            first_attempts / self.baseline_first_attempts.unwrap_or(first_attempts).max(1.0);
         let storm_threshold =
             if self.condition == LoadCondition::Storm { STORM_ENDS_BELOW } else { STORM_BEGINS_AT };
         let surge_threshold =
@@ -173,7 +173,7 @@
             LoadCondition::Calm
         } else if counts.retry_share() >= storm_threshold {
             LoadCondition::Storm
-        } else if multiple_of_usual >= surge_threshold {
+        } else if multiple_of_baseline >= surge_threshold {
             LoadCondition::Surge
         } else {
             LoadCondition::Calm
@@ -186,17 +186,17 @@
     now.0 / BUCKET_DURATION.0
 }
 
-/// A scope's condition with the counts that it follows from.
+/// Load condition of a scope with the counts that it is based on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadConditionReport {
-    /// Scope that is reported on.
+    /// The reported scope.
     pub scope: Scope,
-    /// Its condition.
+    /// Load condition of the scope.
     pub condition: LoadCondition,
     /// Counts of the last two seconds.
     pub counts: AttemptCounts,
-    /// Usual number of first attempts in two seconds.
-    pub usual_first_attempts: f64,
+    /// Moving average of first attempts per two seconds.
+    pub baseline_first_attempts: f64,
 }
 
 impl fmt::Display for LoadConditionReport {
@@ -207,30 +207,30 @@
         match self.condition {
             LoadCondition::Storm => write!(
                 f,
-                "storm: {percent:.0}% of the tries of {scope} in the last 2 s repeat a try that was refused or \
-                 given up ({served} served, {rejected} turned away)"
+                "storm: {percent:.0}% of the attempts in the last 2 s are retries, scope {scope} \
+                 ({served} served, {rejected} rejected or abandoned)"
             ),
             LoadCondition::Surge => write!(
                 f,
-                "surge: {first_attempts} first tries of {scope} in the last 2 s, {:.0} are usual; \
-                 {percent:.0}% repeat others",
-                self.usual_first_attempts
+                "surge: {first_attempts} first attempts in the last 2 s against an average of {:.0}, \
+                 scope {scope} ({percent:.0}% of all attempts are retries)",
+                self.baseline_first_attempts
             ),
             LoadCondition::Calm => {
-                write!(f, "calm: {first_attempts} first tries of {scope} in the last 2 s")
+                write!(f, "calm: {first_attempts} first attempts in the last 2 s, scope {scope}")
             }
         }
     }
 }
 
-/// Keeps a sliding window of each scope.
+/// Keeps a sliding window for each scope.
 #[derive(Debug, Default)]
 pub struct LoadMonitor {
     windows: BTreeMap<Scope, Window>,
 }
 
 impl LoadMonitor {
-    /// Counts an attempt that arrived.
+    /// Counts the arrival of an attempt.
     pub fn record_arrival(&mut self, plan: u16, volume: u64, kind: AttemptKind, now: Micros) {
         self.update_buckets(plan, volume, now, |bucket| match kind {
             AttemptKind::First => bucket.first_attempts += 1,
@@ -250,14 +250,15 @@
 
     fn update_buckets(&mut self, plan: u16, volume: u64, now: Micros, update: impl Fn(&mut AttemptCounts)) {
         for scope in [Scope::All, Scope::Plan(plan), Scope::Volume(volume)] {
-            self.make_space_for(scope);
+            self.evict_for(scope);
             let window = self.windows.entry(scope).or_insert_with(|| Window::starting_at(now));
             update(window.current_bucket(now));
         }
     }
 
-    /// Guards against memory that grows with the number of volumes ever seen.
-    fn make_space_for(&mut self, scope: Scope) {
+    /// Evicts the longest idle volume if there is no space for `scope`. Bounds the memory, which would
+    /// otherwise grow with the number of volumes ever seen.
+    fn evict_for(&mut self, scope: Scope) {
         if self.windows.contains_key(&scope) || self.windows.len() < MAX_SCOPES {
             return;
         }
@@ -268,20 +269,20 @@
         }
     }
 
-    /// A scope's condition now; calm if nothing is known of it.
+    /// Returns the current condition of a scope; calm if the scope is not tracked.
     pub fn condition(&mut self, scope: Scope, now: Micros) -> LoadCondition {
         self.windows.get_mut(&scope).map_or(LoadCondition::Calm, |window| window.evaluate(now))
     }
 
-    /// The same with the counts that it follows from; `None` if nothing is known of the scope.
+    /// Returns the condition of a scope with the counts that it is based on; `None` if it is not tracked.
     pub fn report(&mut self, scope: Scope, now: Micros) -> Option<LoadConditionReport> {
         let window = self.windows.get_mut(&scope)?;
         let condition = window.evaluate(now);
-        let usual_first_attempts = window.usual_first_attempts.unwrap_or(0.0);
-        Some(LoadConditionReport { scope, condition, counts: window.counts(), usual_first_attempts })
+        let baseline_first_attempts = window.baseline_first_attempts.unwrap_or(0.0);
+        Some(LoadConditionReport { scope, condition, counts: window.counts(), baseline_first_attempts })
     }
 
-    /// Attempts served in the last two seconds.
+    /// Returns the number of attempts served in the last two seconds.
     pub fn goodput(&mut self, scope: Scope, now: Micros) -> u32 {
         self.windows.get_mut(&scope).map_or(0, |window| {
             window.advance(now);
@@ -289,7 +290,7 @@
         })
     }
 
-    /// Number of volumes with an event in the last two seconds.
+    /// Returns the number of volumes with an event in the last two seconds.
     pub fn active_volumes(&self, now: Micros) -> usize {
         let number = bucket_number(now);
         let is_active = |(scope, window): &(&Scope, &Window)| {
@@ -298,12 +299,12 @@
         self.windows.iter().filter(is_active).count()
     }
 
-    /// Number of scopes that a window is kept for, at most [`MAX_SCOPES`] and one.
+    /// Returns the number of tracked scopes, at most [`MAX_SCOPES`] + 1.
     pub fn scopes(&self) -> usize {
         self.windows.len()
     }
 
-    /// Whether a window is kept for a scope.
+    /// Returns whether a scope has a window.
     pub fn is_tracked(&self, scope: Scope) -> bool {
         self.windows.contains_key(&scope)
     }
--- a/crates/flaxstand-overload/src/retry_detection.rs
+++ b/crates/flaxstand-overload/src/retry_detection.rs
@@ -1,10 +1,10 @@
-//! Tells first attempts from retries. A client may mark an attempt as a retry (a try number above 0). Marked
-//! or not, an attempt for the same volume, extent and class as one that was rejected or abandoned here within
-//! the retry memory is a retry of that one.
+//! Classifies attempts as first attempts or retries. A client may mark an attempt as a retry (an attempt
+//! number above 0). Marked or not, an attempt for the same volume, extent and class as one that was rejected
+//! or abandoned here within `retry_memory` is a retry of it.
 //!
-//! A false mark gains nothing: a retry is never treated better than a first attempt. A missing mark gains
-//! nothing as long as the attempt names the same extent. A client that invents extents is not detected;
-//! only its volume's even part bounds it.
+//! A false mark gives no advantage: a retry is never treated better than a first attempt. A missing mark
+//! gives none either as long as the attempt names the same extent. A client that makes up extents is not
+//! detected; it is bounded only by the equal share of its volume.
 
 use flaxstand_proto::Micros;
 use std::collections::{BTreeMap, VecDeque};
@@ -12,7 +12,7 @@
 /// An attempt as a client submits it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientAttempt {
-    /// Volume that it is for.
+    /// Volume that the attempt accesses.
     pub volume: u64,
     /// Index of the volume's plan.
     pub plan: u16,
@@ -20,20 +20,20 @@
     pub class: u16,
     /// Extent, if the attempt names one.
     pub extent: Option<u64>,
-    /// The client marks it as a retry.
+    /// Whether the client marks the attempt as a retry.
     pub marked: bool,
 }
 
-/// What an attempt is classified as.
+/// Classification of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptKind {
-    /// Not known to retry anything.
+    /// First attempt, as far as detected.
     First,
-    /// Retries an attempt that was rejected or abandoned.
+    /// Retry of an attempt that was rejected or abandoned.
     Retry,
 }
 
-/// Attempts of one key retry each other.
+/// Attempts with equal keys are retries of each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RetryKey {
     volume: u64,
@@ -48,40 +48,40 @@
     }
 }
 
-/// A remembered rejection, in the order in which they expire.
+/// Entry of the expiry queue.
 #[derive(Clone, Copy, Debug)]
 struct Rejection {
     at: Micros,
     key: RetryKey,
 }
 
-/// How well detection agrees with the marks of clients. Counts since the start.
+/// Agreement between detection and the marks of clients, counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryDetectionCounts {
-    /// Attempts that were marked.
+    /// Attempts marked as retries.
     pub marked: u64,
-    /// Of those, detected without the mark as well.
-    pub marked_and_known: u64,
-    /// Attempts without a mark that were detected.
-    pub unmarked_but_known: u64,
+    /// Marked attempts that were also detected as retries.
+    pub marked_and_detected: u64,
+    /// Unmarked attempts that were detected as retries.
+    pub unmarked_but_detected: u64,
 }
 
-/// Remembers attempts that were rejected or abandoned lately. At its bound the oldest is forgotten, and a
-/// retry of it counts as a first attempt.
+/// Remembers recently rejected or abandoned attempts. When it is full it drops the oldest one, whose retry
+/// then counts as a first attempt.
 #[derive(Debug)]
 pub struct RetryDetector {
     /// How long a rejection is remembered.
     retry_memory: Micros,
     max_remembered: usize,
-    /// When each key was last rejected.
+    /// Time of the last rejection of each key.
     last_rejected: BTreeMap<RetryKey, Micros>,
-    /// Rejections by time. One that a later rejection or a retry of its key has superseded is skipped.
+    /// Rejections by time. An entry superseded by a later rejection or a retry of its key is skipped.
     rejections: VecDeque<Rejection>,
     counts: RetryDetectionCounts,
 }
 
 impl RetryDetector {
-    /// A detector that remembers at most `max_remembered` (at least 1) rejections for `retry_memory`.
+    /// Creates a detector that remembers up to `max_remembered` (at least 1) rejections for `retry_memory`.
     pub fn new(retry_memory: Micros, max_remembered: usize) -> Self {
         RetryDetector {
             retry_memory,
@@ -92,17 +92,17 @@
         }
     }
 
-    /// Classifies an attempt that arrives. A rejection that it retries is forgotten: one retry for each.
+    /// Classifies an arriving attempt. Each rejection matches one retry and is removed with it.
     pub fn classify(&mut self, attempt: &ClientAttempt, now: Micros) -> AttemptKind {
         self.forget_expired(now);
-        let is_known = RetryKey::of(attempt).is_some_and(|key| self.last_rejected.remove(&key).is_some());
+        let is_detected = RetryKey::of(attempt).is_some_and(|key| self.last_rejected.remove(&key).is_some());
         self.counts.marked += u64::from(attempt.marked);
-        self.counts.marked_and_known += u64::from(attempt.marked && is_known);
-        self.counts.unmarked_but_known += u64::from(is_known && !attempt.marked);
-        if is_known || attempt.marked { AttemptKind::Retry } else { AttemptKind::First }
+        self.counts.marked_and_detected += u64::from(attempt.marked && is_detected);
+        self.counts.unmarked_but_detected += u64::from(is_detected && !attempt.marked);
+        if is_detected || attempt.marked { AttemptKind::Retry } else { AttemptKind::First }
     }
 
-    /// Remembers an attempt that was rejected or abandoned.
+    /// Records an attempt that was rejected or abandoned.
     pub fn record_rejected(&mut self, attempt: &ClientAttempt, now: Micros) {
         let Some(key) = RetryKey::of(attempt) else { return };
         self.last_rejected.insert(key, now);
@@ -124,17 +124,17 @@
         }
     }
 
-    /// Agreement with the marks of clients since the start.
+    /// Returns the agreement with the marks of clients since the start.
     pub fn counts(&self) -> RetryDetectionCounts {
         self.counts
     }
 
-    /// Number of keys whose rejection is remembered.
+    /// Returns the number of keys with a remembered rejection.
     pub fn remembered(&self) -> usize {
         self.last_rejected.len()
     }
 
-    /// Length of the expiry queue, superseded rejections included.
+    /// Returns the length of the expiry queue, including superseded rejections.
     pub fn expiry_queue_len(&self) -> usize {
         self.rejections.len()
     }
--- a/crates/flaxstand-overload/src/retry_throttle.rs
+++ b/crates/flaxstand-overload/src/retry_throttle.rs
@@ -1,35 +1,38 @@
-//! At what priority weight an attempt is admitted, which retries are rejected, and the retry-after they get.
+//! Chooses the priority weight of admitted attempts, rejects retries during a storm, and computes the
+//! retry-after of a rejection.
 //!
 //! - A retry has a fraction of a first attempt's weight, in calm as in a storm: it displaces no first attempt
-//!   of equal weight, and doesn't wait where nothing else does.
-//! - In a storm of its volume, of its plan or of all, a volume's retries get an even part of a share of the
-//!   goodput. Beyond it they are rejected before they cost anything. First attempts never are.
-//! - A retry-after is drawn from half to all of the longest that clients honour, so that clients do not
-//!   return as one.
+//!   of equal weight, and does not wait if nothing else is queued.
+//! - During a storm of its volume, of its plan or overall, the retries of a volume get an equal share of a
+//!   fraction of the goodput. Retries beyond it are rejected before they use resources. First attempts are
+//!   never rejected.
+//! - A retry-after is random between half and all of the longest that clients honour, so that clients do not
+//!   retry at the same time.
 
 use crate::load_condition::{LoadCondition, LoadConditionReport, LoadMonitor, Scope, WINDOW_SECONDS};
 use crate::retry_detection::{AttemptKind, ClientAttempt, RetryDetectionCounts, RetryDetector};
 use flaxstand_proto::Micros;
 use std::collections::BTreeMap;
 
-/// Most volumes that an allowance is kept for. Beyond it all start anew: only volumes in a storm have one.
+/// Maximum number of volumes with an allowance. Beyond it all allowances are reset; only volumes in a storm
+/// have one.
 const MAX_ALLOWANCES: usize = 4096;
 
 /// Settings of a [`RetryThrottle`]. `docs/storms.md` describes each.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryThrottleConfig {
-    /// Priority weight of a retry, as a fraction of a first attempt's.
+    /// Priority weight of a retry, as a fraction of the weight of a first attempt.
     pub retry_weight: f64,
-    /// Retries admitted in a storm, as a share of the goodput.
+    /// Retries admitted during a storm, as a share of the goodput.
     pub retry_share: f64,
-    /// Retries a second admitted in a storm even without goodput.
+    /// Retries per second admitted during a storm even without goodput.
     pub retry_floor: f64,
-    /// How long a rejected client is expected to retry.
+    /// Time within which a rejected client is expected to retry.
     pub retry_memory: Micros,
     /// Longest retry-after that clients honour.
-    pub max_advice: Micros,
-    /// Rejected attempts that are remembered.
-    pub remembered: usize,
+    pub max_retry_after: Micros,
+    /// Maximum number of rejected attempts remembered for retry detection.
+    pub max_remembered: usize,
 }
 
 impl Default for RetryThrottleConfig {
@@ -39,29 +42,29 @@
             retry_share: 0.1,
             retry_floor: 0.5,
             retry_memory: Micros(2_000_000),
-            max_advice: Micros(500_000),
-            remembered: 1 << 16,
+            max_retry_after: Micros(500_000),
+            max_remembered: 1 << 16,
         }
     }
 }
 
-/// What becomes of an attempt.
+/// Decision on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ThrottleDecision {
-    /// Admitted at its class's priority weight.
+    /// Admitted at the priority weight of its class.
     FullWeight,
-    /// Admitted at a retry's weight.
+    /// Admitted at the reduced weight of a retry.
     RetryWeight,
-    /// Rejected at once.
+    /// Rejected immediately.
     Rejected {
-        /// The client is told to come back no earlier than after this.
+        /// Minimum time after which the client may retry.
         retry_after: Micros,
-        /// Scope that is in a storm.
+        /// Narrowest scope that is in a storm.
         scope: Scope,
     },
 }
 
-/// Token bucket of a volume's retries in a storm. Starts full.
+/// Token bucket for the retries of a volume during a storm. Starts full.
 #[derive(Clone, Copy, Debug)]
 struct Allowance {
     tokens: f64,
@@ -69,8 +72,8 @@
 }
 
 impl Allowance {
-    /// Refills at `rate` tokens a second and takes one token if there is one. Holds at most a second's
-    /// tokens, but at least one: else a slow rate would never admit anything.
+    /// Refills at `rate` tokens per second and takes one token if available. The capacity is one second's
+    /// tokens, but at least one: a rate below one per second would otherwise never admit a retry.
     fn take_token(&mut self, rate: f64, now: Micros) -> bool {
         let gained = rate * now.since(self.refilled_at).ms() / 1000.0;
         self.tokens = (self.tokens + gained).min(rate.max(1.0));
@@ -89,18 +92,18 @@
     config: RetryThrottleConfig,
     detector: RetryDetector,
     monitor: LoadMonitor,
-    /// By volume, of volumes in a storm.
+    /// Allowance of each volume in a storm.
     allowances: BTreeMap<u64, Allowance>,
-    /// Condition that was last reported of each plan and of all.
+    /// Last reported condition of each plan and of [`Scope::All`].
     reported: BTreeMap<Scope, LoadCondition>,
     rejected_retries: u64,
 }
 
 impl RetryThrottle {
-    /// A throttle that has seen no attempt.
+    /// Creates a throttle without any history.
     pub fn new(config: RetryThrottleConfig) -> Self {
         RetryThrottle {
-            detector: RetryDetector::new(config.retry_memory, config.remembered),
+            detector: RetryDetector::new(config.retry_memory, config.max_remembered),
             config,
             monitor: LoadMonitor::default(),
             allowances: BTreeMap::new(),
@@ -109,8 +112,8 @@
         }
     }
 
-    /// Decides on an attempt that arrives. `draw`, uniform in 0 to 1, spreads the retry-after.
-    pub fn admit(&mut self, attempt: &ClientAttempt, now: Micros, draw: f64) -> ThrottleDecision {
+    /// Decides on an arriving attempt. `jitter`, uniform in 0 to 1, spreads the retry-after.
+    pub fn admit(&mut self, attempt: &ClientAttempt, now: Micros, jitter: f64) -> ThrottleDecision {
         let kind = self.detector.classify(attempt, now);
         self.monitor.record_arrival(attempt.plan, attempt.volume, kind, now);
         if kind == AttemptKind::First {
@@ -125,17 +128,17 @@
         }
         self.rejected_retries += 1;
         self.record_rejected(attempt, now);
-        ThrottleDecision::Rejected { retry_after: self.retry_after(draw), scope }
+        ThrottleDecision::Rejected { retry_after: self.retry_after(jitter), scope }
     }
 
-    /// Narrowest scope of an attempt that is in a storm.
+    /// Returns the narrowest scope of an attempt that is in a storm.
     fn storm_scope(&mut self, attempt: &ClientAttempt, now: Micros) -> Option<Scope> {
         let scopes = [Scope::Volume(attempt.volume), Scope::Plan(attempt.plan), Scope::All];
         scopes.into_iter().find(|scope| self.monitor.condition(*scope, now) == LoadCondition::Storm)
     }
 
-    /// Takes a retry out of a volume's allowance: the admitted retries a second, split evenly over the active
-    /// volumes.
+    /// Takes a token from the allowance of a volume. The total rate of admitted retries is divided equally
+    /// among the active volumes.
     fn take_allowance(&mut self, volume: u64, now: Micros) -> bool {
         let goodput_rate = f64::from(self.monitor.goodput(Scope::All, now)) / WINDOW_SECONDS;
         let retry_rate = (goodput_rate * self.config.retry_share).max(self.config.retry_floor);
@@ -147,10 +150,10 @@
         self.allowances.entry(volume).or_insert(full).take_token(volume_rate, now)
     }
 
-    /// The retry-after of a rejection, from half to all of the longest that clients honour. `draw` is uniform
-    /// in 0 to 1.
-    pub fn retry_after(&self, draw: f64) -> Micros {
-        Micros((self.config.max_advice.0 as f64 * (0.5 + 0.5 * draw.clamp(0.0, 1.0))) as u64)
+    /// Returns the retry-after of a rejection, between half and all of the longest that clients honour.
+    /// `jitter` is uniform in 0 to 1.
+    pub fn retry_after(&self, jitter: f64) -> Micros {
+        Micros((self.config.max_retry_after.0 as f64 * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))) as u64)
     }
 
     /// Counts an attempt that was served.
@@ -158,14 +161,14 @@
         self.monitor.record_served(attempt.plan, attempt.volume, now);
     }
 
-    /// Remembers an attempt that was rejected or abandoned; an attempt like it is then its retry.
+    /// Records an attempt that was rejected or abandoned; a later attempt with the same key is its retry.
     pub fn record_rejected(&mut self, attempt: &ClientAttempt, now: Micros) {
         self.detector.record_rejected(attempt, now);
         self.monitor.record_rejected(attempt.plan, attempt.volume, now);
     }
 
-    /// Reports of the plans (of indices below `plans`) and of all whose condition has changed since it was
-    /// last reported.
+    /// Returns a report for each plan (index below `plans`), and for [`Scope::All`], whose condition has
+    /// changed since it was last reported.
     pub fn take_condition_changes(&mut self, plans: u16, now: Micros) -> Vec<LoadConditionReport> {
         let scopes = (0..plans).map(Scope::Plan).chain([Scope::All]);
         let mut changes = Vec::new();
@@ -180,12 +183,13 @@
         changes
     }
 
-    /// Agreement of retry detection with the marks of clients since the start.
+    /// Returns the agreement of retry detection with the marks of clients since the start.
     pub fn detection_counts(&self) -> RetryDetectionCounts {
         self.detector.counts()
     }
 
-    /// Retries rejected in storms since the start. The decision module never sees them.
+    /// Returns the number of retries rejected during storms since the start. The decision module never
+    /// receives them.
     pub fn rejected_retries(&self) -> u64 {
         self.rejected_retries
     }
--- a/crates/flaxstand-overload/tests/load_condition.rs
+++ b/crates/flaxstand-overload/tests/load_condition.rs
@@ -1,9 +1,10 @@
-//! Calm, surge and storm are told apart by what arrives.
+//! Classification of load as calm, surge or storm.
 
 use flaxstand_overload::load_condition::{LoadMonitor, MAX_SCOPES};
 use flaxstand_overload::{AttemptKind, LoadCondition, Micros, Scope};
 
-/// So many first attempts and retries a second, for so long, from a moment on.
+/// Records `first` first attempts and `retries` retries per second for `seconds`, starting at `from` ms.
+/// Returns the end time.
 fn attempts(monitor: &mut LoadMonitor, from: u64, seconds: u64, first: u64, retries: u64) -> Micros {
     for ms in from..from + seconds * 1000 {
         let now = Micros(ms * 1000);
@@ -18,7 +19,7 @@
 }
 
 #[test]
-fn a_storm_is_reported_with_its_reason_and_ends() {
+fn a_storm_is_reported_with_its_counts_and_ends() {
     let mut monitor = LoadMonitor::default();
     let now = attempts(&mut monitor, 1000, 5, 100, 5);
     assert_eq!(monitor.condition(Scope::Plan(1), now), LoadCondition::Calm);
@@ -26,7 +27,10 @@
     let report = monitor.report(Scope::Plan(1), now).unwrap();
     assert_eq!(report.condition, LoadCondition::Storm);
     let text = report.to_string();
-    assert!(text.starts_with("storm: 72% of the tries of plan 1 in the last 2 s repeat"), "{text}");
+    assert!(
+        text.starts_with("storm: 72% of the attempts in the last 2 s are retries, scope plan 1"),
+        "{text}"
+    );
     assert_eq!(monitor.condition(Scope::Volume(7), now), LoadCondition::Storm);
     assert_eq!(monitor.condition(Scope::Plan(2), now), LoadCondition::Calm, "another plan");
     let now = attempts(&mut monitor, 9000, 3, 100, 5);
@@ -34,23 +38,25 @@
 }
 
 #[test]
-fn honest_new_demand_is_a_surge_and_no_storm() {
+fn new_demand_is_a_surge_and_not_a_storm() {
     let mut monitor = LoadMonitor::default();
     attempts(&mut monitor, 1000, 5, 100, 5);
     let now = attempts(&mut monitor, 6000, 3, 400, 40);
     let report = monitor.report(Scope::All, now).unwrap();
     assert_eq!(report.condition, LoadCondition::Surge);
     assert!(
-        report.to_string().starts_with("surge: 720 first tries of all in the last 2 s, 221 are usual"),
+        report
+            .to_string()
+            .starts_with("surge: 720 first attempts in the last 2 s against an average of 221, scope all"),
         "{report}"
     );
-    // It lasts: for a minute it stays a surge, and never is a storm.
+    // Sustained demand does not become a storm.
     let now = attempts(&mut monitor, 9000, 5, 400, 40);
     assert_ne!(monitor.condition(Scope::All, now), LoadCondition::Storm);
 }
 
 #[test]
-fn few_attempts_say_nothing_and_silence_is_calm() {
+fn too_few_attempts_and_idle_load_are_calm() {
     let mut monitor = LoadMonitor::default();
     let now = attempts(&mut monitor, 1000, 1, 1, 4);
     assert_eq!(monitor.condition(Scope::All, now), LoadCondition::Calm);
--- a/crates/flaxstand-overload/tests/retry_detection.rs
+++ b/crates/flaxstand-overload/tests/retry_detection.rs
@@ -1,4 +1,4 @@
-//! Retries are detected by volume, extent and class, within a time and a bound.
+//! Retries are detected by volume, extent and class, within the retry memory and up to its capacity.
 
 use flaxstand_overload::{AttemptKind, ClientAttempt, Micros, RetryDetector};
 
@@ -8,7 +8,7 @@
 const T: Micros = Micros(1_000_000);
 
 #[test]
-fn what_was_rejected_and_comes_back_is_a_retry_marked_or_not() {
+fn an_attempt_like_a_rejected_one_is_a_retry_marked_or_not() {
     let mut detector = RetryDetector::new(Micros(500), 10);
     assert_eq!(detector.classify(&attempt(1, false), T), AttemptKind::First);
     detector.record_rejected(&attempt(1, false), T);
@@ -22,15 +22,15 @@
     assert_eq!(
         detector.classify(&attempt(1, false), T.after(Micros(500))),
         AttemptKind::First,
-        "one retry for each"
+        "each rejection matches one retry"
     );
     detector.record_rejected(&attempt(1, false), T);
     assert_eq!(
         detector.classify(&attempt(1, false), T.after(Micros(501))),
         AttemptKind::First,
-        "the retry memory is over"
+        "the retry memory has expired"
     );
-    assert_eq!(detector.classify(&attempt(9, true), T), AttemptKind::Retry, "it says so");
+    assert_eq!(detector.classify(&attempt(9, true), T), AttemptKind::Retry, "marked by the client");
     assert_eq!(
         detector.classify(&ClientAttempt { extent: None, ..attempt(0, false) }, T),
         AttemptKind::First
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn at_the_bound_the_oldest_is_forgotten() {
+fn at_capacity_the_oldest_rejection_is_dropped() {
     let mut detector = RetryDetector::new(Micros(1_000_000), 3);
     (0..5).for_each(|n| detector.record_rejected(&attempt(n, false), T.after(Micros(n))));
     assert_eq!(detector.remembered(), 3);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn one_rejected_again_and_again_takes_one_place() {
+fn repeated_rejections_of_one_key_take_one_entry() {
     let mut detector = RetryDetector::new(Micros(100), 3);
     for n in 0..1000 {
         detector.record_rejected(&attempt(7, false), T.after(Micros(n)));
@@ -57,8 +57,8 @@
     assert_eq!(
         detector.classify(&attempt(7, false), T.after(Micros(1050))),
         AttemptKind::Retry,
-        "by its last"
+        "the last rejection counts"
     );
     detector.record_rejected(&attempt(8, false), T.after(Micros(5000)));
-    assert_eq!(detector.expiry_queue_len(), 1, "what is long past is gone");
+    assert_eq!(detector.expiry_queue_len(), 1, "expired rejections are removed");
 }
--- a/crates/flaxstand-simulation/src/world.rs
+++ b/crates/flaxstand-simulation/src/world.rs
@@ -475,13 +475,13 @@
         let within = (random(&mut self.rng) * 8.0) as u64;
         let h = &mut self.hosts[host];
         if let Some(batch) = h.batch.take() {
-            h.log.set(Faults { dies_at: Some(within), ..Faults::default() });
+            h.log.set(Faults { crash_at_call: Some(within), ..Faults::default() });
             // How far it came is on the disk.
             let _ = perform(&mut h.log, &batch);
         }
         match random(&mut self.rng) < 0.5 {
             true => h.log.lose_power(),
-            false => h.log.lose_process(),
+            false => h.log.crash_process(),
         }
     }
 
--- a/crates/flaxstand-storage/src/faulty.rs
+++ b/crates/flaxstand-storage/src/faulty.rs
@@ -1,5 +1,5 @@
-//! A disk that loses what was not synced, tears what it keeps of it, and fails where a test says so. In
-//! memory; for tests and for rehearsals on virtual time.
+//! An in-memory disk that loses or tears unsynced data on power loss and fails on request, for tests and for
+//! rehearsals on virtual time.
 
 use crate::storage::Storage;
 use rand_core::{RngCore, SeedableRng};
@@ -10,79 +10,79 @@
 /// Faults to inject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// The machine dies inside this call, counted from now on (0: the next one); all later ones fail too.
-    pub dies_at: Option<u64>,
-    /// This sync fails, counted from now on (0: the next one). Some of what it was to make durable is dropped.
+    /// Number of calls until the machine crashes (0: in the next call). All later calls fail too.
+    pub crash_at_call: Option<u64>,
+    /// Number of syncs until one fails (0: the next one). Some of the unsynced bytes are dropped.
     pub sync_fails_at: Option<u64>,
-    /// Capacity of the disk, bytes; an append beyond it fails after some of its bytes.
-    pub full_at: Option<u64>,
+    /// Capacity of the disk in bytes. An append beyond it fails after writing the bytes that fit.
+    pub capacity: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct SegmentData {
     durable: Vec<u8>,
-    /// Appended since the last sync that succeeded.
+    /// Bytes appended since the last successful sync.
     unsynced: Vec<u8>,
-    /// The folder was synced since it was created: it survives a loss of power.
+    /// Whether the folder was synced after the creation of the segment, so that it survives a power loss.
     is_name_durable: bool,
 }
 
-/// A disk in memory with faults.
+/// In-memory disk with fault injection.
 #[derive(Clone, Debug)]
 pub struct FaultyDisk {
     segments: BTreeMap<u64, SegmentData>,
-    /// Removed since the folder was last synced: a loss of power may bring them back.
+    /// Segments removed since the last sync of the folder: they may reappear after a power loss.
     removed: BTreeMap<u64, SegmentData>,
-    aside: Vec<u64>,
+    quarantined: Vec<u64>,
     rng: Pcg64Mcg,
     faults: Faults,
-    is_dead: bool,
+    has_crashed: bool,
     calls: u64,
 }
 
 impl FaultyDisk {
-    /// An empty disk whose losses are drawn from a seed.
+    /// Creates an empty disk. `seed` determines which data is lost.
     pub fn new(seed: u64) -> Self {
         FaultyDisk {
             segments: BTreeMap::new(),
             removed: BTreeMap::new(),
-            aside: Vec::new(),
+            quarantined: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             faults: Faults::default(),
-            is_dead: false,
+            has_crashed: false,
             calls: 0,
         }
     }
 
-    /// Injects faults from now on, in place of those before.
+    /// Replaces the injected faults.
     pub fn set(&mut self, faults: Faults) {
         self.faults = faults;
     }
 
-    /// Whether the machine died inside a call.
-    pub fn dead(&self) -> bool {
-        self.is_dead
+    /// Returns whether the machine crashed inside a call.
+    pub fn has_crashed(&self) -> bool {
+        self.has_crashed
     }
 
-    /// How many calls so far change something.
+    /// Returns the number of modifying calls so far.
     pub fn calls(&self) -> u64 {
         self.calls
     }
 
-    /// Numbers of the segments that were set aside.
-    pub fn aside(&self) -> &[u64] {
-        &self.aside
+    /// Returns the numbers of the quarantined segments.
+    pub fn quarantined(&self) -> &[u64] {
+        &self.quarantined
     }
 
-    /// Flips a bit of a durable byte.
+    /// Flips a bit in the durable byte at offset `at`.
     pub fn flip(&mut self, segment: u64, at: usize) {
         if let Some(byte) = self.segments.get_mut(&segment).and_then(|data| data.durable.get_mut(at)) {
             *byte ^= 0x20;
         }
     }
 
-    /// The machine loses power and starts again: of what was not synced some part is there, perhaps with
-    /// holes; segments whose creation or removal was not synced may be gone, or back.
+    /// Simulates a power loss and restart. A random part of the unsynced data survives, possibly with holes.
+    /// Segments whose creation was not synced may be lost; those whose removal was not synced may reappear.
     pub fn lose_power(&mut self) {
         let rng = &mut self.rng;
         for (number, data) in std::mem::take(&mut self.removed) {
@@ -96,7 +96,7 @@
             match rng.next_u32() % 4 {
                 0 => kept.clear(),
                 1 => kept.truncate(rng.next_u32() as usize % (kept.len() + 1)),
-                // Written out of order: a range inside was not written.
+                // Writes reached the disk out of order: a range in the middle is missing.
                 2 if !kept.is_empty() => {
                     let from = rng.next_u32() as usize % kept.len();
                     let to = from + rng.next_u32() as usize % (kept.len() - from + 1);
@@ -107,24 +107,24 @@
             data.durable.append(&mut kept);
             data.is_name_durable = true;
         }
-        (self.is_dead, self.faults) = (false, Faults::default());
+        (self.has_crashed, self.faults) = (false, Faults::default());
     }
 
-    /// The process dies and the machine goes on: all that was written stays.
-    pub fn lose_process(&mut self) {
-        (self.is_dead, self.faults) = (false, Faults::default());
+    /// Simulates a crash of the process alone: all written data survives.
+    pub fn crash_process(&mut self) {
+        (self.has_crashed, self.faults) = (false, Faults::default());
     }
 
-    /// Counts a call, and fails it where the machine dies in it or is dead.
+    /// Counts a call. Fails if the machine has crashed or crashes in this call.
     fn begin_call(&mut self) -> io::Result<()> {
-        if self.is_dead {
-            return Err(io::Error::other("the machine is dead"));
+        if self.has_crashed {
+            return Err(io::Error::other("simulated machine has crashed"));
         }
         self.calls += 1;
-        match &mut self.faults.dies_at {
+        match &mut self.faults.crash_at_call {
             Some(0) => {
-                self.is_dead = true;
-                Err(io::Error::other("the machine dies"))
+                self.has_crashed = true;
+                Err(io::Error::other("simulated machine crash"))
             }
             Some(left) => {
                 *left -= 1;
@@ -150,23 +150,23 @@
     }
 
     fn create(&mut self, segment: u64) -> io::Result<()> {
-        let was_alive = !self.is_dead;
+        let was_running = !self.has_crashed;
         let call = self.begin_call();
-        // A call inside which the machine dies may be done or not.
-        if call.is_ok() || was_alive && self.rng.next_u32().is_multiple_of(2) {
+        // The call in which the machine crashes may take effect or not.
+        if call.is_ok() || was_running && self.rng.next_u32().is_multiple_of(2) {
             self.segments.insert(segment, SegmentData::default());
         }
         call
     }
 
     fn append(&mut self, segment: u64, bytes: &[u8]) -> io::Result<()> {
-        let was_dead = self.is_dead;
+        let had_crashed = self.has_crashed;
         let call = self.begin_call();
         let used: usize = self.segments.values().map(|data| data.durable.len() + data.unsynced.len()).sum();
-        let free = self.faults.full_at.map_or(usize::MAX, |full| (full as usize).saturating_sub(used));
+        let free = self.faults.capacity.map_or(usize::MAX, |full| (full as usize).saturating_sub(used));
         let mut fits = bytes.len().min(free);
         if call.is_err() {
-            fits = if was_dead { 0 } else { self.rng.next_u32() as usize % (fits + 1) };
+            fits = if had_crashed { 0 } else { self.rng.next_u32() as usize % (fits + 1) };
         }
         self.segment(segment)?.unsynced.extend_from_slice(&bytes[..fits]);
         call?;
@@ -174,27 +174,27 @@
     }
 
     fn sync(&mut self, segment: u64) -> io::Result<()> {
-        let was_alive = !self.is_dead;
+        let was_running = !self.has_crashed;
         let call = self.begin_call();
-        let is_done_anyway = was_alive && self.rng.next_u32().is_multiple_of(2);
+        let takes_effect_anyway = was_running && self.rng.next_u32().is_multiple_of(2);
         if call.is_ok() {
             match &mut self.faults.sync_fails_at {
                 Some(0) => {
                     self.faults.sync_fails_at = None;
-                    // Some bytes are durable, the rest is dropped. A later sync succeeds: a log must not take it
-                    // for a sync of these bytes.
+                    // Some bytes become durable, the rest is dropped. A later sync succeeds although it does
+                    // not cover the dropped bytes, as with a real fsync; the log must handle that.
                     let keep = self.rng.next_u32() as usize;
                     let data = self.segment(segment)?;
                     let kept = keep % (data.unsynced.len() + 1);
                     let durable: Vec<u8> = data.unsynced.drain(..).take(kept).collect();
                     data.durable.extend_from_slice(&durable);
-                    return Err(io::Error::other("the sync failed"));
+                    return Err(io::Error::other("simulated sync failure"));
                 }
                 Some(left) => *left -= 1,
                 None => {}
             }
         }
-        if call.is_ok() || is_done_anyway {
+        if call.is_ok() || takes_effect_anyway {
             let data = self.segment(segment)?;
             let mut unsynced = std::mem::take(&mut data.unsynced);
             data.durable.append(&mut unsynced);
@@ -210,9 +210,9 @@
     }
 
     fn remove(&mut self, segment: u64) -> io::Result<()> {
-        let was_alive = !self.is_dead;
+        let was_running = !self.has_crashed;
         let call = self.begin_call();
-        if (call.is_ok() || was_alive && self.rng.next_u32().is_multiple_of(2))
+        if (call.is_ok() || was_running && self.rng.next_u32().is_multiple_of(2))
             && let Some(data) = self.segments.remove(&segment)
         {
             self.removed.insert(segment, data);
@@ -220,10 +220,10 @@
         call
     }
 
-    fn set_aside(&mut self, segment: u64) -> io::Result<()> {
+    fn quarantine(&mut self, segment: u64) -> io::Result<()> {
         self.begin_call()?;
         self.segments.remove(&segment);
-        self.aside.push(segment);
+        self.quarantined.push(segment);
         Ok(())
     }
 }
--- a/crates/flaxstand-storage/src/folder.rs
+++ b/crates/flaxstand-storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! Segments as files: one folder, one file a segment, one process at a time.
+//! Segments as files: one folder, one file per segment, used by one process at a time.
 
 use crate::storage::Storage;
 use std::collections::BTreeMap;
@@ -7,26 +7,25 @@
 use std::io::{self, Write as _};
 use std::path::{Path, PathBuf};
 
-/// The file whose lock keeps other processes out.
+/// File whose lock excludes other processes.
 const LOCK_FILE: &str = "lock";
-/// Extension of a segment's file.
 const SEGMENT_EXTENSION: &str = "log";
-/// Extension of a segment that was set aside.
+/// Extension of a quarantined segment.
 const DAMAGED_EXTENSION: &str = "damaged";
 
 /// A folder of segments.
 pub struct SegmentFolder {
     path: PathBuf,
     open: BTreeMap<u64, File>,
-    /// Holds the lock for as long as this lives.
+    /// Holds the lock until this value is dropped. `None` if read-only.
     _lock: Option<File>,
 }
 
 impl SegmentFolder {
-    /// Opens the folder for this process alone; makes it where it is missing.
+    /// Opens the folder for exclusive use by this process. Creates it if it is missing.
     ///
     /// # Errors
-    /// It can't be made or written to; `ErrorKind::ResourceBusy`: another process has it.
+    /// If the folder can't be created or written to. `ErrorKind::ResourceBusy` if another process uses it.
     pub fn open(path: &Path) -> io::Result<SegmentFolder> {
         std::fs::create_dir_all(path)?;
         let lock = File::create(path.join(LOCK_FILE))?;
@@ -40,10 +39,10 @@
         }
     }
 
-    /// Opens the folder for reading, whichever process has it. Nothing may be written.
+    /// Opens the folder for reading, without the lock. The caller must not write to it.
     ///
     /// # Errors
-    /// It is not there.
+    /// If the folder does not exist or can't be read.
     pub fn open_read_only(path: &Path) -> io::Result<SegmentFolder> {
         std::fs::read_dir(path)?;
         Ok(SegmentFolder { path: path.to_owned(), open: BTreeMap::new(), _lock: None })
@@ -53,7 +52,7 @@
         self.path.join(format!("{segment:016x}.{SEGMENT_EXTENSION}"))
     }
 
-    /// The file of a segment, opened for appending.
+    /// Returns the file of a segment, opened for appending.
     fn segment_file(&mut self, segment: u64) -> io::Result<&mut File> {
         let path = self.segment_path(segment);
         match self.open.entry(segment) {
@@ -63,7 +62,7 @@
     }
 }
 
-/// The number of the segment in a file of this name; none: it is no segment's.
+/// Parses a segment's file name. Returns `None` if it is not the name of a segment.
 fn segment_number(file_name: &str) -> Option<u64> {
     let stem = file_name.strip_suffix(SEGMENT_EXTENSION)?.strip_suffix('.')?;
     u64::from_str_radix(stem, 16).ok()
@@ -87,7 +86,7 @@
     fn create(&mut self, segment: u64) -> io::Result<()> {
         let path = self.segment_path(segment);
         let file = OpenOptions::new().create(true).write(true).truncate(true).open(path)?;
-        // Only the segment that is written to stays open.
+        // Only the current segment stays open.
         self.open.clear();
         self.open.insert(segment, file);
         Ok(())
@@ -113,7 +112,7 @@
         }
     }
 
-    fn set_aside(&mut self, segment: u64) -> io::Result<()> {
+    fn quarantine(&mut self, segment: u64) -> io::Result<()> {
         self.open.remove(&segment);
         let path = self.segment_path(segment);
         std::fs::rename(&path, path.with_extension(DAMAGED_EXTENSION))
--- a/crates/flaxstand-storage/src/lib.rs
+++ b/crates/flaxstand-storage/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a durable log needs of a disk. The write-back log and the consensus journal both write through it.
+//! Storage interface for durable logs. The write-back log and the consensus journal both write through it.
 //!
-//! - [`storage`]: segments by number, and batches of calls on them
+//! - [`storage`]: numbered segments, and batches of operations on them
 //! - [`folder`]: segments as files
-//! - [`faulty`]: a disk with faults, for tests and for rehearsals on virtual time
+//! - [`faulty`]: an in-memory disk with fault injection, for tests and for rehearsals on virtual time
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/flaxstand-storage/src/storage.rs
+++ b/crates/flaxstand-storage/src/storage.rs
@@ -1,56 +1,58 @@
-//! The storage of a log, and how a batch of calls on it is carried out.
+//! The storage interface of a log, and the execution of batches of operations.
 
 use std::io;
 
-/// Segments by number.
+/// Append-only segments, identified by number.
 ///
-/// What was appended is durable once [`Storage::sync`] succeeded, what was created or removed once
-/// [`Storage::sync_folder`] did. After a failed sync nothing may be assumed of what it was to make durable,
-/// also when a later one succeeds: the log gives such a segment up.
+/// Appended bytes are durable after a successful [`Storage::sync`]; created and removed segments are durable
+/// after a successful [`Storage::sync_folder`]. After a failed sync the affected bytes are in an unknown
+/// state, even if a later sync succeeds: the log must abandon such a segment.
 pub trait Storage: Send {
-    /// Numbers of the segments that are there.
+    /// Returns the numbers of the existing segments.
     ///
     /// # Errors
-    /// The storage can't be read.
+    /// If the storage can't be read.
     fn segments(&mut self) -> io::Result<Vec<u64>>;
-    /// A segment's bytes.
+    /// Reads a segment.
     ///
     /// # Errors
-    /// There is no such segment, or it can't be read.
+    /// If the segment does not exist or can't be read.
     fn read(&mut self, segment: u64) -> io::Result<Vec<u8>>;
-    /// Makes an empty segment, in place of one of that number.
+    /// Creates an empty segment. Replaces an existing segment of that number.
     ///
     /// # Errors
-    /// It can't be made.
+    /// If the segment can't be created.
     fn create(&mut self, segment: u64) -> io::Result<()>;
-    /// Adds bytes to the end of a segment.
+    /// Appends bytes to a segment.
     ///
     /// # Errors
-    /// Some of the bytes may be there, and some not; `ErrorKind::StorageFull`: the disk is full.
+    /// If the write fails; any part of the bytes may have been written. `ErrorKind::StorageFull` if the disk
+    /// is full.
     fn append(&mut self, segment: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Makes a segment's bytes durable.
+    /// Makes the bytes of a segment durable.
     ///
     /// # Errors
-    /// Any of the bytes appended since the last sync may be lost.
+    /// If the sync fails; any of the bytes appended since the last successful sync may be lost.
     fn sync(&mut self, segment: u64) -> io::Result<()>;
-    /// Makes durable which segments there are.
+    /// Makes the creation and removal of segments durable.
     ///
     /// # Errors
-    /// Segments created since the last call may be lost, and removed ones come back.
+    /// If the sync fails; segments created since the last successful call may be lost, and removed ones may
+    /// reappear.
     fn sync_folder(&mut self) -> io::Result<()>;
-    /// Removes a segment. One that is not there is no error.
+    /// Removes a segment. Succeeds if the segment does not exist.
     ///
     /// # Errors
-    /// It may be there still.
+    /// If the removal fails; the segment may still exist.
     fn remove(&mut self, segment: u64) -> io::Result<()>;
-    /// Takes a damaged segment out of the log without destroying it.
+    /// Takes a damaged segment out of the log but keeps its bytes.
     ///
     /// # Errors
-    /// It may be part of the log still.
-    fn set_aside(&mut self, segment: u64) -> io::Result<()>;
+    /// If that fails; the segment may still be part of the log.
+    fn quarantine(&mut self, segment: u64) -> io::Result<()>;
 }
 
-/// One call of the storage.
+/// Operation on the storage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StorageOp {
     /// See [`Storage::create`].
@@ -65,17 +67,17 @@
     Remove(u64),
 }
 
-/// Calls to carry out in order, up to the first failure.
+/// Operations that are executed in order, up to the first failure.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// The calls.
+    /// Operations in order of execution.
     pub ops: Vec<StorageOp>,
 }
 
-/// Carries a batch out, in order, up to the first failure.
+/// Executes a batch in order, up to the first failure.
 ///
 /// # Errors
-/// The storage's error; nothing of the batch may then be taken as durable.
+/// The first error of the storage. No operation of the batch may then be assumed durable.
 pub fn perform(storage: &mut dyn Storage, batch: &Batch) -> io::Result<()> {
     for op in &batch.ops {
         match op {
--- a/crates/flaxstand-write-back/src/buffer/acknowledgements.rs
+++ b/crates/flaxstand-write-back/src/buffer/acknowledgements.rs
@@ -1,5 +1,5 @@
-//! When a write or barrier is acknowledged: once it is durable, and no earlier than admission asked for as space
-//! runs out.
+//! Timing of acknowledgements: a write or barrier is acknowledged once it is durable, but not before the
+//! delay that admission chose for it as space runs out.
 
 use super::WriteBackBuffer;
 use crate::record::Seq;
@@ -13,41 +13,41 @@
     not_before: Micros,
 }
 
-/// Writes and barriers that clients wait for.
+/// Writes and barriers that are not yet acknowledged to their clients.
 #[derive(Debug, Default)]
 pub(super) struct Acknowledgements {
     pending: BTreeMap<Seq, PendingAcknowledgement>,
-    /// Durable writes, by when they are acknowledged.
+    /// Durable writes by the time of their acknowledgement.
     durable: BTreeSet<(Micros, Seq)>,
 }
 
 impl Acknowledgements {
-    /// A client waits for this write or barrier.
+    /// Adds a write or barrier whose client waits for an acknowledgement.
     pub(super) fn add(&mut self, seq: Seq, handle: WriteHandle, not_before: Micros) {
         self.pending.insert(seq, PendingAcknowledgement { handle, not_before });
     }
 
-    /// The write is durable: it is acknowledged once its delay is over.
+    /// Schedules the acknowledgement of a write that became durable for the end of its delay.
     pub(super) fn became_durable(&mut self, seq: Seq) {
         if let Some(pending) = self.pending.get(&seq) {
             self.durable.insert((pending.not_before, seq));
         }
     }
 
-    /// Nobody is to be told by these any more. Returns who waited.
+    /// Removes a pending acknowledgement. Returns the handle of its request.
     pub(super) fn remove(&mut self, seq: Seq) -> Option<WriteHandle> {
         let pending = self.pending.remove(&seq)?;
         self.durable.remove(&(pending.not_before, seq));
         Some(pending.handle)
     }
 
-    /// Removes the first write that is to be acknowledged now.
+    /// Removes the first durable write whose delay is over.
     fn take_due(&mut self, now: Micros) -> Option<WriteHandle> {
         let (_, seq) = self.durable.first().copied().filter(|(not_before, _)| *not_before <= now)?;
         self.remove(seq)
     }
 
-    /// When the next durable write is to be acknowledged.
+    /// Returns the time of the next scheduled acknowledgement.
     pub(super) fn next_due(&self) -> Option<Micros> {
         self.durable.first().map(|(not_before, _)| *not_before)
     }
--- a/crates/flaxstand-write-back/src/buffer/client_requests.rs
+++ b/crates/flaxstand-write-back/src/buffer/client_requests.rs
@@ -1,36 +1,38 @@
-//! Requests that clients wait for: reads of buffered data, and how requests end other than by their answer.
+//! Pending client requests: reads of buffered data, and requests that end by pass-through, cancellation or
+//! deadline.
 
 use super::WriteBackBuffer;
-use crate::order::{Found, Item, Stage};
+use crate::order::{ExtentRead, Item, Stage};
 use crate::record::{ExtentId, Seq};
 use crate::request::{BufferedRead, Expired, WriteHandle};
 use flaxstand_proto::Micros;
 
-/// What a client waits for.
+/// Pending request of a client.
 #[derive(Debug)]
 pub(super) enum ClientRequest {
     Write(Seq),
     PassThrough(Seq),
     Barrier(Seq),
     Flush,
-    /// A read of an extent that is to be merged with the node's answer.
+    /// Read of an extent whose response from the node must be merged with buffered data.
     Read(ExtentId),
 }
 
 impl WriteBackBuffer {
-    /// A read of an extent.
+    /// Reads an extent.
     pub fn read(&mut self, handle: WriteHandle, extent_id: ExtentId) -> BufferedRead {
         match self.order.read(handle, extent_id) {
-            Found::Nothing => BufferedRead::Miss,
-            Found::Complete { shard, data } => BufferedRead::Complete { shard, data },
-            Found::Partial => {
+            ExtentRead::Miss => BufferedRead::Miss,
+            ExtentRead::Complete { shard, data } => BufferedRead::Complete { shard, data },
+            ExtentRead::Partial => {
                 self.requests.insert(handle, ClientRequest::Read(extent_id));
                 BufferedRead::Partial
             }
         }
     }
 
-    /// Merges a node's answer with what is buffered, for a read that found parts here. The read is over.
+    /// Merges a node's response with the buffered data, for a read that returned [`BufferedRead::Partial`].
+    /// Ends the read.
     pub fn merge_read(&mut self, handle: WriteHandle, data: &mut Vec<u8>, now: Micros) {
         if let Some(ClientRequest::Read(extent_id)) = self.requests.get(&handle) {
             self.order.overlay(*extent_id, data);
@@ -38,7 +40,7 @@
         self.abandon(handle, now);
     }
 
-    /// A request that was passed through is over. `may_still_run`: an attempt of it may still run.
+    /// Ends a request that was passed through. `may_still_run`: whether an attempt may still be executed.
     pub fn pass_through_ended(&mut self, handle: WriteHandle, may_still_run: bool, now: Micros) {
         let Some(ClientRequest::PassThrough(seq)) = self.requests.remove(&handle) else { return };
         let not_before = if may_still_run { now.after(self.config.key_cooldown) } else { Micros(0) };
@@ -46,7 +48,7 @@
         self.advance_unblocked(unblocked, now);
     }
 
-    /// Nobody waits for a request any more, and none of it was sent. Of one that was sent, call
+    /// Cancels a request of which no attempt was sent. For a request that was sent, call
     /// [`WriteBackBuffer::pass_through_ended`].
     pub fn abandon(&mut self, handle: WriteHandle, now: Micros) {
         match self.requests.get(&handle) {
@@ -69,16 +71,16 @@
         }
     }
 
-    /// A request's deadline has passed: what to answer. It is gone from here then.
+    /// Ends a request whose deadline has passed. Returns the response to send.
     pub fn expire(&mut self, handle: WriteHandle, now: Micros) -> Expired {
         let answer = match self.requests.get(&handle) {
-            None | Some(ClientRequest::Read(_)) => return Expired::NotHere,
+            None | Some(ClientRequest::Read(_)) => return Expired::NotPending,
             Some(ClientRequest::PassThrough(seq)) => match self.order.item(*seq) {
-                Some(Item::PassThrough(request)) if request.is_released => return Expired::NotHere,
+                Some(Item::PassThrough(request)) if request.is_released => return Expired::NotPending,
                 _ => Expired::Reject,
             },
             Some(ClientRequest::Write(seq)) if self.is_logging(*seq) => Expired::Fail,
-            // Durable, or on its node already.
+            // Durable in the log, or already confirmed by its node.
             Some(ClientRequest::Write(_)) => {
                 self.counts.acknowledged += 1;
                 Expired::Buffered
--- a/crates/flaxstand-write-back/src/buffer/flushes.rs
+++ b/crates/flaxstand-write-back/src/buffer/flushes.rs
@@ -1,20 +1,20 @@
-//! Flushes: complete once all that was accepted before is on its nodes, or, by a setting, durable here.
+//! Flushes: complete once everything accepted earlier is confirmed by the nodes or, depending on a setting,
+//! durable in the log.
 
 use super::WriteBackBuffer;
 use crate::record::Seq;
 use crate::request::{Action, WriteHandle};
 use std::collections::BTreeMap;
 
-/// A flush that is not complete.
 #[derive(Clone, Copy, Debug)]
 struct PendingFlush {
-    /// The volume; `None`: all volumes.
+    /// Volume to flush; `None` for all volumes.
     volume: Option<u64>,
-    /// The last number that was accepted before it.
+    /// Sequence number of the last item accepted before the flush.
     up_to: Seq,
 }
 
-/// Flushes that are not complete.
+/// Incomplete flushes.
 #[derive(Debug, Default)]
 pub(super) struct Flushes {
     pending: BTreeMap<WriteHandle, PendingFlush>,
@@ -45,7 +45,7 @@
         let complete = if self.config.limits.flush_when_durable {
             self.flushes.complete(|flush| order.is_durable(flush.volume, flush.up_to))
         } else {
-            self.flushes.complete(|flush| order.is_over(flush.volume, flush.up_to))
+            self.flushes.complete(|flush| order.is_complete(flush.volume, flush.up_to))
         };
         for handle in complete {
             self.flushes.remove(handle);
--- a/crates/flaxstand-write-back/src/buffer/mod.rs
+++ b/crates/flaxstand-write-back/src/buffer/mod.rs
@@ -1,9 +1,9 @@
-//! The buffer: calls in, [`Action`]s out. The core offers it every write (and every read that names an extent),
-//! reports how write-outs and batches ended, and carries out its actions.
+//! The buffer: calls in, [`Action`]s out. The core submits every write (and every read that names an extent),
+//! reports the results of write-outs and batches, and executes the returned actions.
 //!
-//! `submission` decides what becomes of a new request, `client_requests` ends those that clients wait for,
-//! `acknowledgements` delays answers, `flushes` completes flushes, `write_outs` sends buffered writes to their
-//! nodes, `relocation` keeps the log short, `replay` goes on after a restart.
+//! `submission` admits new requests, `client_requests` ends pending ones, `acknowledgements` delays
+//! acknowledgements, `flushes` completes flushes, `write_outs` sends buffered writes to their nodes,
+//! `relocation` compacts the log, `replay` restores the state after a restart.
 
 mod acknowledgements;
 mod client_requests;
@@ -39,27 +39,27 @@
     scheduler: WriteOutScheduler,
     retry_limiter: RetryLimiter,
     in_flight: BTreeMap<WriteOutId, InFlightWriteOut>,
-    /// Writes that may have been executed and wait to be sent again, by the first of each merged write.
+    /// Writes that may have been executed and wait for a retry, by the first of each merged write.
     prior_attempts: BTreeMap<Seq, PriorAttempt>,
     requests: BTreeMap<WriteHandle, ClientRequest>,
     flushes: Flushes,
     acknowledgements: Acknowledgements,
-    /// Confirmed writes whose completion is not durable in the log.
+    /// Confirmed writes whose completion is not yet durable in the log.
     unrecorded: BTreeMap<Seq, ExtentId>,
-    /// Records that are being copied to the log's end.
+    /// Items whose records are being copied to the end of the log.
     relocating: BTreeSet<Seq>,
     next_seq: u64,
     last_write_out: u64,
     is_draining: bool,
     actions: Vec<Action>,
-    /// Counts since the start; [`WriteBackBuffer::status`] fills in the state of now.
+    /// Counts since the start; [`WriteBackBuffer::status`] adds the current state.
     counts: Status,
 }
 
 impl WriteBackBuffer {
-    /// A buffer that goes on with what was recovered from the log.
+    /// Creates a buffer from the state recovered from the log.
     pub fn new(config: Config, recovered: Recovered, now: Micros) -> Self {
-        // Guards against an attempt of an earlier process that still runs, also where the log has nothing of it.
+        // Attempts of an earlier process may still run, even if the log has no record of them.
         let starts_at = now.after(config.key_cooldown);
         let mut buffer = WriteBackBuffer {
             log: recovered.log,
@@ -80,7 +80,7 @@
             counts: Status::default(),
             config,
         };
-        buffer.replay(recovered.live, recovered.torn, now);
+        buffer.replay(recovered.live, recovered.torn_bytes, now);
         buffer
     }
 
@@ -90,34 +90,34 @@
         seq
     }
 
-    /// Everything is to be written out, and nothing is buffered any more.
+    /// Starts draining: buffered writes are written out, and new writes are passed through.
     pub fn drain(&mut self) {
         self.is_draining = true;
     }
 
-    /// Nothing is left but what waits for an operator, and the log knows.
+    /// Returns whether only parked writes are left and all completions are durable in the log.
     pub fn is_drained(&self) -> bool {
         self.order.buffered() == self.order.parked()
             && self.unrecorded.is_empty()
             && self.in_flight.is_empty()
     }
 
-    /// The batch of the last [`Action::Store`] was stored, or failed.
+    /// Reports the result of the last [`Action::Store`].
     pub fn batch_stored(&mut self, is_stored: bool, now: Micros) {
         if !is_stored {
-            warn!("the log could not be written: a new segment is begun");
+            warn!("write-back log: storing a batch failed; retrying in a new segment");
         }
         for record in self.log.batch_stored(is_stored, now) {
             match record.kind {
-                RecordKind::Placed => self.became_durable(record.seq, now),
-                RecordKind::Started => self.send_marked(record.seq, now),
+                RecordKind::Accepted => self.became_durable(record.seq, now),
+                RecordKind::Started => self.send_after_start_recorded(record.seq, now),
                 RecordKind::Done => self.completion_recorded(record.seq, now),
                 RecordKind::Parked => {}
             }
         }
     }
 
-    /// The record of a write or barrier is in the log.
+    /// Handles the record of a write or barrier that became durable.
     fn became_durable(&mut self, seq: Seq, now: Micros) {
         if self.relocating.remove(&seq) {
             return;
@@ -128,7 +128,7 @@
             self.acknowledgements.became_durable(seq);
             self.advance_extent(extent_id, now);
         } else {
-            // A barrier, or one that has been passed by now.
+            // The item is a barrier, possibly one that has been passed meanwhile.
             self.answer_barrier(seq);
         }
     }
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Lets the first item of an extent do what it may. An empty queue is dropped once its cooldown is over.
+    /// Takes the next step for the first item of an extent. Removes an empty queue after its cooldown.
     fn advance_extent(&mut self, extent_id: ExtentId, now: Micros) {
         match self.order.next_step(extent_id, now) {
             NextStep::Blocked => {
@@ -176,7 +176,7 @@
         for seq in unblocked.barriers {
             self.log.append(&Record::Done { seq }, now);
             self.log.release(seq);
-            // All before it is over: whether it is durable matters to nobody now.
+            // Everything before the barrier is complete, so its own durability no longer matters.
             self.answer_barrier(seq);
         }
         for seq in unblocked.pass_throughs {
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Call after everything of this moment was reported. Returns when to call again at the latest.
+    /// Processes pending work. Must be called after all events of the same time were reported. Returns the
+    /// latest time of the next call.
     pub fn settle(&mut self, now: Micros) -> Option<Micros> {
         for extent_id in self.scheduler.take_cooled_down(now) {
             self.advance_extent(extent_id, now);
@@ -204,7 +205,7 @@
     }
 
     fn next_wake(&self, now: Micros) -> Option<Micros> {
-        // Urgency rises with age alone.
+        // The urgency of a write-out rises with age even without events.
         let urgency_step = Micros(self.config.limits.target_age.0 / 8 + 1);
         let urgency = (!self.in_flight.is_empty()).then(|| now.after(urgency_step));
         let wakes = [
@@ -217,23 +218,23 @@
         wakes.into_iter().flatten().min()
     }
 
-    /// How long records of completed writes wait for others.
+    /// Returns the maximum time for which completion records wait for other records.
     fn record_delay(&self) -> Micros {
         if self.is_draining { Micros(0) } else { self.config.limits.record_delay }
     }
 
-    /// Somebody waits for what is buffered: a flush, a request behind a barrier, or the end of the process.
-    fn is_waited_for(&self) -> bool {
+    /// Returns whether a flush, a request behind a barrier, or the shutdown waits for buffered writes.
+    fn is_awaited(&self) -> bool {
         let flush_waits = !self.config.limits.flush_when_durable && !self.flushes.is_empty();
         self.is_draining || self.order.waiting() > 0 || flush_waits
     }
 
-    /// What the core has to do, in order.
+    /// Takes the pending actions, in order of execution.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Figures for operators.
+    /// Returns the current state and counts for operators.
     pub fn status(&self, now: Micros) -> Status {
         Status {
             writes: self.order.buffered(),
--- a/crates/flaxstand-write-back/src/buffer/relocation.rs
+++ b/crates/flaxstand-write-back/src/buffer/relocation.rs
@@ -1,5 +1,5 @@
-//! Keeps the log short: what lives in its oldest segment is written again at its end, so that the segment can be
-//! removed.
+//! Log compaction: live records of the oldest segment are appended again at the end of the log, so that the
+//! segment can be removed.
 
 use super::WriteBackBuffer;
 use crate::order::{Item, Stage};
--- a/crates/flaxstand-write-back/src/buffer/replay.rs
+++ b/crates/flaxstand-write-back/src/buffer/replay.rs
@@ -1,4 +1,4 @@
-//! Going on after a restart with what the log held.
+//! Replay of recovered log records after a restart.
 
 use super::WriteBackBuffer;
 use super::write_outs::PriorAttempt;
@@ -11,7 +11,8 @@
 use tracing::{info, warn};
 
 impl WriteBackBuffer {
-    /// Takes over what was recovered. `torn_bytes`: bytes at the log's end that were cut off.
+    /// Restores the recovered records. `torn_bytes`: unsynced bytes that were discarded at the end of the
+    /// log.
     pub(super) fn replay(&mut self, live: BTreeMap<Seq, LiveRecord>, torn_bytes: u64, now: Micros) {
         for (seq, record) in live {
             match record {
@@ -25,7 +26,7 @@
         }
         if self.counts.replayed > 0 || torn_bytes > 0 {
             let (writes, bytes) = (self.counts.replayed, self.order.bytes());
-            info!(writes, bytes, torn = torn_bytes, "log read back: its writes go out again");
+            info!(writes, bytes, torn = torn_bytes, "write-back log recovered; its writes are written out");
         }
         for extent_id in self.order.buffered_extents() {
             if let Some(first) = self.order.restore_in_flight(extent_id) {
@@ -45,7 +46,7 @@
             warn!(
                 seq = seq.0,
                 class = write.class,
-                "a buffered write of a class that is buffered no more is parked"
+                "recovered write is of a class that is no longer buffered; parked for an operator's decision"
             );
             stage = Stage::Parked;
         }
--- a/crates/flaxstand-write-back/src/buffer/submission.rs
+++ b/crates/flaxstand-write-back/src/buffer/submission.rs
@@ -1,4 +1,4 @@
-//! What becomes of a new request: it is buffered, passed through, or rejected.
+//! Admission of new requests: each is buffered, passed through or rejected.
 
 use super::WriteBackBuffer;
 use super::client_requests::ClientRequest;
@@ -10,12 +10,12 @@
 use flaxstand_proto::Micros;
 
 impl WriteBackBuffer {
-    /// Whether and how writes of a class may be buffered.
+    /// Returns the buffering mode of a class.
     pub fn buffering(&self, class: u16) -> BufferingMode {
         self.config.mode(class)
     }
 
-    /// A write that names its shard and extent. It is buffered, passed through, or rejected.
+    /// Submits a write that names its shard and extent. It is buffered, passed through or rejected.
     pub fn submit_write(&mut self, request: WriteRequest, now: Micros) {
         let WriteRequest { handle, write } = request;
         if self.buffering(write.class) == BufferingMode::Never || self.is_draining {
@@ -65,7 +65,8 @@
         self.requests.insert(handle, ClientRequest::Write(seq));
     }
 
-    /// A request that is not buffered but that barriers of its volume concern. `extent_id`: what it writes.
+    /// Submits a request that is not buffered but is subject to the barriers of its volume. `extent_id`: the
+    /// extent that it writes, if any.
     pub fn submit_pass_through(
         &mut self,
         handle: WriteHandle,
@@ -86,12 +87,12 @@
         }
     }
 
-    /// Guards against requests that pile up without bound behind a barrier or an extent.
+    /// Returns whether another request may wait. Bounds the number queued behind barriers and extents.
     fn may_wait(&self) -> bool {
         self.order.waiting() < self.config.limits.max_waiting
     }
 
-    /// A barrier on a volume.
+    /// Submits a barrier on a volume.
     pub fn submit_barrier(&mut self, handle: WriteHandle, volume: u64, now: Micros) {
         if !self.may_wait() {
             return self.reject(handle);
@@ -106,7 +107,7 @@
         }
     }
 
-    /// A flush of a volume, or of all.
+    /// Submits a flush of a volume, or of all volumes if `None`.
     pub fn submit_flush(&mut self, handle: WriteHandle, volume: Option<u64>) {
         let up_to = Seq(self.next_seq - 1);
         self.requests.insert(handle, ClientRequest::Flush);
--- a/crates/flaxstand-write-back/src/buffer/write_outs.rs
+++ b/crates/flaxstand-write-back/src/buffer/write_outs.rs
@@ -1,4 +1,4 @@
-//! Write-outs: which buffered writes are sent to their nodes, how urgently, and what follows from how they ended.
+//! Write-outs: sends buffered writes to their nodes, determines their urgency and handles their results.
 
 use super::WriteBackBuffer;
 use crate::config::{BufferingMode, Config};
@@ -9,15 +9,15 @@
 use flaxstand_proto::Micros;
 use tracing::warn;
 
-/// How long a retry waits that the budget does not admit.
+/// Delay before a retry that the budget rejected is checked again.
 const BUDGET_RECHECK_INTERVAL: Micros = Micros(100_000);
 
-/// Which process sent an attempt that may have been executed.
+/// Process that sent an attempt that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PriorAttempt {
-    /// This one: to send it again is a retry.
+    /// This process: sending the write again is a retry.
     ThisProcess,
-    /// An earlier one, perhaps.
+    /// Possibly an earlier process.
     EarlierProcess,
 }
 
@@ -25,48 +25,49 @@
 pub(super) struct InFlightWriteOut {
     merged: MergedWrite,
     urgency: Urgency,
-    /// An earlier attempt of it may have been executed.
+    /// Earlier attempt that may have been executed.
     prior: Option<PriorAttempt>,
-    /// It is sent once the log has recorded that it starts.
+    /// Not sent until the log has recorded its start.
     awaits_log: bool,
 }
 
-/// How urgent a write is, and whether it is due.
+/// Inputs that determine the urgency of a write and whether it is due.
 struct UrgencyRule<'a> {
     config: &'a Config,
     order: &'a Order,
-    is_waited_for: bool,
+    is_awaited: bool,
     now: Micros,
 }
 
 impl UrgencyRule<'_> {
-    /// The larger of the part of space that is used and of the target age that has passed decides.
+    /// Returns the urgency of a write, from the larger of used space and age, as fractions of their limits.
     fn urgency(&self, seq: Seq) -> Urgency {
         let limits = &self.config.limits;
         let fill = self.order.bytes() as f64 / limits.max_bytes.max(1) as f64;
         let age = self.order.buffered_write(seq).map_or(Micros(0), |write| self.now.since(write.accepted));
-        let part = fill.max(age.0 as f64 / limits.target_age.0.max(1) as f64);
-        Urgency::of(part, self.is_waited_for)
+        let used_fraction = fill.max(age.0 as f64 / limits.target_age.0.max(1) as f64);
+        Urgency::of(used_fraction, self.is_awaited)
     }
 
-    /// A write waits for one that overwrites it, unless somebody waits.
+    /// Returns whether a write is due. It is delayed by the merge delay, so that a later write can replace
+    /// it, unless a request waits for buffered writes.
     fn is_due(&self, seq: Seq) -> bool {
         let is_old = |accepted| self.now.since(accepted) >= self.config.limits.merge_delay;
-        self.is_waited_for || self.order.buffered_write(seq).is_none_or(|write| is_old(write.accepted))
+        self.is_awaited || self.order.buffered_write(seq).is_none_or(|write| is_old(write.accepted))
     }
 }
 
 impl WriteBackBuffer {
     fn urgency_rule(&self, now: Micros) -> UrgencyRule<'_> {
-        let is_waited_for = self.is_waited_for();
-        UrgencyRule { config: &self.config, order: &self.order, is_waited_for, now }
+        let is_awaited = self.is_awaited();
+        UrgencyRule { config: &self.config, order: &self.order, is_awaited, now }
     }
 
     pub(super) fn start_write_outs(&mut self, now: Micros) {
-        // Once for all that is started now.
-        let is_waited_for = self.is_waited_for();
+        // Evaluated once, so that all write-outs started now use the same value.
+        let is_awaited = self.is_awaited();
         loop {
-            let rule = UrgencyRule { config: &self.config, order: &self.order, is_waited_for, now };
+            let rule = UrgencyRule { config: &self.config, order: &self.order, is_awaited, now };
             let next = self.scheduler.pick(now, |seq| rule.urgency(seq), |seq| rule.is_due(seq));
             let Some(candidate) = next else { return };
             let is_next = self.order.next_step(candidate.extent_id, now) == NextStep::WriteOut(candidate.seq);
@@ -76,12 +77,13 @@
         }
     }
 
-    /// Starts a write-out. Returns false if it can't be sent now.
+    /// Starts a write-out. Returns whether it could be started.
     fn start(&mut self, candidate: Candidate, now: Micros) -> bool {
         let Candidate { seq, extent_id, urgency, .. } = candidate;
         let Some(buffered) = self.order.buffered_write(seq) else { return false };
         let (class, started) = (buffered.write.class, buffered.started);
-        // Guards against a repeat after the nodes have forgotten the idempotency key.
+        // After the idempotency window nodes no longer recognise the key, and a retry could be executed
+        // twice.
         if let Some(started) = started
             && self.config.key_window_left(class, started, now).is_none()
         {
@@ -108,11 +110,12 @@
         true
     }
 
-    /// Records that a write-out up to this write starts, unless that is recorded. Returns whether it must wait
-    /// for the log.
+    /// Records the start of a write-out whose last write is `last`, unless it is already recorded. Returns
+    /// whether the write-out must wait for the log.
     ///
-    /// It must be durable before the first attempt is sent: a later process must know what may be in flight, as
-    /// what, and from when its key counts. It sends that first, as it was: nodes drop one of the two.
+    /// The record must be durable before the first attempt is sent: after a restart the next process must
+    /// know which merged write may be in flight and when its idempotency window began. It first sends exactly
+    /// the same write again, so that nodes drop the duplicate.
     fn record_start(&mut self, last: Seq, now: Micros) -> bool {
         let at = self.config.wall_clock(now);
         let Some(write) = self.order.buffered_write_mut(last).filter(|write| write.started.is_none()) else {
@@ -123,10 +126,10 @@
         true
     }
 
-    /// The log has recorded that the write-out up to this write starts.
-    pub(super) fn send_marked(&mut self, last: Seq, now: Micros) {
-        let marked = self.in_flight.iter().find(|(_, out)| out.awaits_log && out.merged.last() == last);
-        if let Some(id) = marked.map(|(id, _)| *id) {
+    /// Sends the write-out whose start record, for the write `last`, became durable.
+    pub(super) fn send_after_start_recorded(&mut self, last: Seq, now: Micros) {
+        let recorded = self.in_flight.iter().find(|(_, out)| out.awaits_log && out.merged.last() == last);
+        if let Some(id) = recorded.map(|(id, _)| *id) {
             self.send(id, now);
         }
     }
@@ -139,7 +142,7 @@
         self.actions.push(Action::SendWriteOut { id, write, urgency, not_after });
     }
 
-    /// Until when attempts may be sent under the key of a write that has started.
+    /// Returns the end of the idempotency window of a started write; `None` if its class has no window.
     fn key_expires_at(&self, seq: Seq, class: u16, now: Micros) -> Option<Micros> {
         if !matches!(self.buffering(class), BufferingMode::IdempotencyKey(_)) {
             return None;
@@ -148,18 +151,20 @@
         Some(now.after(self.config.key_window_left(class, started, now).unwrap_or_default()))
     }
 
-    /// It may have been executed, and its key's window is over: an operator decides.
+    /// Parks a write that may have been executed and whose idempotency window is over, for an operator to
+    /// decide.
     fn park(&mut self, seq: Seq, now: Micros) {
         warn!(
             seq = seq.0,
-            "a buffered write may have run and must not be repeated: it waits for an operator"
+            "buffered write may have been executed and can't be retried safely: its idempotency window is over \
+             or unknown; parked for an operator's decision"
         );
         self.log.append(&Record::Parked { seq }, now);
         self.order.park(seq);
         self.prior_attempts.remove(&seq);
     }
 
-    /// A write-out ended.
+    /// Reports the result of a write-out.
     pub fn write_out_ended(&mut self, id: WriteOutId, result: WriteOutResult, now: Micros) {
         let Some(out) = self.in_flight.remove(&id) else { return };
         let shard = out.merged.write.shard;
@@ -188,7 +193,7 @@
         let extent_id = out.merged.extent_id();
         let has_cooldown = may_still_run || out.prior.is_some();
         let not_before = if has_cooldown { now.after(self.config.key_cooldown) } else { Micros(0) };
-        // No barrier lies inside a merged write: nothing is unblocked before its last.
+        // No barrier lies within a merged write, so only its last write can unblock other items.
         let mut unblocked = Unblocked::default();
         for seq in &out.merged.seqs {
             self.record_completion(*seq, extent_id, now);
@@ -205,7 +210,7 @@
         self.counts.written_out += 1;
     }
 
-    /// This attempt was not executed; an earlier one that may have been still may.
+    /// Requeues a write-out whose last attempt was not executed. An earlier attempt may have been.
     fn return_not_executed(&mut self, out: InFlightWriteOut, now: Micros) {
         let extent_id = out.merged.extent_id();
         if let Some(prior) = out.prior {
@@ -215,6 +220,7 @@
         self.advance_extent(extent_id, now);
     }
 
+    /// Requeues a write-out with an unknown result.
     fn return_maybe_executed(&mut self, out: InFlightWriteOut, now: Micros) {
         let extent_id = out.merged.extent_id();
         self.prior_attempts.insert(out.merged.first, PriorAttempt::ThisProcess);
@@ -222,7 +228,7 @@
         self.advance_extent(extent_id, now);
     }
 
-    /// When the next write that waits for one that overwrites it is due.
+    /// Returns the earliest end of a merge delay.
     pub(super) fn next_merge_deadline(&self, now: Micros) -> Option<Micros> {
         let due_at = |seq| {
             let write = self.order.buffered_write(seq)?;
@@ -231,11 +237,11 @@
         self.scheduler.first_of_each_shard().filter_map(due_at).filter(|at| *at > now).min()
     }
 
-    /// Write-outs that wait in the decision module at too low an urgency are cancelled; they are sent again at
-    /// once with the higher one.
+    /// Cancels write-outs that wait in the decision module at an urgency that is now too low. They are sent
+    /// again immediately at the higher urgency.
     pub(super) fn cancel_for_higher_urgency(&mut self, now: Micros) {
         let rule = self.urgency_rule(now);
-        let risen: Vec<(WriteOutId, Urgency)> = self
+        let raised: Vec<(WriteOutId, Urgency)> = self
             .in_flight
             .iter()
             .filter(|(_, out)| !out.awaits_log)
@@ -243,7 +249,7 @@
             .filter(|(_, urgency, urgency_now)| urgency_now > urgency)
             .map(|(id, _, urgency_now)| (id, urgency_now))
             .collect();
-        for (id, urgency) in risen {
+        for (id, urgency) in raised {
             if let Some(out) = self.in_flight.get_mut(&id) {
                 out.urgency = urgency;
                 self.actions.push(Action::CancelWriteOut(id));
--- a/crates/flaxstand-write-back/src/config.rs
+++ b/crates/flaxstand-write-back/src/config.rs
@@ -1,39 +1,39 @@
-//! Settings of the buffer.
+//! Configuration of the buffer.
 
 use crate::record::WallClock;
 use crate::retry_budget::WriteOutRetryBudget;
 use flaxstand_proto::Micros;
 
-/// Whether and how writes of a class may be buffered.
+/// Buffering mode of a class of writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BufferingMode {
-    /// They are passed through.
+    /// Writes are passed through.
     Never,
-    /// A repeat is harmless as long as no later write of its extent has been executed.
+    /// Writes may be retried as long as no later write of the same extent has been executed.
     Idempotent,
-    /// Nodes drop repeats for this long after the first attempt that may have been executed; none may be sent
-    /// later.
+    /// Nodes drop duplicates for this time after the first attempt that may have been executed. No attempt
+    /// may be sent later.
     IdempotencyKey(Micros),
 }
 
 /// Limits and delays. `docs/write-back.md` describes each.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BufferLimits {
-    /// Most bytes in the buffer, as [`Write::cost`](crate::Write::cost) counts them.
+    /// Maximum size of the buffer in bytes, as counted by [`Write::cost`](crate::Write::cost).
     pub max_bytes: u64,
-    /// The same for one volume.
+    /// Maximum size per volume, counted in the same way.
     pub max_volume_bytes: u64,
-    /// A write should be on its node after this.
+    /// Target for the time from acceptance of a write to its write-out.
     pub target_age: Micros,
-    /// How long a write waits for one that overwrites it.
+    /// Time for which a write-out is delayed so that a later write can replace the write.
     pub merge_delay: Micros,
-    /// How long records of completed writes wait for others before they are written.
+    /// Maximum time for which completion records wait to share a batch with other records.
     pub record_delay: Micros,
-    /// Longest delay of an acknowledgement as space runs out.
+    /// Maximum delay of an acknowledgement as space runs out.
     pub max_ack_delay: Micros,
-    /// Most requests and barriers that wait here beside buffered writes.
+    /// Maximum number of waiting requests and barriers, not counting buffered writes.
     pub max_waiting: usize,
-    /// A flush is complete once all before it is durable here, instead of on the nodes.
+    /// Whether a flush is complete once earlier writes are durable in the log, instead of on the nodes.
     pub flush_when_durable: bool,
 }
 
@@ -59,29 +59,29 @@
     pub limits: BufferLimits,
     /// Retry-After of a rejection.
     pub retry_after: Micros,
-    /// How long nothing is sent to an extent after an attempt that may still run.
+    /// Time for which nothing is sent to an extent after an attempt that may still run.
     pub key_cooldown: Micros,
     /// Buffering mode by index of the class.
     pub classes: Vec<BufferingMode>,
-    /// Bound on retries of write-outs that may have been executed; `None`: unbounded.
+    /// Limit on retries of write-outs that may have been executed; `None` for no limit.
     pub retry_budget: Option<WriteOutRetryBudget>,
-    /// The host's calendar when the clock of [`Micros`] was 0.
-    pub calendar: WallClock,
+    /// Wall-clock time at time 0 of the monotonic clock ([`Micros`]).
+    pub wall_clock_origin: WallClock,
 }
 
 impl Config {
-    /// Buffering mode of a class.
+    /// Returns the buffering mode of a class.
     pub(crate) fn mode(&self, class: u16) -> BufferingMode {
         self.classes.get(usize::from(class)).copied().unwrap_or(BufferingMode::Never)
     }
 
-    /// The host's calendar at a time of the clock.
+    /// Converts a time of the monotonic clock to wall-clock time.
     pub(crate) fn wall_clock(&self, now: Micros) -> WallClock {
-        WallClock(self.calendar.0.saturating_add(now.0))
+        WallClock(self.wall_clock_origin.0.saturating_add(now.0))
     }
 
-    /// Time that is left of an idempotency key's window; unbounded for a class without one. `None`: the window
-    /// is over, or the calendar was set back and can't tell.
+    /// Returns the remaining time of an idempotency window; unbounded for a class without one. Returns `None`
+    /// if the window is over, or if the wall clock was set back so that the elapsed time is unknown.
     pub(crate) fn key_window_left(&self, class: u16, started: WallClock, now: Micros) -> Option<Micros> {
         let BufferingMode::IdempotencyKey(window) = self.mode(class) else { return Some(Micros(u64::MAX)) };
         let elapsed = self.wall_clock(now).since(started)?;
--- a/crates/flaxstand-write-back/src/lib.rs
+++ b/crates/flaxstand-write-back/src/lib.rs
@@ -1,22 +1,23 @@
-//! The write-back buffer: a write is acknowledged when it is durable on this host, and is written out to its node
-//! later. `docs/write-back.md` states what is guaranteed. Nothing here touches a file or reads a clock: the
-//! initiator's core owns a [`WriteBackBuffer`], its driver stores the batches (`flaxstand-storage`).
+//! The write-back buffer: a write is acknowledged when it is durable on this host, and is written out to its
+//! node later. `docs/write-back.md` states the guarantees. The crate does no I/O and reads no clock: the
+//! initiator's core owns a [`WriteBackBuffer`], and its driver stores the batches (`flaxstand-storage`).
 //!
-//! - [`config`], [`request`], [`status`]: settings, calls and actions, figures for operators
-//! - [`buffer`]: ties the parts together; what the core calls
-//! - [`order`]: what may be sent to a node now: extents, barriers, cooldowns
-//! - [`writeout`]: which of that is sent next and how urgently; [`retry_budget`]: how often again
-//! - [`pressure`]: what becomes of a new write as space runs out
-//! - [`image`]: writes merged with each other and laid over a node's data
-//! - [`log`]: batches, segments, what may be removed; [`record`]: their bytes; [`recover`](mod@recover): reading them back
-//! - [`offline`]: what operators do with a log that no process uses
+//! - [`config`], [`request`], [`status`]: configuration; calls and actions; state and counts for operators
+//! - [`buffer`]: the interface for the core, which combines the other modules
+//! - [`order`]: ordering constraints: extents, barriers, cooldowns
+//! - [`writeout`]: scheduling of write-outs; [`retry_budget`]: limit on their retries
+//! - [`pressure`]: admission of new writes as space runs out
+//! - [`merge`]: merging of writes, and application of writes to a node's data
+//! - [`log`]: batches and segments; [`record`]: their encoding; [`recover`](mod@recover): recovery and
+//!   salvage
+//! - [`offline`]: operations on a log that no process uses
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
 pub mod buffer;
 pub mod config;
-pub mod image;
 pub mod log;
+pub mod merge;
 pub mod offline;
 pub mod order;
 pub mod pressure;
--- a/crates/flaxstand-write-back/src/log.rs
+++ b/crates/flaxstand-write-back/src/log.rs
@@ -1,9 +1,10 @@
-//! The log's state: what is durable, what is on its way to the disk, which segments may be removed. It decides what
-//! is to be stored and is told how that went; it stores nothing itself.
+//! State of the log: durable records, the batch in flight, and removable segments. The log produces batches
+//! and receives their results; it does no I/O itself.
 //!
-//! One batch is in flight at a time, and what comes meanwhile makes the next: many writes share a sync.
-//! After a failure the segment is given up at its last durable byte and the batch is written to a new one;
-//! the new header says where the old one ends, so what the failed sync may have left there counts for nothing.
+//! One batch is in flight at a time, and records queued meanwhile form the next one, so that many writes
+//! share a sync. After a failure the log abandons the segment after its last durable byte and writes the
+//! batch to a new segment. The header of the new segment states the valid length of the old one, so that
+//! recovery ignores any bytes that the failed sync may have left there.
 
 use crate::record::{
     BATCH_HEADER_BYTES, HEADER_BYTES, Header, Record, SegmentEnd, Seq, VERSION, WallClock, Write,
@@ -13,19 +14,19 @@
 use flaxstand_storage::{Batch, StorageOp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A segment is closed once it is as long as this, bytes.
+/// Length in bytes at which a segment is closed.
 pub const SEGMENT_BYTES: u64 = 8 << 20;
-/// A batch takes no more records once its body is as long as this, bytes.
+/// Body length in bytes at which a batch takes no more records.
 pub const BATCH_BYTES: usize = 4 << 20;
-/// Wait before a batch that failed is tried again. Doubles with each further failure.
+/// Initial back-off after a failed batch. Doubles with each further failure.
 const MIN_RETRY_BACKOFF: Micros = Micros(10_000);
-/// Longest such wait.
+/// Maximum back-off after a failed batch.
 const MAX_RETRY_BACKOFF: Micros = Micros(1_000_000);
 
 #[derive(Debug, Default)]
 struct Segment {
     length: u64,
-    /// Writes and barriers that are not done and whose record lies here.
+    /// Incomplete writes and barriers whose record is in this segment.
     live: BTreeSet<Seq>,
 }
 
@@ -43,38 +44,38 @@
     }
 }
 
-/// What a record says.
+/// Kind of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordKind {
-    /// A write or a barrier is in the log.
-    Placed,
-    /// The write's first attempt may be sent.
+    /// A write or barrier was accepted.
+    Accepted,
+    /// The first attempt of the write may be sent.
     Started,
-    /// The write waits for an operator.
+    /// The write waits for an operator's decision.
     Parked,
-    /// The write or barrier is done.
+    /// The write or barrier is complete.
     Done,
 }
 
-/// A record of a batch.
+/// Record of a batch, without its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoggedRecord {
-    /// The write or barrier that it is about.
+    /// The write or barrier.
     pub seq: Seq,
-    /// What it says of it.
+    /// Kind of the record.
     pub kind: RecordKind,
 }
 
-/// What is in flight to the disk.
+/// Batch in flight to the disk.
 #[derive(Debug)]
 enum InFlight {
-    /// Records, to this segment, which begins with the batch or goes on.
+    /// Records appended to a new or existing segment.
     Records { segment: u64, bytes: u64, queue: Queue },
-    /// Removals of these segments.
+    /// Removals of segments.
     Removals(Vec<u64>),
 }
 
-/// The last batch of records failed.
+/// Back-off after a batch of records failed.
 #[derive(Clone, Copy, Debug)]
 struct RetryBackoff {
     retry_at: Micros,
@@ -92,65 +93,65 @@
 /// Counts of the log since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogCounts {
-    /// Batches that became durable: each one sync of data.
+    /// Batches that became durable, with one data sync each.
     pub syncs: u64,
-    /// Records in them.
+    /// Records in durable batches.
     pub records: u64,
-    /// Bytes in them.
+    /// Bytes in durable batches.
     pub bytes: u64,
     /// Batches that failed.
     pub failures: u64,
 }
 
-/// What the next process goes on with: the durable part of a log.
+/// Durable state of a log, as recovered at the start.
 #[derive(Debug, Default)]
 pub(crate) struct DurableLog {
     /// Segments with their valid lengths, oldest first.
     pub(crate) segments: Vec<SegmentEnd>,
     /// Segment of each live write and barrier.
-    pub(crate) placed: BTreeMap<Seq, u64>,
-    /// Segments that count for nothing.
-    pub(crate) void: Vec<u64>,
-    /// Highest number of a segment.
+    pub(crate) locations: BTreeMap<Seq, u64>,
+    /// Segments without valid content.
+    pub(crate) abandoned: Vec<u64>,
+    /// Highest segment number in use.
     pub(crate) last_segment: u64,
-    /// Highest number of a batch.
+    /// Highest batch number in use.
     pub(crate) last_batch: u64,
 }
 
-/// The log.
+/// State of the log.
 #[derive(Debug)]
 pub struct Log {
     segments: BTreeMap<u64, Segment>,
     /// Segment of each live write and barrier.
-    placed: BTreeMap<Seq, u64>,
-    /// Writes and barriers whose record is queued or in flight and still matters.
-    unplaced: BTreeSet<Seq>,
-    /// Segments that count for nothing: given up before they were durable.
-    void: Vec<u64>,
-    /// The segment that is written to, if its header is durable.
+    locations: BTreeMap<Seq, u64>,
+    /// Live writes and barriers whose record is queued or in flight.
+    unwritten: BTreeSet<Seq>,
+    /// Segments that were abandoned before any of their content was durable.
+    abandoned: Vec<u64>,
+    /// The segment that is appended to, if its header is durable.
     current: Option<u64>,
     next_segment: u64,
     next_batch: u64,
     queue: Queue,
     in_flight: Option<InFlight>,
-    /// Something in the queue is waited for; else the queue waits for more records.
+    /// The queue is due immediately; otherwise it waits for more records.
     is_urgent: bool,
     queued_since: Option<Micros>,
     retry: Option<RetryBackoff>,
-    /// Segments could not be removed: not tried again before a batch of records was stored.
+    /// Removing segments failed; it is not retried before a batch of records was stored.
     removal_failed: bool,
     counts: LogCounts,
 }
 
 impl Log {
-    /// A log that goes on after what was recovered. The first batch begins a new segment.
+    /// Creates a log from the recovered state. The first batch begins a new segment.
     pub(crate) fn new(durable: DurableLog) -> Log {
         let segment = |end: &SegmentEnd| (end.number, Segment { length: end.length, ..Segment::default() });
         let mut log = Log {
             segments: durable.segments.iter().map(segment).collect(),
-            placed: durable.placed,
-            unplaced: BTreeSet::new(),
-            void: durable.void,
+            locations: durable.locations,
+            unwritten: BTreeSet::new(),
+            abandoned: durable.abandoned,
             current: None,
             next_segment: durable.last_segment + 1,
             next_batch: durable.last_batch + 1,
@@ -162,7 +163,7 @@
             removal_failed: false,
             counts: LogCounts::default(),
         };
-        for (seq, segment) in &log.placed {
+        for (seq, segment) in &log.locations {
             if let Some(segment) = log.segments.get_mut(segment) {
                 segment.live.insert(*seq);
             }
@@ -170,75 +171,77 @@
         log
     }
 
-    /// Queues a record. Records of completion wait for others, up to the delay that
-    /// [`next_batch`](Log::next_batch) is given.
+    /// Queues a record. Completion records wait for other records, for at most the delay passed to
+    /// [`next_batch`](Log::next_batch).
     pub fn append(&mut self, record: &Record, now: Micros) {
         let kind = match record {
-            Record::Write { .. } | Record::Barrier { .. } => RecordKind::Placed,
+            Record::Write { .. } | Record::Barrier { .. } => RecordKind::Accepted,
             Record::Started { .. } => RecordKind::Started,
             Record::Parked { .. } => RecordKind::Parked,
             Record::Done { .. } => RecordKind::Done,
         };
         record.encode(&mut self.queue.body);
-        self.queued(LoggedRecord { seq: record.seq(), kind }, now);
+        self.enqueue(LoggedRecord { seq: record.seq(), kind }, now);
     }
 
-    /// Queues the record of a write that is accepted now: [`Record::Write`] that is neither started nor parked.
+    /// Queues the [`Record::Write`] of a newly accepted write, which is neither started nor parked.
     pub fn append_write(&mut self, seq: Seq, accepted: WallClock, write: &Write, now: Micros) {
         encode_new_write(seq, accepted, write, &mut self.queue.body);
-        self.queued(LoggedRecord { seq, kind: RecordKind::Placed }, now);
+        self.enqueue(LoggedRecord { seq, kind: RecordKind::Accepted }, now);
     }
 
-    fn queued(&mut self, record: LoggedRecord, now: Micros) {
-        if record.kind == RecordKind::Placed {
-            self.unplaced.insert(record.seq);
+    fn enqueue(&mut self, record: LoggedRecord, now: Micros) {
+        if record.kind == RecordKind::Accepted {
+            self.unwritten.insert(record.seq);
         }
         self.queue.records.push(record);
         self.is_urgent |= record.kind != RecordKind::Done;
         self.queued_since = self.queued_since.or(Some(now));
     }
 
-    /// What is queued is waited for.
+    /// Makes the queued records due immediately.
     pub fn expedite(&mut self) {
         self.is_urgent |= !self.queue.records.is_empty();
     }
 
-    /// A write or barrier is done, or its record will never be asked for: it holds no segment any longer.
+    /// Releases a write or barrier that is complete or needs no record: it no longer keeps its segment from
+    /// being removed.
     pub fn release(&mut self, seq: Seq) {
-        self.unplaced.remove(&seq);
-        self.unplace(seq);
+        self.unwritten.remove(&seq);
+        self.forget_location(seq);
     }
 
-    fn unplace(&mut self, seq: Seq) {
-        if let Some(segment) = self.placed.remove(&seq)
+    fn forget_location(&mut self, seq: Seq) {
+        if let Some(segment) = self.locations.remove(&seq)
             && let Some(segment) = self.segments.get_mut(&segment)
         {
             segment.live.remove(&seq);
         }
     }
 
-    /// The last batch of records failed; it is tried again.
+    /// Returns whether the last batch of records failed. It is retried.
     pub fn is_failing(&self) -> bool {
         self.retry.is_some()
     }
 
-    /// The queue takes more records: a batch stays within its bound also after a failure.
+    /// Returns whether the queue takes more records. Keeps a batch within its limit even after a failure,
+    /// when it is retried together with newer records.
     pub fn has_capacity(&self) -> bool {
         self.queue.body.len() + BATCH_HEADER_BYTES < BATCH_BYTES
     }
 
-    /// Bytes of all segments.
+    /// Returns the total length of all segments in bytes.
     pub fn bytes(&self) -> u64 {
         self.segments.values().map(|segment| segment.length).sum()
     }
 
-    /// Counts since the start.
+    /// Returns the counts since the start.
     pub fn counts(&self) -> LogCounts {
         self.counts
     }
 
-    /// What to store next, if something is due and nothing is in flight. Records that nobody waits for are due
-    /// after `delay`.
+    /// Returns the next batch, if one is due and none is in flight. Records that are not urgent are due after
+    /// `delay`.
     pub fn next_batch(&mut self, delay: Micros, now: Micros) -> Option<Batch> {
         if self.in_flight.is_some() || self.retry.is_some_and(|retry| retry.retry_at > now) {
             return None;
@@ -258,8 +261,8 @@
     }
 
     fn remove(&mut self, segments: Vec<u64>) -> Batch {
-        // Guards against a later segment that goes for good before an earlier one, whose writes it says are
-        // done: one after the other.
+        // Segments are removed durably one by one, oldest first. If a later segment were removed first, its
+        // completion records for writes of the earlier segment would be lost, and those writes replayed.
         let removal = |number: &u64| [StorageOp::Remove(*number), StorageOp::SyncFolder];
         let ops = segments.iter().flat_map(removal).collect();
         self.in_flight = Some(InFlight::Removals(segments));
@@ -290,32 +293,32 @@
     fn begin_segment(&mut self, ops: &mut Vec<StorageOp>) -> u64 {
         let number = self.next_segment;
         self.next_segment += 1;
-        let header = Header { version: VERSION, number, before: self.last_segment() };
+        let header = Header { version: VERSION, number, previous: self.last_segment() };
         ops.push(StorageOp::Create(number));
         ops.push(StorageOp::Append(number, header.encode()));
-        // Guards against a batch behind a header that is lost: the header has a sync of its own.
+        // The header is synced separately, so that no durable batch can follow a lost header.
         ops.push(StorageOp::Sync(number));
         ops.push(StorageOp::SyncFolder);
         number
     }
 
-    /// The last segment with a durable header, and how much of it is durable. It is never removed.
+    /// Returns the last segment with a durable header, and its durable length. It is never removed.
     fn last_segment(&self) -> Option<SegmentEnd> {
         let (number, segment) = self.segments.last_key_value()?;
         Some(SegmentEnd { number: *number, length: segment.length })
     }
 
-    /// Oldest segments that nothing needs any more.
+    /// Returns the abandoned segments and the oldest segments without live records.
     fn removable(&self) -> Vec<u64> {
         let last = self.last_segment().map(|last| last.number);
         let is_unused =
             |(number, segment): &(&u64, &Segment)| segment.live.is_empty() && Some(**number) != last;
         let unused = self.segments.iter().take_while(is_unused).map(|(number, _)| number);
-        // One that was given up holds nothing that was ever acknowledged.
-        self.void.iter().chain(unused).copied().collect()
+        // An abandoned segment holds no acknowledged data.
+        self.abandoned.iter().chain(unused).copied().collect()
     }
 
-    /// The batch in flight was stored, or failed. Returns what became durable, in order.
+    /// Reports the result of the batch in flight. Returns the records that became durable, in order.
     pub fn batch_stored(&mut self, is_stored: bool, now: Micros) -> Vec<LoggedRecord> {
         let Some(in_flight) = self.in_flight.take() else { return Vec::new() };
         self.counts.failures += u64::from(!is_stored);
@@ -323,7 +326,7 @@
             InFlight::Removals(segments) => {
                 self.removal_failed = !is_stored;
                 if is_stored {
-                    self.removed(&segments);
+                    self.forget_segments(&segments);
                 }
                 Vec::new()
             }
@@ -337,19 +340,19 @@
         }
     }
 
-    fn removed(&mut self, segments: &[u64]) {
+    fn forget_segments(&mut self, segments: &[u64]) {
         for number in segments {
             self.segments.remove(number);
         }
-        self.void.retain(|number| !segments.contains(number));
+        self.abandoned.retain(|number| !segments.contains(number));
     }
 
-    /// They go to a new segment, before all that came since.
+    /// Puts the records of a failed batch back at the front of the queue. They go to a new segment.
     fn records_failed(&mut self, segment: u64, queue: Queue, now: Micros) {
         self.retry = Some(RetryBackoff::after(self.retry, now));
         self.queued_since = Some(now);
         if self.current != Some(segment) {
-            self.void.push(segment);
+            self.abandoned.push(segment);
         }
         self.current = None;
         let later = std::mem::replace(&mut self.queue, queue);
@@ -367,17 +370,17 @@
         self.counts.records += queue.records.len() as u64;
         self.counts.bytes += bytes;
         for record in &queue.records {
-            if record.kind == RecordKind::Placed && self.unplaced.remove(&record.seq) {
-                self.unplace(record.seq);
-                self.placed.insert(record.seq, segment);
+            if record.kind == RecordKind::Accepted && self.unwritten.remove(&record.seq) {
+                self.forget_location(record.seq);
+                self.locations.insert(record.seq, segment);
                 self.segments.entry(segment).or_default().live.insert(record.seq);
             }
         }
         queue.records
     }
 
-    /// Live writes and barriers of the oldest segment, if the log is much longer than what lives in it: to be
-    /// appended again, so that the segment can be removed.
+    /// Returns the live writes and barriers of the oldest segment if the log is much longer than its live
+    /// data. The caller appends them again, so that the segment can be removed.
     pub fn records_to_relocate(&self, live_bytes: u64) -> Vec<Seq> {
         let last = self.last_segment().map(|last| last.number);
         let is_long = self.bytes() > 2 * live_bytes + 4 * SEGMENT_BYTES;
@@ -389,12 +392,12 @@
         }
     }
 
-    /// When to ask for a batch again, if time alone makes one due. `delay` as in [`Log::next_batch`].
+    /// Returns when the queued records become due, if any. `delay` as in [`Log::next_batch`].
     pub fn next_wake(&self, delay: Micros) -> Option<Micros> {
         if self.in_flight.is_some() {
             return None;
         }
-        // While a batch fails its records are in the queue.
+        // The records of a failed batch are back in the queue.
         let queued_since = self.queued_since?;
         let due = if self.is_urgent { queued_since } else { queued_since.after(delay) };
         Some(self.retry.map_or(due, |retry| due.max(retry.retry_at)))
--- a/crates/flaxstand-write-back/src/image.rs
+++ b/crates/flaxstand-write-back/src/merge.rs
@@ -1,12 +1,12 @@
-//! Writes merged with each other, and laid over what a node holds.
+//! Merging of writes, and application of writes to the data of an extent.
 
 use crate::record::Write;
 
-/// Longest extent that writes may make, bytes: what fits into a frame.
+/// Maximum length of an extent in bytes: what fits into a frame.
 pub const MAX_EXTENT_BYTES: usize = 1 << 20;
 
-/// Lays a write over an extent's data. Bytes that no write reached are zero.
-pub fn lay(data: &mut Vec<u8>, write: &Write) {
+/// Applies a write to the data of an extent. Gaps are filled with zeros.
+pub fn apply_write(data: &mut Vec<u8>, write: &Write) {
     match write.at {
         None => data.clone_from(&write.payload),
         Some(at) => {
@@ -19,26 +19,28 @@
     }
 }
 
-/// The extent's data, if these writes make it up without the node's: one of them replaces all of it.
-pub fn whole<'a>(writes: impl DoubleEndedIterator<Item = &'a Write> + Clone) -> Option<Vec<u8>> {
-    let from = writes.clone().rev().take_while(|w| w.at.is_some()).count();
+/// Returns the data of the extent if these writes determine it without the node's data, that is, if one of
+/// them replaces the whole extent.
+pub fn complete_extent<'a>(writes: impl DoubleEndedIterator<Item = &'a Write> + Clone) -> Option<Vec<u8>> {
+    let trailing_partial = writes.clone().rev().take_while(|w| w.at.is_some()).count();
     let count = writes.clone().count();
-    if from == count {
+    if trailing_partial == count {
         return None;
     }
     let mut data = Vec::new();
-    writes.skip(count - from - 1).for_each(|w| lay(&mut data, w));
+    writes.skip(count - trailing_partial - 1).for_each(|w| apply_write(&mut data, w));
     Some(data)
 }
 
-/// One write in place of two that follow each other, if there is one: `later` replaces the extent, or
-/// `earlier` does, or their ranges touch. It has the later one's key.
-pub fn merged(earlier: &Write, later: &Write) -> Option<Write> {
+/// Merges two consecutive writes into one with the idempotency key of the later one. Returns `None` unless
+/// one of them replaces the whole extent or their ranges overlap or are adjacent, and the result fits into an
+/// extent.
+pub fn merge_writes(earlier: &Write, later: &Write) -> Option<Write> {
     let (at, payload) = match (earlier.at, later.at) {
         (_, None) => (None, later.payload.clone()),
         (None, Some(_)) => {
             let mut data = earlier.payload.clone();
-            lay(&mut data, later);
+            apply_write(&mut data, later);
             (None, data)
         }
         (Some(a), Some(b)) => {
--- a/crates/flaxstand-write-back/src/offline.rs
+++ b/crates/flaxstand-write-back/src/offline.rs
@@ -1,24 +1,24 @@
-//! What operators do with the log of an initiator that is stopped.
+//! Operations on the log of a stopped initiator.
 
 use crate::record::{Record, Seq};
 use crate::recover::{LiveRecord, LiveWrite, RecoverError, recover};
 use flaxstand_proto::Micros;
 use flaxstand_storage::{Storage, perform};
 
-/// What an operator decides of a parked write.
+/// Operator's decision on a parked write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ParkedDecision {
-    /// It is on its node.
+    /// The write was executed by its node.
     Done,
-    /// It is not, and is written out as if it had never been sent.
-    Again,
+    /// The write was not executed; it is written out as if it had never been sent.
+    Resend,
 }
 
-/// Records an operator's decision on a parked write. Returns false, and changes nothing, if there is no such
-/// write.
+/// Records an operator's decision on a parked write. Returns false, and changes nothing, if there is no
+/// parked write of this number.
 ///
 /// # Errors
-/// The log can't be read or written; then nothing is decided.
+/// If the log can't be read or written; no decision is recorded then.
 pub fn decide(storage: &mut dyn Storage, seq: Seq, decision: ParkedDecision) -> Result<bool, RecoverError> {
     let mut recovered = recover(storage)?;
     let Some(LiveRecord::Write(LiveWrite { accepted, parked: true, write, .. })) =
@@ -28,7 +28,7 @@
     };
     let record = match decision {
         ParkedDecision::Done => Record::Done { seq },
-        ParkedDecision::Again => Record::Write { seq, accepted, started: None, parked: false, write },
+        ParkedDecision::Resend => Record::Write { seq, accepted, started: None, parked: false, write },
     };
     let now = Micros(0);
     recovered.log.append(&record, now);
--- a/crates/flaxstand-write-back/src/order/extent_queue.rs
+++ b/crates/flaxstand-write-back/src/order/extent_queue.rs
@@ -1,18 +1,18 @@
-//! All that is for one extent: one item at a time is sent to its node, in the order of arrival.
+//! Queue of the items of one extent: one item at a time is sent to the node, in order of arrival.
 
 use crate::record::{ExtentId, Seq, Write};
 use crate::request::WriteHandle;
 use flaxstand_proto::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Consecutive writes of one extent that are sent to the node as one.
+/// Consecutive writes of one extent that are sent to the node as one write.
 #[derive(Clone, Debug)]
 pub struct MergedWrite {
-    /// The first of them.
+    /// First of the merged writes.
     pub first: Seq,
-    /// All of them, in order.
+    /// All merged writes in order.
     pub seqs: Vec<Seq>,
-    /// The write that has the effect of all.
+    /// The resulting write.
     pub write: Write,
 }
 
@@ -26,12 +26,12 @@
         self.write = merged;
     }
 
-    /// The last of them.
+    /// Returns the last of the merged writes.
     pub fn last(&self) -> Seq {
         self.seqs.last().copied().unwrap_or(self.first)
     }
 
-    /// Extent that it is for.
+    /// Returns the extent to write.
     pub fn extent_id(&self) -> ExtentId {
         self.write.extent_id
     }
@@ -40,24 +40,24 @@
 /// Queue of an extent.
 #[derive(Debug, Default)]
 pub(super) struct ExtentQueue {
-    /// What is not over, in order.
+    /// Incomplete items in order.
     pub(super) items: VecDeque<Seq>,
-    /// The first, or a merged write that begins with it, is in flight.
+    /// Whether the first item, or a merged write that begins with it, is in flight.
     pub(super) is_in_flight: bool,
-    /// It may have been executed: it is sent again as it was, until it is confirmed.
+    /// Write that may have been executed. It is sent again unchanged until it is confirmed.
     pub(super) may_have_run: Option<MergedWrite>,
-    /// Nothing is sent before this.
+    /// End of the cooldown: nothing is sent earlier.
     pub(super) not_before: Micros,
-    /// Confirmed writes whose completion is not durable in the log.
+    /// Confirmed writes whose completion is not yet durable in the log.
     pub(super) unrecorded: BTreeSet<Seq>,
-    /// Reads whose answer from the node will be overlaid with what was buffered here.
+    /// Reads whose response from the node will be merged with buffered writes.
     readers: BTreeSet<WriteHandle>,
     /// Writes that were confirmed while such reads were in flight.
     kept_for_readers: BTreeMap<Seq, Write>,
 }
 
 impl ExtentQueue {
-    /// All of it is over, and the log knows.
+    /// Returns whether all items are complete and their completion is durable in the log.
     pub(super) fn is_settled(&self) -> bool {
         self.items.is_empty() && self.unrecorded.is_empty()
     }
@@ -85,7 +85,7 @@
         self.kept_for_readers.values()
     }
 
-    /// What is in flight may be taken again by nobody else: it is over without being confirmed.
+    /// Returns an unconfirmed write that was in flight to the queue.
     pub(super) fn return_unconfirmed(&mut self, merged: MergedWrite, may_have_run: bool, not_before: Micros) {
         self.is_in_flight = false;
         self.not_before = self.not_before.max(not_before);
@@ -99,7 +99,7 @@
         self.may_have_run = None;
     }
 
-    /// A buffered write was confirmed.
+    /// Handles the confirmation of a buffered write.
     pub(super) fn confirm(&mut self, seq: Seq, write: Write) {
         self.unrecorded.insert(seq);
         self.may_have_run = None;
--- a/crates/flaxstand-write-back/src/order/item.rs
+++ b/crates/flaxstand-write-back/src/order/item.rs
@@ -1,17 +1,17 @@
-//! What has a place in the order.
+//! Items of the order: buffered writes, passed-through requests and barriers.
 
 use crate::record::{ExtentId, WallClock, Write};
 use crate::request::WriteHandle;
 use flaxstand_proto::Micros;
 
-/// How far a buffered write has come.
+/// Stage of a buffered write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// On its way to the disk.
+    /// Not yet durable in the log.
     Logging,
-    /// Durable.
+    /// Durable in the log.
     Ready,
-    /// It may have been executed and must not be repeated: an operator decides.
+    /// May have been executed and must not be retried: an operator decides.
     Parked,
 }
 
@@ -20,30 +20,30 @@
 pub struct BufferedWrite {
     /// The write.
     pub write: Write,
-    /// When it was accepted.
+    /// Time of acceptance.
     pub accepted: Micros,
-    /// The same on the host's calendar.
+    /// Wall-clock time of acceptance.
     pub accepted_wall: WallClock,
-    /// When its first attempt may have been executed, once that is durable.
+    /// Recorded start: earliest time at which an attempt may have been executed.
     pub started: Option<WallClock>,
-    /// How far it has come.
+    /// Stage of the write.
     pub stage: Stage,
 }
 
-/// A write that is passed through, or another request that its volume's barriers concern.
+/// A passed-through write, or another unbuffered request that is subject to the barriers of its volume.
 #[derive(Clone, Copy, Debug)]
 pub struct PassThrough {
-    /// The core's name for it.
+    /// Handle of the request.
     pub handle: WriteHandle,
-    /// Its volume.
+    /// Volume of the request.
     pub volume: u64,
-    /// Extent that it writes; `None`: it names none.
+    /// Extent that the request writes; `None` if it names none.
     pub extent_id: Option<ExtentId>,
-    /// It was released to its node.
+    /// Whether the request was released to its node.
     pub is_released: bool,
 }
 
-/// What has a place in the order.
+/// An item of the order.
 #[derive(Clone, Debug)]
 pub enum Item {
     /// A buffered write.
@@ -52,7 +52,7 @@
     PassThrough(PassThrough),
     /// A barrier that has not been passed.
     Barrier {
-        /// Its volume.
+        /// Volume of the barrier.
         volume: u64,
     },
 }
--- a/crates/flaxstand-write-back/src/order/mod.rs
+++ b/crates/flaxstand-write-back/src/order/mod.rs
@@ -1,13 +1,14 @@
-//! What may be sent to a node now. All that an initiator accepts has a number, and:
+//! Ordering constraints on requests to nodes. Every accepted item has a sequence number, and:
 //!
-//! - of what is for one extent, one item is in flight at a time, in the order of numbers; after an attempt
-//!   that may still run the extent has a cooldown;
-//! - nothing of a volume is sent before all that lies before a barrier of that volume is over;
-//! - before the next is sent to an extent, the log knows for sure that the one before is done: a replay after a
-//!   crash repeats at most the last that was sent there, and never overwrites newer data with older.
+//! - each extent has one item in flight at a time, in order of sequence numbers; after an attempt that may
+//!   still run the extent has a cooldown;
+//! - an item after a barrier of its volume is not sent before all items before the barrier are complete;
+//! - the next item of an extent is not sent before the completion of the previous one is durable in the log:
+//!   a replay after a crash sends at most the last write of each extent again, and never overwrites newer
+//!   data with older data.
 //!
-//! The order of one extent is in `extent_queue`, barriers are in `volume_order`, what is sent in `sending`,
-//! reads in `reads`.
+//! `extent_queue` orders the items of one extent, `volume_order` handles barriers, `sending` merges and
+//! returns writes, `reads` serves reads.
 
 mod extent_queue;
 mod item;
@@ -21,89 +22,89 @@
 pub use extent_queue::MergedWrite;
 use flaxstand_proto::Micros;
 pub use item::{BufferedWrite, Item, PassThrough, Stage};
-pub use reads::Found;
+pub use reads::ExtentRead;
 use std::collections::{BTreeMap, BTreeSet};
 use volume_order::VolumeOrder;
 
-/// What the first item of an extent may do.
+/// Next step for the first item of an extent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Nothing, until something else happens.
+    /// None until another event occurs.
     Blocked,
-    /// Nothing before this time.
+    /// None before this time.
     WaitUntil(Micros),
-    /// This buffered write may be written out.
+    /// Write out this buffered write.
     WriteOut(Seq),
-    /// This request may be passed through.
+    /// Pass this request through.
     PassThrough(Seq),
 }
 
-/// The order of all that an initiator accepted.
+/// Order of all items that an initiator accepted.
 #[derive(Debug, Default)]
 pub struct Order {
     items: BTreeMap<Seq, Item>,
     volumes: BTreeMap<u64, VolumeOrder>,
     extents: BTreeMap<ExtentId, ExtentQueue>,
-    /// Buffered writes that are not confirmed.
+    /// Unconfirmed buffered writes.
     buffered: BTreeSet<Seq>,
     parked: BTreeSet<Seq>,
-    /// Requests that were not released yet, and barriers.
+    /// Unreleased requests, and barriers.
     waiting: BTreeSet<Seq>,
     /// Bytes of buffered writes.
     bytes: u64,
-    /// Nothing of any extent is sent before this: an attempt of an earlier process may still run.
+    /// Nothing is sent to any extent earlier, because an attempt of an earlier process may still run.
     starts_at: Micros,
 }
 
-/// What the end of an item unblocked.
+/// Items that the completion of an item unblocked.
 #[derive(Debug, Default)]
 pub struct Unblocked {
-    /// Barriers that are passed.
+    /// Barriers that were passed.
     pub barriers: Vec<Seq>,
-    /// Extents whose first item may have become free to go.
+    /// Extents whose first item may have been unblocked.
     pub extents: BTreeSet<ExtentId>,
     /// Requests without an extent that may be passed through now.
     pub pass_throughs: Vec<Seq>,
 }
 
 impl Order {
-    /// An empty order. Nothing of an extent is sent before `starts_at`.
+    /// Creates an empty order. Nothing is sent to any extent before `starts_at`.
     pub fn new(starts_at: Micros) -> Self {
         Order { starts_at, ..Order::default() }
     }
 
-    /// Bytes of buffered writes, as [`Write::cost`](crate::Write::cost) counts them.
+    /// Returns the bytes of buffered writes, as counted by [`Write::cost`](crate::Write::cost).
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// The same for one volume.
+    /// Returns the bytes of the buffered writes of one volume.
     pub fn volume_bytes(&self, volume: u64) -> u64 {
         self.volumes.get(&volume).map_or(0, |order| order.bytes)
     }
 
-    /// Number of buffered writes that are not confirmed, parked ones included.
+    /// Returns the number of unconfirmed buffered writes, including parked ones.
     pub fn buffered(&self) -> usize {
         self.buffered.len()
     }
 
-    /// Number of writes that wait for an operator.
+    /// Returns the number of writes that wait for an operator's decision.
     pub fn parked(&self) -> usize {
         self.parked.len()
     }
 
-    /// Number of requests that are not buffered and wait here, and of barriers.
+    /// Returns the number of barriers and of unbuffered requests that wait.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// When the oldest buffered write was accepted that isn't parked.
+    /// Returns the time of acceptance of the oldest buffered write that is not parked.
     pub fn oldest(&self) -> Option<Micros> {
         let seq = self.buffered.iter().find(|seq| !self.parked.contains(seq))?;
         self.buffered_write(*seq).map(|write| write.accepted)
     }
 
-    /// A buffered write.
+    /// Returns a buffered write.
     pub fn buffered_write(&self, seq: Seq) -> Option<&BufferedWrite> {
         match self.items.get(&seq) {
             Some(Item::Write(write)) => Some(write),
@@ -111,7 +112,7 @@
         }
     }
 
-    /// A buffered write, to be changed.
+    /// Returns a mutable reference to a buffered write.
     pub fn buffered_write_mut(&mut self, seq: Seq) -> Option<&mut BufferedWrite> {
         match self.items.get_mut(&seq) {
             Some(Item::Write(write)) => Some(write),
@@ -119,32 +120,33 @@
         }
     }
 
-    /// What has this number.
+    /// Returns the item of a sequence number.
     pub fn item(&self, seq: Seq) -> Option<&Item> {
         self.items.get(&seq)
     }
 
-    /// Extents of all buffered writes.
+    /// Returns the extents of all buffered writes.
     pub fn buffered_extents(&self) -> BTreeSet<ExtentId> {
         let writes = self.buffered.iter().filter_map(|seq| self.buffered_write(*seq));
         writes.map(|buffered| buffered.write.extent_id).collect()
     }
 
-    /// All that is for an extent is over, and the log knows.
+    /// Returns whether all items of an extent are complete and their completion is durable in the log.
     pub fn is_settled(&self, extent_id: ExtentId) -> bool {
         self.extents.get(&extent_id).is_none_or(ExtentQueue::is_settled)
     }
 
-    /// Whether all of a volume (`None`: of all volumes) up to a number is over.
-    pub fn is_over(&self, volume: Option<u64>, up_to: Seq) -> bool {
-        self.of_volumes(volume, |order| order.is_over(up_to))
+    /// Returns whether all items of a volume (`None`: of all volumes) up to `up_to` are complete.
+    pub fn is_complete(&self, volume: Option<u64>, up_to: Seq) -> bool {
+        self.of_volumes(volume, |order| order.is_complete(up_to))
     }
 
-    /// Whether every buffered write of a volume (`None`: of all volumes) up to a number is durable here.
+    /// Returns whether all buffered writes of a volume (`None`: of all volumes) up to `up_to` are durable in
+    /// the log.
     pub fn is_durable(&self, volume: Option<u64>, up_to: Seq) -> bool {
         let is_durable = |seq: &Seq| match self.items.get(seq) {
             Some(Item::Write(write)) => write.stage != Stage::Logging,
-            // Passed through: its client hears of it from the node.
+            // A passed-through request is answered by the node.
             Some(_) | None => true,
         };
         self.of_volumes(volume, |order| order.open.range(..=up_to).all(is_durable))
@@ -172,7 +174,7 @@
         self.items.insert(seq, Item::Write(write));
     }
 
-    /// Adds a request that is not buffered. Returns whether it may be released at once.
+    /// Adds an unbuffered request. Returns whether it may be released immediately.
     pub fn add_pass_through(&mut self, seq: Seq, request: PassThrough, now: Micros) -> bool {
         let PassThrough { volume, extent_id, .. } = request;
         self.volumes.entry(volume).or_default().open.insert(seq);
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Adds a barrier. Returns false, and adds nothing, if nothing of the volume is open before it.
+    /// Adds a barrier. Returns false, and adds nothing, if the volume has no incomplete items.
     pub fn add_barrier(&mut self, seq: Seq, volume: u64) -> bool {
         let Some(order) = self.volumes.get_mut(&volume).filter(|order| !order.open.is_empty()) else {
             return false;
@@ -198,20 +200,20 @@
         true
     }
 
-    /// An unpassed barrier of the volume lies before it.
+    /// Returns whether an item lies after a barrier of the volume that has not been passed.
     fn is_fenced(&self, seq: Seq, volume: u64) -> bool {
         self.volumes.get(&volume).is_some_and(|order| order.is_fenced(seq))
     }
 
-    /// What the first item of an extent may do.
+    /// Returns the next step for the first item of an extent.
     pub fn next_step(&self, extent_id: ExtentId, now: Micros) -> NextStep {
         let Some(queue) = self.extents.get(&extent_id) else { return NextStep::Blocked };
         let Some(seq) = queue.items.front().copied() else { return NextStep::Blocked };
         if queue.is_in_flight || self.is_fenced(seq, extent_id.volume) {
             return NextStep::Blocked;
         }
-        // Guards against a replay that overwrites newer data with older, and against a node that drops as a
-        // repeat what such a replay has just overwritten: the log must know first that all before is done.
+        // All earlier completions must be durable first. Otherwise a replay could overwrite newer data with
+        // older data, and the node would then drop the newer write as a duplicate when it is sent again.
         if !queue.unrecorded.is_empty() {
             return NextStep::Blocked;
         }
@@ -226,13 +228,13 @@
         if not_before > now { NextStep::WaitUntil(not_before) } else { step }
     }
 
-    /// What is queued for an extent waits for the log to record what is done there.
+    /// Returns whether queued items of an extent wait until earlier completions are durable in the log.
     pub fn waits_for_log(&self, extent_id: ExtentId) -> bool {
         let waits = |queue: &ExtentQueue| !queue.unrecorded.is_empty() && !queue.items.is_empty();
         self.extents.get(&extent_id).is_some_and(waits)
     }
 
-    /// Releases a request to its node. Returns the core's name for it.
+    /// Releases a request to its node. Returns its handle.
     pub fn release_pass_through(&mut self, seq: Seq) -> Option<WriteHandle> {
         self.waiting.remove(&seq);
         let Some(Item::PassThrough(request)) = self.items.get_mut(&seq) else { return None };
@@ -243,8 +245,8 @@
         Some(request.handle)
     }
 
-    /// A write was confirmed or a pass-through is over. Nothing of its extent is sent before `not_before`: an
-    /// attempt of it may still run.
+    /// Completes a confirmed write or an ended pass-through. Nothing is sent to its extent before
+    /// `not_before`, because an attempt may still run.
     pub fn finish(&mut self, seq: Seq, not_before: Micros) -> Unblocked {
         let mut unblocked = Unblocked::default();
         self.waiting.remove(&seq);
@@ -305,14 +307,14 @@
         }
     }
 
-    /// The log knows that a write is done.
+    /// Handles the completion record of a write that became durable.
     pub fn completion_recorded(&mut self, seq: Seq, extent_id: ExtentId) {
         if let Some(queue) = self.extents.get_mut(&extent_id) {
             queue.unrecorded.remove(&seq);
         }
     }
 
-    /// Drops an extent's queue if it is empty. If it only has a cooldown left: until when.
+    /// Removes the queue of an extent if it is empty. If only a cooldown is left, returns its end instead.
     pub fn drop_if_empty(&mut self, extent_id: ExtentId, now: Micros) -> Option<Micros> {
         let queue = self.extents.get(&extent_id).filter(|queue| queue.is_empty())?;
         if queue.not_before > now {
--- a/crates/flaxstand-write-back/src/order/reads.rs
+++ b/crates/flaxstand-write-back/src/order/reads.rs
@@ -1,30 +1,30 @@
-//! Reads of an extent see the durable writes that are buffered for it.
+//! Reads of an extent, which see its durable buffered writes.
 
 use super::Order;
 use super::extent_queue::ExtentQueue;
 use super::item::Stage;
-use crate::image::{lay, whole};
+use crate::merge::{apply_write, complete_extent};
 use crate::record::{ExtentId, Seq, Write};
 use crate::request::WriteHandle;
 
-/// What a read of an extent finds.
+/// Result of a read of an extent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
-    /// Nothing.
-    Nothing,
-    /// Parts of it.
+pub enum ExtentRead {
+    /// No durable buffered writes.
+    Miss,
+    /// Buffered writes determine parts of the extent.
     Partial,
-    /// All of it.
+    /// Buffered writes determine the complete extent.
     Complete {
-        /// Shard that will hold it.
+        /// Shard that will hold the extent.
         shard: u32,
-        /// Its data.
+        /// Data of the extent.
         data: Vec<u8>,
     },
 }
 
 impl Order {
-    /// Durable writes of an extent, in order.
+    /// Returns the durable writes of an extent, in order.
     fn durable_writes<'a>(
         &'a self,
         queue: &'a ExtentQueue,
@@ -35,30 +35,30 @@
         durable.filter_map(|seq| self.buffered_write(*seq)).map(|buffered| &buffered.write)
     }
 
-    /// What a read of an extent finds here. If it is partial, the read is remembered until
-    /// [`Order::read_ended`], and the node's answer goes to [`Order::overlay`].
-    pub fn read(&mut self, handle: WriteHandle, extent_id: ExtentId) -> Found {
-        let Some(queue) = self.extents.get(&extent_id) else { return Found::Nothing };
+    /// Reads an extent. A partial read is registered until [`Order::read_ended`]; the node's response is
+    /// passed to [`Order::overlay`].
+    pub fn read(&mut self, handle: WriteHandle, extent_id: ExtentId) -> ExtentRead {
+        let Some(queue) = self.extents.get(&extent_id) else { return ExtentRead::Miss };
         let durable = self.durable_writes(queue);
-        let Some(last) = durable.clone().next_back() else { return Found::Nothing };
-        if let Some(data) = whole(durable) {
-            return Found::Complete { shard: last.shard, data };
+        let Some(last) = durable.clone().next_back() else { return ExtentRead::Miss };
+        if let Some(data) = complete_extent(durable) {
+            return ExtentRead::Complete { shard: last.shard, data };
         }
         if let Some(queue) = self.extents.get_mut(&extent_id) {
             queue.add_reader(handle);
         }
-        Found::Partial
+        ExtentRead::Partial
     }
 
-    /// Overlays a node's answer with what was and is buffered.
+    /// Applies the writes that were or are buffered to a node's response.
     pub fn overlay(&self, extent_id: ExtentId, data: &mut Vec<u8>) {
         let Some(queue) = self.extents.get(&extent_id) else { return };
         for write in queue.kept_for_readers().chain(self.durable_writes(queue)) {
-            lay(data, write);
+            apply_write(data, write);
         }
     }
 
-    /// A read that found parts here is over.
+    /// Ends a partial read.
     pub fn read_ended(&mut self, handle: WriteHandle, extent_id: ExtentId) {
         if let Some(queue) = self.extents.get_mut(&extent_id) {
             queue.remove_reader(handle);
--- a/crates/flaxstand-write-back/src/order/sending.rs
+++ b/crates/flaxstand-write-back/src/order/sending.rs
@@ -1,16 +1,17 @@
-//! What is sent of an extent: its first buffered writes as one, or what may have been executed, as it was.
+//! Writes sent to nodes: the first buffered writes of an extent merged into one, or a write that may have
+//! been executed, unchanged.
 
 use super::Order;
 use super::extent_queue::{ExtentQueue, MergedWrite};
 use super::item::{BufferedWrite, Stage};
-use crate::image::merged;
+use crate::merge::merge_writes;
 use crate::record::{ExtentId, Seq};
 use flaxstand_proto::Micros;
 
 impl Order {
-    /// Takes the first writes of an extent as one: those that follow each other durable and may be merged.
-    /// What may have been executed is taken as it was. `is_keyed`: an idempotency key covers one write only,
-    /// so nothing is merged.
+    /// Takes the first writes of an extent, merged into one: the first write and the consecutive durable
+    /// writes that can be merged with it. A write that may have been executed is taken unchanged. `is_keyed`:
+    /// nothing is merged, because an idempotency key covers one write only.
     pub fn take_merged(&mut self, extent_id: ExtentId, is_keyed: bool) -> Option<MergedWrite> {
         let queue = self.extents.get(&extent_id)?;
         let merged = match &queue.may_have_run {
@@ -31,15 +32,16 @@
             if is_keyed || !can_join(&group, next) || self.is_fenced(*seq, extent_id.volume) {
                 break;
             }
-            let Some(write) = merged(&group.write, &next.write) else { break };
+            let Some(write) = merge_writes(&group.write, &next.write) else { break };
             group.extend(*seq, write);
         }
         Some(group)
     }
 
-    /// After a start: what may be in flight of an extent since an earlier process is sent first, as it was sent
-    /// then. Returns its first write. It is all up to the last write that was recorded as started: one that
-    /// was known not to have been executed was recorded again only as part of a longer merged write.
+    /// After a restart: reconstructs the merged write of an extent that an earlier process may have sent, so
+    /// that it is sent again unchanged before anything else. Returns its first write. It comprises all writes
+    /// up to the last one recorded as started: after an attempt that was known not to have been executed, a
+    /// further start is recorded only as part of a longer merged write.
     pub fn restore_in_flight(&mut self, extent_id: ExtentId) -> Option<Seq> {
         let queue = self.extents.get(&extent_id)?;
         let is_started = |seq: &&Seq| self.buffered_write(**seq).is_some_and(|w| w.started.is_some());
@@ -48,22 +50,22 @@
         let first = *started.next()?;
         let mut group = MergedWrite::of(first, self.buffered_write(first)?.write.clone());
         for seq in started {
-            let write = merged(&group.write, &self.buffered_write(*seq)?.write)?;
+            let write = merge_writes(&group.write, &self.buffered_write(*seq)?.write)?;
             group.extend(*seq, write);
         }
         self.extents.get_mut(&extent_id)?.may_have_run = Some(group);
         Some(first)
     }
 
-    /// What was in flight of an extent is over without being confirmed. If it may have been executed it is
-    /// sent again as it was. Nothing of the extent is sent before `not_before`.
+    /// Returns an unconfirmed write that was in flight to its queue. If it may have been executed, it is sent
+    /// again unchanged. Nothing is sent to the extent before `not_before`.
     pub fn return_unconfirmed(&mut self, merged: MergedWrite, may_have_run: bool, not_before: Micros) {
         if let Some(queue) = self.extents.get_mut(&merged.extent_id()) {
             queue.return_unconfirmed(merged, may_have_run, not_before);
         }
     }
 
-    /// A write waits for an operator's decision from now on.
+    /// Parks a write until an operator's decision.
     pub fn park(&mut self, seq: Seq) {
         let Some(write) = self.buffered_write_mut(seq) else { return };
         write.stage = Stage::Parked;
--- a/crates/flaxstand-write-back/src/pressure.rs
+++ b/crates/flaxstand-write-back/src/pressure.rs
@@ -1,30 +1,31 @@
-//! What becomes of a new write as space runs out: buffered, acknowledged late, passed through, rejected.
+//! Admission of new writes as space runs out: they are buffered, acknowledged late, passed through or
+//! rejected.
 
 use flaxstand_proto::Micros;
 
-/// Part of the space up to which writes are acknowledged as fast as the disk is.
+/// Fill level from which acknowledgements are delayed. Below it they follow as soon as the write is durable.
 const ACK_DELAY_FROM: f64 = 0.5;
-/// Part of the space from which writes are passed through.
+/// Fill level from which writes are passed through.
 const PASS_THROUGH_FROM: f64 = 0.8;
 
-/// Space that is used, and its limits. Bytes.
+/// Used space and its limits, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Space {
     /// Used by all buffered writes.
     pub used: u64,
-    /// Most that may be.
+    /// Limit of `used`.
     pub limit: u64,
-    /// Used by buffered writes of the new write's volume.
+    /// Used by the buffered writes of the new write's volume.
     pub volume_used: u64,
-    /// Most that may be.
+    /// Limit of `volume_used`.
     pub volume_limit: u64,
 }
 
 impl Space {
-    /// Part that is used, of the fuller of the two limits: 0 to 1, and above.
+    /// Returns the used fraction of the limit that is closer to exhaustion; may exceed 1.
     pub fn fill(&self) -> f64 {
-        let part = |used: u64, limit: u64| used as f64 / limit.max(1) as f64;
-        part(self.used, self.limit).max(part(self.volume_used, self.volume_limit))
+        let fraction = |used: u64, limit: u64| used as f64 / limit.max(1) as f64;
+        fraction(self.used, self.limit).max(fraction(self.volume_used, self.volume_limit))
     }
 
     fn fits(&self, cost: u64) -> bool {
@@ -32,48 +33,49 @@
     }
 }
 
-/// What the decision on a new write depends on.
+/// Inputs of the admission decision on a new write.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionInputs {
-    /// Space before it.
+    /// Space used before the write.
     pub space: Space,
-    /// Bytes that it takes.
+    /// Bytes that the write needs.
     pub cost: u64,
-    /// Earlier writes of its extent are still here, so that it could not be passed through now.
+    /// Whether earlier writes of the extent are pending, so that the write can't be passed through
+    /// immediately.
     pub is_blocked: bool,
-    /// The log takes records.
+    /// Whether the log takes records.
     pub is_log_writable: bool,
-    /// Longest delay of an acknowledgement.
+    /// Maximum delay of an acknowledgement.
     pub max_ack_delay: Micros,
 }
 
-/// What becomes of a write that may be buffered.
+/// Admission decision on a write that may be buffered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is buffered.
+    /// Buffer the write.
     Buffer {
-        /// It is acknowledged no earlier than this after its arrival.
+        /// Minimum time from arrival to acknowledgement.
         ack_delay: Micros,
     },
-    /// It is passed through to its node.
+    /// Pass the write through to its node.
     PassThrough,
-    /// It is rejected.
+    /// Reject the write.
     Reject,
 }
 
-/// Decides on a new write. From half full on acknowledgements are delayed ever more, so that writers slow down;
-/// from 80 % on writes are passed through, and are buffered as long as they fit where they can't be.
+/// Decides on a new write. From 50 % fill on, acknowledgements are increasingly delayed to slow writers down.
+/// From 80 % on, writes are passed through; those that can't be are buffered as long as they fit.
 pub fn admit(inputs: AdmissionInputs) -> Admission {
     let AdmissionInputs { space, cost, is_blocked, is_log_writable, max_ack_delay } = inputs;
     let can_buffer = is_log_writable && space.fits(cost);
     let fill = space.fill();
     if can_buffer && fill < PASS_THROUGH_FROM {
-        let part = ((fill - ACK_DELAY_FROM) / (PASS_THROUGH_FROM - ACK_DELAY_FROM)).max(0.0);
-        return Admission::Buffer { ack_delay: Micros((max_ack_delay.0 as f64 * part) as u64) };
+        let fraction = ((fill - ACK_DELAY_FROM) / (PASS_THROUGH_FROM - ACK_DELAY_FROM)).max(0.0);
+        return Admission::Buffer { ack_delay: Micros((max_ack_delay.0 as f64 * fraction) as u64) };
     }
     if !is_blocked {
         return Admission::PassThrough;
     }
-    // Passed through, it would have to wait for what is before it: the space that is left serves it better.
+    // A pass-through would have to wait for the earlier writes of the extent, so the remaining space is used.
     if can_buffer { Admission::Buffer { ack_delay: max_ack_delay } } else { Admission::Reject }
 }
--- a/crates/flaxstand-write-back/src/record.rs
+++ b/crates/flaxstand-write-back/src/record.rs
@@ -1,31 +1,33 @@
-//! The log's bytes. A segment is a header, then batches; a batch is written and synced as one.
+//! Binary format of the log. A segment is a header followed by batches; a batch is written and synced as a
+//! unit.
 //!
-//! Header, 40 bytes: `FLXB`, version `u16`, zero `u16`, number `u64`, number and valid length of the segment
-//! before it `u64` `u64` (both 0: none), zero `u32`, crc32c of all before it `u32`. What lies beyond that length in that segment,
-//! and every segment between the two, was never durable and counts for nothing.
+//! Header, 40 bytes: `FLXB`, version `u16`, zero `u16`, number `u64`, number and valid length of the previous
+//! segment `u64` `u64` (both 0: none), zero `u32`, crc32c of all preceding bytes `u32`. Bytes of the previous
+//! segment beyond its valid length, and all segments numbered between the two, were never durable and are
+//! ignored.
 //!
-//! Batch: `BTCH`, length of its body `u32`, number `u64`, crc32c of length, number and body `u32`, body: records.
-//! A batch is written only once all before it are durable. So a bad batch with a good one of a higher number
-//! after it is damage; without one it is the torn end of what was never synced.
+//! Batch: `BTCH`, length of its body `u32`, number `u64`, crc32c of length, number and body `u32`, body:
+//! records. A batch is written only after all earlier ones are durable. An invalid batch that is followed by
+//! a valid one of a higher number is therefore damaged; otherwise it is the torn end of an unsynced write.
 
 use flaxstand_proto::Micros;
 
-/// Oldest version of the log that this build reads.
+/// Oldest format version that this build reads.
 pub const OLDEST_VERSION: u16 = 1;
-/// Version that it writes.
+/// Format version that this build writes.
 pub const VERSION: u16 = 1;
-/// Bytes of a segment's header.
+/// Length of a segment header in bytes.
 pub const HEADER_BYTES: usize = 40;
-/// Bytes of a batch before its body.
+/// Length of a batch header in bytes.
 pub const BATCH_HEADER_BYTES: usize = 20;
-/// Longest body of a batch, bytes.
+/// Maximum length of a batch body in bytes.
 pub const MAX_BATCH_BODY_BYTES: usize = 64 << 20;
 const SEGMENT_MAGIC: &[u8; 4] = b"FLXB";
 const BATCH_MAGIC: &[u8; 4] = b"BTCH";
-/// Bytes that a write takes in the buffer beside its data.
+/// Bytes that a write is counted in addition to its data.
 const WRITE_OVERHEAD_BYTES: u64 = 256;
 
-/// First byte of a record: its kind.
+/// Record kinds, encoded as the first byte of a record.
 mod tag {
     pub(super) const WRITE: u8 = 1;
     pub(super) const BARRIER: u8 = 2;
@@ -34,104 +36,104 @@
     pub(super) const DONE: u8 = 5;
 }
 
-/// Number of a write or barrier in the order in which an initiator accepted them. From 1.
+/// Sequence number of a write or barrier, in the order of acceptance by the initiator. Starts at 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Seq(pub u64);
 
-/// Where data lies: an extent of a volume.
+/// Identifies an extent of a volume.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ExtentId {
-    /// The volume.
+    /// Volume number.
     pub volume: u64,
-    /// The extent.
+    /// Extent number within the volume.
     pub extent: u64,
 }
 
-/// A write, as its client asked for it.
+/// A write, as submitted by a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// Where to.
+    /// Extent to write to.
     pub extent_id: ExtentId,
-    /// Index of its class.
+    /// Index of the class.
     pub class: u16,
-    /// Index of its volume's plan.
+    /// Index of the volume's plan.
     pub plan: u16,
-    /// Initiators that share the volume.
+    /// Number of initiators that share the volume.
     pub volume_initiators: u16,
-    /// The shard that holds the extent.
+    /// Shard that holds the extent.
     pub shard: u32,
-    /// Units it counts.
+    /// Number of units charged for the write.
     pub units: u32,
-    /// Its key: nodes drop repeats of it.
+    /// Idempotency key: nodes drop duplicates by it.
     pub operation: u64,
-    /// The byte of the extent at which it begins; none: it replaces the whole extent.
+    /// Byte offset in the extent; `None` if the write replaces the whole extent.
     pub at: Option<u32>,
-    /// The data.
+    /// Data to write.
     pub payload: Vec<u8>,
 }
 
 impl Write {
-    /// What it counts against limits: its data and a fixed overhead, bytes.
+    /// Returns the bytes counted against the limits: the data and a fixed overhead.
     pub fn cost(&self) -> u64 {
         self.payload.len() as u64 + WRITE_OVERHEAD_BYTES
     }
 }
 
-/// A moment of the host's calendar, microseconds since 1970. It outlives a restart; it may be set back.
+/// Wall-clock time of the host, microseconds since 1970. Valid across restarts, but may be set back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WallClock(pub u64);
 
 impl WallClock {
-    /// Time since `earlier`; none if the calendar says that is later.
+    /// Returns the time since `earlier`; `None` if `earlier` is later than `self`.
     pub fn since(self, earlier: WallClock) -> Option<Micros> {
         self.0.checked_sub(earlier.0).map(Micros)
     }
 }
 
-/// One fact that must outlive the process.
+/// Record of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// A write was accepted.
     Write {
-        /// Its number.
+        /// Sequence number of the write.
         seq: Seq,
-        /// When it was accepted.
+        /// Time of acceptance.
         accepted: WallClock,
-        /// When its first attempt may have been executed, if one may.
+        /// Earliest time at which an attempt may have been executed, if any was started.
         started: Option<WallClock>,
-        /// It waits for an operator.
+        /// Whether the write waits for an operator's decision.
         parked: bool,
         /// The write.
         write: Write,
     },
-    /// A barrier was accepted: nothing of the volume after it is sent before all that is before it is done.
+    /// A barrier was accepted: later items of the volume are not sent before all earlier ones are complete.
     Barrier {
-        /// Its number.
+        /// Sequence number of the barrier.
         seq: Seq,
-        /// The volume.
+        /// Volume of the barrier.
         volume: u64,
     },
-    /// An attempt of this write may be executed from now on.
+    /// From now on an attempt of the write may be executed.
     Started {
-        /// The write.
+        /// Sequence number of the write.
         seq: Seq,
-        /// When.
+        /// Time of the start.
         at: WallClock,
     },
-    /// It may have been executed and must not be repeated: an operator decides.
+    /// The write may have been executed and must not be retried: an operator decides.
     Parked {
-        /// The write.
+        /// Sequence number of the write.
         seq: Seq,
     },
-    /// The write is on its node, or the barrier has been passed.
+    /// The write was confirmed by its node, or the barrier was passed.
     Done {
-        /// Which.
+        /// Sequence number of the write or barrier.
         seq: Seq,
     },
 }
 
 impl Record {
-    /// The write or barrier that it is about.
+    /// Returns the sequence number of the write or barrier.
     pub fn seq(&self) -> Seq {
         match self {
             Record::Write { seq, .. }
@@ -142,28 +144,28 @@
         }
     }
 
-    /// Appends its bytes.
+    /// Appends the encoded record to `out`.
     pub fn encode(&self, out: &mut Vec<u8>) {
         match self {
             Record::Write { seq, accepted, started, parked, write } => {
-                put_head(tag::WRITE, *seq, out);
+                put_record_header(tag::WRITE, *seq, out);
                 put_acceptance(*accepted, *started, *parked, out);
                 put_write(write, out);
             }
             Record::Barrier { seq, volume } => {
-                put_head(tag::BARRIER, *seq, out);
+                put_record_header(tag::BARRIER, *seq, out);
                 out.extend_from_slice(&volume.to_le_bytes());
             }
             Record::Started { seq, at } => {
-                put_head(tag::STARTED, *seq, out);
+                put_record_header(tag::STARTED, *seq, out);
                 out.extend_from_slice(&at.0.to_le_bytes());
             }
-            Record::Parked { seq } => put_head(tag::PARKED, *seq, out),
-            Record::Done { seq } => put_head(tag::DONE, *seq, out),
+            Record::Parked { seq } => put_record_header(tag::PARKED, *seq, out),
+            Record::Done { seq } => put_record_header(tag::DONE, *seq, out),
         }
     }
 
-    fn decode(bytes: &mut Bytes<'_>) -> Option<Record> {
+    fn decode(bytes: &mut Reader<'_>) -> Option<Record> {
         let kind = bytes.u8()?;
         let seq = Seq(bytes.u64()?);
         Some(match kind {
@@ -183,19 +185,19 @@
     }
 }
 
-/// Appends the bytes of a [`Record::Write`] of a write that is neither started nor parked.
+/// Appends the encoded [`Record::Write`] of a write that is neither started nor parked.
 pub fn encode_new_write(seq: Seq, accepted: WallClock, write: &Write, out: &mut Vec<u8>) {
-    put_head(tag::WRITE, seq, out);
+    put_record_header(tag::WRITE, seq, out);
     put_acceptance(accepted, None, false, out);
     put_write(write, out);
 }
 
-fn put_head(kind: u8, seq: Seq, out: &mut Vec<u8>) {
+fn put_record_header(kind: u8, seq: Seq, out: &mut Vec<u8>) {
     out.push(kind);
     out.extend_from_slice(&seq.0.to_le_bytes());
 }
 
-/// A start of 0 stands for none.
+/// Encodes `started: None` as 0.
 fn put_acceptance(accepted: WallClock, started: Option<WallClock>, parked: bool, out: &mut Vec<u8>) {
     out.extend_from_slice(&accepted.0.to_le_bytes());
     out.extend_from_slice(&started.map_or(0, |started| started.0.max(1)).to_le_bytes());
@@ -217,7 +219,7 @@
     out.extend_from_slice(&write.payload);
 }
 
-fn take_write(bytes: &mut Bytes<'_>) -> Option<Write> {
+fn take_write(bytes: &mut Reader<'_>) -> Option<Write> {
     Some(Write {
         extent_id: ExtentId { volume: bytes.u64()?, extent: bytes.u64()? },
         class: bytes.u16()?,
@@ -231,22 +233,22 @@
     })
 }
 
-/// A flag whether the offset is there, and the offset. The outer `None`: the bytes end too early.
-fn take_offset(bytes: &mut Bytes<'_>) -> Option<Option<u32>> {
-    let is_there = bytes.u8()? != 0;
+/// Reads a presence flag and the offset. The outer `None` means that the input is too short.
+fn take_offset(bytes: &mut Reader<'_>) -> Option<Option<u32>> {
+    let is_present = bytes.u8()? != 0;
     let at = bytes.u32()?;
-    Some(is_there.then_some(at))
+    Some(is_present.then_some(at))
 }
 
-fn take_payload(bytes: &mut Bytes<'_>) -> Option<Vec<u8>> {
+fn take_payload(bytes: &mut Reader<'_>) -> Option<Vec<u8>> {
     let length = bytes.u32()?;
     Some(bytes.take(length as usize)?.to_vec())
 }
 
-/// Bytes that are still to be read. Each reader returns `None` where they end too early.
-struct Bytes<'a>(&'a [u8]);
+/// Remaining input. Each read returns `None` if the input is too short.
+struct Reader<'a>(&'a [u8]);
 
-macro_rules! number {
+macro_rules! integer_reader {
     ($name:ident, $type:ty) => {
         fn $name(&mut self) -> Option<$type> {
             let (head, tail) = self.0.split_first_chunk()?;
@@ -256,11 +258,11 @@
     };
 }
 
-impl<'a> Bytes<'a> {
-    number!(u8, u8);
-    number!(u16, u16);
-    number!(u32, u32);
-    number!(u64, u64);
+impl<'a> Reader<'a> {
+    integer_reader!(u8, u8);
+    integer_reader!(u16, u16);
+    integer_reader!(u32, u32);
+    integer_reader!(u64, u64);
 
     fn take(&mut self, len: usize) -> Option<&'a [u8]> {
         let (head, tail) = self.0.split_at_checked(len)?;
@@ -269,34 +271,34 @@
     }
 }
 
-/// A segment and how much of it counts.
+/// A segment with its valid length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentEnd {
-    /// The segment's number.
+    /// Segment number.
     pub number: u64,
-    /// Its valid length, bytes.
+    /// Valid length in bytes.
     pub length: u64,
 }
 
-/// A segment's header.
+/// Segment header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Version of the segment's format.
+    /// Format version of the segment.
     pub version: u16,
-    /// The segment's number, from 1.
+    /// Segment number, starting at 1.
     pub number: u64,
-    /// The segment before it; `None`: it is the first.
-    pub before: Option<SegmentEnd>,
+    /// Previous segment; `None` for the first one.
+    pub previous: Option<SegmentEnd>,
 }
 
 impl Header {
-    /// Its bytes.
+    /// Encodes the header.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = SEGMENT_MAGIC.to_vec();
         out.extend_from_slice(&self.version.to_le_bytes());
         out.extend_from_slice(&[0; 2]);
-        let before = self.before.unwrap_or(SegmentEnd { number: 0, length: 0 });
-        for value in [self.number, before.number, before.length] {
+        let previous = self.previous.unwrap_or(SegmentEnd { number: 0, length: 0 });
+        for value in [self.number, previous.number, previous.length] {
             out.extend_from_slice(&value.to_le_bytes());
         }
         out.extend_from_slice(&[0; 4]);
@@ -305,22 +307,22 @@
         out
     }
 
-    /// From the first bytes of a segment. `None`: they are no sound header.
+    /// Decodes the header at the start of a segment. Returns `None` if it is invalid.
     pub fn decode(bytes: &[u8]) -> Option<Header> {
         let head: &[u8; HEADER_BYTES] = bytes.first_chunk()?;
-        let mut bytes = Bytes(&head[..]);
+        let mut bytes = Reader(&head[..]);
         let is_magic = bytes.take(SEGMENT_MAGIC.len())? == SEGMENT_MAGIC;
         let version = bytes.u16()?;
         bytes.u16()?;
         let number = bytes.u64()?;
-        let before = SegmentEnd { number: bytes.u64()?, length: bytes.u64()? };
+        let previous = SegmentEnd { number: bytes.u64()?, length: bytes.u64()? };
         bytes.u32()?;
-        let is_sound = is_magic && bytes.u32()? == crc32c::crc32c(&head[..HEADER_BYTES - 4]);
-        is_sound.then_some(Header { version, number, before: (before.number > 0).then_some(before) })
+        let is_valid = is_magic && bytes.u32()? == crc32c::crc32c(&head[..HEADER_BYTES - 4]);
+        is_valid.then_some(Header { version, number, previous: (previous.number > 0).then_some(previous) })
     }
 }
 
-/// The bytes of a batch with these records.
+/// Encodes a batch. `body`: the encoded records.
 pub fn encode_batch(number: u64, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(BATCH_HEADER_BYTES + body.len());
     out.extend_from_slice(BATCH_MAGIC);
@@ -332,25 +334,25 @@
     out
 }
 
-/// Checksum of a batch. `head`: its length and number.
-fn batch_crc(head: &[u8], body: &[u8]) -> u32 {
-    crc32c::crc32c_append(crc32c::crc32c(head), body)
+/// Computes the checksum of a batch. `prefix`: its encoded length and number.
+fn batch_crc(prefix: &[u8], body: &[u8]) -> u32 {
+    crc32c::crc32c_append(crc32c::crc32c(prefix), body)
 }
 
-/// A batch that was read.
+/// A decoded batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecodedBatch {
-    /// Its number.
+    /// Batch number.
     pub number: u64,
-    /// Its records, in order.
+    /// Records in order.
     pub records: Vec<Record>,
-    /// Its length with its header, bytes.
+    /// Length in bytes, including the header.
     pub length: usize,
 }
 
-/// Reads the batch that begins with these bytes. `None`: no sound batch begins there.
+/// Decodes the batch at the start of `bytes`. Returns `None` if there is no valid batch.
 pub fn decode_batch(bytes: &[u8]) -> Option<DecodedBatch> {
-    let mut rest = Bytes(bytes);
+    let mut rest = Reader(bytes);
     if rest.take(BATCH_MAGIC.len())? != BATCH_MAGIC {
         return None;
     }
@@ -361,7 +363,7 @@
     if batch_crc(&bytes[BATCH_MAGIC.len()..BATCH_HEADER_BYTES - 4], body) != crc {
         return None;
     }
-    let mut body = Bytes(body);
+    let mut body = Reader(body);
     let mut records = Vec::new();
     while !body.0.is_empty() {
         records.push(Record::decode(&mut body)?);
@@ -369,7 +371,7 @@
     Some(DecodedBatch { number, records, length: BATCH_HEADER_BYTES + length })
 }
 
-/// Offset of the first sound batch at or after `from`.
+/// Returns the offset of the first valid batch at or after `from`.
 pub fn next_batch(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(found) = bytes.get(at..)?.windows(BATCH_MAGIC.len()).position(|w| w == BATCH_MAGIC) {
--- a/crates/flaxstand-write-back/src/recover.rs
+++ b/crates/flaxstand-write-back/src/recover.rs
@@ -1,4 +1,5 @@
-//! Reading a log back. Nothing is written: the next process's first segment says where the last one's ends.
+//! Recovery of a log. Recovery itself writes nothing: the first segment of the new process states the valid
+//! length of the last segment.
 
 use crate::log::{DurableLog, Log};
 use crate::record::{
@@ -10,108 +11,110 @@
 use std::io;
 use thiserror::Error;
 
-/// Why a log can't be used. Nothing of it was touched.
+/// Failure to recover a log. The log is unchanged.
 #[derive(Debug, Error)]
 pub enum RecoverError {
-    /// The system reports a failure.
-    #[error("the log can't be read: {0}")]
+    /// Reading or writing the storage failed.
+    #[error("write-back log I/O failed: {0}")]
     Io(#[from] io::Error),
-    /// A later build wrote it.
+    /// A later build wrote the segment.
     #[error("segment {segment:016x} has version {version}, this build reads {OLDEST_VERSION} to {VERSION}")]
-    Newer {
-        /// The segment's number.
+    UnsupportedVersion {
+        /// Number of the segment.
         segment: u64,
-        /// Its version.
+        /// Format version of the segment.
         version: u16,
     },
-    /// What once was durable is not there as it was written.
-    #[error("segment {segment:016x} is damaged at byte {at}: {how}")]
+    /// Durable data is missing or invalid.
+    #[error("segment {segment:016x} is damaged at byte {at}: {reason}")]
     Damaged {
-        /// The segment's number.
+        /// Number of the segment.
         segment: u64,
         /// Offset of the damage.
         at: u64,
-        /// What is wrong.
-        how: &'static str,
+        /// Description of the damage.
+        reason: &'static str,
     },
 }
 
-/// A write that is not known to be on its node.
+/// A write whose completion is not recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LiveWrite {
-    /// When it was accepted.
+    /// Time of acceptance.
     pub accepted: WallClock,
-    /// When its first attempt may have been executed, where that is recorded.
+    /// Earliest time at which an attempt may have been executed, if a start is recorded.
     pub started: Option<WallClock>,
-    /// It waits for an operator.
+    /// Whether the write waits for an operator's decision.
     pub parked: bool,
     /// The write.
     pub write: Write,
 }
 
-/// What lives in a log.
+/// A write or barrier whose completion is not recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LiveRecord {
-    /// A write that is not known to be on its node.
+    /// A write.
     Write(LiveWrite),
-    /// A barrier that is not known to have been passed.
+    /// A barrier.
     Barrier {
-        /// Its volume.
+        /// Volume of the barrier.
         volume: u64,
     },
 }
 
-/// A log that was read back.
+/// A recovered log.
 #[derive(Debug)]
 pub struct Recovered {
-    /// The log, ready to go on.
+    /// The log, ready for new records.
     pub log: Log,
-    /// What lives in it, in order.
+    /// Live writes and barriers in order.
     pub live: BTreeMap<Seq, LiveRecord>,
-    /// The highest number given to anything in it.
+    /// Highest sequence number in the log.
     pub last: Seq,
     /// Segments with their valid lengths, oldest first.
     pub segments: Vec<SegmentEnd>,
-    /// Records read.
+    /// Number of records read.
     pub records: u64,
-    /// Bytes at the end that were never synced, and are cut off.
-    pub torn: u64,
+    /// Number of unsynced bytes at the end, which are discarded.
+    pub torn_bytes: u64,
 }
 
-fn damaged(segment: u64, at: usize, how: &'static str) -> RecoverError {
-    RecoverError::Damaged { segment, at: at as u64, how }
+fn damaged(segment: u64, at: usize, reason: &'static str) -> RecoverError {
+    RecoverError::Damaged { segment, at: at as u64, reason }
 }
 
-/// A segment whose header is sound.
+/// A segment with a valid header.
 struct Segment {
     number: u64,
-    /// Valid length as the next segment's header says it; `None` of the newest.
+    /// Valid length according to the next segment's header; `None` for the newest segment.
     valid_length: Option<u64>,
     bytes: Vec<u8>,
 }
 
 impl Segment {
-    /// Its valid bytes.
+    /// Returns the valid bytes.
     fn valid(&self) -> Result<&[u8], RecoverError> {
         let end = self.valid_length.map_or(self.bytes.len(), |length| length as usize);
-        let too_short = || damaged(self.number, self.bytes.len(), "it is shorter than it was");
+        let too_short = || {
+            damaged(self.number, self.bytes.len(), "it is shorter than the valid length in the next header")
+        };
         self.bytes.get(..end).ok_or_else(too_short)
     }
 
-    /// Reads its batches into `state`. Returns the offset where they end.
+    /// Applies the batches to `state`. Returns the offset of their end.
     fn replay(&self, state: &mut ReplayState) -> Result<usize, RecoverError> {
         let bytes = self.valid()?;
         let mut at = HEADER_BYTES;
         while at < bytes.len() {
             let Some(batch) = decode_batch(&bytes[at..]) else {
                 if self.valid_length.is_some() || next_batch(bytes, at + 1).is_some() {
-                    let how = "a batch is not sound, though later ones are durable";
-                    return Err(damaged(self.number, at, how));
+                    let reason = "a batch is invalid although later ones are durable";
+                    return Err(damaged(self.number, at, reason));
                 }
                 break;
             };
             if batch.number <= state.last_batch {
-                return Err(damaged(self.number, at, "a batch is out of turn"));
+                return Err(damaged(self.number, at, "the batch number is not higher than the previous one"));
             }
             state.last_batch = batch.number;
             batch.records.into_iter().for_each(|record| state.apply(record, self.number));
@@ -121,82 +124,83 @@
     }
 }
 
-/// What the headers say, followed from the newest segment back.
+/// Chain of segments, followed by their headers from the newest one back.
 #[derive(Default)]
 struct Headers {
-    /// Segments from the oldest, each named by the next one's header.
+    /// Segments, oldest first; each is referenced by the next one's header.
     chain: Vec<Segment>,
-    /// Segments that count for nothing.
-    void: Vec<u64>,
-    /// Bytes of a newest segment that was never durable.
-    torn: u64,
+    /// Segments without valid content.
+    abandoned: Vec<u64>,
+    /// Bytes of newest segments without a durable header.
+    torn_bytes: u64,
 }
 
 fn read_headers(storage: &mut dyn Storage, numbers: &[u64]) -> Result<Headers, RecoverError> {
     let mut headers = Headers::default();
-    let mut wanted: Option<SegmentEnd> = None;
+    let mut expected: Option<SegmentEnd> = None;
     for &number in numbers.iter().rev() {
-        // What a segment does not name as the one before it was given up before it was durable.
-        let wanted_number = wanted.map_or(0, |wanted| wanted.number);
-        if !headers.chain.is_empty() && number > wanted_number {
-            headers.void.push(number);
+        // A segment skipped by the chain of headers was abandoned before it was durable.
+        let expected_number = expected.map_or(0, |expected| expected.number);
+        if !headers.chain.is_empty() && number > expected_number {
+            headers.abandoned.push(number);
             continue;
         }
-        if number < wanted_number {
-            return Err(damaged(wanted_number, 0, "it is missing, though an older one is there"));
+        if number < expected_number {
+            return Err(damaged(expected_number, 0, "it is missing although an older one exists"));
         }
         let bytes = storage.read(number)?;
         let Some(header) = Header::decode(&bytes).filter(|header| header.number == number) else {
             let body = bytes.len().min(HEADER_BYTES);
             if headers.chain.is_empty() && next_batch(&bytes, body).is_none() {
-                // The process died, or power was lost, before its header was durable.
-                headers.torn += bytes.len() as u64;
-                headers.void.push(number);
+                // The process crashed or power was lost before the header was durable.
+                headers.torn_bytes += bytes.len() as u64;
+                headers.abandoned.push(number);
                 continue;
             }
-            return Err(damaged(number, 0, "its header is not sound"));
+            return Err(damaged(number, 0, "its header is invalid"));
         };
         if !(OLDEST_VERSION..=VERSION).contains(&header.version) {
-            return Err(RecoverError::Newer { segment: number, version: header.version });
+            return Err(RecoverError::UnsupportedVersion { segment: number, version: header.version });
         }
-        headers.chain.push(Segment { number, valid_length: wanted.map(|wanted| wanted.length), bytes });
-        wanted = header.before;
+        headers.chain.push(Segment { number, valid_length: expected.map(|expected| expected.length), bytes });
+        expected = header.previous;
     }
     headers.chain.reverse();
     Ok(headers)
 }
 
-/// Reads a log back.
+/// Recovers a log.
 ///
 /// # Errors
-/// It can't be read, is of a newer version, or is damaged where it was durable. Nothing of it is changed.
+/// If the log can't be read, has an unsupported version, or is damaged in its durable part. The log is
+/// unchanged.
 pub fn recover(storage: &mut dyn Storage) -> Result<Recovered, RecoverError> {
     let numbers = storage.segments()?;
-    let Headers { chain, void, mut torn } = read_headers(storage, &numbers)?;
+    let Headers { chain, abandoned, mut torn_bytes } = read_headers(storage, &numbers)?;
     let mut state = ReplayState::default();
     let mut segments = Vec::new();
     for segment in &chain {
         let end = segment.replay(&mut state)?;
-        torn += (segment.valid()?.len() - end) as u64;
+        torn_bytes += (segment.valid()?.len() - end) as u64;
         segments.push(SegmentEnd { number: segment.number, length: end as u64 });
     }
     let log = Log::new(DurableLog {
         segments: segments.clone(),
-        placed: state.placed,
-        void,
+        locations: state.locations,
+        abandoned,
         last_segment: numbers.last().copied().unwrap_or(0),
         last_batch: state.last_batch,
     });
     let ReplayState { live, last, records, .. } = state;
-    Ok(Recovered { log, live, last, segments, records, torn })
+    Ok(Recovered { log, live, last, segments, records, torn_bytes })
 }
 
-/// What the records read so far come to.
+/// State after the records read so far.
 #[derive(Default)]
 struct ReplayState {
     live: BTreeMap<Seq, LiveRecord>,
     /// Segment of each live write and barrier.
-    placed: BTreeMap<Seq, u64>,
+    locations: BTreeMap<Seq, u64>,
     last: Seq,
     last_batch: u64,
     records: u64,
@@ -209,11 +213,11 @@
         match record {
             Record::Write { seq, accepted, started, parked, write } => {
                 self.live.insert(seq, LiveRecord::Write(LiveWrite { accepted, started, parked, write }));
-                self.placed.insert(seq, segment);
+                self.locations.insert(seq, segment);
             }
             Record::Barrier { seq, volume } => {
                 self.live.insert(seq, LiveRecord::Barrier { volume });
-                self.placed.insert(seq, segment);
+                self.locations.insert(seq, segment);
             }
             Record::Started { seq, at } => {
                 if let Some(LiveRecord::Write(write)) = self.live.get_mut(&seq) {
@@ -227,21 +231,20 @@
             }
             Record::Done { seq } => {
                 self.live.remove(&seq);
-                self.placed.remove(&seq);
+                self.locations.remove(&seq);
             }
         }
     }
 }
 
-/// Makes a damaged log usable: everything that can still be read goes to one new segment, the old ones are
-/// set aside. Returns how many writes and barriers were kept.
+/// Salvages a damaged log: copies all readable live records to one new segment and quarantines the old ones.
+/// Returns the number of writes and barriers kept.
 ///
-/// What a damaged batch held is lost to the log: its writes are not replayed, or, where it held the record of a
-/// write's completion, that write is replayed though it is done. An operator decides that this is better than
-/// not to start.
+/// The records of a damaged batch are lost: its writes are not replayed, and a write whose completion it
+/// recorded is replayed although it is complete. An operator must decide to accept this in order to start.
 ///
 /// # Errors
-/// The storage fails.
+/// If the storage fails.
 pub fn salvage(storage: &mut dyn Storage) -> Result<usize, RecoverError> {
     let numbers = storage.segments()?;
     let mut state = ReplayState::default();
@@ -251,15 +254,15 @@
     let salvaged = state.live.len();
     let new_segment = numbers.last().copied().unwrap_or(0) + 1;
     write_salvaged(storage, new_segment, state)?;
-    // The new one names none before it: the old ones count for nothing from here on.
+    // The new segment references no previous one, so that from here on the old ones are ignored.
     for old in &numbers {
-        storage.set_aside(*old)?;
+        storage.quarantine(*old)?;
     }
     storage.sync_folder()?;
     Ok(salvaged)
 }
 
-/// Applies every batch that can be read.
+/// Applies every valid batch.
 fn salvage_segment(bytes: &[u8], number: u64, state: &mut ReplayState) {
     let mut at = 0;
     while let Some(found) = next_batch(bytes, at) {
@@ -275,7 +278,7 @@
     number: u64,
     mut state: ReplayState,
 ) -> Result<(), RecoverError> {
-    let header = Header { version: VERSION, number, before: None };
+    let header = Header { version: VERSION, number, previous: None };
     storage.create(number)?;
     storage.append(number, &header.encode())?;
     for (seq, live) in state.live {
--- a/crates/flaxstand-write-back/src/request.rs
+++ b/crates/flaxstand-write-back/src/request.rs
@@ -1,108 +1,108 @@
-//! What the initiator's core tells the buffer, and what it is told to do.
+//! Types of the interface between the initiator's core and the buffer.
 
 use crate::record::Write;
 use crate::writeout::Urgency;
 use flaxstand_proto::Micros;
 use flaxstand_storage::Batch;
 
-/// The core's name for a client's request.
+/// Handle of a client request, assigned by the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WriteHandle(pub u64);
 
-/// A write-out that the core is told to bring about.
+/// Identifies a write-out that the core executes for the buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WriteOutId(pub u64);
 
 /// A client's write.
 #[derive(Clone, Debug)]
 pub struct WriteRequest {
-    /// The core's name for it.
+    /// Handle of the request.
     pub handle: WriteHandle,
     /// The write.
     pub write: Write,
 }
 
-/// How a write-out ended.
+/// Result of a write-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutResult {
-    /// The node confirmed it.
+    /// The node confirmed the write.
     Confirmed {
-        /// Another attempt of it may still run.
+        /// Whether another attempt may still run.
         may_still_run: bool,
     },
-    /// It was not executed.
+    /// The write was not executed.
     NotExecuted {
-        /// The shard gets no other write-out before this has passed.
+        /// Minimum time before the next write-out to the shard.
         retry_after: Micros,
     },
-    /// It was cancelled by the buffer; no attempt of it had been sent.
+    /// The buffer cancelled the write-out before any attempt was sent.
     Cancelled,
-    /// It may have been executed.
+    /// The write may have been executed.
     Unknown,
 }
 
-/// A command to the core. Commands are carried out in order.
+/// Action for the core. Actions are executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Store this batch, then call [`WriteBackBuffer::batch_stored`](crate::WriteBackBuffer::batch_stored).
     Store(Batch),
-    /// Answer: the write is durable here.
+    /// Respond to the client: the write is durable on this host.
     Buffered(WriteHandle),
-    /// Send it to its node as an ordinary request.
+    /// Send the request to its node as an ordinary request.
     PassThrough(WriteHandle),
-    /// Answer: rejected, it has not been executed.
+    /// Respond to the client: the request was rejected and has not been executed.
     Rejected {
         /// The rejected request.
         handle: WriteHandle,
         /// Retry-After of the rejection.
         retry_after: Micros,
     },
-    /// Answer: the barrier is in force.
+    /// Respond to the client: the barrier is in force.
     BarrierSet(WriteHandle),
-    /// Answer: the flush is complete.
+    /// Respond to the client: the flush is complete.
     Flushed(WriteHandle),
     /// Send this write to its node, then call
     /// [`WriteBackBuffer::write_out_ended`](crate::WriteBackBuffer::write_out_ended).
     SendWriteOut {
-        /// Its name.
+        /// Identifier of the write-out.
         id: WriteOutId,
-        /// The write.
+        /// Write to send.
         write: Write,
-        /// How urgent it is.
+        /// Urgency of the write-out.
         urgency: Urgency,
-        /// No attempt of it may be sent after this, if there is a bound.
+        /// Latest time at which an attempt may be sent, if there is a limit.
         not_after: Option<Micros>,
     },
-    /// Cancel it and report [`WriteOutResult::Cancelled`], unless an attempt of it has been sent.
+    /// Cancel the write-out and report [`WriteOutResult::Cancelled`], unless an attempt has been sent.
     CancelWriteOut(WriteOutId),
 }
 
-/// What to answer a request whose deadline has passed.
+/// Response to a request whose deadline has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expired {
     /// The write is durable; only its acknowledgement was delayed.
     Buffered,
-    /// It has not been executed and will not be.
+    /// The request has not been executed and will not be.
     Reject,
-    /// It may have been or may yet be executed; or what it waits for has not been seen.
+    /// The request may have been executed or may yet be, or the event that it waits for has not occurred.
     Fail,
-    /// Nothing: it is not here, it was passed through.
-    NotHere,
+    /// None: the buffer does not hold the request, for example because it was passed through.
+    NotPending,
 }
 
-/// What a read finds in the buffer.
+/// Result of a read in the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BufferedRead {
-    /// Nothing: the node's answer is right as it is.
+    /// No buffered data: the node's response is up to date.
     Miss,
-    /// The whole extent.
+    /// The complete extent.
     Complete {
-        /// Shard that will hold it.
+        /// Shard that will hold the extent.
         shard: u32,
-        /// Its data.
+        /// Data of the extent.
         data: Vec<u8>,
     },
-    /// Parts of the extent: pass the node's answer to
+    /// Parts of the extent: pass the node's response to
     /// [`WriteBackBuffer::merge_read`](crate::WriteBackBuffer::merge_read).
     Partial,
 }
--- a/crates/flaxstand-write-back/src/retry_budget.rs
+++ b/crates/flaxstand-write-back/src/retry_budget.rs
@@ -1,14 +1,14 @@
-//! How often write-outs that may have been executed are sent again.
+//! Limit on retries of write-outs that may have been executed.
 
 use flaxstand_proto::Micros;
 use std::collections::VecDeque;
 
-/// Bound on retries in a sliding window: a fixed number, and a share of the first attempts.
+/// Limit on retries in a sliding window: a fixed number plus a share of the first attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteOutRetryBudget {
-    /// Retries admitted however few first attempts there are.
+    /// Retries admitted regardless of the number of first attempts.
     pub floor: f64,
-    /// Retries admitted for each first attempt.
+    /// Additional retries admitted per first attempt.
     pub ratio: f64,
     /// Length of the window.
     pub span: Micros,
@@ -25,12 +25,12 @@
 }
 
 impl RetryLimiter {
-    /// A limiter for this budget. `None`: every retry is admitted.
+    /// Creates a limiter. With `None` every retry is admitted.
     pub fn new(budget: Option<WriteOutRetryBudget>) -> Self {
         RetryLimiter { budget, ..RetryLimiter::default() }
     }
 
-    /// Counts an attempt. Returns false, and counts nothing, for a retry beyond the budget.
+    /// Counts an attempt and returns true. Returns false, without counting it, for a retry beyond the budget.
     pub fn admit(&mut self, is_retry: bool, now: Micros) -> bool {
         let Some(budget) = self.budget else { return true };
         for times in [&mut self.first_attempts, &mut self.retries] {
--- a/crates/flaxstand-write-back/src/status.rs
+++ b/crates/flaxstand-write-back/src/status.rs
@@ -1,4 +1,4 @@
-//! Figures for operators.
+//! State and counts for operators.
 
 use crate::log::LogCounts;
 use flaxstand_proto::Micros;
@@ -8,33 +8,33 @@
 pub struct Status {
     /// Buffered writes that are not confirmed by their nodes.
     pub writes: usize,
-    /// Bytes of them.
+    /// Bytes of the unconfirmed writes.
     pub bytes: u64,
-    /// Most bytes that may be buffered.
+    /// Limit of `bytes`.
     pub max_bytes: u64,
-    /// Bytes of the log's segments.
+    /// Total length of the log's segments.
     pub log_bytes: u64,
-    /// Age of the oldest write that isn't parked.
+    /// Age of the oldest unconfirmed write that is not parked.
     pub oldest: Micros,
     /// Writes that wait for an operator's decision.
     pub parked: usize,
-    /// Requests and barriers that wait here.
+    /// Requests and barriers that wait in the buffer.
     pub waiting: usize,
-    /// The log can't be written.
+    /// Whether the last batch of log records failed.
     pub log_failing: bool,
-    /// Write-outs in flight, those that wait in the decision module included.
+    /// Write-outs in flight, including those that wait in the decision module.
     pub write_outs_in_flight: usize,
     /// Writes acknowledged as buffered, since the start.
     pub acknowledged: u64,
-    /// Writes that could have been buffered and were passed through or rejected, since the start.
+    /// Writes of buffered classes that were passed through or rejected, since the start.
     pub not_buffered: u64,
-    /// Writes confirmed by their nodes, those replaced by a later one included, since the start.
+    /// Writes confirmed by their nodes, including those replaced by a later one, since the start.
     pub written_out: u64,
-    /// Write-outs that brought them: fewer, as writes are merged. Since the start.
+    /// Confirmed write-outs, since the start. Fewer than `written_out`, because writes are merged.
     pub write_outs: u64,
     /// Write-outs sent again after an attempt that may have been executed, since the start.
     pub write_out_retries: u64,
-    /// Writes found in the log at the start.
+    /// Writes replayed from the log at the start.
     pub replayed: u64,
     /// Counts of the log.
     pub log: LogCounts,
