--- a/crates/flaxstand-write-back/src/writeout.rs
+++ b/crates/flaxstand-write-back/src/writeout.rs
@@ -1,49 +1,50 @@
-//! Which of the writes that may be written out goes next, and how urgently.
+//! Scheduling of write-outs.
 //!
-//! Each shard has a queue of extents, oldest write first, and as many write-outs in flight as their urgency
-//! allows. Each urgency is a class of its own in the decision module: while there is space, write-outs take only
-//! what nothing else needs; as space or time runs out they weigh ever more. Whether and when an attempt is sent,
-//! and to which node, the module decides as for any request.
+//! Each shard has a queue of extents, oldest write first, and a limit on write-outs in flight that depends on
+//! their urgency. Each urgency is a separate class in the decision module: as long as there is space,
+//! write-outs use only idle capacity; as space or time runs out their priority weight rises. The decision
+//! module decides whether, when and to which node an attempt is sent, as for any request.
 
 use crate::record::{ExtentId, Seq};
 use flaxstand_proto::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// First back-off of a shard after a write-out that failed. Doubles with each further one.
+/// Initial back-off of a shard after a failed write-out. Doubles with each further failure.
 const MIN_BACKOFF: Micros = Micros(20_000);
-/// Longest back-off of a shard.
+/// Maximum back-off of a shard.
 pub const MAX_BACKOFF: Micros = Micros(500_000);
 
-/// How urgent a write-out is.
+/// Urgency of a write-out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// There is space and time: what nothing else needs.
+    /// Less than a quarter of the space and time is used: only idle capacity is taken.
     #[default]
     Idle,
-    /// A quarter of space or time is gone.
+    /// A quarter of the space or time is used.
     Rising,
-    /// Half is, or somebody waits for it.
+    /// Half of the space or time is used, or a request waits for buffered writes.
     High,
-    /// Three quarters are.
+    /// Three quarters of the space or time are used.
     Urgent,
 }
 
 impl Urgency {
-    /// All, from the least.
+    /// All levels in ascending order.
     pub const ALL: [Urgency; 4] = [Urgency::Idle, Urgency::Rising, Urgency::High, Urgency::Urgent];
 
-    /// By the part of space or time that is gone (0 to 1 and above), and whether somebody waits for it.
-    pub fn of(part: f64, is_waited_for: bool) -> Urgency {
-        let by_part = match part {
-            part if part < 0.25 => Urgency::Idle,
-            part if part < 0.5 => Urgency::Rising,
-            part if part < 0.75 => Urgency::High,
+    /// Returns the urgency for the used fraction of space or time (may exceed 1). `is_awaited`: whether a
+    /// request waits for buffered writes.
+    pub fn of(used_fraction: f64, is_awaited: bool) -> Urgency {
+        let by_usage = match used_fraction {
+            used if used < 0.25 => Urgency::Idle,
+            used if used < 0.5 => Urgency::Rising,
+            used if used < 0.75 => Urgency::High,
             _ => Urgency::Urgent,
         };
-        by_part.max(if is_waited_for { Urgency::High } else { Urgency::Idle })
+        by_usage.max(if is_awaited { Urgency::High } else { Urgency::Idle })
     }
 
-    /// Most write-outs of one shard in flight at once.
+    /// Returns the maximum number of write-outs in flight per shard.
     fn max_in_flight(self) -> usize {
         match self {
             Urgency::Idle => 4,
@@ -54,30 +55,30 @@
     }
 }
 
-/// A write-out that goes next.
+/// The next write-out to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// Shard that holds the extent.
     pub shard: u32,
-    /// The extent's first write.
+    /// First write of the extent.
     pub seq: Seq,
-    /// The extent.
+    /// Extent to write.
     pub extent_id: ExtentId,
-    /// How urgent it is.
+    /// Urgency of the write-out.
     pub urgency: Urgency,
 }
 
-/// How a write-out ended, as far as its shard is concerned.
+/// Outcome of a write-out for the scheduling of its shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardOutcome {
-    /// The node confirmed it.
+    /// The node confirmed the write.
     Confirmed,
-    /// It was not confirmed: the shard backs off.
+    /// The write was not confirmed; the shard backs off.
     Failed {
-        /// The shard gets no other before this has passed.
+        /// Minimum time before the next write-out to the shard.
         retry_after: Micros,
     },
-    /// The buffer itself cancelled it.
+    /// The buffer cancelled the write-out, or could not start it.
     Cancelled,
 }
 
@@ -87,7 +88,7 @@
     queued: BTreeSet<(Seq, ExtentId)>,
     in_flight: usize,
     backoff: Micros,
-    /// The back-off lasts until then.
+    /// End of the back-off.
     backs_off_until: Micros,
 }
 
@@ -106,39 +107,39 @@
     }
 }
 
-/// Queues of all shards, and extents that have a cooldown.
+/// Queues of all shards, and extents in cooldown.
 #[derive(Debug, Default)]
 pub struct WriteOutScheduler {
     shards: BTreeMap<u32, ShardQueue>,
-    /// Extents by the end of their cooldown.
+    /// Extents in cooldown, by the end of the cooldown.
     cooldowns: BTreeSet<(Micros, ExtentId)>,
 }
 
 impl WriteOutScheduler {
-    /// The first write of an extent may be written out.
+    /// Queues the first write of an extent for write-out.
     pub fn enqueue(&mut self, shard: u32, seq: Seq, extent_id: ExtentId) {
         self.shards.entry(shard).or_default().queued.insert((seq, extent_id));
     }
 
-    /// Nothing of the extent may be sent before `until`.
+    /// Puts an extent into cooldown: nothing may be sent to it before `until`.
     pub fn cool_down(&mut self, extent_id: ExtentId, until: Micros) {
         self.cooldowns.insert((until, extent_id));
     }
 
-    /// Removes the extents whose cooldown is over.
+    /// Removes and returns the extents whose cooldown is over.
     pub fn take_cooled_down(&mut self, now: Micros) -> Vec<ExtentId> {
-        let mut over = Vec::new();
+        let mut cooled_down = Vec::new();
         while let Some((until, extent_id)) =
             self.cooldowns.first().copied().filter(|(until, _)| *until <= now)
         {
             self.cooldowns.remove(&(until, extent_id));
-            over.push(extent_id);
+            cooled_down.push(extent_id);
         }
-        over
+        cooled_down
     }
 
-    /// Takes the next write-out, if one may go: of the shards that may send, the one whose first write is
-    /// oldest. A first write that `is_due` denies holds up its shard.
+    /// Takes the next write-out, if any: the oldest first write among the shards that may send. A first write
+    /// that is not due blocks its shard.
     pub fn pick(
         &mut self,
         now: Micros,
@@ -164,7 +165,7 @@
         Some(candidate)
     }
 
-    /// A write-out that was picked is over.
+    /// Ends a write-out that was picked.
     pub fn ended(&mut self, shard: u32, outcome: ShardOutcome, now: Micros) {
         let Some(queue) = self.shards.get_mut(&shard) else { return };
         queue.in_flight = queue.in_flight.saturating_sub(1);
@@ -178,20 +179,20 @@
         }
     }
 
-    /// The first write of each shard's queue.
+    /// Returns the first write in the queue of each shard.
     pub fn first_of_each_shard(&self) -> impl Iterator<Item = Seq> {
         self.shards.values().filter_map(|queue| queue.first().map(|(seq, _)| seq))
     }
 
-    /// Number of write-outs that were picked and are not over.
+    /// Returns the number of write-outs that were picked and have not ended.
     pub fn in_flight(&self) -> usize {
         self.shards.values().map(|queue| queue.in_flight).sum()
     }
 
-    /// When a back-off or a cooldown ends next.
+    /// Returns the time at which the next back-off or cooldown ends.
     pub fn next_wake(&self, now: Micros) -> Option<Micros> {
-        let is_held_up = |queue: &&ShardQueue| !queue.queued.is_empty() && queue.backs_off_until > now;
-        let backoff = self.shards.values().filter(is_held_up).map(|queue| queue.backs_off_until).min();
+        let is_backing_off = |queue: &&ShardQueue| !queue.queued.is_empty() && queue.backs_off_until > now;
+        let backoff = self.shards.values().filter(is_backing_off).map(|queue| queue.backs_off_until).min();
         let cooldown = self.cooldowns.first().map(|(until, _)| *until);
         [backoff, cooldown].into_iter().flatten().min()
     }
--- a/crates/flaxstand-write-back/tests/record.rs
+++ b/crates/flaxstand-write-back/tests/record.rs
@@ -1,4 +1,4 @@
-//! The bytes of the log.
+//! Binary format of the log.
 
 use flaxstand_write_back::record::{
     DecodedBatch, Header, Record, SegmentEnd, WallClock, decode_batch, encode_batch,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn every_record_comes_back() {
+fn every_record_round_trips_and_corruption_is_detected() {
     let records = vec![
         write(None),
         write(Some(0)),
@@ -47,9 +47,9 @@
     }
 }
 
-/// A segment as version 1 writes it. A later version must read it still.
+/// Later versions must still read the version 1 format.
 #[test]
-fn version_1_is_read() {
+fn version_1_is_decoded() {
     let header = "464c58420100000002000000000000000100000000000000400000000000000000000000";
     let mut bytes: Vec<u8> =
         (0..header.len()).step_by(2).map(|i| u8::from_str_radix(&header[i..i + 2], 16).unwrap()).collect();
@@ -57,7 +57,7 @@
     bytes.extend_from_slice(&crc.to_le_bytes());
     assert_eq!(
         Header::decode(&bytes),
-        Some(Header { version: 1, number: 2, before: Some(SegmentEnd { number: 1, length: 64 }) })
+        Some(Header { version: 1, number: 2, previous: Some(SegmentEnd { number: 1, length: 64 }) })
     );
     let done = [b"BTCH".as_slice(), &9u32.to_le_bytes(), &3u64.to_le_bytes()].concat();
     let body = [5, 42, 0, 0, 0, 0, 0, 0, 0];
