--- a/crates/flaxstand-write-back/src/recover.rs
+++ b/crates/flaxstand-write-back/src/recover.rs
@@ -11,7 +11,7 @@
 use std::io;
 use thiserror::Error;
 
-/// Failure to recover a log. The log is unchanged.
+/// Failure to read or write a log. Recovery itself never changes the log.
 #[derive(Debug, Error)]
 pub enum RecoverError {
     /// Reading or writing the storage failed.
