--- a/crates/flaxstand-gateway/src/core/buffered_requests.rs
+++ b/crates/flaxstand-gateway/src/core/buffered_requests.rs
@@ -12,7 +12,7 @@
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::{Event, RequestId, VolumeId};
 use flaxstand_proto::{Frame, Refusal, Scope, Submit};
-use flaxstand_write_back::image::MAX_EXTENT_BYTES;
+use flaxstand_write_back::merge::MAX_EXTENT_BYTES;
 use flaxstand_write_back::writeout::Urgency;
 use flaxstand_write_back::{
     Action, BufferedRead, Expired, ExtentId, Recovered, Status, Write, WriteHandle, WriteOutId,
@@ -227,7 +227,7 @@
         match write_back.expire(id, now) {
             Expired::Buffered => self.acknowledge_buffered(id, now),
             // Passed through, but not yet reported to the module: it has not been executed.
-            Expired::Reject | Expired::NotHere => {
+            Expired::Reject | Expired::NotPending => {
                 let wait = Micros::from_ms(self.config.site.settings.max_retry_after);
                 self.reject_write(id, wait, now);
             }
