--- a/crates/flaxstand-cli/tests/program.rs
+++ b/crates/flaxstand-cli/tests/program.rs
@@ -219,7 +219,7 @@
         ("fault \"heavy\" at=1 class=\"cake\" times=2 {\n nodes 1\n}", "expected the name of a class"),
         ("fault \"plan-burst\" at=1 plan=\"none\" times=2", "expected the name of a plan"),
         ("fault \"drop\" at=1 share=7 {\n nodes 1\n}", "expected a number from 0 to 1"),
-        ("fleet nodes=3", "does not know \"fleet\""),
+        ("fleet nodes=3", "unknown key \"fleet\""),
     ] {
         let (code, told) = day("base.kdl", fault);
         assert_eq!(code, Some(2), "{fault}");
--- a/crates/flaxstand-gateway/src/core/agreement/mod.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/mod.rs
@@ -1,7 +1,8 @@
-//! Where the agreement is attached to the core: messages of other initiators and of operators in, messages
-//! out, and the rules in effect to the decision module. All that is decided is `flaxstand-consensus`'s.
+//! Connects the consensus participant to the core: delivers messages of other initiators and operators to it,
+//! sends its messages, and applies the rules in effect to the decision module. `flaxstand-consensus` makes
+//! all decisions of the protocol.
 //!
-//! - [`peers`]: the connections
+//! - [`peers`]: connections to other initiators and operators
 
 mod peers;
 
@@ -21,7 +22,7 @@
 use flaxstand_proto::{Hello, Welcome};
 use peers::{AgreementPeers, sender};
 
-/// The agreement with other initiators, and the connections to them.
+/// The consensus participant, and its connections to other initiators and operators.
 #[derive(Debug)]
 pub(super) struct Agreement {
     participant: Participant,
@@ -29,9 +30,9 @@
 }
 
 impl Core {
-    /// Agrees with other initiators from now on: with a replica, given what its folder held, or as a member
-    /// alone. `saved` is the replicated state that was saved before; messages come in at the listener of that
-    /// number.
+    /// Starts the consensus participant, if one is configured. `stored` is the stored data of the replica,
+    /// for an initiator that has one; without it, the initiator is a member only. `saved` is the last saved
+    /// replicated state. `listener` is the index of the listener for peers.
     pub fn start_agreement(
         &mut self,
         listener: usize,
@@ -40,12 +41,12 @@
         now: Micros,
     ) {
         let Some(settings) = &self.config.consensus else { return };
-        let names = |peers: &[ConsensusPeer]| peers.iter().map(|peer| peer.name.clone()).collect();
+        let names_of = |peers: &[ConsensusPeer]| peers.iter().map(|peer| peer.name.clone()).collect();
         let config = Config {
             name: self.config.name.clone(),
             epoch: self.config.epoch,
-            voters: names(&settings.voters),
-            neighbours: names(&settings.other_initiators),
+            voters: names_of(&settings.voters),
+            neighbours: names_of(&settings.other_initiators),
             lease: settings.lease_duration,
             clock_error: settings.max_clock_drift,
             election_timeout: settings.election_timeout,
@@ -53,28 +54,28 @@
             started_with: settings.initial_rules.clone(),
             injected_fault: InjectedFault::None,
         };
-        let all = settings.voters.iter().chain(&settings.other_initiators);
-        let others = all.filter(|peer| peer.name != self.config.name);
-        let peers = AgreementPeers::new(listener, others, now);
+        let all_peers = settings.voters.iter().chain(&settings.other_initiators);
+        let other_peers = all_peers.filter(|peer| peer.name != self.config.name);
+        let peers = AgreementPeers::new(listener, other_peers, now);
         let participant = Participant::new(config, stored, saved, self.config.calendar, now);
         self.agreement = Some(Agreement { participant, peers });
         self.timers.set(now, Timer::Agreement);
     }
 
-    /// The agreement, where there is one.
+    /// The consensus participant, if it was started.
     pub fn agreement(&self) -> Option<&Participant> {
         self.agreement.as_ref().map(|agreement| &agreement.participant)
     }
 
-    /// Whether a listener is the agreement's, and not the clients'.
+    /// Returns whether the listener accepts agreement peers rather than clients.
     pub(super) fn is_agreement_listener(&self, listener: usize) -> bool {
         self.agreement.as_ref().is_some_and(|agreement| agreement.peers.is_listener(listener))
     }
 
-    /// Accepts a connection at the agreement's address.
+    /// Accepts a connection on the agreement listener.
     ///
     /// # Errors
-    /// There are as many as may be; nothing is sent before the close.
+    /// The limit on accepted connections is reached. The last frame to send before the close is empty.
     pub(super) fn accept_agreement_peer(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         let agreement = self.agreement.as_mut().ok_or_else(Vec::new)?;
         let greeting = self.config.site.timeouts.greeting_timeout;
@@ -109,8 +110,9 @@
         bytes: &[u8],
         now: Micros,
     ) -> Result<(), PeerFault> {
-        let message: PeerMessage =
-            postcard::from_bytes(bytes).map_err(|error| PeerFault::protocol(format!("no word: {error}")))?;
+        let message: PeerMessage = postcard::from_bytes(bytes).map_err(|error| {
+            PeerFault::protocol(format!("malformed agreement message of {} bytes: {error}", bytes.len()))
+        })?;
         let from = sender(&self.connections, conn)?;
         if let Some(agreement) = &mut self.agreement {
             agreement.participant.receive(conn.0, from.as_deref(), message, now);
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Gives the lease back; the process is about to end.
+    /// Releases the lease before the process exits.
     pub(super) fn release_lease(&mut self, now: Micros) {
         if let Some(agreement) = &mut self.agreement {
             agreement.participant.release_lease(now);
@@ -138,9 +140,9 @@
         self.step_agreement(now);
     }
 
-    /// Applies the rules in effect in this turn, before anything is decided in it, and hands out what the
-    /// agreement has to store and to send. Guards against a lease that ended while the process was stopped.
-    /// Returns when it is to be called again at the latest.
+    /// Runs the consensus participant: issues its storage commands, sends its messages and applies changed
+    /// rules. Runs before any decision of the turn, so that a lease that expired while the process was
+    /// suspended is not used. Returns the latest time for the next call.
     pub(super) fn step_agreement(&mut self, now: Micros) -> Option<Micros> {
         let participant = &mut self.agreement.as_mut()?.participant;
         if participant.wake_at(now) <= now {
@@ -150,7 +152,7 @@
         if let Some(batch) = participant.next_batch(now) {
             self.connections.command(Command::StoreConsensus(batch));
         }
-        // Saved before messages go out: guards against a stage that is confirmed and forgotten.
+        // Saved before messages are sent: a crash must not lose a stage that was already confirmed.
         if let Some(state) = participant.take_unsaved() {
             self.connections.command(Command::SaveReplicatedState(state));
         }
@@ -163,11 +165,11 @@
         for (to, message) in outgoing {
             agreement.peers.send(&mut self.connections, &mut self.timers, to, &message, dial_timeout, now);
         }
-        // At least one moment on: what follows from a turn is the next turn's.
+        // At least 1 µs ahead: further work is left to the next turn.
         Some(agreement.participant.wake_at(now).max(Micros(now.0 + 1)))
     }
 
-    /// The decision module gets the rules, also for requests that are held or in flight.
+    /// Passes the rules to the decision module. They also apply to requests that are queued or in flight.
     fn apply_rules(&mut self, rules: &Rules, now: Micros) {
         self.cancel_unsent_attempts(now);
         self.config.site.settings = settings_of(rules, &self.config.site);
@@ -178,14 +180,14 @@
         self.evaluation.request();
     }
 
-    /// Closes connections to nodes on which attempts wait that were decided on under the rules before, since
-    /// the node does not read. The module is told that they were not executed.
+    /// Closes node connections with unsent output, since its attempts were decided under the previous rules
+    /// and the node is not reading. The decision module is notified that they were not executed.
     fn cancel_unsent_attempts(&mut self, now: Micros) {
-        let to_nodes = self.connections.upstream();
-        let waiting = to_nodes.filter(|(_, open)| !open.outbox.is_empty()).map(|(conn, _)| conn);
-        let waiting: Vec<ConnId> = waiting.collect();
-        for conn in waiting {
-            self.close_discarding_output(conn, "the rules changed while requests waited to leave", now);
+        let upstream = self.connections.upstream();
+        let unsent = upstream.filter(|(_, open)| !open.outbox.is_empty()).map(|(conn, _)| conn);
+        let unsent: Vec<ConnId> = unsent.collect();
+        for conn in unsent {
+            self.close_discarding_output(conn, "rules changed before queued requests were sent", now);
         }
     }
 }
--- a/crates/flaxstand-gateway/src/core/agreement/peers.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/peers.rs
@@ -1,6 +1,5 @@
-//! Connections of the agreement: to other initiators, from them, and from operators' commands. Messages are
-//! sent on them and counted by nobody: whatever matters is sent again, so a message that can't leave is
-//! dropped.
+//! Agreement connections: to other initiators, from them, and from operators' commands. Delivery is best
+//! effort: the protocol retransmits what matters, so a message that can't be sent is dropped.
 
 use super::super::Backoff;
 use super::super::config::Config;
@@ -15,42 +14,42 @@
 use std::collections::{BTreeMap, VecDeque};
 use tracing::{debug, info, warn};
 
-/// Messages that wait for one connection to open, most. The oldest is dropped.
-const MAX_WAITING_MESSAGES: usize = 64;
-/// Bytes that wait for one peer to read, most. Further messages to it are dropped.
-const MAX_UNREAD_BYTES: usize = 4 << 20;
-/// Connections of other initiators and operators at a time, most.
+/// Maximum number of messages queued for a connection that is opening. Beyond it the oldest is dropped.
+const MAX_QUEUED_MESSAGES: usize = 64;
+/// Maximum number of unsent bytes per connection. Further messages to that peer are dropped.
+const MAX_UNSENT_BYTES: usize = 4 << 20;
+/// Maximum number of connections accepted from other initiators and operators at a time.
 const MAX_ACCEPTED: usize = 1024;
-/// First wait before an initiator is dialed again.
+/// Initial back-off before an initiator is dialed again.
 const MIN_REDIAL_DELAY: Micros = Micros(50_000);
-/// Longest wait before an initiator is dialed again.
+/// Longest back-off before an initiator is dialed again.
 const MAX_REDIAL_DELAY: Micros = Micros(1_000_000);
-/// Bytes of a frame that a message can't use.
+/// Bytes of a frame reserved for its header.
 const MAX_FRAME_HEADER_BYTES: usize = 64;
 
-/// Who is at the other end of a connection of the agreement.
+/// The peer of an agreement connection.
 #[derive(Debug)]
 pub(in super::super) enum AgreementPeer {
-    /// Accepted; it has not said who it is.
+    /// Accepted; its hello has not been received.
     Unidentified,
-    /// An initiator that dialed.
+    /// An initiator that connected to this one.
     Initiator(String),
     /// An operator's command.
     Operator,
-    /// An initiator that was dialed.
+    /// An initiator that this one dialed.
     Dialed(String),
 }
 
-/// Another initiator, and the connection to it.
+/// Another initiator and the outgoing connection to it.
 #[derive(Debug)]
 struct DialedPeer {
     address: Address,
     connection: Option<ConnId>,
-    /// Not dialed before then.
+    /// Earliest time of the next dial.
     redial_at: Micros,
     backoff: Backoff,
-    /// Messages for when the connection opens.
-    waiting: VecDeque<Vec<u8>>,
+    /// Messages to send once the connection is open.
+    queued: VecDeque<Vec<u8>>,
 }
 
 impl DialedPeer {
@@ -60,30 +59,30 @@
             connection: None,
             redial_at: now,
             backoff: Backoff::new(MIN_REDIAL_DELAY, MAX_REDIAL_DELAY),
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
         }
     }
 
-    fn wait(&mut self, bytes: Vec<u8>) {
-        if self.waiting.len() >= MAX_WAITING_MESSAGES {
-            self.waiting.pop_front();
+    fn enqueue(&mut self, bytes: Vec<u8>) {
+        if self.queued.len() >= MAX_QUEUED_MESSAGES {
+            self.queued.pop_front();
         }
-        self.waiting.push_back(bytes);
+        self.queued.push_back(bytes);
     }
 }
 
-/// The other initiators, and the connections of the agreement.
+/// The other initiators and all agreement connections.
 #[derive(Debug)]
 pub(super) struct AgreementPeers {
-    /// Which of the listeners is the agreement's.
+    /// Index of the listener for agreement peers.
     listener: usize,
     dialed: BTreeMap<String, DialedPeer>,
-    /// How many connections are accepted now.
+    /// Number of open connections that were accepted.
     accepted: usize,
 }
 
 impl AgreementPeers {
-    /// Peers by name and address, reached and accepted from now on.
+    /// Creates the table of peers. They may be dialed from `now` on.
     pub(super) fn new<'a>(
         listener: usize,
         peers: impl Iterator<Item = &'a ConsensusPeer>,
@@ -97,12 +96,13 @@
         self.listener == listener
     }
 
-    /// Accepts a connection, which has `greeting` to say who it is; none: there are as many as may be.
+    /// Accepts a connection, whose hello has to arrive within `greeting_timeout`. Returns none if the limit
+    /// on accepted connections is reached.
     pub(super) fn accept(
         &mut self,
         connections: &mut ConnectionTable,
         timers: &mut TimerQueue,
-        greeting: Micros,
+        greeting_timeout: Micros,
         now: Micros,
     ) -> Option<ConnId> {
         if self.accepted >= MAX_ACCEPTED {
@@ -111,12 +111,12 @@
         self.accepted += 1;
         let peer = Peer::Agreement(AgreementPeer::Unidentified);
         let connection = connections.open(peer, Stage::Greeting, Protocol::Frames(Inbox::default()));
-        timers.set(now.after(greeting), Timer::ConnectTimeout(connection));
+        timers.set(now.after(greeting_timeout), Timer::ConnectTimeout(connection));
         Some(connection)
     }
 
-    /// Handles the greeting of an accepted connection. Guards against an initiator that is not in the
-    /// settings here: it would be no member, and act on rules of its own.
+    /// Handles the hello on an accepted connection. Rejects an initiator that is missing from the settings:
+    /// it would not be a member and would act on rules of its own.
     pub(super) fn handle_hello(
         &self,
         connections: &mut ConnectionTable,
@@ -128,7 +128,9 @@
         if oldest > VERSION || newest < VERSION_OLDEST {
             return Err(PeerFault::new(
                 CloseReason::Version,
-                format!("versions {oldest} to {newest}, {VERSION} is spoken here"),
+                format!(
+                    "peer supports versions {oldest} to {newest}, expected {VERSION_OLDEST} to {VERSION}"
+                ),
             ));
         }
         let peer = match hello.role {
@@ -139,11 +141,11 @@
             role => {
                 return Err(PeerFault::new(
                     CloseReason::WrongPeer,
-                    format!("{role:?} {:?} is not in the list", hello.name),
+                    format!("{role:?} {:?} is not in the agreement settings", hello.name),
                 ));
             }
         };
-        debug!(conn = connection.0, ?peer, "a peer of the agreement has connected");
+        debug!(conn = connection.0, ?peer, "agreement peer connected");
         if let Some(open) = connections.get_mut(connection) {
             open.peer = Peer::Agreement(peer);
             open.stage = Stage::Open;
@@ -152,7 +154,7 @@
         Ok(())
     }
 
-    /// Handles the greeting of an initiator that was dialed, and sends what waits for it.
+    /// Handles the welcome of a dialed initiator and sends the messages queued for it.
     pub(super) fn handle_welcome(
         &mut self,
         connections: &mut ConnectionTable,
@@ -162,26 +164,26 @@
         let Some(Connection { peer: Peer::Agreement(AgreementPeer::Dialed(name)), .. }) =
             connections.get(connection)
         else {
-            return Err(PeerFault::protocol("a welcome that nobody waits for"));
+            return Err(PeerFault::protocol("unexpected welcome on a connection that was not dialed"));
         };
         if welcome.role != Role::Initiator || welcome.name != name {
             return Err(PeerFault::new(
                 CloseReason::WrongPeer,
-                format!("expected initiator {name:?}, met {:?} {:?}", welcome.role, welcome.name),
+                format!("expected initiator {name:?}, found {:?} {:?}", welcome.role, welcome.name),
             ));
         }
         let peer = self.dialed.get_mut(name);
         connections.set_stage(connection, Stage::Open);
         if let Some(peer) = peer {
             peer.backoff.reset();
-            for bytes in &std::mem::take(&mut peer.waiting) {
+            for bytes in &std::mem::take(&mut peer.queued) {
                 connections.send_frame(connection, &Frame::Agreement { bytes });
             }
         }
         Ok(())
     }
 
-    /// A connection is gone.
+    /// Handles the loss of a connection: a dialed initiator may be dialed again after a back-off.
     pub(super) fn handle_lost(
         &mut self,
         peer: &AgreementPeer,
@@ -194,14 +196,15 @@
             return;
         };
         if let Some(peer) = self.dialed.get_mut(name) {
-            debug!(name, cause, "no connection to an initiator");
+            debug!(name, cause, "connection to initiator lost; it may be dialed again after a back-off");
             peer.connection = None;
             peer.redial_at = now.after(peer.backoff.next_delay(rng));
-            peer.waiting.clear();
+            peer.queued.clear();
         }
     }
 
-    /// Sends a message, or drops it. An initiator that is dialed for it has `dial_timeout` to be open.
+    /// Sends a message, or drops it if that is not possible. Dials the destination if there is no connection;
+    /// it has to be open within `dial_timeout`.
     pub(super) fn send(
         &mut self,
         connections: &mut ConnectionTable,
@@ -214,7 +217,7 @@
         let bytes = match postcard::to_stdvec(message) {
             Ok(bytes) if bytes.len() <= flaxstand_proto::MAX_BODY - MAX_FRAME_HEADER_BYTES => bytes,
             _ => {
-                warn!(?to, "a message that does not fit a frame is dropped");
+                warn!(?to, "agreement message exceeds the frame limit; dropping it");
                 return;
             }
         };
@@ -238,33 +241,33 @@
         let Some(peer) = self.dialed.get_mut(name) else { return };
         match peer.connection {
             Some(connection) if connections.is_open(connection) => send_on(connections, connection, &bytes),
-            Some(_) => peer.wait(bytes),
+            Some(_) => peer.enqueue(bytes),
             None if now < peer.redial_at => {}
             None => {
-                peer.wait(bytes);
+                peer.enqueue(bytes);
                 let dialed = Peer::Agreement(AgreementPeer::Dialed(name.to_owned()));
                 let protocol = Protocol::Frames(Inbox::default());
                 peer.connection =
                     Some(connections.dial(timers, dialed, protocol, peer.address.clone(), open_by));
-                info!(name, address = %peer.address, "calling an initiator");
+                info!(name, address = %peer.address, "dialing initiator");
             }
         }
     }
 }
 
 fn send_on(connections: &mut ConnectionTable, connection: ConnId, bytes: &[u8]) {
-    if connections.get(connection).is_some_and(|open| open.outbox.len() < MAX_UNREAD_BYTES) {
+    if connections.get(connection).is_some_and(|open| open.outbox.len() < MAX_UNSENT_BYTES) {
         connections.send_frame(connection, &Frame::Agreement { bytes });
     }
 }
 
-/// The initiator at the other end of an identified connection, none for an operator.
+/// Returns the name of the initiator at the other end of an identified connection, or none for an operator.
 pub(super) fn sender(connections: &ConnectionTable, connection: ConnId) -> Result<Option<String>, PeerFault> {
     match connections.get(connection).map(|open| &open.peer) {
         Some(Peer::Agreement(AgreementPeer::Initiator(name) | AgreementPeer::Dialed(name))) => {
             Ok(Some(name.clone()))
         }
         Some(Peer::Agreement(AgreementPeer::Operator)) => Ok(None),
-        _ => Err(PeerFault::protocol("a word of a stranger")),
+        _ => Err(PeerFault::protocol("agreement message from a peer that has not identified itself")),
     }
 }
--- a/crates/flaxstand-gateway/src/core/discovery/cache_codec.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/cache_codec.rs
@@ -1,14 +1,13 @@
-//! The codec of the endpoint list that is cached on disk for the next start: the full list, and behind it the
-//! changes since.
+//! Codec of the endpoint list cached on disk for the next start: the full list, followed by later changes.
 //!
-//! A saved state is a sequence of the wire's `List` frames. First the full list: as many frames of extent
-//! `Changes` as it takes, then one of extent `Full`, which ends it. A list that fits one frame is that one
-//! `Full` frame, as earlier versions wrote it. After it comes a frame of changes for each save since. `since`
-//! is the moment of the save on the host's calendar, in microseconds: ages are as of the last frame.
+//! The file is a sequence of the wire's `List` frames. The full list is zero or more frames of extent
+//! `Changes` followed by one of extent `Full`, which ends it. A list that fits one frame is a single `Full`
+//! frame, as earlier versions wrote it. Each later save appends frames of changes. `since` is the wall-clock
+//! time of the save in microseconds; the ages of a frame's entries are as of that time.
 //!
-//! The full list replaces the state at once, so it is there in full or not at all; changes are appended, and
-//! the last of them may be torn by a crash. Once the changes have grown as long as the full list, that is
-//! written anew: over time a change costs no more than twice its own length, however many nodes are listed.
+//! The full list replaces the file atomically, so it is never partial; changes are appended, and a crash may
+//! truncate the last of them. Once the changes are as long as the full list, the full list is rewritten: the
+//! amortised cost of a change is at most twice its own length, however many nodes are listed.
 
 use crate::core::endpoint_table::{Endpoint, EndpointName, EndpointTable};
 use crate::machine::Micros;
@@ -19,35 +18,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Why a saved list can't be used.
+/// Errors of reading a saved list.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum SavedListError {
-    /// The bytes are no frames.
-    #[error("it is damaged: {0}")]
+    /// The bytes are not valid frames.
+    #[error("saved endpoint list is corrupt: {0}")]
     Damaged(#[from] FrameError),
-    /// They end before the full list does.
-    #[error("it is not whole")]
+    /// The file ends within the full list.
+    #[error("saved endpoint list is truncated: it ends before the full list is complete")]
     Incomplete,
-    /// They are frames, but no list.
-    #[error("it holds no full list")]
+    /// A frame of another type precedes the end of the full list.
+    #[error("saved endpoint list contains another type of frame, expected a list frame")]
     NoList,
 }
 
-/// A saved state that was read.
+/// A decoded saved list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SavedList<'a> {
     /// The nodes listed, in the order in which they were first listed.
     pub entries: Vec<Entry<'a>>,
-    /// The newest revision in it.
+    /// Revision of the last frame.
     pub revision: u64,
-    /// Bytes at the end that are no complete frame: torn by a crash, and left out.
+    /// Bytes at the end that are not a complete frame, for example truncated by a crash. They are ignored.
     pub torn_bytes: usize,
 }
 
-/// Collects the entries of a saved state frame by frame.
+/// Collects the entries of a saved list frame by frame.
 #[derive(Default)]
 struct SavedListReader<'a> {
-    /// An entry and when it was saved; none: the node is gone.
+    /// Entries with the times of their saves; none if the node was removed.
     slots: Vec<Option<(Entry<'a>, u64)>>,
     slot_of: BTreeMap<u64, usize>,
     saved_at: u64,
@@ -61,7 +60,7 @@
             let node = entry.node;
             let slot = (entry.state != State::Removed).then_some((entry, list.since));
             match self.slot_of.get(&node) {
-                Some(place) => self.slots[*place] = slot,
+                Some(index) => self.slots[*index] = slot,
                 None => {
                     self.slot_of.insert(node, self.slots.len());
                     self.slots.push(slot);
@@ -70,7 +69,7 @@
         }
     }
 
-    /// The entries, older by what passed between their save and the last.
+    /// Returns the entries, with ages advanced to the time of the last save.
     fn into_entries(self) -> Vec<Entry<'a>> {
         let newest = self.saved_at;
         let aged = |(entry, saved_at): (Entry<'a>, u64)| {
@@ -82,10 +81,10 @@
 }
 
 impl<'a> SavedList<'a> {
-    /// Reads a saved state.
+    /// Decodes a saved list. Malformed changes after the full list are ignored.
     ///
     /// # Errors
-    /// The full list at its beginning can't be read. Changes behind it that can't are left out.
+    /// The full list at the beginning is malformed.
     pub fn read(bytes: &'a [u8]) -> Result<Self, SavedListError> {
         let mut reader = SavedListReader::default();
         let mut rest = Self::read_full(bytes, &mut reader)?;
@@ -99,7 +98,7 @@
         Ok(SavedList { entries: reader.into_entries(), revision, torn_bytes: rest.len() })
     }
 
-    /// Reads the frames up to the one that ends the full list. Returns what is behind it.
+    /// Reads the frames up to the one that ends the full list. Returns the remaining bytes.
     fn read_full(bytes: &'a [u8], reader: &mut SavedListReader<'a>) -> Result<&'a [u8], SavedListError> {
         let mut rest = bytes;
         loop {
@@ -109,52 +108,52 @@
                 None => return Err(SavedListError::Incomplete),
             };
             rest = &rest[length..];
-            let ends = list.extent == Extent::Full;
+            let is_last = list.extent == Extent::Full;
             reader.push(list);
-            if ends {
+            if is_last {
                 return Ok(rest);
             }
         }
     }
 }
 
-/// Encodes entries of the endpoint table as a saved state.
+/// Encodes entries of the endpoint table as a saved list.
 pub(super) struct CacheEncoder<'a> {
     /// The endpoints.
     pub(super) endpoints: &'a EndpointTable,
-    /// Service time of a unit without load at a node, ms, as the decision module has learned it.
+    /// Unloaded service time of a unit at a node, ms, as estimated by the decision module.
     pub(super) service_time_of: &'a dyn Fn(NodeId) -> Option<f64>,
     /// Revision of the list.
     pub(super) revision: u64,
-    /// When it is saved, on the host's calendar, microseconds since 1970.
+    /// Wall-clock time of the save, microseconds since 1970.
     pub(super) saved_at: u64,
-    /// The same moment on our clock.
+    /// The same time on the monotonic clock.
     pub(super) now: Micros,
 }
 
 impl CacheEncoder<'_> {
-    /// The full list, in as many frames as it takes.
+    /// Encodes the full list, split into as many frames as necessary.
     pub(super) fn encode_full(&self) -> Vec<u8> {
         let is_listed = |(_, endpoint): &(NodeId, &Endpoint)| endpoint.readiness() != Readiness::Removed;
         let listed: Vec<(NodeId, &Endpoint)> = self.endpoints.iter().filter(is_listed).collect();
-        let last = listed.len().saturating_sub(1) / MAX_ENTRIES;
+        let last_chunk = listed.len().saturating_sub(1) / MAX_ENTRIES;
         let mut bytes = Vec::new();
-        for part in 0..=last {
-            let from = part * MAX_ENTRIES;
+        for chunk in 0..=last_chunk {
+            let from = chunk * MAX_ENTRIES;
             let to = listed.len().min(from + MAX_ENTRIES);
-            let extent = if part == last { Extent::Full } else { Extent::Changes };
+            let extent = if chunk == last_chunk { Extent::Full } else { Extent::Changes };
             self.encode_entries(extent, &listed[from..to], &mut bytes);
         }
         bytes
     }
 
-    /// Entries of these nodes as changes; nothing for nodes that are no longer in the table.
+    /// Encodes entries of these nodes as changes. Skips nodes that are no longer in the table.
     pub(super) fn encode_changes(&self, nodes: BTreeSet<NodeId>) -> Vec<u8> {
         let in_table = |id: NodeId| self.endpoints.get(id).map(|endpoint| (id, endpoint));
         let changed: Vec<(NodeId, &Endpoint)> = nodes.into_iter().filter_map(in_table).collect();
         let mut bytes = Vec::new();
-        for part in changed.chunks(MAX_ENTRIES) {
-            self.encode_entries(Extent::Changes, part, &mut bytes);
+        for chunk in changed.chunks(MAX_ENTRIES) {
+            self.encode_entries(Extent::Changes, chunk, &mut bytes);
         }
         bytes
     }
--- a/crates/flaxstand-gateway/src/core/discovery/cache_schedule.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/cache_schedule.rs
@@ -1,5 +1,5 @@
-//! When the cached endpoint list is written, and which part of it: changes are appended until they are as
-//! long as the full list, which then replaces them.
+//! Schedules writes of the cached endpoint list: changes are appended until they are as long as the full
+//! list, which is then rewritten.
 
 use super::EndpointDiscovery;
 use super::cache_codec::CacheEncoder;
@@ -8,51 +8,51 @@
 use flaxstand::api::{ListScope, NodeId};
 use std::collections::BTreeSet;
 
-/// Service times learned of nodes in use are saved with a change of the list, but no more often than this:
-/// they differ after every answer. A crash loses what was learned since.
+/// Minimum interval between saves of changed service times, which are written along with a change of the
+/// list. They change with every response. A crash loses the estimates since the last save.
 const SERVICE_TIMES_INTERVAL: Micros = Micros(10_000_000);
-/// A save that failed is retried after this.
+/// Delay before a failed save is retried.
 const RETRY_SAVE_AFTER: Micros = Micros(10_000_000);
 
-/// Bytes to be written into the cached list.
+/// A write to the file of the cached list.
 #[derive(Debug)]
 pub(in crate::core) enum CacheWrite {
-    /// In place of what is there.
+    /// Replaces the content.
     Replace(Vec<u8>),
-    /// Behind what is there.
+    /// Appends to the content.
     Append(Vec<u8>),
 }
 
-/// What of the list is saved, and what is not yet.
+/// Tracks which entries are saved and which are pending.
 #[derive(Debug, Default)]
 pub(super) struct CacheSchedule {
-    /// An update has to be saved.
+    /// Whether an update is pending.
     is_due: bool,
     /// Nodes whose entries differ from the saved ones.
     changed: BTreeSet<NodeId>,
-    /// Nodes that answered since their service times were last saved.
+    /// Nodes that responded since their service times were last saved.
     used: BTreeSet<NodeId>,
     service_times_saved_at: Option<Micros>,
-    /// Bytes of the full list in the saved state; none: it is to be written in full.
+    /// Size of the full list in the file; none if the next save has to write the full list.
     full_bytes: Option<usize>,
-    /// Bytes of changes behind it.
+    /// Bytes of changes appended after it.
     appended_bytes: usize,
-    /// No save before this: the last one failed.
+    /// Earliest time of the next save, set after a failed one.
     not_before: Option<Micros>,
 }
 
 impl CacheSchedule {
-    /// Something was learned of a node that no update states. It is saved with the next update.
-    pub(super) fn add_learned(&mut self, node: NodeId) {
+    /// Marks a node as changed without an update of the list. It is saved with the next update.
+    pub(super) fn add_restarted(&mut self, node: NodeId) {
         self.changed.insert(node);
     }
 
-    /// A node answered: its service time may have changed.
+    /// Marks a node whose service time may have changed, since it responded.
     pub(super) fn add_used(&mut self, node: NodeId) {
         self.used.insert(node);
     }
 
-    /// The state could not be written: what it holds is unknown.
+    /// Records a failed write: the content of the file is unknown, so the next save writes the full list.
     pub(super) fn record_failure(&mut self, now: Micros) {
         self.require_full();
         self.not_before = Some(now.after(RETRY_SAVE_AFTER));
@@ -68,22 +68,22 @@
         self.changed.extend(nodes);
     }
 
-    /// Whether a save is to be made now; if so, it counts as made.
+    /// Returns whether a save is due now, and if so, clears the pending state.
     fn start_save(&mut self, now: Micros) -> bool {
-        let starts = self.is_due && self.not_before.is_none_or(|at| at <= now);
-        if starts {
+        let is_started = self.is_due && self.not_before.is_none_or(|at| at <= now);
+        if is_started {
             self.is_due = false;
             self.not_before = None;
         }
-        starts
+        is_started
     }
 
-    /// Whether so many bytes more may be appended.
+    /// Returns whether this many more bytes may be appended before the full list has to be rewritten.
     fn has_capacity(&self, bytes: usize) -> bool {
         self.full_bytes.is_some_and(|full| self.appended_bytes + bytes <= full)
     }
 
-    /// The nodes that the next frame of changes states.
+    /// Takes the nodes to include in the next frame of changes.
     fn take_changed(&mut self, now: Micros) -> BTreeSet<NodeId> {
         let mut nodes = std::mem::take(&mut self.changed);
         if self.service_times_saved_at.is_none_or(|at| now.since(at) >= SERVICE_TIMES_INTERVAL) {
@@ -95,7 +95,7 @@
 }
 
 impl EndpointDiscovery {
-    /// An update of this scope was applied and touched these nodes.
+    /// Records that an update of this scope was applied and affected these nodes.
     pub(in crate::core) fn record_applied(&mut self, scope: ListScope, touched: BTreeSet<NodeId>) {
         match scope {
             ListScope::Full => self.cache.require_full(),
@@ -104,9 +104,10 @@
         }
     }
 
-    /// What is to be written now, if anything. Called once the decision module has handled the update: before
-    /// that a service time would be saved with the wrong start of its node. `service_time_of`: as the module
-    /// has learned it, ms a unit. `saved_at`: the host's calendar, microseconds since 1970.
+    /// Returns the write that is due now, if any. To be called after the decision module has handled the
+    /// update: before that, a service time would be saved with another incarnation of its node.
+    /// `service_time_of` returns the module's estimate, ms per unit. `saved_at` is the wall-clock time,
+    /// microseconds since 1970.
     pub(in crate::core) fn next_save(
         &mut self,
         endpoints: &EndpointTable,
@@ -134,7 +135,8 @@
         Some(CacheWrite::Append(bytes))
     }
 
-    /// The full list, with the service time of every node. Arguments as of [`EndpointDiscovery::next_save`].
+    /// Returns a write of the full list with all service times. Arguments as for
+    /// [`EndpointDiscovery::next_save`].
     pub(in crate::core) fn save_full(
         &mut self,
         endpoints: &EndpointTable,
--- a/crates/flaxstand-gateway/src/core/discovery/frames_watch.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/frames_watch.rs
@@ -1,5 +1,5 @@
-//! The watch on the frames wire: one connection, changes applied in the order of their revisions, the full
-//! list requested after a gap, and a new connection after one that broke or stalled.
+//! The watch on the frames wire: applies changes in order of revision on a single connection, requests the
+//! full list after a gap, and reconnects after the connection failed or stalled.
 
 use super::{DiscoveryContext, EndpointDiscovery, EndpointEntry, EndpointUpdate, StalledWatch};
 use crate::core::connection_table::{Protocol, Stage};
@@ -9,28 +9,28 @@
 use flaxstand_proto::{CloseReason, Extent, Frame, List, Role, VERSION, VERSION_OLDEST, Welcome};
 use tracing::{debug, info, warn};
 
-/// Slowest rate at which a frame of the service may arrive, bytes a second: 3,200 nodes may take 45 s, the
-/// longest list frame 40 minutes.
+/// Minimum receive rate of a frame, bytes per second: a list of 3,200 nodes may take 45 s, the longest list
+/// frame 40 minutes.
 const MIN_FRAME_RATE: u64 = 4096;
 
-/// How a frame that is not complete yet arrives.
+/// Receive progress of an incomplete frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FrameProgress {
-    /// There is none.
+    /// No frame is incomplete.
     NoFrame,
-    /// Fast enough.
+    /// The frame arrives at the minimum rate or faster.
     Arriving,
-    /// Not at all, or too slowly.
+    /// The frame arrives below the minimum rate.
     Stalled,
 }
 
-/// Liveness of the watch.
+/// Liveness state of the watch.
 #[derive(Debug, Default)]
 pub(super) struct FramesWatch {
     last_received_at: Micros,
-    /// The full list was requested and has not come.
+    /// Whether a request for the full list is pending.
     is_list_requested: bool,
-    /// Bytes received on the connection at the last check, if that came within a frame.
+    /// Bytes received on the connection up to the last check, if a frame was incomplete then.
     received_within_frame: Option<u64>,
 }
 
@@ -39,7 +39,7 @@
         *self = FramesWatch { last_received_at: now, is_list_requested: false, received_within_frame: None };
     }
 
-    /// What has arrived of a frame since the last check. One that has begun since is arriving.
+    /// Returns the progress since the last check. A frame that began since then counts as arriving.
     fn frame_progress(&mut self, received_within_frame: Option<u64>, elapsed: Micros) -> FrameProgress {
         let before = std::mem::replace(&mut self.received_within_frame, received_within_frame);
         let min_bytes = elapsed.0 * MIN_FRAME_RATE / 1_000_000;
@@ -52,10 +52,10 @@
 }
 
 impl EndpointDiscovery {
-    /// The service greeted: the watch begins.
+    /// Starts the watch once the welcome of the service has arrived.
     ///
     /// # Errors
-    /// The peer is no discovery service, or speaks another version.
+    /// The peer is not a discovery service or uses an unsupported version.
     pub(in crate::core) fn start_watch(
         &mut self,
         conn: ConnId,
@@ -63,8 +63,10 @@
         context: &mut DiscoveryContext<'_>,
     ) -> Result<(), PeerFault> {
         if welcome.role != Role::List || !(VERSION_OLDEST..=VERSION).contains(&welcome.version) {
-            let text =
-                format!("expected a list service, met {:?} of version {}", welcome.role, welcome.version);
+            let text = format!(
+                "expected a list service of version {VERSION_OLDEST} to {VERSION}, found {:?} of version {}",
+                welcome.role, welcome.version
+            );
             return Err(PeerFault::new(CloseReason::WrongPeer, text));
         }
         context.connections.set_stage(conn, Stage::Open);
@@ -75,7 +77,7 @@
         Ok(())
     }
 
-    /// The connection broke or was never established. The list stays in use.
+    /// Handles a connection that failed or was never established. The list stays in use.
     pub(in crate::core) fn watch_lost(
         &mut self,
         stage: Stage,
@@ -83,12 +85,12 @@
         context: &mut DiscoveryContext<'_>,
     ) {
         self.conn = None;
-        warn!(cause, ?stage, "discovery disconnected; the endpoint list stays in use");
+        warn!(cause, ?stage, "discovery connection lost; keeping the current endpoint list");
         self.cancel_stall_check(context.timers);
         self.schedule_retry(context);
     }
 
-    /// The service sent the list or changes of it. Returns what is to be applied.
+    /// Handles a list or changes received from the service. Returns the update to apply, if any.
     pub(in crate::core) fn receive_list(
         &mut self,
         conn: ConnId,
@@ -99,17 +101,17 @@
         let scope = match (list.extent, self.revision) {
             (Extent::Full, _) => ListScope::Full,
             (Extent::Changes, Some(current)) if list.revision <= current => {
-                debug!(current, revision = list.revision, "watch event is already applied");
+                debug!(current, revision = list.revision, "ignoring list changes that are already applied");
                 Self::notify_unchanged(context);
                 return None;
             }
             (Extent::Changes, Some(current)) if list.since == current => ListScope::Changes,
-            // Guards against a change that was missed: applied over a gap, it would not show.
+            // Changes applied across a gap would hide the missed ones.
             (Extent::Changes, current) => {
                 info!(
                     ?current,
                     since = list.since,
-                    "gap in the watch events: requesting the full endpoint list"
+                    "gap between list revisions; requesting the full endpoint list"
                 );
                 self.request_full_list(conn, context);
                 return None;
@@ -117,14 +119,14 @@
         };
         self.backoff.reset();
         self.revision = Some(list.revision);
-        self.is_notified = true;
+        self.has_received_list = true;
         let entries =
             list.entries.iter().map(|entry| EndpointEntry::from_frame(entry, context.now)).collect();
         Some(EndpointUpdate { scope, revision: list.revision, entries })
     }
 
-    /// Checks whether the watch has stalled. An idle one is asked for the full list first; without a response
-    /// after as long again it has.
+    /// Checks whether the watch has stalled. On an idle watch the full list is requested first; without a
+    /// response within another idle time-out, the watch has stalled.
     pub(super) fn check_watch_stalled(
         &mut self,
         conn: ConnId,
@@ -142,11 +144,13 @@
             _ => None,
         };
         match self.watch.frame_progress(received_within_frame, idle_timeout) {
-            FrameProgress::Stalled => return Some(StalledWatch { conn, cause: "the list stalls" }),
-            // What is about to arrive is not requested again.
+            FrameProgress::Stalled => {
+                return Some(StalledWatch { conn, cause: "list frame arrives below the minimum rate" });
+            }
+            // A list that is arriving is not requested again.
             FrameProgress::Arriving => {}
             FrameProgress::NoFrame if self.watch.is_list_requested => {
-                return Some(StalledWatch { conn, cause: "the list service is silent" });
+                return Some(StalledWatch { conn, cause: "no response from the list service" });
             }
             FrameProgress::NoFrame => self.request_full_list(conn, context),
         }
--- a/crates/flaxstand-gateway/src/core/discovery/mod.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/mod.rs
@@ -1,17 +1,17 @@
-//! Endpoint discovery: the connection to the discovery service, which revision of the endpoint list this host
-//! has, and the copy of it that is cached on disk for the next start.
+//! Endpoint discovery: the connection to the discovery service, the revision of the endpoint list in use, and
+//! the copy of the list that is cached on disk for the next start.
 //!
-//! Discovery owns its state and touches no request, no client and no node connection. The core hands it what
-//! happened on its connection or timers and applies the [`EndpointUpdate`] that comes back
+//! Discovery owns its state and accesses no request, client or node connection. The core passes it the events
+//! of its connection and timers and applies the [`EndpointUpdate`] that it returns
 //! (`core/endpoint_events.rs`).
 //!
-//! - [`frames_watch`]: the watch on the frames wire; changes in the order of their revisions, all of it after
-//!   a gap
-//! - [`platform_poll`]: polled calls on the platform's wire; [`platform_listing`]: what their responses list
-//! - [`call_outcome`]: what the end of a call says of the service; [`response_progress`]: when a call has
-//!   stalled
-//! - [`cache_codec`]: bytes of the cached list; [`cache_schedule`]: when which part of it is written
-//! - [`zones`]: numbers of named zones
+//! - [`frames_watch`]: the watch on the frames wire; applies changes in order of revision and requests the
+//!   full list after a gap
+//! - [`platform_poll`]: polling on the platform's wire; [`platform_listing`]: conversion of the responses
+//! - [`call_outcome`]: classification of ended calls; [`response_progress`]: detection of stalled calls
+//! - [`cache_codec`]: encoding of the cached list; [`cache_schedule`]: when the cached list is written, in
+//!   full or as changes
+//! - [`zones`]: numbers assigned to zone names
 
 mod cache_codec;
 mod cache_schedule;
@@ -41,7 +41,7 @@
 use std::collections::VecDeque;
 use zones::ZoneIndex;
 
-/// What discovery uses of the core during one call.
+/// The parts of the core that discovery uses during one call.
 pub(super) struct DiscoveryContext<'a> {
     /// Connections, and commands to the driver.
     pub(super) connections: &'a mut ConnectionTable,
@@ -49,33 +49,34 @@
     pub(super) timers: &'a mut TimerQueue,
     /// Events for the decision module, in order.
     pub(super) events: &'a mut VecDeque<Event>,
-    /// The core's random numbers: the order of draws is a part of its behaviour.
+    /// The core's random number generator. The order of draws determines reproducible runs.
     pub(super) rng: &'a mut Pcg64Mcg,
-    /// What the core was configured with.
+    /// Configuration of the core.
     pub(super) config: &'a Config,
-    /// The moment of this turn.
+    /// Time of the current turn.
     pub(super) now: Micros,
 }
 
-/// A watch that is to be closed, and why.
+/// A stalled watch connection that the caller has to close.
 #[derive(Debug)]
 pub(super) struct StalledWatch {
     /// The connection to close.
     pub(super) conn: ConnId,
-    /// The cause, for the peer and the log.
+    /// Reason for the close, for the peer and the log.
     pub(super) cause: &'static str,
 }
 
 /// The client of the discovery service.
 #[derive(Debug)]
 pub(super) struct EndpointDiscovery {
-    /// The connection to the service, from when it is dialed.
+    /// The connection to the service, set as soon as it is dialed.
     conn: Option<ConnId>,
-    /// Revision of the list in use; on frames only once the service has sent one since the process started.
+    /// Revision of the list in use. On the frames wire it is set only after the service has sent a list since
+    /// the process started.
     revision: Option<u64>,
-    /// The service has sent a list since the process started.
-    is_notified: bool,
-    /// When the connection is next checked for having stalled.
+    /// Whether the service has sent a list since the process started.
+    has_received_list: bool,
+    /// Time of the next stall check.
     stall_check_at: Option<Micros>,
     backoff: Backoff,
     watch: FramesWatch,
@@ -85,12 +86,12 @@
 }
 
 impl EndpointDiscovery {
-    /// A client that is not connected and has no list.
+    /// Creates a client without a connection and without a list.
     pub(super) fn new(timeouts: &Timeouts) -> Self {
         EndpointDiscovery {
             conn: None,
             revision: None,
-            is_notified: false,
+            has_received_list: false,
             stall_check_at: None,
             backoff: Backoff::new(timeouts.discovery_backoff.min, timeouts.discovery_backoff.max),
             watch: FramesWatch::default(),
@@ -105,32 +106,32 @@
         self.conn
     }
 
-    /// Revision of the list in use, the cached one included where calls name it.
+    /// Revision of the list in use; on the platform's wire also that of the cached list.
     pub(super) fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// Revision of the list that the service sent last since the process started.
+    /// Revision of the last list received from the service since the process started.
     pub(super) fn notified_revision(&self) -> Option<u64> {
-        self.revision.filter(|_| self.is_notified)
+        self.revision.filter(|_| self.has_received_list)
     }
 
-    /// A node reported a start that the list does not have yet: the next save includes it.
+    /// Records a node restart that the list does not contain yet. The next save includes it.
     pub(super) fn record_restart(&mut self, node: NodeId) {
-        self.cache.add_learned(node);
+        self.cache.add_restarted(node);
     }
 
-    /// A node answered: its measured service time may have changed.
+    /// Records that a node responded: its measured service time may have changed.
     pub(super) fn record_use(&mut self, node: NodeId) {
         self.cache.add_used(node);
     }
 
-    /// The cached list could not be written: what the file holds is unknown.
+    /// Records that writing the cached list failed: the content of the file is unknown.
     pub(super) fn record_save_failure(&mut self, now: Micros) {
         self.cache.record_failure(now);
     }
 
-    /// The decision module asks for changes of the list.
+    /// Requests list changes on behalf of the decision module.
     pub(super) fn request_changes(&mut self, context: &mut DiscoveryContext<'_>) {
         match self.conn {
             Some(conn) if context.connections.is_open(conn) && context.connections.speaks_frames(conn) => {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Dials the service, unless there is a connection.
+    /// Dials the service unless a connection exists.
     pub(super) fn connect(&mut self, context: &mut DiscoveryContext<'_>) {
         if self.conn.is_some() {
             return;
@@ -158,8 +159,8 @@
             Some(context.connections.dial(context.timers, Peer::Discovery, protocol, address, deadline));
     }
 
-    /// Checks whether the service has stalled. A watch that has is the caller's to close; a polled call ends
-    /// here.
+    /// Checks whether the service has stalled. A stalled watch is returned for the caller to close; a stalled
+    /// poll is ended here.
     pub(super) fn check_stalled(&mut self, context: &mut DiscoveryContext<'_>) -> Option<StalledWatch> {
         self.stall_check_at = None;
         let conn = self.conn?;
@@ -170,8 +171,8 @@
         self.check_watch_stalled(conn, context)
     }
 
-    /// A call failed. Where the decision module polls, it asks again when it sees fit; elsewhere a retry
-    /// follows after a back-off.
+    /// Handles a failed call. In polling mode the decision module is notified and decides when to retry;
+    /// otherwise a retry is scheduled after a back-off.
     fn schedule_retry(&mut self, context: &mut DiscoveryContext<'_>) {
         if context.config.site.settings.polls_list {
             context.events.push_back(Event::EndpointList(ListScope::Failed, Vec::new()));
@@ -181,13 +182,12 @@
         }
     }
 
-    /// The service answered, and nothing has changed. The module is notified: it counts failed calls in a
-    /// row.
+    /// Notifies the decision module of a response without changes; it counts consecutive failed calls.
     fn notify_unchanged(context: &mut DiscoveryContext<'_>) {
         context.events.push_back(Event::EndpointList(ListScope::Changes, Vec::new()));
     }
 
-    /// Checks at this moment, and at no other, whether the service has stalled.
+    /// Schedules the stall check, replacing the one scheduled before.
     fn schedule_stall_check(&mut self, at: Micros, timers: &mut TimerQueue) {
         self.cancel_stall_check(timers);
         self.stall_check_at = Some(at);
--- a/crates/flaxstand-gateway/src/core/discovery/platform_listing.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_listing.rs
@@ -1,4 +1,4 @@
-//! Listings of the platform's wire as endpoint updates, and the revision that the next call names.
+//! Converts listings of the platform's wire to endpoint updates and tracks the revision for the next call.
 
 use super::zones::ZoneIndex;
 use super::{DiscoveryContext, EndpointDiscovery, EndpointEntry, EndpointUpdate};
@@ -9,7 +9,7 @@
 use tracing::{info, warn};
 
 impl EndpointDiscovery {
-    /// Takes the entries of a response that can be read. Returns what is to be applied.
+    /// Accepts the well-formed entries of a response. Returns the update to apply, if any.
     pub(in crate::core) fn accept_listing(
         &mut self,
         read: &ReadListing,
@@ -20,7 +20,7 @@
                 entry = problem.index,
                 uid = problem.uid,
                 cause = problem.cause,
-                "endpoint list entry is malformed"
+                "malformed endpoint list entry; ignoring it or draining its endpoint"
             );
         }
         let listing = &read.listing;
@@ -29,13 +29,13 @@
             info!(
                 current = self.revision,
                 received = listing.revision,
-                "endpoint list went back: requesting the full list"
+                "endpoint list revision decreased; requesting the full list"
             );
             self.revision = None;
             return None;
         }
         self.revision = Some(listing.revision);
-        self.is_notified = true;
+        self.has_received_list = true;
         self.backoff.reset();
         if !listing.is_full && listing.targets.is_empty() {
             Self::notify_unchanged(context);
@@ -45,21 +45,21 @@
         Some(self.update_from_listing(scope, listing, context.config.calendar))
     }
 
-    /// A nameless entry that can't be read may mean any endpoint: after changes with one, the full list is
-    /// requested.
+    /// Requests the full list after changes that contain malformed entries without a name: such an entry may
+    /// concern any endpoint.
     pub(in crate::core) fn reject_nameless_entries(&mut self, read: &ReadListing) {
         if read.nameless_count > 0 && !read.listing.is_full {
             warn!(
                 entries = read.nameless_count,
-                "endpoint list entries without a name: requesting the full list"
+                "malformed endpoint list entries without a name; requesting the full list"
             );
             self.revision = None;
         }
     }
 
-    /// The update that a listing states. `calendar` is the host's calendar when our clock was 0, microseconds
-    /// since 1970. After a cached list, calls name its revision: changes since cost the service less than the
-    /// full list.
+    /// Converts a listing to an update. `calendar` is the wall-clock time at zero of the monotonic clock,
+    /// microseconds since 1970. After a cached list, calls state its revision, since changes cost the service
+    /// less than the full list.
     pub(in crate::core) fn update_from_listing(
         &mut self,
         scope: ListScope,
@@ -89,7 +89,7 @@
                 TargetState::Draining => Readiness::Draining,
                 TargetState::Removed => Readiness::Removed,
             },
-            // All machines read one clock: the start on ours may be before ours began.
+            // Wall clocks are synchronised; a start before zero of the monotonic clock is negative.
             started_at: (target.started_at_ms > 0)
                 .then(|| target.started_at_ms as f64 - Micros(calendar).ms()),
             shard: target.shard,
--- a/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
@@ -1,13 +1,13 @@
-//! Calls of the discovery service on the platform's wire: the full list where there is none, then long polls
-//! for what is newer, each following the response to the last.
+//! Polls the discovery service on the platform's wire: requests the full list if there is none, then sends
+//! long polls for changes, one after the response to the other.
 //!
-//! Waits are short, so that a poll that stalled is noticed before what it missed binds this host, and they
-//! differ, so that hosts that began together do not go on calling together. A response that is arriving is
-//! waited for as long as it makes progress: the full list of thousands of endpoints from a busy service takes
-//! its time. The service handles calls one after another, and a full list costs it as much as many calls: a
-//! call names the current revision wherever there is one.
+//! Long-poll waits are short, so that a stalled poll is detected before the changes that it missed take
+//! effect for this host, and randomised, so that hosts that started together do not keep polling together. A
+//! response is awaited as long as it makes progress, since the full list of thousands of endpoints may take a
+//! busy service seconds. The service handles calls sequentially, and a full list costs it as much as many
+//! polls, so a call states the current revision whenever there is one.
 
-use super::call_outcome::{CallHistory, UNREADABLE_RESPONSE, outcome_of_status};
+use super::call_outcome::{CallHistory, MALFORMED_RESPONSE, outcome_of_status};
 use super::response_progress::{ResponseProgress, response_timeout};
 use super::{DiscoveryContext, EndpointDiscovery};
 use crate::core::Wire;
@@ -20,23 +20,24 @@
 use std::collections::VecDeque;
 use tracing::warn;
 
-/// Smallest part of the longest wait that is asked for.
-const MIN_WAIT_SHARE: f64 = 0.6;
-/// Moves of the service whose times are remembered; of more the earliest and the last.
-const MAX_MOVES: usize = 16;
-/// Longest response of the service, bytes: 32,768 endpoints of some 500 bytes each.
+/// Lower bound of the randomised long-poll wait, as a fraction of the longest.
+const MIN_WAIT_FRACTION: f64 = 0.6;
+/// Maximum number of service moves whose times are stored. Beyond it the latest replaces the one before it.
+const MAX_STORED_MOVES: usize = 16;
+/// Maximum size of a response, bytes: 32,768 endpoints of about 500 bytes each.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// The calls made so far, and the one in flight.
+/// State of the polls: history and the call in flight.
 #[derive(Debug)]
 pub(super) struct PlatformPoll {
     history: CallHistory,
     started_at: Micros,
-    /// When what the service has binds this host, after each of its last moves: a wait for changes ends then.
-    binding_at: VecDeque<Micros>,
-    /// By when the connection that is being dialed has to be established.
+    /// For each recent move of the service, the time from which this host counts as notified of the list. A
+    /// long poll ends by then.
+    notified_from: VecDeque<Micros>,
+    /// Deadline for the connection that is being dialed.
     connect_deadline: Option<Micros>,
-    /// Of the response that is arriving.
+    /// Progress of the response that is arriving.
     progress: Option<ResponseProgress>,
     /// Reads the responses of the current connection.
     reader: ResponseReader,
@@ -47,7 +48,7 @@
         PlatformPoll {
             history: CallHistory::default(),
             started_at: Micros(0),
-            binding_at: VecDeque::new(),
+            notified_from: VecDeque::new(),
             connect_deadline: None,
             progress: None,
             reader: ResponseReader::with_body_limit(MAX_RESPONSE_BYTES),
@@ -56,31 +57,31 @@
 }
 
 impl PlatformPoll {
-    /// The service has another address: what was learned of its calls no longer holds.
+    /// Resets the state after the service moved to another address: the call history no longer applies.
     fn reset_for_move(&mut self, terms: Option<NotificationTerms>, now: Micros) {
-        let mut binding_at = std::mem::take(&mut self.binding_at);
+        let mut notified_from = std::mem::take(&mut self.notified_from);
         if let Some(terms) = terms {
-            if binding_at.len() >= MAX_MOVES {
-                binding_at.pop_back();
+            if notified_from.len() >= MAX_STORED_MOVES {
+                notified_from.pop_back();
             }
-            binding_at.push_back(now.after(Micros::from_ms(terms.notified_after_move)));
+            notified_from.push_back(now.after(Micros::from_ms(terms.notified_after_move)));
         }
-        *self = PlatformPoll { binding_at, ..PlatformPoll::default() };
+        *self = PlatformPoll { notified_from, ..PlatformPoll::default() };
     }
 }
 
-/// A list that the service answered with, to be applied before the next call.
+/// A response with a list, to be applied before the next call.
 #[derive(Debug)]
 pub(in crate::core) struct PollResponse {
     conn: ConnId,
-    /// The list as far as it can be read.
+    /// The well-formed part of the list.
     pub(in crate::core) listing: ReadListing,
-    /// The connection may carry another call.
+    /// Whether the connection may be reused for the next call.
     keeps_connection: bool,
 }
 
 impl EndpointDiscovery {
-    /// A connection is about to be dialed. Returns by when it has to be established.
+    /// Prepares a connection that is about to be dialed. Returns its connect deadline.
     pub(super) fn start_poll_connection(&mut self, context: &mut DiscoveryContext<'_>) -> Micros {
         self.record_call_start(Micros(0), context);
         let deadline = context.now.after(self.response_timeout());
@@ -99,7 +100,7 @@
         context.events.push_back(Event::DiscoveryCall(call));
     }
 
-    /// Makes the next call on an established connection. From now on its response is waited for.
+    /// Sends the next call on an established connection and schedules its stall check.
     pub(in crate::core) fn start_poll(&mut self, conn: ConnId, context: &mut DiscoveryContext<'_>) {
         if let Some(deadline) = self.poll.connect_deadline.take() {
             context.timers.cancel(deadline, Timer::ConnectTimeout(conn));
@@ -118,27 +119,27 @@
             .write(conn, |bytes| write_request(bytes, "GET", &target, &[("Host", &host)], None));
     }
 
-    /// How long the next call asks the service to wait for changes: not at all after one that failed, since a
-    /// connection that stalls as well would show only after the wait.
+    /// Returns how long the next call asks the service to wait for changes. After a failed call that is zero,
+    /// since another stall would be detected only after the wait.
     fn next_wait(&mut self, context: &mut DiscoveryContext<'_>) -> Micros {
         if self.revision.is_none() || !self.poll.history.was_last_answered {
             return Micros(0);
         }
-        let drawn = f64::from(context.rng.next_u32()) / f64::from(u32::MAX);
-        let share = MIN_WAIT_SHARE + (1.0 - MIN_WAIT_SHARE) * drawn;
-        let wait = Micros::from_ms(context.config.site.timeouts.max_long_poll.ms() * share);
-        let binding_at = &mut self.poll.binding_at;
-        let remembered = binding_at.len();
-        while binding_at.pop_front_if(|at| *at <= context.now).is_some() {}
-        match binding_at.front() {
-            // What the service has now binds: it is asked for once without a wait.
-            _ if binding_at.len() < remembered => Micros(0),
+        let random = f64::from(context.rng.next_u32()) / f64::from(u32::MAX);
+        let fraction = MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * random;
+        let wait = Micros::from_ms(context.config.site.timeouts.max_long_poll.ms() * fraction);
+        let notified_from = &mut self.poll.notified_from;
+        let stored = notified_from.len();
+        while notified_from.pop_front_if(|at| *at <= context.now).is_some() {}
+        match notified_from.front() {
+            // The current list of the service is in effect for this host: request it once without a wait.
+            _ if notified_from.len() < stored => Micros(0),
             Some(at) => wait.min(at.since(context.now)),
             None => wait,
         }
     }
 
-    /// Bytes arrived from the service. Returns the response that they complete.
+    /// Handles received bytes. Returns the response if they complete it.
     pub(in crate::core) fn receive_bytes(
         &mut self,
         conn: ConnId,
@@ -150,21 +151,21 @@
         }
         self.poll.reader.push(bytes);
         match self.poll.reader.take() {
-            Ok(Some(answer)) => return self.complete_call(conn, &answer, context),
+            Ok(Some(response)) => return self.complete_call(conn, &response, context),
             Ok(None) if self.poll.reader.body_started() => {
                 self.record_progress(bytes.len() as u64, context);
             }
             Ok(None) => {}
             Err(fault) => {
-                warn!(%fault, "discovery response is malformed");
-                self.fail_poll(conn, UNREADABLE_RESPONSE, "an answer that can't be read", context);
+                warn!(%fault, "malformed HTTP response from discovery; closing the connection");
+                self.fail_poll(conn, MALFORMED_RESPONSE, "malformed HTTP response", context);
             }
         }
         None
     }
 
-    /// A part of a response arrived. What it lists binds from its beginning on, and can't be read before its
-    /// end.
+    /// Records that a part of a response arrived. The listed state takes effect for this host at the
+    /// beginning of the response, although it can be parsed only at its end.
     fn record_progress(&mut self, bytes: u64, context: &mut DiscoveryContext<'_>) {
         if let Some(progress) = &mut self.poll.progress {
             return progress.record(bytes, context.now);
@@ -175,7 +176,7 @@
         self.schedule_stall_check(progress.deadline(), context.timers);
     }
 
-    /// The service ended its stream in good order: a response without a length is complete.
+    /// Handles an orderly end of the stream, which completes a response without a length.
     pub(in crate::core) fn receive_end(
         &mut self,
         conn: ConnId,
@@ -184,36 +185,36 @@
         if self.conn != Some(conn) || context.config.wire != Wire::Platform {
             return None;
         }
-        let answer = self.poll.reader.end()?;
-        self.complete_call(conn, &answer, context)
+        let response = self.poll.reader.end()?;
+        self.complete_call(conn, &response, context)
     }
 
     fn complete_call(
         &mut self,
         conn: ConnId,
-        answer: &Response,
+        response: &Response,
         context: &mut DiscoveryContext<'_>,
     ) -> Option<PollResponse> {
-        if answer.status != 200 {
-            warn!(status = answer.status, "discovery call was rejected");
-            let outcome = outcome_of_status(answer.status, context.now.since(self.poll.started_at));
-            self.fail_poll(conn, outcome, "the list service could not answer", context);
+        if response.status != 200 {
+            warn!(status = response.status, "discovery call rejected; closing the connection");
+            let outcome = outcome_of_status(response.status, context.now.since(self.poll.started_at));
+            self.fail_poll(conn, outcome, "status other than 200", context);
             return None;
         }
-        let listing = match read_listing(&answer.body) {
+        let listing = match read_listing(&response.body) {
             Ok(listing) => listing,
             Err(cause) => {
-                warn!(%cause, "discovery listing is malformed");
-                self.fail_poll(conn, UNREADABLE_RESPONSE, "a list that can't be read", context);
+                warn!(%cause, "malformed endpoint list from discovery; closing the connection");
+                self.fail_poll(conn, MALFORMED_RESPONSE, "malformed endpoint list", context);
                 return None;
             }
         };
         self.poll.history.record_success();
         self.poll.progress = None;
-        Some(PollResponse { conn, listing, keeps_connection: answer.keeps_alive })
+        Some(PollResponse { conn, listing, keeps_connection: response.keeps_alive })
     }
 
-    /// Makes the call that follows a response which has been applied.
+    /// Sends the next call after a response has been applied.
     pub(in crate::core) fn poll_again(
         &mut self,
         response: &PollResponse,
@@ -222,7 +223,7 @@
         if response.keeps_connection {
             self.start_poll(response.conn, context);
         } else {
-            // The service works, and only this connection ends: not a failure that the module should hear of.
+            // The service is up and only closes this connection, so the module is not notified of a failure.
             self.conn = None;
             self.cancel_stall_check(context.timers);
             context.connections.discard(response.conn);
@@ -230,13 +231,13 @@
         }
     }
 
-    /// The connection broke, or its peer broke the protocol.
+    /// Handles a connection that failed or whose peer violated the protocol.
     pub(in crate::core) fn poll_lost(&mut self, cause: &str, context: &mut DiscoveryContext<'_>) {
         self.conn = None;
         self.record_call_failure(DiscoveryCall::Unanswered, cause, context);
     }
 
-    /// Closes a connection under its call, which ends with this outcome.
+    /// Closes the connection and fails its call with this outcome.
     fn fail_poll(
         &mut self,
         conn: ConnId,
@@ -249,7 +250,8 @@
         self.record_call_failure(outcome, cause, context);
     }
 
-    /// A call ended without a list. The list in use stays so for as long as the decision module trusts it.
+    /// Records a call that ended without a list. The current list stays in use for as long as the decision
+    /// module allows it.
     fn record_call_failure(
         &mut self,
         outcome: DiscoveryCall,
@@ -257,7 +259,7 @@
         context: &mut DiscoveryContext<'_>,
     ) {
         let elapsed_ms = context.now.since(self.poll.started_at).ms();
-        warn!(cause, ?outcome, elapsed_ms, "discovery call failed");
+        warn!(cause, ?outcome, elapsed_ms, "discovery call failed; keeping the current endpoint list");
         self.poll.history.record_failure(outcome);
         self.poll.progress = None;
         self.cancel_stall_check(context.timers);
@@ -265,24 +267,24 @@
         self.schedule_retry(context);
     }
 
-    /// A call has been in flight for long: it has failed, unless its response is arriving.
+    /// Fails a call that passed its deadline, unless its response is still making progress.
     pub(super) fn check_poll_stalled(&mut self, conn: ConnId, context: &mut DiscoveryContext<'_>) {
         let (outcome, cause) = match self.poll.progress {
             Some(progress) if context.now < progress.deadline() => {
                 return self.schedule_stall_check(progress.deadline(), context.timers);
             }
             Some(progress) if !progress.has_stalled(context.now) => {
-                (DiscoveryCall::Abandoned, "the list comes too slowly")
+                (DiscoveryCall::Abandoned, "response arrives below the minimum rate")
             }
-            Some(_) => (DiscoveryCall::Unanswered, "the list does not come whole"),
-            None => (DiscoveryCall::Unanswered, "the list service is silent"),
+            Some(_) => (DiscoveryCall::Unanswered, "response stalled before its end"),
+            None => (DiscoveryCall::Unanswered, "no response from the list service"),
         };
         self.fail_poll(conn, outcome, cause, context);
     }
 
-    /// The service has another address now. Guards against a list that goes stale unseen: the old connection
-    /// closes. Both count the same revisions; one that does not is asked for its full list (see
-    /// `accept_listing`).
+    /// Handles a new address of the service. Closes the old connection, whose list could go stale undetected.
+    /// Both addresses normally share their revisions; after a decreased revision the full list is requested
+    /// (see `accept_listing`).
     pub(in crate::core) fn move_service(&mut self, context: &mut DiscoveryContext<'_>) {
         if let Some(conn) = self.conn.take() {
             context.connections.discard(conn);
--- a/crates/flaxstand-gateway/src/core/discovery/response_progress.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/response_progress.rs
@@ -1,28 +1,28 @@
-//! When a polled call has stalled: before its response began, and while it arrives.
+//! Detects stalled polls, both before the response begins and while it arrives.
 
 use crate::machine::Micros;
 
-/// Time without a response after which a call that does not wait for changes has failed, by how many calls in
-/// a row before it had no response: the service may be slow rather than gone.
+/// Response time-outs of calls without a long-poll wait, by the number of preceding consecutive calls without
+/// a response: the service may be slow rather than down.
 const RESPONSE_TIMEOUTS: [Micros; 4] =
     [Micros(1_000_000), Micros(1_000_000), Micros(1_000_000), Micros(2_000_000)];
-/// The same for a call of the full list, which is more work for the service.
+/// Response time-outs of calls for the full list, which is more work for the service.
 const FULL_LIST_TIMEOUTS: [Micros; 4] =
     [Micros(4_000_000), Micros(4_000_000), Micros(8_000_000), Micros(16_000_000)];
-/// A response that has begun has stalled when nothing more of it arrived for this long.
+/// A response that has begun counts as stalled if no bytes arrive for this long.
 const STALLED_AFTER: Micros = Micros(1_500_000);
-/// Slowest rate at which a response may arrive after [`MIN_RATE_AFTER`], bytes a second.
+/// Minimum receive rate of a response after [`MIN_RATE_AFTER`], bytes per second.
 const MIN_RATE: u64 = 8 * 1024;
-/// Time from the beginning of a response before its rate counts.
+/// Time from the beginning of a response after which the minimum rate applies.
 const MIN_RATE_AFTER: Micros = Micros(4_000_000);
 
-/// How long a call may go without a response, beyond what it asks the service to wait.
+/// Returns how long a call may go without a response, in addition to its long-poll wait.
 pub(super) fn response_timeout(consecutive_unanswered: usize, is_full_list: bool) -> Micros {
     let timeouts = if is_full_list { FULL_LIST_TIMEOUTS } else { RESPONSE_TIMEOUTS };
     timeouts[consecutive_unanswered.min(timeouts.len() - 1)]
 }
 
-/// How far a response has arrived.
+/// Receive progress of a response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ResponseProgress {
     began_at: Micros,
@@ -31,25 +31,25 @@
 }
 
 impl ResponseProgress {
-    /// A response whose first bytes arrive now.
+    /// Starts tracking a response whose first bytes arrive now.
     pub(super) fn begin(bytes: u64, now: Micros) -> Self {
         ResponseProgress { began_at: now, last_received_at: now, bytes }
     }
 
-    /// More of it arrived.
+    /// Records further bytes.
     pub(super) fn record(&mut self, bytes: u64, now: Micros) {
         self.last_received_at = now;
         self.bytes += bytes;
     }
 
-    /// When it has failed if nothing more arrives.
+    /// Time at which the response fails unless more bytes arrive.
     pub(super) fn deadline(&self) -> Micros {
         let at_min_rate = Micros(self.bytes * 1_000_000 / MIN_RATE);
         self.last_received_at.after(STALLED_AFTER).min(self.began_at.after(MIN_RATE_AFTER).after(at_min_rate))
     }
 
-    /// Whether nothing of it has arrived for too long. One that is past its deadline and has not stalled is
-    /// too slow.
+    /// Returns whether no bytes have arrived for too long. A response that is past its deadline and has not
+    /// stalled is below the minimum rate.
     pub(super) fn has_stalled(&self, now: Micros) -> bool {
         now >= self.last_received_at.after(STALLED_AFTER)
     }
--- a/crates/flaxstand-gateway/src/core/discovery/update.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/update.rs
@@ -1,4 +1,4 @@
-//! What discovery hands out: entries of the endpoint list, the same for both wires.
+//! Endpoint updates that discovery produces, independent of the wire.
 
 use super::{SavedList, SavedListError};
 use crate::core::endpoint_table::EndpointName;
@@ -7,26 +7,26 @@
 use flaxstand_proto::{Entry, State};
 use tracing::warn;
 
-/// A list of endpoints, or changes of it, to be applied.
+/// An endpoint list, or changes of it, to apply.
 #[derive(Debug)]
 pub(in crate::core) struct EndpointUpdate {
     /// Whether it is the full list, changes of it, or the cached list of an earlier run.
     pub(in crate::core) scope: ListScope,
-    /// Revision that it leads to.
+    /// Revision of the list after the update.
     pub(in crate::core) revision: u64,
-    /// Its entries, in the order of the service.
+    /// Entries in the order in which the service sent them.
     pub(in crate::core) entries: Vec<EndpointEntry>,
 }
 
 impl EndpointUpdate {
-    /// The list that an earlier run saved.
+    /// Decodes the list that an earlier run saved.
     ///
     /// # Errors
-    /// The full list at its beginning can't be read.
+    /// The full list at the beginning is malformed.
     pub(in crate::core) fn from_saved(bytes: &[u8], now: Micros) -> Result<Self, SavedListError> {
         let saved = SavedList::read(bytes)?;
         if saved.torn_bytes > 0 {
-            warn!(bytes = saved.torn_bytes, "torn end of the saved endpoint list is ignored");
+            warn!(bytes = saved.torn_bytes, "saved endpoint list ends with an incomplete frame; ignoring it");
         }
         let entries = saved.entries.iter().map(|entry| EndpointEntry::from_frame(entry, now)).collect();
         Ok(EndpointUpdate { scope: ListScope::Cached, revision: saved.revision, entries })
@@ -36,28 +36,28 @@
 /// An entry of the endpoint list.
 #[derive(Debug)]
 pub(in crate::core) struct EndpointEntry {
-    /// Its name in the list.
+    /// Name of the node in the list.
     pub(in crate::core) name: EndpointName,
-    /// Grows with each start of the node.
+    /// Increases with each start of the node.
     pub(in crate::core) incarnation: u64,
-    /// Whether it takes requests.
+    /// Whether the node accepts requests.
     pub(in crate::core) readiness: Readiness,
-    /// When it started, milliseconds on our clock; none: long ago.
+    /// Start time, milliseconds on the monotonic clock; none if it is too long ago to matter.
     pub(in crate::core) started_at: Option<f64>,
-    /// The shard that it holds.
+    /// The shard that the node serves.
     pub(in crate::core) shard: u32,
-    /// Number of its zone.
+    /// Number of the node's zone.
     pub(in crate::core) zone: u32,
-    /// Its size against others', hundredths; 0: not stated.
+    /// Relative size of the node in hundredths; 0 if not stated.
     pub(in crate::core) size: u32,
-    /// Service time of a unit without load, ms.
+    /// Unloaded service time of a unit, ms.
     pub(in crate::core) service_time: Option<f64>,
-    /// Where it listens, as the list states it.
+    /// Listen address as stated in the list, not parsed yet.
     pub(in crate::core) address: String,
 }
 
 impl EndpointEntry {
-    /// An entry of a `List` frame.
+    /// Converts an entry of a `List` frame.
     pub(super) fn from_frame(entry: &Entry<'_>, now: Micros) -> Self {
         EndpointEntry {
             name: EndpointName::Number(entry.node),
--- a/crates/flaxstand-gateway/src/core/discovery/zones.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/zones.rs
@@ -1,16 +1,16 @@
-//! Numbers of zones that the platform's lists name.
+//! Numbers assigned to the zone names of the platform's lists.
 
-/// Zones that are told apart; endpoints of any further zone count to the last.
+/// Maximum number of distinct zones; endpoints of any further zone are assigned to the last.
 const MAX_ZONES: usize = 64;
 
-/// Zone names, numbered in the order of their first appearance.
+/// Zone names, numbered in order of first appearance.
 #[derive(Debug, Default)]
 pub(super) struct ZoneIndex {
     names: Vec<String>,
 }
 
 impl ZoneIndex {
-    /// The zone's number; a new one gets the next.
+    /// Returns the number of a zone, assigning the next one to a new name.
     pub(super) fn number_of(&mut self, zone: &str) -> u32 {
         let position = self.names.iter().position(|name| name == zone).unwrap_or_else(|| {
             if self.names.len() < MAX_ZONES {
--- a/crates/flaxstand-gateway/src/core/endpoint_events.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_events.rs
@@ -1,6 +1,6 @@
-//! Carries events to endpoint discovery, and what comes back to the endpoint table, the node connections and
-//! the decision module. This is the only place where an update of the endpoint list reaches requests in
-//! flight.
+//! Passes events to endpoint discovery and applies the resulting updates to the endpoint table, the node
+//! connections and the decision module. Only this module lets an update of the endpoint list affect requests
+//! in flight.
 
 use super::connection_table::Stage;
 use super::decision_policy::DecisionPolicy;
@@ -16,7 +16,7 @@
 use tracing::info;
 
 impl Core {
-    /// Discovery, and what it uses of the core.
+    /// Returns discovery and the parts of the core that it uses.
     fn discovery(&mut self, now: Micros) -> (&mut EndpointDiscovery, DiscoveryContext<'_>) {
         let context = DiscoveryContext {
             connections: &mut self.connections,
@@ -29,7 +29,7 @@
         (&mut self.discovery, context)
     }
 
-    /// The decision module asks for changes of the endpoint list.
+    /// Requests changes of the endpoint list on behalf of the decision module.
     pub(super) fn request_endpoint_changes(&mut self, now: Micros) {
         let (discovery, mut context) = self.discovery(now);
         discovery.request_changes(&mut context);
@@ -65,10 +65,10 @@
         discovery.poll_lost(cause, &mut context);
     }
 
-    /// The service answered that it has no list.
+    /// Closes the connection after the service reported that it has no list.
     pub(super) fn discovery_failed(&mut self, now: Micros) {
         if let Some(conn) = self.discovery.connection() {
-            self.close(conn, "the list service could not answer", now);
+            self.close(conn, "list service reported that it has no list", now);
         }
     }
 
@@ -79,13 +79,13 @@
         }
     }
 
-    /// The configuration names another address of the service.
+    /// Handles a reloaded configuration with another address of the service.
     pub(super) fn discovery_moved(&mut self, now: Micros) {
         let (discovery, mut context) = self.discovery(now);
         discovery.move_service(&mut context);
     }
 
-    /// A `List` frame arrived.
+    /// Handles a `List` frame.
     pub(super) fn endpoint_list_received(&mut self, conn: ConnId, list: &List<'_>, now: Micros) {
         let (discovery, mut context) = self.discovery(now);
         if let Some(update) = discovery.receive_list(conn, list, &mut context) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Applies a response of the platform's service, then makes the next call.
+    /// Applies a response of the platform's service, then sends the next call.
     fn apply_poll_response(&mut self, response: &PollResponse, now: Micros) {
         let (discovery, mut context) = self.discovery(now);
         if let Some(update) = discovery.accept_listing(&response.listing, &mut context) {
@@ -119,7 +119,7 @@
         discovery.poll_again(response, &mut context);
     }
 
-    /// Guards against requests to a node whose entry can't be read and may say that it is draining.
+    /// Drains nodes whose entries are malformed, since such an entry may state that its node is draining.
     fn drain_unreadable(&mut self, read: &ReadListing, now: Micros) {
         let drained = self.nodes.drain_unreadable(&read.unreadable, now);
         if drained.is_empty() {
@@ -130,7 +130,7 @@
         self.withdraw_unsent_from_drained(&drained, now);
     }
 
-    /// Applies a listing in the platform's format: received now, or as this host had it before it started.
+    /// Applies a listing in the platform's format, either received now or cached by an earlier run.
     pub fn apply_platform_listing(&mut self, scope: ListScope, listing: &Listing, now: Micros) {
         let update = self.discovery.update_from_listing(scope, listing, self.config.calendar);
         self.apply_endpoint_update(update, now);
@@ -149,22 +149,22 @@
         for id in applied.moved {
             self.close_idle_connections(id, now);
         }
-        // Parsed by the measurement of list lags.
+        // The message is parsed by the measurement of list lags.
         info!(?scope, revision, entries = applied.entries.len(), "node list");
         self.events.push_back(Event::EndpointList(scope, applied.entries));
         self.withdraw_unsent_from_drained(&applied.touched, now);
         for id in &applied.touched {
             self.close_if_removed(*id, now);
         }
-        // On the platform the configuration brings the list of the last run.
+        // On the platform the configuration provides the list of the last run, so it is not cached here.
         if self.config.wire == Wire::Frames {
             self.discovery.record_applied(scope, applied.touched);
         }
     }
 
-    /// Saves the endpoint list if an update has not been saved yet.
+    /// Saves the endpoint list if an update is pending.
     pub(super) fn save_endpoint_changes(&mut self, now: Micros) {
-        let service_time_of = |id| learned_service_time(&self.policy, id);
+        let service_time_of = |id| estimated_service_time(&self.policy, id);
         let saved_at = self.config.calendar.saturating_add(now.0);
         let write = self.discovery.next_save(&self.nodes, &service_time_of, saved_at, now);
         if let Some(write) = write {
@@ -174,7 +174,7 @@
 
     /// Saves the full endpoint list.
     pub(super) fn save_all_endpoints(&mut self, now: Micros) {
-        let service_time_of = |id| learned_service_time(&self.policy, id);
+        let service_time_of = |id| estimated_service_time(&self.policy, id);
         let saved_at = self.config.calendar.saturating_add(now.0);
         let write = self.discovery.save_full(&self.nodes, &service_time_of, saved_at, now);
         self.write_cache(write);
@@ -196,8 +196,8 @@
     }
 }
 
-/// Service time of a unit without load at a node, ms, as the decision module has learned it.
-fn learned_service_time(policy: &DecisionPolicy, id: NodeId) -> Option<f64> {
+/// Returns the unloaded service time of a unit at a node, ms, as estimated by the decision module.
+fn estimated_service_time(policy: &DecisionPolicy, id: NodeId) -> Option<f64> {
     let DecisionPolicy::Scheduler(scheduler) = policy else { return None };
     scheduler.service_time_of(id)
 }
--- a/crates/flaxstand-gateway/src/core/endpoint_table/apply.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_table/apply.rs
@@ -1,4 +1,4 @@
-//! Applies an update of the endpoint list to the table.
+//! Applies updates of the endpoint list to the table.
 
 use super::{EndpointName, EndpointTable};
 use crate::core::discovery::{EndpointEntry, EndpointUpdate};
@@ -7,26 +7,26 @@
 use std::collections::BTreeSet;
 use tracing::{debug, warn};
 
-/// What an update changed.
+/// The effects of an update.
 #[derive(Debug, Default)]
 pub(in crate::core) struct AppliedUpdate {
     /// Entries for the decision module, in the order of the update.
     pub(in crate::core) entries: Vec<NodeEntry>,
-    /// All nodes that the update states or removed.
+    /// All nodes that the update contains or removed.
     pub(in crate::core) touched: BTreeSet<NodeId>,
-    /// Nodes that listen at another address now, in the order of the update.
+    /// Nodes whose address changed, in the order of the update.
     pub(in crate::core) moved: Vec<NodeId>,
 }
 
-/// What one entry changed.
+/// The effects of one entry.
 struct AppliedEntry {
     entry: NodeEntry,
     is_moved: bool,
 }
 
 impl EndpointTable {
-    /// Applies an update. Entries that can't be used are left out, with a warning. The table holds at most
-    /// `max_endpoints`. What a full or cached list leaves out is removed.
+    /// Applies an update. Invalid entries are skipped with a warning. The table holds at most `max_endpoints`
+    /// endpoints. Endpoints that are absent from a full or cached list are removed.
     pub(in crate::core) fn apply(
         &mut self,
         update: EndpointUpdate,
@@ -51,7 +51,7 @@
         applied
     }
 
-    /// Takes endpoints out of service whose entries can't be read. Returns those that were serving.
+    /// Drains endpoints whose entries are malformed. Returns those that were serving.
     pub(in crate::core) fn drain_unreadable(&mut self, uids: &[String], now: Micros) -> BTreeSet<NodeId> {
         let listed = uids.iter().filter_map(|uid| self.id_of(&EndpointName::Uid(uid.clone())));
         let serving: BTreeSet<NodeId> = listed.filter(|id| self.serves(*id)).collect();
@@ -61,17 +61,17 @@
         serving
     }
 
-    /// Removes what a full list leaves out. Returns those that were listed until now.
+    /// Removes endpoints that are absent from a full list. Returns those that were listed before.
     fn remove_absent(&mut self, listed: &BTreeSet<NodeId>, now: Micros) -> BTreeSet<NodeId> {
-        let before = self.iter().filter(|(_, endpoint)| endpoint.readiness() != Readiness::Removed);
-        let absent: BTreeSet<NodeId> = before.map(|(id, _)| id).filter(|id| !listed.contains(id)).collect();
+        let previous = self.iter().filter(|(_, endpoint)| endpoint.readiness() != Readiness::Removed);
+        let absent: BTreeSet<NodeId> = previous.map(|(id, _)| id).filter(|id| !listed.contains(id)).collect();
         for id in &absent {
             self.set_readiness(*id, Readiness::Removed, now);
         }
         absent
     }
 
-    /// Applies one entry; none if it can't be used.
+    /// Applies one entry. Returns none if the entry is invalid or exceeds the table's limit.
     fn apply_entry(
         &mut self,
         mut entry: EndpointEntry,
@@ -87,13 +87,13 @@
         let endpoint = self.get_mut(id)?;
         let before = (endpoint.readiness(), endpoint.incarnation);
         if entry.incarnation > endpoint.incarnation {
-            // Fixed at the first report of this start, by the list or by the node: a staler age that comes
-            // later must not make it look like another.
+            // The start time is fixed at the first report of this incarnation, by the list or by the node: a
+            // less recent age received later must not look like another start.
             endpoint.incarnation = entry.incarnation;
             endpoint.started_at = entry.started_at;
         }
         let is_moved = endpoint.address != address;
-        // A full list states mostly what is known.
+        // Most entries of a full list are unchanged.
         let is_changed = is_moved || before != (entry.readiness, endpoint.incarnation);
         endpoint.shard = entry.shard;
         endpoint.zone = entry.zone;
@@ -104,26 +104,25 @@
             let (node, state) = (&entry.name, entry.readiness);
             debug!(%node, ?state, shard = entry.shard, address = entry.address, "endpoint changed");
         }
-        // The service time is handed on with its entry and not stored: it holds for that start of the node
-        // alone.
+        // The service time is passed on with the entry and not stored: it is valid only for that incarnation.
         let stored = self.get(id)?.entry(id);
         let entry = NodeEntry { service_time: entry.service_time, ..stored };
         Some(AppliedEntry { entry, is_moved })
     }
 
-    /// Where an entry says that its node listens. A known endpoint whose address can't be read stays at the
-    /// one it had and takes no new requests there; the rest of the entry holds all the same.
+    /// Returns the address stated in an entry. If it is malformed, a known endpoint keeps its previous
+    /// address and is drained; the rest of the entry still applies.
     fn address_of(&self, entry: &mut EndpointEntry, known: Option<NodeId>) -> Option<Address> {
         let cause = match entry.address.parse() {
             Ok(address) => return Some(address),
             Err(cause) => cause,
         };
         let Some(known) = known.and_then(|id| self.get(id)) else {
-            warn!(node = %entry.name, %cause, "endpoint is ignored");
+            warn!(node = %entry.name, %cause, "malformed address of a new endpoint; ignoring the entry");
             return None;
         };
         if entry.readiness == Readiness::Serving {
-            warn!(node = %entry.name, %cause, "endpoint is draining: its address can't be read");
+            warn!(node = %entry.name, %cause, "malformed address of a listed endpoint; draining it");
             entry.readiness = Readiness::Draining;
         }
         Some(known.address.clone())
@@ -136,7 +135,7 @@
         max_endpoints: usize,
     ) -> Option<NodeId> {
         if self.len() >= max_endpoints {
-            // Parsed by the measurement of list lags.
+            // The message is parsed by the measurement of list lags.
             warn!(node = %entry.name, bound = max_endpoints, "a listed node beyond the bound is left out");
             return None;
         }
--- a/crates/flaxstand-gateway/src/core/endpoint_table/mod.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_table/mod.rs
@@ -1,7 +1,7 @@
-//! The endpoints that are listed or lately were, by id and by name. What is asked of all of them (does any
-//! serve, which were removed long ago) is maintained at each change, so that no caller has to walk them for
-//! it; visits are counted, so that tests can hold callers to that. [`apply`]: how an update of the list
-//! changes the table.
+//! Table of the endpoints that are listed or were removed recently, by id and by name. Aggregates (whether
+//! any endpoint serves, which were removed long ago) are maintained on each change, so that callers need not
+//! iterate over the table. Visits of endpoints are counted, so that tests can verify this. [`apply`] applies
+//! updates of the list.
 
 mod apply;
 
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What the list calls an endpoint.
+/// Name of an endpoint in the list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EndpointName {
     Number(u64),
@@ -27,21 +27,21 @@
     }
 }
 
-/// A storage node that is listed or lately was, and what is in use of it here.
+/// A storage node that is listed or was removed recently.
 #[derive(Debug)]
 pub(super) struct Endpoint {
-    /// Its name in the list.
+    /// Name in the list.
     pub(super) name: EndpointName,
     pub(super) incarnation: u64,
-    /// Milliseconds on our clock; fixed for an incarnation from its first report.
+    /// Start time, milliseconds on the monotonic clock; fixed for an incarnation at its first report.
     pub(super) started_at: Option<f64>,
     readiness: Readiness,
     pub(super) shard: u32,
     pub(super) zone: u32,
-    /// Its size against others', hundredths; 0: not stated.
+    /// Relative size in hundredths; 0 if not stated.
     pub(super) size: u32,
     pub(super) address: Address,
-    /// When the list removed it.
+    /// Time at which the list removed the endpoint.
     removed_at: Micros,
 }
 
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Whether it takes requests, by the list.
+    /// Readiness as stated by the list.
     pub(super) fn readiness(&self) -> Readiness {
         self.readiness
     }
 
-    /// Its entry for the decision module.
+    /// Returns the entry for the decision module.
     pub(super) fn entry(&self, node: NodeId) -> NodeEntry {
         NodeEntry {
             node,
@@ -79,37 +79,37 @@
     }
 }
 
-/// All endpoints that are listed or lately were.
+/// All endpoints that are listed or were removed recently.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     nodes: BTreeMap<NodeId, Endpoint>,
     ids: BTreeMap<EndpointName, NodeId>,
     next_id: u32,
     serving: usize,
-    /// Endpoints that are no longer listed, by when the list removed them.
+    /// Endpoints that are no longer listed, by time of removal.
     removed: BTreeSet<(Micros, NodeId)>,
     visited: Cell<u64>,
 }
 
 impl EndpointTable {
-    /// An endpoint.
+    /// Returns an endpoint.
     pub(super) fn get(&self, id: NodeId) -> Option<&Endpoint> {
         self.visit();
         self.nodes.get(&id)
     }
 
-    /// An endpoint, to change it.
+    /// Returns an endpoint for modification.
     pub(super) fn get_mut(&mut self, id: NodeId) -> Option<&mut Endpoint> {
         self.visit();
         self.nodes.get_mut(&id)
     }
 
-    /// The id of the endpoint of this name.
+    /// Returns the id of the endpoint with this name.
     pub(super) fn id_of(&self, name: &EndpointName) -> Option<NodeId> {
         self.ids.get(name).copied()
     }
 
-    /// Adds an endpoint. It counts as removed until [`EndpointTable::set_readiness`] says otherwise.
+    /// Adds an endpoint. It counts as removed until [`EndpointTable::set_readiness`] sets another readiness.
     pub(super) fn insert(&mut self, name: EndpointName, address: Address) -> NodeId {
         let id = NodeId(self.next_id);
         self.next_id += 1;
@@ -120,7 +120,7 @@
         id
     }
 
-    /// Forgets an endpoint.
+    /// Deletes an endpoint from the table.
     pub(super) fn remove(&mut self, id: NodeId) -> Option<Endpoint> {
         self.set_readiness(id, Readiness::Removed, Micros(0));
         let node = self.nodes.remove(&id)?;
@@ -129,7 +129,7 @@
         Some(node)
     }
 
-    /// The list states another readiness of an endpoint.
+    /// Sets the readiness of an endpoint and maintains the aggregates.
     pub(super) fn set_readiness(&mut self, id: NodeId, readiness: Readiness, now: Micros) {
         self.visit();
         let Some(node) = self.nodes.get_mut(&id) else { return };
@@ -148,27 +148,28 @@
         node.readiness = readiness;
     }
 
-    /// Whether an endpoint takes new requests.
+    /// Returns whether the endpoint accepts new requests.
     pub(super) fn serves(&self, id: NodeId) -> bool {
         self.get(id).is_some_and(|node| node.readiness == Readiness::Serving)
     }
 
-    /// Whether any endpoint takes new requests.
+    /// Returns whether any endpoint accepts new requests.
     pub(super) fn any_serves(&self) -> bool {
         self.serving > 0
     }
 
-    /// How many are listed.
+    /// Number of listed endpoints.
     pub(super) fn listed(&self) -> usize {
         self.nodes.len() - self.removed.len()
     }
 
-    /// How many are in the table, those lately removed included.
+    /// Number of endpoints in the table, including those removed recently.
     pub(super) fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// All of them. For what concerns the whole list; every endpoint counts as visited.
+    /// Iterates over all endpoints. Each of them counts as visited, so use it only for operations on the full
+    /// list.
     pub(super) fn iter(&self) -> impl Iterator<Item = (NodeId, &Endpoint)> {
         self.nodes.iter().map(|(id, node)| {
             self.visit();
@@ -176,13 +177,13 @@
         })
     }
 
-    /// Endpoints that the list removed so long ago or longer, the earliest first.
-    pub(super) fn gone_for(&self, age: Micros, now: Micros) -> Vec<NodeId> {
-        let old = |(removed_at, _): &&(Micros, NodeId)| now.since(*removed_at) >= age;
-        self.removed.iter().take_while(old).map(|(_, id)| *id).collect()
+    /// Returns the endpoints that were removed at least `age` ago, the earliest first.
+    pub(super) fn removed_for(&self, age: Micros, now: Micros) -> Vec<NodeId> {
+        let is_old = |(removed_at, _): &&(Micros, NodeId)| now.since(*removed_at) >= age;
+        self.removed.iter().take_while(is_old).map(|(_, id)| *id).collect()
     }
 
-    /// How often an endpoint was visited since the start.
+    /// Number of endpoint visits since the start.
     pub(super) fn visited(&self) -> u64 {
         self.visited.get()
     }
--- a/crates/flaxstand-gateway/src/core/pooled_attempts.rs
+++ b/crates/flaxstand-gateway/src/core/pooled_attempts.rs
@@ -347,7 +347,7 @@
     }
 
     fn remove_expired_nodes(&mut self, now: Micros) {
-        for id in self.nodes.gone_for(REMOVED_NODE_RETENTION, now) {
+        for id in self.nodes.removed_for(REMOVED_NODE_RETENTION, now) {
             if self.upstream.has_in_flight(id) {
                 continue;
             }
--- a/crates/flaxstand-gateway/src/driver/accepting.rs
+++ b/crates/flaxstand-gateway/src/driver/accepting.rs
@@ -1,4 +1,4 @@
-//! Connections that peers open: accepted, rejected with a last frame, or turned away for lack of descriptors.
+//! Incoming connections: accepted, rejected with a final frame, or closed for lack of file descriptors.
 
 use super::Driver;
 use super::event_source::EventSource;
@@ -13,15 +13,15 @@
 use std::io;
 use tracing::warn;
 
-/// Most connections accepted from one listener in a turn.
+/// Maximum number of connections accepted from one listener per turn.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
-/// Most rejected connections that are kept open. Part of the descriptors that the platform's settings reserve.
+/// Maximum number of rejected connections kept open. The platform's settings reserve descriptors for them.
 const MAX_REJECTED: usize = 8;
-/// How long a rejected connection is kept open, so that its peer can read why.
-const REJECTED_OPEN_FOR: Micros = Micros(250_000);
+/// How long a rejected connection is kept open, so that its peer can read the final frame.
+const REJECTED_LINGER: Micros = Micros(250_000);
 
-/// Guards against a reset that takes the last frame along: a rejected connection that is closed at once over what
-/// its peer has sent would be reset.
+/// Rejected connections that are kept open for a short time. Closing a socket with unread received data
+/// resets the connection, which would discard the final frame.
 #[derive(Default)]
 pub(super) struct RejectedConnections {
     open: VecDeque<RejectedConnection>,
@@ -29,14 +29,14 @@
 
 struct RejectedConnection {
     rejected_at: Micros,
-    /// Held to keep the connection open.
+    /// Keeps the connection open until dropped.
     _fd: OwnedFd,
 }
 
 impl RejectedConnections {
-    /// Writes `last` and closes the connection a little later.
-    fn add(&mut self, fd: OwnedFd, last: &[u8], now: Micros) {
-        let _ = write(&fd, last);
+    /// Writes the final frame and closes the connection after [`REJECTED_LINGER`].
+    fn add(&mut self, fd: OwnedFd, final_frame: &[u8], now: Micros) {
+        let _ = write(&fd, final_frame);
         let _ = net::shutdown(&fd, net::Shutdown::Write);
         if self.open.len() >= MAX_REJECTED {
             self.open.pop_front();
@@ -44,16 +44,18 @@
         self.open.push_back(RejectedConnection { rejected_at: now, _fd: fd });
     }
 
-    /// Closes those that were open for long enough.
-    pub(super) fn close_old(&mut self, now: Micros) {
-        let is_old = |connection: &RejectedConnection| now.since(connection.rejected_at) >= REJECTED_OPEN_FOR;
-        while self.open.front().is_some_and(is_old) {
+    /// Closes the connections whose linger time has passed.
+    pub(super) fn close_expired(&mut self, now: Micros) {
+        let is_expired =
+            |connection: &RejectedConnection| now.since(connection.rejected_at) >= REJECTED_LINGER;
+        while self.open.front().is_some_and(is_expired) {
             self.open.pop_front();
         }
     }
 }
 
-/// A descriptor that is given up for a moment when there are no others, to accept a client and close it.
+/// Opens a reserve descriptor. When no others are left it is released, so that a pending connection can be
+/// accepted and closed.
 pub(super) fn reserve_descriptor() -> Option<OwnedFd> {
     File::open("/dev/null").ok().map(OwnedFd::from)
 }
@@ -64,16 +66,16 @@
 }
 
 impl<M: Machine> Driver<M> {
-    /// Accepts connections that wait, a bounded number. Returns how many.
-    pub(super) fn accept(&mut self, index: usize) -> usize {
+    /// Accepts pending connections, up to [`MAX_ACCEPTS_PER_TURN`]. Returns the number accepted.
+    pub(super) fn accept_pending(&mut self, index: usize) -> usize {
         for count in 0..MAX_ACCEPTS_PER_TURN {
             let Some(listener) = self.listeners.get(index) else { return count };
             match listener.accept() {
-                Ok(fd) => self.accepted(fd, index),
+                Ok(fd) => self.register_accepted(fd, index),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return count,
                 Err(error) => {
                     if is_out_of_descriptors(&error) {
-                        self.turn_away(index);
+                        self.close_pending(index);
                     }
                     return count;
                 }
@@ -82,18 +84,19 @@
         MAX_ACCEPTS_PER_TURN
     }
 
-    /// Guards against a connection that waits and wakes the driver for ever while there are no descriptors.
-    fn turn_away(&mut self, index: usize) {
-        warn!("no descriptors left: a client is turned away");
+    /// Closes one pending connection when no descriptors are left. Otherwise it would stay in the backlog and
+    /// wake the driver continuously.
+    fn close_pending(&mut self, index: usize) {
+        warn!("no descriptors left; closing a pending connection of listener {index}");
         self.reserved_descriptor = None;
         drop(self.listeners[index].accept());
         self.reserved_descriptor = reserve_descriptor();
     }
 
-    fn accepted(&mut self, fd: OwnedFd, listener: usize) {
+    fn register_accepted(&mut self, fd: OwnedFd, listener: usize) {
         let conn = match self.machine.accepted(listener, self.now) {
             Ok(conn) => conn,
-            Err(last) => return self.rejected.add(fd, &last, self.now),
+            Err(final_frame) => return self.rejected.add(fd, &final_frame, self.now),
         };
         let interest = epoll::EventFlags::IN;
         match epoll::add(&self.epoll, &fd, EventSource::Connection(conn).data(), interest) {
@@ -105,9 +108,10 @@
     }
 
     pub(super) fn stop_listening(&mut self) {
-        // Guards against a reset of peers that have connected, and may have asked: they are accepted first.
+        // Pending connections are accepted first: closing the listener would reset peers that may already
+        // have sent requests.
         for index in 0..self.listeners.len() {
-            while self.accept(index) == MAX_ACCEPTS_PER_TURN {}
+            while self.accept_pending(index) == MAX_ACCEPTS_PER_TURN {}
         }
         for listener in &self.listeners {
             let _ = epoll::delete(&self.epoll, listener.fd());
--- a/crates/flaxstand-gateway/src/driver/commands.rs
+++ b/crates/flaxstand-gateway/src/driver/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out what the machine asks for.
+//! Executes the commands of the machine.
 
 use super::Driver;
 use super::state_files::{append, replace, replace_durably};
@@ -8,14 +8,14 @@
 use tracing::warn;
 
 impl<M: Machine> Driver<M> {
-    pub(super) fn carry_out(&mut self, command: Command) {
+    pub(super) fn execute(&mut self, command: Command) {
         match command {
             Command::Connect { conn, address } => self.connect(conn, &address),
             Command::Flush(conn) => self.flush(conn),
             Command::ShutdownWrite(conn) => self.shut_down_write(conn),
             Command::Close { conn, last } => self.close(conn, &last),
-            Command::SaveList(bytes) => self.save(|path| replace(path, &bytes)),
-            Command::AppendList(bytes) => self.save(|path| append(path, &bytes)),
+            Command::SaveList(bytes) => self.update_saved_list(|path| replace(path, &bytes)),
+            Command::AppendList(bytes) => self.update_saved_list(|path| append(path, &bytes)),
             Command::AppendOutput(sink, bytes) => self.append_output(sink, &bytes),
             Command::StoreWriteBack(batch) => {
                 let is_queued = self.write_back_log.as_ref().is_some_and(|log| log.store(batch));
@@ -39,11 +39,11 @@
         }
     }
 
-    /// Changes the saved endpoint list, if there is a place for it.
-    fn save(&mut self, change: impl FnOnce(&Path) -> io::Result<()>) {
+    /// Writes to the file of the saved endpoint list, if one is configured.
+    fn update_saved_list(&mut self, write: impl FnOnce(&Path) -> io::Result<()>) {
         let Some(path) = &self.options.saved_list else { return };
-        if let Err(error) = change(path) {
-            warn!(%error, path = %path.display(), "cannot save");
+        if let Err(error) = write(path) {
+            warn!(%error, path = %path.display(), "cannot write the saved endpoint list; retrying later");
             self.machine.save_failed(self.now);
         }
     }
@@ -56,7 +56,7 @@
         if let Some(file) = file
             && let Err(error) = file.write_all(bytes)
         {
-            warn!(%error, ?sink, "cannot append");
+            warn!(%error, ?sink, "cannot append {} bytes of output; discarding them", bytes.len());
         }
     }
 
@@ -64,31 +64,31 @@
         if let Some(path) = &self.options.replicated_state
             && let Err(error) = replace_durably(path, bytes)
         {
-            warn!(%error, path = %path.display(), "cannot save what was agreed on");
+            warn!(%error, path = %path.display(), "cannot save the replicated state; continuing");
         }
     }
 
-    /// Batches of the write-back log are done.
-    pub(super) fn write_back_batches_done(&mut self) {
+    /// Reports completed batches of the write-back log to the machine.
+    pub(super) fn report_write_back_results(&mut self) {
         let Some(log) = &self.write_back_log else { return };
         for result in log.take_results() {
-            warn_if_failed(&result);
+            warn_if_failed("write-back", &result);
             self.machine.write_back_stored(result.is_ok(), self.now);
         }
     }
 
-    /// Batches of the consensus log are done.
-    pub(super) fn consensus_batches_done(&mut self) {
+    /// Reports completed batches of the consensus log to the machine.
+    pub(super) fn report_consensus_results(&mut self) {
         let Some(log) = &self.consensus_log else { return };
         for result in log.take_results() {
-            warn_if_failed(&result);
+            warn_if_failed("consensus", &result);
             self.machine.consensus_stored(result.is_ok(), self.now);
         }
     }
 }
 
-fn warn_if_failed(result: &io::Result<()>) {
+fn warn_if_failed(log: &str, result: &io::Result<()>) {
     if let Err(error) = result {
-        warn!(%error, "cannot store");
+        warn!(%error, "cannot store a batch in the {log} log");
     }
 }
--- a/crates/flaxstand-gateway/src/driver/event_source.rs
+++ b/crates/flaxstand-gateway/src/driver/event_source.rs
@@ -1,4 +1,4 @@
-//! What an event of epoll is about, as the 64 bits that epoll carries for it.
+//! Sources of epoll events, encoded in the 64-bit user data of epoll.
 
 use crate::machine::ConnId;
 use rustix::event::epoll;
@@ -8,28 +8,28 @@
 const INPUT: u64 = 1 << 60;
 const WRITE_BACK_LOG: u64 = 1 << 59;
 const CONSENSUS_LOG: u64 = 1 << 58;
-/// Bits of the index of a listener or signal.
+/// Mask of the index of a listener or signal.
 const INDEX: u64 = 0xffff;
 
-/// Source of an event.
+/// Source of an epoll event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EventSource {
     /// A listener, by index.
     Listener(usize),
-    /// A signal's pipe, by index.
+    /// A signal pipe, by index.
     Signal(usize),
     /// Standard input.
     Input,
-    /// Batches of the write-back log are done.
+    /// Completed batches of the write-back log.
     WriteBackLog,
-    /// Batches of the consensus log are done.
+    /// Completed batches of the consensus log.
     ConsensusLog,
     /// A connection.
     Connection(ConnId),
 }
 
 impl EventSource {
-    /// Its bits. Connections are numbered from 0 and never reach the flags.
+    /// Encodes the source. Connection ids count up from 0 and never reach the flag bits.
     pub(super) fn data(self) -> epoll::EventData {
         epoll::EventData::new_u64(match self {
             EventSource::Listener(index) => LISTENER | index as u64,
@@ -41,7 +41,7 @@
         })
     }
 
-    /// The source with these bits.
+    /// Decodes a source.
     pub(super) fn of(data: epoll::EventData) -> EventSource {
         let bits = data.u64();
         let index = (bits & INDEX) as usize;
--- a/crates/flaxstand-gateway/src/driver/input.rs
+++ b/crates/flaxstand-gateway/src/driver/input.rs
@@ -1,4 +1,4 @@
-//! Standard input, line by line.
+//! Reads standard input line by line.
 
 use super::Driver;
 use super::event_source::EventSource;
@@ -8,12 +8,12 @@
 use rustix::io::{Errno, read};
 use std::io;
 
-/// Adds standard input to epoll.
-pub(super) fn watch(epoll: &OwnedFd) -> io::Result<()> {
+/// Registers standard input with epoll.
+pub(super) fn register(epoll: &OwnedFd) -> io::Result<()> {
     let stdin = io::stdin();
     rustix::io::ioctl_fionbio(&stdin, true)?;
     match epoll::add(epoll, &stdin, EventSource::Input.data(), epoll::EventFlags::IN) {
-        // A file or /dev/null can't be waited on; there is nobody at its other end.
+        // epoll rejects regular files and /dev/null with EPERM; such input is not read.
         Ok(()) | Err(Errno::PERM) => Ok(()),
         Err(error) => Err(error.into()),
     }
--- a/crates/flaxstand-gateway/src/driver/listener.rs
+++ b/crates/flaxstand-gateway/src/driver/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets: TCP, or a socket file that is removed with its listener.
+//! Listening sockets: TCP, or Unix sockets, whose file is removed when the listener is dropped.
 
 use crate::machine::Address;
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
@@ -9,7 +9,7 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
-/// Most connections that the system queues until they are accepted.
+/// Maximum number of pending connections that the system queues.
 const BACKLOG: i32 = 4096;
 
 /// A listening socket.
@@ -19,7 +19,7 @@
 }
 
 impl Listener {
-    /// Listens; the address has the port that the system chose where 0 was asked for.
+    /// Binds and listens. Returns the bound address; for port 0 it contains the port chosen by the system.
     pub(super) fn bind(address: &Address) -> io::Result<(Listener, Address)> {
         match address {
             Address::Tcp(address) => Self::bind_tcp(*address),
@@ -47,7 +47,7 @@
         Ok(Listener::Unix(listener, path.to_owned()))
     }
 
-    /// Its descriptor.
+    /// Returns the file descriptor.
     pub(super) fn fd(&self) -> BorrowedFd<'_> {
         match self {
             Listener::Tcp(listener) => listener.as_fd(),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Accepts the next connection; its reads and writes don't block.
+    /// Accepts the next connection as a non-blocking socket.
     pub(super) fn accept(&self) -> io::Result<OwnedFd> {
         match self {
             Listener::Tcp(listener) => {
--- a/crates/flaxstand-gateway/src/driver/mod.rs
+++ b/crates/flaxstand-gateway/src/driver/mod.rs
@@ -1,11 +1,16 @@
-//! Runs a machine on epoll: one thread, no runtime. The clock is read once a turn and never goes back.
+//! Event loop that runs a machine on epoll, with one thread and no async runtime. The clock is read once per
+//! turn and is monotonic.
 //!
-//! Each turn: wait for events or the machine's next wake, read the clock, hand over what came (a bounded part of
-//! each connection, so that none starves the others), let the machine settle, carry out its commands.
+//! Each turn waits for events or the machine's next wake-up, reads the clock, delivers the events (a bounded
+//! number of bytes per connection, so that none starves the others), settles the machine and executes its
+//! commands.
 //!
-//! `accepting` and `listener` have the connections that peers open, `socket` reads and writes all of them,
-//! `commands` carries out commands, `storage_thread` stores batches, `state_files` writes files, `signals` and
-//! `input` have what reaches a machine beside its connections, `event_source` names what epoll reports.
+//! - `accepting`, `listener`: incoming connections
+//! - `socket`: reads and writes of all connections
+//! - `commands`: execution of the machine's commands
+//! - `storage_thread`, `state_files`: storage of batches and files
+//! - `signals`, `input`: control from outside the connections
+//! - `event_source`: epoll user data
 
 mod accepting;
 mod commands;
@@ -34,42 +39,43 @@
 use std::path::PathBuf;
 use storage_thread::StorageThread;
 
-/// Most events taken from the system in a turn.
+/// Maximum number of epoll events per turn.
 const MAX_EVENTS_PER_TURN: usize = 1024;
-/// Bytes of the buffer that connections are read into.
+/// Size of the buffer for reads from connections, bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// A turn that takes longer than this is settled again at its end, before anything of it is written.
+/// After a turn longer than this the machine is settled again before any output is written.
 const LONG_TURN: Micros = Micros(50_000);
-/// Longest sleep without a wake that the machine asked for.
+/// Longest wait for events, also without a wake-up requested by the machine.
 const MAX_SLEEP: Micros = Micros(3_600_000_000);
 
-/// The monotonic clock, microseconds. The same for all processes of a host.
+/// Reads the monotonic clock, microseconds. All processes of a host share it.
 pub fn clock() -> Micros {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     Micros(time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1000)
 }
 
-/// Reads the settings again; `None`: they stay as they are.
+/// Reloads the settings. Returns `None` if they stay unchanged.
 pub type Reload = Box<dyn FnMut() -> Option<Reloaded> + Send>;
 
-/// What a driver does beside running its machine.
+/// Options of a driver: files, logs and the reload of settings.
 #[derive(Default)]
 pub struct Options {
-    /// File of the machine's saved state: `SaveList` replaces it, `AppendList` appends to it.
+    /// File of the saved endpoint list: `SaveList` replaces it, `AppendList` appends to it.
     pub saved_list: Option<PathBuf>,
     /// File that `AppendOutput` appends records to.
     pub record: Option<File>,
     /// File that `AppendOutput` appends data to.
     pub data: Option<File>,
-    /// Read lines of standard input.
+    /// Whether lines of standard input are passed to the machine.
     pub read_input: bool,
-    /// Where `StoreWriteBack` stores batches, on a thread of its own: the machine never waits for a disk.
+    /// Log in which `StoreWriteBack` stores batches, on a separate thread so that the machine never blocks on
+    /// a disk.
     pub write_back_log: Option<Box<dyn Storage>>,
-    /// Where `StoreConsensus` stores batches, on another thread.
+    /// Log in which `StoreConsensus` stores batches, on another separate thread.
     pub consensus_log: Option<Box<dyn Storage>>,
     /// File that `SaveReplicatedState` replaces.
     pub replicated_state: Option<PathBuf>,
-    /// Called at SIGHUP; what it reads is handed to the machine.
+    /// Called on SIGHUP; the reloaded settings are passed to the machine.
     pub reload: Option<Reload>,
 }
 
@@ -84,19 +90,19 @@
     signals: Vec<SignalPipe>,
     write_back_log: Option<StorageThread>,
     consensus_log: Option<StorageThread>,
-    /// What was read of a line of standard input.
+    /// Incomplete line read from standard input.
     partial_line: Vec<u8>,
     options: Options,
-    /// Time of this turn.
+    /// Time of the current turn.
     now: Micros,
     is_done: bool,
 }
 
 impl<M: Machine> Driver<M> {
-    /// A driver that listens nowhere yet. SIGTERM and SIGINT stop the machine gracefully.
+    /// Creates a driver without listeners. SIGTERM and SIGINT stop the machine gracefully.
     ///
     /// # Errors
-    /// The system gives no epoll, no pipe for signals or no thread.
+    /// Creating the epoll instance, a signal pipe or a storage thread fails.
     pub fn new(machine: M, mut options: Options) -> io::Result<Self> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let signals = signals::register(&epoll)?;
@@ -104,10 +110,10 @@
             options.write_back_log.take().map(|log| StorageThread::start("log", log)).transpose()?;
         let consensus_log =
             options.consensus_log.take().map(|log| StorageThread::start("keeper", log)).transpose()?;
-        watch_log(&epoll, &write_back_log, EventSource::WriteBackLog)?;
-        watch_log(&epoll, &consensus_log, EventSource::ConsensusLog)?;
+        register_log(&epoll, &write_back_log, EventSource::WriteBackLog)?;
+        register_log(&epoll, &consensus_log, EventSource::ConsensusLog)?;
         if options.read_input {
-            input::watch(&epoll)?;
+            input::register(&epoll)?;
         }
         Ok(Driver {
             machine,
@@ -126,8 +132,8 @@
         })
     }
 
-    /// Listens; returns the address, with the port that the system chose where 0 was asked for. A socket file
-    /// that no process listens on any more is replaced.
+    /// Listens on an address. Returns the bound address; for port 0 it contains the port chosen by the
+    /// system. A stale socket file, on which no process listens, is replaced.
     ///
     /// # Errors
     /// The address is in use or not available.
@@ -139,10 +145,10 @@
         Ok(bound)
     }
 
-    /// Runs until the machine is done, and returns it.
+    /// Runs until the machine exits, and returns it.
     ///
     /// # Errors
-    /// Waiting for events fails. What concerns one connection only ends that one.
+    /// Waiting for events fails. An error of a single connection closes only that connection.
     pub fn run(mut self) -> io::Result<M> {
         let mut events: Vec<epoll::Event> = Vec::with_capacity(MAX_EVENTS_PER_TURN);
         let mut buffer = vec![0; READ_BUFFER_BYTES];
@@ -151,7 +157,7 @@
             self.wait(next_wake, &mut events)?;
             self.now = clock().max(self.now);
             for event in &events {
-                self.event(EventSource::of(event.data), event.flags, &mut buffer);
+                self.handle_event(EventSource::of(event.data), event.flags, &mut buffer);
             }
             next_wake = self.settle();
         }
@@ -169,13 +175,14 @@
         }
     }
 
-    /// Lets the machine settle and carries out its commands, until it has none. Returns its next wake.
+    /// Settles the machine and executes its commands until there are none. Returns the next wake-up.
     fn settle(&mut self) -> Option<Micros> {
-        self.rejected.close_old(self.now);
+        self.rejected.close_expired(self.now);
         loop {
             let mut next_wake = self.machine.settle(self.now);
             let mut commands = self.machine.take_commands();
-            // Guards against a process that stood still inside a turn: what it decided by may be over by now.
+            // If the process was suspended within the turn, the state behind its decisions, such as a lease,
+            // may have expired.
             if clock().since(self.now) > LONG_TURN {
                 self.now = clock();
                 next_wake = self.machine.settle(self.now);
@@ -184,30 +191,31 @@
             if commands.is_empty() || self.is_done {
                 return next_wake;
             }
-            // What writing or connecting leads to (a request read behind an answer, a connection refused at once)
-            // is settled too: nothing else would wake the machine for it.
+            // Executing a command may cause new events (a request read after a response is written, a
+            // connection refused immediately). They are settled in the next iteration, since nothing else
+            // would wake the machine.
             for command in commands {
-                self.carry_out(command);
+                self.execute(command);
             }
         }
     }
 
-    fn event(&mut self, source: EventSource, flags: epoll::EventFlags, buffer: &mut [u8]) {
+    fn handle_event(&mut self, source: EventSource, flags: epoll::EventFlags, buffer: &mut [u8]) {
         match source {
             EventSource::Listener(index) => {
-                self.accept(index);
+                self.accept_pending(index);
             }
-            EventSource::Signal(index) => self.signal(index),
-            EventSource::WriteBackLog => self.write_back_batches_done(),
-            EventSource::ConsensusLog => self.consensus_batches_done(),
+            EventSource::Signal(index) => self.handle_signal(index),
+            EventSource::WriteBackLog => self.report_write_back_results(),
+            EventSource::ConsensusLog => self.report_consensus_results(),
             EventSource::Input => self.read_input(buffer),
             EventSource::Connection(conn) => self.socket_event(conn, flags, buffer),
         }
     }
 }
 
-/// Has epoll report when a log's batches are done.
-fn watch_log(epoll: &OwnedFd, log: &Option<StorageThread>, source: EventSource) -> io::Result<()> {
+/// Registers a log's wake pipe with epoll, which reports completed batches.
+fn register_log(epoll: &OwnedFd, log: &Option<StorageThread>, source: EventSource) -> io::Result<()> {
     if let Some(log) = log {
         epoll::add(epoll, &log.wake, source.data(), epoll::EventFlags::IN)?;
     }
--- a/crates/flaxstand-gateway/src/driver/signals.rs
+++ b/crates/flaxstand-gateway/src/driver/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM and SIGINT stop the machine, SIGHUP reads its settings again.
+//! Signal handling: SIGTERM and SIGINT stop the machine, SIGHUP reloads its settings.
 
 use super::Driver;
 use super::event_source::EventSource;
@@ -26,13 +26,13 @@
     kind: SignalKind,
 }
 
-/// A pipe that a signal's handler writes to.
+/// The read end of a pipe that a signal handler writes to.
 pub(super) struct SignalPipe {
     reader: PipeReader,
     kind: SignalKind,
 }
 
-/// Registers a handler for each signal and adds its pipe to epoll.
+/// Registers a handler for each signal and its pipe with epoll.
 pub(super) fn register(epoll: &OwnedFd) -> io::Result<Vec<SignalPipe>> {
     let mut pipes = Vec::new();
     for (index, signal) in SIGNALS.iter().enumerate() {
@@ -45,7 +45,7 @@
 }
 
 impl<M: Machine> Driver<M> {
-    pub(super) fn signal(&mut self, index: usize) {
+    pub(super) fn handle_signal(&mut self, index: usize) {
         let SignalPipe { reader, kind } = &self.signals[index];
         drain_wake_pipe(reader);
         match kind {
@@ -55,7 +55,7 @@
     }
 
     fn reload(&mut self) {
-        info!("reload asked for");
+        info!("SIGHUP received; reloading the settings");
         if let Some(reloaded) = self.options.reload.as_mut().and_then(|reload| reload()) {
             self.machine.control(Control::Reload(reloaded), self.now);
         }
--- a/crates/flaxstand-gateway/src/driver/socket.rs
+++ b/crates/flaxstand-gateway/src/driver/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets of connections: opened, read, written, closed.
+//! Sockets of connections: connect, read, write and close.
 
 use super::Driver;
 use super::event_source::EventSource;
@@ -8,32 +8,32 @@
 use rustix::io::{Errno, read, write};
 use rustix::net::{self, AddressFamily, SocketFlags, SocketType, sockopt};
 
-/// Most bytes read from one connection in a turn, so that none starves the others.
+/// Maximum number of bytes read from one connection per turn, so that none starves the others.
 const MAX_READ_PER_TURN: usize = 256 * 1024;
 
-/// A connection's socket.
+/// The socket of a connection.
 pub(super) struct Socket {
     fd: OwnedFd,
-    /// The connection is being opened.
+    /// The connection is being established.
     is_connecting: bool,
-    /// The peer sends nothing more.
+    /// The peer has closed its sending direction.
     peer_finished: bool,
-    /// Nothing more is sent once all that waits is written.
-    ends_after_write: bool,
-    /// That has been, and the peer was told.
+    /// The sending direction is to be shut down once all pending output is written.
+    shuts_down_after_write: bool,
+    /// The sending direction has been shut down.
     is_shut_down: bool,
-    /// What epoll reports.
+    /// Events registered with epoll.
     interest: epoll::EventFlags,
 }
 
 impl Socket {
-    /// A socket that is connected.
+    /// Creates the state of a connected socket.
     pub(super) fn connected(fd: OwnedFd, interest: epoll::EventFlags) -> Self {
         Socket {
             fd,
             is_connecting: false,
             peer_finished: false,
-            ends_after_write: false,
+            shuts_down_after_write: false,
             is_shut_down: false,
             interest,
         }
@@ -43,16 +43,16 @@
         Socket { is_connecting: true, ..Socket::connected(fd, interest) }
     }
 
-    fn shut_down_if_asked(&mut self) {
-        if self.ends_after_write && !self.is_shut_down {
+    fn shut_down_if_requested(&mut self) {
+        if self.shuts_down_after_write && !self.is_shut_down {
             self.is_shut_down = true;
             let _ = net::shutdown(&self.fd, net::Shutdown::Write);
         }
     }
 }
 
-/// Starts to open a connection.
-fn open(address: &Address) -> Result<OwnedFd, Errno> {
+/// Starts a non-blocking connect.
+fn start_connect(address: &Address) -> Result<OwnedFd, Errno> {
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let (fd, started) = match address {
         Address::Tcp(at) => {
@@ -68,21 +68,21 @@
             (fd, started)
         }
     };
-    // A Unix socket whose backlog is full answers AGAIN at once: the peer takes no more.
+    // A Unix socket whose backlog is full fails with EAGAIN, which is an error here.
     match started {
         Ok(()) | Err(Errno::INPROGRESS) => Ok(fd),
         Err(error) => Err(error),
     }
 }
 
-/// Why a connection that was idle can't be used again; `None`: it can.
+/// Returns why an idle connection can't be reused, or `None` if it can.
 fn idle_fault(fd: &OwnedFd) -> Option<String> {
     loop {
         match read(fd, &mut [0; 1]) {
             Err(Errno::AGAIN) => return None,
             Err(Errno::INTR) => {}
-            Ok(0) => return Some("closed by peer before it was used again".into()),
-            Ok(_) => return Some("bytes came before it was used again".into()),
+            Ok(0) => return Some("idle connection closed by peer before it was used again".into()),
+            Ok(_) => return Some("unexpected bytes came on an idle connection".into()),
             Err(error) => return Some(error.to_string()),
         }
     }
@@ -90,7 +90,7 @@
 
 impl<M: Machine> Driver<M> {
     pub(super) fn connect(&mut self, conn: ConnId, address: &Address) {
-        let opened = open(address).and_then(|fd| {
+        let opened = start_connect(address).and_then(|fd| {
             let interest = epoll::EventFlags::OUT;
             epoll::add(&self.epoll, &fd, EventSource::Connection(conn).data(), interest)?;
             Ok(Socket::connecting(fd, interest))
@@ -140,10 +140,10 @@
         while total < MAX_READ_PER_TURN {
             let Some(socket) = self.sockets.get(&conn) else { return };
             if socket.peer_finished || !self.machine.wants_read(conn) {
-                return self.report_end_unread(conn, flags);
+                return self.check_closed_without_read(conn, flags);
             }
             match read(&socket.fd, &mut *buffer) {
-                Ok(0) => return self.peer_finished(conn, flags),
+                Ok(0) => return self.handle_peer_end(conn, flags),
                 Ok(count) => {
                     total += count;
                     self.machine.received(conn, &buffer[..count], self.now);
@@ -152,48 +152,49 @@
                     }
                 }
                 Err(Errno::AGAIN | Errno::INTR) => return,
-                Err(error) => return self.broken(conn, &error.to_string()),
+                Err(error) => return self.drop_connection(conn, &error.to_string()),
             }
         }
     }
 
-    /// A connection that is not to be read now is closed if its peer is gone in both directions, or if the machine
-    /// wants to know of the end of its stream.
-    fn report_end_unread(&mut self, conn: ConnId, flags: epoll::EventFlags) {
+    /// Closes a connection that is not being read if the connection is closed in both directions, or if the
+    /// peer has ended its stream and the machine requested to be notified of that.
+    fn check_closed_without_read(&mut self, conn: ConnId, flags: epoll::EventFlags) {
         use epoll::EventFlags as F;
         if flags.intersects(F::HUP | F::ERR) {
-            self.broken(conn, "connection lost");
+            self.drop_connection(conn, "connection reset or closed in both directions");
         } else if flags.contains(F::RDHUP) && self.machine.wants_peer_end(conn) {
-            self.broken(conn, "closed by peer behind what is not read");
+            self.drop_connection(conn, "closed by peer with unread data pending");
         }
     }
 
-    /// The peer ended its stream.
-    fn peer_finished(&mut self, conn: ConnId, flags: epoll::EventFlags) {
+    /// Handles the end of the peer's stream.
+    fn handle_peer_end(&mut self, conn: ConnId, flags: epoll::EventFlags) {
         let Some(socket) = self.sockets.get_mut(&conn) else { return };
         socket.peer_finished = true;
-        let is_gone = flags.intersects(epoll::EventFlags::HUP | epoll::EventFlags::ERR);
-        if is_gone || !self.machine.peer_finished(conn, self.now) {
-            self.broken(conn, "closed by peer");
+        let is_closed = flags.intersects(epoll::EventFlags::HUP | epoll::EventFlags::ERR);
+        if is_closed || !self.machine.peer_finished(conn, self.now) {
+            self.drop_connection(conn, "closed by peer");
         } else {
             self.flush(conn);
         }
     }
 
-    fn broken(&mut self, conn: ConnId, cause: &str) {
+    /// Closes a failed connection and notifies the machine.
+    fn drop_connection(&mut self, conn: ConnId, cause: &str) {
         if self.sockets.remove(&conn).is_some() {
             self.machine.closed(conn, cause, self.now);
         }
     }
 
-    /// Writes what waits, as far as it goes, and sets what epoll reports.
+    /// Writes pending output as far as possible without blocking and updates the epoll interest.
     pub(super) fn flush(&mut self, conn: ConnId) {
         if self.write_pending(conn) {
             self.update_interest(conn);
         }
     }
 
-    /// Returns false if the connection is not open, or broke.
+    /// Writes pending output. Returns false if the connection is not open or failed.
     fn write_pending(&mut self, conn: ConnId) -> bool {
         loop {
             let Some(socket) = self.sockets.get_mut(&conn).filter(|socket| !socket.is_connecting) else {
@@ -201,15 +202,15 @@
             };
             let pending = self.machine.outgoing(conn);
             if pending.is_empty() {
-                socket.shut_down_if_asked();
+                socket.shut_down_if_requested();
                 return true;
             }
-            // Guards against a connection that its peer closes, or sends on, in the moment in which it is used
-            // again: a request that crosses that may have run, or is served with another's answer.
+            // The peer may have closed an idle connection or sent data on it. A request written after that
+            // could be lost without a known outcome, or receive a response that belongs to another request.
             if self.machine.is_idle(conn)
                 && let Some(cause) = idle_fault(&socket.fd)
             {
-                self.broken(conn, &cause);
+                self.drop_connection(conn, &cause);
                 return false;
             }
             match write(&socket.fd, pending) {
@@ -217,7 +218,7 @@
                 Err(Errno::AGAIN) => return true,
                 Err(Errno::INTR) => {}
                 Err(error) => {
-                    self.broken(conn, &error.to_string());
+                    self.drop_connection(conn, &error.to_string());
                     return false;
                 }
             }
@@ -241,24 +242,24 @@
         socket.interest = interest;
         let data = EventSource::Connection(conn).data();
         if let Err(error) = epoll::modify(&self.epoll, &socket.fd, data, interest) {
-            self.broken(conn, &error.to_string());
+            self.drop_connection(conn, &error.to_string());
         }
     }
 
-    /// Sends nothing more on a connection once all that waits is written.
+    /// Shuts down the sending direction once all pending output is written.
     pub(super) fn shut_down_write(&mut self, conn: ConnId) {
         if let Some(socket) = self.sockets.get_mut(&conn) {
-            socket.ends_after_write = true;
+            socket.shuts_down_after_write = true;
             self.flush(conn);
         }
     }
 
-    /// Closes a connection. `last` is written if that goes at once; it is not waited for.
-    pub(super) fn close(&mut self, conn: ConnId, last: &[u8]) {
+    /// Closes a connection after one non-blocking attempt to write `final_frame`.
+    pub(super) fn close(&mut self, conn: ConnId, final_frame: &[u8]) {
         if let Some(socket) = self.sockets.remove(&conn)
             && !socket.is_connecting
         {
-            let _ = write(&socket.fd, last);
+            let _ = write(&socket.fd, final_frame);
         }
     }
 }
--- a/crates/flaxstand-gateway/src/driver/state_files.rs
+++ b/crates/flaxstand-gateway/src/driver/state_files.rs
@@ -1,25 +1,25 @@
-//! Files of a machine's state: replaced as a whole, or appended to.
+//! State files of a machine: atomic replacement and appends.
 
 use std::fs::File;
 use std::io::{self, Write as _};
 use std::path::Path;
 
-/// Replaces a file: a reader sees the old bytes or the new ones, never a mixture.
+/// Replaces a file atomically: a reader sees either the old content or the new one.
 ///
 /// # Errors
-/// The folder can't be written to.
+/// Writing or renaming the temporary file in the same directory fails.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let next = path.with_extension("next");
     std::fs::write(&next, bytes)?;
     std::fs::rename(&next, path)
 }
 
-/// Appends bytes to a file that is there.
+/// Appends bytes to an existing file.
 pub(super) fn append(path: &Path, bytes: &[u8]) -> io::Result<()> {
     File::options().append(true).open(path)?.write_all(bytes)
 }
 
-/// The same, and the bytes are there after a loss of power.
+/// Replaces a file atomically and durably: the new content survives a power failure.
 pub(super) fn replace_durably(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let next = path.with_extension("next");
     let mut file = File::create(&next)?;
@@ -27,7 +27,7 @@
     file.sync_all()?;
     std::fs::rename(&next, path)?;
     match path.parent() {
-        Some(folder) => File::open(folder)?.sync_all(),
+        Some(directory) => File::open(directory)?.sync_all(),
         None => Ok(()),
     }
 }
--- a/crates/flaxstand-gateway/src/settings/bounds.rs
+++ b/crates/flaxstand-gateway/src/settings/bounds.rs
@@ -1,4 +1,4 @@
-//! Reads the block `bounds`.
+//! Reads the `bounds` block.
 
 use super::reader::Block;
 use crate::core::Bounds;
@@ -31,7 +31,7 @@
     bounds
 }
 
-/// Guards against a list that is longer than the frames in which it is saved for the next start.
+/// Limits the list to the number of entries that a saved frame can hold.
 fn read_max_endpoints(block: &Block<'_>, default: usize) -> usize {
     let max = flaxstand_proto::MAX_ENTRIES as u64;
     block.integer("nodes", 1..=max, Some(default as u64)) as usize
--- a/crates/flaxstand-gateway/src/settings/class.rs
+++ b/crates/flaxstand-gateway/src/settings/class.rs
@@ -1,4 +1,4 @@
-//! Reads `class` and `plan` blocks.
+//! Reads the `class` and `plan` blocks.
 
 use super::effect::{DEDUPLICATION_SCOPES, EFFECT_KEYWORDS, EffectKeyword};
 use super::reader::Block;
@@ -6,17 +6,17 @@
 use crate::core::ClassInfo;
 use flaxstand::api::{Class, DeduplicationScope, Effect, Plan};
 
-/// A class, for the gateway and for the decision module.
+/// A class as needed by the gateway and by the decision module.
 pub(super) struct ClassBlock {
     pub(super) info: ClassInfo,
     pub(super) class: Class,
 }
 
-/// A plan, and what only rules and audits need of it.
+/// A plan, with its name and the tolerance that only rules and audits need.
 pub(super) struct PlanBlock {
     pub(super) name: String,
     pub(super) plan: Plan,
-    /// Units by which its limit may be exceeded.
+    /// Number of units by which the limit may be exceeded.
     pub(super) limit_slack: f64,
 }
 
@@ -36,10 +36,10 @@
         block.report(format!("aim-ms is {objective}, expected at most deadline-ms, {deadline}"));
     }
     let is_buffered = block.flag("buffered", false);
-    // Guards against a write that runs twice: after a crash its record is replayed.
+    // After a crash the record of a buffered write is replayed, so the write may run twice.
     if is_buffered && class.effect == Effect::AtMostOnce {
         let message =
-            "buffered is #true, expected #false for effect \"once\": after a crash it could not be repeated";
+            "buffered is #true, expected #false for effect \"once\": a crash may replay buffered requests";
         block.report(message.into());
     }
     let info = ClassInfo { name: block.name(), is_streamed: block.flag("stream", false), is_buffered };
@@ -72,11 +72,11 @@
     PlanBlock { name, plan, limit_slack }
 }
 
-/// Guards against a limit under which the largest request waits forever.
+/// Reports a limit whose burst is below the largest request, which would wait forever.
 pub(super) fn check_limit_burst(block: &Block<'_>, plan: &Plan, max_units: f64) {
     if plan.limit_rate > 0.0 && plan.limit_burst < max_units {
         let burst = plan.limit_burst;
-        let expected = format!("at least unit-most, {max_units}: the largest request could not go");
+        let expected = format!("at least unit-most, {max_units}: the largest request would never be sent");
         block.report(format!("limit-burst is {burst}, expected {expected}"));
     }
 }
--- a/crates/flaxstand-gateway/src/settings/consensus.rs
+++ b/crates/flaxstand-gateway/src/settings/consensus.rs
@@ -1,4 +1,4 @@
-//! Reads the block `agreement`.
+//! Reads the `agreement` block.
 
 use super::daemon::{ADDRESS_FORMAT, unset_address};
 use super::reader::Block;
@@ -7,21 +7,21 @@
 use flaxstand_consensus::rules::Rules;
 use std::path::PathBuf;
 
-/// Numbers of voters that make sense.
+/// Supported numbers of voters.
 const VOTER_COUNTS: [usize; 3] = [1, 3, 5];
 
-/// What the process needs for its part in the consensus.
+/// Settings of the process's consensus participant.
 #[derive(Clone, Debug)]
 pub struct ConsensusSettings {
-    /// Where other initiators and operators connect.
+    /// Listen address for other initiators and operators.
     pub listen: Address,
-    /// Directory of the replicated state.
+    /// Directory of the replica's log and state.
     pub directory: PathBuf,
-    /// For the core.
+    /// Settings passed to the core.
     pub config: ConsensusConfig,
 }
 
-/// `name`: of the initiator whose file it is.
+/// Reads the block in the file of the initiator `name`.
 pub(super) fn read_consensus(block: &Block<'_>, name: &str, initial_rules: Rules) -> ConsensusSettings {
     let listen = read_address(block, "listen");
     let directory =
@@ -47,12 +47,12 @@
 
 fn check_config(block: &Block<'_>, name: &str, config: &ConsensusConfig) {
     let ConsensusConfig { voters, other_initiators, lease_duration, election_timeout, .. } = config;
-    // Guards against an even number of voters: one more would have to agree, and none more may fail.
+    // An even number of voters needs a larger quorum without tolerating more failures.
     if !VOTER_COUNTS.contains(&voters.len()) {
-        block.report(format!("{} keepers, expected 3 or 5 (1 on one host, to try it)", voters.len()));
+        block.report(format!("{} keepers, expected 3 or 5 (or 1 for a trial on one host)", voters.len()));
     }
     if !voters.iter().chain(other_initiators).any(|peer| peer.name == name) {
-        block.report(format!("{name:?} is neither a keeper nor an initiator of it"));
+        block.report(format!("{name:?} is neither a keeper nor an initiator in this block"));
     }
     if lease_duration.0 < election_timeout.0 * 2 {
         let (lease, election) = (lease_duration.ms(), election_timeout.ms());
--- a/crates/flaxstand-gateway/src/settings/daemon.rs
+++ b/crates/flaxstand-gateway/src/settings/daemon.rs
@@ -1,4 +1,4 @@
-//! Reads the settings file of one initiator.
+//! Reads the settings file of an initiator.
 
 use super::bounds::read_bounds;
 use super::consensus::{ConsensusSettings, read_consensus};
@@ -12,29 +12,29 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What messages say of an address.
+/// Description of an address in error messages.
 pub(super) const ADDRESS_FORMAT: &str = "\"IP:PORT\" or \"unix:PATH\"";
 
 /// Settings of `flaxstand run`.
 #[derive(Debug)]
 pub struct Daemon {
-    /// The initiator.
+    /// Settings of the core.
     pub config: Config,
-    /// Where it listens; at least one.
+    /// Listen addresses; at least one.
     pub listen: Vec<Address>,
-    /// File of the saved endpoint list, if it is saved.
+    /// File of the saved endpoint list, if configured.
     pub saved_list: Option<PathBuf>,
-    /// A saved list older than this is set aside; none: whatever its age, it is used.
+    /// Maximum age of a saved list that is used; none if it is used at any age.
     pub max_saved_list_age: Option<Duration>,
-    /// Directory of the write-back log; set where a class is buffered.
+    /// Directory of the write-back log; set if a class is buffered.
     pub write_back_log: Option<PathBuf>,
-    /// Largest number of open descriptors, if that is to be lowered.
+    /// Lowered limit on open file descriptors, if configured.
     pub max_open_files: Option<u64>,
-    /// Its part in the consensus, if it has one.
+    /// Settings of the consensus participant, if configured.
     pub consensus: Option<ConsensusSettings>,
 }
 
-/// Blocks of the file beside `initiator`.
+/// Blocks of the file other than `initiator`.
 struct CommonBlocks<'a> {
     site: SiteFile,
     bounds: Bounds,
@@ -42,10 +42,10 @@
     consensus: Option<Block<'a>>,
 }
 
-/// Reads a settings file. `name` is for messages.
+/// Reads a settings file. `name` is the file name for error messages.
 ///
 /// # Errors
-/// Everything that is wrong with it.
+/// All problems of the file.
 pub fn read_daemon(name: &str, text: &str) -> Result<Daemon, SettingsError> {
     let source = Source::new(name, text);
     let document = source.parse()?;
@@ -59,8 +59,8 @@
     let daemon = root.required_block("initiator").map(|block| read_initiator(&block, common));
     root.reject_unknown_keys();
     source.finish()?;
-    // Invariant: `required_block` reports a block that is missing, and `finish` fails on any report.
-    Ok(daemon.expect("a file without an initiator has a problem"))
+    // Invariant: `required_block` reports a missing block, and `finish` fails on any report.
+    Ok(daemon.expect("a missing initiator block is reported"))
 }
 
 fn read_initiator(block: &Block<'_>, common: CommonBlocks<'_>) -> Daemon {
@@ -73,7 +73,7 @@
     let write_back_log = read_optional_path(block, "log");
     let max_age_seconds = block.number("state-age-most-s", 0.0..=1e9, Some(0.0));
     if max_age_seconds > 0.0 && saved_list.is_none() {
-        block.report("there is a state-age-most-s, expected a state".into());
+        block.report("state-age-most-s is set without state, expected both".into());
     }
     let is_buffered = site.site.write_back.is_some();
     check_write_back(block, write_back_log.is_some(), is_buffered, consensus.as_ref());
@@ -112,13 +112,16 @@
 
 fn check_write_back(block: &Block<'_>, has_log: bool, is_buffered: bool, consensus: Option<&Block<'_>>) {
     match (has_log, is_buffered) {
-        (false, true) => block.report("log is missing, expected a folder: a class is buffered".into()),
-        (true, false) => block.report("there is a log, expected a class that is buffered".into()),
+        (false, true) => {
+            block.report("log is missing, expected a directory, since a class is buffered".into())
+        }
+        (true, false) => block.report("log is set, expected at least one buffered class".into()),
         _ => {}
     }
-    // Guards against rules that the buffer does not follow: it keeps the windows and cooldowns of its start.
+    // The buffer does not apply changed rules: it keeps the windows and cooldowns that it started with.
     if let (Some(consensus), true) = (consensus, is_buffered) {
-        let message = "there is an agreement, expected no class that is buffered: it does not follow it yet";
+        let message = "a class is buffered, expected no class that is buffered together with this block: the \
+                       buffer does not apply changed rules yet";
         consensus.report(message.into());
     }
 }
@@ -127,7 +130,7 @@
     block.parsed(key, "a path", Some(None), |text| Some(Some(PathBuf::from(text)))).flatten()
 }
 
-/// Stands for an address that was reported as missing or wrong.
+/// Placeholder for an address that was reported as missing or malformed.
 pub(super) fn unset_address() -> Address {
     Address::Unix(PathBuf::new())
 }
--- a/crates/flaxstand-gateway/src/settings/mod.rs
+++ b/crates/flaxstand-gateway/src/settings/mod.rs
@@ -1,10 +1,10 @@
-//! Reads settings files. `docs/settings.md` describes every key. Keys are mapped to the names of the code
-//! here and nowhere else.
+//! Reads settings files. `docs/settings.md` describes every key. Only this module maps keys to names in the
+//! code.
 //!
-//! - [`reader`]: values by key, and problems with their place in the file
-//! - [`daemon`]: the file of one initiator; [`site`]: the part that all initiators of a site have in common
+//! - [`reader`]: typed access to values by key, and problems with their positions in the file
+//! - [`daemon`]: the file of one initiator; [`site`]: the part shared by all initiators of a site
 //! - [`class`], [`bounds`], [`consensus`]: further blocks
-//! - [`rules`]: the common part as rules that initiators agree on, and back
+//! - [`rules`]: conversion between the shared part and the rules that initiators agree on
 
 mod bounds;
 mod class;
@@ -24,23 +24,24 @@
 
 use flaxstand_consensus::rules::Rules;
 
-/// Blocks that all initiators of a site have in common.
-const COMMON_BLOCKS: [&str; 7] = ["site", "class", "plan", "bounds", "buffer", "storm", "floor"];
-/// Blocks that are one initiator's own, and no rules.
-const OWN_BLOCKS: [&str; 3] = ["initiator", "bounds", "agreement"];
+/// Blocks shared by all initiators of a site.
+const SHARED_BLOCKS: [&str; 7] = ["site", "class", "plan", "bounds", "buffer", "storm", "floor"];
+/// Blocks specific to one initiator. They contain no rules.
+const LOCAL_BLOCKS: [&str; 3] = ["initiator", "bounds", "agreement"];
 
-/// Reads rules for a proposal, from a file that may be a whole settings file. `name` is for messages.
+/// Reads rules for a proposal from a file, which may be a complete settings file. `name` is the file name for
+/// error messages.
 ///
 /// # Errors
-/// Everything that is wrong with it.
+/// All problems of the file.
 pub fn read_rules(name: &str, text: &str) -> Result<Rules, SettingsError> {
     let source = Source::new(name, text);
     let document = source.parse()?;
     let root = Block::document(&source, &document);
     let site = read_site(&root);
     let fallback = read_fallback_rules(&root);
-    for key in OWN_BLOCKS {
-        // Known, and not read.
+    for key in LOCAL_BLOCKS {
+        // Marks the key as known; the content is not read.
         root.blocks(key);
     }
     root.reject_unknown_keys();
@@ -48,10 +49,10 @@
     Ok(rules_of(&site, fallback))
 }
 
-/// The part of a file that all initiators of a site have in common, as text: what a simulated day and a
-/// settings file share.
+/// Returns the text of the blocks shared by all initiators of a site, which a simulated day and a settings
+/// file have in common.
 pub fn shared_part(text: &str) -> String {
     let mut document = text.parse::<kdl::KdlDocument>().unwrap_or_default();
-    document.nodes_mut().retain(|node| COMMON_BLOCKS.contains(&node.name().value()));
+    document.nodes_mut().retain(|node| SHARED_BLOCKS.contains(&node.name().value()));
     document.to_string()
 }
--- a/crates/flaxstand-gateway/src/settings/reader.rs
+++ b/crates/flaxstand-gateway/src/settings/reader.rs
@@ -1,5 +1,5 @@
-//! Reads a KDL document strictly: what is missing, unknown, of another type or out of range is a problem with
-//! its place in the file. All problems of a file are reported at once.
+//! Strict reader of KDL documents: missing and unknown keys, wrong types and values out of range are reported
+//! as problems with their positions in the file. All problems of a file are reported at once.
 
 use flaxstand_consensus::rules::Value;
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
@@ -10,24 +10,24 @@
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Longest name of a block, bytes.
+/// Maximum length of a block's name, bytes.
 const MAX_NAME_BYTES: usize = 100;
 
-/// Something wrong at a place in a file.
+/// A problem at a position in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// What is wrong and what was expected.
+    /// What was found and what was expected.
     pub message: String,
     span: SourceSpan,
 }
 
-/// Everything wrong with a file.
+/// All problems of a file.
 #[derive(Debug, Error)]
 pub struct SettingsError {
     source_code: NamedSource<String>,
-    /// In the order of the file.
+    /// Problems in the order of the file.
     pub problems: Vec<Problem>,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// A file's text and the problems found in it so far.
+/// The text of a file and the problems found so far.
 #[derive(Debug)]
 pub struct Source {
     name: String,
@@ -60,7 +60,7 @@
 }
 
 impl Source {
-    /// Takes a file's text, under the name that messages give it.
+    /// Creates a source from the text of a file. `name` is the file name for error messages.
     pub fn new(name: &str, text: &str) -> Self {
         Source { name: name.into(), text: text.into(), problems: RefCell::default() }
     }
@@ -68,7 +68,7 @@
     /// Parses the text.
     ///
     /// # Errors
-    /// It is no KDL.
+    /// The text is not valid KDL.
     pub fn parse(&self) -> Result<KdlDocument, SettingsError> {
         self.text.parse::<KdlDocument>().map_err(|error| {
             for diagnostic in &error.diagnostics {
@@ -80,7 +80,7 @@
         })
     }
 
-    /// Reports a problem at a place in the file.
+    /// Reports a problem at a position in the file.
     pub fn report(&self, span: SourceSpan, message: String) {
         let before = self.text.get(..span.offset()).unwrap_or(&self.text);
         let line = before.matches('\n').count() + 1;
@@ -93,21 +93,21 @@
         SettingsError { source_code: NamedSource::new(&self.name, self.text.clone()), problems }
     }
 
-    /// Ends reading, once everything has been read.
+    /// Finishes reading.
     ///
     /// # Errors
-    /// The problems reported.
+    /// All problems reported so far, if any.
     pub fn finish(&self) -> Result<(), SettingsError> {
         if self.problems.borrow().is_empty() { Ok(()) } else { Err(self.error()) }
     }
 }
 
-/// A node of the document, or the document itself, whose keys are read by name. A key is a property of the
+/// A node of the document, or the document itself, with access to values by key. A key is a property of the
 /// node (`cold from=0.2`) or a child with one argument (`cold { from 0.2 }`).
 #[derive(Debug)]
 pub struct Block<'a> {
     source: &'a Source,
-    /// What messages call the block.
+    /// Name of the block in error messages.
     label: String,
     span: SourceSpan,
     entries: &'a [KdlEntry],
@@ -115,9 +115,9 @@
     known_keys: RefCell<BTreeSet<&'static str>>,
 }
 
-/// The whole document, and blocks within blocks.
+/// The document and nested blocks.
 impl<'a> Block<'a> {
-    /// The whole document.
+    /// Returns the document as a block.
     pub fn document(source: &'a Source, document: &'a KdlDocument) -> Self {
         Block {
             source,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A block within, if it is there.
+    /// Returns the nested block of this key, if present.
     pub fn block(&self, key: &'static str) -> Option<Block<'a>> {
         let blocks = self.blocks(key);
         if let [_, second, ..] = &blocks[..] {
@@ -153,7 +153,7 @@
         blocks.into_iter().next()
     }
 
-    /// A block within that must be there.
+    /// Returns the nested block of this key, and reports a problem if it is missing.
     pub fn required_block(&self, key: &'static str) -> Option<Block<'a>> {
         let block = self.block(key);
         if block.is_none() {
@@ -162,19 +162,18 @@
         block
     }
 
-    /// All blocks within of this key, in the order of the file.
+    /// Returns all nested blocks of this key, in the order of the file.
     pub fn blocks(&self, key: &'static str) -> Vec<Block<'a>> {
         self.mark_known(key);
         self.children_of(key).map(|node| Block::from_node(self.source, node)).collect()
     }
 
-    /// Reports a problem with the block as a whole.
+    /// Reports a problem with the block itself.
     pub fn report(&self, message: String) {
         self.source.report(self.span, format!("{}: {message}", self.label));
     }
 
-    /// Reports every key that has not been read as unknown. To be called once everything of this block was
-    /// read.
+    /// Reports every key that was not read as unknown. Call it after all keys of the block have been read.
     pub fn reject_unknown_keys(&self) {
         let known_keys = self.known_keys.borrow();
         let properties = self.entries.iter().filter_map(|entry| entry.name());
@@ -182,30 +181,31 @@
             if !known_keys.contains(name.value()) {
                 let known: Vec<&str> = known_keys.iter().copied().collect();
                 let (label, unknown) = (&self.label, name.value());
-                let message = format!("{label} does not know {unknown:?}; it knows {}", known.join(", "));
+                let message =
+                    format!("unknown key {unknown:?} in {label}, expected one of {}", known.join(", "));
                 self.source.report(name.span(), message);
             }
         }
     }
 }
 
-/// Values by key. A value that can't be used is reported and read as the lowest or an empty one.
+/// Values by key. An invalid value is reported, and the lowest or an empty value is returned for it.
 impl Block<'_> {
-    /// A number within bounds.
+    /// Reads a number within bounds.
     pub fn number(&self, key: &'static str, bounds: RangeInclusive<f64>, default: Option<f64>) -> f64 {
         let expected = format!("a number from {} to {}", bounds.start(), bounds.end());
         let convert = |value: &KdlValue| number(value).filter(|number| bounds.contains(number));
         self.read(key, &expected, default, convert).unwrap_or(*bounds.start())
     }
 
-    /// An integer within bounds.
+    /// Reads an integer within bounds.
     pub fn integer(&self, key: &'static str, bounds: RangeInclusive<u64>, default: Option<u64>) -> u64 {
         let expected = format!("a whole number from {} to {}", bounds.start(), bounds.end());
         let convert = |value: &KdlValue| integer_within(value, &bounds);
         self.read(key, &expected, default, convert).unwrap_or(*bounds.start())
     }
 
-    /// Integers within bounds, as `key 1 2 3`; none if it is left out.
+    /// Reads integers within bounds, as `key 1 2 3`; empty if the key is absent.
     pub fn integers(&self, key: &'static str, bounds: RangeInclusive<u64>) -> Vec<u64> {
         self.mark_known(key);
         let expected = format!("whole numbers from {} to {}", bounds.start(), bounds.end());
@@ -220,7 +220,7 @@
         integers
     }
 
-    /// A pair `key low high`; one number stands for both.
+    /// Reads a range `key low high`; a single number is used for both.
     pub fn range(
         &self,
         key: &'static str,
@@ -253,18 +253,18 @@
         }
     }
 
-    /// True or false.
+    /// Reads `#true` or `#false`.
     pub fn flag(&self, key: &'static str, default: bool) -> bool {
         self.read(key, "#true or #false", Some(default), KdlValue::as_bool).unwrap_or(default)
     }
 
-    /// A text that is not empty.
+    /// Reads a non-empty string.
     pub fn text(&self, key: &'static str, default: Option<&str>) -> String {
         let convert = |value: &KdlValue| value.as_string().filter(|text| !text.is_empty()).map(str::to_owned);
         self.read(key, "a text", default.map(str::to_owned), convert).unwrap_or_default()
     }
 
-    /// A text that `parse` converts. `expected` says in messages what that takes.
+    /// Reads a string that `parse` converts. `expected` describes valid values in error messages.
     pub fn parsed<T>(
         &self,
         key: &'static str,
@@ -275,7 +275,7 @@
         self.read(key, expected, default, |value| value.as_string().and_then(&parse))
     }
 
-    /// Texts that `parse` converts, as `key "one" "two"`, over all such lines; at least one.
+    /// Reads strings that `parse` converts, as `key "one" "two"`, from all lines of this key; at least one.
     pub fn parsed_list<T>(
         &self,
         key: &'static str,
@@ -297,7 +297,7 @@
         values
     }
 
-    /// One of some keywords.
+    /// Reads one of the given keywords.
     pub fn choice<T: Copy>(
         &self,
         key: &'static str,
@@ -308,29 +308,30 @@
         let expected = format!("one of {}", names.join(", "));
         let convert = |value: &KdlValue| {
             let text = value.as_string()?;
-            keywords.iter().find(|(keyword, _)| *keyword == text).map(|(_, meaning)| *meaning)
+            keywords.iter().find(|(keyword, _)| *keyword == text).map(|(_, value)| *value)
         };
         self.read(key, &expected, default, convert)
     }
 
-    /// The block's own name: its one argument.
+    /// Reads the name of the block, which is its only argument.
     pub fn name(&self) -> String {
         let arguments: Vec<&KdlEntry> = self.entries.iter().filter(|entry| entry.name().is_none()).collect();
         let [entry] = arguments[..] else {
-            self.report("expected one name after it".into());
+            self.report("expected one name as the argument".into());
             return String::new();
         };
         let name = entry.value().as_string().filter(|text| !text.is_empty() && text.len() <= MAX_NAME_BYTES);
         if name.is_none() {
             let (label, value) = (&self.label, entry.value());
-            let message =
-                format!("{label}: {value} is no name, expected a text of 1 to {MAX_NAME_BYTES} bytes");
+            let message = format!(
+                "{label}: {value} is not a valid name, expected a string of 1 to {MAX_NAME_BYTES} bytes"
+            );
             self.source.report(entry.span(), message);
         }
         name.unwrap_or_default().to_owned()
     }
 
-    /// Lines `key "NAME" VALUE`, each name once; `check` says what is wrong with one.
+    /// Reads lines `key "NAME" VALUE`, with unique names; `check` validates each line.
     pub fn assignments<E: fmt::Display>(
         &self,
         key: &'static str,
@@ -347,7 +348,7 @@
                 continue;
             };
             let (Some(name), Some(value)) = (name.value().as_string(), value_of(value.value())) else {
-                report(&"expected a key, and a number, a word, #true or #false");
+                report(&"expected a key, and a number, a string, #true or #false");
                 continue;
             };
             match check(name, &value) {
@@ -360,7 +361,7 @@
     }
 }
 
-/// Look-up of keys, and messages about them.
+/// Key look-up and problem reports.
 impl<'a> Block<'a> {
     fn mark_known(&self, key: &'static str) {
         self.known_keys.borrow_mut().insert(key);
@@ -374,7 +375,7 @@
         self.entries.iter().filter(move |entry| entry.name().is_some_and(|name| name.value() == key))
     }
 
-    /// The one entry of this key. Guards against a key that is given twice and read once.
+    /// Finds the entry of this key. Reports a key that is given both as a property and as a child.
     fn find(&self, key: &'static str) -> Option<&'a KdlEntry> {
         self.mark_known(key);
         match (self.properties_of(key).next(), self.children_of(key).next()) {
--- a/crates/flaxstand-gateway/src/settings/rules.rs
+++ b/crates/flaxstand-gateway/src/settings/rules.rs
@@ -1,5 +1,5 @@
-//! The shared part of a settings file as rules that initiators agree on, and back. Key by key as
-//! `NARROWING_TABLE` of `flaxstand_consensus` has them; what limits nothing is left out.
+//! Converts the shared part of a settings file to the rules that initiators agree on, and back. The keys are
+//! those of `NARROWING_TABLE` in `flaxstand_consensus`; limits that are not set are omitted.
 
 use super::effect::{DEDUPLICATION_SCOPES, EFFECT_KEYWORDS, EffectKeyword, effect_name, scope_name};
 use super::reader::Block;
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Lowest rate of a limit, units a second: a limit of 0 would be none.
+/// Minimum rate of a limit, units per second: a rate of 0 would mean no limit.
 const MIN_LIMIT_RATE: f64 = 1e-9;
 
-/// The rules that a settings file states, with its fallback rules.
+/// Converts a settings file and its fallback rules to rules.
 pub fn rules_of(file: &SiteFile, fallback: BTreeMap<String, Value>) -> Rules {
     let mut values = RuleValues::default();
     write_site(file, &mut values);
@@ -33,7 +33,7 @@
     Rules { values: values.0, fallback }
 }
 
-/// Values of rules that are being written.
+/// Rule values under construction.
 #[derive(Debug, Default)]
 struct RuleValues(BTreeMap<String, Value>);
 
@@ -120,8 +120,8 @@
     }
 }
 
-/// Settings of the decision module under these rules. What rules do not state stays as the site's file has
-/// it.
+/// Returns the decision module's settings under these rules. A setting without a rule keeps its value from
+/// the site's file.
 pub fn settings_of(rules: &Rules, site: &Site) -> Settings {
     let reader = RuleReader { values: &rules.values };
     let mut settings = site.settings.clone();
@@ -140,7 +140,7 @@
     settings
 }
 
-/// Reads values of rules; a value that is not there, or of another type, is as before.
+/// Reads rule values. A missing value, or one of another type, leaves the previous one in effect.
 #[derive(Clone, Copy, Debug)]
 struct RuleReader<'a> {
     values: &'a BTreeMap<String, Value>,
@@ -151,17 +151,17 @@
         self.values.contains_key(key)
     }
 
-    fn number(&self, key: &str, before: f64) -> f64 {
+    fn number(&self, key: &str, previous: f64) -> f64 {
         match self.values.get(key) {
             Some(Value::Number(number)) => *number,
-            _ => before,
+            _ => previous,
         }
     }
 
-    fn flag(&self, key: &str, before: bool) -> bool {
+    fn flag(&self, key: &str, previous: bool) -> bool {
         match self.values.get(key) {
             Some(Value::Flag(flag)) => *flag,
-            _ => before,
+            _ => previous,
         }
     }
 
@@ -172,10 +172,10 @@
         }
     }
 
-    /// The meaning of a keyword; none if the rule is not there or has another text.
+    /// Returns the value of a keyword, or none if the rule is missing or has another text.
     fn keyword<T: Copy>(&self, key: &str, keywords: &[(&str, T)]) -> Option<T> {
         let text = self.text(key)?;
-        keywords.iter().find(|(keyword, _)| *keyword == text).map(|(_, meaning)| *meaning)
+        keywords.iter().find(|(keyword, _)| *keyword == text).map(|(_, value)| *value)
     }
 }
 
@@ -218,8 +218,8 @@
     class.in_order = reader.flag(&key("in-order"), class.in_order);
 }
 
-/// The effect that rules state for a class. Guards against repeated requests where rules make no sense:
-/// without a known keyword, or with a key of no known scope, requests run at most once.
+/// Returns the effect that the rules state for a class. Invalid rules must not permit retries: with an
+/// unknown keyword, or a key without a known scope, requests run at most once.
 fn effect_under(reader: &RuleReader<'_>, name: &str) -> Effect {
     let key = |field: &str| format!("class.{name}.{field}");
     let scope = reader.keyword(&key("group"), &DEDUPLICATION_SCOPES);
@@ -243,12 +243,12 @@
     plan.limit_burst = if is_limited { reader.number(&key("limit-burst"), 0.0) } else { 0.0 };
 }
 
-/// Why a fallback rule can't be one.
+/// Errors of a fallback rule.
 #[derive(Clone, Debug, Error, PartialEq)]
 enum FallbackRuleError {
-    #[error("{0:?} is no key of the rules, see docs/agreement.md")]
+    #[error("{0:?} is not a rule key, see docs/agreement.md")]
     UnknownKey(String),
-    #[error("{0:?} has no narrower value")]
+    #[error("{0:?} has no narrower value, expected a key that can be narrowed")]
     NotNarrowable(String),
     #[error("{key:?} is {value}, expected #true or #false")]
     ExpectedFlag { key: String, value: Value },
@@ -258,7 +258,7 @@
     ExpectedNumber { key: String, value: Value },
 }
 
-/// Reads the fallback rules, block `floor`: lines `set "KEY" VALUE`.
+/// Reads the fallback rules from the block `floor`, which has lines `set "KEY" VALUE`.
 pub fn read_fallback_rules(root: &Block<'_>) -> BTreeMap<String, Value> {
     let Some(block) = root.block("floor") else { return BTreeMap::new() };
     let rules = block.assignments("set", check_fallback_rule);
--- a/crates/flaxstand-gateway/src/settings/site.rs
+++ b/crates/flaxstand-gateway/src/settings/site.rs
@@ -1,5 +1,5 @@
-//! Reads the part of a settings file that all initiators of a site have in common. A simulated day has the
-//! same.
+//! Reads the part of a settings file that all initiators of a site share. A simulated day contains the same
+//! part.
 
 use super::class::{ClassBlock, PlanBlock, check_limit_burst, read_class, read_plan};
 use super::reader::Block;
@@ -11,25 +11,25 @@
 use flaxstand_write_back::BufferLimits;
 use std::collections::BTreeSet;
 
-/// Tolerances of rules that the decision module keeps by itself, for an audit.
+/// Tolerances with which an audit checks rules that the decision module enforces.
 #[derive(Clone, Debug, Default)]
 pub struct AuditTolerances {
-    /// No new attempt goes to a node later than this after its draining or removal was received.
+    /// New attempts may be sent to a node for this long after its draining or removal was received.
     pub drain_grace: Micros,
-    /// By plan: units by which a limit may be exceeded.
+    /// Number of units by which the limit may be exceeded, by plan.
     pub limit_slack: Vec<f64>,
 }
 
-/// The common part of a settings file.
+/// The shared part of a settings file.
 #[derive(Clone, Debug)]
 pub struct SiteFile {
-    /// For the initiators.
+    /// Settings of the initiators.
     pub site: Site,
-    /// For the audit.
+    /// Settings of the audit.
     pub audit: AuditTolerances,
 }
 
-/// Reads `site`, `class`, `plan`, `buffer` and `storm` of a file.
+/// Reads the blocks `site`, `class`, `plan`, `buffer` and `storm`.
 pub fn read_site(root: &Block<'_>) -> SiteFile {
     let class_blocks = root.blocks("class");
     let plan_blocks = root.blocks("plan");
@@ -72,7 +72,7 @@
     SiteFile { site, audit }
 }
 
-/// Guards against two classes or plans of one name: rules by name would mean both.
+/// Reports classes or plans with the same name: rules, which refer to names, would be ambiguous.
 fn report_duplicates<'a>(root: &Block<'_>, key: &str, names: impl Iterator<Item = &'a String>) {
     let mut seen = BTreeSet::new();
     for name in names {
@@ -82,8 +82,8 @@
     }
 }
 
-/// Settings without a `site` block; what such a block leaves out is as here, unless its key has another
-/// default.
+/// Returns the settings without a `site` block. They also apply to keys that such a block omits, unless the
+/// key has a default of its own.
 fn default_settings(classes: Vec<Class>, plans: Vec<Plan>) -> Settings {
     Settings {
         initiators: 1,
@@ -186,7 +186,7 @@
     timeouts
 }
 
-/// `max_advice_ms`: longest Retry-After that a client may be told, ms.
+/// Reads the block `storm`. `max_advice_ms` is the longest Retry-After sent to a client, ms.
 fn read_retry_throttle(block: Option<&Block<'_>>, max_advice_ms: f64) -> Option<RetryThrottleConfig> {
     let max_advice = Micros::from_ms(max_advice_ms);
     let defaults = RetryThrottleConfig { max_advice, ..RetryThrottleConfig::default() };
@@ -213,7 +213,7 @@
     let is_needed = classes.iter().any(|class| class.is_buffered);
     let write_back = root.block("buffer").map(|block| {
         if !is_needed {
-            block.report("there is a buffer, expected a class that is buffered".into());
+            block.report("block is set, expected at least one buffered class".into());
         }
         read_buffer(&block)
     });
--- a/crates/flaxstand-gateway/tests/settings.rs
+++ b/crates/flaxstand-gateway/tests/settings.rs
@@ -52,7 +52,7 @@
     told("aim-ms 250", "aim-ms 2000", 9, "aim-ms is 2000, expected at most deadline-ms, 1500");
     told("aim-ms 250", "aim-ms 250 300", 11, "expected one value");
     told("    aim-ms 250\n", "", 9, "aim-ms is missing");
-    told("aim-ms 250", "aim-ms 250\n    aim-mss 3", 12, "does not know \"aim-mss\"");
+    told("aim-ms 250", "aim-ms 250\n    aim-mss 3", 12, "unknown key \"aim-mss\"");
     told("\"repeatable\"", "\"sometimes\"", 10, "expected one of \"repeatable\", \"keyed\", \"once\"");
     let twice = "initiators 2\n    max-attempts 1\n    second-copies #true";
     told("initiators 2", twice, 5, "second-copies is #true, expected max-attempts 2 or more");
@@ -71,7 +71,7 @@
     told("plan \"basic\"", "plan \"basic\"\nplan \"basic\"", 1, "given twice");
     told("plan \"basic\"", "plan", 14, "expected one name");
     told("plan \"basic\"", "", 1, "plan is missing");
-    told("plan \"basic\"", "plan \"basic\"\nsites", 15, "does not know \"sites\"");
+    told("plan \"basic\"", "plan \"basic\"\nsites", 15, "unknown key \"sites\"");
     told("unit-most 4", "unit-most 4\n    unit-mean 5", 5, "unit-mean is 5, expected at most unit-most, 4");
     told("list \"127.0.0.1:7100\"", "list \"127.0.0.1:7100\"\n    index 2", 1, "index is 2");
     told(
@@ -131,7 +131,7 @@
             "lease-ms is 600, expected at least twice election-ms, 500",
         ),
         (three, "    set \"plan.basic.price\" 3\n", 23, "\"plan.basic.price\" has no narrower value"),
-        (three, "    set \"site.limits\" 3\n", 23, "is no key of the rules"),
+        (three, "    set \"site.limits\" 3\n", 23, "is not a rule key"),
         (three, "    set \"class.read.effect\" \"twice\"\n", 23, "expected one of once, keyed, repeatable"),
     ] {
         let found = problems(&agreeing(keepers, floor));
