--- a/crates/flaxstand-client/src/connection.rs
+++ b/crates/flaxstand-client/src/connection.rs
@@ -90,7 +90,7 @@
 
     /// The first `count` of the pending bytes were handed to the system.
     pub(crate) fn mark_written(&mut self, count: usize) {
-        self.outbox.wrote(count);
+        self.outbox.advance(count);
     }
 
     /// Takes the decoder out, so that frames can be handled while it runs; [`Connection::restore_inbox`]
--- a/crates/flaxstand-gateway/src/core/agreement/peers.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/peers.rs
@@ -212,7 +212,7 @@
         now: Micros,
     ) {
         let bytes = match postcard::to_stdvec(message) {
-            Ok(bytes) if bytes.len() <= flaxstand_proto::MAX_BODY - MAX_FRAME_HEADER_BYTES => bytes,
+            Ok(bytes) if bytes.len() <= flaxstand_proto::MAX_BODY_BYTES - MAX_FRAME_HEADER_BYTES => bytes,
             _ => {
                 warn!(?to, "a message that does not fit a frame is dropped");
                 return;
--- a/crates/flaxstand-gateway/src/core/config.rs
+++ b/crates/flaxstand-gateway/src/core/config.rs
@@ -82,7 +82,7 @@
             max_node_connections: 1024,
             max_partial_request_bytes: 32 << 20,
             max_response_bytes: 64 << 20,
-            max_endpoints: flaxstand_proto::MAX_ENTRIES,
+            max_endpoints: flaxstand_proto::MAX_LIST_ENTRIES,
             max_volumes: 1 << 20,
             connection_rate: ConnectionRateLimit::default(),
         }
--- a/crates/flaxstand-gateway/src/core/connection_table.rs
+++ b/crates/flaxstand-gateway/src/core/connection_table.rs
@@ -191,7 +191,7 @@
     pub(super) fn record_written(&mut self, conn: ConnId, count: usize) {
         let Some(c) = self.conns.get_mut(&conn) else { return };
         let before = c.outbox.len();
-        c.outbox.wrote(count);
+        c.outbox.advance(count);
         if let Protocol::HttpServer(_) = c.protocol {
             self.unread_bytes -= before - c.outbox.len();
         }
--- a/crates/flaxstand-gateway/src/core/discovery/cache_codec.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/cache_codec.rs
@@ -14,7 +14,7 @@
 use crate::machine::Micros;
 use flaxstand::api::{NodeId, Readiness};
 use flaxstand_proto::{
-    BodyLimit, Entry, Extent, Frame, FrameError, List, MAX_ENTRIES, State, decode_within, encode,
+    BodyLimit, Entry, Extent, Frame, FrameError, List, MAX_LIST_ENTRIES, State, decode_within, encode,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
@@ -137,11 +137,11 @@
     pub(super) fn encode_full(&self) -> Vec<u8> {
         let is_listed = |(_, endpoint): &(NodeId, &Endpoint)| endpoint.readiness() != Readiness::Removed;
         let listed: Vec<(NodeId, &Endpoint)> = self.endpoints.iter().filter(is_listed).collect();
-        let last = listed.len().saturating_sub(1) / MAX_ENTRIES;
+        let last = listed.len().saturating_sub(1) / MAX_LIST_ENTRIES;
         let mut bytes = Vec::new();
         for part in 0..=last {
-            let from = part * MAX_ENTRIES;
-            let to = listed.len().min(from + MAX_ENTRIES);
+            let from = part * MAX_LIST_ENTRIES;
+            let to = listed.len().min(from + MAX_LIST_ENTRIES);
             let extent = if part == last { Extent::Full } else { Extent::Changes };
             self.encode_entries(extent, &listed[from..to], &mut bytes);
         }
@@ -153,7 +153,7 @@
         let in_table = |id: NodeId| self.endpoints.get(id).map(|endpoint| (id, endpoint));
         let changed: Vec<(NodeId, &Endpoint)> = nodes.into_iter().filter_map(in_table).collect();
         let mut bytes = Vec::new();
-        for part in changed.chunks(MAX_ENTRIES) {
+        for part in changed.chunks(MAX_LIST_ENTRIES) {
             self.encode_entries(Extent::Changes, part, &mut bytes);
         }
         bytes
--- a/crates/flaxstand-gateway/src/core/discovery/mod.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/mod.rs
@@ -149,7 +149,7 @@
         let (protocol, deadline) = match context.config.wire {
             Wire::Frames => {
                 let deadline = context.now.after(context.config.site.timeouts.connect_timeout);
-                (Protocol::Frames(Inbox::of_list_service()), deadline)
+                (Protocol::Frames(Inbox::for_discovery_service()), deadline)
             }
             Wire::Platform => (Protocol::DiscoveryPoll, self.start_poll_connection(context)),
         };
--- a/crates/flaxstand-gateway/src/core/discovery/platform_listing.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_listing.rs
@@ -5,14 +5,14 @@
 use crate::core::endpoint_table::EndpointName;
 use crate::machine::Micros;
 use flaxstand::api::{ListScope, Readiness};
-use flaxstand_platform::{Listing, ReadListing, Target, TargetState};
+use flaxstand_platform::{Listing, ParsedListing, Target, TargetState};
 use tracing::{info, warn};
 
 impl EndpointDiscovery {
     /// Takes the entries of a response that can be read. Returns what is to be applied.
     pub(in crate::core) fn accept_listing(
         &mut self,
-        read: &ReadListing,
+        read: &ParsedListing,
         context: &mut DiscoveryContext<'_>,
     ) -> Option<EndpointUpdate> {
         for problem in &read.problems {
@@ -47,10 +47,10 @@
 
     /// A nameless entry that can't be read may mean any endpoint: after changes with one, the full list is
     /// requested.
-    pub(in crate::core) fn reject_nameless_entries(&mut self, read: &ReadListing) {
-        if read.nameless_count > 0 && !read.listing.is_full {
+    pub(in crate::core) fn reject_nameless_entries(&mut self, read: &ParsedListing) {
+        if read.unnamed_count > 0 && !read.listing.is_full {
             warn!(
-                entries = read.nameless_count,
+                entries = read.unnamed_count,
                 "endpoint list entries without a name: requesting the full list"
             );
             self.revision = None;
--- a/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
@@ -15,7 +15,7 @@
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{DiscoveryCall, Event, NotificationTerms};
 use flaxstand_http::{Response, ResponseReader, write_request};
-use flaxstand_platform::{LongPoll, ReadListing, list_call, read_listing};
+use flaxstand_platform::{LongPoll, ParsedListing, list_request_target, parse_listing};
 use rand_core::RngCore as _;
 use std::collections::VecDeque;
 use tracing::warn;
@@ -74,7 +74,7 @@
 pub(in crate::core) struct PollResponse {
     conn: ConnId,
     /// The list as far as it can be read.
-    pub(in crate::core) listing: ReadListing,
+    pub(in crate::core) listing: ParsedListing,
     /// The connection may carry another call.
     keeps_connection: bool,
 }
@@ -111,7 +111,7 @@
         self.schedule_stall_check(deadline, context.timers);
         let timeout_ms = wait.0 / 1000;
         let long_poll = self.revision.map(|since_revision| LongPoll { since_revision, timeout_ms });
-        let target = list_call(long_poll);
+        let target = list_request_target(long_poll);
         let host = context.config.discovery_address.to_string();
         context
             .connections
@@ -200,7 +200,7 @@
             self.fail_poll(conn, outcome, "the list service could not answer", context);
             return None;
         }
-        let listing = match read_listing(&answer.body) {
+        let listing = match parse_listing(&answer.body) {
             Ok(listing) => listing,
             Err(cause) => {
                 warn!(%cause, "discovery listing is malformed");
--- a/crates/flaxstand-gateway/src/core/endpoint_events.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_events.rs
@@ -11,7 +11,7 @@
 use super::{Core, Wire};
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand::api::{Event, ListScope, NodeId};
-use flaxstand_platform::{Listing, ReadListing};
+use flaxstand_platform::{Listing, ParsedListing};
 use flaxstand_proto::{CloseReason, List, Welcome};
 use tracing::info;
 
@@ -120,8 +120,8 @@
     }
 
     /// Guards against requests to a node whose entry can't be read and may say that it is draining.
-    fn drain_unreadable(&mut self, read: &ReadListing, now: Micros) {
-        let drained = self.nodes.drain_unreadable(&read.unreadable, now);
+    fn drain_unreadable(&mut self, read: &ParsedListing, now: Micros) {
+        let drained = self.nodes.drain_unreadable(&read.invalid_uids, now);
         if drained.is_empty() {
             return;
         }
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -14,7 +14,7 @@
 use super::timers::Timer;
 use crate::machine::{Command, ConnId, Micros};
 use flaxstand_http::{MAX_REQUEST_BODY_BYTES, Request, write_response};
-use flaxstand_platform::{ClientRequest, READY, RequestLimits};
+use flaxstand_platform::{ClientRequest, READY_PATH, RequestLimits};
 use flaxstand_proto::{Frame, Submit};
 use std::fmt::Display;
 use tracing::debug;
@@ -114,7 +114,7 @@
 
     /// A whole request came.
     fn handle_request(&mut self, conn: ConnId, request: Request, now: Micros) {
-        if request.target == READY {
+        if request.target == READY_PATH {
             let ready = self.shutdown.phase() == Phase::Running && self.nodes.any_serves();
             return self.respond(conn, if ready { 200 } else { 503 }, &[], b"", now);
         }
--- a/crates/flaxstand-gateway/src/core/pooled_attempts.rs
+++ b/crates/flaxstand-gateway/src/core/pooled_attempts.rs
@@ -11,7 +11,7 @@
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{NodeId, Outcome, Readiness, RequestId};
 use flaxstand_http::{Response, write_request};
-use flaxstand_platform::{HEALTH, field, outcome_of};
+use flaxstand_platform::{HEALTH_PATH, attempt_outcome, field};
 use std::fmt::Display;
 use tracing::{debug, info};
 
@@ -143,7 +143,8 @@
 
     fn write_probe(&mut self, conn: ConnId) {
         let host = self.host_of(conn);
-        self.connections.write(conn, |bytes| write_request(bytes, "GET", HEALTH, &[("Host", &host)], None));
+        self.connections
+            .write(conn, |bytes| write_request(bytes, "GET", HEALTH_PATH, &[("Host", &host)], None));
     }
 
     /// The `Host` field of requests on a connection.
@@ -209,7 +210,7 @@
         } else {
             self.close(conn, "it is not kept", now)
         }
-        match (exchange, outcome_of(answer)) {
+        match (exchange, attempt_outcome(answer)) {
             (PooledExchange::Attempt(attempt), Outcome::Served) => {
                 // Clients on this wire do not learn the shard.
                 self.attempt_served(attempt, 0, &answer.body, now);
--- a/crates/flaxstand-gateway/src/settings/bounds.rs
+++ b/crates/flaxstand-gateway/src/settings/bounds.rs
@@ -33,6 +33,6 @@
 
 /// Guards against a list that is longer than the frames in which it is saved for the next start.
 fn read_max_endpoints(block: &Block<'_>, default: usize) -> usize {
-    let max = flaxstand_proto::MAX_ENTRIES as u64;
+    let max = flaxstand_proto::MAX_LIST_ENTRIES as u64;
     block.integer("nodes", 1..=max, Some(default as u64)) as usize
 }
--- a/crates/flaxstand-gateway/tests/saved_list.rs
+++ b/crates/flaxstand-gateway/tests/saved_list.rs
@@ -114,7 +114,7 @@
 #[test]
 fn a_list_longer_than_a_frame_is_saved_in_full_and_a_part_of_it_is_none() {
     const NODES: u64 = 70_000;
-    const { assert!(NODES as usize > 2 * MAX_ENTRIES, "three frames") };
+    const { assert!(NODES as usize > 2 * MAX_LIST_ENTRIES, "three frames") };
     let roomy = || {
         let mut config = quiet();
         config.bounds.max_endpoints = NODES as usize;
--- a/crates/flaxstand-http/src/error.rs
+++ b/crates/flaxstand-http/src/error.rs
@@ -1,38 +1,39 @@
-//! Errors of reading messages.
+//! Errors of reading HTTP messages.
 
+use crate::{MAX_FIELDS, MAX_HEAD_BYTES};
 use thiserror::Error;
 
-/// Why the bytes of a connection can't be read any further.
+/// Reason why no further messages can be read from a connection.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum MessageError {
-    /// The head is no HTTP/1 head.
-    #[error("the head can't be read: {0}")]
+    /// The head is not a valid HTTP/1 message head.
+    #[error("invalid message head: {0}")]
     InvalidHead(httparse::Error),
-    /// The head has more bytes or fields than allowed.
-    #[error("the head is longer than is taken")]
+    /// The head or the trailers exceed [`MAX_HEAD_BYTES`] or [`MAX_FIELDS`].
+    #[error("message head or trailers exceed {MAX_HEAD_BYTES} bytes or {MAX_FIELDS} fields")]
     HeadTooLong,
-    /// There may be a body, and no length.
-    #[error("there is a body, or may be one, without a Content-Length")]
+    /// The message may have a body but does not state its length.
+    #[error("missing Content-Length in a message that may have a body")]
     MissingLength,
-    /// A length that is no plain decimal number, or a second one.
-    #[error("Content-Length is not one plain number")]
+    /// `Content-Length` is not a plain decimal number, or occurs more than once.
+    #[error("invalid Content-Length: expected a single decimal number")]
     InvalidLength,
-    /// The body has more bytes than allowed.
-    #[error("the body is longer than is taken")]
+    /// The body exceeds the length limit of the reader.
+    #[error("message body exceeds the length limit")]
     BodyTooLong,
-    /// `Transfer-Encoding` where only a length is allowed, or one that is unknown.
-    #[error("this Transfer-Encoding is not taken")]
+    /// `Transfer-Encoding` is unknown, not allowed in this message, or combined with `Content-Length`.
+    #[error("unsupported Transfer-Encoding")]
     UnsupportedEncoding,
-    /// A chunk of a body is malformed.
-    #[error("a chunk of the body can't be read")]
+    /// The chunked coding of the body is malformed.
+    #[error("malformed chunk in the message body")]
     InvalidChunk,
-    /// Bytes follow a request that can't begin another: its length may be wrong.
-    #[error("what follows the request is no request")]
+    /// The bytes after a request cannot start another one, so the request's length may be wrong.
+    #[error("unexpected bytes after the request: they do not start another request")]
     TrailingBytes,
 }
 
 impl MessageError {
-    /// The HTTP status of the response to the client.
+    /// Returns the HTTP status of the error response to the client.
     pub fn status(self) -> u16 {
         match self {
             MessageError::InvalidHead(_)
--- a/crates/flaxstand-http/src/lib.rs
+++ b/crates/flaxstand-http/src/lib.rs
@@ -1,11 +1,12 @@
-//! HTTP/1.1 as the platform speaks it, without I/O: bytes go in as they arrive, complete messages come out.
+//! Codec without I/O for the subset of HTTP/1.1 that the platform uses: readers accept bytes as they arrive
+//! and return complete messages.
 //!
-//! Messages are small and are held in memory; a head or a body beyond its limit is an error as soon as it
-//! shows. Where framing is ambiguous the message is an error too, never a guess (request smuggling): a second
-//! length, a length that is no plain number, `Transfer-Encoding` in a request, bytes behind a request that
-//! can't begin another.
+//! Messages are small and are held in memory. A head or body that exceeds its limit is rejected as soon as
+//! this is detectable. Messages with ambiguous framing are rejected to prevent request smuggling: a repeated
+//! length, a length that is not a plain decimal number, `Transfer-Encoding` in a request, or bytes after a
+//! request that cannot start another one.
 //!
-//! - [`RequestReader`], [`ResponseReader`]: readers, one a connection
+//! - [`RequestReader`], [`ResponseReader`]: readers, one per connection
 //! - [`write_request`], [`write_response`]: writers
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -22,13 +23,13 @@
 pub use message::{Fields, Request, Response};
 pub use request_reader::RequestReader;
 pub use response_reader::ResponseReader;
-pub use write::{reason, write_request, write_response};
+pub use write::{reason_phrase, write_request, write_response};
 
-/// Longest head, bytes, its empty line included.
+/// Maximum length of a message head including the empty line, bytes.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Longest body of a request, bytes.
+/// Maximum length of a request body, bytes.
 pub const MAX_REQUEST_BODY_BYTES: usize = 64 * 1024;
-/// Longest body of a response, bytes: targets may send several times what a request may bring.
+/// Maximum length of a response body, bytes. Targets may send several times the length of a request body.
 pub const MAX_RESPONSE_BODY_BYTES: usize = 1024 * 1024;
-/// Largest number of header fields of a message.
+/// Maximum number of header fields in a message.
 pub const MAX_FIELDS: usize = 64;
--- a/crates/flaxstand-http/src/message.rs
+++ b/crates/flaxstand-http/src/message.rs
@@ -1,6 +1,6 @@
-//! Complete messages.
+//! Complete HTTP messages.
 
-/// The header fields of a message, in their order.
+/// The header fields of a message, in order of arrival.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fields(Vec<Field>);
 
@@ -20,13 +20,13 @@
         Fields(headers.iter().map(field).collect())
     }
 
-    /// Every value of the field of this name, whatever the case of its letters.
+    /// Returns all values of a field. The name is matched case-insensitively.
     pub fn values<'a>(&'a self, name: &str) -> impl Iterator<Item = &'a [u8]> {
         let is_named = move |field: &&'a Field| field.name.eq_ignore_ascii_case(name);
         self.0.iter().filter(is_named).map(|field| field.value.as_slice())
     }
 
-    /// The value of the field of this name, if there is exactly one and it is text.
+    /// Returns the trimmed value of a field, if it occurs exactly once and is valid UTF-8.
     pub fn single(&self, name: &str) -> Option<&str> {
         let mut values = self.values(name);
         let value = values.next()?;
@@ -36,13 +36,13 @@
         std::str::from_utf8(value).ok().map(str::trim)
     }
 
-    /// Whether there is a field of this name.
+    /// Whether the field is present.
     pub fn contains(&self, name: &str) -> bool {
         self.values(name).next().is_some()
     }
 
-    /// Whether a list field of this name has this token, whatever the case of its letters.
-    pub fn lists_token(&self, name: &str, token: &str) -> bool {
+    /// Whether a comma-separated list field contains a token. Both are matched case-insensitively.
+    pub fn contains_token(&self, name: &str, token: &str) -> bool {
         let is_token = |part: &[u8]| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
         self.values(name).any(|value| value.split(|byte| *byte == b',').any(is_token))
     }
@@ -51,28 +51,28 @@
 /// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its method.
+    /// Request method.
     pub method: String,
-    /// Its target: path and query, as they arrived.
+    /// Request target: path and query, as received.
     pub target: String,
-    /// Its header fields.
+    /// Header fields.
     pub fields: Fields,
-    /// Its body; at most [`crate::MAX_REQUEST_BODY_BYTES`].
+    /// Message body, at most [`crate::MAX_REQUEST_BODY_BYTES`] long.
     pub body: Vec<u8>,
-    /// The connection may be used again.
+    /// Whether the connection can be reused.
     pub keeps_alive: bool,
 }
 
-/// A complete response; never one of the 1xx.
+/// A complete final response; interim (1xx) responses are skipped.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Response {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its header fields.
+    /// Header fields.
     pub fields: Fields,
-    /// Its body; at most [`crate::MAX_RESPONSE_BODY_BYTES`] unless its reader has another limit.
+    /// Message body, at most [`crate::MAX_RESPONSE_BODY_BYTES`] long unless its reader has another limit.
     pub body: Vec<u8>,
-    /// The connection may be used again: the peer keeps it open, the head states where the body ends, and
-    /// nothing follows it.
+    /// Whether the connection can be reused: the peer keeps it open, the body has an explicit end, and no
+    /// bytes follow it.
     pub keeps_alive: bool,
 }
--- a/crates/flaxstand-http/src/request_reader.rs
+++ b/crates/flaxstand-http/src/request_reader.rs
@@ -3,14 +3,14 @@
 use crate::framing::{content_length, is_persistent};
 use crate::{Fields, MAX_FIELDS, MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES, MessageError, Request};
 
-/// Longest method, bytes: no registered one has more.
+/// Maximum length of a method name, bytes: the longest registered one.
 const MAX_METHOD_BYTES: usize = 17;
 
 /// Reads the requests of one connection, one after another.
 #[derive(Debug, Default)]
 pub struct RequestReader {
     bytes: Vec<u8>,
-    /// The request at the front of `bytes` once its head is complete.
+    /// The request at the start of `bytes`, once its head is complete.
     pending: Option<PendingRequest>,
     examined: u64,
 }
@@ -18,11 +18,11 @@
 /// A request whose head is complete.
 #[derive(Debug)]
 struct PendingRequest {
-    /// The request, still without its body.
+    /// The request without its body.
     request: Request,
-    /// Where its body begins.
+    /// Start offset of the body.
     body_at: usize,
-    /// Where its body ends.
+    /// End offset of the body.
     end: usize,
 }
 
@@ -32,31 +32,32 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Bytes held that are not yet read as a request.
+    /// Number of buffered bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether nothing of a next request is here.
+    /// Whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Whether more is held than any one request has: what is behind it can wait with the peer.
+    /// Whether the buffer exceeds the maximum length of a request. The caller should then stop receiving,
+    /// which applies back-pressure to the peer.
     pub fn is_full(&self) -> bool {
         self.bytes.len() > MAX_HEAD_BYTES + MAX_REQUEST_BODY_BYTES
     }
 
-    /// Bytes handed to the parser since this reader began, repeats included: the work that reading cost.
+    /// Total number of bytes passed to the parser, including repeated ones: a measure of the parsing cost.
     pub fn bytes_examined(&self) -> u64 {
         self.examined
     }
 
-    /// The next request, once it is complete. A head is parsed at each call until it is complete, and not
-    /// again while its body arrives.
+    /// Returns the next request once it is complete. An incomplete head is parsed again at each call, a
+    /// complete one is not parsed again while its body arrives.
     ///
     /// # Errors
-    /// What comes next is no request; nothing behind it can be read either.
+    /// The next bytes are not a valid request. No further requests can be read from the connection.
     pub fn take(&mut self) -> Result<Option<Request>, MessageError> {
         if self.pending.is_none() {
             self.examined += self.bytes.len() as u64;
@@ -66,8 +67,8 @@
         if self.bytes.len() < end {
             return Ok(None);
         }
-        // What follows a request is looked at first: a length that is too short shows there.
-        if end < self.bytes.len() && !may_begin(&self.bytes[end..]) {
+        // Checks the bytes after the request first: they reveal a Content-Length that is too small.
+        if end < self.bytes.len() && !can_start_request(&self.bytes[end..]) {
             return Err(MessageError::TrailingBytes);
         }
         let request = self.pending.take().map(|pending| pending.with_body(&self.bytes));
@@ -85,16 +86,16 @@
     }
 }
 
-/// Whether a request may begin with these bytes.
-fn may_begin(bytes: &[u8]) -> bool {
+/// Whether these bytes can be the start of a request.
+fn can_start_request(bytes: &[u8]) -> bool {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let method = bytes.split(|byte| *byte == b' ').next().unwrap_or(bytes);
-    let named = method.len() <= MAX_METHOD_BYTES
+    let is_method = method.len() <= MAX_METHOD_BYTES
         && method.iter().all(|byte| byte.is_ascii_uppercase() || *byte == b'-');
-    (named || bytes.starts_with(b"\r\n")) && httparse::Request::new(&mut fields).parse(bytes).is_ok()
+    (is_method || bytes.starts_with(b"\r\n")) && httparse::Request::new(&mut fields).parse(bytes).is_ok()
 }
 
-/// The request that begins there, once its head is complete.
+/// Parses the request head at the start of `bytes`. Returns `None` if it is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<PendingRequest>, MessageError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut head = httparse::Request::new(&mut fields);
@@ -122,7 +123,7 @@
     }
     match content_length(fields, MAX_REQUEST_BODY_BYTES)? {
         Some(length) => Ok(length),
-        // Only a method that has no body by its meaning may leave the length out.
+        // Content-Length is optional only for methods that do not define a body.
         None if matches!(method, "GET" | "HEAD" | "DELETE" | "OPTIONS") => Ok(0),
         None => Err(MessageError::MissingLength),
     }
--- a/crates/flaxstand-http/src/response_reader.rs
+++ b/crates/flaxstand-http/src/response_reader.rs
@@ -4,28 +4,28 @@
 use crate::framing::{Framing, is_persistent, response_framing};
 use crate::{Fields, MAX_FIELDS, MAX_HEAD_BYTES, MAX_RESPONSE_BODY_BYTES, MessageError, Response};
 
-/// Bytes of a response's prefix that are logged.
+/// Number of leading bytes of a response that are kept for logs.
 const MAX_PREFIX_BYTES: usize = 160;
 
-/// Reads the responses to the requests of one connection, of which one is pending at a time.
+/// Reads the responses of one connection. At most one request is in flight at a time.
 ///
-/// A head is parsed at each [`ResponseReader::take`] until it is complete, at most [`MAX_HEAD_BYTES`] bytes
-/// each time. The bytes of a body are looked at once, in however many pieces they arrive.
+/// An incomplete head, at most [`MAX_HEAD_BYTES`] long, is parsed again at each [`ResponseReader::take`]. The
+/// bytes of a body are examined once, regardless of the number of pieces in which they arrive.
 #[derive(Debug)]
 pub struct ResponseReader {
-    /// What was received and is not yet consumed. A body without chunks stays here until it is complete.
+    /// Bytes received and not yet consumed. A body without chunked coding stays here until it is complete.
     unread: Vec<u8>,
-    /// The first bytes of the response that is being read, for a log.
+    /// First bytes of the current response, for logs.
     prefix: Vec<u8>,
-    /// Bytes received of the response that is being read.
+    /// Number of bytes received of the current response.
     received: usize,
-    /// Longest body, bytes.
+    /// Maximum body length, bytes.
     max_body_bytes: usize,
-    /// The response whose head is complete and whose body is not.
+    /// The current response, once its head is complete.
     pending: Option<PendingResponse>,
-    /// Length of the head of the pending response; kept beyond an error in its body.
+    /// Length of the pending response's head. Kept after an error in its body.
     head_length: Option<usize>,
-    /// Why nothing more can be read.
+    /// The first error; it ends reading.
     error: Option<MessageError>,
     examined: u64,
 }
@@ -36,7 +36,7 @@
     status: u16,
     fields: Fields,
     keeps_alive: bool,
-    /// Bytes of the head, its empty line included.
+    /// Length of the head including the empty line, bytes.
     length: usize,
 }
 
@@ -47,7 +47,7 @@
     body: Body,
 }
 
-/// What is known of a body that is not yet complete.
+/// Framing and decoder state of an incomplete body.
 #[derive(Debug)]
 enum Body {
     Length(usize),
@@ -56,14 +56,14 @@
 }
 
 impl Default for ResponseReader {
-    /// Takes bodies up to [`MAX_RESPONSE_BODY_BYTES`] bytes.
+    /// Creates a reader that accepts bodies of up to [`MAX_RESPONSE_BODY_BYTES`] bytes.
     fn default() -> Self {
         ResponseReader::with_body_limit(MAX_RESPONSE_BODY_BYTES)
     }
 }
 
 impl ResponseReader {
-    /// A reader that takes bodies up to `max_body_bytes` bytes.
+    /// Creates a reader that accepts bodies of up to `max_body_bytes` bytes.
     pub fn with_body_limit(max_body_bytes: usize) -> Self {
         ResponseReader {
             unread: Vec::new(),
@@ -85,43 +85,42 @@
         self.unread.extend_from_slice(bytes);
     }
 
-    /// The first bytes received since the last response, escaped, for a log.
+    /// Returns the first bytes received since the last response, escaped for logs.
     pub fn received_prefix(&self) -> String {
         self.prefix.escape_ascii().to_string()
     }
 
-    /// Bytes received since the last response. What the chunked coding adds to a body counts too, though it
-    /// is not held.
+    /// Number of bytes received since the last response, including the overhead of the chunked coding, which
+    /// is not buffered.
     pub fn len(&self) -> usize {
         self.received
     }
 
-    /// Whether nothing was received since the last response.
+    /// Whether no bytes were received since the last response.
     pub fn is_empty(&self) -> bool {
         self.received == 0
     }
 
-    /// Whether [`ResponseReader::take`] found the response's head complete and its body not.
+    /// Whether [`ResponseReader::take`] found a complete head and an incomplete body.
     pub fn in_body(&self) -> bool {
         self.head_length.is_some()
     }
 
-    /// Whether the response's head is complete and at least one byte was received behind it: of its body, or
-    /// of the chunked coding of its body.
+    /// Whether the head is complete and at least one byte of the body or of its chunked coding was received.
     pub fn body_started(&self) -> bool {
         self.head_length.is_some_and(|length| self.received > length)
     }
 
-    /// Bytes handed to a parser since this reader began, repeats included: the work that reading cost.
+    /// Total number of bytes passed to a parser, including repeated ones: a measure of the parsing cost.
     pub fn bytes_examined(&self) -> u64 {
         self.examined
     }
 
-    /// The response, once it is complete. Any 1xx ahead of it are skipped. What was received behind it is
-    /// left out: the response says that its connection is of no further use.
+    /// Returns the response once it is complete. Interim (1xx) responses before it are skipped. Bytes after
+    /// it are discarded, and [`Response::keeps_alive`] is then false.
     ///
     /// # Errors
-    /// What was received is no response. Each later call returns the same error.
+    /// The bytes received are not a valid response. Each later call returns the same error.
     pub fn take(&mut self) -> Result<Option<Response>, MessageError> {
         if let Some(error) = self.error {
             return Err(error);
@@ -131,8 +130,8 @@
         result
     }
 
-    /// The response that ends with its connection. To be called when the peer closed the connection in good
-    /// order, not after a reset.
+    /// Returns the response whose body ends with the connection. To be called when the peer closes the
+    /// connection in an orderly way, not after a reset.
     pub fn end(&mut self) -> Option<Response> {
         let pending = self.pending.take_if(|pending| matches!(pending.body, Body::UntilClose))?;
         let body = std::mem::take(&mut self.unread);
@@ -156,7 +155,7 @@
         Ok(Some(self.complete(pending.head, body, keeps_alive)))
     }
 
-    /// Makes the response, and this reader ready for the next one.
+    /// Returns the complete response and resets the reader for the next one.
     fn complete(&mut self, head: Head, mut body: Vec<u8>, keeps_alive: bool) -> Response {
         *self = ResponseReader {
             examined: self.examined,
@@ -166,7 +165,7 @@
         Response { status: head.status, fields: head.fields, body, keeps_alive }
     }
 
-    /// Consumes the head of the next final response, once it is complete.
+    /// Parses and consumes the head of the next final response. Returns `None` if it is incomplete.
     fn read_head(&mut self) -> Result<Option<PendingResponse>, MessageError> {
         let mut skipped = 0;
         let parsed = loop {
@@ -179,7 +178,7 @@
                 _ => break parsed,
             }
         };
-        self.skip(skipped);
+        self.discard_interim(skipped);
         let Some(head) = parsed? else { return Ok(None) };
         if !(200..600).contains(&head.status) {
             return Err(MessageError::InvalidHead(httparse::Error::Status));
@@ -193,8 +192,8 @@
         Ok(Some(PendingResponse { head, body }))
     }
 
-    /// Drops interim responses ahead of the next one.
-    fn skip(&mut self, length: usize) {
+    /// Removes `length` bytes of interim responses.
+    fn discard_interim(&mut self, length: usize) {
         if length > 0 {
             self.unread.drain(..length);
             self.received -= length;
@@ -203,7 +202,7 @@
         }
     }
 
-    /// Consumes what was received of the body; all of it, once it is complete.
+    /// Consumes received bytes of the body. Returns the body once it is complete.
     fn read_body(&mut self, body: &mut Body) -> Result<Option<Vec<u8>>, MessageError> {
         match body {
             Body::Length(length) => Ok(self.read_length(*length)),
@@ -217,8 +216,8 @@
         if self.unread.len() < length {
             return None;
         }
-        let behind = self.unread.split_off(length);
-        Some(std::mem::replace(&mut self.unread, behind))
+        let remaining = self.unread.split_off(length);
+        Some(std::mem::replace(&mut self.unread, remaining))
     }
 
     fn read_chunks(&mut self, decoder: &mut ChunkedDecoder) -> Result<Option<Vec<u8>>, MessageError> {
@@ -229,13 +228,13 @@
     }
 }
 
-/// Whether a response of this status precedes the final one. After a 101 the connection speaks another
+/// Whether this is the status of an interim response. 101 is not: the connection then switches to another
 /// protocol.
 fn is_interim(status: u16) -> bool {
     (102..200).contains(&status) || status == 100
 }
 
-/// The head that begins there, once it is complete.
+/// Parses the response head at the start of `bytes`. Returns `None` if it is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<Head>, MessageError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut head = httparse::Response::new(&mut fields);
--- a/crates/flaxstand-http/src/write.rs
+++ b/crates/flaxstand-http/src/write.rs
@@ -1,10 +1,10 @@
-//! Writers of messages.
+//! Encoders of HTTP messages.
 
 use std::fmt::Display;
 use std::io::Write as _;
 
-/// The reason phrase of a status.
-pub fn reason(status: u16) -> &'static str {
+/// Returns the reason phrase of a status code.
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -24,15 +24,15 @@
     }
 }
 
-fn field(out: &mut Vec<u8>, name: &str, value: &dyn Display) {
+fn write_field(out: &mut Vec<u8>, name: &str, value: &dyn Display) {
     let begin = out.len();
-    // Writing to a vector does not fail.
+    // Writing to a vector cannot fail.
     let _ = write!(out, "{name}: {value}\r\n");
-    // Guards against header injection by a value with a line break.
-    debug_assert!(!out[begin..out.len() - 2].contains(&b'\n'), "a field of one line: {name}");
+    // Prevents header injection through a value that contains a line break.
+    debug_assert!(!out[begin..out.len() - 2].contains(&b'\n'), "line break in header field {name}");
 }
 
-/// Appends a request to `out`. A body is preceded by its length; without a body there is no length either.
+/// Appends a request to `out`, with a `Content-Length` field if there is a body.
 pub fn write_request(
     out: &mut Vec<u8>,
     method: &str,
@@ -41,15 +41,15 @@
     body: Option<&[u8]>,
 ) {
     let _ = write!(out, "{method} {target} HTTP/1.1\r\n");
-    fields.iter().for_each(|(name, value)| field(out, name, value));
+    fields.iter().for_each(|(name, value)| write_field(out, name, value));
     if let Some(body) = body {
-        field(out, "Content-Length", &body.len());
+        write_field(out, "Content-Length", &body.len());
     }
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(body.unwrap_or_default());
 }
 
-/// Appends a response to `out`. `keeps_alive`: the connection may be used again.
+/// Appends a response to `out`. Adds `Connection: close` unless `keeps_alive`.
 pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
@@ -57,12 +57,12 @@
     body: &[u8],
     keeps_alive: bool,
 ) {
-    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason(status));
-    fields.iter().for_each(|(name, value)| field(out, name, value));
+    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
+    fields.iter().for_each(|(name, value)| write_field(out, name, value));
     if !keeps_alive {
-        field(out, "Connection", &"close");
+        write_field(out, "Connection", &"close");
     }
-    field(out, "Content-Length", &body.len());
+    write_field(out, "Content-Length", &body.len());
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(body);
 }
--- a/crates/flaxstand-http/tests/incremental.rs
+++ b/crates/flaxstand-http/tests/incremental.rs
@@ -1,62 +1,64 @@
-//! The incremental readers against a reader that parses all it holds at each call, and the work they do.
+//! Compares the incremental response reader with a reference that parses its entire buffer again at each
+//! call, and bounds the parsing cost of the incremental readers.
 
-mod whole_parse;
+mod reparsing_reader;
 
 use flaxstand_http::{
     MAX_FIELDS, MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES, MessageError, RequestReader, Response, ResponseReader,
 };
 use proptest::prelude::*;
-use whole_parse::{PlainAnswer, WholeParseReader};
+use reparsing_reader::{PlainResponse, ReparsingReader};
 
 const CHUNKED_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-fn is_same(answer: &Response, plain: &PlainAnswer) -> bool {
-    plain.fields.equals(answer)
-        && (answer.status, &answer.body, answer.keeps_alive) == (plain.status, &plain.body, plain.keeps)
+fn is_same(response: &Response, plain: &PlainResponse) -> bool {
+    plain.fields.equals(response)
+        && (response.status, &response.body, response.keeps_alive)
+            == (plain.status, &plain.body, plain.keeps_alive)
 }
 
-/// Passes the pieces to both readers and compares all that both of them tell, until the first fault.
+/// Passes the pieces to both readers and compares their results and state until the first error.
 fn compare(pieces: &[&[u8]], max_body_bytes: usize) -> Result<(), TestCaseError> {
     let mut reader = ResponseReader::with_body_limit(max_body_bytes);
-    let mut reference = WholeParseReader::new(max_body_bytes);
+    let mut reference = ReparsingReader::new(max_body_bytes);
     for piece in pieces {
         reader.push(piece);
         reference.push(piece);
         match (reader.take(), reference.take()) {
-            (Ok(Some(answer)), Ok(Some(plain))) => prop_assert!(is_same(&answer, &plain)),
+            (Ok(Some(response)), Ok(Some(plain))) => prop_assert!(is_same(&response, &plain)),
             (Ok(None), Ok(None)) => {}
-            (Err(fault), Err(expected)) => {
-                prop_assert_eq!(fault, expected);
+            (Err(error), Err(expected)) => {
+                prop_assert_eq!(error, expected);
                 prop_assert_eq!(reader.in_body(), reference.in_body());
                 prop_assert_eq!(reader.len(), reference.len());
-                prop_assert_eq!(reader.received_prefix(), reference.beginning());
+                prop_assert_eq!(reader.received_prefix(), reference.received_prefix());
                 reader.push(b"0\r\n\r\n");
-                prop_assert_eq!(reader.take(), Err(fault), "a fault stays");
+                prop_assert_eq!(reader.take(), Err(error), "later calls return the same error");
                 return Ok(());
             }
-            (taken, expected) => prop_assert!(false, "{taken:?} instead of {expected:?}"),
+            (actual, expected) => prop_assert!(false, "got {actual:?}, expected {expected:?}"),
         }
         prop_assert_eq!(reader.in_body(), reference.in_body());
         prop_assert_eq!(reader.len(), reference.len());
         prop_assert_eq!(reader.is_empty(), reference.is_empty());
-        prop_assert_eq!(reader.received_prefix(), reference.beginning());
+        prop_assert_eq!(reader.received_prefix(), reference.received_prefix());
     }
     match (reader.end(), reference.end()) {
-        (Some(answer), Some(plain)) => prop_assert!(is_same(&answer, &plain)),
+        (Some(response), Some(plain)) => prop_assert!(is_same(&response, &plain)),
         (None, None) => {}
-        (ended, expected) => prop_assert!(false, "{ended:?} instead of {expected:?}"),
+        (actual, expected) => prop_assert!(false, "got {actual:?}, expected {expected:?}"),
     }
     prop_assert_eq!(reader.len(), reference.len());
     Ok(())
 }
 
-/// Cuts the bytes after each of these lengths, which are used again and again.
-fn cut<'a>(bytes: &'a [u8], lengths: &[usize]) -> Vec<&'a [u8]> {
+/// Splits the bytes into pieces of these lengths, repeated cyclically.
+fn split<'a>(bytes: &'a [u8], lengths: &[usize]) -> Vec<&'a [u8]> {
     let (mut pieces, mut rest) = (Vec::new(), bytes);
     for length in lengths.iter().cycle() {
-        let (piece, behind) = rest.split_at((*length).min(rest.len()));
+        let (piece, remaining) = rest.split_at((*length).min(rest.len()));
         pieces.push(piece);
-        rest = behind;
+        rest = remaining;
         if rest.is_empty() {
             break;
         }
@@ -64,8 +66,8 @@
     pieces
 }
 
-/// Short lengths, and some around the bound of a head.
-fn length_near_bound() -> impl Strategy<Value = usize> {
+/// Short lengths, and some close to the maximum length of a head.
+fn length_near_limit() -> impl Strategy<Value = usize> {
     prop_oneof![8 => 0..20usize, 1 => MAX_HEAD_BYTES - 60..MAX_HEAD_BYTES + 20]
 }
 
@@ -73,7 +75,7 @@
     let extension = prop_oneof![
         6 => Just(Vec::new()),
         2 => prop::sample::select(vec!["  ", " ;a=b", ";x;y\t", " 1", ";\n", "\rx", "g"]).prop_map(|e| e.into()),
-        1 => length_near_bound().prop_map(|length| [b";", vec![b'e'; length].as_slice()].concat()),
+        1 => length_near_limit().prop_map(|length| [b";", vec![b'e'; length].as_slice()].concat()),
     ];
     let end = prop_oneof![20 => Just("\r\n"), 1 => Just("\n"), 1 => Just("x\r\n"), 1 => Just("")];
     (1..40usize, 0..3usize, extension, end).prop_map(|(size, zeros, extension, end)| {
@@ -86,20 +88,20 @@
 fn trailers() -> impl Strategy<Value = Vec<u8>> {
     prop_oneof![
         4 => Just(b"\r\n".to_vec()),
-        1 => length_near_bound().prop_map(|n| format!("T: {}\r\n\r\n", "t".repeat(n)).into_bytes()),
+        1 => length_near_limit().prop_map(|n| format!("T: {}\r\n\r\n", "t".repeat(n)).into_bytes()),
         1 => (0..MAX_FIELDS + 3).prop_map(|n| format!("{}\r\n", "T: t\r\n".repeat(n)).into_bytes()),
         1 => Just(b"T\x00: t\r\n\r\n".to_vec()),
     ]
 }
 
-fn chunked_answer() -> impl Strategy<Value = Vec<u8>> {
+fn chunked_response() -> impl Strategy<Value = Vec<u8>> {
     let last = prop::sample::select(vec!["0", "000", "", "0;x", "fffffffffffffffff", "10000"]);
     (prop::collection::vec(chunk(), 0..12), last, trailers()).prop_map(|(chunks, last, trailers)| {
         [CHUNKED_HEAD, &chunks.concat(), last.as_bytes(), b"\r\n", &trailers].concat()
     })
 }
 
-fn plain_answer() -> impl Strategy<Value = Vec<u8>> {
+fn plain_response() -> impl Strategy<Value = Vec<u8>> {
     let line = prop::sample::select(vec![
         "HTTP/1.1 200 OK",
         "HTTP/1.0 503 Full",
@@ -116,7 +118,7 @@
         "Content-Length: 500\r\n",
         "",
     ]);
-    (line, fields, length_near_bound(), 0..60usize).prop_map(|(line, fields, padding, body)| {
+    (line, fields, length_near_limit(), 0..60usize).prop_map(|(line, fields, padding, body)| {
         format!("{line}\r\n{fields}P: {}\r\n\r\n{}", "p".repeat(padding), "b".repeat(body)).into_bytes()
     })
 }
@@ -131,36 +133,41 @@
     #![proptest_config(ProptestConfig::with_cases(800))]
 
     #[test]
-    fn every_cut_reads_as_a_parse_of_all_that_is_held(
-        answers in prop::collection::vec((interim(), prop_oneof![chunked_answer(), plain_answer()]), 1..3),
+    fn split_responses_read_as_by_the_reference(
+        responses in prop::collection::vec(
+            (interim(), prop_oneof![chunked_response(), plain_response()]),
+            1..3,
+        ),
         lengths in prop::collection::vec(prop_oneof![0..5usize, 1..30usize, 100..3000usize], 1..10),
         flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..2),
         limit in prop::sample::select(vec![0, 30, 100, 1000, 1 << 20]),
     ) {
         prop_assume!(lengths.iter().sum::<usize>() > 0);
-        let mut bytes: Vec<u8> = answers.into_iter().flat_map(|(ahead, answer)| [ahead, answer].concat()).collect();
+        let joined = responses.into_iter().flat_map(|(interim, response)| [interim, response].concat());
+        let mut bytes: Vec<u8> = joined.collect();
         for (at, byte) in flips {
             let at = at.index(bytes.len());
             bytes[at] = byte;
         }
-        compare(&cut(&bytes, &lengths), limit)?;
+        compare(&split(&bytes, &lengths), limit)?;
     }
 
     #[test]
-    fn every_size_line_reads_as_a_parse_of_all_that_is_held(
+    fn size_lines_read_as_by_the_reference(
         line in prop::collection::vec(prop::sample::select(b"0123aAfFg ;\t\r\n\0".to_vec()), 0..25),
         lengths in prop::collection::vec(1..4usize, 1..4),
     ) {
         let bytes = [CHUNKED_HEAD, &line, b"\r\n0\r\n\r\n"].concat();
-        compare(&cut(&bytes, &lengths), 1 << 20)?;
+        compare(&split(&bytes, &lengths), 1 << 20)?;
     }
 }
 
 #[test]
-fn the_bounds_of_size_lines_and_trailers_hold_to_the_byte() {
+fn size_line_and_trailer_limits_are_exact() {
     for length in MAX_HEAD_BYTES - 3..MAX_HEAD_BYTES + 4 {
-        for (ahead, behind) in [("1;", "\r\nd\r\n0\r\n\r\n"), ("0\r\nT: ", "\r\n\r\n")] {
-            let bytes = [CHUNKED_HEAD, ahead.as_bytes(), &vec![b'x'; length - 6], behind.as_bytes()].concat();
+        for (prefix, suffix) in [("1;", "\r\nd\r\n0\r\n\r\n"), ("0\r\nT: ", "\r\n\r\n")] {
+            let bytes =
+                [CHUNKED_HEAD, prefix.as_bytes(), &vec![b'x'; length - 6], suffix.as_bytes()].concat();
             let near_end = CHUNKED_HEAD.len() + MAX_HEAD_BYTES - 10;
             let (begin, end) = bytes.split_at(near_end);
             let pieces: Vec<&[u8]> = std::iter::once(begin).chain(end.chunks(1)).collect();
@@ -169,21 +176,21 @@
     }
 }
 
-/// What a reader examined of an answer that came in pieces of this length.
-fn examined(bytes: &[u8], piece: usize, body: usize) -> u64 {
+/// Returns the number of bytes examined to read a response that arrives in pieces of this length.
+fn bytes_examined(bytes: &[u8], piece: usize, body: usize) -> u64 {
     let mut reader = ResponseReader::with_body_limit(2 << 20);
     let mut pieces = bytes.chunks(piece).peekable();
     while let Some(piece) = pieces.next() {
         reader.push(piece);
-        let taken = reader.take().unwrap();
-        assert_eq!(taken.is_some(), pieces.peek().is_none());
-        assert!(taken.is_none_or(|answer| answer.body.len() == body && answer.keeps_alive));
+        let response = reader.take().unwrap();
+        assert_eq!(response.is_some(), pieces.peek().is_none());
+        assert!(response.is_none_or(|response| response.body.len() == body && response.keeps_alive));
     }
     reader.bytes_examined()
 }
 
 #[test]
-fn the_work_for_a_chunked_body_grows_with_its_length_and_not_with_its_pieces() {
+fn the_cost_of_a_chunked_body_depends_on_its_length_and_not_on_its_pieces() {
     const BODY: usize = 1 << 20;
     for chunk in [1, 10, 1000, 65_536, BODY] {
         let mut bytes = CHUNKED_HEAD.to_vec();
@@ -193,12 +200,12 @@
             bytes.extend_from_slice(b"\r\n");
         }
         bytes.extend_from_slice(b"0\r\nT: trailer\r\n\r\n");
-        let few_pieces = examined(&bytes, bytes.len(), BODY);
+        let few_pieces = bytes_examined(&bytes, bytes.len(), BODY);
         assert!(few_pieces <= bytes.len() as u64);
-        let many_pieces = examined(&bytes, 10, BODY);
+        let many_pieces = bytes_examined(&bytes, 10, BODY);
         assert!(
             many_pieces <= bytes.len() as u64 + 500,
-            "{many_pieces} of {} in chunks of {chunk}",
+            "{many_pieces} bytes examined of {} received, chunk length {chunk}",
             bytes.len()
         );
     }
@@ -208,7 +215,7 @@
 fn a_head_is_not_parsed_again_while_its_body_arrives() {
     let body = vec![b'b'; 1 << 20];
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-    assert!(examined(&[head.as_bytes(), &body].concat(), 10, body.len()) <= 500);
+    assert!(bytes_examined(&[head.as_bytes(), &body].concat(), 10, body.len()) <= 500);
 
     let mut reader = RequestReader::default();
     reader.push(
@@ -227,7 +234,7 @@
 }
 
 #[test]
-fn a_body_has_started_with_its_first_byte_in_every_framing() {
+fn body_started_is_set_by_the_first_body_byte_in_every_framing() {
     for (head, first) in [
         ("Content-Length: 2\r\n", "b"),
         ("Transfer-Encoding: chunked\r\n", "2"),
@@ -257,7 +264,7 @@
 }
 
 #[test]
-fn a_body_until_close_that_comes_with_its_head_is_bounded_too() {
+fn the_body_limit_applies_to_a_close_delimited_body_received_with_its_head() {
     let mut reader = ResponseReader::with_body_limit(4);
     reader.push(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbodies");
     assert_eq!(reader.take(), Err(MessageError::BodyTooLong));
@@ -265,7 +272,7 @@
 }
 
 #[test]
-fn a_fault_in_a_body_stays_and_leaves_no_answer() {
+fn a_body_error_is_permanent_and_prevents_a_response() {
     let mut reader = ResponseReader::with_body_limit(4);
     reader.push(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
     assert_eq!(reader.take(), Ok(None));
--- a/crates/flaxstand-platform/examples/listing_costs.rs
+++ b/crates/flaxstand-platform/examples/listing_costs.rs
@@ -1,6 +1,6 @@
-//! Measures the time to read a long list entry by entry, beside reading it as a whole.
+//! Measures the time to parse a long list entry by entry, compared with deserializing it at once.
 
-use flaxstand_platform::{Listing, read_listing};
+use flaxstand_platform::{Listing, parse_listing};
 use std::time::{Duration, Instant};
 
 const ENTRIES: usize = 3200;
@@ -21,12 +21,12 @@
     format!(r#"{{"rev":41,"all":true,"targets":[{}]}}"#, entries.join(","))
 }
 
-/// The median time of many rounds.
-fn median(mut round: impl FnMut()) -> Duration {
+/// Returns the median duration of [`ROUNDS`] runs.
+fn median(mut run: impl FnMut()) -> Duration {
     let time = |_| {
-        let begun = Instant::now();
-        round();
-        begun.elapsed()
+        let start = Instant::now();
+        run();
+        start.elapsed()
     };
     let mut times: Vec<Duration> = (0..ROUNDS).map(time).collect();
     times.sort_unstable();
@@ -35,25 +35,25 @@
 
 fn main() {
     let text = list("up");
-    let whole = || {
-        let listing: Listing = serde_json::from_str(&text).expect("a good list");
+    let at_once = || {
+        let listing: Listing = serde_json::from_str(&text).expect("valid list");
         assert_eq!(listing.targets.len(), ENTRIES);
     };
     let by_entry = || {
-        let read = read_listing(text.as_bytes()).expect("a good list");
+        let read = parse_listing(text.as_bytes()).expect("valid list");
         assert_eq!((read.listing.targets.len(), read.problem_count), (ENTRIES, 0));
     };
-    let (whole, by_entry) = (median(whole), median(by_entry));
-    let ratio = by_entry.as_secs_f64() / whole.as_secs_f64();
+    let (at_once, by_entry) = (median(at_once), median(by_entry));
+    let ratio = by_entry.as_secs_f64() / at_once.as_secs_f64();
     println!(
-        "{ENTRIES} good entries, {} bytes: whole {whole:?}, by entry {by_entry:?}, {ratio:.2} times",
+        "{ENTRIES} valid entries, {} bytes: at once {at_once:?}, by entry {by_entry:?}, ratio {ratio:.2}",
         text.len()
     );
 
     let text = list("lost");
-    let unreadable = median(|| {
-        let read = read_listing(text.as_bytes()).expect("a list of entries that can't be read");
-        assert_eq!((read.unreadable.len(), read.problem_count), (ENTRIES, ENTRIES));
+    let invalid = median(|| {
+        let read = parse_listing(text.as_bytes()).expect("list of invalid entries");
+        assert_eq!((read.invalid_uids.len(), read.problem_count), (ENTRIES, ENTRIES));
     });
-    println!("{ENTRIES} entries that can't be read: {unreadable:?}");
+    println!("{ENTRIES} invalid entries: {invalid:?}");
 }
--- a/crates/flaxstand-platform/src/configuration.rs
+++ b/crates/flaxstand-platform/src/configuration.rs
@@ -1,62 +1,63 @@
-//! The configuration file that an initiator reads at its start, and again at each SIGHUP.
+//! The configuration file of an initiator, read at start-up and again on SIGHUP.
 
 use crate::{Listing, Params, ParamsError};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Least memory with which an initiator can run, MB.
+/// Minimum memory limit with which an initiator can run, MB.
 const MIN_MEMORY_MB: u64 = 16;
-/// Least number of descriptors with which an initiator can run.
+/// Minimum limit of file descriptors with which an initiator can run.
 const MIN_SOCKETS: u64 = 64;
 
 /// The configuration file.
 #[derive(Debug, Deserialize)]
 pub struct Configuration {
-    /// The initiator's name, the same after a restart.
+    /// Name of the initiator, unchanged by a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// Where the discovery service listens.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start. Hex digits in the file.
+    /// Seed of the random number generator, different at each start. Written as hex digits in the file.
     #[serde(deserialize_with = "hex")]
     pub seed: u64,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The endpoint list as this initiator had it last; may be out of date.
+    /// The last endpoint list known to this initiator; may be outdated.
     #[serde(rename = "known")]
     pub cached_list: Listing,
-    /// Settings of the decision module, and more.
+    /// Settings of the decision module and of connections.
     pub settings: Params,
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
     /// Memory, MB.
     pub memory_mb: u64,
-    /// Descriptors.
+    /// File descriptors.
     pub sockets: u64,
 }
 
-/// Why a configuration can't be used.
+/// Errors of reading a configuration.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
-    /// It is no such object. The message names the field and the place.
+    /// The text is not valid JSON or does not match the schema. The message states the field and its
+    /// position.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A limit is too low for an initiator to run.
+    /// A resource limit is too low for an initiator to run.
     #[error("{field}: expected {min} or more, not {value}")]
     LimitTooLow {
         /// Path of the field.
         field: &'static str,
-        /// Least value.
+        /// Minimum value.
         min: u64,
-        /// What is there.
+        /// Value found.
         value: u64,
     },
-    /// The settings make no sense.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] ParamsError),
 }
@@ -72,10 +73,10 @@
 }
 
 impl Configuration {
-    /// Reads the file's text.
+    /// Parses and checks the text of a configuration file.
     ///
     /// # Errors
-    /// It makes no sense; the message names the field.
+    /// The text is malformed or a value is invalid; the message states the field.
     pub fn read(text: &str) -> Result<Self, ConfigurationError> {
         let configuration: Configuration = serde_json::from_str(text)?;
         check_limit("limits.memory_mb", configuration.limits.memory_mb, MIN_MEMORY_MB)?;
--- a/crates/flaxstand-platform/src/discovery.rs
+++ b/crates/flaxstand-platform/src/discovery.rs
@@ -1,72 +1,72 @@
-//! Listings of the discovery service.
+//! Endpoint listings of the discovery service.
 
 mod listing;
 mod scanner;
 
-pub use listing::{EntryProblem, ListingError, ListingFault, MAX_PROBLEMS, ReadListing, read_listing};
+pub use listing::{EntryProblem, ListingError, ListingErrorKind, MAX_PROBLEMS, ParsedListing, parse_listing};
 
 use serde::Deserialize;
 
-/// The list of targets, in full or what has changed of it.
+/// The list of targets, or changes to it.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Listing {
-    /// Its revision.
+    /// Revision of the list.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// It is the full list: a target that is absent is removed.
+    /// Whether this is the full list: targets that it does not contain are removed.
     #[serde(rename = "all")]
     pub is_full: bool,
-    /// The entries.
+    /// Entries of the list.
     pub targets: Vec<Target>,
 }
 
 /// An entry of the list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Target {
-    /// Its name, the same for all initiators.
+    /// Name of the target, the same for all initiators.
     pub uid: String,
-    /// Where this initiator reaches it, `IP:PORT`.
+    /// Address at which this initiator reaches the target, `IP:PORT`.
     #[serde(default, rename = "endpoint")]
     pub address: String,
-    /// Its zone.
+    /// Zone of the target.
     #[serde(default, rename = "az")]
     pub zone: String,
-    /// The shard that it holds.
+    /// The shard that the target holds.
     #[serde(default, rename = "pod_group")]
     pub shard: u32,
-    /// Its state.
+    /// State of the target.
     pub state: TargetState,
-    /// Its size against others'; 0: not stated.
+    /// Capacity relative to other targets; 0 if not specified.
     #[serde(default, rename = "capacity_hint")]
     pub size: f64,
-    /// When it started, Unix time in ms; 0: long ago.
+    /// Start time, Unix time in ms; 0 if the target has been running for a long time.
     #[serde(default, rename = "boot_ms")]
     pub started_at_ms: u64,
 }
 
-/// Whether a target takes requests.
+/// State of a target.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum TargetState {
-    /// It does.
+    /// The target accepts requests.
     Up,
-    /// It finishes what it has, and takes no more.
+    /// The target finishes its pending requests and accepts no new ones.
     Draining,
-    /// It is no longer there.
+    /// The target is removed.
     Removed,
 }
 
-/// A long poll for what is newer than a revision.
+/// A long poll for changes after a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LongPoll {
-    /// Revision of the list that the caller has.
+    /// Revision of the list that the caller holds.
     pub since_revision: u64,
-    /// How long the service may wait for changes, ms.
+    /// Maximum time for which the service waits for changes, ms.
     pub timeout_ms: u64,
 }
 
-/// Path and query of a call: of the full list, or a long poll.
-pub fn list_call(long_poll: Option<LongPoll>) -> String {
+/// Returns the HTTP request target of a call: a long poll, or a request for the full list.
+pub fn list_request_target(long_poll: Option<LongPoll>) -> String {
     match long_poll {
         None => "/v1/endpoints".into(),
         Some(LongPoll { since_revision, timeout_ms }) => {
--- a/crates/flaxstand-platform/src/discovery/listing.rs
+++ b/crates/flaxstand-platform/src/discovery/listing.rs
@@ -1,96 +1,96 @@
-//! Reads a list of targets entry by entry: an entry that can't be read does not cost the others.
+//! Parses a list of targets entry by entry, so that an invalid entry does not affect the others.
 
 use super::scanner::{Scanner, Span, is_space};
 use super::{Listing, Target};
 use serde::de::{DeserializeOwned, IgnoredAny};
 use thiserror::Error;
 
-/// Largest number of problems in [`ReadListing::problems`].
+/// Maximum number of entries in [`ParsedListing::problems`].
 pub const MAX_PROBLEMS: usize = 16;
-/// Longest cause of a problem, bytes; longer ones are cut.
+/// Maximum length of an error message, bytes; longer ones are truncated.
 const MAX_CAUSE_BYTES: usize = 200;
 
-/// What stands between two entries, white space left out.
+/// Bytes between two entries, ignoring white space.
 const ENTRY_BOUNDARY: &[u8] = b"},{";
 
-/// Keys of the list and of its entries.
+/// JSON keys of the list and of its entries.
 const REVISION: &str = "rev";
 const IS_ALL: &str = "all";
 const TARGETS: &str = "targets";
 const UID: &str = "uid";
 
-/// A list as far as it can be read.
+/// A parsed list. Invalid entries are reported separately.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReadListing {
-    /// The list with the entries that can be read, in their order.
+pub struct ParsedListing {
+    /// The list with its valid entries, in order.
     pub listing: Listing,
-    /// The names in entries that can't be read, in their order. A name may be here more than once, and in
-    /// `listing` too.
-    pub unreadable: Vec<String>,
-    /// The first entries that can't be read, at most [`MAX_PROBLEMS`].
+    /// The `uid` values found in invalid entries, in order. A `uid` may occur repeatedly, and in `listing` as
+    /// well.
+    pub invalid_uids: Vec<String>,
+    /// The first invalid entries, at most [`MAX_PROBLEMS`].
     pub problems: Vec<EntryProblem>,
-    /// How many entries can't be read.
+    /// Total number of invalid entries.
     pub problem_count: usize,
-    /// How many of these have no name that can be made out: any target may be meant.
-    pub nameless_count: usize,
+    /// Number of invalid entries without a recognizable `uid`; these may refer to any target.
+    pub unnamed_count: usize,
 }
 
-/// An entry that can't be read.
+/// An invalid entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryProblem {
-    /// Its place in the list, from 0.
+    /// Index of the entry in the list, from 0.
     pub index: usize,
-    /// Its name, where that can be made out.
+    /// The `uid` of the entry, if it is recognizable.
     pub uid: Option<String>,
-    /// Why it can't be read. A line and a column in it count from the entry's beginning.
+    /// Error message. Line and column in it are relative to the start of the entry.
     pub cause: String,
 }
 
-/// Why a list can't be read at all.
+/// Error of parsing a list.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("line {line}, column {column}: {fault}")]
+#[error("line {line}, column {column}: {kind}")]
 pub struct ListingError {
     /// Line of the text, from 1.
     pub line: usize,
     /// Byte in the line, from 1.
     pub column: usize,
-    /// What is wrong there.
-    pub fault: ListingFault,
+    /// Kind of the error.
+    pub kind: ListingErrorKind,
 }
 
-/// What is wrong with a list that can't be read at all.
+/// Kind of a [`ListingError`].
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum ListingFault {
-    /// The text ends before the list does.
-    #[error("the text ends before the list does")]
-    CutOff,
-    /// Something else belongs there.
+pub enum ListingErrorKind {
+    /// The input ends before the list is complete.
+    #[error("unexpected end of input")]
+    UnexpectedEnd,
+    /// Another token is expected here.
     #[error("expected {0}")]
     Expected(&'static str),
-    /// The list lacks a key that it must have.
-    #[error("the list ends here without \"{0}\"")]
+    /// A required key is missing.
+    #[error("missing key \"{0}\"")]
     Missing(&'static str),
-    /// A key is there for the second time.
-    #[error("\"{0}\" is there twice")]
+    /// A key is repeated.
+    #[error("duplicate key \"{0}\"")]
     Duplicate(&'static str),
-    /// A key or its value can't be read.
+    /// A key or its value is invalid.
     #[error("{0}")]
-    Unreadable(String),
-    /// An entry is no valid JSON and holds what looks like the end of one entry and the beginning of the
-    /// next: a misplaced quote or bracket may have made others a part of it.
-    #[error("where this entry ends is in doubt")]
-    DoubtfulEntry,
-    /// Something follows the list.
-    #[error("something follows the list")]
+    InvalidMember(String),
+    /// An entry is not valid JSON and contains a sequence that looks like a boundary between entries: because
+    /// of a misplaced quote or bracket, it may include other entries.
+    #[error("malformed entry: its end is ambiguous, and it may include other entries")]
+    AmbiguousEntry,
+    /// Other data follows the list.
+    #[error("unexpected data after the list")]
     TrailingBytes,
 }
 
-/// Reads a list. Its keys must be readable in full; each entry is read by itself.
+/// Parses a list. All of its members must be valid; its entries are parsed independently of each other.
 ///
 /// # Errors
-/// The text is not one JSON object with `rev`, `all` and an array `targets`, or where its entries begin and
-/// end is in doubt.
-pub fn read_listing(bytes: &[u8]) -> Result<ReadListing, ListingError> {
+/// The text is not a JSON object with `rev`, `all` and an array `targets`, or the boundaries of an entry are
+/// ambiguous.
+pub fn parse_listing(bytes: &[u8]) -> Result<ParsedListing, ListingError> {
     let mut scanner = Scanner::new(bytes);
     scanner.expect(b'{', "an object")?;
     let mut envelope = Envelope::default();
@@ -102,23 +102,23 @@
             scanner.expect(b',', "a comma or the end of the object")?;
         }
     }
-    let missing = |key| scanner.error_here(ListingFault::Missing(key));
+    let missing = |key| scanner.error_here(ListingErrorKind::Missing(key));
     let revision = envelope.revision.ok_or_else(|| missing(REVISION))?;
     let is_full = envelope.is_full.ok_or_else(|| missing(IS_ALL))?;
     let entries = envelope.entries.ok_or_else(|| missing(TARGETS))?;
     if scanner.peek().is_some() {
-        return Err(scanner.error_here(ListingFault::TrailingBytes));
+        return Err(scanner.error_here(ListingErrorKind::TrailingBytes));
     }
-    Ok(ReadListing {
+    Ok(ParsedListing {
         listing: Listing { revision, is_full, targets: entries.targets },
-        unreadable: entries.unreadable,
+        invalid_uids: entries.invalid_uids,
         problems: entries.problems,
         problem_count: entries.problem_count,
-        nameless_count: entries.nameless_count,
+        unnamed_count: entries.unnamed_count,
     })
 }
 
-/// What is read of the list's object so far.
+/// Members of the list object parsed so far.
 #[derive(Debug, Default)]
 struct Envelope {
     revision: Option<u64>,
@@ -127,12 +127,12 @@
 }
 
 impl Envelope {
-    /// Reads a key and its value. An unknown key is skipped, as in [`Listing`].
+    /// Parses a key and its value. Unknown keys are skipped, as when [`Listing`] is deserialized.
     fn read_member(&mut self, scanner: &mut Scanner<'_>) -> Result<(), ListingError> {
         let key_span = scanner.string("a key")?;
         let key: String = parse(scanner, key_span)?;
         scanner.expect(b':', "a colon")?;
-        let duplicate = |key| Err(scanner.error_at(key_span.at, ListingFault::Duplicate(key)));
+        let duplicate = |key| Err(scanner.error_at(key_span.at, ListingErrorKind::Duplicate(key)));
         match key.as_str() {
             REVISION if self.revision.is_some() => duplicate(REVISION),
             IS_ALL if self.is_full.is_some() => duplicate(IS_ALL),
@@ -153,24 +153,24 @@
 fn parse<T: DeserializeOwned>(scanner: &Scanner<'_>, span: Span<'_>) -> Result<T, ListingError> {
     serde_json::from_slice(span.bytes).map_err(|error| {
         let text = error.to_string();
-        // The place that it names counts from the value's beginning.
+        // Removes the position from the message: it is relative to the start of the value.
         let cause = text.rsplit_once(" at line ").map_or(text.as_str(), |(cause, _)| cause);
-        scanner.error_at(span.at, ListingFault::Unreadable(bounded(cause)))
+        scanner.error_at(span.at, ListingErrorKind::InvalidMember(truncated(cause)))
     })
 }
 
-/// What is read of the list's entries so far.
+/// Entries parsed so far.
 #[derive(Debug, Default)]
 struct Entries {
     targets: Vec<Target>,
-    unreadable: Vec<String>,
+    invalid_uids: Vec<String>,
     problems: Vec<EntryProblem>,
     problem_count: usize,
-    nameless_count: usize,
+    unnamed_count: usize,
 }
 
 impl Entries {
-    /// Reads the array of entries.
+    /// Parses the array of entries.
     fn read(scanner: &mut Scanner<'_>) -> Result<Self, ListingError> {
         scanner.expect(b'[', "an array of targets")?;
         let mut entries = Entries::default();
@@ -179,7 +179,7 @@
         while !is_closed {
             match scanner.object() {
                 Some(target) => entries.targets.push(target),
-                None => entries.read_unreadable(scanner, index)?,
+                None => entries.skip_invalid(scanner, index)?,
             }
             index += 1;
             is_closed = scanner.accept(b']');
@@ -190,11 +190,11 @@
         Ok(entries)
     }
 
-    /// Skips an entry that can't be read and records what is known of it.
-    fn read_unreadable(&mut self, scanner: &mut Scanner<'_>, index: usize) -> Result<(), ListingError> {
+    /// Skips an invalid entry and records its `uid` values and its error.
+    fn skip_invalid(&mut self, scanner: &mut Scanner<'_>, index: usize) -> Result<(), ListingError> {
         let entry = scanner.value()?;
-        if may_hold_others(entry.bytes) {
-            return Err(scanner.error_at(entry.at, ListingFault::DoubtfulEntry));
+        if may_include_others(entry.bytes) {
+            return Err(scanner.error_at(entry.at, ListingErrorKind::AmbiguousEntry));
         }
         let uids = find_uids(entry.bytes);
         if self.problems.len() < MAX_PROBLEMS {
@@ -202,41 +202,40 @@
             self.problems.push(EntryProblem { index, uid, cause });
         }
         self.problem_count += 1;
-        self.nameless_count += usize::from(uids.is_empty());
-        self.unreadable.extend(uids);
+        self.unnamed_count += usize::from(uids.is_empty());
+        self.invalid_uids.extend(uids);
         Ok(())
     }
 }
 
-/// Why this entry can't be read.
+/// Returns the error message for an invalid entry.
 fn problem_cause(entry: &[u8]) -> String {
-    // A derived reader would take an array of the fields' values too.
+    // A derived deserializer would also accept an array of the fields' values.
     if entry.first() != Some(&b'{') {
         return "expected an object".to_owned();
     }
     let error = serde_json::from_slice::<Target>(entry).err();
-    error.map_or_else(String::new, |error| bounded(&error.to_string()))
+    error.map_or_else(String::new, |error| truncated(&error.to_string()))
 }
 
-/// Whether an entry that can't be read may be several, of which some can be.
-fn may_hold_others(entry: &[u8]) -> bool {
+/// Whether an invalid entry may include other entries that are valid.
+fn may_include_others(entry: &[u8]) -> bool {
     if serde_json::from_slice::<IgnoredAny>(entry).is_ok() {
         return false;
     }
-    let dense: Vec<u8> = entry.iter().copied().filter(|byte| !is_space(*byte)).collect();
-    dense.windows(ENTRY_BOUNDARY.len()).any(|window| window == ENTRY_BOUNDARY)
+    let compact: Vec<u8> = entry.iter().copied().filter(|byte| !is_space(*byte)).collect();
+    compact.windows(ENTRY_BOUNDARY.len()).any(|window| window == ENTRY_BOUNDARY)
 }
 
-/// An error's text, which may quote the input, cut where it is long.
-fn bounded(text: &str) -> String {
+/// Truncates an error message, which may quote the input, to [`MAX_CAUSE_BYTES`].
+fn truncated(text: &str) -> String {
     match text.char_indices().find(|(at, _)| *at >= MAX_CAUSE_BYTES) {
         Some((end, _)) => format!("{}…", &text[..end]),
         None => text.to_owned(),
     }
 }
 
-/// Every name that an entry which can't be read gives itself: strings behind the key `uid` of its own object,
-/// whatever else is wrong with it.
+/// Returns all `uid` values of an invalid entry: the strings after a key `uid` of its outermost object.
 fn find_uids(entry: &[u8]) -> Vec<String> {
     let mut uids = Vec::new();
     let mut scanner = Scanner::new(entry);
--- a/crates/flaxstand-platform/src/discovery/scanner.rs
+++ b/crates/flaxstand-platform/src/discovery/scanner.rs
@@ -1,9 +1,9 @@
-//! Finds where the values of a JSON text begin and end, without reading them.
+//! Finds the boundaries of values in a JSON text without parsing the values.
 //!
-//! What is inside a value need not be valid JSON: only its quotes and brackets are looked at. Each byte is
-//! looked at once, without recursion.
+//! The content of a value need not be valid JSON: only its quotes and brackets are examined. Each byte is
+//! examined once, without recursion.
 
-use super::{ListingError, ListingFault};
+use super::{ListingError, ListingErrorKind};
 use serde::de::DeserializeOwned;
 
 /// A position in a JSON text.
@@ -13,7 +13,7 @@
     at: usize,
 }
 
-/// A piece of the text, and where it begins.
+/// A part of the text with its start offset.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Span<'a> {
     pub bytes: &'a [u8],
@@ -25,30 +25,31 @@
         Scanner { bytes, at: 0 }
     }
 
-    /// The next byte that is not white space, without passing it.
+    /// Returns the next byte that is not white space without consuming it.
     pub fn peek(&mut self) -> Option<u8> {
         self.at += self.bytes[self.at..].iter().take_while(|byte| is_space(**byte)).count();
         self.bytes.get(self.at).copied()
     }
 
-    /// Passes the next byte if it is this one; says whether it was.
+    /// Consumes the next byte if it equals `byte`. Returns whether it does.
     pub fn accept(&mut self, byte: u8) -> bool {
         let found = self.peek() == Some(byte);
         self.at += usize::from(found);
         found
     }
 
-    /// Passes the next byte, which must be this one.
+    /// Consumes the next byte, which must equal `byte`.
     pub fn expect(&mut self, byte: u8, expected: &'static str) -> Result<(), ListingError> {
         if self.accept(byte) { Ok(()) } else { Err(self.unexpected(expected)) }
     }
 
-    /// Passes the next byte, whatever it is.
+    /// Consumes one byte.
     pub fn skip_byte(&mut self) {
         self.at = self.bytes.len().min(self.at + 1);
     }
 
-    /// Reads the next value and passes it, if it is an object that reads as a `T`; passes nothing if not.
+    /// Parses and consumes the next value if it is an object that deserializes to `T`; otherwise consumes
+    /// nothing.
     pub fn object<T: DeserializeOwned>(&mut self) -> Option<T> {
         if self.peek() != Some(b'{') {
             return None;
@@ -59,7 +60,7 @@
         Some(value)
     }
 
-    /// Passes the next value.
+    /// Consumes the next value.
     pub fn value(&mut self) -> Result<Span<'a>, ListingError> {
         match self.peek() {
             Some(b'"') => self.string("a string"),
@@ -68,51 +69,51 @@
         }
     }
 
-    /// Passes the next value, which must be a string. The span has the quotes too.
+    /// Consumes the next value, which must be a string. The span includes the quotes.
     pub fn string(&mut self, expected: &'static str) -> Result<Span<'a>, ListingError> {
         if self.peek() != Some(b'"') {
             return Err(self.unexpected(expected));
         }
-        let begin = self.at;
-        match string_length(&self.bytes[begin..]) {
-            Some(length) => Ok(self.pass(begin, length)),
-            None => Err(self.cut_off()),
+        let start = self.at;
+        match string_length(&self.bytes[start..]) {
+            Some(length) => Ok(self.consume(start, length)),
+            None => Err(self.unexpected_end()),
         }
     }
 
-    /// The error that something else was expected here.
+    /// Returns the error for a missing token at the current position.
     pub fn unexpected(&mut self, expected: &'static str) -> ListingError {
         match self.peek() {
-            Some(_) => self.error_here(ListingFault::Expected(expected)),
-            None => self.cut_off(),
+            Some(_) => self.error_here(ListingErrorKind::Expected(expected)),
+            None => self.unexpected_end(),
         }
     }
 
-    /// An error at the position of this scanner.
-    pub fn error_here(&self, fault: ListingFault) -> ListingError {
-        self.error_at(self.at, fault)
+    /// Returns an error at the current position.
+    pub fn error_here(&self, kind: ListingErrorKind) -> ListingError {
+        self.error_at(self.at, kind)
     }
 
-    /// An error at this position of the text.
-    pub fn error_at(&self, at: usize, fault: ListingFault) -> ListingError {
+    /// Returns an error at offset `at` of the text.
+    pub fn error_at(&self, at: usize, kind: ListingErrorKind) -> ListingError {
         let before = &self.bytes[..at];
-        let line_begin = before.iter().rposition(|byte| *byte == b'\n').map_or(0, |newline| newline + 1);
+        let line_start = before.iter().rposition(|byte| *byte == b'\n').map_or(0, |newline| newline + 1);
         let line = 1 + before.iter().filter(|byte| **byte == b'\n').count();
-        ListingError { line, column: 1 + at - line_begin, fault }
+        ListingError { line, column: 1 + at - line_start, kind }
     }
 
-    fn cut_off(&self) -> ListingError {
-        self.error_at(self.bytes.len(), ListingFault::CutOff)
+    fn unexpected_end(&self) -> ListingError {
+        self.error_at(self.bytes.len(), ListingErrorKind::UnexpectedEnd)
     }
 
-    fn pass(&mut self, begin: usize, length: usize) -> Span<'a> {
-        self.at = begin + length;
-        Span { bytes: &self.bytes[begin..self.at], at: begin }
+    fn consume(&mut self, start: usize, length: usize) -> Span<'a> {
+        self.at = start + length;
+        Span { bytes: &self.bytes[start..self.at], at: start }
     }
 
-    /// Passes an object or an array. Whether each bracket is closed by one of its kind is not looked at.
+    /// Consumes an object or an array. Does not check that brackets are closed by their own kind.
     fn nested(&mut self) -> Result<Span<'a>, ListingError> {
-        let begin = self.at;
+        let start = self.at;
         let mut depth = 0usize;
         while let Some(byte) = self.bytes.get(self.at) {
             if *byte == b'"' {
@@ -122,32 +123,33 @@
             self.at += 1;
             match byte {
                 b'{' | b'[' => depth += 1,
-                b'}' | b']' if depth == 1 => return Ok(self.pass(begin, self.at - begin)),
+                b'}' | b']' if depth == 1 => return Ok(self.consume(start, self.at - start)),
                 b'}' | b']' => depth -= 1,
                 _ => {}
             }
         }
-        Err(self.cut_off())
+        Err(self.unexpected_end())
     }
 
-    /// Passes a number or a word. One at the end of the text may be cut off.
+    /// Consumes a number or a literal. One at the end of the text is an error, as it may be truncated.
     fn scalar(&mut self) -> Result<Span<'a>, ListingError> {
         let ends = |byte: u8| is_space(byte) || b",:\"{}[]".contains(&byte);
         let length = self.bytes[self.at..].iter().take_while(|byte| !ends(**byte)).count();
         match length {
             0 => Err(self.unexpected("a value")),
-            _ if self.at + length == self.bytes.len() => Err(self.cut_off()),
-            _ => Ok(self.pass(self.at, length)),
+            _ if self.at + length == self.bytes.len() => Err(self.unexpected_end()),
+            _ => Ok(self.consume(self.at, length)),
         }
     }
 }
 
-/// Whether JSON takes this byte as white space.
+/// Whether the byte is JSON white space.
 pub(super) fn is_space(byte: u8) -> bool {
     matches!(byte, b' ' | b'\t' | b'\n' | b'\r')
 }
 
-/// The length of the string that begins there, its quotes included; `None` if it does not end.
+/// Returns the length of the string at the start of `bytes` including its quotes, or `None` if it is
+/// unterminated.
 fn string_length(bytes: &[u8]) -> Option<usize> {
     let mut at = 1;
     loop {
--- a/crates/flaxstand-platform/src/lib.rs
+++ b/crates/flaxstand-platform/src/lib.rs
@@ -1,50 +1,50 @@
-//! The platform's names and units as typed values: requests of clients, responses of targets, listings of the
-//! discovery service and the configuration of an initiator. No I/O, no decisions; it does not depend on the
-//! gateway.
+//! Typed representations of the platform's messages: client requests, target responses, listings of the
+//! discovery service and the configuration of an initiator. The crate performs no I/O, makes no scheduling
+//! decisions and does not depend on the gateway.
 //!
-//! - [`ClientRequest`]: a client's request, checked
-//! - [`outcome_of`]: the outcome of an attempt by a target's response
-//! - [`Listing`]: the list of targets, in full or changes; [`read_listing`] reads it entry by entry
-//! - [`Configuration`], [`Params`]: the configuration and the settings in it
+//! - [`ClientRequest`]: a validated client request
+//! - [`attempt_outcome`]: maps a target's response to the outcome of an attempt
+//! - [`Listing`]: the list of targets or changes to it; [`parse_listing`] parses it entry by entry
+//! - [`Configuration`], [`Params`]: the configuration file and the settings that it contains
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
-mod answer;
 mod configuration;
 mod discovery;
 mod request;
 mod settings;
+mod target_response;
 
-pub use answer::outcome_of;
 pub use configuration::{Configuration, ConfigurationError, Limits};
 pub use discovery::{
-    EntryProblem, Listing, ListingError, ListingFault, LongPoll, MAX_PROBLEMS, ReadListing, Target,
-    TargetState, list_call, read_listing,
+    EntryProblem, Listing, ListingError, ListingErrorKind, LongPoll, MAX_PROBLEMS, ParsedListing, Target,
+    TargetState, list_request_target, parse_listing,
 };
 pub use request::{BadRequest, ClientRequest, RequestLimits};
 pub use settings::{NOTIFIED_AFTER_MOVE_MS, NOTIFIED_WITHIN_MS, Params, ParamsError};
+pub use target_response::attempt_outcome;
 
 /// Path of an initiator's readiness check.
-pub const READY: &str = "/ready";
+pub const READY_PATH: &str = "/ready";
 /// Path of a target's health check.
-pub const HEALTH: &str = "/health";
+pub const HEALTH_PATH: &str = "/health";
 
-/// Header fields to which the platform gives a meaning.
+/// Names of the header fields that the platform defines or uses.
 pub mod field {
-    /// A request's id, new with every attempt of a client.
+    /// Request id, different for every attempt of a client.
     pub const ID: &str = "X-Request-ID";
-    /// Its class.
+    /// Class of the request.
     pub const CLASS: &str = "X-Priority-Class";
-    /// The plan of its volume.
+    /// Plan of the request's volume.
     pub const PLAN: &str = "X-Qos-Policy";
-    /// Seconds, with decimals, for which the client waits.
+    /// Time-out of the client, decimal seconds.
     pub const TIMEOUT: &str = "X-Timeout";
-    /// Units, shard and hosts.
+    /// Units, shard and number of hosts: `units=`, `shard=` and `hosts=`.
     pub const PLACEMENT: &str = "X-Placement";
-    /// 1: a client's own retry, where clients mark them.
+    /// Set to `1` on retries by clients that mark them.
     pub const RETRIED: &str = "X-Retried";
-    /// Idempotency key, of a class whose repeats are deduplicated.
+    /// Idempotency key, for classes whose requests are deduplicated by key.
     pub const KEY: &str = "Idempotency-Key";
-    /// 1: the target has not run it.
-    pub const NOT_RUN: &str = "X-Not-Processed";
+    /// Set to `1` in the response if the target did not execute the request.
+    pub const NOT_PROCESSED: &str = "X-Not-Processed";
 }
--- a/crates/flaxstand-platform/src/request.rs
+++ b/crates/flaxstand-platform/src/request.rs
@@ -1,84 +1,86 @@
-//! Clients' requests, read and checked.
+//! Parsing and validation of client requests.
 
 use crate::field;
 use flaxstand_http::Request;
 use thiserror::Error;
 
-/// Longest id or key that is accepted, bytes.
+/// Maximum length of a request id or idempotency key, bytes.
 const MAX_TOKEN_BYTES: usize = 200;
-/// Longest time-out, seconds: longer ones count as this.
+/// Maximum time-out, seconds; longer time-outs are reduced to this value.
 const MAX_TIMEOUT_SECONDS: f64 = 3600.0;
-/// Hex digits of a volume and of an extent in a path.
+/// Number of hex digits of a volume id and of an extent id in a path.
 const PATH_ID_DIGITS: usize = 16;
-/// Shard that stands for a new object.
+/// Value of the shard that denotes a new object.
 const NEW_OBJECT_SHARD: i64 = -1;
 
-/// What a request is checked against.
+/// Limits and names that requests are validated against.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLimits<'a> {
-    /// Names of classes, in the order of the decision module's.
+    /// Class names; the position is the class index of the decision module.
     pub classes: &'a [String],
-    /// Names of plans, in the order of the decision module's.
+    /// Plan names; the position is the plan index of the decision module.
     pub plans: &'a [String],
-    /// Largest size, units.
+    /// Maximum cost of a request, units.
     pub max_units: f64,
-    /// Largest number of hosts that a volume's requests come through.
+    /// Maximum number of initiator hosts that handle requests to one volume.
     pub max_hosts: u32,
 }
 
-/// A client's request.
+/// A validated client request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest<'a> {
-    /// Its id, new with every attempt of a client.
+    /// Request id, different for every attempt of a client.
     pub id: &'a str,
-    /// Index of its class.
+    /// Class index.
     pub class: u16,
-    /// Index of its volume's plan.
+    /// Index of the volume's plan.
     pub plan: u16,
-    /// Whether it writes.
+    /// Whether the request is a write.
     pub is_write: bool,
-    /// Its volume.
+    /// The volume.
     pub volume: u64,
-    /// The piece of data in the volume.
+    /// The extent within the volume.
     pub extent: u64,
-    /// How long the client waits, microseconds.
+    /// Remaining time until the client's time-out, microseconds.
     pub time_left_micros: u32,
-    /// Its size.
+    /// Cost of the request in units.
     pub units: u32,
-    /// The shard that has the data; none: a new object.
+    /// The shard that holds the data, or `None` for a new object.
     pub shard: Option<u32>,
-    /// Hosts that the volume's requests come through.
+    /// Number of initiator hosts that handle requests to the volume.
     pub hosts: u16,
-    /// The client marks it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// The key by which repeats are deduplicated.
+    /// Key for deduplication of repeated requests.
     pub idempotency_key: Option<&'a str>,
 }
 
-/// Why a well-formed HTTP request can't be served. Nothing of it has run.
+/// Errors of validating a well-formed HTTP request. The request was not executed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum BadRequest {
-    /// Neither GET nor PUT.
-    #[error("expected GET or PUT")]
+    /// The method is neither GET nor PUT.
+    #[error("unsupported method, expected GET or PUT")]
     Method,
-    /// The path does not end with a volume and a piece of data.
-    #[error("expected a path that ends with a volume and a piece of data, 16 hex digits each")]
+    /// The path does not end with a volume id and an extent id.
+    #[error(
+        "invalid path, expected a volume id and an extent id of {PATH_ID_DIGITS} hex digits each at its end"
+    )]
     Path,
-    /// A field is missing, is there twice, or has a value that makes no sense.
+    /// A header field is missing, repeated or invalid.
     #[error("{name}: expected {expected}")]
     Field {
         /// Name of the field.
         name: &'static str,
-        /// What it should say.
+        /// Description of valid values.
         expected: &'static str,
     },
-    /// A read that brings data.
-    #[error("a read has no body")]
+    /// A GET request has a body.
+    #[error("unexpected body in a GET request")]
     Body,
 }
 
 impl BadRequest {
-    /// The HTTP status of the response.
+    /// Returns the HTTP status of the error response.
     pub fn status(&self) -> u16 {
         match self {
             BadRequest::Method => 405,
@@ -89,10 +91,10 @@
 }
 
 impl<'a> ClientRequest<'a> {
-    /// Reads and checks a request.
+    /// Parses and validates a request.
     ///
     /// # Errors
-    /// The first thing about it that makes no sense.
+    /// The first violation found.
     pub fn read(request: &'a Request, limits: &RequestLimits<'_>) -> Result<Self, BadRequest> {
         let is_write = match request.method.as_str() {
             "GET" => false,
@@ -124,7 +126,7 @@
     }
 }
 
-/// Volume and extent at the end of a path.
+/// Parses the volume and extent ids at the end of the path.
 fn read_path(target: &str) -> Result<(u64, u64), BadRequest> {
     let path = target.split('?').next().unwrap_or_default();
     let mut parts = path.rsplit('/');
@@ -139,35 +141,38 @@
     is_id.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-/// How long the client waits, microseconds.
+/// Returns the client's time-out, microseconds.
 fn read_timeout(request: &Request) -> Result<u32, BadRequest> {
-    // Digits and a point only: what else a float may be written as is nothing a client should send.
+    // Accepts only digits and a decimal point: other float syntax, such as exponents, is not part of the
+    // format.
     let is_plain = |text: &&str| text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     let text = request.fields.single(field::TIMEOUT).filter(is_plain);
     let seconds = text.and_then(|text| text.parse::<f64>().ok());
     let seconds = seconds.filter(|seconds| seconds.is_finite() && *seconds > 0.0);
-    let seconds = seconds.ok_or(BadRequest::Field { name: field::TIMEOUT, expected: "seconds above 0" })?;
+    let seconds = seconds
+        .ok_or(BadRequest::Field { name: field::TIMEOUT, expected: "a decimal number of seconds above 0" })?;
     Ok((seconds.min(MAX_TIMEOUT_SECONDS) * 1e6) as u32)
 }
 
-/// The only field of this name, if it is one word of printable characters.
+/// Returns the value of a field that must occur once and consist of printable ASCII characters without
+/// spaces.
 fn read_token<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, BadRequest> {
     let is_token = |text: &&str| {
         (1..=MAX_TOKEN_BYTES).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic())
     };
     let token = request.fields.single(name).filter(is_token);
-    token.ok_or(BadRequest::Field { name, expected: "one word" })
+    token.ok_or(BadRequest::Field { name, expected: "1 to 200 printable ASCII characters without spaces" })
 }
 
-/// The index of the name that a field says.
-fn read_name(request: &Request, name: &'static str, known: &[String]) -> Result<u16, BadRequest> {
+/// Returns the index of a field's value in the names that the settings define.
+fn read_name(request: &Request, name: &'static str, defined: &[String]) -> Result<u16, BadRequest> {
     let value = request.fields.single(name);
-    let index = value.and_then(|value| known.iter().position(|known| known == value));
+    let index = value.and_then(|value| defined.iter().position(|defined| defined == value));
     let index = index.and_then(|index| u16::try_from(index).ok());
-    index.ok_or(BadRequest::Field { name, expected: "one that the settings name" })
+    index.ok_or(BadRequest::Field { name, expected: "a name that the settings define" })
 }
 
-/// What the placement field says.
+/// Content of the placement field.
 #[derive(Clone, Copy, Debug)]
 struct Placement {
     units: u32,
@@ -177,11 +182,11 @@
 
 fn read_placement(request: &Request, limits: &RequestLimits<'_>) -> Result<Placement, BadRequest> {
     let placement = request.fields.single(field::PLACEMENT).and_then(|text| parse_placement(text, limits));
-    let expected = "units=, shard= and hosts= within the settings";
+    let expected = "units=, shard= and hosts= within the limits of the settings";
     placement.ok_or(BadRequest::Field { name: field::PLACEMENT, expected })
 }
 
-/// Parts of other names are ignored; a part that is there twice makes no sense.
+/// Parses the placement field. Unknown parts are ignored, repeated parts are invalid.
 fn parse_placement(text: &str, limits: &RequestLimits<'_>) -> Option<Placement> {
     let (mut units, mut shard, mut hosts) = (None, None, None);
     for part in text.split(',') {
@@ -203,9 +208,9 @@
         NEW_OBJECT_SHARD => None,
         shard => Some(u32::try_from(shard).ok()?),
     };
-    let is_within = units >= 1
+    let is_valid = units >= 1
         && f64::from(units) <= limits.max_units
         && hosts >= 1
         && u32::from(hosts) <= limits.max_hosts;
-    is_within.then_some(Placement { units, shard, hosts })
+    is_valid.then_some(Placement { units, shard, hosts })
 }
--- a/crates/flaxstand-platform/src/settings/check.rs
+++ b/crates/flaxstand-platform/src/settings/check.rs
@@ -1,64 +1,63 @@
-//! Whether the values of a settings object make sense, key by key. A zero is a limit like any other where it
-//! has a meaning.
+//! Validation of a settings object, key by key. Zero is a valid limit wherever it has a meaning.
 
 use super::Params;
 use super::wire::{WireClass, WirePlan};
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Why a settings object can't be used. Keys are named as on the wire.
+/// Errors of validating a settings object. Keys are spelled as on the wire.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ParamsError {
-    /// A value is below 0, or no finite number.
+    /// A value is negative or not finite.
     #[error("{key}: expected 0 or more, not {value}")]
     Negative {
         /// Path of the key.
         key: String,
-        /// What is there.
+        /// Value found.
         value: f64,
     },
-    /// A value is not above 0, or no finite number.
+    /// A value is not positive or not finite.
     #[error("{key}: expected more than 0, not {value}")]
     NotPositive {
         /// Path of the key.
         key: String,
-        /// What is there.
+        /// Value found.
         value: f64,
     },
-    /// There is no class.
-    #[error("classes: expected one or more")]
+    /// There are no classes.
+    #[error("classes: expected one or more, found none")]
     NoClasses,
     /// A class or plan has no name.
-    #[error("{list}[{index}].name: expected a name")]
+    #[error("{list}[{index}].name: expected a non-empty name")]
     Unnamed {
-        /// Key of the list.
+        /// Key of the array.
         list: &'static str,
-        /// Place in it, from 0.
+        /// Index in the array, from 0.
         index: usize,
     },
-    /// Two classes or two plans have one name.
-    #[error("{list}[{index}].name: {name:?} is there twice")]
+    /// Two classes or two plans have the same name.
+    #[error("{list}[{index}].name: duplicate name {name:?}")]
     DuplicateName {
-        /// Key of the list.
+        /// Key of the array.
         list: &'static str,
-        /// Place of the second, from 0.
+        /// Index of the second occurrence, from 0.
         index: usize,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
-    /// Not even one attempt is allowed.
+    /// The maximum number of attempts is 0.
     #[error("caps.maxAttempts: expected 1 or more, not 0")]
     NoAttempts,
-    /// A retry budget has no span over which it counts.
-    #[error("a budget of attempts without its span")]
+    /// A retry budget has no time span.
+    #[error("rules.budgetSpanMs: expected a value, as rules.extraFloor or rules.furtherRatio is set")]
     BudgetWithoutSpan,
 }
 
 impl Params {
-    /// Checks all values.
+    /// Validates all values.
     ///
     /// # Errors
-    /// The first that makes no sense.
+    /// The first invalid value.
     pub(super) fn check(&self) -> Result<(), ParamsError> {
         if self.classes.is_empty() {
             return Err(ParamsError::NoClasses);
@@ -78,7 +77,7 @@
     }
 
     fn check_site(&self) -> Result<(), ParamsError> {
-        let Params { caps, rules, family, .. } = self;
+        let Params { caps, rules, workload, .. } = self;
         for (key, value) in [
             ("tickMs", self.tick_ms),
             ("caps.maxRetryAfterMs", caps.max_retry_after_ms),
@@ -94,11 +93,11 @@
             ("rules.budgetSpanMs", rules.retry_budget_span_ms.unwrap_or(0.0)),
             ("rules.keyRestMs", rules.key_cooldown_ms),
             ("rules.stopSendingWithinMs", rules.drain_grace_ms),
-            ("familyInfo.coldBears", family.slow_start_min_units),
-            ("familyInfo.unitMean", family.mean_units),
-            ("familyInfo.mostUnits", family.max_units),
-            ("familyInfo.fairWorth", family.shared_weight),
-            ("familyInfo.idleWorth", family.spare_weight),
+            ("familyInfo.coldBears", workload.slow_start_min_units),
+            ("familyInfo.unitMean", workload.mean_units),
+            ("familyInfo.mostUnits", workload.max_units),
+            ("familyInfo.fairWorth", workload.shared_weight),
+            ("familyInfo.idleWorth", workload.spare_weight),
         ] {
             check_not_negative(key, value)?;
         }
@@ -141,7 +140,8 @@
     }
 }
 
-/// Guards against two things of one name: a request of that name would count to the first.
+/// Rejects empty and duplicate names. With a duplicate, all requests with that name would be assigned to the
+/// first entry.
 fn check_names<'a>(list: &'static str, names: impl Iterator<Item = &'a str>) -> Result<(), ParamsError> {
     let mut seen = BTreeSet::new();
     for (index, name) in names.enumerate() {
--- a/crates/flaxstand-platform/src/settings/convert.rs
+++ b/crates/flaxstand-platform/src/settings/convert.rs
@@ -1,25 +1,25 @@
-//! The decision module's settings in a settings object.
+//! Conversion of a settings object to the settings of the decision module.
 
-use super::wire::{RegistryMode, Semantics, WireClass, WireGroup, WirePlan, WireRules};
+use super::wire::{DiscoveryMode, WireClass, WireDeduplicationScope, WireEffect, WirePlan, WireRules};
 use super::{Params, ParamsError};
 use flaxstand::api::{Class, DeduplicationScope, Effect, Plan, RetryBudget, Settings};
 
 impl Params {
-    /// The decision module's settings.
+    /// Returns the settings of the decision module.
     ///
     /// # Errors
-    /// A value makes no sense, or a retry budget has no span.
+    /// A value is invalid, or a retry budget has no time span.
     pub fn settings(&self) -> Result<Settings, ParamsError> {
         self.check()?;
-        let Params { caps, rules, family, .. } = self;
+        let Params { caps, rules, workload, .. } = self;
         let max_retry_after = if caps.may_send_retry_after { caps.max_retry_after_ms } else { 0.0 };
         Ok(Settings {
             initiators: self.initiators.max(1),
             classes: self.classes.iter().map(class_of).collect(),
             plans: plans_of(&self.plans),
-            polls_list: matches!(self.discovery_mode, RegistryMode::OnRequest),
+            polls_list: matches!(self.discovery_mode, DiscoveryMode::Polled),
             poll_within: rules.poll_within_ms,
-            // The platform's wire states them, the simulator's does not.
+            // Defined by the platform but not by the simulator, see `Params::notification_terms`.
             notification_terms: None,
             max_attempts: caps.max_attempts,
             max_concurrent_attempts: if caps.may_hedge { 2 } else { 1 },
@@ -30,13 +30,13 @@
             warm_up_time: rules.warm_up_ms,
             overload_multiple: rules.overload_multiple,
             slow_start_window: rules.slow_start_window_ms,
-            slow_start_min_units: family.slow_start_min_units,
+            slow_start_min_units: workload.slow_start_min_units,
             key_cooldown: rules.key_cooldown_ms,
             retry_budget: retry_budget_of(rules)?,
-            mean_units: family.mean_units,
-            max_units: family.max_units,
-            shared_weight: family.shared_weight,
-            spare_weight: family.spare_weight,
+            mean_units: workload.mean_units,
+            max_units: workload.max_units,
+            shared_weight: workload.shared_weight,
+            spare_weight: workload.spare_weight,
             tick: self.tick_ms,
         })
     }
@@ -56,20 +56,20 @@
 
 fn effect_of(class: &WireClass) -> Effect {
     match class.effect {
-        Semantics::Repeatable => Effect::Idempotent,
-        Semantics::Once => Effect::AtMostOnce,
-        Semantics::ByKey => Effect::IdempotencyKey {
+        WireEffect::Idempotent => Effect::Idempotent,
+        WireEffect::AtMostOnce => Effect::AtMostOnce,
+        WireEffect::IdempotencyKey => Effect::IdempotencyKey {
             group: match class.deduplication_scope {
-                WireGroup::All => DeduplicationScope::All,
-                WireGroup::Zone => DeduplicationScope::Zone,
-                WireGroup::Cell => DeduplicationScope::Shard,
+                WireDeduplicationScope::All => DeduplicationScope::All,
+                WireDeduplicationScope::Zone => DeduplicationScope::Zone,
+                WireDeduplicationScope::Shard => DeduplicationScope::Shard,
             },
             window: class.deduplication_window_ms,
         },
     }
 }
 
-/// Where no plan is stated, all volumes have one without reserve and limit.
+/// Without plans in the settings, all volumes share a default plan without reserve and limit.
 fn plans_of(plans: &[WirePlan]) -> Vec<Plan> {
     if plans.is_empty() {
         return vec![plan_of(&WirePlan::default())];
--- a/crates/flaxstand-platform/src/settings/mod.rs
+++ b/crates/flaxstand-platform/src/settings/mod.rs
@@ -1,9 +1,8 @@
-//! The settings object, which the simulator's first message and the configuration have in common: its names
-//! and units, and the decision module's settings in it.
+//! The settings object, which is part of both the simulator's first message and the configuration file.
 //!
-//! - [`wire`]: the object's parts, as they are spelled
-//! - [`check`]: whether its values make sense
-//! - [`convert`]: the decision module's settings
+//! - [`wire`]: serialized form of the object
+//! - [`check`]: validation of its values
+//! - [`convert`]: conversion to the settings of the decision module
 
 mod check;
 mod convert;
@@ -13,15 +12,16 @@
 
 use flaxstand::api::NotificationTerms;
 use serde::Deserialize;
-use wire::{RegistryMode, WireCaps, WireClass, WireFamily, WirePlan, WireRules};
+use wire::{DiscoveryMode, WireCaps, WireClass, WirePlan, WireRules, WireWorkload};
 
-/// On the platform a change of the endpoint list binds every initiator this long after the discovery service
-/// had it and could be reached, ms.
+/// Time after which a change of the endpoint list is binding for every initiator on the platform, counted
+/// from when the discovery service has the change and is reachable, ms.
 pub const NOTIFIED_WITHIN_MS: f64 = 6000.0;
-/// What the discovery service has binds this long after a new configuration named another address of it, ms.
+/// Time after which the list of a discovery service is binding when a new configuration changes the service's
+/// address, ms.
 pub const NOTIFIED_AFTER_MOVE_MS: f64 = 4000.0;
 
-/// The settings as the platform and the bench state them. Keys that nothing here has a use for are ignored.
+/// The settings as sent by the platform and the bench. Unknown keys are ignored.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Params {
@@ -33,35 +33,36 @@
     caps: WireCaps,
     rules: WireRules,
     #[serde(default, rename = "familyInfo")]
-    family: WireFamily,
+    workload: WireWorkload,
     #[serde(rename = "registryMode")]
-    discovery_mode: RegistryMode,
+    discovery_mode: DiscoveryMode,
     #[serde(default)]
     tick_ms: f64,
 }
 
 impl Params {
-    /// Names of classes, in the order of the decision module's.
+    /// Class names, in the order of the decision module's class indices.
     pub fn classes(&self) -> impl Iterator<Item = &str> {
         self.classes.iter().map(|class| class.name.as_str())
     }
 
-    /// Names of plans, in the order of the decision module's.
+    /// Plan names, in the order of the decision module's plan indices.
     pub fn plans(&self) -> impl Iterator<Item = &str> {
         self.plans.iter().map(|plan| plan.name.as_str())
     }
 
-    /// Time within which a connection to a target is established, ms, where it is stated.
+    /// Time-out for connecting to a target, ms, if specified.
     pub fn dial_timeout_ms(&self) -> Option<f64> {
         self.caps.dial_timeout_ms.filter(|ms| *ms > 0.0)
     }
 
-    /// Time after which a target closes an idle connection at the latest, ms, where it is stated.
+    /// Maximum time after which a target closes an idle connection, ms, if specified.
     pub fn keepalive_ms(&self) -> Option<f64> {
         self.caps.keepalive_ms.filter(|ms| *ms > 0.0)
     }
 
-    /// When changes of the endpoint list bind an initiator on the platform's wire.
+    /// Returns the time limits after which changes of the endpoint list are binding for an initiator on the
+    /// platform.
     pub fn notification_terms(&self) -> NotificationTerms {
         NotificationTerms {
             notified_within: NOTIFIED_WITHIN_MS,
--- a/crates/flaxstand-platform/src/settings/wire.rs
+++ b/crates/flaxstand-platform/src/settings/wire.rs
@@ -1,16 +1,17 @@
-//! Parts of the settings object. Each field is mapped from its name on the wire here and nowhere else; times
-//! are in milliseconds, rates in units a second.
+//! Serialized form of the settings object. This is the only place where fields are mapped from their names on
+//! the wire. Times are in milliseconds, rates in units per second.
 
 use serde::Deserialize;
 
-/// How the endpoint list reaches an initiator.
+/// How an initiator obtains the endpoint list.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(super) enum RegistryMode {
-    /// The service sends changes.
+pub(super) enum DiscoveryMode {
+    /// The service pushes changes.
     Pushed,
     /// The initiator polls.
-    OnRequest,
+    #[serde(rename = "on_request")]
+    Polled,
 }
 
 /// A class of requests.
@@ -20,7 +21,7 @@
     pub(super) name: String,
     #[serde(rename = "aimMs")]
     pub(super) latency_objective_ms: f64,
-    /// Added to the latency objective for a request of more units.
+    /// Increase of the latency objective with the units of a request.
     #[serde(default, rename = "aimStretch")]
     pub(super) objective_stretch: f64,
     pub(super) deadline_ms: f64,
@@ -29,41 +30,45 @@
     #[serde(default, rename = "worth")]
     pub(super) priority_weight: f64,
     #[serde(rename = "semantics")]
-    pub(super) effect: Semantics,
+    pub(super) effect: WireEffect,
     #[serde(default, rename = "group")]
-    pub(super) deduplication_scope: WireGroup,
+    pub(super) deduplication_scope: WireDeduplicationScope,
     #[serde(default, rename = "dedupWindowMs")]
     pub(super) deduplication_window_ms: f64,
     #[serde(default)]
     pub(super) in_order: bool,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Debug, Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
-pub(super) enum Semantics {
-    /// It is idempotent.
-    Repeatable,
-    /// It is idempotent by its key.
-    ByKey,
-    /// It may run at most once.
-    Once,
+pub(super) enum WireEffect {
+    /// Idempotent.
+    #[serde(rename = "repeatable")]
+    Idempotent,
+    /// Idempotent by means of an idempotency key.
+    #[serde(rename = "by_key")]
+    IdempotencyKey,
+    /// Executed at most once.
+    #[serde(rename = "once")]
+    AtMostOnce,
 }
 
-/// Within which targets a key is deduplicated.
+/// Set of targets within which idempotency keys are deduplicated.
 #[derive(Debug, Deserialize, Clone, Copy, Default)]
 #[serde(rename_all = "snake_case")]
-pub(super) enum WireGroup {
-    /// All.
+pub(super) enum WireDeduplicationScope {
+    /// All targets.
     All,
-    /// Those of a zone.
+    /// Targets of one zone.
     Zone,
-    /// Those of a shard.
+    /// Targets of one shard.
     #[default]
-    Cell,
+    #[serde(rename = "cell")]
+    Shard,
 }
 
-/// A plan of volumes.
+/// A service plan of volumes.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct WirePlan {
@@ -92,7 +97,7 @@
     }
 }
 
-/// What attempts and connections may do.
+/// Capabilities and limits of attempts and connections.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct WireCaps {
@@ -113,7 +118,7 @@
     pub(super) keepalive_ms: Option<f64>,
 }
 
-/// Rules of discovery, slow start and retries.
+/// Settings of discovery, slow start and retries.
 #[derive(Debug, Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct WireRules {
@@ -139,10 +144,10 @@
     pub(super) drain_grace_ms: f64,
 }
 
-/// Sizes of requests, and weights of rate beyond a reserve.
+/// Request sizes, and the weights of rate above a reserve.
 #[derive(Debug, Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-pub(super) struct WireFamily {
+pub(super) struct WireWorkload {
     #[serde(rename = "coldBears")]
     pub(super) slow_start_min_units: f64,
     #[serde(rename = "unitMean")]
--- a/crates/flaxstand-platform/tests/settings.rs
+++ b/crates/flaxstand-platform/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of other customers: what makes no sense is refused with its key, and what is unusual is taken.
+//! Settings that differ from the recorded ones: invalid values are rejected with their key, and unusual but
+//! valid values are accepted.
 
 use flaxstand::api::Effect;
 use flaxstand_platform::Configuration;
@@ -24,24 +25,24 @@
     })
 }
 
-/// The configuration with the value at a pointer replaced, or taken out where there is none.
+/// Reads the configuration with the value at the pointer replaced, or removed if `value` is `None`.
 fn read_with(pointer: &str, value: Option<Value>) -> Result<Configuration, String> {
-    let mut whole = configuration();
+    let mut configuration = configuration();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
-    let parent = whole.pointer_mut(parent).unwrap();
+    let parent = configuration.pointer_mut(parent).unwrap();
     match (parent, value) {
         (Value::Object(fields), Some(value)) => drop(fields.insert(key.to_owned(), value)),
-        (Value::Object(fields), None) => drop(fields.remove(key).expect("it is there")),
+        (Value::Object(fields), None) => drop(fields.remove(key).expect("the key exists")),
         (Value::Array(list), Some(value)) => list[key.parse::<usize>().unwrap()] = value,
         _ => panic!("{pointer}"),
     }
-    Configuration::read(&whole.to_string()).map_err(|e| e.to_string())
+    Configuration::read(&configuration.to_string()).map_err(|e| e.to_string())
 }
 
 #[test]
-fn what_makes_no_sense_is_refused_with_its_key() {
+fn invalid_values_are_rejected_with_their_key() {
     let class = json!({"name": "tile", "aimMs": 1.0, "deadlineMs": 2.0, "semantics": "once"});
-    for (pointer, value, says) in [
+    for (pointer, value, expected) in [
         ("/settings/classes/0/aimMs", Some(json!(-5.0)), "classes[0].aimMs: expected more than 0, not -5"),
         ("/settings/classes/1/deadlineMs", Some(json!(0.0)), "classes[1].deadlineMs: expected more than 0"),
         (
@@ -52,34 +53,39 @@
         ("/settings/classes/0/semantics", Some(json!("sometimes")), "unknown variant `sometimes`"),
         ("/settings/classes/0/semantics", None, "missing field `semantics`"),
         ("/settings/classes/0/deadlineMs", None, "missing field `deadlineMs`"),
-        ("/settings/classes/1", Some(class), "classes[1].name: \"tile\" is there twice"),
-        ("/settings/classes/0/name", Some(json!("")), "classes[0].name: expected a name"),
-        ("/settings/classes", Some(json!([])), "classes: expected one or more"),
+        ("/settings/classes/1", Some(class), "classes[1].name: duplicate name \"tile\""),
+        ("/settings/classes/0/name", Some(json!("")), "classes[0].name: expected a non-empty name"),
+        ("/settings/classes", Some(json!([])), "classes: expected one or more, found none"),
         (
             "/settings/grades/0/ceilingRate",
             Some(json!(-3.0)),
             "grades[0].ceilingRate: expected 0 or more, not -3",
         ),
-        ("/settings/grades/1/name", Some(json!("ferries")), "grades[1].name: \"ferries\" is there twice"),
+        ("/settings/grades/1/name", Some(json!("ferries")), "grades[1].name: duplicate name \"ferries\""),
         ("/settings/caps/maxAttempts", Some(json!(0)), "caps.maxAttempts: expected 1 or more, not 0"),
         ("/settings/caps/maxAttempts", Some(json!(-1)), "invalid value: integer `-1`"),
         ("/settings/caps/keepaliveMs", Some(json!(-1.0)), "caps.keepaliveMs: expected 0 or more"),
         ("/settings/rules/askWithinMs", Some(json!(-1.0)), "rules.askWithinMs: expected 0 or more"),
-        ("/settings/rules/furtherRatio", Some(json!(0.1)), "a budget of attempts without its span"),
+        (
+            "/settings/rules/furtherRatio",
+            Some(json!(0.1)),
+            "rules.budgetSpanMs: expected a value, as rules.extraFloor or rules.furtherRatio is set",
+        ),
         ("/settings/registryMode", Some(json!("guessed")), "unknown variant `guessed`"),
         ("/limits/sockets", Some(json!(20)), "limits.sockets: expected 64 or more, not 20"),
         ("/limits/memory_mb", None, "missing field `memory_mb`"),
         ("/seed", Some(json!("xyz")), "seed: expected hex digits"),
     ] {
-        let error = read_with(pointer, value).err().unwrap_or_else(|| panic!("{pointer} is taken"));
-        assert!(error.contains(says), "{pointer}: {error}");
-        let place = error.contains("line") || error.contains(": ");
-        assert!(place, "{error}");
+        let error =
+            read_with(pointer, value).err().unwrap_or_else(|| panic!("{pointer}: invalid value accepted"));
+        assert!(error.contains(expected), "{pointer}: {error}");
+        let has_position = error.contains("line") || error.contains(": ");
+        assert!(has_position, "{error}");
     }
 }
 
 #[test]
-fn what_is_unusual_and_makes_sense_is_taken() {
+fn unusual_but_valid_values_are_accepted() {
     for (pointer, value) in [
         ("/settings/grades", json!([])),
         ("/settings/grades/0/ceilingRate", json!(0.0)),
--- a/crates/flaxstand-proto/src/codec/bodies.rs
+++ b/crates/flaxstand-proto/src/codec/bodies.rs
@@ -1,16 +1,17 @@
-//! Bodies of frames. Each field stands once, in the order of the wire, with its name in errors: writing and reading
-//! both follow from that.
+//! Frame bodies. Each field is declared once, in wire order and with the name that error messages use; the
+//! encoder and the decoder are both generated from that declaration.
 
 use super::FrameError;
 use super::fields::{Field, Reader, Writer};
 use crate::frame::{Attempt, Done, Entry, Frame, Hello, List, Report, Submit, Welcome};
 
-/// Most entries that a node list may hold: enough for the 25,000 nodes of `docs/CAPACITY.md` and a fifth more.
-pub const MAX_ENTRIES: usize = 32_768;
-/// Version from which on entries of a list have a size and a service time.
+/// Maximum number of entries in a node list: the 25,000 nodes of `docs/CAPACITY.md` plus at least 20 %
+/// headroom.
+pub const MAX_LIST_ENTRIES: usize = 32_768;
+/// First frame version whose list entries contain a size and a service time.
 const ENTRY_SIZE_SINCE_VERSION: u8 = 3;
 
-/// A group of fields.
+/// A sequence of fields with a fixed wire order.
 trait Body<'a>: Sized {
     fn write(&self, writer: &mut Writer<'_>);
     fn read(reader: &mut Reader<'a>) -> Result<Self, FrameError>;
@@ -114,13 +115,13 @@
     }
 }
 
-/// A count of entries in two bytes, then the entries. Entries beyond [`MAX_ENTRIES`] are left out.
+/// Encoded with a 2-byte entry count before the entries. Entries beyond [`MAX_LIST_ENTRIES`] are omitted.
 impl<'a> Body<'a> for List<'a> {
     fn write(&self, writer: &mut Writer<'_>) {
         Field::write(self.extent, writer);
         Field::write(self.since, writer);
         Field::write(self.revision, writer);
-        let count = self.entries.len().min(MAX_ENTRIES);
+        let count = self.entries.len().min(MAX_LIST_ENTRIES);
         Field::write(count as u16, writer);
         for entry in &self.entries[..count] {
             entry.write(writer);
@@ -131,7 +132,7 @@
         let since = Field::read(reader, "since")?;
         let revision = Field::read(reader, "revision")?;
         let count = u16::read(reader, "count of entries")?;
-        if usize::from(count) > MAX_ENTRIES {
+        if usize::from(count) > MAX_LIST_ENTRIES {
             return Err(FrameError::Value { field: "count of entries", value: count.into() });
         }
         let mut entries = Vec::new();
@@ -170,19 +171,19 @@
     }
 }
 
-/// The frames by the number of their kind: those whose body is a type, and those whose fields stand here.
+/// Maps frame kind numbers to variants of [`Frame`]: `bodies` for variants with a body type of their own,
+/// `fields` for variants whose fields are listed inline.
 macro_rules! frames {
     (
         bodies { $($body_kind:ident = $body_number:literal => $body:ident,)+ }
         fields { $($kind:ident = $number:literal => $variant:ident { $($field:ident: $name:literal),* },)+ }
     ) => {
-        /// Numbers of the kinds of frames.
+        /// Frame kind numbers.
         pub(super) mod kind {
             $(pub(in crate::codec) const $body_kind: u8 = $body_number;)+
             $(pub(in crate::codec) const $kind: u8 = $number;)+
         }
 
-        /// Number of a frame's kind.
         pub(super) fn kind_of(frame: &Frame<'_>) -> u8 {
             match frame {
                 $(Frame::$body(_) => kind::$body_kind,)+
--- a/crates/flaxstand-proto/src/codec/fields.rs
+++ b/crates/flaxstand-proto/src/codec/fields.rs
@@ -1,4 +1,4 @@
-//! Fields of a body: how each type is written and read. All numbers are little-endian.
+//! Encoding of each field type. All numbers are little-endian.
 
 use super::{FrameError, MAX_TEXT_BYTES};
 use crate::frame::{CloseReason, Code, Extent, Refusal, Role, Scope, State};
@@ -14,9 +14,9 @@
 
 /// Reads fields from a body.
 pub(super) struct Reader<'a> {
-    /// What is not read yet.
+    /// Unread bytes of the body.
     pub(super) rest: &'a [u8],
-    /// Version of the frame.
+    /// Version of the frame that is decoded.
     pub(super) version: u8,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A type that a field may have. `name` is for errors.
+/// A field type. `name` identifies the field in errors.
 pub(super) trait Field<'a>: Sized {
     fn write(self, writer: &mut Writer<'_>);
     fn read(reader: &mut Reader<'a>, name: &'static str) -> Result<Self, FrameError>;
@@ -64,7 +64,7 @@
     }
 }
 
-/// A flag whether there is a value, then the value, or 0.
+/// Encoded as a presence flag followed by the value, which is the type's default if absent.
 impl<'a, T: Field<'a> + Default> Field<'a> for Option<T> {
     fn write(self, writer: &mut Writer<'_>) {
         self.is_some().write(writer);
@@ -77,7 +77,8 @@
     }
 }
 
-/// Length in one byte, then UTF-8. Texts are for logs and addresses: a longer one is cut at a character.
+/// Encoded as a 1-byte length followed by UTF-8. Longer strings, which occur only in log texts and addresses,
+/// are truncated at a character boundary.
 impl<'a> Field<'a> for &'a str {
     fn write(self, writer: &mut Writer<'_>) {
         let mut end = self.len().min(MAX_TEXT_BYTES);
@@ -93,7 +94,7 @@
     }
 }
 
-/// Length in four bytes, then the bytes.
+/// Encoded as a 4-byte length followed by the bytes.
 impl<'a> Field<'a> for &'a [u8] {
     fn write(self, writer: &mut Writer<'_>) {
         (self.len() as u32).write(writer);
@@ -105,7 +106,7 @@
     }
 }
 
-/// Enumerations: their number in one byte.
+/// Enumerations, encoded as their 1-byte discriminant.
 macro_rules! enumeration_fields {
     ($($type:ident: $($variant:ident),+;)+) => {$(
         impl<'a> Field<'a> for $type {
--- a/crates/flaxstand-proto/src/frame.rs
+++ b/crates/flaxstand-proto/src/frame.rs
@@ -1,87 +1,88 @@
-//! The frames. Times on the wire are durations in microseconds: the clocks of hosts differ, so no moment
-//! of one clock is ever sent to another host.
+//! Frame definitions. Times on the wire are durations in microseconds: host clocks are not synchronized, so
+//! absolute times are never sent to another host.
 
-/// Oldest version of the frames that this build speaks.
+/// Oldest protocol version that this build negotiates.
 pub const VERSION_OLDEST: u8 = 3;
-/// Version of the frames that this build writes.
+/// Protocol version of the frames that this build encodes.
 pub const VERSION: u8 = 3;
-/// Oldest version that this build reads: lists saved by the build before, and `Hello`, so that an old peer is
-/// told why its connection is closed. Its entries have neither a size nor a service time.
+/// Oldest protocol version that this build decodes. Version 2 is needed for lists saved by the previous
+/// release and for `Hello`, so that an old peer receives the reason why its connection is closed. List
+/// entries of version 2 have neither a size nor a service time.
 pub const VERSION_READ: u8 = 2;
 
-/// Who speaks on a connection.
+/// Role of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Role {
-    /// Submits requests.
+    /// A client, which submits requests.
     Client = 1,
-    /// Schedules them.
+    /// An initiator, which schedules requests.
     Initiator = 2,
-    /// Stores data.
+    /// A storage node.
     Node = 3,
-    /// Endpoint discovery: has the list of nodes.
+    /// The endpoint discovery service, which provides the node list.
     List = 4,
 }
 
-/// How an attempt ended at a node.
+/// Result of an attempt at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Code {
-    /// Executed; the payload is the answer.
+    /// Executed; the payload is the response.
     Served = 1,
-    /// An error while it was executed, or before: it may have been executed.
+    /// Failed before or during execution; may have been executed.
     Error = 2,
-    /// Rejected, not executed: the queue is full or the node is draining.
+    /// Rejected without execution because the queue is full or the node is draining.
     Rejected = 3,
 }
 
-/// Why a request was rejected. A rejected request has not been executed: a retry is harmless.
+/// Reason why a request was rejected. A rejected request was not executed and can be retried safely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Refusal {
-    /// The scheduler shed it: no capacity for it within its deadline.
+    /// Shed by the scheduler: there is no capacity to serve the request within its deadline.
     Load = 1,
-    /// The initiator has as many pending requests, or knows as many volumes, as its bounds allow.
+    /// The initiator reached its limit of pending requests or of volumes.
     Held = 2,
-    /// This client has as many requests in flight as it may.
+    /// The client reached its limit of requests in flight.
     Client = 3,
     /// The initiator is stopping.
     Stopping = 4,
-    /// This initiator buffers no writes: it has no flushes and barriers.
+    /// The initiator has no write-back buffer and therefore does not support flushes and barriers.
     Unbuffered = 5,
-    /// The write-back buffer is full, or the request would have waited in it for too long.
+    /// The write-back buffer is full, or the request would wait in it for too long.
     Buffer = 6,
-    /// It retries an attempt that was rejected or abandoned, in a retry storm.
+    /// The request retries a rejected or abandoned attempt while the initiator throttles a retry storm.
     Storm = 7,
 }
 
-/// What a rejection's Retry-After applies to.
+/// Requests that a rejection's Retry-After applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Scope {
-    /// This request only.
+    /// The rejected request only.
     Request = 1,
-    /// Every request of its volume.
+    /// All requests to its volume.
     Volume = 2,
-    /// Every request to this initiator.
+    /// All requests to this initiator.
     All = 3,
 }
 
-/// Why a connection is closed by its peer.
+/// Reason why a peer closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum CloseReason {
-    /// No common version.
+    /// The peers have no common protocol version.
     Version = 1,
-    /// A frame that does not belong here, or a malformed one.
+    /// A frame was malformed or unexpected.
     Protocol = 2,
-    /// Another peer was expected at this address.
+    /// The peer at this address is not the expected one.
     WrongPeer = 3,
     /// A limit was reached.
     Bound = 4,
     /// The process is stopping.
     Stopping = 5,
-    /// Many connect at once: to be tried again after the stated wait.
+    /// Too many peers connect at the same time; the peer should reconnect after the given wait.
     Turn = 6,
 }
 
@@ -91,91 +92,91 @@
 pub enum State {
     /// Accepts requests.
     Serving = 1,
-    /// Finishes its requests and accepts no new ones.
+    /// Finishes its pending requests and accepts no new ones.
     Draining = 2,
-    /// Removed.
+    /// Removed from the cluster.
     Removed = 3,
 }
 
-/// What a list frame contains.
+/// Whether a list frame is complete or incremental.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Extent {
     /// All nodes.
     Full = 1,
-    /// What changed since revision `since`.
+    /// The entries that changed since revision `since`.
     Changes = 2,
 }
 
-/// First frame of the peer that connects.
+/// First frame sent by the connecting peer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Hello<'a> {
     /// The sender's role.
     pub role: Role,
-    /// Oldest and newest version it reads.
+    /// Oldest and newest protocol version that the sender supports.
     pub versions: (u8, u8),
-    /// Number of the sender: an initiator's index, a client's number.
+    /// Id of the sender: the index of an initiator or the number of a client.
     pub id: u64,
-    /// Incarnation of the sender: grows at each start.
+    /// Incarnation of the sender; increases with each start.
     pub epoch: u64,
-    /// A name for logs, at most 255 bytes.
+    /// Name of the sender for logs, at most 255 bytes.
     pub name: &'a str,
 }
 
-/// First frame of the peer that accepts.
+/// First frame sent by the accepting peer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Welcome<'a> {
-    /// The version from here on.
+    /// Protocol version of all further frames on this connection.
     pub version: u8,
     /// The sender's role.
     pub role: Role,
-    /// Number of the sender: a node's id in the list.
+    /// Id of the sender; for a node, its id in the node list.
     pub id: u64,
-    /// Its incarnation.
+    /// Incarnation of the sender.
     pub epoch: u64,
-    /// A name for logs, at most 255 bytes.
+    /// Name of the sender for logs, at most 255 bytes.
     pub name: &'a str,
 }
 
 /// A client's request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Submit<'a> {
-    /// The client's number for this attempt; unused so far on this connection.
+    /// Id that the client assigned to this attempt, unique on this connection.
     pub id: u64,
-    /// Idempotency id of the operation, the same for all its attempts: nodes drop repeats of it.
+    /// Idempotency id of the operation, shared by all its attempts; nodes use it for deduplication.
     pub operation: u64,
     /// Index into the site's classes.
     pub class: u16,
     /// Index into the site's plans.
     pub plan: u16,
-    /// How many initiators the volume's requests use, 1 or more.
+    /// Number of initiators that serve requests to this volume, at least 1.
     pub volume_initiators: u16,
-    /// 0 for a first attempt, then counted up with each retry.
+    /// Attempt number: 0 for the first attempt, incremented with each retry.
     pub try_no: u8,
-    /// It writes.
+    /// Whether the request is a write.
     pub write: bool,
     /// The volume.
     pub volume: u64,
-    /// The extent; `None`: it names none.
+    /// The extent, or `None` if the request specifies none.
     pub extent: Option<u64>,
-    /// The shard that holds the extent; `None`: a new object.
+    /// The shard that holds the extent, or `None` for a new object.
     pub shard: Option<u32>,
-    /// Units it counts, 1 or more.
+    /// Cost of the request in units, at least 1.
     pub units: u32,
-    /// Offset in the extent at which a write begins, bytes; `None`: it replaces the whole extent.
+    /// Start offset of a write in the extent, bytes; `None` if the write replaces the entire extent.
     pub at: Option<u32>,
-    /// How long the client waits from now on, microseconds.
+    /// Remaining time until the client's time-out, microseconds.
     pub time_left: u32,
-    /// Data to be written.
+    /// Data to write.
     pub payload: &'a [u8],
 }
 
-/// An attempt at a node.
+/// An attempt of a request, sent to a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Attempt<'a> {
-    /// The initiator's number for the request.
+    /// Id that the initiator assigned to the request.
     pub request: u64,
-    /// Which attempt of it, from 0.
+    /// Index of the attempt within the request, from 0.
     pub attempt: u32,
     /// As in [`Submit`].
     pub operation: u64,
@@ -185,7 +186,7 @@
     pub plan: u16,
     /// As in [`Submit`].
     pub write: bool,
-    /// The answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
     /// As in [`Submit`].
     pub volume: u64,
@@ -195,35 +196,37 @@
     pub units: u32,
     /// As in [`Submit`].
     pub at: Option<u32>,
-    /// How long an answer is of use, microseconds.
+    /// Remaining time until the response is no longer needed, microseconds.
     pub time_left: u32,
     /// As in [`Submit`].
     pub payload: &'a [u8],
 }
 
-/// Load report: what a node reports of itself and of a volume with an answer.
+/// Load report of a node on itself and on one volume, attached to responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Units served for the volume everywhere in a finished period, in percent of its plan's rate.
+    /// Units served for the volume by all nodes during the last completed period, in percent of its plan's
+    /// rate.
     pub used: Option<u32>,
-    /// Units served for the volume here through other initiators since the last answer to this one.
+    /// Units that this node served for the volume through other initiators since its last response to this
+    /// one.
     pub from_others: u32,
     /// Requests in flight, as last measured.
     pub inflight: Option<u32>,
     /// Queued requests, as last measured.
     pub queue: Option<u32>,
-    /// How busy the cores are, in thousandths, as last measured.
+    /// CPU utilization in thousandths, as last measured.
     pub busy: Option<u32>,
 }
 
-/// The end of an attempt.
+/// Completion of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Done<'a> {
     /// As in [`Attempt`].
     pub request: u64,
     /// As in [`Attempt`].
     pub attempt: u32,
-    /// How it ended.
+    /// Result of the attempt.
     pub code: Code,
     /// The load report.
     pub report: Report,
@@ -231,182 +234,183 @@
     pub payload: &'a [u8],
 }
 
-/// A node in the list.
+/// An entry of the node list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry<'a> {
-    /// The node: the same when its process restarts, another when a machine replaces it.
+    /// Id of the node. Unchanged by a process restart; a replacement machine gets a new id.
     pub node: u64,
-    /// Its incarnation: grows at each start.
+    /// Incarnation of the node; increases with each start.
     pub incarnation: u64,
-    /// Its state.
+    /// State of the node.
     pub state: State,
-    /// Time since its latest start, microseconds; `None`: long ago.
+    /// Time since the node last started, microseconds; `None` if it has been running for a long time.
     pub age: Option<u64>,
-    /// The shard it holds.
+    /// The shard that the node holds.
     pub shard: u32,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: u32,
-    /// Its nominal size relative to others, in hundredths; 0: not known.
+    /// Nominal capacity relative to other nodes, in hundredths; 0 if unknown.
     pub size: u32,
-    /// Service time of a unit without load, microseconds, as an initiator estimated it: in its saved list only.
+    /// Service time of one unit on an idle node, microseconds, as estimated by an initiator. Set only in the
+    /// list that the initiator saves.
     pub service_time: Option<u32>,
-    /// Where it listens: `host:port`, or `unix:` and a path; at most 255 bytes.
+    /// Listen address, `host:port` or `unix:` followed by a path, at most 255 bytes.
     pub address: &'a str,
 }
 
-/// The list of nodes, or changes of it.
+/// The node list, or changes to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List<'a> {
-    /// Whether it is the whole list.
+    /// Whether the list is complete or incremental.
     pub extent: Extent,
-    /// The revision that changes apply to; the list's own for a full one.
+    /// The revision to which the changes apply; equal to `revision` in a full list.
     pub since: u64,
-    /// The revision that this leads to.
+    /// The revision after this list is applied.
     pub revision: u64,
-    /// The entries.
+    /// Entries of the list.
     pub entries: Vec<Entry<'a>>,
 }
 
 /// A frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame<'a> {
-    /// Opens a connection.
+    /// First frame of the connecting peer.
     Hello(Hello<'a>),
-    /// Accepts it.
+    /// First frame of the accepting peer.
     Welcome(Welcome<'a>),
-    /// Closes the connection and says why.
+    /// Closes the connection and gives the reason.
     Bye {
-        /// The cause.
+        /// Reason for closing the connection.
         close_reason: CloseReason,
-        /// Retry-After, microseconds; 0: none.
+        /// Retry-After, microseconds; 0 if none.
         wait: u32,
-        /// The cause as text, at most 255 bytes.
+        /// Description of the reason, at most 255 bytes.
         text: &'a str,
     },
     /// Client to initiator: a request.
     Submit(Submit<'a>),
     /// Initiator to client: the request was served.
     Served {
-        /// The client's number of the attempt.
+        /// Id that the client assigned to the attempt.
         id: u64,
-        /// The shard that served it.
+        /// The shard that served the request.
         shard: u32,
         /// Data read.
         payload: &'a [u8],
     },
-    /// Initiator to client: rejected. It has not been executed, and a retry is harmless.
+    /// Initiator to client: the request was rejected. It was not executed and can be retried safely.
     Refused {
-        /// The client's number of the attempt.
+        /// Id that the client assigned to the attempt.
         id: u64,
-        /// Retry-After, microseconds; 0: none.
+        /// Retry-After, microseconds; 0 if none.
         wait: u32,
-        /// Why.
+        /// Reason for the rejection.
         refusal: Refusal,
-        /// What the wait applies to.
+        /// Requests that the wait applies to.
         scope: Scope,
     },
-    /// Initiator to client: abandoned; it may have been executed.
+    /// Initiator to client: the request was abandoned; it may have been executed.
     Failed {
-        /// The client's number of the attempt.
+        /// Id that the client assigned to the attempt.
         id: u64,
     },
-    /// Initiator to client: a part of a streamed answer; `Served` or `Failed` ends it.
+    /// Initiator to client: a part of a streamed response, which ends with `Served` or `Failed`.
     Part {
-        /// The client's number of the attempt.
+        /// Id that the client assigned to the attempt.
         id: u64,
         /// Data read.
         payload: &'a [u8],
     },
-    /// Initiator to client: the write is durable at the initiator and will reach its node.
+    /// Initiator to client: the write is durable in the write-back buffer and will be written to its node.
     Buffered {
-        /// The client's number of the attempt.
+        /// Id that the client assigned to the attempt.
         id: u64,
     },
-    /// Client to initiator: nothing of this volume accepted from now on is sent before all accepted so far is
-    /// confirmed.
+    /// Client to initiator: requests a write barrier. Writes to the volume accepted after the barrier are
+    /// sent only after all writes accepted before it are confirmed.
     Barrier {
-        /// The client's number for it.
+        /// Id that the client assigned to the call.
         id: u64,
         /// The volume.
         volume: u64,
-        /// How long the client waits from now on, microseconds.
+        /// Remaining time until the client's time-out, microseconds.
         time_left: u32,
     },
-    /// Initiator to client: the barrier is in force.
+    /// Initiator to client: the barrier is set.
     Barred {
-        /// The client's number of it.
+        /// Id that the client assigned to the call.
         id: u64,
     },
-    /// Client to initiator: answer when all that was accepted so far is on its nodes.
+    /// Client to initiator: requests a response once all writes accepted so far are written to their nodes.
     Flush {
-        /// The client's number for it.
+        /// Id that the client assigned to the call.
         id: u64,
-        /// Of this volume only; `None`: of all.
+        /// The volume to flush, or `None` for all volumes.
         volume: Option<u64>,
-        /// How long the client waits from now on, microseconds.
+        /// Remaining time until the client's time-out, microseconds.
         time_left: u32,
     },
     /// Initiator to client: the flush is complete.
     Flushed {
-        /// The client's number of it.
+        /// Id that the client assigned to the call.
         id: u64,
     },
-    /// Client to initiator: asks for the status of the write-back buffer.
+    /// Client to initiator: requests the status of the write-back buffer.
     AskStatus {
-        /// The client's number for it.
+        /// Id that the client assigned to the call.
         id: u64,
     },
-    /// Initiator to client: the status, a JSON object.
+    /// Initiator to client: the status of the write-back buffer as a JSON object.
     Status {
-        /// The client's number of it.
+        /// Id that the client assigned to the call.
         id: u64,
-        /// The text.
+        /// The JSON text.
         json: &'a [u8],
     },
-    /// Initiator to node: an attempt.
+    /// Initiator to node: executes an attempt.
     Attempt(Attempt<'a>),
-    /// Initiator to node: the attempt is cancelled.
+    /// Initiator to node: cancels an attempt.
     Cancel {
-        /// The initiator's number for the request.
+        /// Id that the initiator assigned to the request.
         request: u64,
-        /// Which attempt.
+        /// Index of the attempt within the request.
         attempt: u32,
     },
-    /// Node to initiator: the end of an attempt.
+    /// Node to initiator: an attempt is complete.
     Done(Done<'a>),
-    /// Node to initiator: a part of a streamed answer; `Done` ends it.
+    /// Node to initiator: a part of a streamed response, which ends with `Done`.
     Chunk {
-        /// The initiator's number for the request.
+        /// Id that the initiator assigned to the request.
         request: u64,
-        /// Which attempt.
+        /// Index of the attempt within the request.
         attempt: u32,
         /// Data read.
         payload: &'a [u8],
     },
     /// Initiator to node: a health check.
     Probe {
-        /// Comes back as given.
+        /// Token that the node returns unchanged.
         token: u64,
     },
-    /// Node to initiator: the answer to a health check.
+    /// Node to initiator: the response to a health check.
     Probed {
-        /// As given.
+        /// Token of the health check.
         token: u64,
         /// The load report.
         report: Report,
     },
-    /// Initiator to discovery service: the whole list, once.
+    /// Initiator to discovery service: requests the full list once.
     GetList,
-    /// Initiator to discovery service: the list and all its changes.
+    /// Initiator to discovery service: requests the full list and all subsequent changes.
     Watch,
-    /// List service to initiator.
+    /// Discovery service to initiator: the full list or changes.
     List(List<'a>),
-    /// List service to initiator: a call failed.
+    /// Discovery service to initiator: the request for the list failed.
     ListFailed,
-    /// Between initiators, and between an operator and an initiator: a message of `flaxstand-consensus`, in its
+    /// Between initiators, or between an operator and an initiator: a message of `flaxstand-consensus` in its
     /// serde format.
     Agreement {
-        /// The message.
+        /// The encoded message.
         bytes: &'a [u8],
     },
 }
--- a/crates/flaxstand-proto/src/lib.rs
+++ b/crates/flaxstand-proto/src/lib.rs
@@ -1,8 +1,8 @@
 //! Frames between clients, initiators, storage nodes and the endpoint discovery service.
 //!
-//! [`frame`] has the frames themselves, [`codec`] turns them into bytes and back, [`link`] has what a
-//! connection has received in part and what waits to be written. Nothing here does I/O or decides anything.
-//! `docs/protocol.md` describes the bytes.
+//! [`frame`] defines the frames, [`codec`] encodes and decodes them, [`link`] provides receive and send
+//! buffers for a connection. The crate performs no I/O and makes no scheduling decisions. `docs/protocol.md`
+//! specifies the encoding.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -11,7 +11,10 @@
 pub mod link;
 pub mod time;
 
-pub use codec::{BodyLimit, FrameError, MAX_BODY, MAX_ENTRIES, MAX_LIST_BODY, decode, decode_within, encode};
+pub use codec::{
+    BodyLimit, FrameError, MAX_BODY_BYTES, MAX_LIST_BODY_BYTES, MAX_LIST_ENTRIES, decode, decode_within,
+    encode,
+};
 pub use frame::*;
 pub use link::{Inbox, Outbox};
 pub use time::Micros;
--- a/crates/flaxstand-proto/src/link.rs
+++ b/crates/flaxstand-proto/src/link.rs
@@ -1,9 +1,9 @@
-//! Buffers of a connection: a partial frame that was received, and bytes that wait to be written.
+//! Receive and send buffers of a connection.
 
-use crate::codec::{BodyLimit, FrameError, HEADER, MAX_LIST_BODY, decode_within, encode};
+use crate::codec::{BodyLimit, FrameError, HEADER_BYTES, MAX_LIST_BODY_BYTES, decode_within, encode};
 use crate::frame::Frame;
 
-/// Received bytes that are not yet a complete frame. Never more than one frame and one read.
+/// Receive buffer: holds the bytes of an incomplete frame, at most one frame plus one read.
 #[derive(Debug, Default)]
 pub struct Inbox {
     partial: Vec<u8>,
@@ -12,28 +12,34 @@
 }
 
 impl Inbox {
-    /// An inbox for a connection to the discovery service, which may send long lists.
-    pub fn of_list_service() -> Self {
+    /// Creates an inbox for a connection to the discovery service, whose node lists may exceed the usual
+    /// limit.
+    pub fn for_discovery_service() -> Self {
         Inbox { limit: BodyLimit::NodeList, ..Inbox::default() }
     }
 
-    /// Bytes ever received.
+    /// Total number of bytes received.
     pub fn received(&self) -> u64 {
         self.received
     }
 
-    /// Whether a frame has begun and is not complete yet.
+    /// Whether the buffer holds an incomplete frame.
     pub fn is_within_frame(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Passes every complete frame to `each`, in order, until that returns false; the rest waits for more bytes.
+    /// Adds received bytes and passes every complete frame to `on_frame`, in order. An incomplete frame stays
+    /// buffered. If `on_frame` returns false, decoding stops and the remaining bytes are discarded.
     ///
     /// # Errors
-    /// The first bytes that are not a frame; nothing after them is read.
-    pub fn feed(&mut self, bytes: &[u8], mut each: impl FnMut(Frame<'_>) -> bool) -> Result<(), FrameError> {
+    /// A frame is invalid; decoding stops there.
+    pub fn feed(
+        &mut self,
+        bytes: &[u8],
+        mut on_frame: impl FnMut(Frame<'_>) -> bool,
+    ) -> Result<(), FrameError> {
         self.received += bytes.len() as u64;
-        // The usual read ends with a whole frame: then nothing is copied.
+        // Most reads end at a frame boundary, so usually nothing needs to be copied.
         let mut joined = std::mem::take(&mut self.partial);
         let source = if joined.is_empty() {
             bytes
@@ -44,7 +50,7 @@
         let mut at = 0;
         while let Some((frame, len)) = decode_within(&source[at..], self.limit)? {
             at += len;
-            if !each(frame) {
+            if !on_frame(frame) {
                 return Ok(());
             }
         }
@@ -54,12 +60,12 @@
             joined.drain(..at);
             joined
         };
-        debug_assert!(self.partial.len() <= HEADER + MAX_LIST_BODY);
+        debug_assert!(self.partial.len() <= HEADER_BYTES + MAX_LIST_BODY_BYTES);
         Ok(())
     }
 }
 
-/// Bytes that wait to be written, and how many ever were.
+/// Send buffer with a count of the bytes written so far.
 #[derive(Debug, Default)]
 pub struct Outbox {
     bytes: Vec<u8>,
@@ -68,39 +74,40 @@
 }
 
 impl Outbox {
-    /// Appends a frame. Returns the offset in the stream at which it ends: see [`Outbox::written`].
+    /// Appends a frame. Returns its end offset in the stream, to be compared with [`Outbox::written`].
     pub fn push(&mut self, frame: &Frame<'_>) -> u64 {
         self.write(|bytes| encode(frame, bytes))
     }
 
-    /// The same for what is not a frame: `add` appends its bytes to what waits.
-    pub fn write(&mut self, add: impl FnOnce(&mut Vec<u8>)) -> u64 {
-        add(&mut self.bytes);
+    /// Like [`Outbox::push`] for data other than frames: `append` adds its bytes to the buffer.
+    pub fn write(&mut self, append: impl FnOnce(&mut Vec<u8>)) -> u64 {
+        append(&mut self.bytes);
         self.written + self.len() as u64
     }
 
-    /// What waits.
+    /// Bytes not yet written.
     pub fn pending(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
-    /// Bytes that wait.
+    /// Number of bytes not yet written.
     pub fn len(&self) -> usize {
         self.bytes.len() - self.start
     }
 
-    /// Whether nothing waits.
+    /// Whether all bytes are written.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes ever written. A frame that ends beyond this was not written completely: its peer can't have read it.
+    /// Total number of bytes written. The peer cannot have received a frame whose end offset is greater: it
+    /// is not completely written.
     pub fn written(&self) -> u64 {
         self.written
     }
 
-    /// `count` bytes of what waits were written.
-    pub fn wrote(&mut self, count: usize) {
+    /// Removes the first `count` pending bytes after they were written.
+    pub fn advance(&mut self, count: usize) {
         let count = count.min(self.len());
         self.start += count;
         self.written += count as u64;
--- a/crates/flaxstand-proto/tests/frames.rs
+++ b/crates/flaxstand-proto/tests/frames.rs
@@ -1,6 +1,6 @@
-//! The codec: what goes in comes out, and nothing that comes from outside makes it panic or grow.
+//! Frame codec: round trips, and robustness against truncated, corrupted and random input.
 
-use flaxstand_proto::codec::HEADER;
+use flaxstand_proto::codec::HEADER_BYTES;
 use flaxstand_proto::*;
 use proptest::prelude::*;
 
@@ -29,7 +29,7 @@
     })
 }
 
-fn samples() -> Vec<Frame<'static>> {
+fn sample_frames() -> Vec<Frame<'static>> {
     let report = Report { used: Some(86), from_others: 3, inflight: None, queue: Some(4), busy: Some(500) };
     let entry = Entry {
         node: 3,
@@ -86,54 +86,54 @@
 }
 
 #[test]
-fn every_kind_of_frame_comes_back_as_it_went() {
-    for frame in samples() {
+fn every_frame_kind_round_trips() {
+    for frame in sample_frames() {
         let bytes = bytes_of(&frame);
         assert_eq!(decode(&bytes), Ok(Some((frame, bytes.len()))));
     }
 }
 
 #[test]
-fn any_cut_waits_for_more_and_any_flipped_bit_is_refused() {
-    for frame in samples() {
+fn truncated_frames_are_incomplete_and_corrupted_frames_are_rejected() {
+    for frame in sample_frames() {
         let bytes = bytes_of(&frame);
-        for cut in 0..bytes.len() {
-            assert_eq!(decode(&bytes[..cut]), Ok(None), "{frame:?} cut at {cut}");
+        for length in 0..bytes.len() {
+            assert_eq!(decode(&bytes[..length]), Ok(None), "{frame:?} truncated to {length} bytes");
         }
         for bit in 32..bytes.len() * 8 {
-            let mut bad = bytes.clone();
-            bad[bit / 8] ^= 1 << (bit % 8);
-            assert!(decode(&bad).is_err(), "{frame:?} with bit {bit} flipped");
+            let mut corrupted = bytes.clone();
+            corrupted[bit / 8] ^= 1 << (bit % 8);
+            assert!(decode(&corrupted).is_err(), "{frame:?} with bit {bit} flipped");
         }
     }
 }
 
 #[test]
-fn each_fault_has_a_name() {
-    let good = bytes_of(&Frame::Failed { id: 1 });
-    let sealed = |mut bytes: Vec<u8>| {
+fn each_decoding_error_is_reported_as_its_variant() {
+    let valid = bytes_of(&Frame::Failed { id: 1 });
+    let with_checksum = |mut bytes: Vec<u8>| {
         let crc = crc32c::crc32c_append(crc32c::crc32c(&bytes[..4]), &bytes[8..]);
         bytes[4..8].copy_from_slice(&crc.to_le_bytes());
         bytes
     };
-    let mut long = good.clone();
-    long[..4].copy_from_slice(&(MAX_BODY as u32 + 1).to_le_bytes());
-    assert_eq!(decode(&long[..HEADER]), Err(FrameError::TooLong(MAX_BODY + 1)));
-    let mut version = good.clone();
+    let mut long = valid.clone();
+    long[..4].copy_from_slice(&(MAX_BODY_BYTES as u32 + 1).to_le_bytes());
+    assert_eq!(decode(&long[..HEADER_BYTES]), Err(FrameError::TooLong(MAX_BODY_BYTES + 1)));
+    let mut version = valid.clone();
     version[8] = 9;
-    assert_eq!(decode(&sealed(version)), Err(FrameError::Version(9)));
-    let mut kind = good.clone();
+    assert_eq!(decode(&with_checksum(version)), Err(FrameError::Version(9)));
+    let mut kind = valid.clone();
     kind[9] = 200;
-    assert_eq!(decode(&sealed(kind)), Err(FrameError::Kind(200)));
-    let mut short = good.clone();
+    assert_eq!(decode(&with_checksum(kind)), Err(FrameError::Kind(200)));
+    let mut short = valid.clone();
     short[0] -= 1;
     short.pop();
-    assert_eq!(decode(&sealed(short)), Err(FrameError::Truncated("id")));
-    let mut trailing = good.clone();
+    assert_eq!(decode(&with_checksum(short)), Err(FrameError::Truncated("id")));
+    let mut trailing = valid.clone();
     trailing[0] += 1;
     trailing.push(0);
-    assert_eq!(decode(&sealed(trailing)), Err(FrameError::Trailing(1)));
-    let mut crc = good;
+    assert_eq!(decode(&with_checksum(trailing)), Err(FrameError::Trailing(1)));
+    let mut crc = valid;
     crc[5] ^= 1;
     assert!(matches!(decode(&crc), Err(FrameError::Checksum { .. })));
 }
@@ -155,28 +155,28 @@
 }
 
 #[test]
-fn the_longest_list_is_read_from_the_list_service_and_from_nobody_else() {
-    let bytes = long_list(MAX_ENTRIES, &"a".repeat(255));
-    assert_eq!(bytes.len(), HEADER + MAX_LIST_BODY);
+fn the_longest_list_is_accepted_only_from_the_discovery_service() {
+    let bytes = long_list(MAX_LIST_ENTRIES, &"a".repeat(255));
+    assert_eq!(bytes.len(), HEADER_BYTES + MAX_LIST_BODY_BYTES);
     let Ok(Some((Frame::List(list), len))) = decode_within(&bytes, BodyLimit::NodeList) else {
-        panic!("the longest list is not read");
+        panic!("list of maximum length not decoded");
     };
-    assert_eq!((list.entries.len(), len), (MAX_ENTRIES, bytes.len()));
-    assert_eq!(decode(&bytes), Err(FrameError::TooLong(MAX_LIST_BODY)));
-    let mut attempt = bytes[..HEADER].to_vec();
+    assert_eq!((list.entries.len(), len), (MAX_LIST_ENTRIES, bytes.len()));
+    assert_eq!(decode(&bytes), Err(FrameError::TooLong(MAX_LIST_BODY_BYTES)));
+    let mut attempt = bytes[..HEADER_BYTES].to_vec();
     attempt[9] = 32;
     assert_eq!(
         decode_within(&attempt, BodyLimit::NodeList),
-        Err(FrameError::TooLong(MAX_LIST_BODY)),
-        "only a list may be that long"
+        Err(FrameError::TooLong(MAX_LIST_BODY_BYTES)),
+        "the higher limit applies to lists only"
     );
 }
 
 #[test]
-fn a_long_list_comes_in_pieces_and_the_frame_behind_it_is_kept() {
+fn a_long_list_in_pieces_is_decoded_with_the_frame_after_it() {
     let mut stream = long_list(25_000, "10.1.2.3:7001");
     encode(&Frame::ListFailed, &mut stream);
-    let mut inbox = Inbox::of_list_service();
+    let mut inbox = Inbox::for_discovery_service();
     let (mut entries, mut failed) = (0, 0);
     for piece in stream.chunks(65_536) {
         let fed = inbox.feed(piece, |frame| {
@@ -190,11 +190,11 @@
         assert_eq!(fed, Ok(()));
     }
     assert_eq!((entries, failed), (25_000, 1));
-    assert!(Inbox::default().feed(&stream[..65_536], |_| true).is_err(), "not from a client or a node");
+    assert!(Inbox::default().feed(&stream[..65_536], |_| true).is_err(), "rejected with the default limit");
 }
 
 #[test]
-fn an_inbox_tells_how_much_came_and_whether_a_frame_is_on_its_way() {
+fn an_inbox_counts_bytes_and_reports_an_incomplete_frame() {
     let probe = bytes_of(&Frame::Probe { token: 7 });
     let mut inbox = Inbox::default();
     assert!(!inbox.is_within_frame());
@@ -206,24 +206,27 @@
 }
 
 #[test]
-fn an_outbox_knows_which_frames_left_in_full() {
+fn an_outbox_reports_which_frames_are_completely_written() {
     let mut outbox = Outbox::default();
     let first = outbox.push(&Frame::Failed { id: 1 });
     let second = outbox.push(&Frame::Failed { id: 2 });
-    outbox.wrote(first as usize + 3);
+    outbox.advance(first as usize + 3);
     assert!(outbox.written() >= first && outbox.written() < second);
-    outbox.wrote(usize::MAX);
+    outbox.advance(usize::MAX);
     assert_eq!((outbox.written(), outbox.is_empty()), (second, true));
 }
 
 proptest! {
     #[test]
-    fn garbage_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn random_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         let _ = decode(&bytes);
     }
 
     #[test]
-    fn sealed_garbage_never_panics(kind in any::<u8>(), body in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn random_bodies_with_a_valid_checksum_never_panic(
+        kind in any::<u8>(),
+        body in proptest::collection::vec(any::<u8>(), 0..300),
+    ) {
         let mut bytes = (body.len() as u32).to_le_bytes().to_vec();
         let rest: Vec<u8> = [VERSION, kind, 0, 0].into_iter().chain(body).collect();
         bytes.extend(crc32c::crc32c_append(crc32c::crc32c(&bytes), &rest).to_le_bytes());
@@ -235,7 +238,10 @@
     }
 
     #[test]
-    fn frames_survive_any_split(cuts in proptest::collection::vec(1usize..40, 1..60), size in 0usize..200) {
+    fn frames_are_decoded_from_any_split_of_the_stream(
+        lengths in proptest::collection::vec(1usize..40, 1..60),
+        size in 0usize..200,
+    ) {
         let payload = vec![7; size];
         let mut stream = Vec::new();
         for id in 0..5 {
@@ -243,19 +249,23 @@
             encode(&Frame::Failed { id }, &mut stream);
         }
         let mut inbox = Inbox::default();
-        let (mut seen, mut at) = (0, 0);
-        for cut in cuts.iter().cycle() {
-            let end = (at + cut).min(stream.len());
+        let (mut received, mut at) = (0, 0);
+        for length in lengths.iter().cycle() {
+            let end = (at + length).min(stream.len());
             let fed = inbox.feed(&stream[at..end], |frame| {
-                let right = if seen % 2 == 0 { frame == submit(&payload) } else { frame == Frame::Failed { id: seen / 2 } };
-                assert!(right, "{frame:?}");
-                seen += 1;
+                let is_expected = if received % 2 == 0 {
+                    frame == submit(&payload)
+                } else {
+                    frame == Frame::Failed { id: received / 2 }
+                };
+                assert!(is_expected, "{frame:?}");
+                received += 1;
                 true
             });
             prop_assert_eq!(fed, Ok(()));
             at = end;
             if at == stream.len() { break; }
         }
-        prop_assert_eq!(seen, 10);
+        prop_assert_eq!(received, 10);
     }
 }
--- a/crates/flaxstand-proto/tests/recorded_frames.rs
+++ b/crates/flaxstand-proto/tests/recorded_frames.rs
@@ -1,4 +1,5 @@
-//! Frames as the first build of this version wrote them: the same bytes are written today, and read to the same frame.
+//! Wire compatibility with the first release of this protocol version: frames are encoded to the recorded
+//! bytes, and the recorded bytes decode to the same frames.
 
 use flaxstand_fixture::{Fixtures, hex, unhex};
 use flaxstand_proto::*;
@@ -59,7 +60,7 @@
     }
 }
 
-fn greetings() -> Vec<(&'static str, Frame<'static>)> {
+fn connection_frames() -> Vec<(&'static str, Frame<'static>)> {
     let hello = |role| Frame::Hello(Hello { role, versions: (1, 3), id: 4, epoch: 5, name: "checkout" });
     let bye = |close_reason| Frame::Bye { close_reason, wait: 250_000, text: "too many clients" };
     vec![
@@ -77,7 +78,7 @@
     ]
 }
 
-fn clients() -> Vec<(&'static str, Frame<'static>)> {
+fn client_frames() -> Vec<(&'static str, Frame<'static>)> {
     let refused = |refusal, scope| Frame::Refused { id: 1, wait: 250_000, refusal, scope };
     vec![
         ("submit", Frame::Submit(submit())),
@@ -106,7 +107,7 @@
     ]
 }
 
-fn nodes() -> Vec<(&'static str, Frame<'static>)> {
+fn node_frames() -> Vec<(&'static str, Frame<'static>)> {
     let done = |code| Frame::Done(Done { request: 1, attempt: 2, code, report: report(), payload: b"y" });
     vec![
         ("attempt", Frame::Attempt(attempt())),
@@ -124,13 +125,13 @@
     ]
 }
 
-fn lists() -> Vec<(&'static str, Frame<'static>)> {
-    let bare = Entry { age: None, service_time: None, size: 0, ..entry(State::Removed) };
+fn list_frames() -> Vec<(&'static str, Frame<'static>)> {
+    let without_options = Entry { age: None, service_time: None, size: 0, ..entry(State::Removed) };
     let list = |extent, entries| Frame::List(List { extent, since: 6, revision: 7, entries });
     vec![
         ("get list", Frame::GetList),
         ("watch", Frame::Watch),
-        ("list of changes", list(Extent::Changes, vec![entry(State::Draining), bare])),
+        ("list of changes", list(Extent::Changes, vec![entry(State::Draining), without_options])),
         ("full list", list(Extent::Full, vec![entry(State::Serving)])),
         ("list failed", Frame::ListFailed),
         ("agreement", Frame::Agreement { bytes: b"\x01\x02" }),
@@ -138,25 +139,25 @@
 }
 
 fn frames() -> Vec<(&'static str, Frame<'static>)> {
-    [greetings(), clients(), nodes(), lists()].concat()
+    [connection_frames(), client_frames(), node_frames(), list_frames()].concat()
 }
 
-/// Guards against a renamed or moved field that changes what goes over the wire.
+/// Guards against a renamed or moved field that changes the wire format.
 #[test]
-fn each_kind_of_frame_is_written_and_read_as_recorded() {
-    let mut written = String::new();
+fn every_frame_kind_is_encoded_and_decoded_as_recorded() {
+    let mut encoded = String::new();
     for (name, frame) in frames() {
         let mut bytes = Vec::new();
         encode(&frame, &mut bytes);
-        let _ = writeln!(written, "{name}: {}", hex(&bytes));
+        let _ = writeln!(encoded, "{name}: {}", hex(&bytes));
     }
     let fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
-    fixtures.assert_text("frames.txt", &written);
-    let recorded = String::from_utf8(fixtures.read("frames.txt")).expect("a text");
+    fixtures.assert_text("frames.txt", &encoded);
+    let recorded = String::from_utf8(fixtures.read("frames.txt")).expect("the fixture is UTF-8");
     for (line, (name, frame)) in recorded.lines().zip(frames()) {
         let (_, digits) =
-            line.split_once(": ").filter(|_| line.starts_with(name)).expect("a line for each frame");
-        let digits = digits.rsplit(": ").next().expect("the last part");
+            line.split_once(": ").filter(|_| line.starts_with(name)).expect("a fixture line for each frame");
+        let digits = digits.rsplit(": ").next().expect("hex digits after the name");
         let bytes = unhex(digits);
         assert_eq!(decode(&bytes), Ok(Some((frame, bytes.len()))), "{name}");
     }
--- a/crates/flaxstand-simulation/src/scale/collect.rs
+++ b/crates/flaxstand-simulation/src/scale/collect.rs
@@ -9,7 +9,7 @@
 use super::traffic::Traffic;
 use crate::process::{RehearsalError, io_error};
 use flaxstand_gateway::core::SavedList;
-use flaxstand_proto::MAX_ENTRIES;
+use flaxstand_proto::MAX_LIST_ENTRIES;
 use std::collections::BTreeSet;
 
 impl Running<'_> {
@@ -56,7 +56,7 @@
             let saved = SavedList::read(&saved).map_or(0, |list| list.entries.len());
             if saved + left_out < nodes {
                 reasons.insert(format!(
-                    "a saved list has {saved} of {nodes} entries (MAX_ENTRIES {MAX_ENTRIES}, flaxstand-proto/src/codec.rs)"
+                    "a saved list has {saved} of {nodes} entries (MAX_LIST_ENTRIES {MAX_LIST_ENTRIES}, flaxstand-proto/src/codec.rs)"
                 ));
             }
         }
--- a/crates/flaxstand-simulation/src/scale/node_list.rs
+++ b/crates/flaxstand-simulation/src/scale/node_list.rs
@@ -1,5 +1,5 @@
-//! A list service for scale runs: so many nodes, which change at a steady rate, told to however many watch. It keeps
-//! nothing about a watcher but a count of messages and bytes.
+//! A list service for scale runs: so many nodes, which change at a steady rate, told to however many watch.
+//! It keeps nothing about a watcher but a count of messages and bytes.
 //!
 //! | line of standard input | meaning |
 //! | --- | --- |
@@ -8,15 +8,15 @@
 //! | `away 0` or `1` | closes all connections and takes none |
 //! | `report` | prints `report` and a [`ListReport`] |
 //!
-//! A frame holds [`MAX_ENTRIES`] entries at most. A longer list is told as a full list of that many and changes that
-//! bring the rest, under revisions of their own.
+//! A frame holds [`MAX_LIST_ENTRIES`] entries at most. A longer list is told as a full list of that many and
+//! changes that bring the rest, under revisions of their own.
 
 use super::traffic::Traffic;
 use crate::rehearse::{StandIn, serve};
 use crate::shell::{Links, Peer};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Micros};
 use flaxstand_proto::{
-    Entry, Extent, Frame, Hello, List, MAX_ENTRIES, Role, State, VERSION, Welcome, encode,
+    Entry, Extent, Frame, Hello, List, MAX_LIST_ENTRIES, Role, State, VERSION, Welcome, encode,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -136,7 +136,7 @@
     }
 
     fn send_all(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
-        let pieces = self.nodes.len().div_ceil(MAX_ENTRIES).max(1);
+        let pieces = self.nodes.len().div_ceil(MAX_LIST_ENTRIES).max(1);
         let mut lengths = Vec::new();
         for piece in 0..pieces {
             let revision = self.revision - (pieces - 1 - piece) as u64;
@@ -144,7 +144,7 @@
                 0 => (Extent::Full, revision),
                 _ => (Extent::Changes, revision - 1),
             };
-            let numbers = piece * MAX_ENTRIES..((piece + 1) * MAX_ENTRIES).min(self.nodes.len());
+            let numbers = piece * MAX_LIST_ENTRIES..((piece + 1) * MAX_LIST_ENTRIES).min(self.nodes.len());
             let entries = numbers.map(|number| self.entry(number, now)).collect();
             let frame = Frame::List(List { extent, since, revision, entries });
             links.push(conn, &frame);
--- a/crates/flaxstand-simulation/src/scale/traffic.rs
+++ b/crates/flaxstand-simulation/src/scale/traffic.rs
@@ -1,6 +1,6 @@
 //! Counts of messages and bytes.
 
-use flaxstand_proto::codec::HEADER;
+use flaxstand_proto::codec::HEADER_BYTES;
 use serde::{Deserialize, Serialize};
 
 /// Messages and bytes of connections, both ways.
@@ -66,7 +66,7 @@
             bytes = &bytes[1..];
             if self.known == LENGTH {
                 self.known = 0;
-                self.rest = HEADER - LENGTH + u32::from_le_bytes(self.length) as usize;
+                self.rest = HEADER_BYTES - LENGTH + u32::from_le_bytes(self.length) as usize;
                 frames += 1;
             }
         }
--- a/crates/flaxstand-simulation/src/shell.rs
+++ b/crates/flaxstand-simulation/src/shell.rs
@@ -196,7 +196,7 @@
 
     fn written(&mut self, conn: ConnId, count: usize, _now: Micros) {
         if let Some((_, outbox)) = self.links.links.get_mut(&conn) {
-            outbox.wrote(count);
+            outbox.advance(count);
         }
     }
 
