--- a/crates/flaxstand-gateway/src/core/discovery/platform_listing.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_listing.rs
@@ -15,7 +15,7 @@
         read: &ParsedListing,
         context: &mut DiscoveryContext<'_>,
     ) -> Option<EndpointUpdate> {
-        for problem in &read.problems {
+        for problem in &read.invalid_entries {
             warn!(
                 entry = problem.index,
                 uid = problem.uid,
--- a/crates/flaxstand-http/src/response_reader.rs
+++ b/crates/flaxstand-http/src/response_reader.rs
@@ -25,7 +25,7 @@
     pending: Option<PendingResponse>,
     /// Length of the pending response's head. Kept after an error in its body.
     head_length: Option<usize>,
-    /// The first error; it ends reading.
+    /// The first error. No further responses are read after it.
     error: Option<MessageError>,
     examined: u64,
 }
--- a/crates/flaxstand-platform/examples/listing_costs.rs
+++ b/crates/flaxstand-platform/examples/listing_costs.rs
@@ -41,7 +41,7 @@
     };
     let by_entry = || {
         let read = parse_listing(text.as_bytes()).expect("valid list");
-        assert_eq!((read.listing.targets.len(), read.problem_count), (ENTRIES, 0));
+        assert_eq!((read.listing.targets.len(), read.invalid_count), (ENTRIES, 0));
     };
     let (at_once, by_entry) = (median(at_once), median(by_entry));
     let ratio = by_entry.as_secs_f64() / at_once.as_secs_f64();
@@ -53,7 +53,7 @@
     let text = list("lost");
     let invalid = median(|| {
         let read = parse_listing(text.as_bytes()).expect("list of invalid entries");
-        assert_eq!((read.invalid_uids.len(), read.problem_count), (ENTRIES, ENTRIES));
+        assert_eq!((read.invalid_uids.len(), read.invalid_count), (ENTRIES, ENTRIES));
     });
     println!("{ENTRIES} invalid entries: {invalid:?}");
 }
--- a/crates/flaxstand-platform/src/configuration.rs
+++ b/crates/flaxstand-platform/src/configuration.rs
@@ -43,8 +43,7 @@
 /// Errors of reading a configuration.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
-    /// The text is not valid JSON or does not match the schema. The message states the field and its
-    /// position.
+    /// The text is not valid JSON or does not match the schema. The message states the position.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     /// A resource limit is too low for an initiator to run.
--- a/crates/flaxstand-platform/src/discovery.rs
+++ b/crates/flaxstand-platform/src/discovery.rs
@@ -3,7 +3,9 @@
 mod listing;
 mod scanner;
 
-pub use listing::{EntryProblem, ListingError, ListingErrorKind, MAX_PROBLEMS, ParsedListing, parse_listing};
+pub use listing::{
+    InvalidEntry, ListingError, ListingErrorKind, MAX_REPORTED_ENTRIES, ParsedListing, parse_listing,
+};
 
 use serde::Deserialize;
 
--- a/crates/flaxstand-platform/src/discovery/listing.rs
+++ b/crates/flaxstand-platform/src/discovery/listing.rs
@@ -5,8 +5,8 @@
 use serde::de::{DeserializeOwned, IgnoredAny};
 use thiserror::Error;
 
-/// Maximum number of entries in [`ParsedListing::problems`].
-pub const MAX_PROBLEMS: usize = 16;
+/// Maximum number of entries in [`ParsedListing::invalid_entries`].
+pub const MAX_REPORTED_ENTRIES: usize = 16;
 /// Maximum length of an error message, bytes; longer ones are truncated.
 const MAX_CAUSE_BYTES: usize = 200;
 
@@ -27,17 +27,17 @@
     /// The `uid` values found in invalid entries, in order. A `uid` may occur repeatedly, and in `listing` as
     /// well.
     pub invalid_uids: Vec<String>,
-    /// The first invalid entries, at most [`MAX_PROBLEMS`].
-    pub problems: Vec<EntryProblem>,
+    /// The first invalid entries, at most [`MAX_REPORTED_ENTRIES`].
+    pub invalid_entries: Vec<InvalidEntry>,
     /// Total number of invalid entries.
-    pub problem_count: usize,
+    pub invalid_count: usize,
     /// Number of invalid entries without a recognizable `uid`; these may refer to any target.
     pub unnamed_count: usize,
 }
 
 /// An invalid entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EntryProblem {
+pub struct InvalidEntry {
     /// Index of the entry in the list, from 0.
     pub index: usize,
     /// The `uid` of the entry, if it is recognizable.
@@ -112,8 +112,8 @@
     Ok(ParsedListing {
         listing: Listing { revision, is_full, targets: entries.targets },
         invalid_uids: entries.invalid_uids,
-        problems: entries.problems,
-        problem_count: entries.problem_count,
+        invalid_entries: entries.invalid_entries,
+        invalid_count: entries.invalid_count,
         unnamed_count: entries.unnamed_count,
     })
 }
@@ -164,8 +164,8 @@
 struct Entries {
     targets: Vec<Target>,
     invalid_uids: Vec<String>,
-    problems: Vec<EntryProblem>,
-    problem_count: usize,
+    invalid_entries: Vec<InvalidEntry>,
+    invalid_count: usize,
     unnamed_count: usize,
 }
 
@@ -197,11 +197,11 @@
             return Err(scanner.error_at(entry.at, ListingErrorKind::AmbiguousEntry));
         }
         let uids = find_uids(entry.bytes);
-        if self.problems.len() < MAX_PROBLEMS {
-            let (uid, cause) = (uids.first().cloned(), problem_cause(entry.bytes));
-            self.problems.push(EntryProblem { index, uid, cause });
+        if self.invalid_entries.len() < MAX_REPORTED_ENTRIES {
+            let (uid, cause) = (uids.first().cloned(), invalid_entry_cause(entry.bytes));
+            self.invalid_entries.push(InvalidEntry { index, uid, cause });
         }
-        self.problem_count += 1;
+        self.invalid_count += 1;
         self.unnamed_count += usize::from(uids.is_empty());
         self.invalid_uids.extend(uids);
         Ok(())
@@ -209,7 +209,7 @@
 }
 
 /// Returns the error message for an invalid entry.
-fn problem_cause(entry: &[u8]) -> String {
+fn invalid_entry_cause(entry: &[u8]) -> String {
     // A derived deserializer would also accept an array of the fields' values.
     if entry.first() != Some(&b'{') {
         return "expected an object".to_owned();
--- a/crates/flaxstand-platform/src/lib.rs
+++ b/crates/flaxstand-platform/src/lib.rs
@@ -17,8 +17,8 @@
 
 pub use configuration::{Configuration, ConfigurationError, Limits};
 pub use discovery::{
-    EntryProblem, Listing, ListingError, ListingErrorKind, LongPoll, MAX_PROBLEMS, ParsedListing, Target,
-    TargetState, list_request_target, parse_listing,
+    InvalidEntry, Listing, ListingError, ListingErrorKind, LongPoll, MAX_REPORTED_ENTRIES, ParsedListing,
+    Target, TargetState, list_request_target, parse_listing,
 };
 pub use request::{BadRequest, ClientRequest, RequestLimits};
 pub use settings::{NOTIFIED_AFTER_MOVE_MS, NOTIFIED_WITHIN_MS, Params, ParamsError};
--- a/crates/flaxstand-platform/tests/discovery.rs
+++ b/crates/flaxstand-platform/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! Parsing of target lists: valid lists, lists with invalid entries, and randomly corrupted lists.
 
 use flaxstand_platform::{
-    Listing, ListingErrorKind, LongPoll, MAX_PROBLEMS, ParsedListing, Target, TargetState,
+    Listing, ListingErrorKind, LongPoll, MAX_REPORTED_ENTRIES, ParsedListing, Target, TargetState,
     list_request_target, parse_listing,
 };
 use proptest::prelude::*;
@@ -52,7 +52,7 @@
     for text in [LIST, &spaced, reordered, escaped] {
         let read = read(text);
         assert_eq!(read.listing, serde_json::from_str::<Listing>(text).unwrap());
-        assert!(read.invalid_uids.is_empty() && read.problems.is_empty() && read.problem_count == 0);
+        assert!(read.invalid_uids.is_empty() && read.invalid_entries.is_empty() && read.invalid_count == 0);
     }
 }
 
@@ -116,10 +116,14 @@
         let read = read(&list);
         assert_eq!((read.listing.revision, read.listing.is_full), (7, false));
         assert_eq!(uids(&read.listing.targets), ["a", "c"], "{entry}");
-        assert_eq!((read.problem_count, read.problems.len()), (1, 1), "{entry}");
-        assert_eq!((read.problems[0].index, read.problems[0].uid.as_deref()), (1, *uid), "{entry}");
+        assert_eq!((read.invalid_count, read.invalid_entries.len()), (1, 1), "{entry}");
+        assert_eq!(
+            (read.invalid_entries[0].index, read.invalid_entries[0].uid.as_deref()),
+            (1, *uid),
+            "{entry}"
+        );
         assert_eq!(read.unnamed_count, usize::from(uid.is_none()), "{entry}");
-        assert!(!read.problems[0].cause.is_empty());
+        assert!(!read.invalid_entries[0].cause.is_empty());
         assert_eq!(read.invalid_uids.iter().map(String::as_str).collect::<Vec<_>>(), Vec::from_iter(*uid));
     }
 }
@@ -136,14 +140,14 @@
 fn all_uids_of_an_entry_with_two_are_reported() {
     let read = read(&list_of(&[r#"{"uid":"a","uid":"b","state":"up"}"#]));
     assert_eq!(read.invalid_uids, ["a", "b"]);
-    assert_eq!(read.problems[0].uid.as_deref(), Some("a"));
+    assert_eq!(read.invalid_entries[0].uid.as_deref(), Some("a"));
 }
 
 #[test]
-fn reported_problems_are_limited_and_invalid_uids_are_not() {
+fn reported_entries_are_limited_and_invalid_uids_are_not() {
     let entries: Vec<String> = (0..3200).map(|n| format!(r#"{{"uid":"s-{n}","state":"lost"}}"#)).collect();
     let read = read(&list_of(&entries.iter().map(String::as_str).collect::<Vec<_>>()));
-    assert_eq!((read.problems.len(), read.problem_count), (MAX_PROBLEMS, 3200));
+    assert_eq!((read.invalid_entries.len(), read.invalid_count), (MAX_REPORTED_ENTRIES, 3200));
     assert_eq!((read.invalid_uids.len(), read.invalid_uids[3199].as_str()), (3200, "s-3199"));
 }
 
@@ -152,7 +156,7 @@
     for letter in ["x", "é"] {
         let state = letter.repeat(MEGABYTE);
         let read = read(&list_of(&[&format!(r#"{{"uid":"a","state":"{state}"}}"#)]));
-        assert!(read.problems[0].cause.len() < 300);
+        assert!(read.invalid_entries[0].cause.len() < 300);
         assert_eq!(read.invalid_uids, ["a"]);
     }
 }
@@ -252,7 +256,7 @@
 }
 
 #[test]
-fn a_megabyte_of_invalid_data_is_an_error_or_one_problem() {
+fn a_megabyte_of_invalid_data_is_rejected_or_one_invalid_entry() {
     let prefix = r#"{"rev":1,"all":true,"targets":["#;
     for piece in ["[", "{", "\"", "\\", "}", "]", ",", "0", " ", "\n", "\0", "{\"a\":", "[{", "\"uid\":", "é"]
     {
@@ -269,7 +273,7 @@
         let nested = open.repeat(half / open.len()) + &close.repeat(half / open.len());
         let text = list_of(&[&format!(r#"{{"uid":"a","state":"up","boot_ms":{nested}}}"#), &nested]);
         if let Ok(read) = parse_listing(text.as_bytes()) {
-            assert_eq!((read.listing.targets.len(), read.problem_count), (0, 2), "{open}");
+            assert_eq!((read.listing.targets.len(), read.invalid_count), (0, 2), "{open}");
             assert_eq!(read.invalid_uids, ["a"]);
         }
     }
@@ -378,11 +382,11 @@
         match parse_listing(&list) {
             Ok(read) => {
                 prop_assert!(is_subsequence(&others, &read.listing.targets));
-                prop_assert!(read.listing.targets.len() + read.problem_count >= entries.len());
-                prop_assert_eq!(read.problems.len(), read.problem_count.min(MAX_PROBLEMS));
+                prop_assert!(read.listing.targets.len() + read.invalid_count >= entries.len());
+                prop_assert_eq!(read.invalid_entries.len(), read.invalid_count.min(MAX_REPORTED_ENTRIES));
                 let is_valid = serde_json::from_slice::<Target>(&entry).is_ok();
-                prop_assert!(!is_valid || read.problem_count == 0);
-                prop_assert!(structure_affected || is_valid || read.problem_count == 1);
+                prop_assert!(!is_valid || read.invalid_count == 0);
+                prop_assert!(structure_affected || is_valid || read.invalid_count == 1);
             }
             // The end of the entry can then be ambiguous.
             Err(error) => prop_assert!(structure_affected, "{error}"),
@@ -411,7 +415,7 @@
             Ok(target) => prop_assert_eq!(&read.listing.targets[corrupted], &target),
             Err(_) => prop_assert_eq!(&read.invalid_uids, &[uid]),
         }
-        prop_assert_eq!(read.listing.targets.len() + read.problem_count, entries.len());
+        prop_assert_eq!(read.listing.targets.len() + read.invalid_count, entries.len());
     }
 
     #[test]
--- a/crates/flaxstand-proto/src/codec/bodies.rs
+++ b/crates/flaxstand-proto/src/codec/bodies.rs
@@ -5,8 +5,7 @@
 use super::fields::{Field, Reader, Writer};
 use crate::frame::{Attempt, Done, Entry, Frame, Hello, List, Report, Submit, Welcome};
 
-/// Maximum number of entries in a node list: the 25,000 nodes of `docs/CAPACITY.md` plus at least 20 %
-/// headroom.
+/// Maximum number of entries in a node list: 25,000 nodes (`docs/CAPACITY.md`) and at least 20 % headroom.
 pub const MAX_LIST_ENTRIES: usize = 32_768;
 /// First frame version whose list entries contain a size and a service time.
 const ENTRY_SIZE_SINCE_VERSION: u8 = 3;
