--- a/crates/flaxstand-gateway/src/core/agreement/peers.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/peers.rs
@@ -215,7 +215,7 @@
         now: Micros,
     ) {
         let bytes = match postcard::to_stdvec(message) {
-            Ok(bytes) if bytes.len() <= flaxstand_proto::MAX_BODY - MAX_FRAME_HEADER_BYTES => bytes,
+            Ok(bytes) if bytes.len() <= flaxstand_proto::MAX_BODY_BYTES - MAX_FRAME_HEADER_BYTES => bytes,
             _ => {
                 warn!(?to, "agreement message exceeds the frame limit; dropping it");
                 return;
--- a/crates/flaxstand-gateway/src/core/discovery/cache_codec.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/cache_codec.rs
@@ -13,7 +13,7 @@
 use crate::machine::Micros;
 use flaxstand::api::{NodeId, Readiness};
 use flaxstand_proto::{
-    BodyLimit, Entry, Extent, Frame, FrameError, List, MAX_ENTRIES, State, decode_within, encode,
+    BodyLimit, Entry, Extent, Frame, FrameError, List, MAX_LIST_ENTRIES, State, decode_within, encode,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
@@ -136,11 +136,11 @@
     pub(super) fn encode_full(&self) -> Vec<u8> {
         let is_listed = |(_, endpoint): &(NodeId, &Endpoint)| endpoint.readiness() != Readiness::Removed;
         let listed: Vec<(NodeId, &Endpoint)> = self.endpoints.iter().filter(is_listed).collect();
-        let last_chunk = listed.len().saturating_sub(1) / MAX_ENTRIES;
+        let last_chunk = listed.len().saturating_sub(1) / MAX_LIST_ENTRIES;
         let mut bytes = Vec::new();
         for chunk in 0..=last_chunk {
-            let from = chunk * MAX_ENTRIES;
-            let to = listed.len().min(from + MAX_ENTRIES);
+            let from = chunk * MAX_LIST_ENTRIES;
+            let to = listed.len().min(from + MAX_LIST_ENTRIES);
             let extent = if chunk == last_chunk { Extent::Full } else { Extent::Changes };
             self.encode_entries(extent, &listed[from..to], &mut bytes);
         }
@@ -152,7 +152,7 @@
         let in_table = |id: NodeId| self.endpoints.get(id).map(|endpoint| (id, endpoint));
         let changed: Vec<(NodeId, &Endpoint)> = nodes.into_iter().filter_map(in_table).collect();
         let mut bytes = Vec::new();
-        for chunk in changed.chunks(MAX_ENTRIES) {
+        for chunk in changed.chunks(MAX_LIST_ENTRIES) {
             self.encode_entries(Extent::Changes, chunk, &mut bytes);
         }
         bytes
--- a/crates/flaxstand-gateway/src/core/discovery/platform_listing.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_listing.rs
@@ -5,17 +5,17 @@
 use crate::core::endpoint_table::EndpointName;
 use crate::machine::Micros;
 use flaxstand::api::{ListScope, Readiness};
-use flaxstand_platform::{Listing, ReadListing, Target, TargetState};
+use flaxstand_platform::{Listing, ParsedListing, Target, TargetState};
 use tracing::{info, warn};
 
 impl EndpointDiscovery {
     /// Accepts the well-formed entries of a response. Returns the update to apply, if any.
     pub(in crate::core) fn accept_listing(
         &mut self,
-        read: &ReadListing,
+        read: &ParsedListing,
         context: &mut DiscoveryContext<'_>,
     ) -> Option<EndpointUpdate> {
-        for problem in &read.problems {
+        for problem in &read.invalid_entries {
             warn!(
                 entry = problem.index,
                 uid = problem.uid,
@@ -47,10 +47,10 @@
 
     /// Requests the full list after changes that contain malformed entries without a name: such an entry may
     /// concern any endpoint.
-    pub(in crate::core) fn reject_nameless_entries(&mut self, read: &ReadListing) {
-        if read.nameless_count > 0 && !read.listing.is_full {
+    pub(in crate::core) fn reject_nameless_entries(&mut self, read: &ParsedListing) {
+        if read.unnamed_count > 0 && !read.listing.is_full {
             warn!(
-                entries = read.nameless_count,
+                entries = read.unnamed_count,
                 "malformed endpoint list entries without a name; requesting the full list"
             );
             self.revision = None;
--- a/crates/flaxstand-gateway/src/core/pooled_attempts.rs
+++ b/crates/flaxstand-gateway/src/core/pooled_attempts.rs
@@ -11,7 +11,7 @@
 use crate::machine::{ConnId, Micros};
 use flaxstand::api::{NodeId, Outcome, Readiness, RequestId};
 use flaxstand_http::{Response, write_request};
-use flaxstand_platform::{HEALTH, field, outcome_of};
+use flaxstand_platform::{HEALTH_PATH, attempt_outcome, field};
 use std::fmt::Display;
 use tracing::{debug, info};
 
@@ -146,7 +146,8 @@
 
     fn write_probe(&mut self, conn: ConnId) {
         let host = self.host_of(conn);
-        self.connections.write(conn, |bytes| write_request(bytes, "GET", HEALTH, &[("Host", &host)], None));
+        self.connections
+            .write(conn, |bytes| write_request(bytes, "GET", HEALTH_PATH, &[("Host", &host)], None));
     }
 
     /// Returns the `Host` field for requests on a connection.
@@ -218,7 +219,7 @@
         } else {
             self.close(conn, "response does not keep the connection alive", now)
         }
-        match (exchange, outcome_of(response)) {
+        match (exchange, attempt_outcome(response)) {
             (PooledExchange::Attempt(attempt), Outcome::Served) => {
                 // Responses to platform clients do not contain the shard.
                 self.attempt_served(attempt, 0, &response.body, now);
