--- a/crates/flaxstand-audit/src/audit_rules.rs
+++ b/crates/flaxstand-audit/src/audit_rules.rs
@@ -1,4 +1,4 @@
-//! What the rules ask at a site. Durations are microseconds.
+//! Limits and guarantees that an audit checks for a site. Durations are in microseconds.
 
 /// Which nodes deduplicate requests with one idempotency key among themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,80 +16,80 @@
 pub enum Effect {
     /// A second execution is harmless.
     Idempotent,
-    /// Nodes of this scope drop a second request with the same key for so many microseconds.
+    /// Nodes of this scope drop a second request with the same key within this window, in microseconds.
     IdempotencyKey(DeduplicationScope, u64),
     /// Must never be executed twice.
     AtMostOnce,
 }
 
-/// What is asked of a class.
+/// Guarantees of a class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassRules {
     /// Whether its requests may be executed more than once.
     pub effect: Effect,
-    /// Requests of one key are executed one after the other.
+    /// Whether requests of one key are executed one after the other.
     pub in_order: bool,
-    /// Its writes may be acknowledged before they are on their nodes.
+    /// Whether its writes may be acknowledged before they are stored on their nodes.
     pub is_buffered: bool,
 }
 
-/// The limit of a plan's volumes over all initiators.
+/// Rate limit of each of a plan's volumes, over all initiators.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlanLimit {
-    /// Units a second; 0: no limit.
+    /// Units per second; 0: no limit.
     pub rate: f64,
-    /// Most units at once.
+    /// Largest burst, in units.
     pub burst: f64,
-    /// Units by which the limit may be passed.
+    /// Units by which the limit may be exceeded.
     pub slack: f64,
 }
 
-/// What a node that is warming up bears.
+/// Load that a node tolerates while it is warming up.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartRules {
-    /// It fails when it is sent more than this multiple of its present capacity
+    /// The node fails when it is sent more than this multiple of its current capacity within `window`.
     pub overload_multiple: f64,
-    /// within this window.
+    /// Length of the window in which the load is summed.
     pub window: u64,
-    /// Units within the window that it always bears.
+    /// Units within `window` that the node always tolerates.
     pub min_units: f64,
 }
 
-/// The budget of an initiator's retries.
+/// Retry budget of an initiator.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudgetRules {
-    /// Retries allowed however light the traffic.
+    /// Retries allowed regardless of the number of requests.
     pub floor: f64,
-    /// Retries allowed for each first attempt.
+    /// Retries allowed per first attempt.
     pub ratio: f64,
     /// Length of the window in which both are counted.
     pub window: u64,
 }
 
-/// What the rules ask at a site.
+/// Limits and guarantees of a site.
 #[derive(Clone, Debug)]
 pub struct AuditRules {
-    /// By class.
+    /// Guarantees, indexed by class.
     pub classes: Vec<ClassRules>,
-    /// By plan.
+    /// Rate limits, indexed by plan.
     pub limits: Vec<PlanLimit>,
-    /// Attempts of a request that may be in flight at once.
+    /// Attempts of one request that may be in flight at once.
     pub max_concurrent_attempts: usize,
-    /// So long after it was notified of a drain may an initiator send to the node.
+    /// How long an initiator may go on sending to a node after it was notified that the node is draining.
     pub drain_grace: u64,
-    /// What nodes that are warming up bear.
+    /// Load that nodes tolerate while they are warming up.
     pub slow_start: SlowStartRules,
-    /// Pause of an ordered key after an attempt that may still be executed.
+    /// Cooldown of an ordered key after an attempt that may still be executed.
     pub key_cooldown: u64,
-    /// The budget of retries, where there is one.
+    /// Retry budget, if there is one.
     pub retry_budget: Option<RetryBudgetRules>,
-    /// How long a frame may be under way, and a process wait for its turn: what was written so long before
-    /// a moment may arrive after it.
+    /// Longest time between the sending and the processing of a frame, scheduling delay of the receiver
+    /// included. A frame sent this long before an event may be processed after it.
     pub transit: u64,
 }
 
 impl AuditRules {
-    /// Rules of a class, by its index.
+    /// Guarantees of the class with this index.
     pub(crate) fn class(&self, class: u16) -> &ClassRules {
         &self.classes[usize::from(class)]
     }
--- a/crates/flaxstand-audit/src/checks.rs
+++ b/crates/flaxstand-audit/src/checks.rs
@@ -1,4 +1,5 @@
-//! One check for each rule. Each counts what it looked at, so that a verdict over nothing can be told from a verdict.
+//! One check for each rule. Each counts the cases it examined, so that a verdict without any case is
+//! recognisable.
 
 mod answers;
 mod data;
@@ -14,7 +15,7 @@
 use crate::ledger::AttemptLedger;
 use crate::verdict::Verdict;
 
-/// Checks every rule.
+/// Checks all rules and returns the breaches in time order.
 pub fn audit(ledger: &AttemptLedger, rules: &AuditRules) -> Verdict {
     let mut verdict = Verdict::default();
     answers::check_answers(ledger, rules, &mut verdict);
--- a/crates/flaxstand-audit/src/checks/answers.rs
+++ b/crates/flaxstand-audit/src/checks/answers.rs
@@ -1,4 +1,4 @@
-//! Each request gets one final answer before its client stops waiting, and no attempt of it is sent afterwards.
+//! Each request gets one final answer before its client's deadline, and no attempt of it is sent afterwards.
 
 use super::ms;
 use crate::audit_rules::AuditRules;
@@ -6,49 +6,60 @@
 use crate::record::Answer;
 use crate::verdict::{Rule, Verdict};
 
+/// Disconnects less than this long before or after the kill of their initiator are attributed to the kill.
+const KILL_WINDOW: u64 = 1_000_000;
+
 pub(super) fn check_answers(ledger: &AttemptLedger, rules: &AuditRules, verdict: &mut Verdict) {
-    verdict.checked(Rule::Answers, ledger.client_attempts.len());
-    for t in &ledger.client_attempts {
-        let breach =
-            |verdict: &mut Verdict, at, how: String| verdict.breach(Rule::Answers, at, Some(t.op), None, how);
-        if let [_, (at, again), ..] = t.answers[..] {
-            breach(verdict, at, format!("answered twice, now {again:?}"));
+    verdict.count_checked(Rule::Answers, ledger.client_attempts.len());
+    for attempt in &ledger.client_attempts {
+        let report = |verdict: &mut Verdict, at, description: String| {
+            verdict.report_breach(Rule::Answers, at, Some(attempt.op), None, description);
+        };
+        if let [_, (at, second), ..] = attempt.answers[..] {
+            report(verdict, at, format!("received a second final answer: {second:?}"));
         }
-        match t.answers.first() {
-            Some((at, answer)) if *at > t.until => {
-                breach(
-                    verdict,
-                    *at,
-                    format!("{answer:?} came {} after its client gave up", ms(at - t.until)),
-                );
+        match attempt.answers.first() {
+            Some((at, answer)) if *at > attempt.deadline => {
+                let delay = ms(at - attempt.deadline);
+                report(verdict, *at, format!("{answer:?} received {delay} after the client's deadline"));
             }
             Some(_) => {}
-            None => match ledger.lost.get(&t.key.0) {
-                Some((at, by_client)) if *at <= t.until => {
-                    // A killed initiator owes nothing; a running one does not hang up on what it took.
-                    let killed = |(k, i): &(u64, u32)| *i == t.initiator && k.abs_diff(*at) < 1_000_000;
-                    // What was under way when the connection ended was never taken.
-                    let accepted = t.at + rules.transit < *at;
-                    if accepted && !by_client && !ledger.kills.iter().any(killed) {
-                        breach(verdict, *at, "its initiator hung up on it".into());
+            None => match ledger.disconnects.get(&attempt.key.0) {
+                Some((at, by_client)) if *at <= attempt.deadline => {
+                    // A killed initiator cannot answer; a running one must not close a connection with
+                    // accepted requests.
+                    let is_kill = |(killed_at, initiator): &(u64, u32)| {
+                        *initiator == attempt.initiator && killed_at.abs_diff(*at) < KILL_WINDOW
+                    };
+                    // A request in transit when the connection closed was never accepted.
+                    let is_accepted = attempt.at + rules.transit < *at;
+                    if is_accepted && !by_client && !ledger.kills.iter().any(is_kill) {
+                        report(verdict, *at, "the initiator closed the connection without an answer".into());
                     }
                 }
-                _ => breach(verdict, t.until, "never answered".into()),
+                _ => report(verdict, attempt.deadline, "no final answer until the client's deadline".into()),
             },
         }
     }
     for request in ledger.requests.values() {
-        let Some((answered, answer)) = request.of.and_then(|t| ledger.client_attempts[t].answers.first())
-        else {
+        let client_attempt = request.client_attempt.map(|index| &ledger.client_attempts[index]);
+        let Some((answered_at, answer)) = client_attempt.and_then(|attempt| attempt.answers.first()) else {
             continue;
         };
         if rules.class(request.class).is_buffered && matches!(answer, Answer::Buffered | Answer::Failed) {
-            // A write-out, which the client's answer says nothing of.
+            // The attempts are write-outs, which go on independently of the client's answer.
             continue;
         }
-        for a in request.attempts.iter().filter(|a| a.at > answered + rules.transit) {
-            let how = format!("sent {} after its final answer", ms(a.at - answered));
-            verdict.breach(Rule::Answers, a.at, Some(request.op), Some(a.node), how);
+        for attempt in request.attempts.iter().filter(|attempt| attempt.at > answered_at + rules.transit) {
+            let delay = ms(attempt.at - answered_at);
+            let description = format!("attempt {} sent {delay} after the final answer", attempt.number);
+            verdict.report_breach(
+                Rule::Answers,
+                attempt.at,
+                Some(request.op),
+                Some(attempt.node),
+                description,
+            );
         }
     }
 }
--- a/crates/flaxstand-audit/src/checks/data.rs
+++ b/crates/flaxstand-audit/src/checks/data.rs
@@ -1,46 +1,60 @@
-//! Reads return what was written.
+//! Reads return the data that was written.
 
-use crate::ledger::AttemptLedger;
+use crate::ledger::{AttemptLedger, ExtentKey};
 use crate::record::Answer;
 use crate::verdict::{Rule, Verdict};
 use std::collections::BTreeMap;
 
-/// A read finds a write that had begun before its answer, and none that a later write, ended before the
-/// read began, had replaced.
+/// A read returns a write that was submitted before the read's answer, and that was not overwritten by a
+/// later write that had completed before the read was submitted.
 pub(super) fn check_data(ledger: &AttemptLedger, verdict: &mut Verdict) {
-    // By place: of each operation that writes there, when it began and when its client first had it served.
+    // For each operation that writes to an extent: when it was submitted and when it was first acknowledged.
     type Spans = BTreeMap<u64, (u64, Option<u64>)>;
-    let mut writes: BTreeMap<(u64, u64), Spans> = BTreeMap::new();
-    for t in ledger.client_attempts.iter().filter(|t| t.write) {
-        let served = t
+    let mut writes: BTreeMap<ExtentKey, Spans> = BTreeMap::new();
+    for attempt in ledger.client_attempts.iter().filter(|attempt| attempt.write) {
+        let acknowledged_at = attempt
             .answers
             .iter()
-            .find(|(_, a)| matches!(a, Answer::Served { .. } | Answer::Buffered))
+            .find(|(_, answer)| matches!(answer, Answer::Served { .. } | Answer::Buffered))
             .map(|(at, _)| *at);
-        let known = writes.entry(t.place).or_default().entry(t.op).or_insert((t.at, None));
-        known.1 = known.1.or(served);
+        let spans = writes.entry(attempt.extent).or_default();
+        let span = spans.entry(attempt.op).or_insert((attempt.at, None));
+        span.1 = span.1.or(acknowledged_at);
     }
-    for t in ledger.client_attempts.iter().filter(|t| !t.write) {
-        let Some((at, Answer::Served { found, .. })) = t.answers.first() else { continue };
-        verdict.checked(Rule::Data, 1);
-        let here = writes.get(&t.place);
-        let mut breach = |how: String| verdict.breach(Rule::Data, *at, Some(t.op), None, how);
-        let ended_before = |moment: u64| {
-            let ended = move |w: &(&u64, &(u64, Option<u64>))| w.1.1.is_some_and(|end| end < moment);
-            here.into_iter().flatten().filter(ended)
+    for read in ledger.client_attempts.iter().filter(|attempt| !attempt.write) {
+        let Some((at, Answer::Served { found, .. })) = read.answers.first() else { continue };
+        verdict.count_checked(Rule::Data, 1);
+        let spans = writes.get(&read.extent);
+        let mut report = |description: String| {
+            verdict.report_breach(Rule::Data, *at, Some(read.op), None, description);
+        };
+        let completed_before = |time: u64| {
+            let is_completed =
+                move |write: &(&u64, &(u64, Option<u64>))| write.1.1.is_some_and(|end| end < time);
+            spans.into_iter().flatten().filter(is_completed)
         };
         match found {
             None => {
-                if let Some((op, _)) = ended_before(t.at).next() {
-                    breach(format!("read nothing though operation {op} had written there"));
+                if let Some((op, _)) = completed_before(read.at).next() {
+                    report(format!(
+                        "read returned no data although the write of operation {op} had completed"
+                    ));
                 }
             }
-            Some(op) => match here.and_then(|w| w.get(op)) {
-                None => breach(format!("read what no one wrote there: operation {op}")),
-                Some((began, _)) if began > at => breach(format!("read operation {op} before it began")),
+            Some(op) => match spans.and_then(|spans| spans.get(op)) {
+                None => {
+                    report(format!("read returned data of operation {op}, which did not write this extent"))
+                }
+                Some((submitted_at, _)) if submitted_at > at => {
+                    report(format!("read returned data of operation {op} before that write was submitted"));
+                }
                 Some((_, Some(end))) => {
-                    if let Some((newer, _)) = ended_before(t.at).find(|(_, (began, _))| began > end) {
-                        breach(format!("read operation {op} though operation {newer} had replaced it"));
+                    let overwrites =
+                        |(_, (submitted_at, _)): &(&u64, &(u64, Option<u64>))| submitted_at > end;
+                    if let Some((newer, _)) = completed_before(read.at).find(overwrites) {
+                        report(format!(
+                            "read returned data of operation {op}, overwritten by operation {newer}"
+                        ));
                     }
                 }
                 Some((_, None)) => {}
--- a/crates/flaxstand-audit/src/checks/limits.rs
+++ b/crates/flaxstand-audit/src/checks/limits.rs
@@ -1,4 +1,4 @@
-//! A volume's units stay within the limit of its plan.
+//! A volume's units stay within the rate limit of its plan.
 
 use crate::audit_rules::{AuditRules, PlanLimit};
 use crate::ledger::AttemptLedger;
@@ -7,11 +7,13 @@
 
 pub(super) fn check_limits(ledger: &AttemptLedger, rules: &AuditRules, verdict: &mut Verdict) {
     let mut by_volume: BTreeMap<u64, Vec<(u64, u32, u16, u64)>> = BTreeMap::new();
-    for request in ledger.requests.values().filter(|r| rules.limits[usize::from(r.plan)].rate > 0.0) {
+    let limited = |plan: u16| rules.limits[usize::from(plan)].rate > 0.0;
+    for request in ledger.requests.values().filter(|request| limited(request.plan)) {
         let first = &request.attempts[0];
-        if first.no > 0 {
-            // Its units were taken when it was first sent, to a node that could not be called: no one but
-            // the initiator knows when. Left out, it can only make the store look fuller than it was.
+        if first.number > 0 {
+            // The units were withdrawn when the first attempt was sent to a node that could not be reached,
+            // at a time that only the initiator knows. Leaving them out can only overestimate the tokens in
+            // the bucket.
             continue;
         }
         by_volume.entry(request.volume).or_default().push((
@@ -23,16 +25,19 @@
     }
     for (volume, mut sends) in by_volume {
         sends.sort_unstable();
-        verdict.checked(Rule::Limits, sends.len());
+        verdict.count_checked(Rule::Limits, sends.len());
         let PlanLimit { rate, burst, slack } = rules.limits[usize::from(sends[0].2)];
-        let chance = rate * rules.transit as f64 / 1e6;
-        let (mut level, mut then) = (burst, sends[0].0);
+        let transit_units = rate * rules.transit as f64 / 1e6;
+        let (mut tokens, mut updated_at) = (burst, sends[0].0);
         for (at, units, _, op) in sends {
-            level = (level + rate * (at - then) as f64 / 1e6).min(burst) - f64::from(units);
-            then = at;
-            if level < -slack - chance {
-                let how = format!("volume {volume:x} is {:.1} units past its limit", -level);
-                verdict.breach(Rule::Limits, at, Some(op), None, how);
+            tokens = (tokens + rate * (at - updated_at) as f64 / 1e6).min(burst) - f64::from(units);
+            updated_at = at;
+            if tokens < -slack - transit_units {
+                let description = format!(
+                    "volume {volume:x} exceeds its rate limit by {:.1} units, {slack:.1} tolerated",
+                    -tokens
+                );
+                verdict.report_breach(Rule::Limits, at, Some(op), None, description);
                 break;
             }
         }
--- a/crates/flaxstand-audit/src/checks/order.rs
+++ b/crates/flaxstand-audit/src/checks/order.rs
@@ -7,53 +7,57 @@
 use std::collections::BTreeMap;
 
 pub(super) fn check_order(ledger: &AttemptLedger, rules: &AuditRules, verdict: &mut Verdict) {
-    let mut requests: BTreeMap<usize, &Request> = BTreeMap::new();
-    ledger.requests.values().filter_map(|r| r.of.map(|t| (t, r))).for_each(|(t, r)| {
-        requests.insert(t, r);
-    });
-    // Only on one connection is the order in which the initiator took them certain.
-    let mut lines: BTreeMap<(u64, u64), Vec<usize>> = BTreeMap::new();
-    for (i, t) in ledger.client_attempts.iter().enumerate().filter(|(_, t)| rules.class(t.class).in_order) {
-        lines.entry((t.key.0, t.place.1)).or_default().push(i);
+    let requests: BTreeMap<usize, &Request> = ledger
+        .requests
+        .values()
+        .filter_map(|request| request.client_attempt.map(|index| (index, request)))
+        .collect();
+    // The order in which the initiator accepted requests is known only for those of one connection.
+    let mut queues: BTreeMap<(u64, u64), Vec<usize>> = BTreeMap::new();
+    let in_order = |attempt: &ClientAttempt| rules.class(attempt.class).in_order;
+    for (index, attempt) in ledger.client_attempts.iter().enumerate().filter(|(_, attempt)| in_order(attempt))
+    {
+        queues.entry((attempt.key.0, attempt.extent.1)).or_default().push(index);
     }
-    for line in lines.values().filter(|l| l.len() > 1) {
-        verdict.checked(Rule::Order, line.len() - 1);
-        for (i, later) in line.iter().enumerate() {
-            let Some(first) = requests.get(later).and_then(|r| r.attempts.first()) else { continue };
-            for earlier in &line[..i] {
-                if let Some(how) =
-                    crossed(&ledger.client_attempts[*earlier], requests.get(earlier).copied(), first, rules)
-                {
-                    verdict.breach(
-                        Rule::Order,
-                        first.at,
-                        Some(ledger.client_attempts[*later].op),
-                        Some(first.node),
-                        how,
-                    );
+    for queue in queues.values().filter(|queue| queue.len() > 1) {
+        verdict.count_checked(Rule::Order, queue.len() - 1);
+        for (position, later) in queue.iter().enumerate() {
+            let first = requests.get(later).and_then(|request| request.attempts.first());
+            let Some(first) = first else { continue };
+            for earlier in &queue[..position] {
+                let request = requests.get(earlier).copied();
+                let violation = order_violation(&ledger.client_attempts[*earlier], request, first, rules);
+                if let Some(description) = violation {
+                    let op = Some(ledger.client_attempts[*later].op);
+                    verdict.report_breach(Rule::Order, first.at, op, Some(first.node), description);
                 }
             }
         }
     }
 }
 
-fn crossed(
+/// Why `later`, the first attempt of a later request, was sent too early after an earlier request of its key.
+fn order_violation(
     earlier: &ClientAttempt,
     request: Option<&Request>,
     later: &Attempt,
     rules: &AuditRules,
 ) -> Option<String> {
-    let by = later.at + rules.transit;
-    if earlier.answers.first().is_none_or(|(at, _)| *at > by) {
-        return Some(format!("sent before operation {} of its key was over", earlier.op));
+    let latest = later.at + rules.transit;
+    if earlier.answers.first().is_none_or(|(at, _)| *at > latest) {
+        return Some(format!("sent before operation {} of the same key was answered", earlier.op));
     }
-    let may_still_run = |a: &&Attempt| a.end.is_none_or(|(_, end)| end == End::Lost);
-    for a in request.into_iter().flat_map(|r| &r.attempts) {
-        if a.over.is_none_or(|over| over > by) {
-            return Some(format!("sent while attempt {} of operation {} was out", a.no, earlier.op));
+    let may_still_execute = |attempt: &Attempt| attempt.end.is_none_or(|(_, end)| end == End::Lost);
+    for attempt in request.into_iter().flat_map(|request| &request.attempts) {
+        if attempt.completed_at.is_none_or(|completed_at| completed_at > latest) {
+            return Some(format!(
+                "sent while attempt {} of operation {} was in flight",
+                attempt.number, earlier.op
+            ));
         }
-        if may_still_run(&a) && a.over.is_some_and(|over| by < over + rules.key_cooldown) {
-            return Some(format!("sent before the key had rested after operation {}", earlier.op));
+        let is_cooling_down = |completed_at| latest < completed_at + rules.key_cooldown;
+        if may_still_execute(attempt) && attempt.completed_at.is_some_and(is_cooling_down) {
+            return Some(format!("sent during the key's cooldown after operation {}", earlier.op));
         }
     }
     None
--- a/crates/flaxstand-audit/src/lib.rs
+++ b/crates/flaxstand-audit/src/lib.rs
@@ -1,8 +1,12 @@
-//! The seven rules, checked from records that clients, storage nodes and the list service wrote: what
-//! passed over their sockets, with times of one clock. The initiator has no part in it.
+//! Audit of the seven rules that an initiator must keep. The input is what clients, storage nodes and the
+//! list service recorded of the traffic on their sockets, with the times of one clock. Initiators record
+//! nothing.
 //!
-//! [`record`] is what they write, [`ledger`] puts it in order, [`audit_rules`] says what is asked, [`checks`] holds
-//! one check for each rule, [`verdict`] is what they find.
+//! - [`record`]: the recorded events and their file format
+//! - [`ledger`]: attempts and requests reconstructed from the records
+//! - [`audit_rules`]: the limits and guarantees that are configured for a site
+//! - [`checks`]: one check for each rule
+//! - [`verdict`]: the breaches found
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/flaxstand-audit/src/record.rs
+++ b/crates/flaxstand-audit/src/record.rs
@@ -1,4 +1,5 @@
-//! What each party saw. One JSON object a line; moments and durations are microseconds of one clock.
+//! Events recorded by clients, nodes and the list service, stored as one JSON object per line. Times and
+//! durations are in microseconds of one clock.
 
 use serde::{Deserialize, Serialize};
 use std::io::{self, BufRead};
@@ -8,72 +9,74 @@
 /// A final answer, as the client read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Done, by the node of this shard.
+    /// Executed by a node.
     Served {
-        /// The shard.
+        /// Shard of that node.
         shard: u32,
-        /// For a read: which operation's data it found; none: nothing was there.
+        /// For a read: the operation that wrote the returned data; none if there was no data.
         found: Option<u64>,
     },
-    /// Has not run.
+    /// Rejected without execution.
     Refused {
-        /// Advised wait.
+        /// Wait before a retry that the initiator advised.
         wait: u32,
     },
-    /// May have run.
+    /// Failed; it may have been executed.
     Failed,
-    /// Durable at the initiator; it will reach its node.
+    /// Durable at the initiator, which writes it to its node later.
     Buffered,
 }
 
-/// A client's mark in the order of its writes.
+/// An ordering request of a client for a volume's buffered writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Mark {
-    /// Nothing of the volume after it before all that is before it.
+    /// Later writes of the volume are stored only after all earlier ones.
     Barrier,
-    /// Answered when all that is before it is on its nodes.
+    /// Completes when all earlier writes of the volume are stored on their nodes.
     Flush,
 }
 
 /// How an attempt ended at its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// It ran, and the answer was written.
+    /// Executed; the answer was written.
     Served,
-    /// It may have run, and an error was written.
+    /// It may have been executed; an error was written.
     Error,
-    /// Turned away unseen, and that was written.
-    Full,
-    /// It ran, and its answer was lost.
+    /// Rejected before execution; the rejection was written.
+    #[serde(rename = "Full")]
+    Rejected,
+    /// Executed; the answer was lost.
     Lost,
 }
 
-/// A node's state, as an initiator was told.
+/// State of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListState {
-    /// Takes work.
+    /// Accepts requests.
     Serving,
-    /// Nothing new.
+    /// Must not be sent new requests.
     Draining,
-    /// Removed.
-    Gone,
+    /// Removed from the list.
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
-/// One thing that one party saw.
+/// An event that a client, a node or the list service recorded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "is")]
 pub enum Record {
     /// A client wrote a request.
     Submitted {
-        /// When.
+        /// Time of the event.
         at: u64,
-        /// Number of the client's connection; not used again.
+        /// Number of the client's connection; never reused.
         client: u64,
-        /// The client's number for this try.
+        /// The client's number for this attempt.
         id: u64,
-        /// What the client wants done: the same over its tries.
+        /// Identifies the operation; the same for all its attempts.
         op: u64,
-        /// To whom.
+        /// The initiator that it was sent to.
         initiator: u32,
         /// Index of the class.
         class: u16,
@@ -81,20 +84,20 @@
         plan: u16,
         /// The volume.
         volume: u64,
-        /// The item of data.
+        /// The extent.
         extent: u64,
-        /// Units.
+        /// Cost in units.
         units: u32,
-        /// It writes.
+        /// Whether it is a write.
         write: bool,
-        /// 0 for a first try.
+        /// Number of the attempt; 0 for the first.
         try_no: u8,
-        /// When the client gives this try up.
+        /// When the client stops waiting for this attempt.
         until: u64,
     },
     /// A client read a final answer.
     Answered {
-        /// When.
+        /// Time of the event.
         at: u64,
         /// As in `Submitted`.
         client: u64,
@@ -103,9 +106,9 @@
         /// The answer.
         answer: Answer,
     },
-    /// A client could not submit what it wanted done: its initiator was out of reach.
+    /// A client could not submit an operation because its initiator was unreachable.
     Unreachable {
-        /// When.
+        /// Time of the event.
         at: u64,
         /// As in `Submitted`.
         op: u64,
@@ -114,9 +117,9 @@
         /// As in `Submitted`.
         plan: u16,
     },
-    /// A client wrote a barrier or a flush of a volume.
+    /// A client submitted a barrier or a flush of a volume.
     Marked {
-        /// When.
+        /// Time of the event.
         at: u64,
         /// As in `Submitted`.
         client: u64,
@@ -124,23 +127,24 @@
         id: u64,
         /// As in `Submitted`.
         volume: u64,
-        /// Which.
+        /// Barrier or flush.
         mark: Mark,
     },
-    /// A client read that its barrier stands, or its flush is complete.
-    MarkStands {
-        /// When.
+    /// A client read that its barrier is in force, or its flush complete.
+    #[serde(rename = "MarkStands")]
+    MarkCompleted {
+        /// Time of the event.
         at: u64,
         /// As in `Submitted`.
         client: u64,
         /// As in `Submitted`.
         id: u64,
     },
-    /// A node stored what a write brought.
+    /// A node stored a write.
     Stored {
-        /// When.
+        /// Time of the event.
         at: u64,
-        /// Which node.
+        /// The node.
         node: u64,
         /// As in `Submitted`.
         op: u64,
@@ -150,58 +154,59 @@
         extent: u64,
     },
     /// A client's connection ended.
-    Lost {
-        /// When.
+    #[serde(rename = "Lost")]
+    ClientDisconnected {
+        /// Time of the event.
         at: u64,
         /// As in `Submitted`.
         client: u64,
-        /// The client closed it.
+        /// Whether the client closed it.
         by_client: bool,
     },
-    /// An initiator was killed, or told to stop.
+    /// An initiator was killed or asked to stop.
     Killed {
-        /// When.
+        /// Time of the event.
         at: u64,
-        /// Which.
+        /// The initiator.
         initiator: u32,
     },
     /// A node's process started.
     NodeUp {
-        /// When.
+        /// Time of the event.
         at: u64,
-        /// Which node.
+        /// The node.
         node: u64,
-        /// Which start of it.
+        /// Incarnation of the node.
         incarnation: u64,
         /// The shard that it holds.
         shard: u32,
         /// Its zone.
         zone: u32,
-        /// Work it does in a microsecond once warm, in microseconds of a core of speed 1.
+        /// Work done per microsecond once warm, in microseconds of a core of speed 1.
         power: f64,
-        /// Share of that at its start.
+        /// Share of `power` available at the start.
         #[serde(rename = "cold_from")]
         initial_capacity: f64,
-        /// When it is warm; 0: it is so from its start.
+        /// Time from the start until it is warm; 0: it is warm from the start.
         warm_after: u64,
     },
     /// An attempt reached a node.
     Arrived {
-        /// When.
+        /// Time of the event.
         at: u64,
-        /// Which node.
+        /// The node.
         node: u64,
-        /// Which start of it.
+        /// Incarnation of the node.
         incarnation: u64,
-        /// The connection; not used again by this node.
+        /// The connection; the node never reuses the number.
         conn: u64,
-        /// From whom.
+        /// The initiator that sent it.
         initiator: u32,
-        /// Which life of it.
+        /// Epoch of the initiator.
         epoch: u64,
         /// The initiator's number of the request.
         request: u64,
-        /// Which attempt.
+        /// Number of the attempt within the request.
         attempt: u32,
         /// As in `Submitted`.
         op: u64,
@@ -220,9 +225,9 @@
     },
     /// An attempt ended at a node.
     Ended {
-        /// When.
+        /// Time of the event.
         at: u64,
-        /// Which node.
+        /// The node.
         node: u64,
         /// As in `Arrived`.
         initiator: u32,
@@ -232,14 +237,14 @@
         request: u64,
         /// As in `Arrived`.
         attempt: u32,
-        /// How.
+        /// Outcome.
         end: End,
     },
-    /// A node read that nobody waits for an attempt any more.
+    /// A node read the cancellation of an attempt.
     Cancelled {
-        /// When.
+        /// Time of the event.
         at: u64,
-        /// Which node.
+        /// The node.
         node: u64,
         /// As in `Arrived`.
         initiator: u32,
@@ -251,128 +256,131 @@
         attempt: u32,
     },
     /// An initiator's connection to a node ended.
-    Hung {
-        /// When.
+    #[serde(rename = "Hung")]
+    NodeConnectionClosed {
+        /// Time of the event.
         at: u64,
-        /// Which node.
+        /// The node.
         node: u64,
         /// As in `Arrived`.
         conn: u64,
     },
     /// A node's process was killed.
     NodeDown {
-        /// When.
+        /// Time of the event.
         at: u64,
-        /// Which node.
+        /// The node.
         node: u64,
     },
-    /// A cold node fell over.
-    Fell {
-        /// When.
+    /// A node failed under overload while it was warming up.
+    #[serde(rename = "Fell")]
+    NodeOverloaded {
+        /// Time of the event.
         at: u64,
-        /// Which node.
+        /// The node.
         node: u64,
     },
-    /// The list service wrote word of a node to an initiator.
-    Told {
-        /// When.
+    /// The list service sent an initiator the state of a node.
+    #[serde(rename = "Told")]
+    Notified {
+        /// Time of the event.
         at: u64,
-        /// To whom.
+        /// The initiator.
         initiator: u32,
-        /// Which life of it.
+        /// Epoch of the initiator.
         epoch: u64,
-        /// Of which node.
+        /// The node.
         node: u64,
-        /// Which start of it.
+        /// Incarnation of the node.
         incarnation: u64,
-        /// Its state.
+        /// State of the node.
         state: ListState,
     },
 }
 
 impl Record {
-    /// When it was seen.
+    /// Time of the event.
     pub fn at(&self) -> u64 {
         match self {
             Record::Submitted { at, .. }
             | Record::Answered { at, .. }
             | Record::Unreachable { at, .. }
-            | Record::Lost { at, .. }
+            | Record::ClientDisconnected { at, .. }
             | Record::Marked { at, .. }
-            | Record::MarkStands { at, .. }
+            | Record::MarkCompleted { at, .. }
             | Record::Stored { at, .. }
             | Record::Killed { at, .. }
             | Record::NodeUp { at, .. }
             | Record::Arrived { at, .. }
             | Record::Ended { at, .. }
             | Record::Cancelled { at, .. }
-            | Record::Hung { at, .. }
+            | Record::NodeConnectionClosed { at, .. }
             | Record::NodeDown { at, .. }
-            | Record::Fell { at, .. }
-            | Record::Told { at, .. } => *at,
+            | Record::NodeOverloaded { at, .. }
+            | Record::Notified { at, .. } => *at,
         }
     }
 
-    /// Adds its line.
+    /// Appends the record as one line of JSON.
     pub fn write(&self, out: &mut Vec<u8>) {
-        serde_json::to_writer(&mut *out, self).expect("a record is plain data");
+        serde_json::to_writer(&mut *out, self).expect("records serialise to JSON without errors");
         out.push(b'\n');
     }
 }
 
-/// Why records can't be read.
+/// Records could not be read.
 #[derive(Debug, Error)]
 pub enum RecordError {
-    /// The system says so.
-    #[error("{path}: {cause}")]
+    /// A folder or file could not be read.
+    #[error("cannot read records from {path}: {cause}")]
     Io {
-        /// The file.
+        /// Path of the folder or file.
         path: String,
         /// The cause.
         cause: io::Error,
     },
-    /// A line is no record.
-    #[error("{path}:{line}: {cause}")]
+    /// A line is not a valid record.
+    #[error("{path}:{line}: invalid record: {cause}")]
     Line {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// From 1.
+        /// Number of the line, from 1.
         line: usize,
         /// The cause.
         cause: serde_json::Error,
     },
 }
 
-/// Every record in the `.jsonl` files of a folder, in the order of time. The last line of a file may have
-/// been cut short by its writer's end and is then left out.
+/// Reads all records in the `.jsonl` files of a folder, in time order. The last line of a file is left out if
+/// it is truncated, as when its writer was killed.
 ///
 /// # Errors
-/// A file can't be read, or a line before the last is no record.
+/// A file cannot be read, or a line before the last is not a valid record.
 pub fn read_folder(folder: &Path) -> Result<Vec<Record>, RecordError> {
-    let name = |p: &Path| p.display().to_string();
-    let io = |path: &Path| {
-        let path = name(path);
+    let display = |path: &Path| path.display().to_string();
+    let io_error = |path: &Path| {
+        let path = display(path);
         move |cause| RecordError::Io { path, cause }
     };
     let mut paths: Vec<_> = std::fs::read_dir(folder)
-        .map_err(io(folder))?
-        .filter_map(|e| e.ok().map(|e| e.path()))
-        .filter(|p| p.extension().is_some_and(|e| e == "jsonl"))
+        .map_err(io_error(folder))?
+        .filter_map(|entry| entry.ok().map(|entry| entry.path()))
+        .filter(|path| path.extension().is_some_and(|extension| extension == "jsonl"))
         .collect();
     paths.sort();
-    let mut all = Vec::new();
+    let mut records = Vec::new();
     for path in paths {
-        let file = std::fs::File::open(&path).map_err(io(&path))?;
+        let file = std::fs::File::open(&path).map_err(io_error(&path))?;
         let lines: Vec<String> =
-            io::BufReader::new(file).lines().collect::<Result<_, _>>().map_err(io(&path))?;
+            io::BufReader::new(file).lines().collect::<Result<_, _>>().map_err(io_error(&path))?;
         for (index, line) in lines.iter().enumerate() {
             match serde_json::from_str(line) {
-                Ok(record) => all.push(record),
+                Ok(record) => records.push(record),
                 Err(_) if index + 1 == lines.len() => {}
-                Err(cause) => return Err(RecordError::Line { path: name(&path), line: index + 1, cause }),
+                Err(cause) => return Err(RecordError::Line { path: display(&path), line: index + 1, cause }),
             }
         }
     }
-    all.sort_by_key(Record::at);
-    Ok(all)
+    records.sort_by_key(Record::at);
+    Ok(records)
 }
--- a/crates/flaxstand-audit/src/verdict.rs
+++ b/crates/flaxstand-audit/src/verdict.rs
@@ -1,42 +1,45 @@
-//! What an audit found.
+//! The result of an audit.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What is checked.
+/// A rule that is checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Rule {
-    /// 1: no request is lost.
+    /// 1: each request gets one final answer in time.
     Answers,
-    /// 2: no effect happens twice.
+    /// 2: no request is executed more often than its class allows.
     Effects,
-    /// 3: drains are kept.
+    /// 3: no attempt is sent to a node that is draining or removed.
     Drains,
-    /// 4: a cold target is not pushed over.
-    Cold,
-    /// 5: order is kept.
+    /// 4: a node that is warming up is not overloaded.
+    #[serde(rename = "Cold")]
+    SlowStart,
+    /// 5: requests of an ordered key are executed in the order of submission.
     Order,
-    /// 6: further attempts stay within a budget.
-    Budget,
-    /// 7: limits are kept.
+    /// 6: retries stay within the retry budget.
+    #[serde(rename = "Budget")]
+    RetryBudget,
+    /// 7: volumes stay within the rate limits of their plans.
     Limits,
-    /// Reads return what was written. No rule of its own, and no less binding.
+    /// Reads return the data that was written. It has no number among the rules but is checked as strictly.
     Data,
-    /// What was acknowledged as buffered reaches its node, in order about each barrier.
+    /// Acknowledged buffered writes reach their nodes, in order with respect to each barrier.
     #[serde(rename = "Promises")]
     Durability,
 }
 
+/// The texts are keys of [`Verdict::checked`] and part of stored reports.
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Rule::Answers => "1 no request lost",
             Rule::Effects => "2 no effect twice",
             Rule::Drains => "3 drains kept",
-            Rule::Cold => "4 cold nodes spared",
+            Rule::SlowStart => "4 cold nodes spared",
             Rule::Order => "5 order kept",
-            Rule::Budget => "6 budget of attempts",
+            Rule::RetryBudget => "6 budget of attempts",
             Rule::Limits => "7 limits kept",
             Rule::Data => "  data as written",
             Rule::Durability => "  promises of the buffer",
@@ -44,19 +47,20 @@
     }
 }
 
-/// A rule was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Breach {
-    /// Which.
+    /// The violated rule.
     pub rule: Rule,
-    /// When.
+    /// When it was violated, in microseconds.
     pub at: u64,
-    /// What the client wanted done, where one request is concerned.
+    /// The operation, if the breach concerns a single one.
     pub op: Option<u64>,
-    /// Which node, where one is concerned.
+    /// The node, if the breach concerns a single one.
     pub node: Option<u64>,
-    /// How.
-    pub how: String,
+    /// Description of the violation.
+    #[serde(rename = "how")]
+    pub description: String,
 }
 
 impl fmt::Display for Breach {
@@ -68,38 +72,41 @@
         if let Some(node) = self.node {
             write!(f, ", node {node}")?;
         }
-        write!(f, ": {}", self.how)
+        write!(f, ": {}", self.description)
     }
 }
 
-/// What an audit found.
+/// The result of an audit.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
-    /// How many things each rule was asked of.
+    /// Number of cases examined, by the rule's text.
     pub checked: BTreeMap<String, u64>,
-    /// Every breach.
+    /// All breaches in time order.
     pub breaches: Vec<Breach>,
 }
 
 impl Verdict {
-    /// No rule was broken.
-    pub fn kept(&self) -> bool {
+    /// Whether the audit found no breach.
+    pub fn passed(&self) -> bool {
         self.breaches.is_empty()
     }
 }
 
 impl Verdict {
-    pub(crate) fn checked(&mut self, rule: Rule, count: usize) {
+    /// Adds to the number of cases that were examined for a rule.
+    pub(crate) fn count_checked(&mut self, rule: Rule, count: usize) {
         *self.checked.entry(rule.to_string()).or_default() += count as u64;
     }
-    pub(crate) fn breach(
+
+    /// Adds a breach.
+    pub(crate) fn report_breach(
         &mut self,
         rule: Rule,
         at: u64,
         op: Option<u64>,
         node: Option<u64>,
-        how: impl Into<String>,
+        description: impl Into<String>,
     ) {
-        self.breaches.push(Breach { rule, at, op, node, how: how.into() });
+        self.breaches.push(Breach { rule, at, op, node, description: description.into() });
     }
 }
--- a/crates/flaxstand-audit/tests/breaches.rs
+++ b/crates/flaxstand-audit/tests/breaches.rs
@@ -1,5 +1,5 @@
-//! Every check can fail: a sound record passes, and each breach made on purpose is caught under its rule's name,
-//! with its operation, node and moment.
+//! Records without a violation pass the audit, and each violation of a rule is reported under that rule, with
+//! its operation and a description.
 
 use flaxstand_audit::{
     Answer, AttemptLedger, AuditRules, ClassRules, DeduplicationScope, Effect, End, ListState, Mark,
@@ -93,11 +93,11 @@
 }
 
 fn notified(at: u64, node: u64, state: ListState) -> Record {
-    Record::Told { at: at * MS, initiator: 0, epoch: 1, node, incarnation: 1, state }
+    Record::Notified { at: at * MS, initiator: 0, epoch: 1, node, incarnation: 1, state }
 }
 
-/// A request served at node 0 without incident.
-fn sound(at: u64, op: u64, class: u16) -> Vec<Record> {
+/// A request that node 0 serves without a violation.
+fn served_request(at: u64, op: u64, class: u16) -> Vec<Record> {
     vec![
         submitted(at, op, class, 0),
         arrived(at + 1, op, class, 0, 0),
@@ -114,71 +114,90 @@
 }
 
 #[track_caller]
-fn caught(records: Vec<Record>, rule: Rule, op: Option<u64>, word: &str) {
+fn assert_breach(records: Vec<Record>, rule: Rule, op: Option<u64>, text: &str) {
     let verdict = check(records);
-    let found =
-        verdict.breaches.iter().find(|b| b.rule == rule).unwrap_or_else(|| panic!("{word}: not caught"));
-    assert!(found.how.contains(word), "{found}");
+    let found = verdict
+        .breaches
+        .iter()
+        .find(|b| b.rule == rule)
+        .unwrap_or_else(|| panic!("no breach of {rule:?} with {text:?}: {:?}", verdict.breaches));
+    assert!(found.description.contains(text), "{found}");
     assert_eq!(found.op, op, "{found}");
     assert!(verdict.breaches.iter().all(|b| b.rule == rule), "{:?}", verdict.breaches);
 }
 
-fn kept(records: Vec<Record>) {
+fn assert_passes(records: Vec<Record>) {
     let verdict = check(records);
-    assert!(verdict.kept(), "{:?}", verdict.breaches);
+    assert!(verdict.passed(), "{:?}", verdict.breaches);
 }
 
 #[test]
-fn a_sound_record_passes_and_says_what_was_checked() {
-    let verdict = check([sound(0, 1, 0), sound(100, 2, 1), sound(200, 3, 1)].concat());
-    assert!(verdict.kept(), "{:?}", verdict.breaches);
+fn requests_without_a_violation_pass_and_checked_cases_are_counted() {
+    let verdict =
+        check([served_request(0, 1, 0), served_request(100, 2, 1), served_request(200, 3, 1)].concat());
+    assert!(verdict.passed(), "{:?}", verdict.breaches);
     assert_eq!(verdict.checked[&Rule::Answers.to_string()], 3);
     assert_eq!(verdict.checked[&Rule::Order.to_string()], 1);
-    assert!(!verdict.checked.contains_key(&Rule::Cold.to_string()), "nothing was cold");
+    assert!(!verdict.checked.contains_key(&Rule::SlowStart.to_string()), "no node was warming up");
 }
 
 #[test]
-fn a_second_missing_or_late_answer_is_found() {
-    caught([sound(0, 1, 0), vec![answered(40, 1, REFUSED)]].concat(), Rule::Answers, Some(1), "twice");
-    caught(vec![submitted(0, 1, 0, 0)], Rule::Answers, Some(1), "never answered");
-    caught(vec![submitted(0, 1, 0, 0), answered(1001, 1, REFUSED)], Rule::Answers, Some(1), "gave up");
-    kept(vec![submitted(0, 1, 0, 0), answered(999, 1, REFUSED)]);
+fn a_second_missing_or_late_answer_is_reported() {
+    assert_breach(
+        [served_request(0, 1, 0), vec![answered(40, 1, REFUSED)]].concat(),
+        Rule::Answers,
+        Some(1),
+        "second final answer",
+    );
+    assert_breach(vec![submitted(0, 1, 0, 0)], Rule::Answers, Some(1), "no final answer");
+    assert_breach(
+        vec![submitted(0, 1, 0, 0), answered(1001, 1, REFUSED)],
+        Rule::Answers,
+        Some(1),
+        "after the client's deadline",
+    );
+    assert_passes(vec![submitted(0, 1, 0, 0), answered(999, 1, REFUSED)]);
 }
 
 #[test]
-fn a_connection_closed_by_a_running_initiator_is_found() {
-    let lost = |by_client| Record::Lost { at: 500 * MS, client: 1, by_client };
-    caught(vec![submitted(0, 1, 0, 0), lost(false)], Rule::Answers, Some(1), "hung up");
-    kept(vec![submitted(0, 1, 0, 0), lost(true)]);
-    kept(vec![submitted(0, 1, 0, 0), Record::Killed { at: 499 * MS, initiator: 0 }, lost(false)]);
+fn a_connection_closed_by_a_running_initiator_is_reported() {
+    let lost = |by_client| Record::ClientDisconnected { at: 500 * MS, client: 1, by_client };
+    assert_breach(vec![submitted(0, 1, 0, 0), lost(false)], Rule::Answers, Some(1), "closed the connection");
+    assert_passes(vec![submitted(0, 1, 0, 0), lost(true)]);
+    assert_passes(vec![submitted(0, 1, 0, 0), Record::Killed { at: 499 * MS, initiator: 0 }, lost(false)]);
 }
 
 #[test]
-fn an_attempt_after_the_final_answer_is_found() {
+fn an_attempt_after_the_final_answer_is_reported() {
     let late = vec![arrived(60, 1, 0, 1, 0), ended(70, 1, 1, 0, End::Served)];
-    caught([sound(0, 1, 0), late].concat(), Rule::Answers, Some(1), "after its final answer");
+    assert_breach([served_request(0, 1, 0), late].concat(), Rule::Answers, Some(1), "after the final answer");
 }
 
 #[test]
-fn a_non_idempotent_request_retried_or_rejected_after_it_may_have_run_is_found() {
+fn a_non_idempotent_request_retried_or_rejected_after_it_may_have_executed_is_reported() {
     let first = vec![submitted(0, 1, 1, 0), arrived(1, 1, 1, 0, 0), ended(9, 1, 0, 0, End::Error)];
     let again = vec![arrived(30, 1, 1, 1, 0), ended(40, 1, 1, 0, End::Served), answered(41, 1, SERVED)];
-    caught([first.clone(), again].concat(), Rule::Effects, Some(1), "sent again though");
-    caught([first, vec![answered(30, 1, REFUSED)]].concat(), Rule::Effects, Some(1), "refused though");
-    let full = vec![submitted(0, 1, 1, 0), arrived(1, 1, 1, 0, 0), ended(2, 1, 0, 0, End::Full)];
-    kept([full, vec![answered(30, 1, REFUSED)]].concat());
+    assert_breach([first.clone(), again].concat(), Rule::Effects, Some(1), "retried although");
+    assert_breach(
+        [first, vec![answered(30, 1, REFUSED)]].concat(),
+        Rule::Effects,
+        Some(1),
+        "rejected although",
+    );
+    let rejected = vec![submitted(0, 1, 1, 0), arrived(1, 1, 1, 0, 0), ended(2, 1, 0, 0, End::Rejected)];
+    assert_passes([rejected, vec![answered(30, 1, REFUSED)]].concat());
 }
 
 #[test]
-fn a_retry_outside_its_deduplication_scope_or_window_is_found() {
+fn a_retry_outside_its_deduplication_scope_or_window_is_reported() {
     let first = vec![submitted(0, 1, 2, 0), arrived(1, 1, 2, 0, 0), ended(9, 1, 0, 0, End::Error)];
     let again = |at, node| {
         let end = ended(at + 9, 1, 1, node, End::Served);
         [first.clone(), vec![arrived(at, 1, 2, 1, node), end, answered(at + 9, 1, SERVED)]].concat()
     };
-    kept(again(50, 1));
-    caught(again(50, 2), Rule::Effects, Some(1), "outside the Zone");
-    let long = Record::Submitted {
+    assert_passes(again(50, 1));
+    assert_breach(again(50, 2), Rule::Effects, Some(1), "outside the deduplication scope Zone");
+    let with_long_timeout = Record::Submitted {
         at: 0,
         client: 1,
         id: 1,
@@ -194,14 +213,14 @@
         until: 5000 * MS,
     };
     let mut late = again(1100, 1);
-    late[0] = long;
-    caught(late, Rule::Effects, Some(1), "remembered for");
+    late[0] = with_long_timeout;
+    assert_breach(late, Rule::Effects, Some(1), "deduplication window");
     let refused = [first.clone(), vec![answered(30, 1, REFUSED)]].concat();
-    caught(refused, Rule::Effects, Some(1), "refused though");
+    assert_breach(refused, Rule::Effects, Some(1), "rejected although");
 }
 
 #[test]
-fn two_attempts_in_flight_at_once_are_found() {
+fn two_attempts_in_flight_at_once_are_reported() {
     let both = vec![
         submitted(0, 1, 0, 0),
         arrived(1, 1, 0, 0, 0),
@@ -210,13 +229,13 @@
         ended(50, 1, 1, 1, End::Served),
         answered(51, 1, SERVED),
     ];
-    caught(both.clone(), Rule::Effects, Some(1), "while attempt 0 was out");
-    // The first one's connection had ended: it is no longer out.
-    kept([both, vec![Record::Hung { at: 20 * MS, node: 0, conn: 1 }]].concat());
+    assert_breach(both.clone(), Rule::Effects, Some(1), "while attempt 0 was in flight");
+    // The connection of the first attempt had ended, so the attempt is no longer in flight.
+    assert_passes([both, vec![Record::NodeConnectionClosed { at: 20 * MS, node: 0, conn: 1 }]].concat());
 }
 
 #[test]
-fn a_third_attempt_in_flight_where_two_are_allowed_is_found() {
+fn a_third_attempt_in_flight_where_two_are_allowed_is_reported() {
     let audited = |attempts: u32| {
         let mut all = vec![up(0, 0, false), submitted(0, 1, 0, 0)];
         for no in 0..attempts {
@@ -230,28 +249,42 @@
             &AuditRules { max_concurrent_attempts: 2, retry_budget: None, ..rules() },
         )
     };
-    assert!(audited(2).kept(), "{:?}", audited(2).breaches);
+    assert!(audited(2).passed(), "{:?}", audited(2).breaches);
     let third = audited(3);
-    assert!(third.breaches.iter().all(|b| b.how.contains("attempt 2 sent while")), "{:?}", third.breaches);
+    assert!(
+        third.breaches.iter().all(|b| b.description.contains("attempt 2 sent while")),
+        "{:?}",
+        third.breaches
+    );
     assert_eq!(third.breaches.len(), 1, "{:?}", third.breaches);
 }
 
 #[test]
-fn a_send_after_the_grace_of_a_drain_is_found() {
+fn an_attempt_sent_after_the_drain_grace_period_is_reported() {
     let drain = vec![notified(0, 0, ListState::Serving), notified(100, 0, ListState::Draining)];
-    kept([drain.clone(), sound(300, 1, 0)].concat());
-    caught([drain.clone(), sound(400, 1, 0)].concat(), Rule::Drains, Some(1), "drains or is gone");
-    let back = vec![notified(390, 0, ListState::Serving)];
-    kept([drain, back, sound(400, 1, 0)].concat());
-    let gone = vec![notified(100, 0, ListState::Gone)];
-    caught([gone, sound(400, 1, 0)].concat(), Rule::Drains, Some(1), "drains or is gone");
+    assert_passes([drain.clone(), served_request(300, 1, 0)].concat());
+    assert_breach(
+        [drain.clone(), served_request(400, 1, 0)].concat(),
+        Rule::Drains,
+        Some(1),
+        "draining or removed",
+    );
+    let serving = vec![notified(390, 0, ListState::Serving)];
+    assert_passes([drain, serving, served_request(400, 1, 0)].concat());
+    let removed = vec![notified(100, 0, ListState::Removed)];
+    assert_breach(
+        [removed, served_request(400, 1, 0)].concat(),
+        Rule::Drains,
+        Some(1),
+        "draining or removed",
+    );
 }
 
 #[test]
-fn an_overloaded_node_that_is_warming_up_is_found() {
-    let cold = |count: u64, gap: u64, heard: bool| {
+fn an_overloaded_node_that_is_warming_up_is_reported() {
+    let warming_up = |count: u64, gap: u64, is_notified: bool| {
         let mut all = vec![up(9, 0, true)];
-        if heard {
+        if is_notified {
             all.push(notified(0, 9, ListState::Serving));
         }
         for op in 1..=count {
@@ -261,16 +294,21 @@
         }
         all
     };
-    // It bears a fifth of a second of work a second at first, 50 ms a request: four at 10%.
-    kept(cold(4, 200, true));
-    caught(cold(20, 50, true), Rule::Cold, None, "it bears");
-    kept(cold(20, 50, false));
-    caught(vec![Record::Fell { at: 5 * MS, node: 0 }], Rule::Cold, None, "fell over");
+    // At 10% capacity the node tolerates 200 ms of work per second at first: four requests of 50 ms.
+    assert_passes(warming_up(4, 200, true));
+    assert_breach(warming_up(20, 50, true), Rule::SlowStart, None, "allowed during warm-up");
+    assert_passes(warming_up(20, 50, false));
+    assert_breach(
+        vec![Record::NodeOverloaded { at: 5 * MS, node: 0 }],
+        Rule::SlowStart,
+        None,
+        "failed under overload",
+    );
 }
 
 #[test]
-fn reordered_requests_of_one_key_are_found() {
-    let crossed = vec![
+fn reordered_requests_of_one_key_are_reported() {
+    let reordered = vec![
         submitted(0, 1, 1, 0),
         submitted(5, 2, 1, 0),
         arrived(10, 2, 1, 0, 0),
@@ -280,9 +318,9 @@
         ended(40, 1, 0, 0, End::Served),
         answered(41, 1, SERVED),
     ];
-    caught(crossed, Rule::Order, Some(2), "before operation 1");
-    kept([sound(0, 1, 1), sound(30, 2, 1)].concat());
-    // The first one's answer was lost: after its time-out the key rests.
+    assert_breach(reordered, Rule::Order, Some(2), "before operation 1");
+    assert_passes([served_request(0, 1, 1), served_request(30, 2, 1)].concat());
+    // The answer of the first request was lost: the key's cooldown starts at its time-out.
     let lost = vec![
         submitted(0, 1, 1, 0),
         arrived(1, 1, 1, 0, 0),
@@ -290,32 +328,32 @@
         Record::Cancelled { at: 300 * MS, node: 0, initiator: 0, epoch: 1, request: 1, attempt: 0 },
         answered(300, 1, Answer::Failed),
     ];
-    caught([lost.clone(), sound(350, 2, 1)].concat(), Rule::Order, Some(2), "rested");
-    kept([lost, sound(450, 2, 1)].concat());
+    assert_breach([lost.clone(), served_request(350, 2, 1)].concat(), Rule::Order, Some(2), "cooldown");
+    assert_passes([lost, served_request(450, 2, 1)].concat());
 }
 
 #[test]
-fn retries_beyond_the_budget_are_found() {
-    let tried = |op: u64| {
+fn retries_beyond_the_budget_are_reported() {
+    let retried = |op: u64| {
         let at = op * 20;
         vec![
             submitted(at, op, 0, 0),
             arrived(at + 1, op, 0, 0, 0),
-            ended(at + 2, op, 0, 0, End::Full),
+            ended(at + 2, op, 0, 0, End::Rejected),
             arrived(at + 3, op, 0, 1, 0),
             ended(at + 5, op, 1, 0, End::Served),
             answered(at + 6, op, SERVED),
         ]
     };
-    kept([tried(1), tried(2)].concat());
-    caught((1..=4).flat_map(tried).collect(), Rule::Budget, Some(3), "further attempts");
+    assert_passes([retried(1), retried(2)].concat());
+    assert_breach((1..=4).flat_map(retried).collect(), Rule::RetryBudget, Some(3), "retries within");
 }
 
 #[test]
-fn a_plan_limit_that_is_passed_is_found() {
+fn an_exceeded_rate_limit_is_reported() {
     let limited = |count: u64, gap: u64| -> Vec<Record> {
         let one = |op: u64| {
-            sound(op * gap, op, 0).into_iter().map(|record| match record {
+            served_request(op * gap, op, 0).into_iter().map(|record| match record {
                 Record::Arrived {
                     at,
                     node,
@@ -353,54 +391,54 @@
         };
         (1..=count).flat_map(one).collect()
     };
-    kept(limited(5, 30));
-    kept(limited(20, 400));
-    caught(limited(8, 30), Rule::Limits, Some(6), "past its limit");
+    assert_passes(limited(5, 30));
+    assert_passes(limited(20, 400));
+    assert_breach(limited(8, 30), Rule::Limits, Some(6), "exceeds its rate limit");
 }
 
 #[test]
-fn a_read_of_data_that_no_one_wrote_or_that_was_replaced_is_found() {
+fn a_read_of_data_that_was_never_written_or_was_overwritten_is_reported() {
     let write = |at: u64, op: u64| {
-        let mut all = sound(at, op, 0);
+        let mut all = served_request(at, op, 0);
         if let Record::Submitted { write, .. } = &mut all[0] {
             *write = true;
         }
         all
     };
     let read = |at: u64, op: u64, found: Option<u64>| {
-        let mut all = sound(at, op, 0);
+        let mut all = served_request(at, op, 0);
         all[3] = answered(at + 21, op, Answer::Served { shard: 0, found });
         all
     };
     let writes = [write(0, 1), write(100, 2)].concat();
-    kept([writes.clone(), read(200, 3, Some(2))].concat());
-    caught([writes.clone(), read(200, 3, Some(1))].concat(), Rule::Data, Some(3), "had replaced it");
-    caught([writes.clone(), read(200, 3, None)].concat(), Rule::Data, Some(3), "read nothing");
-    caught([writes.clone(), read(200, 3, Some(77))].concat(), Rule::Data, Some(3), "no one wrote");
-    kept([writes, read(90, 3, Some(1))].concat());
+    assert_passes([writes.clone(), read(200, 3, Some(2))].concat());
+    assert_breach([writes.clone(), read(200, 3, Some(1))].concat(), Rule::Data, Some(3), "overwritten by");
+    assert_breach([writes.clone(), read(200, 3, None)].concat(), Rule::Data, Some(3), "returned no data");
+    assert_breach([writes.clone(), read(200, 3, Some(77))].concat(), Rule::Data, Some(3), "did not write");
+    assert_passes([writes, read(90, 3, Some(1))].concat());
 }
 
 #[test]
-fn a_record_cut_short_loses_its_last_line_only() {
+fn a_truncated_last_line_is_ignored_and_an_invalid_earlier_line_is_an_error() {
     let folder = std::env::temp_dir().join(format!("flaxstand-audit-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let mut bytes = Vec::new();
-    sound(0, 1, 0).iter().for_each(|r| r.write(&mut bytes));
-    std::fs::write(folder.join("cut.jsonl"), &bytes[..bytes.len() - 5]).unwrap();
-    assert_eq!(flaxstand_audit::read_folder(&folder).unwrap(), sound(0, 1, 0)[..3]);
-    let mut middle = bytes.clone();
-    middle[3] = b'#';
-    std::fs::write(folder.join("cut.jsonl"), &middle).unwrap();
+    served_request(0, 1, 0).iter().for_each(|r| r.write(&mut bytes));
+    std::fs::write(folder.join("truncated.jsonl"), &bytes[..bytes.len() - 5]).unwrap();
+    assert_eq!(flaxstand_audit::read_folder(&folder).unwrap(), served_request(0, 1, 0)[..3]);
+    let mut invalid = bytes.clone();
+    invalid[3] = b'#';
+    std::fs::write(folder.join("truncated.jsonl"), &invalid).unwrap();
     let error = flaxstand_audit::read_folder(&folder).unwrap_err().to_string();
-    assert!(error.contains("cut.jsonl:1:"), "{error}");
+    assert!(error.contains("truncated.jsonl:1:"), "{error}");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A write of the buffered class, acknowledged as such.
+/// A write of the buffered class, acknowledged while buffered.
 fn buffered(at: u64, op: u64, extent: u64) -> Vec<Record> {
     let mut submitted = submitted(at, op, 4, 0);
-    if let Record::Submitted { extent: place, write, .. } = &mut submitted {
-        (*place, *write) = (extent, true);
+    if let Record::Submitted { extent: submitted_extent, write, .. } = &mut submitted {
+        (*submitted_extent, *write) = (extent, true);
     }
     vec![submitted, answered(at + 2, op, Answer::Buffered)]
 }
@@ -409,40 +447,42 @@
     Record::Stored { at: at * MS, node: 0, op, volume: 7, extent }
 }
 
-fn mark(at: u64, mark: Mark, stands_at: u64) -> Vec<Record> {
+fn mark(at: u64, mark: Mark, completed_at: u64) -> Vec<Record> {
     let (client, id, volume) = (1, 1000 + at, 7);
-    let stands = Record::MarkStands { at: stands_at * MS, client, id };
-    vec![Record::Marked { at: at * MS, client, id, volume, mark }, stands]
+    let completed = Record::MarkCompleted { at: completed_at * MS, client, id };
+    vec![Record::Marked { at: at * MS, client, id, volume, mark }, completed]
 }
 
 #[test]
-fn an_acknowledged_write_lost_or_reverted_is_found() {
+fn an_acknowledged_write_that_is_lost_or_reverted_is_reported() {
     let two = || [buffered(0, 1, 70), buffered(10, 2, 70)].concat();
-    kept([two(), vec![stored(20, 1, 70), stored(30, 2, 70)]].concat());
-    // The second took the first's place before it went out.
-    kept([two(), vec![stored(30, 2, 70)]].concat());
-    caught(two(), Rule::Durability, Some(2), "does not hold it");
-    caught([two(), vec![stored(20, 1, 70)]].concat(), Rule::Durability, Some(2), "does not hold it");
-    let back = [two(), vec![stored(20, 2, 70), stored(30, 1, 70), stored(40, 2, 70)]].concat();
-    caught(back, Rule::Durability, Some(1), "which is newer");
-    let strange = [two(), vec![stored(20, 2, 70), stored(30, 9, 70)]].concat();
-    caught(strange, Rule::Durability, Some(9), "no one wrote");
+    assert_passes([two(), vec![stored(20, 1, 70), stored(30, 2, 70)]].concat());
+    // The second write replaced the first before the first was written out.
+    assert_passes([two(), vec![stored(30, 2, 70)]].concat());
+    assert_breach(two(), Rule::Durability, Some(2), "does not hold it");
+    assert_breach([two(), vec![stored(20, 1, 70)]].concat(), Rule::Durability, Some(2), "does not hold it");
+    let reverted = [two(), vec![stored(20, 2, 70), stored(30, 1, 70), stored(40, 2, 70)]].concat();
+    assert_breach(reverted, Rule::Durability, Some(1), "newer operation");
+    let never_submitted = [two(), vec![stored(20, 2, 70), stored(30, 9, 70)]].concat();
+    assert_breach(never_submitted, Rule::Durability, Some(9), "no client submitted");
 }
 
 #[test]
-fn a_write_past_a_barrier_and_a_flush_answered_too_early_are_found() {
+fn a_write_stored_ahead_of_a_barrier_and_a_flush_completed_too_early_are_reported() {
     let all = |mark: Vec<Record>| [buffered(0, 1, 70), mark, buffered(20, 2, 71)].concat();
     let barrier = || all(mark(10, Mark::Barrier, 12));
-    kept([barrier(), vec![stored(30, 1, 70), stored(40, 2, 71)]].concat());
-    let passed = [barrier(), vec![stored(30, 2, 71), stored(40, 1, 70)]].concat();
-    caught(passed, Rule::Durability, Some(2), "before a barrier");
-    // Without a barrier any of the two may come first.
-    kept([buffered(0, 1, 70), buffered(20, 2, 71), vec![stored(30, 2, 71), stored(40, 1, 70)]].concat());
+    assert_passes([barrier(), vec![stored(30, 1, 70), stored(40, 2, 71)]].concat());
+    let reordered = [barrier(), vec![stored(30, 2, 71), stored(40, 1, 70)]].concat();
+    assert_breach(reordered, Rule::Durability, Some(2), "precedes a barrier");
+    // Without a barrier the two may be stored in any order.
+    assert_passes(
+        [buffered(0, 1, 70), buffered(20, 2, 71), vec![stored(30, 2, 71), stored(40, 1, 70)]].concat(),
+    );
     let flush = || all(mark(10, Mark::Flush, 35));
-    kept([flush(), vec![stored(30, 1, 70), stored(40, 2, 71)]].concat());
+    assert_passes([flush(), vec![stored(30, 1, 70), stored(40, 2, 71)]].concat());
     let early = [flush(), vec![stored(36, 1, 70), stored(40, 2, 71)]].concat();
-    caught(early, Rule::Durability, Some(1), "flush was answered");
-    let unmade = vec![Record::MarkStands { at: MS, client: 1, id: 5 }];
-    let unmade = [unmade, buffered(0, 1, 70), vec![stored(5, 1, 70)]].concat();
-    caught(unmade, Rule::Durability, None, "no one made");
+    assert_breach(early, Rule::Durability, Some(1), "flush completed before");
+    let completed = vec![Record::MarkCompleted { at: MS, client: 1, id: 5 }];
+    let never_submitted = [completed, buffered(0, 1, 70), vec![stored(5, 1, 70)]].concat();
+    assert_breach(never_submitted, Rule::Durability, None, "no client submitted");
 }
--- a/crates/flaxstand-simulation/src/html.rs
+++ b/crates/flaxstand-simulation/src/html.rs
@@ -150,7 +150,7 @@
     let width = axis.seconds / BINS as f64;
     for a in ledger.requests.values().flat_map(|r| &r.attempts) {
         let Some(life) = ledger.processes.get(&(a.node, a.incarnation)) else { continue };
-        let until = a.end.map(|(at, _)| at).or(a.over).unwrap_or(a.at);
+        let until = a.end.map(|(at, _)| at).or(a.completed_at).unwrap_or(a.at);
         let second = |at: u64| at.saturating_sub(axis.start) as f64 / 1e6;
         let (from, to) = (second(a.at), second(until));
         for (bin, place) in load[life.shard as usize % shards].iter_mut().enumerate().skip(axis.bin(a.at)) {
--- a/crates/flaxstand-simulation/src/list.rs
+++ b/crates/flaxstand-simulation/src/list.rs
@@ -152,10 +152,10 @@
     let state = match state {
         State::Serving => ListState::Serving,
         State::Draining => ListState::Draining,
-        State::Removed => ListState::Gone,
+        State::Removed => ListState::Removed,
     };
     let (initiator, epoch) = (watcher.initiator, watcher.epoch);
-    links.record(&Record::Told { at: now.0, initiator, epoch, node, incarnation, state });
+    links.record(&Record::Notified { at: now.0, initiator, epoch, node, incarnation, state });
 }
 
 impl Peer for ListService {
--- a/crates/flaxstand-simulation/src/load.rs
+++ b/crates/flaxstand-simulation/src/load.rs
@@ -457,7 +457,7 @@
             Frame::Buffered { id } => self.answered(links, conn, id, Answer::Buffered, now),
             Frame::Barred { id } | Frame::Flushed { id } => {
                 if let Some(client) = self.by_conn.get(&conn).map(|at| self.clients[*at].number) {
-                    links.record(&Record::MarkStands { at: now.0, client, id });
+                    links.record(&Record::MarkCompleted { at: now.0, client, id });
                 }
             }
             Frame::Bye { wait, .. } if wait > 0 => {
@@ -476,7 +476,7 @@
         let number = std::mem::take(&mut client.number);
         let owed = std::mem::take(&mut client.owed);
         if number > 0 {
-            links.record(&Record::Lost { at: now.0, client: number, by_client: false });
+            links.record(&Record::ClientDisconnected { at: now.0, client: number, by_client: false });
         }
         for (id, operation) in owed {
             self.due.remove(&operation.given_up(at, id));
@@ -524,7 +524,7 @@
                     for conn in links.all() {
                         if let Some(at) = self.by_conn.remove(&conn) {
                             let client = self.clients[at].number;
-                            links.record(&Record::Lost { at: now.0, client, by_client: true });
+                            links.record(&Record::ClientDisconnected { at: now.0, client, by_client: true });
                         }
                         links.close(conn);
                     }
--- a/crates/flaxstand-simulation/src/node.rs
+++ b/crates/flaxstand-simulation/src/node.rs
@@ -250,7 +250,7 @@
             self.answer(links, id, Code::Served, now);
         }
         if self.model.fell() && !std::mem::replace(&mut self.fell, true) {
-            links.record(&Record::Fell { at: now.0, node: self.id.node });
+            links.record(&Record::NodeOverloaded { at: now.0, node: self.id.node });
         }
     }
 
@@ -258,7 +258,7 @@
         let Some(work) = self.work.remove(&id) else { return };
         let lost = self.faults.hang || random(&mut self.rng) < self.faults.drop;
         let end = match code {
-            Code::Rejected => End::Full,
+            Code::Rejected => End::Rejected,
             _ if lost => End::Lost,
             Code::Served => End::Served,
             Code::Error => End::Error,
@@ -409,7 +409,7 @@
     fn gone(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
         if self.callers.remove(&conn).is_some() {
             let conn = conn.0 | self.id.incarnation << 32;
-            links.record(&Record::Hung { at: now.0, node: self.id.node, conn });
+            links.record(&Record::NodeConnectionClosed { at: now.0, node: self.id.node, conn });
         }
     }
 
--- a/crates/flaxstand-simulation/src/report.rs
+++ b/crates/flaxstand-simulation/src/report.rs
@@ -162,7 +162,7 @@
 impl Report {
     /// Every rule was kept, and what initiators agreed on was as promised.
     pub fn kept(&self) -> bool {
-        self.audit.kept() && self.agreement.as_ref().is_none_or(Agreed::kept)
+        self.audit.passed() && self.agreement.as_ref().is_none_or(Agreed::kept)
     }
 
     /// For people.
--- a/crates/flaxstand-simulation/tests/world.rs
+++ b/crates/flaxstand-simulation/tests/world.rs
@@ -19,7 +19,7 @@
 }
 
 fn kept(played: &Played) {
-    assert!(played.report.audit.kept(), "{}", played.report.text());
+    assert!(played.report.audit.passed(), "{}", played.report.text());
     assert!(played.counts.iter().all(|c| c.overdue == 0));
 }
 
