--- a/crates/flaxstand-client/examples/checkout.rs
+++ b/crates/flaxstand-client/examples/checkout.rs
@@ -1,6 +1,6 @@
-//! Books seats through an initiator:
+//! Writes three seat bookings through an initiator:
 //! `cargo run -p flaxstand-client --example checkout -- unix:/run/flaxstand.sock`.
-//! Without an address it shows how requests are abandoned when the initiator cannot be reached.
+//! Without an address it shows how requests are abandoned when the initiator is unreachable.
 
 use flaxstand_client::{Address, Answer, BlockingClient, Config, Micros, Request, RetrySafety};
 
@@ -16,7 +16,7 @@
     let config = Config { name: "checkout".into(), seed, ..Config::default() };
     let mut client = BlockingClient::new(address, config);
     for seat in 1..=3 {
-        let order = Request {
+        let booking = Request {
             operation: seed << 32 | seat,
             class: 0,
             plan: 0,
@@ -31,9 +31,9 @@
             retry_safety: RetrySafety::Idempotent,
             timeout: Micros(400_000),
         };
-        match client.send(order) {
-            Ok(Answer::Served { shard, .. }) => println!("seat {seat}: booked, shard {shard} has it"),
-            Ok(Answer::Buffered) => println!("seat {seat}: booked, it survives a crash"),
+        match client.send(booking) {
+            Ok(Answer::Served { shard, .. }) => println!("seat {seat}: booked, stored on shard {shard}"),
+            Ok(Answer::Buffered) => println!("seat {seat}: booked, durable at the initiator"),
             Err(abandoned) => println!("seat {seat}: {abandoned}"),
         }
     }
--- a/crates/flaxstand-client/src/answer.rs
+++ b/crates/flaxstand-client/src/answer.rs
@@ -1,4 +1,4 @@
-//! Final answers: how a request ended.
+//! Final answers to requests.
 
 use crate::request::RequestId;
 use flaxstand_proto::Refusal;
@@ -11,7 +11,7 @@
     Served {
         /// Shard of that node.
         shard: u32,
-        /// Data read; the parts of a streamed answer are concatenated.
+        /// Data that was read; the parts of a streamed answer are concatenated.
         payload: Vec<u8>,
     },
     /// The write is durable at the initiator.
@@ -21,37 +21,37 @@
 /// Why a request was abandoned.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum AbandonReason {
-    /// Its timeout is over, or leaves no time for a further attempt.
-    #[error("its time is up")]
+    /// Its timeout has expired, or leaves no time for another attempt.
+    #[error("deadline exceeded")]
     DeadlineExceeded,
-    /// It may have been executed, and a retry is not, or no longer, safe.
-    #[error("it may have run and must not be tried again")]
+    /// An attempt may have been executed, and a retry is not safe or no longer safe.
+    #[error("an attempt may have been executed and a retry is not safe")]
     RetryUnsafe,
     /// The client's retry budget is exhausted.
-    #[error("the retry budget is used up")]
+    #[error("retry budget exhausted")]
     RetryBudgetExhausted,
-    /// [`crate::Config::max_requests_in_progress`] are in progress.
-    #[error("too many calls are under way")]
+    /// The limit [`crate::Config::max_requests_in_progress`] is reached.
+    #[error("too many requests in progress")]
     TooManyRequests,
-    /// The initiator cannot process the request, or speaks another version of the protocol.
-    #[error("the initiator does not take it")]
+    /// The initiator cannot process the request, or does not support the client's protocol version.
+    #[error("rejected by the initiator as a protocol error")]
     Protocol,
 }
 
 /// A request that was abandoned.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error(
-    "given up after {attempts} tries: {reason}{}",
-    if *.may_have_executed { "; it may have run" } else { "; it has not run" }
+    "request abandoned after {attempts} attempts: {reason}; {}",
+    if *.may_have_executed { "it may have been executed" } else { "it was not executed" }
 )]
 pub struct AbandonedRequest {
     /// Why it was abandoned.
     pub reason: AbandonReason,
-    /// Attempts that were sent.
+    /// Number of attempts sent.
     pub attempts: u32,
-    /// An attempt may have been executed, or may still be.
+    /// Whether an attempt may have been executed, or may still be.
     pub may_have_executed: bool,
-    /// Cause of the latest refusal, unless a later attempt failed.
+    /// Reason of the last refusal, unless a later attempt failed.
     pub last_refusal: Option<Refusal>,
 }
 
--- a/crates/flaxstand-client/src/blocking.rs
+++ b/crates/flaxstand-client/src/blocking.rs
@@ -1,4 +1,4 @@
-//! A driver that waits for each answer.
+//! A driver that blocks until each request's final answer.
 
 use crate::answer::{AbandonedRequest, Answer};
 use crate::config::Config;
@@ -6,25 +6,26 @@
 use crate::request::Request;
 use std::time::Duration;
 
-/// Longest wait between two polls of the client while there is no connection.
+/// Longest wait between two polls of the client while it is disconnected.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A client that does one request at a time.
+/// A client that processes one request at a time.
 #[derive(Debug)]
 pub struct BlockingClient {
     polled: PolledClient,
 }
 
 impl BlockingClient {
-    /// A client of the initiator at an address. It connects with the first request.
+    /// Creates a client of the initiator at an address. It connects when the first request is sent.
     pub fn new(address: Address, config: Config) -> Self {
         BlockingClient { polled: PolledClient::new(address, config) }
     }
 
-    /// Sends a request and waits for its final answer, at most for the request's timeout.
+    /// Sends a request and blocks until its final answer, for at most the request's timeout.
     ///
     /// # Errors
-    /// The request was abandoned: why, after how many attempts, and whether it may have been executed.
+    /// The request was abandoned. The error holds the reason, the number of attempts, and whether the request
+    /// may have been executed.
     pub fn send(&mut self, request: Request) -> Result<Answer, AbandonedRequest> {
         let id = self.polled.submit(request);
         loop {
--- a/crates/flaxstand-client/src/client.rs
+++ b/crates/flaxstand-client/src/client.rs
@@ -1,5 +1,5 @@
-//! The client without I/O: requests and bytes in, [`Command`]s and [`Completion`]s out. Its driver opens the
-//! one connection, carries the bytes, and tells the time.
+//! The client without I/O: takes requests and received bytes, returns [`Command`]s, bytes to write and
+//! [`Completion`]s. A driver opens the connection, transfers the bytes and supplies the time.
 
 use crate::answer::{AbandonReason, Answer, Completion};
 use crate::config::Config;
@@ -10,16 +10,16 @@
 use crate::retry::RetryPolicy;
 use flaxstand_proto::{CloseReason, Frame, Hello, Micros, Refusal, Role, Scope, VERSION, VERSION_OLDEST};
 
-/// What the driver is to do with the connection.
+/// An instruction to the driver about the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Open it, then call [`Client::handle_connected`] or [`Client::handle_disconnected`].
+    /// Open the connection, then call [`Client::handle_connected`] or [`Client::handle_disconnected`].
     Connect,
-    /// Close it. The client already counts it as lost.
+    /// Close the connection. The client has already handled the disconnect.
     Close,
 }
 
-/// A client of one initiator. All times are on the driver's clock, in microseconds, and never go back.
+/// A client of one initiator. All times are in microseconds of the driver's clock, which must be monotonic.
 #[derive(Debug)]
 pub struct Client {
     config: Config,
@@ -27,14 +27,14 @@
     connection: Connection,
     retry_policy: RetryPolicy,
     pending: PendingRequests,
-    /// The last number given to a request or an attempt; both count together.
+    /// The last id assigned; requests and attempts share one sequence.
     last_id: u64,
     commands: Vec<Command>,
     completions: Vec<Completion>,
 }
 
 impl Client {
-    /// A client without a connection. It connects when there is something to send.
+    /// Creates a disconnected client. It connects when there is a request to send.
     pub fn new(config: Config) -> Self {
         Client {
             jitter: Jitter::new(config.seed),
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Submits a request. Its one [`Completion`] follows before its timeout is over.
+    /// Submits a request. Exactly one [`Completion`] for it follows, by the end of its timeout.
     pub fn submit(&mut self, request: Request, now: Micros) -> RequestId {
         let id = RequestId(self.next_id());
         self.retry_policy.record_request(now);
         let due = self.retry_policy.earliest_attempt(request.volume).max(now);
         let request = PendingRequest::new(request, now);
-        // Guards against memory that grows without bound while the initiator is away.
+        // Bounds memory while the initiator is unreachable.
         if self.pending.len() >= self.config.max_requests_in_progress {
             let result = Err(request.abandoned(AbandonReason::TooManyRequests));
             self.completions.push(Completion { request: id, result });
@@ -70,7 +70,7 @@
         self.pending.len()
     }
 
-    /// The connection was opened; the greeting is the first to be written.
+    /// Handles an opened connection. The greeting is the first frame to be written.
     pub fn handle_connected(&mut self, _now: Micros) {
         self.connection.send(&Frame::Hello(Hello {
             role: Role::Client,
@@ -81,7 +81,8 @@
         }));
     }
 
-    /// The connection was lost, or could not be opened. Attempts in flight are retried where that is safe.
+    /// Handles a connection that was lost or could not be opened. Retries attempts in flight where that is
+    /// safe.
     pub fn handle_disconnected(&mut self, now: Micros) {
         let written = self.connection.disconnect(now, &mut self.jitter);
         for ended in self.pending.end_all_attempts() {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Bytes came from the initiator. Bytes that are no frame close the connection.
+    /// Handles bytes received from the initiator. Closes the connection if they are not valid frames.
     pub fn handle_bytes(&mut self, bytes: &[u8], now: Micros) {
         let mut inbox = self.connection.take_inbox();
         let fed = inbox.feed(bytes, |frame| {
@@ -104,18 +105,19 @@
         }
     }
 
-    /// Bytes that are to be written to the connection.
+    /// Bytes to be written to the connection.
     pub fn pending_bytes(&self) -> &[u8] {
         self.connection.pending_bytes()
     }
 
-    /// The first `count` of the pending bytes were handed to the system.
+    /// Records that the first `count` pending bytes were passed to the operating system.
     pub fn mark_written(&mut self, count: usize) {
         self.connection.mark_written(count);
     }
 
-    /// Does what is due, after everything that happened until `now` was handed in. Returns when it must be
-    /// called again at the latest; none: when something happens.
+    /// Processes expired deadlines, due attempts and due connects. All events until `now` must have been
+    /// handled before. Returns the time by which it must be called again; none: it needs no call until the
+    /// next event.
     pub fn advance(&mut self, now: Micros) -> Option<Micros> {
         self.abandon_expired(now);
         match self.connection.state() {
@@ -127,7 +129,7 @@
         self.next_wake()
     }
 
-    /// Takes the commands for the driver, in order.
+    /// Takes the commands that the driver must execute, in order.
     pub fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
@@ -174,7 +176,7 @@
     fn send_due_attempts(&mut self, now: Micros) {
         while let Some(id) = self.pending.pop_due(now) {
             let Some(request) = self.pending.get(id) else { continue };
-            // Guards against sending during a wait that was advised after this attempt was scheduled.
+            // The initiator may have advised a wait after this attempt was scheduled.
             let earliest = self.retry_policy.earliest_attempt(request.volume());
             if earliest > now {
                 self.pending.schedule_attempt(id, earliest);
@@ -212,11 +214,12 @@
 
     fn handle_bye(&mut self, close_reason: CloseReason, wait: Micros) {
         match close_reason {
-            // Guards against endless reconnects: no other connection will fare better.
+            // Another connection would fail in the same way: retrying would reconnect without end.
             CloseReason::Version | CloseReason::WrongPeer => {
                 self.abandon_all(self.pending.ids(), AbandonReason::Protocol);
             }
-            // Guards against resending the one attempt in flight that the initiator cannot process.
+            // One of the attempts in flight cannot be processed by the initiator: retrying it would fail
+            // again.
             CloseReason::Protocol => {
                 self.abandon_all(self.pending.ids_in_flight(), AbandonReason::Protocol);
             }
@@ -246,7 +249,7 @@
         }
     }
 
-    /// A refused attempt was not executed, or executing it again is harmless.
+    /// Handles a refusal: the attempt was not executed, or executing it again is harmless.
     fn handle_refused(&mut self, attempt_id: u64, wait: Micros, refusal: Refusal, scope: Scope, now: Micros) {
         let Some(ended) = self.pending.end_attempt(attempt_id) else { return };
         let Some(request) = self.pending.get_mut(ended.request) else { return };
@@ -256,7 +259,7 @@
         self.retry(ended.request, wait, now);
     }
 
-    /// A failed attempt may have been executed.
+    /// Handles a failure: the attempt may have been executed.
     fn handle_failed(&mut self, attempt_id: u64, now: Micros) {
         let Some(ended) = self.pending.end_attempt(attempt_id) else { return };
         let Some(request) = self.pending.get_mut(ended.request) else { return };
@@ -264,7 +267,7 @@
         self.retry(ended.request, Micros(0), now);
     }
 
-    /// Schedules a further attempt if there may be one, else abandons the request at once.
+    /// Schedules another attempt if the retry policy allows one, otherwise abandons the request immediately.
     fn retry(&mut self, id: RequestId, advised_wait: Micros, now: Micros) {
         let Some(request) = self.pending.get(id) else { return };
         match self.retry_policy.schedule_attempt(request, advised_wait, now, &mut self.jitter) {
--- a/crates/flaxstand-client/src/config.rs
+++ b/crates/flaxstand-client/src/config.rs
@@ -2,35 +2,35 @@
 
 use flaxstand_proto::Micros;
 
-/// How a client behaves. All durations are in microseconds.
+/// Configuration of a client. All durations are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// A name for the initiator's log, at most 255 bytes.
+    /// Name shown in the initiator's log, at most 255 bytes.
     pub name: String,
-    /// The client's own number, sent in its greeting.
+    /// Id of the client, sent in its greeting.
     pub id: u64,
-    /// Seed of the jitter. Guards against reconnect storms only if it differs between clients: those of one
-    /// seed draw the same waits.
+    /// Seed of the jitter. It must differ between clients: clients with the same seed draw the same waits, so
+    /// the jitter would not prevent reconnect storms.
     pub seed: u64,
-    /// Requests that may be in progress; a further one is abandoned at once.
+    /// Most requests in progress; any further request is abandoned immediately.
     pub max_requests_in_progress: usize,
-    /// Upper end of the jitter before the first retry of a request; it doubles with each further retry.
+    /// Upper bound of the wait before the first retry of a request; it doubles with each further retry.
     pub initial_retry_backoff: Micros,
-    /// Largest upper end of that jitter.
+    /// Maximum of that upper bound.
     pub max_retry_backoff: Micros,
-    /// Retries allowed within `retry_budget_window`, however few requests there are.
+    /// Retries allowed within `retry_budget_window` regardless of the number of requests.
     pub retry_budget_min_retries: f64,
-    /// Further retries allowed for each request submitted within `retry_budget_window`.
+    /// Additional retries allowed per request submitted within `retry_budget_window`.
     pub retry_budget_ratio: f64,
-    /// How long a request or a retry counts in the retry budget.
+    /// Length of the window in which requests and retries count towards the retry budget.
     pub retry_budget_window: Micros,
-    /// Shortest wait before a reconnect.
+    /// Minimum wait before a reconnect.
     pub min_reconnect_wait: Micros,
-    /// Longest wait before a reconnect, unless the initiator asks for a longer one.
+    /// Maximum wait before a reconnect, unless the initiator advises a longer one.
     pub max_reconnect_wait: Micros,
-    /// A connection that is not established, greeting included, within this time is closed.
+    /// Time within which a connection must be established, greeting included; it is closed otherwise.
     pub connect_timeout: Micros,
-    /// An attempt with less time than this left before its deadline is not sent.
+    /// An attempt is not sent with less time than this left before its deadline.
     pub min_attempt_time: Micros,
 }
 
--- a/crates/flaxstand-client/src/connection.rs
+++ b/crates/flaxstand-client/src/connection.rs
@@ -1,4 +1,4 @@
-//! The one connection that all requests of a client share.
+//! The connection that all requests of a client share.
 
 use crate::backoff::ReconnectBackoff;
 use crate::config::Config;
@@ -8,27 +8,27 @@
 /// State of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionState {
-    /// There is none.
+    /// There is no connection.
     Disconnected {
-        /// When it may be opened.
+        /// Earliest time of the next connect.
         reconnect_at: Micros,
     },
-    /// It is being opened, or the initiator's greeting is outstanding.
+    /// The connection is being opened, or the initiator's greeting has not arrived yet.
     Connecting {
-        /// When it is given up.
+        /// When the connect times out.
         deadline: Micros,
     },
     /// Requests may be sent.
     Established,
 }
 
-/// The connection's state, its buffers, and when it may be opened again.
+/// State, buffers and reconnect back-off of the connection.
 #[derive(Debug)]
 pub(crate) struct Connection {
     state: ConnectionState,
     connect_timeout: Micros,
     backoff: ReconnectBackoff,
-    /// Wait before the next connect that the initiator asked for; zero if it asked for none.
+    /// Wait before the next connect that the initiator advised; zero if it advised none.
     advised_wait: Micros,
     inbox: Inbox,
     outbox: Outbox,
@@ -50,24 +50,24 @@
         self.state
     }
 
-    /// Begins to open the connection.
+    /// Records that the connection is being opened.
     pub(crate) fn start_connecting(&mut self, now: Micros) {
         self.state = ConnectionState::Connecting { deadline: now.after(self.connect_timeout) };
     }
 
-    /// The initiator's greeting came.
+    /// Records that the initiator's greeting arrived.
     pub(crate) fn establish(&mut self) {
         self.state = ConnectionState::Established;
         self.backoff.reset();
     }
 
-    /// Notes how long the initiator asked the client to stay away.
+    /// Records the wait before a reconnect that the initiator advised.
     pub(crate) fn record_advised_wait(&mut self, wait: Micros) {
         self.advised_wait = wait;
     }
 
-    /// The connection is lost, or was not established. Returns how many bytes of its stream were
-    /// handed to the system.
+    /// Resets the connection after it was lost or could not be opened. Returns the number of bytes of its
+    /// stream that were passed to the operating system.
     pub(crate) fn disconnect(&mut self, now: Micros, jitter: &mut Jitter) -> u64 {
         let written = self.outbox.written();
         self.inbox = Inbox::default();
@@ -78,23 +78,23 @@
         written
     }
 
-    /// Appends a frame to the stream and returns the stream position of its end.
+    /// Appends a frame to the stream and returns the stream offset of its end.
     pub(crate) fn send(&mut self, frame: &Frame<'_>) -> u64 {
         self.outbox.push(frame)
     }
 
-    /// Bytes that are to be written.
+    /// Bytes to be written.
     pub(crate) fn pending_bytes(&self) -> &[u8] {
         self.outbox.pending()
     }
 
-    /// The first `count` of the pending bytes were handed to the system.
+    /// Records that the first `count` pending bytes were passed to the operating system.
     pub(crate) fn mark_written(&mut self, count: usize) {
         self.outbox.wrote(count);
     }
 
-    /// Takes the decoder out, so that frames can be handled while it runs; [`Connection::restore_inbox`]
-    /// returns it.
+    /// Takes the frame decoder, so that frames can be handled while it runs; [`Connection::restore_inbox`]
+    /// puts it back.
     pub(crate) fn take_inbox(&mut self) -> Inbox {
         std::mem::take(&mut self.inbox)
     }
--- a/crates/flaxstand-client/src/jitter.rs
+++ b/crates/flaxstand-client/src/jitter.rs
@@ -1,11 +1,11 @@
-//! Random numbers that spread the retries and reconnects of many clients.
+//! Random numbers that spread the retries and reconnects of many clients over time.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 const F64_MANTISSA_BITS: u32 = 53;
 
-/// The client's one random sequence; retries and reconnects draw from it in turn.
+/// The client's random number generator, shared by retries and reconnects.
 #[derive(Debug)]
 pub(crate) struct Jitter {
     rng: Pcg64Mcg,
@@ -16,7 +16,7 @@
         Jitter { rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// The next number, uniform in [0, 1).
+    /// Draws the next number, uniform in [0, 1).
     pub(crate) fn draw(&mut self) -> f64 {
         let mantissa = self.rng.next_u64() >> (u64::BITS - F64_MANTISSA_BITS);
         mantissa as f64 / (1u64 << F64_MANTISSA_BITS) as f64
--- a/crates/flaxstand-client/src/lib.rs
+++ b/crates/flaxstand-client/src/lib.rs
@@ -1,12 +1,12 @@
-//! Clients of a flaxstand initiator that bound their own retries and reconnects, so that a crowd of them does
-//! not overload an initiator that comes back.
+//! Client library for a flaxstand initiator. Clients bound their retries and reconnects, so that many of them
+//! do not overload an initiator that restarts.
 //!
 //! - [`client`]: the client without I/O; connection, pending requests and retry policy are private modules
-//! - [`request`], [`answer`], [`config`]: what goes in, what comes out, and how the client behaves
-//! - [`blocking`]: a driver that waits for each answer
-//! - [`polled`]: a driver for a program's own event loop
+//! - [`request`], [`answer`], [`config`]: requests, final answers and the configuration
+//! - [`blocking`]: a driver that blocks until each answer
+//! - [`polled`]: a driver for an application's event loop
 //!
-//! What a request is promised and when it is retried is in `docs/client.md`. An example runs with
+//! The guarantees for requests and the retry rules are described in `docs/client.md`. Run the example with
 //! `cargo run -p flaxstand-client --example checkout`.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/flaxstand-client/src/pending/mod.rs
+++ b/crates/flaxstand-client/src/pending/mod.rs
@@ -14,20 +14,20 @@
     pub(crate) attempt: InFlightAttempt,
 }
 
-/// A time at which something is to be done for a request. Ordered by time.
+/// A time at which a request needs processing. Ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     at: Micros,
     request: RequestId,
 }
 
-/// All requests in progress, by their id, by their attempt in flight, and by time.
+/// All requests in progress, indexed by id, by attempt in flight, and by due time and deadline.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequests {
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// The requests with an attempt in flight, by that attempt's id.
+    /// Requests with an attempt in flight, by that attempt's id.
     by_attempt: BTreeMap<u64, RequestId>,
-    /// When the next attempt of a request is due.
+    /// Due times of the next attempts.
     due: BTreeSet<Timer>,
     deadlines: BTreeSet<Timer>,
 }
@@ -59,7 +59,7 @@
         self.by_attempt.values().copied().collect()
     }
 
-    /// Adds a request. Its deadline is watched from now on.
+    /// Adds a request and its deadline timer.
     pub(crate) fn insert(&mut self, id: RequestId, request: PendingRequest) {
         self.deadlines.insert(Timer { at: request.deadline, request: id });
         self.requests.insert(id, request);
@@ -76,34 +76,34 @@
         Some(request)
     }
 
-    /// Makes the next attempt of a request due at a time.
+    /// Schedules the next attempt of a request.
     pub(crate) fn schedule_attempt(&mut self, id: RequestId, at: Micros) {
         self.due.insert(Timer { at, request: id });
     }
 
-    /// Takes the next request whose attempt is due.
+    /// Takes the next request with a due attempt.
     pub(crate) fn pop_due(&mut self, now: Micros) -> Option<RequestId> {
         let timer = *self.due.first().filter(|timer| timer.at <= now)?;
         self.due.remove(&timer);
         Some(timer.request)
     }
 
-    /// The next request whose deadline has passed.
+    /// The request with the earliest deadline, if that has passed.
     pub(crate) fn first_expired(&self, now: Micros) -> Option<RequestId> {
         self.deadlines.first().filter(|timer| timer.at <= now).map(|timer| timer.request)
     }
 
-    /// When the next attempt is due.
+    /// Due time of the next attempt.
     pub(crate) fn next_due(&self) -> Option<Micros> {
         self.due.first().map(|timer| timer.at)
     }
 
-    /// The next deadline of a request.
+    /// The earliest deadline of all requests.
     pub(crate) fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|timer| timer.at)
     }
 
-    /// The request of an attempt in flight.
+    /// Id of the request that an attempt in flight belongs to.
     pub(crate) fn id_of_attempt(&self, attempt_id: u64) -> Option<RequestId> {
         self.by_attempt.get(&attempt_id).copied()
     }
@@ -117,14 +117,14 @@
         }
     }
 
-    /// Takes an attempt out of flight. Returns it with the request it belongs to.
+    /// Records that an attempt is no longer in flight. Returns it with the id of its request.
     pub(crate) fn end_attempt(&mut self, attempt_id: u64) -> Option<EndedAttempt> {
         let request = self.by_attempt.remove(&attempt_id)?;
         let attempt = self.requests.get_mut(&request)?.in_flight.take()?;
         Some(EndedAttempt { request, attempt })
     }
 
-    /// Takes all attempts out of flight, in the order of their ids.
+    /// Records that no attempt is in flight any more. Returns all of them in the order of their ids.
     pub(crate) fn end_all_attempts(&mut self) -> Vec<EndedAttempt> {
         let attempt_ids: Vec<u64> = self.by_attempt.keys().copied().collect();
         attempt_ids.into_iter().filter_map(|id| self.end_attempt(id)).collect()
--- a/crates/flaxstand-client/src/polled.rs
+++ b/crates/flaxstand-client/src/polled.rs
@@ -1,4 +1,5 @@
-//! A driver for a program's own event loop: a socket to be watched, and a time at which to be woken.
+//! A driver for an application's event loop, which polls the client's socket and wakes the client at set
+//! times.
 
 use crate::answer::Completion;
 use crate::client::{Client, Command};
@@ -13,7 +14,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Where an initiator listens.
+/// Address of an initiator.
 #[derive(Clone, Debug)]
 pub enum Address {
     /// IP address and port.
@@ -69,22 +70,22 @@
         }
     }
 
-    /// Waits until the socket is readable, or writable if that is wanted, at most for the timeout.
+    /// Waits until the socket is readable, or writable if `wants_write`, for at most the timeout.
     pub(crate) fn wait_until_ready(&self, wants_write: bool, timeout: Duration) {
         let fd = self.fd();
         let flags = if wants_write { PollFlags::IN | PollFlags::OUT } else { PollFlags::IN };
         let timeout = Timespec { tv_sec: timeout.as_secs() as i64, tv_nsec: timeout.subsec_nanos().into() };
-        // An error of the socket shows at the next read or write.
+        // A socket error is reported by the next read or write.
         let _ = poll(&mut [PollFd::new(&fd, flags)], Some(&timeout));
     }
 }
 
-/// What came of one call of [`PolledClient::drive`].
+/// Result of a call of [`PolledClient::drive`].
 #[derive(Debug)]
 pub struct Progress {
     /// Requests that ended.
     pub completions: Vec<Completion>,
-    /// How long at most until the next call; none: until the socket is ready or a request is submitted.
+    /// Longest time until the next call; none: until the socket is ready or a request is submitted.
     pub next_wake_in: Option<Duration>,
 }
 
@@ -99,14 +100,14 @@
 }
 
 impl PolledClient {
-    /// A client of the initiator at an address. It connects when there is something to send.
+    /// Creates a client of the initiator at an address. It connects when there is a request to send.
     pub fn new(address: Address, config: Config) -> Self {
         let connect_timeout = Duration::from_micros(config.connect_timeout.0);
         let client = Client::new(config);
         PolledClient { client, address, connect_timeout, socket: None, started_at: Instant::now() }
     }
 
-    /// Time since the client was made.
+    /// Time since the client was created.
     pub fn now(&self) -> Micros {
         Micros(self.started_at.elapsed().as_micros() as u64)
     }
@@ -116,17 +117,17 @@
         self.client.submit(request, self.now())
     }
 
-    /// The socket to watch: always for reading, and for writing while [`PolledClient::wants_write`].
+    /// The socket to poll: always for reading, and also for writing while [`PolledClient::wants_write`].
     pub fn socket(&self) -> Option<BorrowedFd<'_>> {
         self.socket.as_ref().map(Socket::fd)
     }
 
-    /// Whether bytes are left that the socket did not take.
+    /// Whether there are bytes that the socket has not accepted yet.
     pub fn wants_write(&self) -> bool {
         !self.client.pending_bytes().is_empty()
     }
 
-    /// Reads, does what is due, and writes, without waiting. Only a TCP connect may block, at most for
+    /// Reads, processes due timers, and writes, without blocking. Only a TCP connect may block, for at most
     /// [`Config::connect_timeout`].
     pub fn drive(&mut self) -> Progress {
         self.read();
@@ -136,7 +137,7 @@
         Progress { completions: self.client.take_completions(), next_wake_in }
     }
 
-    /// Advances the client until it has no more commands. Returns when it is to be woken.
+    /// Advances the client until it has no more commands. Returns the time of its next wake-up.
     fn advance(&mut self) -> Option<Micros> {
         loop {
             let now = self.now();
--- a/crates/flaxstand-client/src/retry/advised_waits.rs
+++ b/crates/flaxstand-client/src/retry/advised_waits.rs
@@ -1,9 +1,9 @@
-//! Waits that the initiator advised with its refusals.
+//! Waits that the initiator advised in refusals.
 
 use flaxstand_proto::Micros;
 use std::collections::BTreeMap;
 
-/// Guards against memory that grows with the number of refused volumes.
+/// Bounds the memory used for refused volumes.
 const MAX_TRACKED_VOLUMES: usize = 4096;
 
 /// Times before which no attempt may be sent, for all volumes or for one.
@@ -14,12 +14,12 @@
 }
 
 impl AdvisedWaits {
-    /// Holds every attempt until then; an earlier, longer hold stays.
+    /// Holds back all attempts until the given time, or longer if an earlier call said so.
     pub(crate) fn hold_all(&mut self, until: Micros) {
         self.all_until = self.all_until.max(until);
     }
 
-    /// Holds the attempts for one volume until then; an earlier, longer hold stays.
+    /// Holds back attempts for one volume until the given time, or longer if an earlier call said so.
     pub(crate) fn hold_volume(&mut self, volume: u64, until: Micros, now: Micros) {
         if self.volume_until.len() >= MAX_TRACKED_VOLUMES {
             self.volume_until.retain(|_, until| *until > now);
--- a/crates/flaxstand-client/src/retry/budget.rs
+++ b/crates/flaxstand-client/src/retry/budget.rs
@@ -1,11 +1,12 @@
-//! Retry budget: bounds retries to a share of the requests.
+//! Retry budget: limits retries to a share of the requests.
 
 use crate::answer::AbandonReason;
 use crate::config::Config;
 use flaxstand_proto::Micros;
 use std::collections::VecDeque;
 
-/// Guards against retry storms: when every request fails, retries multiply the load by `1 + ratio` at most.
+/// Prevents retry storms: when every request fails, retries multiply the load by at most `1 + ratio`, apart
+/// from `min_retries` per window.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     min_retries: f64,
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Counts a submitted request.
+    /// Records a submitted request, which increases the budget.
     pub(crate) fn deposit(&mut self, now: Micros) {
         self.requests.push_back(now);
     }
--- a/crates/flaxstand-client/src/retry/mod.rs
+++ b/crates/flaxstand-client/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Retry policy: whether a request may be attempted again, and when.
+//! Retry policy: whether and when a request is retried.
 
 mod advised_waits;
 mod budget;
@@ -12,7 +12,8 @@
 use budget::RetryBudget;
 use flaxstand_proto::{Micros, Scope};
 
-/// Decides on retries by retry safety, deadline, retry budget, back-off and the initiator's advice.
+/// Decides on retries from retry safety, deadline, retry budget, back-off and the waits that the initiator
+/// advised.
 #[derive(Debug)]
 pub(crate) struct RetryPolicy {
     backoff: RetryBackoff,
@@ -31,12 +32,12 @@
         }
     }
 
-    /// Counts a submitted request: each one adds to the retry budget.
+    /// Records a submitted request, which increases the retry budget.
     pub(crate) fn record_request(&mut self, now: Micros) {
         self.budget.deposit(now);
     }
 
-    /// Records that the initiator wants no attempt within a scope before `until`.
+    /// Records that the initiator advised against attempts within a scope before `until`.
     pub(crate) fn record_advised_wait(&mut self, scope: Scope, volume: u64, until: Micros, now: Micros) {
         match scope {
             Scope::Request => {}
@@ -50,15 +51,16 @@
         self.advised_waits.earliest_attempt(volume)
     }
 
-    /// Whether an attempt that is sent at `at` has enough time left to be answered.
+    /// Whether an attempt sent at `at` has enough time left to be answered.
     pub(crate) fn leaves_time_for_attempt(&self, request: &PendingRequest, at: Micros) -> bool {
         at.after(self.min_attempt_time) <= request.retryable_until()
     }
 
-    /// When the next attempt of a request is due, `advised_wait` after `now` at the earliest.
+    /// Returns the due time of the next attempt, at least `advised_wait` after `now`.
     ///
     /// # Errors
-    /// Why there must be no further attempt. It is known at once, not only at the request's deadline.
+    /// The reason why the request must not be retried. It is returned immediately, not at the request's
+    /// deadline.
     pub(crate) fn schedule_attempt(
         &mut self,
         request: &PendingRequest,
@@ -81,12 +83,12 @@
         Ok(at)
     }
 
-    /// Guards against executing a request twice that is not idempotent.
+    /// Prevents a second execution of a request that is not idempotent.
     fn check_retry_safety(&self, request: &PendingRequest) -> Result<(), AbandonReason> {
         if request.is_safe_to_execute_again() { Ok(()) } else { Err(AbandonReason::RetryUnsafe) }
     }
 
-    /// Guards against attempts whose answer would come too late, or whose idempotency key has expired.
+    /// Prevents attempts that would be answered too late, or after their idempotency window has ended.
     fn check_deadline(&self, request: &PendingRequest, at: Micros) -> Result<(), AbandonReason> {
         if self.leaves_time_for_attempt(request, at) {
             Ok(())
--- a/crates/flaxstand-client/tests/client/connection.rs
+++ b/crates/flaxstand-client/tests/client/connection.rs
@@ -1,12 +1,12 @@
-//! Connecting, reconnecting, and what one connection carries.
+//! Connects, reconnects, and use of the connection.
 
 use crate::harness::*;
 use flaxstand_client::*;
 use flaxstand_proto::*;
 
-/// Guards against a connection per request, and loss of the parts of a streamed answer.
+/// Guards against opening a connection per request, and against lost parts of a streamed answer.
 #[test]
-fn one_connection_serves_all_requests_and_streamed_parts_are_joined() {
+fn requests_share_one_connection_and_streamed_parts_are_concatenated() {
     let mut harness = Harness::new(config());
     let requests: Vec<RequestId> = (0..20)
         .map(|operation| harness.submit(write_request(operation, RetrySafety::NotIdempotent, 500)))
@@ -23,12 +23,12 @@
     assert_eq!(harness.client.requests_in_progress(), 0);
 }
 
-/// Guards against a reconnect storm when an initiator comes back.
+/// Guards against a reconnect storm when an initiator restarts.
 #[test]
 fn reconnects_of_many_clients_are_spread_and_back_off() {
     const BINS: usize = 20;
     const BIN_WIDTH: Micros = Micros(250_000);
-    // 243 clients lose their initiator at one moment; it is away for 2 s.
+    // 243 clients lose the connection at the same time; the initiator is down for 2 s.
     let mut reconnects_per_bin = [0u32; BINS];
     let mut max_connects = 0;
     for seed in 0..243 {
@@ -39,18 +39,21 @@
         harness.run(2000);
         max_connects = max_connects.max(harness.connects.len());
         harness.accepts_connections = true;
-        let connects_while_away = harness.connects.len();
+        let connects_while_down = harness.connects.len();
         harness.run(20_000);
-        let reconnected_after = harness.connects[connects_while_away].since(milliseconds(3000));
+        let reconnected_after = harness.connects[connects_while_down].since(milliseconds(3000));
         reconnects_per_bin[((reconnected_after.0 / BIN_WIDTH.0) as usize).min(BINS - 1)] += 1;
     }
-    assert!(max_connects <= 20, "one connected {max_connects} times within 2 s");
-    // No quarter of a second has more than a third of them.
+    assert!(max_connects <= 20, "a client connected {max_connects} times within 2 s, at most 20 allowed");
+    // No interval of 250 ms has more than a third of the reconnects.
     assert!(reconnects_per_bin.iter().all(|reconnects| *reconnects <= 81), "{reconnects_per_bin:?}");
-    assert!(reconnects_per_bin[..8].iter().sum::<u32>() > 200, "within 2 s: {reconnects_per_bin:?}");
+    assert!(
+        reconnects_per_bin[..8].iter().sum::<u32>() > 200,
+        "at most 200 clients reconnected within 2 s: {reconnects_per_bin:?}"
+    );
 }
 
-/// Guards against clients that reconnect before the turn that the initiator gave them.
+/// Guards against clients that reconnect before the time that the initiator advised.
 #[test]
 fn advised_reconnect_wait_is_respected() {
     let mut harness = Harness::new(config());
@@ -67,9 +70,9 @@
     );
 }
 
-/// Guards against an endless loop of resending what the initiator cannot process.
+/// Guards against endless retries of a request that the initiator cannot process.
 #[test]
-fn request_rejected_by_the_protocol_is_not_sent_again() {
+fn request_rejected_as_a_protocol_error_is_not_retried() {
     let mut harness = Harness::new(config());
     let id = harness.submit(write_request(1, RetrySafety::Idempotent, 60_000));
     harness.send(&Frame::Bye { close_reason: CloseReason::Protocol, wait: 0, text: "class 7 of 3" });
--- a/crates/flaxstand-client/tests/client/harness.rs
+++ b/crates/flaxstand-client/tests/client/harness.rs
@@ -1,10 +1,10 @@
-//! A scripted initiator on virtual time, and the client that talks to it.
+//! A scripted initiator on virtual time, connected to the client under test.
 
 use flaxstand_client::*;
 use flaxstand_proto::*;
 use std::collections::BTreeMap;
 
-/// Rounds in which the client's commands must come to rest.
+/// Most rounds in which the client's commands are executed before a step ends.
 const MAX_COMMAND_ROUNDS: usize = 10;
 
 pub fn milliseconds(count: u64) -> Micros {
@@ -15,7 +15,7 @@
     Config { seed: 7, ..Config::default() }
 }
 
-/// A write to volume 0 or 1, by whether its operation is even or odd.
+/// A write to volume 0 for an even operation, to volume 1 for an odd one.
 pub fn write_request(operation: u64, retry_safety: RetrySafety, timeout_ms: u64) -> Request {
     Request {
         operation,
@@ -45,21 +45,21 @@
     pub time_left: u32,
 }
 
-/// The end of a request, and when it was reported.
+/// The result of a request, and when it was reported.
 #[derive(Debug)]
 pub struct Ended {
     pub at: Micros,
     pub result: Result<Answer, AbandonedRequest>,
 }
 
-/// The client, and an initiator that does what the test says.
+/// The client, and an initiator that the test controls.
 pub struct Harness {
     pub client: Client,
     pub now: Micros,
     inbox: Inbox,
     pub is_connected: bool,
     pub accepts_connections: bool,
-    /// When the client connected, or tried to.
+    /// Times of successful and failed connects.
     pub connects: Vec<Micros>,
     pub received: Vec<ReceivedAttempt>,
     pub ended: BTreeMap<RequestId, Ended>,
@@ -87,7 +87,7 @@
         id
     }
 
-    /// Lets the client do what is due now, and the initiator read all of it.
+    /// Advances the client to the current time and lets the initiator read everything it wrote.
     pub fn advance(&mut self) {
         for _ in 0..MAX_COMMAND_ROUNDS {
             self.next_wake = self.client.advance(self.now);
@@ -102,8 +102,8 @@
         }
         for completion in self.client.take_completions() {
             let ended = Ended { at: self.now, result: completion.result };
-            let before = self.ended.insert(completion.request, ended);
-            assert!(before.is_none(), "{:?} is over twice", completion.request);
+            let previous = self.ended.insert(completion.request, ended);
+            assert!(previous.is_none(), "{:?} completed twice", completion.request);
         }
     }
 
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The initiator reads at most so many of the bytes that wait.
+    /// Lets the initiator read at most `max_bytes` of the pending bytes.
     pub fn read_from_client(&mut self, max_bytes: usize) {
         if !self.is_connected {
             return;
@@ -143,10 +143,10 @@
             }
             true
         });
-        fed.expect("the client writes frames");
+        fed.expect("the client writes valid frames");
     }
 
-    /// The initiator sends a frame.
+    /// Lets the initiator send a frame.
     pub fn send(&mut self, frame: &Frame<'_>) {
         if self.is_connected {
             let mut bytes = Vec::new();
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Lets time pass; the client is woken whenever it asked to be.
+    /// Advances the time by a duration, with a call of the client at each wake-up time it returns.
     pub fn run(&mut self, duration_ms: u64) {
         let until = self.now.after(milliseconds(duration_ms));
         self.advance();
@@ -181,10 +181,10 @@
     }
 
     pub fn last_received(&self) -> ReceivedAttempt {
-        *self.received.last().expect("an attempt was received")
+        *self.received.last().expect("the initiator received no attempt")
     }
 
     pub fn abandoned(&self, id: RequestId) -> AbandonedRequest {
-        *self.ended[&id].result.as_ref().expect_err("it was abandoned")
+        *self.ended[&id].result.as_ref().expect_err("the request was not abandoned")
     }
 }
--- a/crates/flaxstand-client/tests/client/histories.rs
+++ b/crates/flaxstand-client/tests/client/histories.rs
@@ -1,4 +1,5 @@
-//! Drawn histories of requests, answers, refusals, lost connections and garbage.
+//! Properties of the client over random histories of requests, answers, refusals, lost connections and
+//! invalid bytes.
 
 use crate::harness::*;
 use flaxstand_client::*;
@@ -6,10 +7,10 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longer than the longest timeout that is drawn.
-const TIME_TO_END_ALL_MS: u64 = 3000;
+/// Longer than the longest generated timeout.
+const DRAIN_TIME_MS: u64 = 3000;
 
-/// One event of a history. `pick` selects one of the attempts that are not yet answered.
+/// One event of a history. `pick` selects one of the attempts that are not answered yet.
 #[derive(Clone, Debug)]
 enum Step {
     Submit { retry_safety: RetrySafety, timeout_ms: u64 },
@@ -52,7 +53,7 @@
     deadline: Micros,
 }
 
-/// What an advised wait holds.
+/// The attempts that an advised wait holds back.
 #[derive(Clone, Copy, Debug)]
 enum Held {
     Operation(u64),
@@ -69,7 +70,7 @@
 }
 
 impl AdvisedWait {
-    fn concerns(&self, attempt: &ReceivedAttempt) -> bool {
+    fn applies_to(&self, attempt: &ReceivedAttempt) -> bool {
         match self.held {
             Held::Operation(operation) => operation == attempt.operation,
             Held::Volume(volume) => volume == attempt.volume,
@@ -78,12 +79,12 @@
     }
 }
 
-/// A history as it is played, and what the client must respect because of it.
+/// A history in progress, and the constraints on the client that follow from it.
 struct History {
     harness: Harness,
     /// By operation.
     submitted: BTreeMap<u64, Submitted>,
-    /// Operations that may have been executed, by when their first such attempt was received.
+    /// Operations that may have been executed, with the time at which the first such attempt was received.
     may_have_executed_since: BTreeMap<u64, Micros>,
     advised_waits: Vec<AdvisedWait>,
     /// Attempts that were answered or whose connection was lost.
@@ -168,13 +169,13 @@
         self.harness.client.handle_bytes(bytes, self.harness.now);
         self.harness.advance();
         if self.harness.is_connected {
-            // The bytes may be the start of a frame, and would spoil the next one.
+            // The bytes may be the start of a frame, which would corrupt the next one.
             self.harness.lose_connection();
         }
         self.close_all_attempts();
     }
 
-    /// Picks an attempt that is open on a connection, and counts it as answered.
+    /// Selects an open attempt and marks it as answered; none without a connection.
     fn close_attempt(&mut self, pick: usize) -> Option<ReceivedAttempt> {
         let open = self.open_attempts();
         if open.is_empty() || !self.harness.is_connected {
@@ -185,7 +186,7 @@
         Some(attempt)
     }
 
-    /// All open attempts are lost with their connection, and may have been executed.
+    /// Marks all open attempts as lost with their connection; they may have been executed.
     fn close_all_attempts(&mut self) {
         for attempt in self.open_attempts() {
             self.may_have_executed_since.entry(attempt.operation).or_insert(attempt.at);
@@ -203,12 +204,18 @@
         received.filter(|attempt| attempt.operation == operation).copied().collect()
     }
 
-    fn check_ended_in_time(&self) -> Result<(), TestCaseError> {
+    fn check_completed_in_time(&self) -> Result<(), TestCaseError> {
         for (operation, submitted) in &self.submitted {
             let ended = self.harness.ended.get(&submitted.id);
-            let ended = ended.unwrap_or_else(|| panic!("request {operation} never ends"));
+            let ended = ended.unwrap_or_else(|| panic!("request {operation} did not complete"));
             let (at, deadline) = (ended.at, submitted.deadline);
-            prop_assert!(at <= deadline, "request {} ends at {:?}, after {:?}", operation, at, deadline);
+            prop_assert!(
+                at <= deadline,
+                "request {} completed at {:?}, after its deadline {:?}",
+                operation,
+                at,
+                deadline
+            );
         }
         Ok(())
     }
@@ -233,7 +240,7 @@
             return Ok(());
         }
         match safety {
-            RetrySafety::NotIdempotent => prop_assert!(false, "operation {} goes again", attempt.operation),
+            RetrySafety::NotIdempotent => prop_assert!(false, "operation {} was retried", attempt.operation),
             RetrySafety::IdempotencyKey { window } => prop_assert!(attempt.at <= since.after(window)),
             RetrySafety::Idempotent => {}
         }
@@ -242,9 +249,14 @@
 
     fn check_advised_waits(&self) -> Result<(), TestCaseError> {
         for attempt in &self.harness.received {
-            for wait in self.advised_waits.iter().filter(|wait| wait.concerns(attempt)) {
+            for wait in self.advised_waits.iter().filter(|wait| wait.applies_to(attempt)) {
                 let is_outside = attempt.at <= wait.from || attempt.at >= wait.until;
-                prop_assert!(is_outside, "{:?} before {:?}", attempt, wait.until);
+                prop_assert!(
+                    is_outside,
+                    "{:?} sent before the end of the advised wait at {:?}",
+                    attempt,
+                    wait.until
+                );
             }
         }
         Ok(())
@@ -254,10 +266,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against requests that end twice, late or never, attempts within an advised wait, and retries
-    /// that could execute a request twice, whatever the initiator does.
+    /// Guards against requests that complete twice, late or never, attempts within an advised wait, and
+    /// retries that could execute a request twice, for any behaviour of the initiator.
     #[test]
-    fn every_history_ends_requests_once_in_time_and_respects_advised_waits_and_retry_safety(
+    fn requests_complete_once_and_in_time_and_retries_respect_advised_waits_and_retry_safety(
         steps in steps(),
         seed in any::<u64>(),
     ) {
@@ -265,8 +277,8 @@
         for step in steps {
             history.play(step);
         }
-        history.harness.run(TIME_TO_END_ALL_MS);
-        history.check_ended_in_time()?;
+        history.harness.run(DRAIN_TIME_MS);
+        history.check_completed_in_time()?;
         history.check_retries()?;
         history.check_advised_waits()?;
     }
--- a/crates/flaxstand-client/tests/client/main.rs
+++ b/crates/flaxstand-client/tests/client/main.rs
@@ -1,4 +1,4 @@
-//! The client without I/O against a scripted initiator on virtual time.
+//! Tests of the client without I/O against a scripted initiator on virtual time.
 
 mod connection;
 mod harness;
--- a/crates/flaxstand-client/tests/client/retries.rs
+++ b/crates/flaxstand-client/tests/client/retries.rs
@@ -1,12 +1,12 @@
-//! When a request is retried, and when it is abandoned.
+//! Retries and abandonment of requests.
 
 use crate::harness::*;
 use flaxstand_client::*;
 use flaxstand_proto::*;
 
-/// Guards against retries that come too early, hide that they are retries, or outlive their deadline.
+/// Guards against retries that are sent too early, not marked as retries, or carry a deadline of their own.
 #[test]
-fn retry_waits_as_the_refusal_advised_and_carries_its_number_and_the_time_left() {
+fn retry_respects_the_advised_wait_and_carries_the_attempt_number_and_remaining_time() {
     let mut harness = Harness::new(config());
     harness.submit(write_request(1, RetrySafety::NotIdempotent, 2000));
     let first = harness.last_received();
@@ -22,11 +22,11 @@
     assert_eq!(
         u64::from(second.time_left),
         milliseconds(3000).since(second.at).0,
-        "the deadline is the request's"
+        "the retry has the request's deadline"
     );
 }
 
-/// Guards against load that other requests add while the initiator sheds it.
+/// Guards against other requests adding load while the initiator is shedding it.
 #[test]
 fn advised_wait_for_a_volume_or_for_all_holds_other_requests_too() {
     let mut harness = Harness::new(config());
@@ -38,7 +38,7 @@
     assert_eq!(
         harness.received.iter().map(|attempt| attempt.operation).collect::<Vec<_>>(),
         [1, 2],
-        "only the other volume's request is sent"
+        "only the request for the other volume is sent"
     );
     harness.run(100);
     assert_eq!(harness.received.len(), 4);
@@ -50,7 +50,7 @@
     assert_eq!(harness.received.len(), 6);
 }
 
-/// Guards against executing a request twice that is not idempotent.
+/// Guards against a second execution of a request that is not idempotent.
 #[test]
 fn non_idempotent_request_is_never_retried_once_it_may_have_executed() {
     let mut harness = Harness::new(config());
@@ -62,8 +62,9 @@
     let lost = harness.submit(write_request(2, RetrySafety::NotIdempotent, 2000));
     harness.lose_connection();
     assert_eq!(harness.abandoned(lost).reason, AbandonReason::RetryUnsafe);
-    assert!(harness.abandoned(lost).to_string().contains("it may have run"), "{}", harness.abandoned(lost));
-    // An idempotent one is retried.
+    let message = harness.abandoned(lost).to_string();
+    assert!(message.contains("it may have been executed"), "{message}");
+    // An idempotent request is retried.
     let safe = harness.submit(write_request(3, RetrySafety::Idempotent, 2000));
     harness.run(300);
     harness.send(&Frame::Failed { id: harness.last_received().id });
@@ -74,9 +75,9 @@
     assert_eq!(harness.ended[&safe].result, Ok(Answer::Buffered));
 }
 
-/// Guards against abandoning a request that is safe to send again.
+/// Guards against abandoning a request that is safe to retry.
 #[test]
-fn attempt_not_written_in_full_counts_as_not_executed_and_is_sent_again() {
+fn partially_written_attempt_counts_as_not_executed_and_is_retried() {
     let mut harness = Harness::new(config());
     harness.submit(write_request(1, RetrySafety::Idempotent, 2000));
     harness.send(&Frame::Served { id: harness.last_received().id, shard: 0, payload: b"" });
@@ -90,14 +91,14 @@
     assert_eq!(
         harness.received.iter().filter(|attempt| attempt.operation == 2).count(),
         1,
-        "it is sent on the next connection"
+        "the request is sent on the next connection"
     );
     harness.send(&Frame::Served { id: harness.last_received().id, shard: 0, payload: b"" });
     harness.advance();
     assert!(harness.ended[&id].result.is_ok());
 }
 
-/// Guards against a retry after the nodes have forgotten the idempotency key.
+/// Guards against a retry after the nodes' deduplication window has ended.
 #[test]
 fn request_with_an_idempotency_key_is_retried_only_within_its_window() {
     let mut harness = Harness::new(config());
@@ -106,11 +107,11 @@
     while !harness.ended.contains_key(&id) {
         harness.send(&Frame::Failed { id: harness.last_received().id });
         harness.run(20);
-        assert!(harness.now < milliseconds(2000), "it ends");
+        assert!(harness.now < milliseconds(2000), "the request did not complete within 1 s");
     }
     assert!(harness.last_received().at <= milliseconds(1200), "{:?}", harness.last_received());
     assert_eq!(harness.abandoned(id).reason, AbandonReason::RetryUnsafe);
-    // Each retry carries no more than what is left of the window.
+    // The remaining time sent with each retry does not exceed the window.
     assert!(
         harness.received[1..].iter().all(|attempt| u64::from(attempt.time_left) <= 200_000),
         "{:?}",
@@ -136,19 +137,19 @@
         }
         harness.run(50);
     }
-    // A hundred first attempts; the budget allows three retries, and a fifth of a hundred.
+    // 100 first attempts; the budget allows 3 retries plus 20% of the requests.
     assert_eq!(harness.received.len(), 123);
     assert!(requests.iter().all(|id| harness.abandoned(*id).reason == AbandonReason::RetryBudgetExhausted));
     assert!(requests.iter().all(|id| harness.abandoned(*id).last_refusal == Some(Refusal::Storm)));
     assert!(
         harness.ended.values().all(|ended| ended.at < milliseconds(4000)),
-        "long before their time is up"
+        "requests are abandoned well before their deadline of 60 s"
     );
 }
 
-/// Guards against requests that pile up or hang while the initiator is away.
+/// Guards against requests that accumulate or never complete while the initiator is unreachable.
 #[test]
-fn unreachable_initiator_ends_requests_at_their_deadline_and_excess_requests_at_once() {
+fn requests_to_an_unreachable_initiator_are_abandoned_at_their_deadline_and_excess_requests_immediately() {
     let mut harness = Harness::new(Config { max_requests_in_progress: 2, ..config() });
     harness.accepts_connections = false;
     let waiting = harness.submit(write_request(1, RetrySafety::NotIdempotent, 300));
@@ -162,5 +163,5 @@
     assert_eq!((reason, attempts, may_have_executed), (AbandonReason::DeadlineExceeded, 0, false));
     let connects = harness.connects.len();
     harness.run(20_000);
-    assert_eq!(harness.connects.len(), connects, "nothing to send, so no connect");
+    assert_eq!(harness.connects.len(), connects, "the client does not connect without a request to send");
 }
