--- a/crates/flaxstand-fixture/src/lib.rs
+++ b/crates/flaxstand-fixture/src/lib.rs
@@ -1,74 +1,74 @@
-//! Fixtures: bytes and texts that an earlier build wrote, under `tests/fixtures/` of the package that reads them.
-//! A test makes them anew and compares. A fixture that is not there is written only when the variable
-//! `FLAXSTAND_WRITE_FIXTURES` is set; one that is there is never written again.
+//! Fixtures: bytes and texts recorded from an earlier build, under `tests/fixtures/` of the package that
+//! reads them. A test produces them again and compares. A missing fixture is written only if the environment
+//! variable `FLAXSTAND_WRITE_FIXTURES` is set; an existing one is never overwritten.
 #![forbid(unsafe_code)]
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-/// Set to have fixtures that are missing written.
+/// Environment variable that makes tests write missing fixtures.
 const WRITE_VARIABLE: &str = "FLAXSTAND_WRITE_FIXTURES";
 
 /// The fixtures of one package.
 #[derive(Clone, Debug)]
 pub struct Fixtures {
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl Fixtures {
-    /// Of the package in this folder: pass `env!("CARGO_MANIFEST_DIR")`.
-    pub fn of_package(folder: &str) -> Fixtures {
-        Fixtures { folder: Path::new(folder).join("tests/fixtures") }
+    /// Fixtures of the package in a directory; pass `env!("CARGO_MANIFEST_DIR")`.
+    pub fn of_package(directory: &str) -> Fixtures {
+        Fixtures { directory: Path::new(directory).join("tests/fixtures") }
     }
 
-    /// Where a fixture lies.
+    /// Path of a fixture.
     pub fn path(&self, name: &str) -> PathBuf {
-        self.folder.join(name)
+        self.directory.join(name)
     }
 
-    /// The recorded bytes.
+    /// Reads the recorded bytes.
     ///
     /// # Panics
-    /// There is no such fixture.
+    /// If the fixture cannot be read.
     #[track_caller]
     pub fn read(&self, name: &str) -> Vec<u8> {
         let path = self.path(name);
-        std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+        std::fs::read(&path).unwrap_or_else(|e| panic!("cannot read fixture {}: {e}", path.display()))
     }
 
     /// Compares bytes with the recorded ones.
     ///
     /// # Panics
-    /// They differ, or there is no such fixture.
+    /// If they differ, or the fixture cannot be read.
     #[track_caller]
     pub fn assert_bytes(&self, name: &str, actual: &[u8]) {
         self.write_if_missing(name, actual);
         let recorded = self.read(name);
         assert!(
             recorded == actual,
-            "{name}: {} bytes recorded, {} made, not equal",
+            "{name} differs: {} bytes recorded, {} bytes produced",
             recorded.len(),
             actual.len()
         );
     }
 
-    /// Compares a text with the recorded one, and tells the first line that differs.
+    /// Compares a text with the recorded one line by line.
     ///
     /// # Panics
-    /// They differ, or there is no such fixture.
+    /// If they differ, with the first differing line, or if the fixture cannot be read.
     #[track_caller]
     pub fn assert_text(&self, name: &str, actual: &str) {
         self.write_if_missing(name, actual.as_bytes());
-        let recorded = String::from_utf8(self.read(name)).expect("a fixture of text");
+        let recorded = String::from_utf8(self.read(name)).expect("a text fixture is valid UTF-8");
         if recorded == actual {
             return;
         }
-        let (mut old, mut new) = (recorded.lines(), actual.lines());
+        let (mut recorded_lines, mut actual_lines) = (recorded.lines(), actual.lines());
         for number in 1.. {
-            let (was, is) = (old.next(), new.next());
-            assert_eq!(was, is, "{name}: line {number}, recorded on the left");
-            assert!(was.is_some() || is.is_some(), "{name}: line ends differ");
+            let (expected, found) = (recorded_lines.next(), actual_lines.next());
+            assert_eq!(expected, found, "{name}: line {number}, recorded on the left");
+            assert!(expected.is_some() || found.is_some(), "{name}: line endings differ");
         }
     }
 
@@ -77,13 +77,13 @@
         if std::env::var_os(WRITE_VARIABLE).is_none() || path.exists() {
             return;
         }
-        let folder = path.parent().expect("a fixture lies in a folder");
-        std::fs::create_dir_all(folder).expect("the folder of fixtures can be made");
-        std::fs::write(&path, bytes).expect("a fixture can be written");
+        let directory = path.parent().expect("a fixture path has a parent directory");
+        std::fs::create_dir_all(directory).expect("cannot create the fixture directory");
+        std::fs::write(&path, bytes).expect("cannot write the fixture");
     }
 }
 
-/// Bytes as hex digits.
+/// Encodes bytes as hex digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
         let _ = write!(text, "{byte:02x}");
@@ -91,18 +91,18 @@
     })
 }
 
-/// Bytes from hex digits.
+/// Decodes bytes from hex digits.
 ///
 /// # Panics
-/// They are none.
+/// If the text is not a sequence of pairs of hex digits.
 pub fn unhex(text: &str) -> Vec<u8> {
-    let digit = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
+    let digit = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("a pair of hex digits");
     (0..text.len()).step_by(2).map(digit).collect()
 }
 
-/// What a value's `Debug` form holds once names are taken out: numbers, strings, truth values, and for each variant
-/// without fields a number by first appearance. It stays the same when types, fields and variants are renamed or
-/// fields move into another struct in the same order.
+/// Lists the values in a `Debug` text without names: numbers, strings, booleans, and for each variant without
+/// fields a number in the order of first appearance. The list does not change when types, fields and variants
+/// are renamed, or when fields move to another struct in the same order.
 pub fn values_of(debug: &str) -> String {
     let mut out = String::new();
     let mut variants: BTreeMap<String, usize> = BTreeMap::new();
@@ -111,9 +111,9 @@
         let length = token_length(rest, first);
         let (token, after) = rest.split_at(length);
         rest = after;
-        if first == '"' || first.is_ascii_digit() || first == '-' && length > 1 || is_known_word(token) {
+        if first == '"' || first.is_ascii_digit() || first == '-' && length > 1 || is_value_keyword(token) {
             let _ = writeln!(out, "{token}");
-        } else if is_name_start(first) && stands_alone(after) {
+        } else if is_name_start(first) && is_complete_value(after) {
             let next = variants.len();
             let _ = writeln!(out, "variant {}", variants.entry(token.to_owned()).or_insert(next));
         }
@@ -151,11 +151,11 @@
     character.is_ascii_alphabetic() || character == '_'
 }
 
-fn is_known_word(token: &str) -> bool {
+fn is_value_keyword(token: &str) -> bool {
     matches!(token, "true" | "false" | "None" | "Some" | "inf" | "NaN")
 }
 
-/// Whether the name before this text is a whole value: no field's name and no type's.
-fn stands_alone(after: &str) -> bool {
+/// Whether the name before this text is a complete value, not the name of a field or of a type with fields.
+fn is_complete_value(after: &str) -> bool {
     !after.starts_with([':', '(']) && !after.starts_with(" {")
 }
--- a/crates/flaxstand-index/src/decaying.rs
+++ b/crates/flaxstand-index/src/decaying.rs
@@ -1,6 +1,6 @@
-//! A sum whose terms lose weight as time passes.
+//! A sum whose terms decay exponentially with time.
 
-/// A sum that fades exponentially with a time constant of `TIME` units of the caller's clock.
+/// A sum that decays exponentially with a time constant of `TIME` units of the caller's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DecayingSum<const TIME: u64> {
     value: f64,
@@ -8,7 +8,7 @@
 }
 
 impl<const TIME: u64> DecayingSum<TIME> {
-    /// What is left of the sum at a moment that is no earlier than the last addition.
+    /// The decayed sum at a time that is not before the last addition.
     pub fn get(&self, now: f64) -> f64 {
         if self.value == 0.0 {
             return 0.0;
@@ -16,7 +16,7 @@
         self.value * (-(now - self.at) / TIME as f64).exp()
     }
 
-    /// Adds a term at a moment that is no earlier than the last addition.
+    /// Adds a term at a time that is not before the last addition.
     pub fn add(&mut self, amount: f64, now: f64) {
         *self = DecayingSum { value: self.get(now) + amount, at: now };
     }
--- a/crates/flaxstand-index/src/order.rs
+++ b/crates/flaxstand-index/src/order.rs
@@ -1,6 +1,7 @@
-//! Places in lists of numbers: the median, and a point on the line of their sums.
+//! Median and weighted selection in lists of numbers.
 
-/// The median of some numbers in the order of `f64::total_cmp`, the lower of two; none without a number.
+/// The median of the numbers in the order of `f64::total_cmp`, the lower one for an even count; none if there
+/// are no numbers.
 pub fn lower_median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     let middle = values.len().checked_sub(1)? / 2;
@@ -8,13 +9,14 @@
     Some(*median)
 }
 
-/// The place of the weight that holds a point, when weights lie side by side from 0 in their order. A point
-/// beyond all of them, as rounding may make it, is held by the last; none without a weight.
-pub fn place_by_weight(weights: &[f64], point: f64) -> Option<usize> {
-    let mut rest = point;
-    let holds = |weight: &f64| {
-        rest -= weight;
-        rest < 0.0
+/// The index of the weight whose interval contains `point`, with the weights laid out as consecutive
+/// intervals from 0. A point beyond all intervals, which rounding can produce, selects the last weight; none
+/// if there are no weights.
+pub fn weighted_index(weights: &[f64], point: f64) -> Option<usize> {
+    let mut remaining = point;
+    let contains_point = |weight: &f64| {
+        remaining -= weight;
+        remaining < 0.0
     };
-    weights.iter().position(holds).or(weights.len().checked_sub(1))
+    weights.iter().position(contains_point).or(weights.len().checked_sub(1))
 }
--- a/crates/flaxstand-index/src/samples.rs
+++ b/crates/flaxstand-index/src/samples.rs
@@ -1,13 +1,13 @@
-//! A multiset of numbers, kept sorted in chunks: one change moves at most one chunk.
+//! A sorted multiset of numbers, stored in chunks so that one change moves the samples of at most one chunk.
 
 use crate::ExactSum;
 
-/// The most samples in one chunk. A chunk that grows beyond it is split in two.
+/// Maximum number of samples in a chunk. A chunk that grows beyond it is split in two.
 const MAX_CHUNK_LEN: usize = 128;
-/// Two neighbouring chunks that hold no more than this together become one.
+/// Two adjacent chunks with at most this many samples together are merged.
 const MAX_MERGED_LEN: usize = MAX_CHUNK_LEN / 2;
 
-/// Part of the samples, sorted and never empty, with its sum.
+/// A contiguous part of the sorted samples, never empty, with its sum.
 #[derive(Debug, Default)]
 struct Chunk {
     values: Vec<f64>,
@@ -25,21 +25,22 @@
         self.values[self.values.len() - 1]
     }
 
-    /// Sum of the samples, each counted as `cap` at most; goes through those on the shorter side of the cap.
+    /// Sum of the samples, each capped at `cap`. Iterates over the smaller of the two groups below and above
+    /// the cap.
     fn capped_sum(&self, cap: f64) -> ExactSum {
-        let (within, beyond) = self.values.split_at(self.values.partition_point(|value| *value <= cap));
+        let (below, above) = self.values.split_at(self.values.partition_point(|value| *value <= cap));
         let mut sum = ExactSum::default();
-        if within.len() < beyond.len() {
-            within.iter().for_each(|value| sum.add(*value));
+        if below.len() < above.len() {
+            below.iter().for_each(|value| sum.add(*value));
         } else {
             sum = self.sum;
-            beyond.iter().for_each(|value| sum.remove(*value));
+            above.iter().for_each(|value| sum.remove(*value));
         }
-        sum.add_times(cap, beyond.len());
+        sum.add_times(cap, above.len());
         sum
     }
 
-    /// Where the first sample stands that is no less than `value`.
+    /// Index of the first sample that is not less than `value`.
     fn position(&self, value: f64) -> usize {
         self.values.partition_point(|v| v.total_cmp(&value).is_lt())
     }
@@ -47,8 +48,9 @@
 
 /// A multiset of numbers in the order of `f64::total_cmp`, with order statistics and capped means.
 ///
-/// With `n` samples there are some `n / 32` chunks at most. A change searches them by halves and moves at most 128
-/// samples; a query walks the chunks' heads, and the samples of one of them. Results do not depend on the order of changes.
+/// With `n` samples there are at most about `n / 32` chunks. A change finds its chunk by binary search and
+/// moves at most 128 samples; a query iterates over the chunk headers and over the samples of one chunk.
+/// Results do not depend on the order of changes.
 #[derive(Debug, Default)]
 pub struct SortedSamples {
     chunks: Vec<Chunk>,
@@ -56,17 +58,17 @@
 }
 
 impl SortedSamples {
-    /// How many samples are held.
+    /// Number of samples.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none is held.
+    /// Whether there are no samples.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds a sample; equal ones are kept side by side.
+    /// Adds a sample. Equal samples are stored separately.
     pub fn insert(&mut self, value: f64) {
         self.len += 1;
         if self.chunks.is_empty() {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Removes one sample of this value; false if there is none.
+    /// Removes one sample of this value. Returns whether there was one.
     pub fn remove(&mut self, value: f64) -> bool {
         let index = self.chunk_of(value);
         let Some(chunk) = self.chunks.get_mut(index) else { return false };
@@ -99,38 +101,38 @@
         true
     }
 
-    /// The sample at a place in ascending order, from 0; none beyond the last.
-    pub fn nth(&self, place: usize) -> Option<f64> {
-        let mut left = place;
+    /// The sample at an index in ascending order, from 0; none beyond the last.
+    pub fn nth(&self, index: usize) -> Option<f64> {
+        let mut remaining = index;
         for chunk in &self.chunks {
-            if left < chunk.values.len() {
-                return Some(chunk.values[left]);
+            if remaining < chunk.values.len() {
+                return Some(chunk.values[remaining]);
             }
-            left -= chunk.values.len();
+            remaining -= chunk.values.len();
         }
         None
     }
 
-    /// Mean of the samples, each counted as `cap` at most; none without a sample.
+    /// Mean of the samples, each capped at `cap`; none if there are no samples.
     pub fn capped_mean(&self, cap: f64) -> Option<f64> {
-        // Chunks in which no sample passes the cap, one that it may cut, and chunks beyond it.
+        // Chunks without a sample above the cap, one chunk that may contain the cap, and chunks above it.
         let within = self.chunks.partition_point(|chunk| chunk.last() <= cap);
-        let (below, rest) = self.chunks.split_at(within);
+        let (below, others) = self.chunks.split_at(within);
         let mut sum = ExactSum::default();
         below.iter().for_each(|chunk| sum.add_sum(chunk.sum));
-        if let Some((cut, beyond)) = rest.split_first() {
-            sum.add_sum(cut.capped_sum(cap));
-            sum.add_times(cap, beyond.iter().map(|chunk| chunk.values.len()).sum());
+        if let Some((containing, above)) = others.split_first() {
+            sum.add_sum(containing.capped_sum(cap));
+            sum.add_times(cap, above.iter().map(|chunk| chunk.values.len()).sum());
         }
         (self.len > 0).then(|| sum.value() / self.len as f64)
     }
 
-    /// The first chunk that may hold `value`; the number of chunks if all samples are less.
+    /// Index of the first chunk that may contain `value`; the number of chunks if all samples are less.
     fn chunk_of(&self, value: f64) -> usize {
         self.chunks.partition_point(|chunk| chunk.last().total_cmp(&value).is_lt())
     }
 
-    /// Drops a chunk that became empty, and joins a small one with a small neighbour.
+    /// Removes a chunk that became empty, and merges a small one with adjacent small chunks.
     fn shrink(&mut self, index: usize) {
         if self.chunks[index].values.is_empty() {
             self.chunks.remove(index);
--- a/crates/flaxstand-index/src/sum.rs
+++ b/crates/flaxstand-index/src/sum.rs
@@ -1,20 +1,21 @@
-//! A sum in fixed point, so that additions and removals in any order give one result.
+//! A fixed-point sum whose result does not depend on the order of additions and removals.
 
-/// Binary digits kept after the point. Numbers of 2^-8 and more are kept exactly, as a float has 53 digits.
+/// Number of fraction bits. Numbers of at least 2^-8 are represented exactly, as an `f64` has 53 significant
+/// bits.
 const FRACTION_BITS: u32 = 60;
 
 /// A sum of numbers that does not depend on the order in which they were added and removed.
 ///
-/// Each number is rounded to a multiple of 2^-60 when it is added, and in the same way when it is removed. The
-/// result is right as long as the true sum stays within ±2^66 (about 7e19); an excursion beyond that does no
-/// lasting harm, since arithmetic wraps around.
+/// Each number is rounded to a multiple of 2^-60 when it is added, and in the same way when it is removed.
+/// The result is correct while the true sum is within ±2^66 (about 7e19). A temporary overflow has no lasting
+/// effect, since the arithmetic wraps around.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExactSum {
     scaled: i128,
 }
 
 impl ExactSum {
-    /// Adds one number. One that is not finite counts as the nearest number that fits, and NaN as 0.
+    /// Adds a number. Numbers out of range saturate, infinities included; NaN counts as 0.
     pub fn add(&mut self, value: f64) {
         self.scaled = self.scaled.wrapping_add(scale(value));
     }
@@ -24,28 +25,28 @@
         self.scaled = self.scaled.wrapping_sub(scale(value));
     }
 
-    /// Adds one number several times.
+    /// Adds a number several times.
     pub fn add_times(&mut self, value: f64, times: usize) {
         self.scaled = self.scaled.wrapping_add(scale(value).wrapping_mul(times as i128));
     }
 
-    /// Adds all that another sum holds.
+    /// Adds another sum.
     pub fn add_sum(&mut self, other: ExactSum) {
         self.scaled = self.scaled.wrapping_add(other.scaled);
     }
 
-    /// The sum, rounded once to the nearest float.
+    /// The sum, rounded once to the nearest `f64`.
     pub fn value(self) -> f64 {
-        self.scaled as f64 / one()
+        self.scaled as f64 / scale_factor()
     }
 }
 
-/// The scale: 2^60, exact as a float.
-fn one() -> f64 {
+/// The scale factor 2^60, which an `f64` represents exactly.
+fn scale_factor() -> f64 {
     (1u64 << FRACTION_BITS) as f64
 }
 
-/// A number in multiples of 2^-60; the cast saturates and maps NaN to 0.
+/// Converts a number to multiples of 2^-60; the cast saturates and maps NaN to 0.
 fn scale(value: f64) -> i128 {
-    (value * one()).round() as i128
+    (value * scale_factor()).round() as i128
 }
--- a/crates/flaxstand-index/tests/samples.rs
+++ b/crates/flaxstand-index/tests/samples.rs
@@ -1,4 +1,4 @@
-//! Sorted samples and exact sums against a plain sorted list, over drawn operations.
+//! Compares sorted samples and exact sums with a plain sorted list, over random operations.
 
 use flaxstand_index::{ExactSum, SortedSamples};
 use rand_core::{RngCore, SeedableRng};
@@ -7,7 +7,7 @@
 const SEEDS: u64 = 40;
 const STEPS: usize = 3000;
 
-/// The plain version: a sorted list.
+/// Reference implementation: a sorted list.
 #[derive(Default)]
 struct SortedList(Vec<f64>);
 
@@ -32,7 +32,7 @@
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A value that is often equal to another, sometimes at an edge, and otherwise spread over some powers of two.
+/// A random value: often equal to others, sometimes zero or large, otherwise uniform in [0, 40).
 fn draw_value(rng: &mut Pcg64Mcg) -> f64 {
     match rng.next_u32() % 8 {
         0 => 0.0,
@@ -45,31 +45,34 @@
 fn assert_same(samples: &SortedSamples, list: &SortedList, rng: &mut Pcg64Mcg, seed: u64) {
     assert_eq!(samples.len(), list.0.len(), "seed {seed}");
     assert_eq!(samples.is_empty(), list.0.is_empty(), "seed {seed}");
-    let place = rng.next_u64() as usize % (list.0.len() + 2);
-    assert_eq!(samples.nth(place), list.0.get(place).copied(), "seed {seed}, place {place}");
+    let index = rng.next_u64() as usize % (list.0.len() + 2);
+    assert_eq!(samples.nth(index), list.0.get(index).copied(), "seed {seed}, index {index}");
     let cap = draw_value(rng);
     match (samples.capped_mean(cap), list.capped_mean(cap)) {
-        (Some(got), Some(want)) => {
-            assert!((got - want).abs() <= 1e-12 * want.max(1.0), "seed {seed}, cap {cap}: {got}, not {want}");
+        (Some(actual), Some(expected)) => {
+            assert!(
+                (actual - expected).abs() <= 1e-12 * expected.max(1.0),
+                "seed {seed}, cap {cap}: expected {expected}, got {actual}"
+            );
         }
-        (got, want) => assert_eq!(got, want, "seed {seed}"),
+        (actual, expected) => assert_eq!(actual, expected, "seed {seed}"),
     }
 }
 
 #[test]
-fn drawn_changes_give_what_a_sorted_list_gives() {
+fn random_changes_match_a_sorted_list() {
     for seed in 0..SEEDS {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut samples, mut list) = (SortedSamples::default(), SortedList::default());
         for step in 0..STEPS {
-            // Grows for a while, shrinks to nothing, grows again.
+            // Alternates between phases that mostly insert and phases that empty the multiset.
             let shrinks = (step / 1000) % 2 == 1;
             let removes = rng.next_u32() % 10 < if shrinks { 9 } else { 2 };
             let held = list.0.get(rng.next_u64() as usize % list.0.len().max(1)).copied();
             match held.filter(|_| removes) {
                 Some(value) => {
                     assert!(list.remove(value));
-                    assert!(samples.remove(value), "seed {seed}: {value} is there");
+                    assert!(samples.remove(value), "seed {seed}: {value} was inserted but not found");
                 }
                 None => {
                     let value = draw_value(&mut rng);
@@ -85,22 +88,22 @@
 }
 
 #[test]
-fn every_sample_is_found_at_its_place_after_many_equal_ones() {
+fn samples_are_sorted_and_found_among_many_equal_ones() {
     let mut samples = SortedSamples::default();
     for value in [2.0; 2000].into_iter().chain([1.0; 1000]).chain([3.0; 1000]) {
         samples.insert(value);
     }
-    let held: Vec<f64> = (0..samples.len()).filter_map(|place| samples.nth(place)).collect();
-    assert_eq!(held, [[1.0; 1000].as_slice(), &[2.0; 2000], &[3.0; 1000]].concat());
+    let sorted: Vec<f64> = (0..samples.len()).filter_map(|index| samples.nth(index)).collect();
+    assert_eq!(sorted, [[1.0; 1000].as_slice(), &[2.0; 2000], &[3.0; 1000]].concat());
     for _ in 0..2000 {
         assert!(samples.remove(2.0));
     }
-    assert!(!samples.remove(2.0), "the last one is gone");
+    assert!(!samples.remove(2.0), "all samples of 2.0 were removed");
     assert_eq!(samples.nth(1000), Some(3.0));
 }
 
 #[test]
-fn a_sample_that_is_not_held_is_not_removed() {
+fn removing_an_absent_sample_changes_nothing() {
     let mut samples = SortedSamples::default();
     assert!(!samples.remove(1.0));
     assert_eq!(samples.capped_mean(1.0), None);
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn a_sum_is_rounded_once() {
+fn a_sum_is_rounded_only_when_it_is_read() {
     let mut sum = ExactSum::default();
     (0..10).for_each(|_| sum.add(0.1));
     assert_eq!(sum.value(), 1.0);
@@ -132,7 +135,7 @@
 }
 
 #[test]
-fn numbers_that_are_not_finite_do_no_lasting_harm() {
+fn non_finite_numbers_have_no_lasting_effect() {
     let mut sum = ExactSum::default();
     sum.add(1.5);
     for value in [f64::INFINITY, f64::NEG_INFINITY, f64::NAN, f64::MAX] {
--- a/crates/flaxstand-index/tests/table.rs
+++ b/crates/flaxstand-index/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table's indexes against plain walks over all records, over drawn operations.
+//! Compares the table's indexes with full scans over all records, over random operations.
 
 use flaxstand_index::{Membership, Record, Table};
 use rand_core::{RngCore, SeedableRng};
@@ -39,7 +39,7 @@
     }
 }
 
-/// The leader by the definition: later keys replace earlier ones only with a strictly higher rank.
+/// Reference implementation: later keys replace earlier ones only with a strictly higher rank.
 fn leader(items: &BTreeMap<u32, Item>, group: u32) -> Option<u32> {
     let mut best: Option<(u32, f64)> = None;
     for (key, item) in items.iter().filter(|(_, item)| item.group == Some(group)) {
@@ -62,12 +62,13 @@
     assert_eq!(table.weight(), members.iter().map(|item| item.weight).sum::<f64>(), "seed {seed}");
     let mut samples: Vec<f64> = items.values().filter_map(|item| item.sample).collect();
     samples.sort_by(f64::total_cmp);
-    let held: Vec<f64> = (0..table.samples().len()).filter_map(|place| table.samples().nth(place)).collect();
-    assert_eq!(held, samples, "seed {seed}");
+    let indexed: Vec<f64> =
+        (0..table.samples().len()).filter_map(|index| table.samples().nth(index)).collect();
+    assert_eq!(indexed, samples, "seed {seed}");
 }
 
 #[test]
-fn drawn_changes_keep_every_index_right() {
+fn random_changes_keep_all_indexes_consistent() {
     for seed in 0..SEEDS {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut table = Table::default();
@@ -81,14 +82,14 @@
                     active.remove(&key);
                 }
                 1 => {
-                    let stays = |item: &Item| item.rank > 0.0;
-                    table.retain_active(stays);
-                    active.retain(|key| stays(&items[key]));
+                    let is_active = |item: &Item| item.rank > 0.0;
+                    table.retain_active(is_active);
+                    active.retain(|key| is_active(&items[key]));
                 }
                 2 if rng.next_u32() % 4 == 0 => {
-                    let removes = |item: &Item| item.sample.is_none();
-                    table.remove_active(removes);
-                    items.retain(|key, item| !(active.contains(key) && removes(item)));
+                    let should_remove = |item: &Item| item.sample.is_none();
+                    table.remove_active(should_remove);
+                    items.retain(|key, item| !(active.contains(key) && should_remove(item)));
                     active.retain(|key| items.contains_key(key));
                 }
                 3 if rng.next_u32() % 8 == 0 => {
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn a_record_is_found_by_its_key_alone() {
+fn records_are_looked_up_by_key() {
     let mut table: Table<u32, Item> = Table::default();
     assert!(table.is_empty());
     table.insert(3, Item { rank: 1.0, ..Item::default() });
@@ -135,14 +136,14 @@
 }
 
 #[test]
-#[should_panic = "a record of this key is in the table"]
-fn an_absent_record_cannot_be_indexed() {
+#[should_panic = "the table has no record with this key"]
+fn indexing_an_absent_record_panics() {
     let table: Table<u32, Item> = Table::default();
     let _ = &table[1];
 }
 
 #[test]
-fn walks_over_active_records_do_not_look_at_those_at_rest() {
+fn iterations_over_active_records_do_not_visit_inactive_ones() {
     for total in [100, 10_000] {
         let mut table: Table<u32, Item> = Table::default();
         (0..total).for_each(|key| table.insert(key, Item::default()));
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -8,7 +8,7 @@
 use crate::random::Random;
 use crate::request::Request;
 use crate::request_table::RequestTable;
-use flaxstand_index::place_by_weight;
+use flaxstand_index::weighted_index;
 use std::collections::BTreeMap;
 
 /// Base of the usage penalty: fitness is divided by this factor for each percent of the recent units that a
@@ -142,7 +142,7 @@
         candidate.capacity_share * fitness.min(max_fitness)
     };
     let weights: Vec<f64> = candidates.iter().zip(&fitness).map(weight_of).collect();
-    place_by_weight(&weights, random.unit() * weights.iter().sum::<f64>())
+    weighted_index(&weights, random.unit() * weights.iter().sum::<f64>())
 }
 
 /// Returns the mean fitness of the candidates with a known service time, or `None` if there are none.
