--- a/crates/flaxstand-bench-adapter/src/inbound.rs
+++ b/crates/flaxstand-bench-adapter/src/inbound.rs
@@ -1,5 +1,5 @@
-//! Messages from the bench, and their translation into events of the scheduler. The bench's own names for
-//! commands and fields are mapped here, by serde.
+//! Messages from the bench, and their translation into scheduler events. The serde attributes map the bench's
+//! names for commands and fields.
 
 use crate::error::LineError;
 use crate::names::NameTable;
@@ -43,7 +43,7 @@
     #[serde(rename = "resolved")]
     AttemptEnded(Addressed<AttemptEnded>),
     #[serde(rename = "clientLeft")]
-    ClientGone(Addressed<ClientGone>),
+    ClientDisconnected(Addressed<ClientDisconnected>),
     #[serde(rename = "reminder")]
     TimerFired(Addressed<TimerFired>),
     #[serde(rename = "probeDone")]
@@ -52,7 +52,7 @@
     PeerData(Addressed<PeerData>),
 }
 
-/// An event's fields with the instance that it belongs to.
+/// The fields of an event, with the instance that it is addressed to.
 #[derive(Deserialize)]
 struct Addressed<T> {
     #[serde(rename = "i")]
@@ -69,38 +69,38 @@
 
 /// A message from the bench.
 pub enum Message {
-    /// A batch of events begins, all of which happen at one time, ms.
+    /// Starts a batch of events that all happen at one time.
     BatchStart {
-        /// That time.
+        /// Time of the batch, ms.
         now: f64,
     },
-    /// The batch has ended: each instance that got an event is to be evaluated.
+    /// Ends the batch: each instance that received an event is evaluated.
     BatchEnd,
-    /// An instance starts, in place of one of the same name.
+    /// Starts an instance, replacing a running one of the same name.
     Start {
-        /// Its name.
+        /// Name of the instance.
         instance: String,
-        /// Seed of its random numbers.
+        /// Seed of the instance's random number generator.
         seed: u64,
-        /// What the platform tells it at its start.
+        /// Parameters that the platform passes to the instance.
         params: Box<Params>,
     },
-    /// An instance stops and forgets everything.
+    /// Stops an instance and drops its state.
     Stop {
-        /// Its name.
+        /// Name of the instance.
         instance: String,
     },
-    /// Something happened at an instance.
+    /// An event at an instance.
     Event {
-        /// Its name.
+        /// Name of the instance.
         instance: String,
-        /// What happened.
+        /// The event.
         event: InstanceEvent,
     },
 }
 
 impl Message {
-    /// Reads one line.
+    /// Parses one line.
     pub fn from_line(line: &str) -> Result<Self, LineError> {
         let line: Line = serde_json::from_str(line).map_err(LineError::Malformed)?;
         Ok(match line {
@@ -112,33 +112,34 @@
             Line::RequestArrived(line) => line.into_message(InstanceEvent::RequestArrived),
             Line::ResponseStarted(line) => line.into_message(InstanceEvent::ResponseStarted),
             Line::AttemptEnded(line) => line.into_message(InstanceEvent::AttemptEnded),
-            Line::ClientGone(line) => line.into_message(InstanceEvent::ClientGone),
+            Line::ClientDisconnected(line) => line.into_message(InstanceEvent::ClientDisconnected),
             Line::ProbeEnded(line) => line.into_message(InstanceEvent::ProbeEnded),
-            Line::TimerFired(line) => line.into_message(|_| InstanceEvent::Nothing),
-            Line::PeerData(line) => line.into_message(|_| InstanceEvent::Nothing),
+            Line::TimerFired(line) => line.into_message(|_| InstanceEvent::EvaluateOnly),
+            Line::PeerData(line) => line.into_message(|_| InstanceEvent::EvaluateOnly),
         })
     }
 }
 
-/// What happened at an instance.
+/// An event at an instance.
 pub enum InstanceEvent {
-    /// The endpoint list or a part of it.
+    /// The endpoint list or changes to it.
     EndpointList(EndpointList),
     /// A client's request.
     RequestArrived(RequestArrived),
-    /// A streamed answer started.
+    /// A streamed response started.
     ResponseStarted(ResponseStarted),
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
     /// A client stopped waiting.
-    ClientGone(ClientGone),
+    ClientDisconnected(ClientDisconnected),
     /// A probe ended.
     ProbeEnded(ProbeEnded),
-    /// A timer, or data that the scheduler has no use for: the instance is evaluated at the batch's end.
-    Nothing,
+    /// A timer, or data that the scheduler does not use: the instance is only evaluated at the end of the
+    /// batch.
+    EvaluateOnly,
 }
 
-/// The endpoint list or a part of it.
+/// The endpoint list or changes to it.
 #[derive(Deserialize)]
 pub struct EndpointList {
     scope: Scope,
@@ -201,7 +202,7 @@
     volume_initiators: Option<u32>,
 }
 
-/// A streamed answer started.
+/// A streamed response started.
 #[derive(Deserialize)]
 pub struct ResponseStarted {
     #[serde(rename = "opId")]
@@ -224,12 +225,12 @@
 
 /// A client stopped waiting.
 #[derive(Deserialize)]
-pub struct ClientGone {
+pub struct ClientDisconnected {
     #[serde(rename = "opId")]
     request: u64,
 }
 
-/// A timer fired. The bench always names a token; there is one timer, so nothing is read from it.
+/// A timer fired. The bench always sends a token; an instance has only one timer, so the token is not used.
 #[derive(Deserialize)]
 struct TimerFired {
     #[serde(rename = "token")]
@@ -251,30 +252,32 @@
     _contents: String,
 }
 
-/// What an instance knows when it reads an event.
+/// State of an instance that is needed to translate its events.
 pub struct ReadContext<'a> {
-    /// What the platform told it at its start.
+    /// Parameters that the platform passed at the start.
     pub params: &'a Params,
-    /// The same as settings of the scheduler.
+    /// The scheduler settings derived from them.
     pub settings: &'a Settings,
-    /// Names of nodes and zones.
+    /// Names and ids of nodes and zones.
     pub names: &'a mut NameTable,
 }
 
 impl InstanceEvent {
-    /// The scheduler's event; none where the scheduler has no use for it.
+    /// Converts the event to a scheduler event; none if the scheduler does not use it.
     pub fn into_event(self, context: &mut ReadContext<'_>) -> Result<Option<Event>, LineError> {
         Ok(Some(match self {
             InstanceEvent::EndpointList(list) => list.into_event(context.names),
             InstanceEvent::RequestArrived(arrival) => Event::RequestArrived(arrival.into_arrival(context)?),
             InstanceEvent::ResponseStarted(started) => Event::ResponseStarted(RequestId(started.request)),
             InstanceEvent::AttemptEnded(ended) => Event::AttemptEnded(ended.into_attempt_end()?),
-            InstanceEvent::ClientGone(gone) => Event::ClientDisconnected(RequestId(gone.request)),
+            InstanceEvent::ClientDisconnected(disconnected) => {
+                Event::ClientDisconnected(RequestId(disconnected.request))
+            }
             InstanceEvent::ProbeEnded(ended) => {
                 let outcome = outcome_of(ended.outcome)?;
                 Event::ProbeEnded(context.names.node_id(&ended.node), outcome)
             }
-            InstanceEvent::Nothing => return Ok(None),
+            InstanceEvent::EvaluateOnly => return Ok(None),
         }))
     }
 }
@@ -314,8 +317,8 @@
     fn into_arrival(self, context: &ReadContext<'_>) -> Result<Arrival, LineError> {
         let class = self.class_id(context.params)?;
         let plan = self.plan_id(context)?;
-        let key = named(&self.key).map(hex_digits).transpose()?;
-        let volume = named(&self.volume).map(hex_digits).transpose()?;
+        let key = non_empty(&self.key).map(parse_hex).transpose()?;
+        let volume = non_empty(&self.volume).map(parse_hex).transpose()?;
         Ok(Arrival {
             id: RequestId(self.request),
             class,
@@ -334,7 +337,7 @@
         position.map(ClassId).ok_or_else(|| LineError::UnknownClass(self.class.clone()))
     }
 
-    /// The plan named, or the first.
+    /// The named plan, or the first one if none is named.
     fn plan_id(&self, context: &ReadContext<'_>) -> Result<PlanId, LineError> {
         let position = match &self.plan {
             Some(name) => context.params.plans().position(|plan| plan == name),
@@ -358,16 +361,16 @@
     }
 }
 
-/// A name that is given and not empty.
-fn named(name: &Option<String>) -> Option<&str> {
+/// A field's text, unless it is absent or empty.
+fn non_empty(name: &Option<String>) -> Option<&str> {
     name.as_deref().filter(|name| !name.is_empty())
 }
 
-fn hex_digits(text: &str) -> Result<u64, LineError> {
+fn parse_hex(text: &str) -> Result<u64, LineError> {
     u64::from_str_radix(text, 16).map_err(|_| LineError::NotHexDigits(text.to_owned()))
 }
 
-/// The bench's numbers of outcomes.
+/// Maps the bench's outcome codes.
 fn outcome_of(code: u8) -> Result<Outcome, LineError> {
     Ok(match code {
         1 => Outcome::Served,
--- a/crates/flaxstand-bench-adapter/src/main.rs
+++ b/crates/flaxstand-bench-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! The adapter: hosts one scheduler for each simulated initiator and speaks the bench's wire on standard
-//! input and output. It translates and decides nothing.
+//! Bench adapter: runs one scheduler for each simulated initiator and implements the bench's protocol on
+//! standard input and output. It only translates messages; all decisions are made by the schedulers.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -12,7 +12,7 @@
 use std::io::{self, BufWriter};
 use std::process::ExitCode;
 
-/// Bytes of output that are gathered before they are written.
+/// Size of the output buffer, in bytes.
 const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
--- a/crates/flaxstand-bench-adapter/src/outbound.rs
+++ b/crates/flaxstand-bench-adapter/src/outbound.rs
@@ -1,4 +1,4 @@
-//! Messages to the bench. The bench's own names for commands and fields are mapped here, by serde.
+//! Messages to the bench. The serde attributes map the bench's names for commands and fields.
 
 use crate::error::LineError;
 use crate::names::NameTable;
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::io::Write;
 
-/// The only timer that an instance has.
+/// Id of an instance's only timer.
 const TIMER_TOKEN: u64 = 0;
 
 /// A line to the bench.
@@ -78,10 +78,10 @@
         /// The instance.
         #[serde(rename = "i")]
         instance: &'a str,
-        /// How long from now, ms.
+        /// Time until it fires, ms.
         #[serde(rename = "inMs")]
         after: f64,
-        /// Which timer.
+        /// Id of the timer; always [`TIMER_TOKEN`].
         token: u64,
     },
     /// Poll the endpoint list.
@@ -93,7 +93,7 @@
         /// Always true.
         active: bool,
     },
-    /// Everything that the batch asked for has been written.
+    /// All commands for the batch have been written.
     #[serde(rename = "next")]
     BatchDone,
 }
--- a/crates/flaxstand-bench-adapter/src/session.rs
+++ b/crates/flaxstand-bench-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! A session with the bench: batches of messages in, commands out.
+//! A session with the bench: reads batches of messages and writes commands.
 
 use crate::error::{LineError, SessionError};
 use crate::inbound::{InstanceEvent, Message, ReadContext};
@@ -16,7 +16,7 @@
     params: Params,
     settings: Settings,
     names: NameTable,
-    /// It got an event in this batch.
+    /// Whether it received an event in this batch.
     needs_evaluation: bool,
 }
 
@@ -58,11 +58,11 @@
     }
 }
 
-/// All instances of this process, strictly apart, and the batch that is being read.
+/// All instances of this process, which share no state, and the current batch.
 #[derive(Default)]
 struct Session {
     instances: BTreeMap<String, Instance>,
-    /// Time of the batch; none between two batches.
+    /// Time of the current batch; none between batches.
     batch_time: Option<f64>,
 }
 
@@ -105,7 +105,7 @@
         instance.write(name, &actions, output)
     }
 
-    /// Evaluates each instance that got an event, in the order of names.
+    /// Evaluates each instance that received an event, in the order of names.
     fn end_batch(&mut self, now: f64, output: &mut impl Write) -> Result<(), LineError> {
         for (name, instance) in self.instances.iter_mut().filter(|(_, instance)| instance.needs_evaluation) {
             let actions = instance.evaluate(now);
@@ -117,7 +117,7 @@
     }
 }
 
-/// Reads batches until the input ends.
+/// Processes batches until the input ends.
 pub fn run(input: impl BufRead, output: &mut impl Write) -> Result<(), SessionError> {
     let mut session = Session::default();
     for (index, line) in input.lines().enumerate() {
--- a/crates/flaxstand-bench-adapter/tests/wire.rs
+++ b/crates/flaxstand-bench-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The built adapter, fed batches on standard input.
+//! Tests of the built adapter, which reads batches on standard input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -19,9 +19,9 @@
         .expect("the adapter starts");
     let mut text = lines.join("\n");
     text.push('\n');
-    // A rejected line may close the pipe before all is written.
-    let _ = child.stdin.take().expect("a pipe").write_all(text.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+    // The adapter may exit at an invalid line before all input is written.
+    let _ = child.stdin.take().expect("standard input is piped").write_all(text.as_bytes());
+    child.wait_with_output().expect("the adapter exits")
 }
 
 fn stdout(output: &Output) -> String {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_batch_is_answered_by_its_actions_and_one_end() {
+fn a_batch_is_answered_by_its_commands_and_one_end_marker() {
     let output = play(&[BATCH_START, SPAWN, LIST, ARRIVAL, BATCH_END, BATCH_START, BATCH_END]);
     assert!(output.status.success());
     let text = stdout(&output);
@@ -43,29 +43,29 @@
 }
 
 #[test]
-fn the_end_of_input_ends_the_adapter_successfully() {
+fn the_adapter_exits_successfully_at_the_end_of_input() {
     let output = play(&[BATCH_START, BATCH_END]);
     assert!(output.status.success());
     assert_eq!(stdout(&output), format!("{BATCH_DONE}\n"));
 }
 
 #[test]
-fn an_instance_that_restarts_within_a_batch_forgets_everything() {
-    let off = r#"{"cmd":"powerOff","i":"initiator-0"}"#;
-    let output = play(&[BATCH_START, SPAWN, LIST, ARRIVAL, off, SPAWN, BATCH_END]);
+fn an_instance_that_restarts_within_a_batch_loses_its_state() {
+    let stop = r#"{"cmd":"powerOff","i":"initiator-0"}"#;
+    let output = play(&[BATCH_START, SPAWN, LIST, ARRIVAL, stop, SPAWN, BATCH_END]);
     assert!(output.status.success());
     assert_eq!(stdout(&output), format!("{BATCH_DONE}\n"));
 }
 
-/// One batch at a moment.
+/// Lines of a batch of events at one time.
 fn batch(at: f64, events: &[String]) -> Vec<String> {
     let mark = format!(r#"{{"cmd":"mark","atTimeMs":{at:.1}}}"#);
     [&[mark][..], events, &[BATCH_END.to_owned()]].concat()
 }
 
 fn arrival(id: u64, until: f64) -> String {
-    let first = ARRIVAL.replace("2669718875574724", &id.to_string());
-    first.replace("91f03b7c55d20a64", &format!("{id:016x}")).replace("2500.0", &format!("{until:.1}"))
+    let with_id = ARRIVAL.replace("2669718875574724", &id.to_string());
+    with_id.replace("91f03b7c55d20a64", &format!("{id:016x}")).replace("2500.0", &format!("{until:.1}"))
 }
 
 fn attempt_ended(id: u64, go: u32, outcome: u8, lag: f64) -> String {
@@ -76,13 +76,13 @@
 }
 
 #[test]
-fn probes_hedged_attempts_and_cancellations_reach_the_wire() {
+fn probes_hedged_attempts_and_cancellations_are_written_as_commands() {
     let spawn = SPAWN.replace(r#""secondCopies":false"#, r#""secondCopies":true,"mayProbe":true"#);
     let probed = r#"{"cmd":"probeDone","i":"initiator-0","target":"10.0.0.1:80","lagMs":1.4,"outcome":1,"telemetry":null}"#;
     let tick = r#"{"cmd":"reminder","i":"initiator-0","token":0}"#.to_owned();
     let mut lines = batch(1000.0, &[spawn, LIST.to_owned(), arrival(1, 2500.0)]);
     lines.extend(batch(1005.0, &[arrival(2, 2505.0)]));
-    // The later one is answered, the first never: an answer was lost.
+    // The later request is answered. The response to the first is lost: its attempt times out.
     lines.extend(batch(1025.0, &[attempt_ended(2, 0, 1, 20.0)]));
     lines.extend(batch(2500.0, &[attempt_ended(1, 0, 4, 1500.0)]));
     lines.extend(batch(2510.0, &[arrival(3, 4010.0)]));
@@ -110,28 +110,28 @@
 
 #[test]
 fn malformed_input_is_reported_on_standard_error_without_a_panic() {
-    let other = ARRIVAL.replace("initiator-0", "initiator-5");
+    let unknown_instance = ARRIVAL.replace("initiator-0", "initiator-5");
     let no_id = ARRIVAL.replace(r#""opId":2669718875574724,"#, "");
-    let strange = ARRIVAL.replace(r#""class":"read""#, r#""class":"scan""#);
-    let bad_key = ARRIVAL.replace("91f03b7c55d20a64", "not hex");
+    let unknown_class = ARRIVAL.replace(r#""class":"read""#, r#""class":"scan""#);
+    let invalid_extent = ARRIVAL.replace("91f03b7c55d20a64", "not hex");
     let probed = r#"{"cmd":"probeDone","i":"initiator-0","target":"10.0.0.1:80","lagMs":1,"outcome":99}"#;
     let cases: [(&str, Vec<&str>); 10] = [
         ("not JSON", vec![BATCH_START, "{"]),
         ("unknown command", vec![BATCH_START, r#"{"cmd":"dance","i":"initiator-0"}"#]),
         ("missing field", vec![BATCH_START, SPAWN, &no_id, BATCH_END]),
-        ("unknown instance", vec![BATCH_START, SPAWN, &other, BATCH_END]),
-        ("unknown class", vec![BATCH_START, SPAWN, &strange, BATCH_END]),
-        ("a key that is none", vec![BATCH_START, SPAWN, &bad_key, BATCH_END]),
+        ("unknown instance", vec![BATCH_START, SPAWN, &unknown_instance, BATCH_END]),
+        ("unknown class", vec![BATCH_START, SPAWN, &unknown_class, BATCH_END]),
+        ("invalid extent", vec![BATCH_START, SPAWN, &invalid_extent, BATCH_END]),
         ("unknown outcome of a probe", vec![BATCH_START, SPAWN, LIST, probed, BATCH_END]),
         ("missing eob", vec![BATCH_START, SPAWN]),
         ("outside a batch", vec![BATCH_END]),
         ("mark in a batch", vec![BATCH_START, BATCH_START, BATCH_END]),
     ];
-    for (what, lines) in cases {
+    for (case, lines) in cases {
         let output = play(&lines);
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(1), "{what}: {message}");
-        assert!(message.starts_with("flaxstand-drill: "), "{what}: {message}");
-        assert!(!message.contains("panicked"), "{what}: {message}");
+        assert_eq!(output.status.code(), Some(1), "{case}: {message}");
+        assert!(message.starts_with("flaxstand-drill: "), "{case}: {message}");
+        assert!(!message.contains("panicked"), "{case}: {message}");
     }
 }
