--- a/crates/flaxstand-audit/src/record.rs
+++ b/crates/flaxstand-audit/src/record.rs
@@ -178,7 +178,7 @@
         node: u64,
         /// Incarnation of the node.
         incarnation: u64,
-        /// The shard that it holds.
+        /// Shard of the node.
         shard: u32,
         /// Its zone.
         zone: u32,
--- a/crates/flaxstand-audit/src/verdict.rs
+++ b/crates/flaxstand-audit/src/verdict.rs
@@ -23,7 +23,7 @@
     RetryBudget,
     /// 7: volumes stay within the rate limits of their plans.
     Limits,
-    /// Reads return the data that was written. It has no number among the rules but is checked as strictly.
+    /// Reads return the data that was written. It is not one of the numbered rules but is just as binding.
     Data,
     /// Acknowledged buffered writes reach their nodes, in order with respect to each barrier.
     #[serde(rename = "Promises")]
--- a/crates/flaxstand-client/src/backoff.rs
+++ b/crates/flaxstand-client/src/backoff.rs
@@ -49,7 +49,7 @@
     }
 
     /// Draws the wait before the next connect. A wait advised by the initiator replaces the back-off; jitter
-    /// is added so that clients with the same advised wait do not reconnect at once.
+    /// is added so that clients with the same advised wait do not reconnect simultaneously.
     pub(crate) fn draw_wait(&mut self, advised_wait: Micros, jitter: &mut Jitter) -> Micros {
         let min = self.min.0 as f64;
         let previous = self.previous_wait.max(self.min).0 as f64;
--- a/crates/flaxstand-client/src/retry/advised_waits.rs
+++ b/crates/flaxstand-client/src/retry/advised_waits.rs
@@ -14,12 +14,12 @@
 }
 
 impl AdvisedWaits {
-    /// Holds back all attempts until the given time, or longer if an earlier call said so.
+    /// Holds back all attempts until the given time, or until a later time set before.
     pub(crate) fn hold_all(&mut self, until: Micros) {
         self.all_until = self.all_until.max(until);
     }
 
-    /// Holds back attempts for one volume until the given time, or longer if an earlier call said so.
+    /// Holds back attempts for one volume until the given time, or until a later time set before.
     pub(crate) fn hold_volume(&mut self, volume: u64, until: Micros, now: Micros) {
         if self.volume_until.len() >= MAX_TRACKED_VOLUMES {
             self.volume_until.retain(|_, until| *until > now);
--- a/crates/flaxstand-client/tests/client/connection.rs
+++ b/crates/flaxstand-client/tests/client/connection.rs
@@ -58,7 +58,7 @@
 fn advised_reconnect_wait_is_respected() {
     let mut harness = Harness::new(config());
     harness.submit(write_request(1, RetrySafety::Idempotent, 60_000));
-    harness.send(&Frame::Bye { close_reason: CloseReason::Turn, wait: 800_000, text: "many come at once" });
+    harness.send(&Frame::Bye { close_reason: CloseReason::Turn, wait: 800_000, text: "reconnect storm" });
     let at = harness.now;
     harness.lose_connection();
     harness.run(5000);
@@ -75,12 +75,20 @@
 fn request_rejected_as_a_protocol_error_is_not_retried() {
     let mut harness = Harness::new(config());
     let id = harness.submit(write_request(1, RetrySafety::Idempotent, 60_000));
-    harness.send(&Frame::Bye { close_reason: CloseReason::Protocol, wait: 0, text: "class 7 of 3" });
+    harness.send(&Frame::Bye {
+        close_reason: CloseReason::Protocol,
+        wait: 0,
+        text: "unknown class 7: 3 classes configured",
+    });
     harness.lose_connection();
     assert_eq!(harness.abandoned(id).reason, AbandonReason::Protocol);
     let id = harness.submit(write_request(2, RetrySafety::Idempotent, 60_000));
     harness.run(1000);
-    harness.send(&Frame::Bye { close_reason: CloseReason::Version, wait: 0, text: "versions" });
+    harness.send(&Frame::Bye {
+        close_reason: CloseReason::Version,
+        wait: 0,
+        text: "unsupported protocol version",
+    });
     harness.lose_connection();
     assert_eq!(harness.abandoned(id).reason, AbandonReason::Protocol);
     let connects = harness.connects.len();
--- a/crates/flaxstand-client/tests/client/histories.rs
+++ b/crates/flaxstand-client/tests/client/histories.rs
@@ -55,7 +55,7 @@
 
 /// The attempts that an advised wait holds back.
 #[derive(Clone, Copy, Debug)]
-enum Held {
+enum HeldAttempts {
     Operation(u64),
     Volume(u64),
     All,
@@ -64,7 +64,7 @@
 /// A wait that the initiator advised.
 #[derive(Clone, Copy, Debug)]
 struct AdvisedWait {
-    held: Held,
+    held: HeldAttempts,
     from: Micros,
     until: Micros,
 }
@@ -72,9 +72,9 @@
 impl AdvisedWait {
     fn applies_to(&self, attempt: &ReceivedAttempt) -> bool {
         match self.held {
-            Held::Operation(operation) => operation == attempt.operation,
-            Held::Volume(volume) => volume == attempt.volume,
-            Held::All => true,
+            HeldAttempts::Operation(operation) => operation == attempt.operation,
+            HeldAttempts::Volume(volume) => volume == attempt.volume,
+            HeldAttempts::All => true,
         }
     }
 }
@@ -142,9 +142,9 @@
     fn refuse(&mut self, pick: usize, wait_ms: u64, scope: Scope) {
         let Some(attempt) = self.close_attempt(pick) else { return };
         let held = match scope {
-            Scope::Request => Held::Operation(attempt.operation),
-            Scope::Volume => Held::Volume(attempt.volume),
-            Scope::All => Held::All,
+            Scope::Request => HeldAttempts::Operation(attempt.operation),
+            Scope::Volume => HeldAttempts::Volume(attempt.volume),
+            Scope::All => HeldAttempts::All,
         };
         // The client ignores a refusal of a request that has ended.
         let request = self.submitted[&attempt.operation].id;
--- a/crates/flaxstand-index/tests/samples.rs
+++ b/crates/flaxstand-index/tests/samples.rs
@@ -67,9 +67,9 @@
         for step in 0..STEPS {
             // Alternates between phases that mostly insert and phases that empty the multiset.
             let shrinks = (step / 1000) % 2 == 1;
-            let removes = rng.next_u32() % 10 < if shrinks { 9 } else { 2 };
-            let held = list.0.get(rng.next_u64() as usize % list.0.len().max(1)).copied();
-            match held.filter(|_| removes) {
+            let should_remove = rng.next_u32() % 10 < if shrinks { 9 } else { 2 };
+            let existing = list.0.get(rng.next_u64() as usize % list.0.len().max(1)).copied();
+            match existing.filter(|_| should_remove) {
                 Some(value) => {
                     assert!(list.remove(value));
                     assert!(samples.remove(value), "seed {seed}: {value} was inserted but not found");
