--- a/crates/flaxstand-consensus/tests/capacity/fleet.rs
+++ b/crates/flaxstand-consensus/tests/capacity/fleet.rs
@@ -1,6 +1,6 @@
-//! A fleet without faults on virtual time: initiators with a replica and plain members with exact clocks, a
-//! network that only delays, and counters of what each host sends, receives and looks at. One seed gives the
-//! same counts in every run.
+//! A simulated fleet on virtual time, without faults: initiators with a replica, members without one, exact
+//! clocks and a network that only delays messages. Counters record what each host sends, receives and
+//! examines. The same seed gives the same counts in every run.
 
 use flaxstand_consensus::member::ActiveRules;
 use flaxstand_consensus::participant::{
@@ -18,38 +18,39 @@
 use std::ops::AddAssign;
 use std::time::{Duration, Instant};
 
-/// Initiators with a replica in each fleet.
+/// Number of initiators with a replica in each fleet.
 pub const REPLICAS: usize = 5;
-/// The settings' defaults (docs/agreement.md).
+/// The defaults of the settings (docs/agreement.md).
 pub const LEASE: Micros = Micros(3_000_000);
-const ELECTION: Micros = Micros(500_000);
+const ELECTION_TIMEOUT: Micros = Micros(500_000);
 const CLOCK_ERROR: f64 = 0.001;
-/// Members ask four times in a lease.
+/// Members send four lease requests per lease duration.
 pub const REQUEST_INTERVAL: Micros = Micros(LEASE.0 / 4);
-/// Bytes of a version's text, about those of a site with a dozen classes.
+/// Size of a version's text in bytes, typical of a site with a dozen classes.
 pub const TEXT_BYTES: usize = 2_000;
-/// Bytes of each host's name.
+/// Length of each host's name in bytes.
 pub const NAME_BYTES: usize = 14;
-/// A time that is drawn, microseconds.
+
+/// A uniformly distributed duration in microseconds.
 #[derive(Clone, Copy, Debug)]
-struct Varying {
-    least: u64,
-    /// Drawn on top: less than this.
-    varies: u64,
+struct RandomDuration {
+    min: u64,
+    /// Exclusive bound of the random part, which is added to `min`.
+    spread: u64,
 }
 
-/// Delay of a message.
-const DELAY: Varying = Varying { least: 200, varies: 4_000 };
-/// Time of a durable write.
-const WRITE: Varying = Varying { least: 100, varies: 2_000 };
-/// The operator's connection; those of hosts are their numbers.
+/// Network delay of a message.
+const MESSAGE_DELAY: RandomDuration = RandomDuration { min: 200, spread: 4_000 };
+/// Duration of a durable write.
+const WRITE_DURATION: RandomDuration = RandomDuration { min: 100, spread: 2_000 };
+/// Connection id of the operator. A host's connection id is its number.
 const OPERATOR: u64 = 1 << 40;
-/// How often an operator proposes anew what was refused.
+/// Interval at which the operator repeats a rejected proposal.
 const OPERATOR_RETRY: Micros = Micros(50_000);
-/// Nothing that is waited for takes longer on virtual time.
-const PATIENCE: Micros = Micros(120_000_000);
+/// Virtual time after which waiting for a condition fails the test.
+const WAIT_TIMEOUT: Micros = Micros(120_000_000);
 
-/// Messages and their bytes as frames on the wire, without TCP and IP.
+/// Number of messages and their size as frames on the wire, without TCP and IP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
     pub messages: u64,
@@ -63,52 +64,56 @@
     }
 }
 
-/// What passed one host.
+/// Traffic and work of one host since the last reset of the counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     pub sent: Count,
     pub received: Count,
-    /// Answers that brought this host the whole replicated state.
+    /// Lease responses received that carry the replicated state for this host.
     pub states_received: u64,
-    /// Members examined to decide whether a change may come into force.
+    /// Members examined to decide whether a change can come into force.
     pub members_examined: u64,
 }
 
-/// What a host is in the agreement.
+/// Role of a host in the cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostRole {
     Leader,
+    /// Has a replica that is not the leader.
     Replica,
+    /// Has no replica.
     Member,
 }
 
 struct Host {
-    agreement: Option<Participant>,
+    participant: Option<Participant>,
     disk: FaultyDisk,
-    storing: Option<Batch>,
-    /// The moment for which its timer is set.
+    /// Batch that is being written.
+    pending_write: Option<Batch>,
+    /// Time for which the host's timer is set.
     timer: Option<Micros>,
     active_rules: ActiveRules,
-    acting_since: Micros,
+    /// Since when `active_rules` apply.
+    rules_since: Micros,
     traffic: Traffic,
-    /// Members examined before the counters were last set back.
-    examined_before: u64,
-    /// Processor time, measured on the machine that plays the fleet. Never asserted.
-    busy: Duration,
+    /// Value of `Participant::members_examined` at the last reset of the counters.
+    examined_at_reset: u64,
+    /// Time that the host's turns took on the machine that runs the test. Never asserted.
+    turn_time: Duration,
 }
 
 impl Host {
     fn new(disk_seed: u64) -> Host {
         Host {
-            agreement: None,
+            participant: None,
             disk: FaultyDisk::new(disk_seed),
-            storing: None,
+            pending_write: None,
             timer: None,
             active_rules: ActiveRules::Fallback,
-            acting_since: Micros(0),
+            rules_since: Micros(0),
             traffic: Traffic::default(),
-            examined_before: 0,
-            busy: Duration::ZERO,
+            examined_at_reset: 0,
+            turn_time: Duration::ZERO,
         }
     }
 }
@@ -123,15 +128,17 @@
     pub now: Micros,
     hosts: Vec<Host>,
     rng: Pcg64Mcg,
+    /// Pending events by time, then by sequence number.
     events: BTreeMap<(Micros, u64), Event>,
-    next_event: u64,
-    /// By version: hosts that act on it alone.
-    acting_alone: BTreeMap<u64, usize>,
-    /// How often a host that had a lease lost it.
-    pub lost_leases: u64,
+    event_seq: u64,
+    /// Number of hosts whose active rules are a single version, by version.
+    hosts_by_version: BTreeMap<u64, usize>,
+    /// Number of times a host fell back to the fallback rules because it lost its lease or was killed.
+    pub leases_lost: u64,
     pub replies: Vec<OperatorReply>,
+    /// Bytes that framing adds to a message.
     frame_overhead: u64,
-    /// Members that leaders admit.
+    /// Number of members that leaders admit.
     max_members: usize,
 }
 
@@ -158,7 +165,7 @@
     rules
 }
 
-/// The version that follows `base`; each has another limit.
+/// The version proposed as the successor of `base`. Its limit differs from that of `base`.
 pub fn version_after(base: u64) -> Version {
     Version {
         rules: rules(100.0 + (base % 50) as f64),
@@ -169,26 +176,24 @@
 }
 
 impl Fleet {
-    /// A fleet of `count` hosts, those with a replica included, of which all that may act on the first
+    /// Starts a fleet of `count` hosts, including those with a replica, and runs it until all apply the first
     /// version.
-    pub fn at_rest(count: usize, seed: u64) -> Fleet {
+    pub fn idle(count: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet::started(count, seed);
-        fleet.run_until("all act on the first version", |f| f.acting_alone(1) == count);
+        fleet.run_until("all hosts apply version 1", |f| f.hosts_on_version(1) == count);
         fleet.run_for(LEASE);
         fleet
     }
 
-    /// A fleet of which leaders admit some hosts only; those act on the first version.
-    pub fn at_rest_with_max_members(count: usize, max_members: usize, seed: u64) -> Fleet {
+    /// Like `idle`, but leaders admit only `max_members` hosts. Runs until those apply the first version.
+    pub fn idle_with_max_members(count: usize, max_members: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet::started_with_max_members(count, max_members, seed);
-        fleet.run_until("all that are admitted act on the first version", |f| {
-            f.acting_alone(1) == max_members
-        });
+        fleet.run_until("all admitted hosts apply version 1", |f| f.hosts_on_version(1) == max_members);
         fleet.run_for(LEASE);
         fleet
     }
 
-    /// A fleet of `count` hosts, those with a replica included, where members have just been started.
+    /// Starts a fleet of `count` hosts, including those with a replica. Returns right after the last start.
     pub fn started(count: usize, seed: u64) -> Fleet {
         Fleet::started_with_max_members(count, MAX_MEMBERS, seed)
     }
@@ -205,20 +210,20 @@
             hosts,
             rng: Pcg64Mcg::seed_from_u64(seed),
             events: BTreeMap::new(),
-            next_event: 0,
-            acting_alone: BTreeMap::new(),
-            lost_leases: 0,
+            event_seq: 0,
+            hosts_by_version: BTreeMap::new(),
+            leases_lost: 0,
             replies: Vec::new(),
             frame_overhead,
             max_members,
         };
         (0..REPLICAS).for_each(|host| fleet.start(host));
-        fleet.run_until("a leader that may take proposals", |f| {
-            f.leader().is_some_and(|leader| f.takes_proposals(leader))
+        fleet.run_until("there is a leader that accepts proposals", |f| {
+            f.leader().is_some_and(|leader| f.accepts_proposals(leader))
         });
         fleet.propose();
-        fleet.run_until("those with a replica act on the first version", |f| f.acting_alone(1) == REPLICAS);
-        // Spread evenly over the time between two asks of one member.
+        fleet.run_until("all hosts with a replica apply version 1", |f| f.hosts_on_version(1) == REPLICAS);
+        // Spreads the starts evenly over one request interval.
         for host in REPLICAS..count {
             let next = fleet.now.after(Micros(REQUEST_INTERVAL.0 / count as u64));
             fleet.run_to(next);
@@ -235,19 +240,19 @@
             neighbours: Vec::new(),
             lease: LEASE,
             clock_error: CLOCK_ERROR,
-            election_timeout: ELECTION,
+            election_timeout: ELECTION_TIMEOUT,
             seed: self.rng.next_u64(),
             local_rules: rules(100.0),
             injected_fault: InjectedFault::None,
         };
         let stored = (host < REPLICAS).then(StoredReplica::default);
-        let mut agreement = Participant::new(config, stored, None, 0, self.now);
-        agreement.limit_members(self.max_members);
-        self.hosts[host].agreement = Some(agreement);
-        self.settle(host);
+        let mut participant = Participant::new(config, stored, None, 0, self.now);
+        participant.limit_members(self.max_members);
+        self.hosts[host].participant = Some(participant);
+        self.run_turn(host);
     }
 
-    /// One more host starts. Returns its number.
+    /// Starts one more host. Returns its number.
     pub fn add_host(&mut self) -> usize {
         let number = self.hosts.len();
         self.hosts.push(Host::new(number as u64));
@@ -255,103 +260,115 @@
         number
     }
 
-    /// Its process ends for good.
+    /// Kills a host's process, which is not restarted.
     pub fn kill(&mut self, host: usize) {
-        self.count_acting(host, ActiveRules::Fallback);
+        self.set_active_rules(host, ActiveRules::Fallback);
         let host = &mut self.hosts[host];
-        (host.agreement, host.storing, host.timer) = (None, None, None);
+        (host.participant, host.pending_write, host.timer) = (None, None, None);
     }
 
-    /// An operator proposes the next version to the leader. Returns its number.
+    /// Proposes the next version to the leader. Returns the number of that version.
     pub fn propose(&mut self) -> u64 {
         let leader = self.leader().expect("there is a leader");
-        let base = self.newest();
-        self.operator_asks(leader, OperatorRequest::Propose { base, version: version_after(base) });
+        let base = self.newest_version();
+        self.send_operator_request(leader, OperatorRequest::Propose { base, version: version_after(base) });
         base + 1
     }
 
-    /// An operator proposes again and again, until the change is committed.
-    pub fn propose_until_taken(&mut self) {
-        let end = self.now.after(PATIENCE);
+    /// Repeats a proposal every `OPERATOR_RETRY` until it is committed.
+    pub fn propose_until_committed(&mut self) {
+        let end = self.now.after(WAIT_TIMEOUT);
         self.replies.clear();
         while !self.replies.iter().any(|reply| matches!(reply, OperatorReply::Committed(_))) {
-            assert!(self.now < end, "no proposal is taken: {:?}", self.replies.last());
+            assert!(
+                self.now < end,
+                "no proposal committed within {} s, last reply: {:?}",
+                WAIT_TIMEOUT.0 / 1_000_000,
+                self.replies.last()
+            );
             self.propose();
             self.run_for(OPERATOR_RETRY);
         }
     }
 
-    /// An operator proposes a version that was made from none, which is refused once it is committed.
-    pub fn propose_from_older_version(&mut self) {
+    /// Proposes a version based on version 0. The proposal is committed to the log and rejected when it is
+    /// applied.
+    pub fn propose_from_stale_base(&mut self) {
         let leader = self.leader().expect("there is a leader");
-        self.operator_asks(leader, OperatorRequest::Propose { base: 0, version: version_after(0) });
+        self.send_operator_request(leader, OperatorRequest::Propose { base: 0, version: version_after(0) });
     }
 
-    /// An operator's message to one host.
-    pub fn operator_asks(&mut self, host: usize, operator_request: OperatorRequest) {
+    /// Delivers an operator's request to one host.
+    pub fn send_operator_request(&mut self, host: usize, operator_request: OperatorRequest) {
         let now = self.now;
-        let agreement = self.hosts[host].agreement.as_mut().expect("it is up");
-        agreement.receive(OPERATOR, None, PeerMessage::OperatorRequest(operator_request), now);
-        self.settle(host);
+        let participant = self.hosts[host].participant.as_mut().expect("the host is up");
+        participant.receive(OPERATOR, None, PeerMessage::OperatorRequest(operator_request), now);
+        self.run_turn(host);
     }
 
-    /// The newest version in force that the leader, or else any host, knows of.
-    pub fn newest(&self) -> u64 {
-        let states = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.replicated_state());
+    /// The newest version in force in any host's replicated state.
+    pub fn newest_version(&self) -> u64 {
+        let states = self.hosts.iter().filter_map(|h| h.participant.as_ref()?.replicated_state());
         states.map(|state| state.in_force.number).max().unwrap_or(0)
     }
 
-    /// The initiator that leads.
+    /// The leader with the highest term.
     pub fn leader(&self) -> Option<usize> {
-        let status = |host: &usize| self.hosts[*host].agreement.as_ref()?.replica_status(self.now);
+        let status = |host: &usize| self.hosts[*host].participant.as_ref()?.replica_status(self.now);
         let leaders = (0..REPLICAS)
             .filter(|host| status(host).is_some_and(|s| s.role == flaxstand_consensus::ReplicaRole::Leader));
         leaders.max_by_key(|host| status(host).map(|s| s.term))
     }
 
-    /// Index of the newest entry of any replica's log.
-    pub fn last_entry(&self) -> u64 {
-        let voters = self.hosts.iter().filter_map(|h| h.agreement.as_ref()?.replica_status(self.now));
+    /// Index of the newest entry in any replica's log.
+    pub fn last_index(&self) -> u64 {
+        let voters = self.hosts.iter().filter_map(|h| h.participant.as_ref()?.replica_status(self.now));
         voters.map(|status| status.last_index).max().unwrap_or(0)
     }
 
-    /// Whether a leader has committed all that it knows of.
-    pub fn takes_proposals(&self, leader: usize) -> bool {
-        let replica = self.hosts[leader].agreement.as_ref().and_then(|a| a.replica_status(self.now));
+    /// Returns whether a leader has committed all entries of its log, and so accepts proposals.
+    pub fn accepts_proposals(&self, leader: usize) -> bool {
+        let replica = self.hosts[leader]
+            .participant
+            .as_ref()
+            .and_then(|participant| participant.replica_status(self.now));
         replica.is_some_and(|status| status.commit_index == status.last_index)
     }
 
-    /// Hosts that act on this version alone.
-    pub fn acting_alone(&self, version: u64) -> usize {
-        self.acting_alone.get(&version).copied().unwrap_or(0)
+    /// Number of hosts whose active rules are this version.
+    pub fn hosts_on_version(&self, version: u64) -> usize {
+        self.hosts_by_version.get(&version).copied().unwrap_or(0)
     }
 
-    /// Hosts that have no lease.
-    pub fn fallback_rules(&self) -> usize {
-        self.hosts.iter().filter(|h| h.agreement.is_some() && h.active_rules == ActiveRules::Fallback).count()
+    /// Number of running hosts on the fallback rules, that is without a lease.
+    pub fn hosts_on_fallback_rules(&self) -> usize {
+        self.hosts
+            .iter()
+            .filter(|h| h.participant.is_some() && h.active_rules == ActiveRules::Fallback)
+            .count()
     }
 
-    /// Since when each host that acts on this version alone does so, in order.
-    pub fn acting_alone_since(&self, version: u64) -> Vec<Micros> {
-        let of_version = self.hosts.iter().filter(|h| h.active_rules == ActiveRules::Version(version));
-        let mut since: Vec<Micros> = of_version.map(|h| h.acting_since).collect();
+    /// Times at which the hosts on this version began to apply it, in ascending order.
+    pub fn on_version_since(&self, version: u64) -> Vec<Micros> {
+        let on_version = self.hosts.iter().filter(|h| h.active_rules == ActiveRules::Version(version));
+        let mut since: Vec<Micros> = on_version.map(|h| h.rules_since).collect();
         since.sort_unstable();
         since
     }
 
-    /// Bytes of the replicated state as a host has it.
+    /// Encoded size of a host's replicated state in bytes.
     pub fn state_bytes(&self, host: usize) -> u64 {
-        let agreement = self.hosts[host].agreement.as_ref();
-        agreement.and_then(Participant::replicated_state).map_or(0, |state| state.bytes().len() as u64)
+        let participant = self.hosts[host].participant.as_ref();
+        participant.and_then(Participant::replicated_state).map_or(0, |state| state.bytes().len() as u64)
     }
 
-    /// Members that a host's replicated state lists.
-    pub fn members_listed(&self, host: usize) -> usize {
-        let agreement = self.hosts[host].agreement.as_ref();
-        agreement.and_then(Participant::replicated_state).map_or(0, |state| state.members.len())
+    /// Number of members in a host's replicated state.
+    pub fn member_count(&self, host: usize) -> usize {
+        let participant = self.hosts[host].participant.as_ref();
+        participant.and_then(Participant::replicated_state).map_or(0, |state| state.members.len())
     }
 
-    /// What passed each host since the counters were set back, with its role now.
+    /// Traffic of each host since the last reset of the counters, with the host's current role.
     pub fn traffic(&self) -> Vec<(HostRole, Traffic)> {
         let leader = self.leader();
         let with_role = |(number, host): (usize, &Host)| {
@@ -360,39 +377,48 @@
                 number if number < REPLICAS => HostRole::Replica,
                 _ => HostRole::Member,
             };
-            let examined = self.examined(number).saturating_sub(host.examined_before);
+            let examined = self.members_examined(number).saturating_sub(host.examined_at_reset);
             (role, Traffic { members_examined: examined, ..host.traffic })
         };
         self.hosts.iter().enumerate().map(with_role).collect()
     }
 
-    /// Processor time of a host since the counters were set back, as measured here and now.
-    pub fn busy(&self, host: usize) -> Duration {
-        self.hosts[host].busy
+    /// Time that a host's turns took since the last reset of the counters, on the machine that runs the test.
+    pub fn turn_time(&self, host: usize) -> Duration {
+        self.hosts[host].turn_time
     }
 
+    /// Resets the traffic, the turn times and the number of lost leases.
     pub fn reset_counters(&mut self) {
         for number in 0..self.hosts.len() {
-            let examined = self.examined(number);
+            let examined = self.members_examined(number);
             let host = &mut self.hosts[number];
-            (host.traffic, host.busy, host.examined_before) = (Traffic::default(), Duration::ZERO, examined);
+            (host.traffic, host.turn_time, host.examined_at_reset) =
+                (Traffic::default(), Duration::ZERO, examined);
         }
-        self.lost_leases = 0;
+        self.leases_lost = 0;
     }
 
-    fn examined(&self, host: usize) -> u64 {
-        self.hosts[host].agreement.as_ref().map_or(0, Participant::members_examined)
+    fn members_examined(&self, host: usize) -> u64 {
+        self.hosts[host].participant.as_ref().map_or(0, Participant::members_examined)
     }
 
     pub fn run_for(&mut self, time: Micros) {
         self.run_to(self.now.after(time));
     }
 
-    /// Goes on until something is true, in steps of one event.
-    pub fn run_until(&mut self, what: &str, reached: impl Fn(&Fleet) -> bool) {
-        let end = self.now.after(PATIENCE);
+    /// Processes events until `reached` returns true.
+    ///
+    /// # Panics
+    /// The condition does not hold within `WAIT_TIMEOUT`.
+    pub fn run_until(&mut self, condition: &str, reached: impl Fn(&Fleet) -> bool) {
+        let end = self.now.after(WAIT_TIMEOUT);
         while !reached(self) {
-            assert!(self.now < end && self.step(end), "not within {} s: {what}", PATIENCE.0 / 1_000_000);
+            assert!(
+                self.now < end && self.step(end),
+                "not reached within {} s: {condition}",
+                WAIT_TIMEOUT.0 / 1_000_000
+            );
         }
     }
 
@@ -401,7 +427,7 @@
         self.now = self.now.max(end);
     }
 
-    /// The next event up to a moment, if there is one.
+    /// Processes the next event that is due by `end`. Returns whether there was one.
     fn step(&mut self, end: Micros) -> bool {
         let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= end) else {
             return false;
@@ -411,29 +437,29 @@
             Event::Deliver { from, to, message } => self.deliver(from, to, message),
             Event::Timer(host) if self.hosts[host].timer == Some(self.now) => {
                 self.hosts[host].timer = None;
-                self.settle(host);
+                self.run_turn(host);
             }
             Event::Timer(_) => {}
-            Event::Stored(host) => self.store(host),
+            Event::Stored(host) => self.complete_write(host),
         }
         true
     }
 
     fn schedule(&mut self, at: Micros, event: Event) {
-        self.next_event += 1;
-        self.events.insert((at, self.next_event), event);
+        self.event_seq += 1;
+        self.events.insert((at, self.event_seq), event);
     }
 
-    fn draw(&mut self, time: Varying) -> Micros {
-        Micros(time.least + self.rng.next_u64() % time.varies)
+    fn random_duration(&mut self, duration: RandomDuration) -> Micros {
+        Micros(duration.min + self.rng.next_u64() % duration.spread)
     }
 
     fn deliver(&mut self, from: usize, to: usize, message: PeerMessage) {
-        let size = self.size(&message);
+        let count = self.count_of(&message);
         let now = self.now;
         let host = &mut self.hosts[to];
-        let Some(agreement) = &mut host.agreement else { return };
-        host.traffic.received += size;
+        let Some(participant) = &mut host.participant else { return };
+        host.traffic.received += count;
         if let PeerMessage::LeaseResponse(response) = &message
             && response.newer_state.is_some()
             && host_number(&response.name) == to
@@ -441,47 +467,48 @@
             host.traffic.states_received += 1;
         }
         let begun_at = Instant::now();
-        agreement.receive(from as u64, Some(&host_name(from)), message, now);
-        host.busy += begun_at.elapsed();
-        self.settle(to);
+        participant.receive(from as u64, Some(&host_name(from)), message, now);
+        host.turn_time += begun_at.elapsed();
+        self.run_turn(to);
     }
 
-    fn store(&mut self, host: usize) {
+    fn complete_write(&mut self, host: usize) {
         let now = self.now;
         let host_state = &mut self.hosts[host];
-        if let Some(batch) = host_state.storing.take()
-            && let Some(agreement) = &mut host_state.agreement
+        if let Some(batch) = host_state.pending_write.take()
+            && let Some(participant) = &mut host_state.participant
         {
             let succeeded = perform(&mut host_state.disk, &batch).is_ok();
-            agreement.batch_stored(succeeded, now);
+            participant.batch_stored(succeeded, now);
         }
-        self.settle(host);
+        self.run_turn(host);
     }
 
-    fn size(&self, message: &PeerMessage) -> Count {
-        let bytes = postcard::to_stdvec(message).expect("plain values can be written").len() as u64;
+    /// Counts one message with its size as a frame.
+    fn count_of(&self, message: &PeerMessage) -> Count {
+        let bytes = postcard::to_stdvec(message).expect("messages serialize").len() as u64;
         Count { messages: 1, bytes: bytes + self.frame_overhead }
     }
 
-    /// One turn of a host, as the gateway's core has it.
-    fn settle(&mut self, number: usize) {
+    /// Runs one turn of a host, in the same order as the gateway core.
+    fn run_turn(&mut self, number: usize) {
         let now = self.now;
         let begun_at = Instant::now();
         let host = &mut self.hosts[number];
-        let Some(agreement) = &mut host.agreement else { return };
-        if agreement.wake_at(now) <= now {
-            agreement.tick(now);
+        let Some(participant) = &mut host.participant else { return };
+        if participant.wake_at(now) <= now {
+            participant.tick(now);
         }
-        let _rules = agreement.take_rules_change(now);
-        let active_rules = agreement.active_rules(now);
-        let batch = if host.storing.is_none() { agreement.next_batch(now) } else { None };
-        let _saved = agreement.take_unsaved();
-        let outgoing = agreement.take_outgoing();
-        let wake = agreement.wake_at(now).max(Micros(now.0 + 1));
-        self.count_acting(number, active_rules);
+        let _rules = participant.take_rules_change(now);
+        let active_rules = participant.active_rules(now);
+        let batch = if host.pending_write.is_none() { participant.next_batch(now) } else { None };
+        let _saved = participant.take_unsaved();
+        let outgoing = participant.take_outgoing();
+        let wake = participant.wake_at(now).max(Micros(now.0 + 1));
+        self.set_active_rules(number, active_rules);
         if let Some(batch) = batch {
-            self.hosts[number].storing = Some(batch);
-            let done = now.after(self.draw(WRITE));
+            self.hosts[number].pending_write = Some(batch);
+            let done = now.after(self.random_duration(WRITE_DURATION));
             self.schedule(done, Event::Stored(number));
         }
         for (to, message) in outgoing {
@@ -491,7 +518,7 @@
             self.hosts[number].timer = Some(wake);
             self.schedule(wake, Event::Timer(number));
         }
-        self.hosts[number].busy += begun_at.elapsed();
+        self.hosts[number].turn_time += begun_at.elapsed();
     }
 
     fn send(&mut self, from: usize, to: Destination, message: PeerMessage) {
@@ -505,28 +532,29 @@
             }
             Destination::Connection(connection) => connection as usize,
         };
-        let size = self.size(&message);
-        self.hosts[from].traffic.sent += size;
-        let arrives = self.now.after(self.draw(DELAY));
-        self.schedule(arrives, Event::Deliver { from, to, message });
+        let count = self.count_of(&message);
+        self.hosts[from].traffic.sent += count;
+        let arrives_at = self.now.after(self.random_duration(MESSAGE_DELAY));
+        self.schedule(arrives_at, Event::Deliver { from, to, message });
     }
 
-    fn count_acting(&mut self, number: usize, active_rules: ActiveRules) {
+    /// Records the active rules of a host and updates the counters that depend on them.
+    fn set_active_rules(&mut self, number: usize, active_rules: ActiveRules) {
         let now = self.now;
         let host = &mut self.hosts[number];
         let before = std::mem::replace(&mut host.active_rules, active_rules);
         if before == active_rules {
             return;
         }
-        host.acting_since = now;
+        host.rules_since = now;
         if let ActiveRules::Version(version) = before {
-            *self.acting_alone.entry(version).or_default() -= 1;
+            *self.hosts_by_version.entry(version).or_default() -= 1;
         }
         if let ActiveRules::Version(version) = active_rules {
-            *self.acting_alone.entry(version).or_default() += 1;
+            *self.hosts_by_version.entry(version).or_default() += 1;
         }
         if active_rules == ActiveRules::Fallback {
-            self.lost_leases += 1;
+            self.leases_lost += 1;
         }
     }
 }
--- a/crates/flaxstand-consensus/tests/capacity/scenarios.rs
+++ b/crates/flaxstand-consensus/tests/capacity/scenarios.rs
@@ -1,4 +1,5 @@
-//! What is played to count costs: a fleet at rest, one change of settings, the loss of the leader.
+//! Scenarios whose costs are measured: an idle fleet, one change of the settings, the loss of the leader, a
+//! rejected proposal, a host that joins, and hosts beyond the bound on members.
 
 use crate::fleet::{Count, Fleet, HostRole, LEASE, Traffic, host_name, version_after};
 use flaxstand_consensus::Micros;
@@ -6,66 +7,67 @@
 use flaxstand_consensus::replicated_state::{Change, ReplicatedState};
 use std::time::Duration;
 
-/// How long a fleet at rest is watched: a whole number of asks of each member.
-const REST: Micros = Micros(5 * LEASE.0);
-/// Changes before the one that is counted: as many older versions are kept as ever are.
+/// Time for which an idle fleet is measured: a multiple of the members' request interval.
+const IDLE_DURATION: Micros = Micros(5 * LEASE.0);
+/// Number of changes before the measured one. After them the replicated state holds the maximum number of
+/// older versions.
 pub const CHANGES_BEFORE: usize = 6;
-/// How long after a proposal its leader is lost: it is committed, and some members act on it.
-const LOST_AFTER: Micros = Micros(400_000);
+/// Time from a proposal to the loss of the leader. By then the change is committed and some members apply it.
+const LEADER_LOSS_DELAY: Micros = Micros(400_000);
 pub const SEED: u64 = 20;
 
-/// What the busiest host of a role had to do, each count by itself.
+/// Maximum of each count over the hosts of a role. The maxima can come from different hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Busiest {
+pub struct PeakTraffic {
     pub sent: Count,
     pub received: Count,
     pub states_received: u64,
     pub members_examined: u64,
 }
 
-impl Busiest {
-    fn of(role: HostRole, traffic: &[(HostRole, Traffic)]) -> Busiest {
-        let most = |of: fn(&Traffic) -> u64| {
-            traffic.iter().filter(|(r, _)| *r == role).map(|(_, t)| of(t)).max().unwrap_or(0)
+impl PeakTraffic {
+    fn of(role: HostRole, traffic: &[(HostRole, Traffic)]) -> PeakTraffic {
+        let max = |count: fn(&Traffic) -> u64| {
+            traffic.iter().filter(|(r, _)| *r == role).map(|(_, t)| count(t)).max().unwrap_or(0)
         };
-        Busiest {
-            sent: Count { messages: most(|t| t.sent.messages), bytes: most(|t| t.sent.bytes) },
-            received: Count { messages: most(|t| t.received.messages), bytes: most(|t| t.received.bytes) },
-            states_received: most(|t| t.states_received),
-            members_examined: most(|t| t.members_examined),
+        PeakTraffic {
+            sent: Count { messages: max(|t| t.sent.messages), bytes: max(|t| t.sent.bytes) },
+            received: Count { messages: max(|t| t.received.messages), bytes: max(|t| t.received.bytes) },
+            states_received: max(|t| t.states_received),
+            members_examined: max(|t| t.members_examined),
         }
     }
 }
 
-/// The costs by role.
+/// Costs of a scenario by role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Costs {
-    /// On virtual time.
-    pub lasted: Micros,
-    pub leader: Busiest,
-    pub replica: Busiest,
-    pub member: Busiest,
+    /// Virtual time from the start of the measurement to its end.
+    pub duration: Micros,
+    pub leader: PeakTraffic,
+    pub replica: PeakTraffic,
+    pub member: PeakTraffic,
 }
 
 impl Costs {
-    /// What passed since the counters were set back, at that moment.
+    /// The costs since the last reset of the counters, which was at `since`.
     pub fn of(fleet: &Fleet, since: Micros) -> Costs {
         let traffic = fleet.traffic();
         Costs {
-            lasted: fleet.now.since(since),
-            leader: Busiest::of(HostRole::Leader, &traffic),
-            replica: Busiest::of(HostRole::Replica, &traffic),
-            member: Busiest::of(HostRole::Member, &traffic),
+            duration: fleet.now.since(since),
+            leader: PeakTraffic::of(HostRole::Leader, &traffic),
+            replica: PeakTraffic::of(HostRole::Replica, &traffic),
+            member: PeakTraffic::of(HostRole::Member, &traffic),
         }
     }
 
-    /// A count for each second.
+    /// Converts a count to a rate per second.
     pub fn per_second(&self, count: u64) -> f64 {
-        count as f64 * 1e6 / self.lasted.0 as f64
+        count as f64 * 1e6 / self.duration.0 as f64
     }
 }
 
-/// How long a change took on virtual time.
+/// Virtual time from a proposal until hosts apply the change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InForce {
     pub median: Micros,
@@ -75,208 +77,225 @@
 
 impl InForce {
     fn of(since: &[Micros], proposed: Micros) -> InForce {
-        let at = |part: f64| since[((since.len() - 1) as f64 * part).round() as usize].since(proposed);
-        InForce { median: at(0.5), percentile_99: at(0.99), last: at(1.0) }
+        let quantile = |q: f64| since[((since.len() - 1) as f64 * q).round() as usize].since(proposed);
+        InForce { median: quantile(0.5), percentile_99: quantile(0.99), last: quantile(1.0) }
     }
 }
 
-/// One change of settings.
+/// Costs of one change of the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeCosts {
     pub costs: Costs,
     pub in_force: InForce,
-    /// From the proposal until the next one is taken.
-    pub next_taken_after: Micros,
-    /// Of a member, once it is in force.
+    /// Time from the proposal until the next proposal is committed.
+    pub next_committed_after: Micros,
+    /// Encoded size of the leader's replicated state in bytes once the change is in force.
     pub state_bytes: u64,
-    /// The leader's, on the machine that played it. Never asserted.
-    pub leader_busy: Duration,
+    /// Time that the leader's turns took on the machine that runs the test. Never asserted.
+    pub leader_turn_time: Duration,
 }
 
 impl ChangeCosts {
-    /// All but what depends on the machine.
-    pub fn counts(&self) -> (Costs, InForce, Micros, u64) {
-        (self.costs, self.in_force, self.next_taken_after, self.state_bytes)
+    /// Returns all values that do not depend on the machine.
+    pub fn deterministic_values(&self) -> (Costs, InForce, Micros, u64) {
+        (self.costs, self.in_force, self.next_committed_after, self.state_bytes)
     }
 }
 
-/// The leader is killed while a change is under way.
+/// Costs of a change during which the leader is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderLoss {
-    /// From the loss until another leads that has committed all that it knows of.
-    pub led_after: Micros,
-    /// From the loss until the change is in force everywhere.
+    /// Time from the loss until a new leader has committed all entries of its log.
+    pub new_leader_after: Micros,
+    /// Time from the loss until the change is in force on all hosts.
     pub in_force_after: Micros,
-    /// From the loss until the next change is taken: proposals before that are refused.
-    pub next_taken_after: Micros,
-    /// How many times a member lost its lease until the change was in force.
+    /// Time from the loss until the next proposal is committed. Earlier proposals are rejected.
+    pub next_committed_after: Micros,
+    /// Number of leases that members lost until the change was in force.
     pub leases_lost: u64,
-    /// From the loss until the change is in force everywhere.
+    /// Costs from the loss until the change is in force on all hosts.
     pub costs: Costs,
 }
 
-pub fn rest(count: usize) -> Costs {
-    let mut fleet = Fleet::at_rest(count, SEED);
-    costs_at_rest(&mut fleet)
+pub fn idle(count: usize) -> Costs {
+    let mut fleet = Fleet::idle(count, SEED);
+    idle_costs(&mut fleet)
 }
 
-pub fn costs_at_rest(fleet: &mut Fleet) -> Costs {
+pub fn idle_costs(fleet: &mut Fleet) -> Costs {
     fleet.reset_counters();
     let since = fleet.now;
-    fleet.run_for(REST);
+    fleet.run_for(IDLE_DURATION);
     Costs::of(fleet, since)
 }
 
 pub fn change(count: usize) -> ChangeCosts {
-    let mut fleet = Fleet::at_rest(count, SEED);
+    let mut fleet = Fleet::idle(count, SEED);
     change_after(&mut fleet, count, CHANGES_BEFORE)
 }
 
-/// The costs of one change after some others that are not counted.
+/// The costs of one change after `changes_before` others that are not measured.
 pub fn change_after(fleet: &mut Fleet, count: usize, changes_before: usize) -> ChangeCosts {
     for _ in 0..changes_before {
-        change_in_force(fleet, count);
+        roll_out_change(fleet, count);
         fleet.run_for(LEASE);
     }
-    costs_of_change(fleet, count)
+    change_costs(fleet, count)
 }
 
-/// Proposes one change and goes on until `count` hosts act on it.
-fn costs_of_change(fleet: &mut Fleet, count: usize) -> ChangeCosts {
+/// Proposes one change and runs until `count` hosts apply it.
+fn change_costs(fleet: &mut Fleet, count: usize) -> ChangeCosts {
     fleet.reset_counters();
     let since = fleet.now;
-    let version = change_in_force(fleet, count);
+    let version = roll_out_change(fleet, count);
     let leader = fleet.leader().expect("there is a leader");
-    let (costs, leader_busy) = (Costs::of(fleet, since), fleet.busy(leader));
-    let in_force = InForce::of(&fleet.acting_alone_since(version), since);
+    let (costs, leader_turn_time) = (Costs::of(fleet, since), fleet.turn_time(leader));
+    let in_force = InForce::of(&fleet.on_version_since(version), since);
     let state_bytes = fleet.state_bytes(leader);
-    fleet.propose_until_taken();
-    let next_taken_after = fleet.now.since(since);
-    ChangeCosts { costs, in_force, next_taken_after, state_bytes, leader_busy }
+    fleet.propose_until_committed();
+    let next_committed_after = fleet.now.since(since);
+    ChangeCosts { costs, in_force, next_committed_after, state_bytes, leader_turn_time }
 }
 
-fn change_in_force(fleet: &mut Fleet, count: usize) -> u64 {
+/// Proposes one change and runs until `count` hosts apply it. Returns the number of its version.
+fn roll_out_change(fleet: &mut Fleet, count: usize) -> u64 {
     let version = fleet.propose();
-    fleet.run_until("the change is in force everywhere", |f| f.acting_alone(version) == count);
+    fleet.run_until("the change is in force on all hosts", |f| f.hosts_on_version(version) == count);
     version
 }
 
 pub fn leader_loss(count: usize) -> LeaderLoss {
-    let mut fleet = Fleet::at_rest(count, SEED);
+    let mut fleet = Fleet::idle(count, SEED);
     let version = fleet.propose();
-    fleet.run_for(LOST_AFTER);
-    let lost = fleet.now;
+    fleet.run_for(LEADER_LOSS_DELAY);
+    let lost_at = fleet.now;
     fleet.reset_counters();
     fleet.kill(fleet.leader().expect("there is a leader"));
-    // The process that was killed is no lease that ran out.
-    fleet.lost_leases = 0;
-    fleet.run_until("another leads", |f| f.leader().is_some_and(|leader| f.takes_proposals(leader)));
-    let led_after = fleet.now.since(lost);
-    fleet.run_until("the change is in force everywhere", |f| f.acting_alone(version) == count - 1);
-    let in_force_after = fleet.now.since(lost);
-    let costs = Costs::of(&fleet, lost);
-    let leases_lost = fleet.lost_leases;
-    fleet.propose_until_taken();
-    LeaderLoss { led_after, in_force_after, next_taken_after: fleet.now.since(lost), leases_lost, costs }
+    // The killed leader is not a lost lease.
+    fleet.leases_lost = 0;
+    fleet.run_until("there is a new leader that accepts proposals", |f| {
+        f.leader().is_some_and(|leader| f.accepts_proposals(leader))
+    });
+    let new_leader_after = fleet.now.since(lost_at);
+    fleet.run_until("the change is in force on all hosts", |f| f.hosts_on_version(version) == count - 1);
+    let in_force_after = fleet.now.since(lost_at);
+    let costs = Costs::of(&fleet, lost_at);
+    let leases_lost = fleet.leases_lost;
+    fleet.propose_until_committed();
+    LeaderLoss {
+        new_leader_after,
+        in_force_after,
+        next_committed_after: fleet.now.since(lost_at),
+        leases_lost,
+        costs,
+    }
 }
 
-/// A proposal that is refused, since it was made from an older version: the costs until members asked again.
-pub fn refused_proposal(count: usize) -> Costs {
-    let mut fleet = Fleet::at_rest(count, SEED);
+/// The costs of a proposal that is rejected because of its stale base version. Measured for one lease
+/// duration, in which every member sends lease requests again.
+pub fn rejected_proposal(count: usize) -> Costs {
+    let mut fleet = Fleet::idle(count, SEED);
     fleet.reset_counters();
     let since = fleet.now;
-    fleet.propose_from_older_version();
+    fleet.propose_from_stale_base();
     fleet.run_for(LEASE);
     assert!(matches!(fleet.replies.last(), Some(OperatorReply::Refused(_))), "{:?}", fleet.replies.last());
     Costs::of(&fleet, since)
 }
 
-/// What follows when a host joins a fleet at rest.
+/// Costs of a host that joins an idle fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JoinCosts {
-    /// Copies of the whole replicated state that the newcomer was sent.
-    pub newcomer_states: u64,
-    /// Likewise all others, together.
-    pub others_states: u64,
-    /// Bytes that all hosts sent, together, until members asked again.
+    /// Copies of the replicated state that the new host received.
+    pub new_host_states: u64,
+    /// Copies of the replicated state that all other hosts received, in total.
+    pub other_hosts_states: u64,
+    /// Bytes that all hosts sent, in total.
     pub bytes_sent: u64,
 }
 
-/// A host joins: the costs until members asked again.
+/// The costs of a host that joins an idle fleet. Measured for one lease duration, in which every member sends
+/// lease requests again.
 pub fn join(count: usize) -> JoinCosts {
-    let mut fleet = Fleet::at_rest(count, SEED);
+    let mut fleet = Fleet::idle(count, SEED);
     fleet.reset_counters();
-    let newcomer = fleet.add_host();
+    let new_host = fleet.add_host();
     fleet.run_for(LEASE);
-    assert_eq!(fleet.acting_alone(1), count + 1, "the newcomer has joined");
-    assert_eq!(fleet.members_listed(0), count + 1, "replicas list it");
+    assert_eq!(fleet.hosts_on_version(1), count + 1, "the new host does not apply version 1");
+    assert_eq!(fleet.member_count(0), count + 1, "the new host is not in the member list");
     let traffic = fleet.traffic();
     let all_states: u64 = traffic.iter().map(|(_, t)| t.states_received).sum();
-    let newcomer_states = traffic[newcomer].1.states_received;
+    let new_host_states = traffic[new_host].1.states_received;
     JoinCosts {
-        newcomer_states,
-        others_states: all_states - newcomer_states,
+        new_host_states,
+        other_hosts_states: all_states - new_host_states,
         bytes_sent: traffic.iter().map(|(_, t)| t.sent.bytes).sum(),
     }
 }
 
-/// A fleet at rest in which leaders admit fewer members than there are hosts.
+/// An idle fleet in which leaders admit fewer members than there are hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BeyondBound {
+pub struct CostsBeyondBound {
     pub costs: Costs,
+    /// Entries written to the log while idle.
     pub log_entries: u64,
-    pub members_listed: usize,
-    pub on_version: usize,
-    pub fallback_rules: usize,
-    /// Copies of the whole replicated state that hosts were sent, together.
+    pub member_count: usize,
+    pub hosts_on_version: usize,
+    pub hosts_on_fallback_rules: usize,
+    /// Copies of the replicated state that hosts received, in total.
     pub states_received: u64,
 }
 
-pub fn rest_beyond_bound(count: usize, max_members: usize) -> BeyondBound {
-    let mut fleet = Fleet::at_rest_with_max_members(count, max_members, SEED);
-    let log_before = fleet.last_entry();
-    let costs = costs_at_rest(&mut fleet);
-    BeyondBound {
+pub fn idle_beyond_bound(count: usize, max_members: usize) -> CostsBeyondBound {
+    let mut fleet = Fleet::idle_with_max_members(count, max_members, SEED);
+    let log_before = fleet.last_index();
+    let costs = idle_costs(&mut fleet);
+    CostsBeyondBound {
         costs,
-        log_entries: fleet.last_entry() - log_before,
-        members_listed: fleet.members_listed(0),
-        on_version: fleet.acting_alone(1),
-        fallback_rules: fleet.fallback_rules(),
+        log_entries: fleet.last_index() - log_before,
+        member_count: fleet.member_count(0),
+        hosts_on_version: fleet.hosts_on_version(1),
+        hosts_on_fallback_rules: fleet.hosts_on_fallback_rules(),
         states_received: fleet.traffic().iter().map(|(_, t)| t.states_received).sum(),
     }
 }
 
-/// Refused proposals until every replica has put the replicated state in the place of entries, a host that
-/// joins, and the loss of the leader: then how many hosts act on a change that the next leader is sent.
-pub fn change_after_entries_without_effect(count: usize, refused: usize) -> usize {
-    let mut fleet = Fleet::at_rest(count, SEED);
-    for _ in 0..refused {
-        fleet.propose_from_older_version();
+/// Sends `rejected` proposals with a stale base, enough for every replica to compact its log, then adds a
+/// host, kills the leader and proposes a change to the next leader. Returns the number of hosts that apply
+/// the change.
+pub fn change_after_entries_without_effect(count: usize, rejected: usize) -> usize {
+    let mut fleet = Fleet::idle(count, SEED);
+    for _ in 0..rejected {
+        fleet.propose_from_stale_base();
         fleet.run_for(Micros(LEASE.0 / 100));
     }
     fleet.add_host();
     fleet.run_for(LEASE);
     fleet.kill(fleet.leader().expect("there is a leader"));
-    fleet.run_until("another leads", |f| f.leader().is_some_and(|leader| f.takes_proposals(leader)));
-    // Leases of the leader before have ended then.
+    fleet.run_until("there is a new leader that accepts proposals", |f| {
+        f.leader().is_some_and(|leader| f.accepts_proposals(leader))
+    });
+    // Waits until the leases of the previous leader have expired.
     fleet.run_for(Micros(2 * LEASE.0));
     let version = fleet.propose();
     fleet.run_for(Micros(2 * LEASE.0));
-    fleet.acting_alone(version)
+    fleet.hosts_on_version(version)
 }
 
-/// The replicated state after so many changes, with so many members.
+/// Builds a replicated state with the given numbers of changes and members.
 pub fn state_after(changes: u64, members: usize) -> ReplicatedState {
     let mut state = ReplicatedState::default();
     for base in 0..changes {
-        let number = state.apply(Change::Propose { base, version: version_after(base) }).expect("it follows");
+        let number = state
+            .apply(Change::Propose { base, version: version_after(base) })
+            .expect("the base is the newest version");
         if number > 1 {
             let why = format!("confirmed by {members}");
-            state.apply(Change::InForce { number, why, at: 0 }).expect("it is under way");
+            state.apply(Change::InForce { number, why, at: 0 }).expect("the version is being rolled out");
         }
     }
     for member in 0..members {
-        state.apply(Change::Join(host_name(member))).expect("there is room");
+        state.apply(Change::Join(host_name(member))).expect("below the bound on members");
     }
     state
 }
