--- a/crates/flaxstand-consensus/tests/recorded/main.rs
+++ b/crates/flaxstand-consensus/tests/recorded/main.rs
@@ -1,5 +1,5 @@
-//! What an earlier build wrote is read, and written the same: messages between initiators, a replica's
-//! folder, and a member's saved state.
+//! Compatibility with data of earlier builds: messages between initiators, a replica's directory and a
+//! member's saved state are decoded and encoded as recorded in the fixtures.
 
 mod messages;
 mod stored;
--- a/crates/flaxstand-consensus/tests/recorded/messages.rs
+++ b/crates/flaxstand-consensus/tests/recorded/messages.rs
@@ -1,4 +1,5 @@
-//! Messages between initiators and with operators, byte for byte.
+//! Byte-for-byte encoding of messages between initiators, of messages to and from operators, and of log
+//! entries.
 
 use flaxstand_consensus::lease_manager::{Blocker, LeaseRequest, LeaseResponse, MemberStatus};
 use flaxstand_consensus::participant::{
@@ -31,13 +32,17 @@
     Version { number, rules, text: "site {}".into(), by: "an operator".into(), at: 1_700_000_000_000_000 }
 }
 
-/// A state with one version in force, one that is being rolled out, and two members.
+/// A replicated state with version 1 in force, version 2 being rolled out and two members.
 pub fn replicated_state() -> ReplicatedState {
     let mut replicated_state = ReplicatedState::default();
-    replicated_state.apply(Change::Propose { base: 0, version: version(0, 50.0) }).expect("the first");
-    replicated_state.apply(Change::Join("i1".into())).expect("a member");
-    replicated_state.apply(Change::Join("i2".into())).expect("a member");
-    replicated_state.apply(Change::Propose { base: 1, version: version(0, 20.0) }).expect("the second");
+    replicated_state
+        .apply(Change::Propose { base: 0, version: version(0, 50.0) })
+        .expect("version 1 is accepted");
+    replicated_state.apply(Change::Join("i1".into())).expect("below the bound on members");
+    replicated_state.apply(Change::Join("i2".into())).expect("below the bound on members");
+    replicated_state
+        .apply(Change::Propose { base: 1, version: version(0, 20.0) })
+        .expect("version 2 is accepted");
     replicated_state
 }
 
@@ -49,6 +54,7 @@
     ]
 }
 
+/// One message body per variant. The labels are those of the fixture `messages.txt`.
 fn bodies() -> Vec<(&'static str, MessageBody)> {
     let snapshot =
         Snapshot { index: 9, term: 2, voters: vec![id("k0", 1)], state: replicated_state().bytes() };
@@ -102,7 +108,7 @@
     IndexedState { index: 4, state: replicated_state() }
 }
 
-fn leases() -> Vec<(&'static str, PeerMessage)> {
+fn lease_messages() -> Vec<(&'static str, PeerMessage)> {
     let request = LeaseRequest {
         name: "i1".into(),
         epoch: 2,
@@ -113,7 +119,7 @@
         unable_reason: Some("it does not know site.new".into()),
         releases_lease: true,
     };
-    let plain = LeaseRequest { unable_reason: None, releases_lease: false, ..request.clone() };
+    let without_options = LeaseRequest { unable_reason: None, releases_lease: false, ..request.clone() };
     let response = LeaseResponse {
         name: "i1".into(),
         epoch: 2,
@@ -122,16 +128,16 @@
         stage: 5,
         newer_state: Some(indexed_state()),
     };
-    let short = LeaseResponse { lease: None, newer_state: None, ..response.clone() };
+    let rejection = LeaseResponse { lease: None, newer_state: None, ..response.clone() };
     vec![
         ("lease request", PeerMessage::LeaseRequest { hops: 1, request }),
-        ("plain lease request", PeerMessage::LeaseRequest { hops: 0, request: plain }),
+        ("plain lease request", PeerMessage::LeaseRequest { hops: 0, request: without_options }),
         ("lease response", PeerMessage::LeaseResponse(Box::new(response))),
-        ("short lease response", PeerMessage::LeaseResponse(Box::new(short))),
+        ("short lease response", PeerMessage::LeaseResponse(Box::new(rejection))),
     ]
 }
 
-fn report() -> StatusReport {
+fn status_report() -> StatusReport {
     StatusReport {
         name: "i1".into(),
         replica: Some("leader".into()),
@@ -153,7 +159,7 @@
     }
 }
 
-fn operators() -> Vec<(&'static str, PeerMessage)> {
+fn operator_messages() -> Vec<(&'static str, PeerMessage)> {
     vec![
         (
             "propose",
@@ -173,7 +179,7 @@
         ("agreed", PeerMessage::OperatorReply(OperatorReply::Committed(2))),
         ("refused", PeerMessage::OperatorReply(OperatorReply::Refused("it is not under way".into()))),
         ("elsewhere", PeerMessage::OperatorReply(OperatorReply::NotLeader(Some("k1".into())))),
-        ("report", PeerMessage::OperatorReply(OperatorReply::Status(Box::new(report())))),
+        ("report", PeerMessage::OperatorReply(OperatorReply::Status(Box::new(status_report())))),
         (
             "told book",
             PeerMessage::OperatorReply(OperatorReply::ReplicatedState(Some(Box::new(indexed_state())))),
@@ -183,8 +189,9 @@
 }
 
 fn messages() -> Vec<(&'static str, PeerMessage)> {
-    let voters = bodies().into_iter().map(|(name, body)| (name, PeerMessage::Replica(message(body))));
-    voters.chain(leases()).chain(operators()).collect()
+    let replica_messages =
+        bodies().into_iter().map(|(name, body)| (name, PeerMessage::Replica(message(body))));
+    replica_messages.chain(lease_messages()).chain(operator_messages()).collect()
 }
 
 fn changes() -> Vec<(&'static str, Change)> {
@@ -197,55 +204,57 @@
     ]
 }
 
-/// Guards against variants or fields in another order: postcard writes neither's name.
+/// Guards against reordered variants or fields. Postcard encodes them by position, without names.
 #[test]
-fn each_message_is_written_and_read_as_recorded() {
-    let mut written = String::new();
+fn each_message_is_encoded_and_decoded_as_recorded() {
+    let mut encoded = String::new();
     for (name, message) in messages() {
-        let bytes = postcard::to_stdvec(&message).expect("plain values");
-        let _ = writeln!(written, "{name}: {}", hex(&bytes));
+        let bytes = postcard::to_stdvec(&message).expect("plain data serializes");
+        let _ = writeln!(encoded, "{name}: {}", hex(&bytes));
     }
     let fixtures = Fixtures::of_package(env!("CARGO_MANIFEST_DIR"));
-    fixtures.assert_text("messages.txt", &written);
-    let recorded = String::from_utf8(fixtures.read("messages.txt")).expect("a text");
+    fixtures.assert_text("messages.txt", &encoded);
+    let recorded = String::from_utf8(fixtures.read("messages.txt")).expect("the fixture is UTF-8");
     for (line, (name, message)) in recorded.lines().zip(messages()) {
-        let bytes = unhex(line.rsplit(": ").next().expect("digits"));
+        let bytes = unhex(line.rsplit(": ").next().expect("rsplit yields at least one item"));
         assert_eq!(postcard::from_bytes::<PeerMessage>(&bytes).as_ref(), Ok(&message), "{name}");
     }
 }
 
-/// Guards against entries of an earlier build that mean something else to this one.
+/// Guards against log entries of an earlier build that decode differently or have another effect in this
+/// build.
 #[test]
-fn each_change_and_the_state_made_of_them_are_written_as_recorded() {
-    let mut written = String::new();
+fn each_change_and_the_resulting_state_are_encoded_as_recorded() {
+    let mut encoded = String::new();
     let mut replicated_state = replicated_state();
     for (name, change) in changes() {
-        let _ = writeln!(written, "{name}: {}", hex(&change.bytes()));
-        // Operators are shown the text of a refusal, not its type.
+        let _ = writeln!(encoded, "{name}: {}", hex(&change.bytes()));
+        // Records the error message, which operators see, instead of the error type.
         let applied = replicated_state.apply(change).map_err(|error| error.to_string());
         let _ = writeln!(
-            written,
+            encoded,
             "  gives {applied:?}, digest {:016x}: {}",
             replicated_state.digest(),
             hex(&replicated_state.bytes())
         );
         assert_eq!(ReplicatedState::read(&replicated_state.bytes()).as_ref(), Ok(&replicated_state));
     }
-    Fixtures::of_package(env!("CARGO_MANIFEST_DIR")).assert_text("changes.txt", &written);
+    Fixtures::of_package(env!("CARGO_MANIFEST_DIR")).assert_text("changes.txt", &encoded);
 }
 
-/// Guards against rules that another build takes for others: their digest decides who may confirm a stage.
+/// Guards against equal rules with different digests in different builds. A member confirms a stage only with
+/// the leader's digest.
 #[test]
-fn the_digest_of_rules_is_the_recorded_one() {
-    let all: BTreeMap<&str, u64> =
+fn the_digest_of_rules_matches_the_recorded_digest() {
+    let digests: BTreeMap<&str, u64> =
         [("first", version(1, 50.0).rules.digest()), ("second", version(2, 20.0).rules.digest())].into();
-    let text: String = all.iter().map(|(name, digest)| format!("{name}: {digest:016x}\n")).collect();
+    let text: String = digests.iter().map(|(name, digest)| format!("{name}: {digest:016x}\n")).collect();
     Fixtures::of_package(env!("CARGO_MANIFEST_DIR")).assert_text("rules.txt", &text);
 }
 
-/// Guards against a field of `settings status --json` under another name.
+/// Guards against renamed fields in the output of `settings status --json`.
 #[test]
-fn a_report_as_json_is_the_recorded_one() {
-    let json = serde_json::to_string_pretty(&report()).expect("plain values");
+fn the_json_status_report_matches_the_recorded_report() {
+    let json = serde_json::to_string_pretty(&status_report()).expect("plain data serializes");
     Fixtures::of_package(env!("CARGO_MANIFEST_DIR")).assert_text("report.json", &json);
 }
--- a/crates/flaxstand-consensus/tests/recorded/stored.rs
+++ b/crates/flaxstand-consensus/tests/recorded/stored.rs
@@ -1,4 +1,5 @@
-//! A replica's folder (snapshot, log, identity) and a member's saved state: read back, and taken further.
+//! Recovery from a recorded replica directory (snapshot, log, identity) and from a recorded saved state of a
+//! member, and how the replica and the member continue from them.
 
 use crate::messages::{id, incarnation, replicated_state};
 use flaxstand_consensus::journal::Record;
@@ -17,8 +18,8 @@
 
 const SEGMENT: u64 = 1;
 const SEGMENT_FILE: &str = "keeper/0000000000000001.log";
-/// Bytes of a frame that was being written when the process died.
-const TORN: &[u8] = b"fag1\x40\x00\x00\x00torn";
+/// A partly written frame, as left by a process crash.
+const TORN_FRAME: &[u8] = b"fag1\x40\x00\x00\x00torn";
 
 fn fixtures() -> Fixtures {
     Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
@@ -48,7 +49,7 @@
     }
 }
 
-/// The records that follow the first state, a batch each.
+/// Records that follow the first state, each written in its own batch.
 fn later_records() -> Vec<Record> {
     let entry = |payload| Entry { term: 7, payload };
     vec![
@@ -69,14 +70,14 @@
     ]
 }
 
-/// The segment as a journal writes it, with a torn end.
+/// Writes the segment through a journal, followed by a torn frame. Returns its bytes.
 fn write_segment() -> Vec<u8> {
     let mut disk = FaultyDisk::new(1);
     let mut journal = Journal::new(Vec::new());
     let state = first_state();
     journal.request_checkpoint(state.log.last_index());
     let mut store = |journal: &mut Journal| {
-        let batch = journal.next_batch(&state, ms(1)).expect("something is to be stored");
+        let batch = journal.next_batch(&state, ms(1)).expect("records are pending");
         perform(&mut disk, &batch).expect("in memory");
         journal.batch_stored(true, ms(1));
     };
@@ -85,26 +86,26 @@
         journal.append(record);
         store(&mut journal);
     }
-    disk.append(SEGMENT, TORN).expect("in memory");
+    disk.append(SEGMENT, TORN_FRAME).expect("in memory");
     disk.read(SEGMENT).expect("in memory")
 }
 
 fn recovered() -> DurableState {
-    let mut folder =
-        SegmentFolder::open_read_only(fixtures().path("keeper").as_path()).expect("the folder is there");
-    match recover(&mut folder).expect("it can be read") {
+    let mut directory = SegmentFolder::open_read_only(fixtures().path("keeper").as_path())
+        .expect("the fixture directory exists");
+    match recover(&mut directory).expect("the fixture directory is readable") {
         RecoveredState::Intact(state) => *state,
-        other => panic!("{other:?}"),
+        other => panic!("expected an intact state, got {other:?}"),
     }
 }
 
 #[test]
-fn a_replicas_folder_is_written_as_recorded() {
+fn a_replica_directory_is_written_as_recorded() {
     fixtures().assert_bytes(SEGMENT_FILE, &write_segment());
 }
 
 #[test]
-fn a_recorded_folder_is_read_to_the_state_that_was_written() {
+fn a_recorded_directory_recovers_to_the_state_that_was_written() {
     let state = recovered();
     fixtures().assert_text("keeper-state.txt", &values_of(&format!("{state:?}")));
     assert_eq!((state.id.clone(), state.cluster_id, state.term), (id("k0", 11), 99, 7));
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn one_byte_changed_before_an_intact_frame_is_damage() {
+fn a_changed_byte_before_an_intact_frame_is_reported_as_damage() {
     let mut bytes = fixtures().read(SEGMENT_FILE);
     bytes[40] ^= 1;
     let mut disk = FaultyDisk::new(1);
@@ -124,7 +125,7 @@
     assert!(matches!(recover(&mut disk), Ok(RecoveredState::Damaged(_))));
 }
 
-fn started() -> Replica {
+fn start_replica() -> Replica {
     let config = Config {
         name: "k0".into(),
         names: vec!["k0".into(), "k1".into(), "k2".into()],
@@ -141,7 +142,7 @@
     Message {
         cluster_id: 99,
         from: id(name, instance),
-        // It began with more promises than the folder saw of it.
+        // More promises than the directory records for this replica.
         incarnation: Incarnation { count: 50, nonce: 78, promises_at_start: 90 },
         promises_written: 100,
         to: "k0".into(),
@@ -151,7 +152,7 @@
     }
 }
 
-/// Time passes, and batches are stored at once. Returns what the replica sends.
+/// Ticks the replica and completes its batches at once. Returns the messages that it sends.
 fn run(replica: &mut Replica, now: Micros) -> Vec<Message> {
     replica.tick(now);
     while replica.next_batch(now).is_some() {
@@ -160,35 +161,38 @@
     replica.take_messages()
 }
 
-/// Guards against a vote given twice in a term, or given before it is known that no later incarnation
-/// promised anything.
+/// Guards against two votes in one term, and against a vote before the other replicas have confirmed that
+/// they saw no later incarnation of this replica.
 #[test]
-fn a_replica_goes_on_from_a_recorded_folder_and_votes() {
-    let mut replica = started();
+fn a_replica_that_starts_from_a_recorded_directory_votes_once_it_has_recovered() {
+    let mut replica = start_replica();
     assert!(matches!(&replica.take_committed()[..], [Committed::Snapshot { index: 20, .. }]));
-    assert_eq!(replica.state().incarnation.count, 5, "one start more");
-    let asked = run(&mut replica, ms(40));
-    assert!(asked.iter().any(|m| m.body == MessageBody::IncarnationRequest), "{asked:?}");
-    let newest = LogPosition { term: 8, index: 30 };
+    assert_eq!(replica.state().incarnation.count, 5, "a start increments the recorded incarnation");
+    let sent = run(&mut replica, ms(40));
+    assert!(
+        sent.iter().any(|m| m.body == MessageBody::IncarnationRequest),
+        "no incarnation request sent: {sent:?}"
+    );
+    let log_position = LogPosition { term: 8, index: 30 };
     let vote_of = |replica: &mut Replica, from: (&str, u64), at: u64| {
-        replica.receive(message(from.0, from.1, 9, MessageBody::VoteRequest(newest)), ms(at));
+        replica.receive(message(from.0, from.1, 9, MessageBody::VoteRequest(log_position)), ms(at));
         let sent = run(replica, ms(at));
         sent.into_iter().find_map(|m| {
             if let MessageBody::VoteResponse { granted } = m.body { Some(granted) } else { None }
         })
     };
-    assert_ne!(vote_of(&mut replica, ("k1", 12), 1000), Some(true), "it is recovering");
-    let own = replica.state().incarnation;
-    replica.receive(message("k1", 12, 7, MessageBody::IncarnationResponse(own)), ms(1001));
-    replica.receive(message("k2", 13, 7, MessageBody::IncarnationResponse(own)), ms(1002));
+    assert_ne!(vote_of(&mut replica, ("k1", 12), 1000), Some(true), "voted while recovering");
+    let incarnation = replica.state().incarnation;
+    replica.receive(message("k1", 12, 7, MessageBody::IncarnationResponse(incarnation)), ms(1001));
+    replica.receive(message("k2", 13, 7, MessageBody::IncarnationResponse(incarnation)), ms(1002));
     run(&mut replica, ms(1003));
     assert_eq!(vote_of(&mut replica, ("k1", 12), 2000), Some(true));
-    assert_ne!(vote_of(&mut replica, ("k2", 13), 2001), Some(true), "one vote a term");
+    assert_ne!(vote_of(&mut replica, ("k2", 13), 2001), Some(true), "voted twice in one term");
 }
 
 #[test]
-fn entries_of_a_recorded_folder_are_committed_once_a_leader_says_so() {
-    let mut replica = started();
+fn entries_of_a_recorded_directory_are_committed_when_a_leader_advances_the_commit_index() {
+    let mut replica = start_replica();
     replica.take_committed();
     run(&mut replica, ms(40));
     let append = MessageBody::AppendRequest {
@@ -209,31 +213,32 @@
 }
 
 fn member() -> Member {
-    let saved = IndexedState::read(&fixtures().read("member.saved")).expect("a saved state");
+    let saved =
+        IndexedState::read(&fixtures().read("member.saved")).expect("the fixture holds a saved state");
     assert_eq!(saved, IndexedState { index: 17, state: replicated_state() });
     Member::new("i1".into(), 3, Some(saved), ms(600), InjectedFault::None, ms(1))
 }
 
-/// Guards against a member that forgets which stage it acted on before a restart.
+/// Guards against a member that loses its stage over a restart.
 #[test]
-fn a_member_goes_on_from_its_recorded_state() {
-    let written = IndexedState { index: 17, state: replicated_state() }.bytes();
-    fixtures().assert_bytes("member.saved", &written);
+fn a_member_continues_from_its_recorded_state() {
+    let encoded = IndexedState { index: 17, state: replicated_state() }.bytes();
+    fixtures().assert_bytes("member.saved", &encoded);
     let mut member = member();
-    let request = member.lease_request(ms(2)).expect("it asks at once");
+    let request = member.lease_request(ms(2)).expect("a member sends a request right after its start");
     assert_eq!(
         (request.state_index, request.stage, request.digest),
         (17, replicated_state().stage, replicated_state().digest())
     );
-    let values = |member: &Member| {
+    let active_rules = |member: &Member| {
         values_of(&format!("{:?}", member.rules(&replicated_state().in_force.rules, ms(3))))
     };
-    fixtures().assert_text("member-rules.txt", &values(&member));
+    fixtures().assert_text("member-rules.txt", &active_rules(&member));
 }
 
-/// Guards against another word for the role of a replica, in `settings status` and its JSON.
+/// Guards against renamed roles of a replica in the output of `settings status`, as text and as JSON.
 #[test]
-fn an_initiator_reports_its_role_and_active_rules_in_the_recorded_words() {
+fn an_initiator_reports_its_role_and_active_rules_as_recorded() {
     let config = |injected_fault| ParticipantConfig {
         name: "k0".into(),
         epoch: 3,
@@ -249,13 +254,14 @@
     let stored = |state| Some(StoredReplica { state, segments: vec![SEGMENT] });
     let saved = IndexedState::read(&fixtures().read("member.saved")).ok();
     let mut reports = String::new();
+    // The labels are those of the fixture `reports.txt`.
     for (name, stored, saved) in [
         ("no keeper", None, None),
         ("new", stored(None), None),
         ("started again", stored(Some(recovered())), saved),
     ] {
-        let agreement = Participant::new(config(InjectedFault::None), stored, saved, 0, ms(1));
-        let json = serde_json::to_string_pretty(&agreement.report(ms(2))).expect("plain values");
+        let participant = Participant::new(config(InjectedFault::None), stored, saved, 0, ms(1));
+        let json = serde_json::to_string_pretty(&participant.report(ms(2))).expect("plain data serializes");
         reports += &format!("{name}: {json}\n");
     }
     fixtures().assert_text("reports.txt", &reports);
