--- a/crates/flaxstand-consensus/tests/participants/harness.rs
+++ b/crates/flaxstand-consensus/tests/participants/harness.rs
@@ -1,6 +1,6 @@
-//! Initiators that agree, on virtual time: clocks of different rates, links that lose and cut, processes that
-//! stop and die, disks that lose what was not synced. What each acts on is compared from outside, at every
-//! moment.
+//! A simulated cluster of initiators on virtual time. Clocks run at different rates, links drop messages or
+//! are cut, processes pause and crash, and disks lose unsynced data. After every event the harness compares
+//! the rules that the initiators apply and records each pair that contradicts.
 
 use flaxstand_consensus::member::ActiveRules;
 use flaxstand_consensus::participant::{
@@ -16,9 +16,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const LEASE_MS: u64 = 600;
-/// By what part of a lease clocks may differ. They differ by up to that here.
+/// Relative clock error that a lease tolerates. The hosts' clock rates differ by up to this much.
 pub const CLOCK_ERROR: f64 = 0.02;
-/// An operator's connection.
+/// Connection id of the operator. A host's connection id is its index plus 1.
 const OPERATOR: u64 = 1 << 40;
 
 pub fn ms(n: u64) -> Micros {
@@ -26,42 +26,43 @@
 }
 
 struct Host {
-    agreement: Option<Participant>,
+    participant: Option<Participant>,
     has_replica: bool,
     disk: FaultyDisk,
-    /// The file of the replicated state.
+    /// Contents of the file that holds the member's copy of the replicated state.
     saved_state: Option<Vec<u8>>,
-    storing: Option<(Micros, Batch)>,
-    stopped_until: Micros,
+    /// Batch that is being written, with its completion time.
+    pending_write: Option<(Micros, Batch)>,
+    paused_until: Micros,
     clock: HostClock,
-    starts: u64,
-    /// What it acted on in its last turn: a stopped process sends nothing.
+    start_count: u64,
+    /// Rules that the host applied in its last turn. `Fallback` while it is down.
     active_rules: ActiveRules,
-    /// The newest stage that it knew. It never goes back, also over a restart.
+    /// Newest stage of the host's replicated state. It must never decrease, not even over a restart.
     stage: u64,
 }
 
-/// A host's clock.
+/// A host's local clock.
 struct HostClock {
-    /// What it shows at moment 0, microseconds.
+    /// Reading at virtual time 0, in microseconds.
     offset: u64,
-    /// How fast it runs; 1 is exact.
+    /// Rate relative to virtual time.
     rate: f64,
 }
 
 impl HostClock {
-    /// What it shows at a moment.
-    fn shown_at(&self, moment: Micros) -> Micros {
-        Micros(self.offset + (moment.0 as f64 * self.rate) as u64)
+    /// Converts virtual time to the reading of this clock.
+    fn local_time(&self, time: Micros) -> Micros {
+        Micros(self.offset + (time.0 as f64 * self.rate) as u64)
     }
 
-    /// The moment at which it shows this.
-    fn moment_of(&self, shown: Micros) -> Micros {
-        Micros((shown.0.saturating_sub(self.offset) as f64 / self.rate).ceil() as u64)
+    /// Converts a reading of this clock to virtual time, rounded up.
+    fn virtual_time(&self, local: Micros) -> Micros {
+        Micros((local.0.saturating_sub(self.offset) as f64 / self.rate).ceil() as u64)
     }
 }
 
-/// A message between two hosts.
+/// A message in flight between two hosts.
 struct InFlight {
     from: usize,
     to: usize,
@@ -73,21 +74,24 @@
     hosts: Vec<Host>,
     pub rng: Pcg64Mcg,
     injected_fault: InjectedFault,
-    /// By the moment at which they arrive, and a number that orders those of one moment.
+    /// Messages in flight by arrival time, then by send sequence number.
     in_flight: BTreeMap<(Micros, u64), InFlight>,
-    next_message: u64,
+    message_seq: u64,
+    /// Directed links that drop every message.
     pub cut: BTreeSet<(usize, usize)>,
     pub loss_per_thousand: u64,
     pub max_delay_ms: u64,
-    /// Since when two have acted on rules that contradict each other.
+    /// Start of the current contradiction between each pair of hosts.
     contradictions: BTreeMap<(usize, usize), Micros>,
+    /// Longest contradiction, with the two hosts and their rules.
     pub longest_contradiction: (Micros, String),
+    /// Invariant violations other than contradictions.
     pub violations: Vec<String>,
-    pub rules_changes: u64,
+    pub rules_change_count: u64,
     pub replies: Vec<OperatorReply>,
-    /// Messages that any one host received in any second, most.
+    /// Largest number of messages that one host received within one second.
     pub max_messages_per_second: u64,
-    /// By host and second.
+    /// Number of received messages by host and second.
     received: BTreeMap<(usize, u64), u64>,
 }
 
@@ -104,8 +108,9 @@
     r
 }
 
-/// Versions that allow what one acts on; none: the fallback rules, which all allow.
-fn allowed(active_rules: ActiveRules) -> Option<Vec<u64>> {
+/// Returns the versions that permit the active rules, or `None` for the fallback rules, which every version
+/// permits.
+fn permitting_versions(active_rules: ActiveRules) -> Option<Vec<u64>> {
     match active_rules {
         ActiveRules::Fallback => None,
         ActiveRules::Version(v) => Some(vec![v]),
@@ -120,14 +125,14 @@
             .map(|i| {
                 let rate = 1.0 + CLOCK_ERROR * ((rng.next_u64() % 2001) as f64 / 1000.0 - 1.0) / 2.0;
                 Host {
-                    agreement: None,
+                    participant: None,
                     has_replica: i < voters,
                     disk: FaultyDisk::new(seed ^ (i as u64) << 32),
                     saved_state: None,
-                    storing: None,
-                    stopped_until: Micros(0),
+                    pending_write: None,
+                    paused_until: Micros(0),
                     clock: HostClock { offset: rng.next_u64() % 1_000_000_000, rate },
-                    starts: 0,
+                    start_count: 0,
                     active_rules: ActiveRules::Fallback,
                     stage: 0,
                 }
@@ -139,14 +144,14 @@
             rng,
             injected_fault,
             in_flight: BTreeMap::new(),
-            next_message: 0,
+            message_seq: 0,
             cut: BTreeSet::new(),
             loss_per_thousand: 0,
             max_delay_ms: 4,
             contradictions: BTreeMap::new(),
             longest_contradiction: (Micros(0), String::new()),
             violations: Vec::new(),
-            rules_changes: 0,
+            rules_change_count: 0,
             replies: Vec::new(),
             max_messages_per_second: 0,
             received: BTreeMap::new(),
@@ -155,7 +160,8 @@
         cluster
     }
 
-    pub fn below(&mut self, n: u64) -> u64 {
+    /// Draws a number below `n`, or 0 if `n` is 0.
+    pub fn random_below(&mut self, n: u64) -> u64 {
         self.rng.next_u64() % n.max(1)
     }
 
@@ -164,7 +170,7 @@
     }
 
     pub fn is_up(&self, i: usize) -> bool {
-        self.hosts[i].agreement.is_some()
+        self.hosts[i].participant.is_some()
     }
 
     fn name(i: usize) -> String {
@@ -172,7 +178,7 @@
     }
 
     fn index(name: &str) -> usize {
-        name[1..].parse().expect("a host's name")
+        name[1..].parse().expect("host name ends in its index")
     }
 
     pub fn start(&mut self, i: usize) {
@@ -180,12 +186,12 @@
         let voters = self.hosts.iter().filter(|host| host.has_replica).count();
         let (seed, count, injected_fault) = (self.rng.next_u64(), self.count(), self.injected_fault);
         let host = &mut self.hosts[i];
-        host.starts += 1;
+        host.start_count += 1;
         let config = Config {
             name: Self::name(i),
-            epoch: host.starts,
+            epoch: host.start_count,
             voters: names(0..voters),
-            // A few, not all.
+            // Three at most, so that members do not know all others.
             neighbours: names(voters..count).into_iter().take(3).collect(),
             lease: ms(LEASE_MS),
             clock_error: CLOCK_ERROR,
@@ -202,38 +208,40 @@
             segments: host.disk.segments().expect("in memory"),
         });
         let saved = host.saved_state.as_ref().and_then(|bytes| IndexedState::read(bytes).ok());
-        let now = host.clock.shown_at(self.now);
-        host.storing = None;
-        host.agreement = Some(Participant::new(config, stored, saved, 0, now));
+        let now = host.clock.local_time(self.now);
+        host.pending_write = None;
+        host.participant = Some(Participant::new(config, stored, saved, 0, now));
         host.active_rules = ActiveRules::Fallback;
     }
 
-    pub fn kill(&mut self, i: usize, power: bool) {
+    /// Kills the process. With `power_loss`, unsynced data on its disk is lost as well.
+    pub fn crash(&mut self, i: usize, power_loss: bool) {
         let host = &mut self.hosts[i];
-        if power {
+        if power_loss {
             host.disk.lose_power()
         } else {
             host.disk.lose_process()
         }
-        (host.agreement, host.storing, host.active_rules) = (None, None, ActiveRules::Fallback);
+        (host.participant, host.pending_write, host.active_rules) = (None, None, ActiveRules::Fallback);
     }
 
-    pub fn pause(&mut self, i: usize, wait: Micros) {
-        self.hosts[i].stopped_until = self.now.after(wait);
+    /// Pauses the process: it neither runs nor receives.
+    pub fn pause(&mut self, i: usize, duration: Micros) {
+        self.hosts[i].paused_until = self.now.after(duration);
     }
 
     pub fn isolate(&mut self, i: usize) {
         (0..self.count()).filter(|o| *o != i).for_each(|o| self.cut.extend([(i, o), (o, i)]));
     }
 
-    /// An operator's request to every host that is up.
-    pub fn request_of_all(&mut self, operator_request: &OperatorRequest) {
+    /// Delivers an operator's request to every host that is up and not paused.
+    pub fn send_to_all_hosts(&mut self, operator_request: &OperatorRequest) {
         for i in 0..self.count() {
-            let now = self.hosts[i].clock.shown_at(self.now);
-            if self.hosts[i].stopped_until <= self.now
-                && let Some(agreement) = &mut self.hosts[i].agreement
+            let now = self.hosts[i].clock.local_time(self.now);
+            if self.hosts[i].paused_until <= self.now
+                && let Some(participant) = &mut self.hosts[i].participant
             {
-                agreement.receive(
+                participant.receive(
                     OPERATOR,
                     None,
                     PeerMessage::OperatorRequest(operator_request.clone()),
@@ -244,67 +252,68 @@
     }
 
     pub fn propose(&mut self) {
-        let limit = 2.0 + self.below(400) as f64;
-        let effect = ["once", "repeatable"][self.below(2) as usize];
-        let base = self.newest();
+        let limit = 2.0 + self.random_below(400) as f64;
+        let effect = ["once", "repeatable"][self.random_below(2) as usize];
+        let base = self.newest_version();
         let version = Version { rules: rules(limit, effect), by: "a test".into(), ..Version::default() };
-        self.request_of_all(&OperatorRequest::Propose { base, version });
+        self.send_to_all_hosts(&OperatorRequest::Propose { base, version });
     }
 
-    /// The newest version in force that any host knows of.
-    pub fn newest(&self) -> u64 {
-        let states = self.hosts.iter().filter_map(|host| host.agreement.as_ref()?.replicated_state());
+    /// The newest version in force in any host's replicated state.
+    pub fn newest_version(&self) -> u64 {
+        let states = self.hosts.iter().filter_map(|host| host.participant.as_ref()?.replicated_state());
         states.map(|state| state.in_force.number).max().unwrap_or(0)
     }
 
-    /// How many have a lease and act on the newest version alone.
-    pub fn on_newest(&self) -> usize {
-        let newest = self.newest();
+    /// Number of hosts whose active rules are the newest version in force.
+    pub fn hosts_on_newest_version(&self) -> usize {
+        let newest = self.newest_version();
         self.hosts.iter().filter(|h| newest > 0 && h.active_rules == ActiveRules::Version(newest)).count()
     }
 
     fn send(&mut self, from: usize, to: usize, message: PeerMessage) {
-        if self.cut.contains(&(from, to)) || self.below(1000) < self.loss_per_thousand {
+        if self.cut.contains(&(from, to)) || self.random_below(1000) < self.loss_per_thousand {
             return;
         }
-        let wait = 200 + self.below(self.max_delay_ms * 1000);
-        self.next_message += 1;
-        let arrives_at = self.now.after(Micros(wait));
-        self.in_flight.insert((arrives_at, self.next_message), InFlight { from, to, message });
+        let delay = 200 + self.random_below(self.max_delay_ms * 1000);
+        self.message_seq += 1;
+        let arrives_at = self.now.after(Micros(delay));
+        self.in_flight.insert((arrives_at, self.message_seq), InFlight { from, to, message });
     }
 
+    /// Runs one turn of a host that is up and not paused.
     fn step(&mut self, i: usize) {
-        let at = self.now;
+        let virtual_now = self.now;
         let host = &mut self.hosts[i];
-        let now = host.clock.shown_at(at);
-        let Some(agreement) = &mut host.agreement else { return };
-        if host.stopped_until > at {
+        let now = host.clock.local_time(virtual_now);
+        let Some(participant) = &mut host.participant else { return };
+        if host.paused_until > virtual_now {
             return;
         }
-        if let Some((_, batch)) = host.storing.take_if(|(done, _)| *done <= at) {
+        if let Some((_, batch)) = host.pending_write.take_if(|(done, _)| *done <= virtual_now) {
             let succeeded = perform(&mut host.disk, &batch).is_ok();
-            agreement.batch_stored(succeeded, now);
+            participant.batch_stored(succeeded, now);
         }
-        if agreement.wake_at(now) <= now {
-            agreement.tick(now);
+        if participant.wake_at(now) <= now {
+            participant.tick(now);
         }
-        let has_changed = agreement.take_rules_change(now).is_some();
-        host.active_rules = agreement.active_rules(now);
-        if host.storing.is_none()
-            && let Some(batch) = agreement.next_batch(now)
+        let has_changed = participant.take_rules_change(now).is_some();
+        host.active_rules = participant.active_rules(now);
+        if host.pending_write.is_none()
+            && let Some(batch) = participant.next_batch(now)
         {
-            host.storing = Some((at.after(Micros(100 + self.rng.next_u64() % 2000)), batch));
+            host.pending_write = Some((virtual_now.after(Micros(100 + self.rng.next_u64() % 2000)), batch));
         }
-        if let Some(unsaved) = agreement.take_unsaved() {
+        if let Some(unsaved) = participant.take_unsaved() {
             host.saved_state = Some(unsaved);
         }
-        let stage = agreement.replicated_state().map_or(0, |state| state.stage);
+        let stage = participant.replicated_state().map_or(0, |state| state.stage);
         if stage < host.stage {
-            self.violations.push(format!("i{i} went back from stage {} to {stage}", host.stage));
+            self.violations.push(format!("stage of i{i} decreased from {} to {stage}", host.stage));
         }
         host.stage = stage;
-        self.rules_changes += u64::from(has_changed);
-        for (to, message) in agreement.take_outgoing() {
+        self.rules_change_count += u64::from(has_changed);
+        for (to, message) in participant.take_outgoing() {
             match to {
                 Destination::Peer(name) => self.send(i, Self::index(&name), message),
                 Destination::Connection(OPERATOR) => {
@@ -317,19 +326,20 @@
         }
     }
 
-    /// Two contradict each other if no version allows what both act on.
+    /// Updates the contradictions. Two hosts contradict if no version permits the active rules of both.
     fn record_contradictions(&mut self) {
-        let active = |h: &Host| h.agreement.is_some() && h.stopped_until <= self.now;
+        // A paused process sends nothing, so its rules have no effect.
+        let is_running = |h: &Host| h.participant.is_some() && h.paused_until <= self.now;
         let all: Vec<(usize, Vec<u64>)> = self
             .hosts
             .iter()
             .enumerate()
-            .filter(|(_, h)| active(h))
-            .filter_map(|(i, h)| Some((i, allowed(h.active_rules)?)))
+            .filter(|(_, h)| is_running(h))
+            .filter_map(|(i, h)| Some((i, permitting_versions(h.active_rules)?)))
             .collect();
         let mut pairs = BTreeSet::new();
         let groups: BTreeMap<Vec<u64>, usize> = all.iter().map(|(i, v)| (v.clone(), *i)).collect();
-        // Hosts that act on the same are one.
+        // One host represents all that apply the same rules.
         for (versions, i) in &groups {
             for (others, j) in &groups {
                 if i < j && !versions.iter().any(|v| others.contains(v)) {
@@ -343,19 +353,21 @@
             let long = self.now.since(since).max(Micros(1));
             if long > self.longest_contradiction.0 {
                 let (a, b) = (self.hosts[pair.0].active_rules, self.hosts[pair.1].active_rules);
-                self.longest_contradiction = (long, format!("i{} on {a:?} and i{} on {b:?}", pair.0, pair.1));
+                self.longest_contradiction =
+                    (long, format!("i{} applies {a:?}, i{} applies {b:?}", pair.0, pair.1));
             }
         }
     }
 
+    /// Advances virtual time, or stops at the first violation.
     pub fn run(&mut self, time: Micros) {
         let end = self.now.after(time);
         loop {
             let wakes = self.hosts.iter().filter_map(|h| {
-                let agreement = h.agreement.as_ref()?;
-                let wake = h.clock.moment_of(agreement.wake_at(h.clock.shown_at(self.now)));
-                let next = h.storing.as_ref().map_or(wake, |(done, _)| (*done).min(wake));
-                Some(next.max(h.stopped_until))
+                let participant = h.participant.as_ref()?;
+                let wake = h.clock.virtual_time(participant.wake_at(h.clock.local_time(self.now)));
+                let next = h.pending_write.as_ref().map_or(wake, |(done, _)| (*done).min(wake));
+                Some(next.max(h.paused_until))
             });
             let arrives = self.in_flight.first_key_value().map(|((at, _), _)| *at);
             let Some(next) = wakes.chain(arrives).min().filter(|next| *next <= end) else { break };
@@ -363,17 +375,17 @@
             while let Some(entry) = self.in_flight.first_entry().filter(|e| e.key().0 <= self.now) {
                 let in_flight = entry.remove();
                 let host = &mut self.hosts[in_flight.to];
-                if host.stopped_until > self.now {
-                    // It lies in the socket until the process goes on.
-                    self.next_message += 1;
-                    let then = Micros(host.stopped_until.0 + 1);
-                    self.in_flight.insert((then, self.next_message), in_flight);
+                if host.paused_until > self.now {
+                    // The message waits in the socket buffer until the process resumes.
+                    self.message_seq += 1;
+                    let resumes_at = Micros(host.paused_until.0 + 1);
+                    self.in_flight.insert((resumes_at, self.message_seq), in_flight);
                     continue;
                 }
                 let InFlight { from, to, message } = in_flight;
-                let now = host.clock.shown_at(self.now);
-                if let Some(agreement) = &mut host.agreement {
-                    agreement.receive(from as u64 + 1, Some(&Self::name(from)), message, now);
+                let now = host.clock.local_time(self.now);
+                if let Some(participant) = &mut host.participant {
+                    participant.receive(from as u64 + 1, Some(&Self::name(from)), message, now);
                 }
                 let received = self.received.entry((to, self.now.0 / 1_000_000)).or_default();
                 *received += 1;
@@ -388,8 +400,8 @@
         self.now = self.now.max(end);
     }
 
-    /// All faults end, what is down starts, and a new version is proposed. Returns whether it comes into
-    /// force everywhere.
+    /// Ends all faults, starts the hosts that are down and proposes a new version. Returns whether a new
+    /// version comes into force on every host within 30 s.
     pub fn heal(&mut self) -> bool {
         self.cut.clear();
         (self.loss_per_thousand, self.max_delay_ms) = (0, 4);
@@ -398,13 +410,13 @@
                 self.start(i);
             }
         }
-        let before = self.newest();
+        let before = self.newest_version();
         for _ in 0..120 {
             self.run(ms(250));
-            if self.newest() > before && self.on_newest() == self.count() {
+            if self.newest_version() > before && self.hosts_on_newest_version() == self.count() {
                 return true;
             }
-            if self.newest() == before {
+            if self.newest_version() == before {
                 self.propose();
             }
             if !self.violations.is_empty() {
@@ -414,12 +426,12 @@
         false
     }
 
-    /// The status of each host, in words.
+    /// Formats the status report of every host.
     pub fn describe(&self) -> String {
-        let of = |h: &Host| match &h.agreement {
-            Some(a) => format!("{:?}", a.report(h.clock.shown_at(self.now))),
+        let status = |h: &Host| match &h.participant {
+            Some(participant) => format!("{:?}", participant.report(h.clock.local_time(self.now))),
             None => "down".into(),
         };
-        self.hosts.iter().map(of).collect::<Vec<_>>().join("\n")
+        self.hosts.iter().map(status).collect::<Vec<_>>().join("\n")
     }
 }
--- a/crates/flaxstand-consensus/tests/replicas/main.rs
+++ b/crates/flaxstand-consensus/tests/replicas/main.rs
@@ -1,5 +1,5 @@
-//! Replicas under faults: drawn schedules, the hard cases one by one, and injected faults that must be
-//! caught.
+//! Replicas under faults: random fault schedules, one test for each known hard case, and injected faults that
+//! the checks must detect.
 
 mod harness;
 
@@ -10,21 +10,22 @@
 use flaxstand_storage::faulty::FaultyDisk;
 use harness::{Cluster, ms};
 
-/// Plays one drawn schedule. Returns how many changes were committed; or what was violated, or that the
-/// replicas did not recover, in words.
-fn play_schedule(seed: u64, injected_fault: InjectedFault) -> Result<u64, String> {
+/// Runs one random fault schedule. Returns the number of committed changes, or a description of the violation
+/// or of the failed recovery.
+fn run_schedule(seed: u64, injected_fault: InjectedFault) -> Result<u64, String> {
     let count = if seed % 3 == 2 { 5 } else { 3 };
     let mut cluster = Cluster::new(count, seed, injected_fault);
     cluster.run(ms(400));
-    let mut copies: Vec<(usize, FaultyDisk)> = Vec::new();
+    let mut disk_copies: Vec<(usize, FaultyDisk)> = Vec::new();
     for _ in 0..40 {
-        let (a, b) = (cluster.below(count as u64) as usize, cluster.below(count as u64) as usize);
-        let all_intact = cluster.intact();
-        match cluster.below(22) {
-            0 => cluster.kill(a, true),
-            1 => cluster.kill(a, false),
+        let (a, b) =
+            (cluster.random_below(count as u64) as usize, cluster.random_below(count as u64) as usize);
+        let all_intact = cluster.all_replicas_intact();
+        match cluster.random_below(22) {
+            0 => cluster.crash(a, true),
+            1 => cluster.crash(a, false),
             2 | 3 if cluster.nodes[a].replica.is_none() => cluster.start(a),
-            4 => (0..count).for_each(|i| cluster.kill(i, true)),
+            4 => (0..count).for_each(|i| cluster.crash(i, true)),
             5 => (0..count).rev().for_each(|i| {
                 if cluster.nodes[i].replica.is_none() {
                     cluster.start(i);
@@ -36,89 +37,101 @@
             9..=11 => cluster.cut.clear(),
             12 => cluster.pause(a, ms(400)),
             13 => (0..count).for_each(|i| cluster.pause(i, ms(300))),
-            14 => cluster.loss_per_thousand = cluster.below(300) as u32,
-            15 => cluster.max_delay_ms = 1 + cluster.below(120),
+            14 => cluster.loss_per_thousand = cluster.random_below(300) as u32,
+            15 => cluster.max_delay_ms = 1 + cluster.random_below(120),
             16 => cluster.inject_disk_fault(a, None, Some(0)),
             17 => cluster.inject_disk_fault(a, Some(200), None),
             18 => cluster.inject_disk_fault(a, None, None),
-            // Only a minority may lose its promises at a time.
+            // At most one replica may be without its promises at a time: the protocol tolerates only a
+            // minority.
             19 if all_intact => cluster.wipe(a),
             20 if all_intact => {
-                if let Some(at) = copies.iter().position(|(i, _)| *i == a) {
-                    let (_, old) = copies.swap_remove(at);
-                    cluster.restore_copy(a, old);
+                if let Some(at) = disk_copies.iter().position(|(i, _)| *i == a) {
+                    let (_, old_copy) = disk_copies.swap_remove(at);
+                    cluster.restore_copy(a, old_copy);
                 }
             }
-            21 => copies.push((a, cluster.nodes[a].disk.clone())),
+            21 => disk_copies.push((a, cluster.nodes[a].disk.clone())),
             _ => {}
         }
-        for _ in 0..cluster.below(4) {
+        for _ in 0..cluster.random_below(4) {
             cluster.propose();
         }
-        let time = ms(cluster.below(250));
+        let time = ms(cluster.random_below(250));
         cluster.run(time);
         if let Some(violation) = cluster.violations.first() {
             return Err(format!("seed {seed}: {violation}"));
         }
     }
-    // Old copies are of no use once all have recovered: their owners' incarnations are known.
+    // Disk copies are useless once all replicas have recovered: the others then know a later incarnation of
+    // each copied replica.
     let has_recovered = cluster.heal();
     match cluster.violations.first() {
         Some(violation) => Err(format!("seed {seed}: {violation}")),
         None if !has_recovered => {
-            let all: Vec<_> = cluster
+            let statuses: Vec<_> = cluster
                 .nodes
                 .iter()
                 .flat_map(|n| &n.replica)
                 .map(|replica| replica.status(cluster.now))
                 .collect();
-            Err(format!("seed {seed}: the replicas did not recover: {all:#?}, lost {:?}", cluster.lost))
+            Err(format!(
+                "seed {seed}: the replicas did not recover: {statuses:#?}, without their promises: {:?}",
+                cluster.lost_promises
+            ))
         }
         None => Ok(cluster.committed.len() as u64),
     }
 }
 
-/// Seeds that the workspace's tests play; others by the variables.
-fn schedules() -> std::ops::Range<u64> {
-    let variable = |name, default| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default);
-    let from = variable("FLAXSTAND_FROM", 0);
-    from..from + variable("FLAXSTAND_SCHEDULES", 250)
+/// Seeds to run, by default `0..250`. `FLAXSTAND_FROM` sets the first and `FLAXSTAND_SCHEDULES` the number of
+/// them.
+fn seeds() -> std::ops::Range<u64> {
+    let env_or = |name, default| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default);
+    let from = env_or("FLAXSTAND_FROM", 0);
+    from..from + env_or("FLAXSTAND_SCHEDULES", 250)
 }
 
 #[test]
-fn drawn_schedules_keep_one_log_and_recover() {
+fn random_schedules_keep_one_log_and_recover() {
     let mut committed = 0;
-    for seed in schedules() {
-        let outcome = std::panic::catch_unwind(|| play_schedule(seed, InjectedFault::None));
+    for seed in seeds() {
+        let outcome = std::panic::catch_unwind(|| run_schedule(seed, InjectedFault::None));
         let outcome = outcome.unwrap_or_else(|_| Err(format!("seed {seed}: an assertion failed")));
         committed += outcome.unwrap_or_else(|e| panic!("{e}"));
     }
-    let few = schedules().count() as u64 * 10;
-    assert!(committed > few, "hardly anything was committed: {committed}");
+    let min_committed = seeds().count() as u64 * 10;
+    assert!(
+        committed > min_committed,
+        "{committed} committed changes are too few to test anything, expected more than {min_committed}"
+    );
 }
 
 #[test]
 fn new_replicas_bootstrap_elect_a_leader_and_commit() {
     let mut cluster = Cluster::new(3, 1, InjectedFault::None);
-    let leader = cluster.run_until_led();
+    let leader = cluster.run_until_leader();
     cluster.propose();
     cluster.run(ms(200));
     assert_eq!(cluster.committed.len(), 1);
-    assert!(cluster.nodes.iter().all(|n| n.owner == cluster.nodes[leader].owner));
+    assert!(cluster.nodes.iter().all(|n| n.applied_state == cluster.nodes[leader].applied_state));
 }
 
 #[test]
-fn a_leader_that_is_cut_off_steps_down_and_its_change_is_not_committed() {
+fn an_isolated_leader_steps_down_and_its_change_is_not_committed() {
     let mut cluster = Cluster::new(3, 2, InjectedFault::None);
-    let old = cluster.run_until_led();
+    let old_leader = cluster.run_until_leader();
     cluster.run(ms(200));
-    cluster.isolate(old);
+    cluster.isolate(old_leader);
     cluster.propose();
     let before = cluster.committed.len();
     cluster.run(ms(2000));
-    assert!(!cluster.nodes[old].replica.as_ref().expect("it is up").is_leader(), "check-quorum");
-    let new = cluster.leader().expect("the others elect one");
-    assert_ne!(new, old);
+    assert!(
+        !cluster.nodes[old_leader].replica.as_ref().expect("up").is_leader(),
+        "check-quorum: an isolated leader steps down"
+    );
+    let new_leader = cluster.leader().expect("the others elect a leader");
+    assert_ne!(new_leader, old_leader);
     assert_eq!(cluster.committed.len(), before);
     cluster.propose();
     cluster.run(ms(500));
@@ -127,40 +140,44 @@
 }
 
 #[test]
-fn a_follower_that_the_leader_does_not_reach_does_not_unseat_it() {
+fn a_follower_that_receives_nothing_from_the_leader_does_not_depose_it() {
     let mut cluster = Cluster::new(3, 3, InjectedFault::None);
-    let leader = cluster.run_until_led();
+    let leader = cluster.run_until_leader();
     cluster.run(ms(200));
     let term = cluster.nodes[leader].replica.as_ref().expect("up").state().term;
-    let deaf = (leader + 1) % 3;
-    // The leader's messages do not reach it; its own reach everyone.
-    cluster.cut.insert((leader, deaf));
+    let follower = (leader + 1) % 3;
+    // Only the link from the leader to the follower is cut. The follower's messages reach every replica.
+    cluster.cut.insert((leader, follower));
     cluster.run(ms(3000));
     assert_eq!(cluster.leader(), Some(leader));
-    assert_eq!(cluster.nodes[leader].replica.as_ref().expect("up").state().term, term, "pre-vote");
+    assert_eq!(
+        cluster.nodes[leader].replica.as_ref().expect("up").state().term,
+        term,
+        "pre-vote: the follower must not start a new term"
+    );
 }
 
 #[test]
-fn a_wiped_replica_has_no_vote_until_it_joins_as_another_instance() {
+fn a_wiped_replica_has_no_vote_until_it_joins_as_a_new_instance() {
     let mut cluster = Cluster::new(3, 4, InjectedFault::None);
-    let leader = cluster.run_until_led();
+    let leader = cluster.run_until_leader();
     let wiped = (leader + 1) % 3;
-    let was = cluster.nodes[wiped].replica.as_ref().expect("up").state().id.clone();
+    let old_id = cluster.nodes[wiped].replica.as_ref().expect("up").state().id.clone();
     cluster.wipe(wiped);
     cluster.start(wiped);
     let now = cluster.now;
     let replica = cluster.nodes[wiped].replica.as_ref().expect("up");
-    assert_ne!(replica.state().id.instance, was.instance);
+    assert_ne!(replica.state().id.instance, old_id.instance);
     assert_eq!(replica.status(now).role, ReplicaRole::New);
     assert!(cluster.heal(), "{:?}", cluster.violations);
-    let electorate = cluster.nodes[leader].replica.as_ref().expect("up").state().log.voters().to_vec();
-    assert!(!electorate.contains(&was), "{electorate:?}");
+    let voters = cluster.nodes[leader].replica.as_ref().expect("up").state().log.voters().to_vec();
+    assert!(!voters.contains(&old_id), "the wiped instance is still a voter: {voters:?}");
 }
 
 #[test]
 fn a_bootstrap_replica_that_loses_its_disk_does_not_bootstrap_again() {
     let mut cluster = Cluster::new(3, 5, InjectedFault::None);
-    cluster.run_until_led();
+    cluster.run_until_leader();
     cluster.propose();
     cluster.run(ms(300));
     let cluster_id = cluster.nodes[1].replica.as_ref().expect("up").state().cluster_id;
@@ -171,117 +188,129 @@
 }
 
 #[test]
-fn an_old_copy_of_a_folder_does_not_vote_as_its_old_instance() {
+fn a_replica_on_an_old_disk_copy_does_not_vote_as_its_old_instance() {
     let mut cluster = Cluster::new(3, 6, InjectedFault::None);
-    let leader = cluster.run_until_led();
-    let other = (leader + 1) % 3;
-    let old = cluster.nodes[other].disk.clone();
-    // One incarnation later.
-    cluster.kill(other, false);
-    cluster.start(other);
+    let leader = cluster.run_until_leader();
+    let follower = (leader + 1) % 3;
+    let old_copy = cluster.nodes[follower].disk.clone();
+    // The restart begins a later incarnation than the one in the copy.
+    cluster.crash(follower, false);
+    cluster.start(follower);
     cluster.propose();
     cluster.run(ms(500));
-    let was = cluster.nodes[other].replica.as_ref().expect("up").state().id.clone();
-    cluster.restore_copy(other, old);
-    cluster.start(other);
+    let old_id = cluster.nodes[follower].replica.as_ref().expect("up").state().id.clone();
+    cluster.restore_copy(follower, old_copy);
+    cluster.start(follower);
     let now = cluster.now;
-    assert_eq!(cluster.nodes[other].replica.as_ref().expect("up").status(now).role, ReplicaRole::Recovering);
+    assert_eq!(
+        cluster.nodes[follower].replica.as_ref().expect("up").status(now).role,
+        ReplicaRole::Recovering
+    );
     assert!(cluster.heal(), "{:?}", cluster.violations);
-    assert_ne!(cluster.nodes[other].replica.as_ref().expect("up").state().id, was, "it came back as another");
+    assert_ne!(
+        cluster.nodes[follower].replica.as_ref().expect("up").state().id,
+        old_id,
+        "the replica must join as a new instance"
+    );
 }
 
-/// A promise is known to whom it was made. Guards against this loss: an entry was committed by a leader and
-/// two followers, of whom one was put back to before it and the leader died; asked were three that knew
-/// nothing of it.
+/// Guards against the loss of a committed entry. A promise is known only to the replica that received it. A
+/// leader and two followers of five commit an entry. One of these followers is then restored from a disk copy
+/// without the entry, and the leader crashes. None of the three others that the restored follower can ask
+/// knows of its promise.
 #[test]
-fn an_old_copy_is_not_trusted_while_the_replica_that_knows_better_is_down() {
+fn an_old_disk_copy_is_not_trusted_while_the_leader_that_received_its_promise_is_down() {
     for seed in 0..25 {
         let mut cluster = Cluster::new(5, 100 + seed, InjectedFault::None);
-        let leader = cluster.run_until_led();
+        let leader = cluster.run_until_leader();
         cluster.propose();
         cluster.run(ms(300));
         let others: Vec<usize> = (0..5).filter(|i| *i != leader).collect();
-        let (back, knows) = (others[0], others[1]);
-        let old = cluster.nodes[back].disk.clone();
-        for behind in &others[2..] {
-            cluster.isolate(*behind);
+        let (restored, up_to_date) = (others[0], others[1]);
+        let old_copy = cluster.nodes[restored].disk.clone();
+        for lagging in &others[2..] {
+            cluster.isolate(*lagging);
         }
         cluster.propose();
         cluster.run(ms(120));
-        assert_eq!(cluster.committed.len(), 2, "by three of five");
-        cluster.restore_copy(back, old);
-        cluster.kill(leader, false);
+        assert_eq!(cluster.committed.len(), 2, "three of five replicas commit the change");
+        cluster.restore_copy(restored, old_copy);
+        cluster.crash(leader, false);
         cluster.cut.clear();
-        cluster.start(back);
+        cluster.start(restored);
         cluster.run(ms(1500));
         assert!(cluster.violations.is_empty(), "seed {seed}: {:?}", cluster.violations);
-        // Three that take part go on, and bring it up to date.
-        let led = cluster.leader().expect("three of five elect one");
+        // The three other replicas that are up form a quorum and bring the restored one up to date.
+        let new_leader = cluster.leader().expect("three of five replicas elect a leader");
         assert!(
-            cluster.nodes[led].replica.as_ref().expect("up").commit_index()
-                >= cluster.nodes[knows].replica.as_ref().expect("up").commit_index()
+            cluster.nodes[new_leader].replica.as_ref().expect("up").commit_index()
+                >= cluster.nodes[up_to_date].replica.as_ref().expect("up").commit_index()
         );
         assert!(cluster.heal(), "seed {seed}: {:?}", cluster.violations);
     }
 }
 
 #[test]
-fn a_follower_far_behind_gets_a_snapshot() {
+fn a_follower_behind_the_compacted_log_receives_a_snapshot() {
     let mut cluster = Cluster::new(3, 7, InjectedFault::None);
-    let leader = cluster.run_until_led();
-    let behind = (leader + 1) % 3;
-    cluster.kill(behind, true);
+    let leader = cluster.run_until_leader();
+    let follower = (leader + 1) % 3;
+    cluster.crash(follower, true);
     for _ in 0..40 {
         cluster.propose();
         cluster.run(ms(50));
     }
     let log = &cluster.nodes[leader].replica.as_ref().expect("up").state().log;
-    assert!(log.snapshot.index > 20, "compacted: {}", log.snapshot.index);
-    cluster.start(behind);
+    assert!(log.snapshot.index > 20, "the leader's log is compacted up to index {} only", log.snapshot.index);
+    cluster.start(follower);
     assert!(cluster.heal(), "{:?}", cluster.violations);
 }
 
 #[test]
 fn a_leader_whose_disk_is_full_is_replaced() {
     let mut cluster = Cluster::new(3, 8, InjectedFault::None);
-    let leader = cluster.run_until_led();
+    let leader = cluster.run_until_leader();
     cluster.run(ms(200));
     cluster.inject_disk_fault(leader, Some(0), None);
     cluster.propose();
     cluster.run(ms(2500));
-    assert_ne!(cluster.leader(), Some(leader), "it can write nothing down");
+    assert_ne!(cluster.leader(), Some(leader), "a leader with a full disk must lose its leadership");
     assert!(cluster.heal(), "{:?}", cluster.violations);
 }
 
 #[test]
-fn a_damaged_durable_record_is_noticed_and_a_torn_last_one_is_ignored() {
+fn a_damaged_durable_record_is_detected_and_a_torn_last_record_is_ignored() {
     use flaxstand_consensus::{RecoveredState, recover};
     use flaxstand_storage::Storage as _;
     let mut cluster = Cluster::new(3, 9, InjectedFault::None);
-    cluster.run_until_led();
+    cluster.run_until_leader();
     (0..5).for_each(|_| {
         cluster.propose();
         cluster.run(ms(200));
     });
     let disk = &mut cluster.nodes[0].disk;
-    let segment = *disk.segments().expect("in memory").last().expect("one");
+    let segment = *disk.segments().expect("in memory").last().expect("a segment");
     let bytes = disk.read(segment).expect("in memory");
-    // The last frame torn: as after a loss of power.
+    // The last frame is torn, as after a power loss.
     disk.create(segment).and_then(|()| disk.append(segment, &bytes[..bytes.len() - 1])).expect("in memory");
     assert!(matches!(recover(disk), Ok(RecoveredState::Intact(_))));
-    // One before it damaged: promises are gone.
+    // An earlier frame is damaged: durable promises are lost.
     disk.create(segment).and_then(|()| disk.append(segment, &bytes)).expect("in memory");
     disk.sync(segment).expect("in memory");
-    let second = bytes.windows(4).enumerate().filter(|(_, m)| *m == b"fag1").nth(1).expect("a frame").0;
+    let second =
+        bytes.windows(4).enumerate().filter(|(_, m)| *m == b"fag1").nth(1).expect("a second frame").0;
     disk.flip(segment, second + 21);
-    let found = recover(disk).expect("in memory");
-    assert!(matches!(&found, RecoveredState::Damaged(why) if why.contains("damaged at byte")), "{found:?}");
+    let recovered = recover(disk).expect("in memory");
+    assert!(
+        matches!(&recovered, RecoveredState::Damaged(why) if why.contains("damaged at byte")),
+        "expected a damaged frame, got {recovered:?}"
+    );
 }
 
-/// A replica of five that comes to lead term 4 with an uncommitted entry of term 2, and is told that a
-/// majority has that entry. Returns its commit index: then, and once the majority has the entry of its own
-/// term.
-fn leads_with_an_older_entry(injected_fault: InjectedFault) -> (u64, u64) {
+/// Makes one of five replicas the leader of term 4 with an uncommitted entry of term 2. Returns its commit
+/// index once a majority has acknowledged that entry, and once a majority has acknowledged the leader's own
+/// entry.
+fn commit_indices_of_leader_with_older_entry(injected_fault: InjectedFault) -> (u64, u64) {
     let member = |i: u64| ReplicaId { name: format!("k{i}"), instance: 10 + i };
     let names: Vec<String> = (0..5).map(|i| member(i).name).collect();
     let mut state = DurableState::new(member(0), Incarnation::default());
@@ -299,15 +328,15 @@
         injected_fault,
     };
     let mut replica = Replica::start(config, Some(state), Vec::new(), ms(1));
-    let (incarnation, me) = (replica.state().incarnation, replica.state().id.clone());
+    let (incarnation, own_id) = (replica.state().incarnation, replica.state().id.clone());
     let send = |replica: &mut Replica, from: u64, term: u64, body: MessageBody| {
         let message = Message {
             cluster_id: 7,
             from: member(from),
             incarnation: Incarnation { count: 1, nonce: from, promises_at_start: 0 },
             promises_written: 1,
-            to: me.name.clone(),
-            to_instance: Some(me.instance),
+            to: own_id.name.clone(),
+            to_instance: Some(own_id.instance),
             term,
             body,
         };
@@ -332,35 +361,38 @@
 }
 
 #[test]
-fn an_entry_of_an_earlier_term_is_committed_only_behind_one_of_the_leaders_own() {
-    assert_eq!(leads_with_an_older_entry(InjectedFault::None), (1, 3));
+fn an_entry_of_an_earlier_term_is_committed_only_with_an_entry_of_the_leaders_term() {
+    assert_eq!(commit_indices_of_leader_with_older_entry(InjectedFault::None), (1, 3));
     assert_eq!(
-        leads_with_an_older_entry(InjectedFault::EarlierTermCommitted),
+        commit_indices_of_leader_with_older_entry(InjectedFault::EarlierTermCommitted),
         (2, 3),
-        "the injected fault shows"
+        "the injected fault has no effect"
     );
 }
 
-/// Whether a leader that was cut off still takes itself for one.
-fn cut_off_and_leading(injected_fault: InjectedFault) -> bool {
+/// Isolates a leader for 2 s. Returns whether it still considers itself the leader.
+fn isolated_leader_stays_leader(injected_fault: InjectedFault) -> bool {
     let mut cluster = Cluster::new(3, 2, injected_fault);
-    let old = cluster.run_until_led();
+    let old_leader = cluster.run_until_leader();
     cluster.run(ms(200));
-    cluster.isolate(old);
+    cluster.isolate(old_leader);
     cluster.run(ms(2000));
-    cluster.nodes[old].replica.as_ref().expect("it is up").is_leader()
+    cluster.nodes[old_leader].replica.as_ref().expect("up").is_leader()
 }
 
 #[test]
-fn a_leader_that_no_majority_answers_steps_down() {
-    assert!(!cut_off_and_leading(InjectedFault::None));
-    assert!(cut_off_and_leading(InjectedFault::QuorumCheckSkipped), "the injected fault shows");
+fn a_leader_without_responses_from_a_majority_steps_down() {
+    assert!(!isolated_leader_stays_leader(InjectedFault::None));
+    assert!(
+        isolated_leader_stays_leader(InjectedFault::QuorumCheckSkipped),
+        "the injected fault has no effect"
+    );
 }
 
-/// Each is caught by some drawn schedule: a violation is seen, or an assertion of the replicas' own fails.
-/// That they do not recover in time would not be enough.
+/// Some random schedule detects each fault, by a violation or by a failed assertion in a replica. A failed
+/// recovery does not count.
 #[test]
-fn injected_faults_are_caught() {
+fn random_schedules_detect_injected_faults() {
     let all = [
         InjectedFault::SentBeforeDurable,
         InjectedFault::VoteNotPersisted,
@@ -369,14 +401,14 @@
         InjectedFault::LogGapAccepted,
     ];
     for injected_fault in all {
-        let caught = (0..12_000).find_map(|seed| {
-            match std::panic::catch_unwind(|| play_schedule(seed, injected_fault)) {
-                Err(_) => Some(format!("seed {seed}: an assertion")),
-                Ok(Err(what)) if !what.contains("did not recover") => Some(what),
+        let detected = (0..12_000).find_map(|seed| {
+            match std::panic::catch_unwind(|| run_schedule(seed, injected_fault)) {
+                Err(_) => Some(format!("seed {seed}: an assertion failed")),
+                Ok(Err(failure)) if !failure.contains("did not recover") => Some(failure),
                 Ok(_) => None,
             }
         });
-        println!("{injected_fault:?}: {}", caught.as_deref().unwrap_or("not caught"));
-        assert!(caught.is_some(), "{injected_fault:?} was not caught");
+        println!("{injected_fault:?}: {}", detected.as_deref().unwrap_or("not detected"));
+        assert!(detected.is_some(), "no schedule detected {injected_fault:?}");
     }
 }
--- a/crates/flaxstand-consensus/tests/search.rs
+++ b/crates/flaxstand-consensus/tests/search.rs
@@ -1,6 +1,7 @@
-//! An exhaustive search of a small model: three replicas, two changes, bounded timeouts, crashes and messages
-//! in flight. Every order of deliveries, losses, timeouts and crashes (before or after the disk took what
-//! they wait for) within the bounds is walked, on the replicas themselves; the states seen are counted.
+//! Explicit-state model checking of three replicas with a bounded number of timeouts, crashes, proposals and
+//! messages in flight. The search explores every interleaving of deliveries, losses, timeouts and crashes
+//! (before or after the pending write is durable) within the bounds. It runs the production replica code and
+//! counts the distinct states.
 
 use flaxstand_consensus::{
     Config, DurableState, Entry, InjectedFault, Message, MessageBody, Micros, Replica, ReplicaId, Snapshot,
@@ -10,13 +11,13 @@
 
 const ELECTION: Micros = Micros(100_000);
 
-/// How much may still happen.
+/// Remaining number of events of each kind, and the bound on messages in flight.
 #[derive(Clone, Copy, Debug, Hash)]
 struct Budget {
     timeouts: u32,
     crashes: u32,
     changes: u32,
-    /// Most messages in flight: one more is lost.
+    /// Maximum number of messages in flight. Further messages are dropped.
     messages: usize,
 }
 
@@ -27,11 +28,11 @@
     clocks: Vec<Micros>,
     messages: Vec<Message>,
     budget: Budget,
-    /// By term: who led.
+    /// Leader of each term.
     leaders: BTreeMap<u64, String>,
-    /// By index: what was committed.
+    /// Committed entry of each log index.
     committed: BTreeMap<u64, Entry>,
-    /// By name and term: the candidate voted for.
+    /// Candidate that each replica voted for, by replica name and term.
     votes: BTreeMap<(String, u64), String>,
 }
 
@@ -72,25 +73,25 @@
             model.replicas.push(start(i, state.clone(), i as u64, injected_fault, model.clocks[i]));
             model.disks.push(state);
         }
-        // All have just started, and each is told that no later incarnation of it was seen.
+        // Completes start-up: each replica learns from the others that they saw no later incarnation of it.
         for i in 0..3 {
             model.replicas[i].tick(model.clocks[i]);
-            model.complete_step(i, false).expect("nothing is violated yet");
+            model.complete_step(i, false).expect("start-up violates no invariant");
         }
         while let Some(message) = model.messages.pop() {
-            model.deliver(&message, false).expect("nothing is violated yet");
-            model.messages.retain(|l| {
-                matches!(l.body, MessageBody::IncarnationRequest | MessageBody::IncarnationResponse(_))
+            model.deliver(&message, false).expect("start-up violates no invariant");
+            model.messages.retain(|message| {
+                matches!(message.body, MessageBody::IncarnationRequest | MessageBody::IncarnationResponse(_))
             });
         }
         model
     }
 
-    /// What follows from a step of a replica: batches stored, messages sent, what they show; or it dies
-    /// before its disk has it.
-    fn complete_step(&mut self, i: usize, dies: bool) -> Result<(), String> {
+    /// Completes a step of replica `i`: stores its batches, queues its messages and checks the invariants.
+    /// With `crash_before_durable`, the replica crashes before its batches are durable.
+    fn complete_step(&mut self, i: usize, crash_before_durable: bool) -> Result<(), String> {
         let now = self.clocks[i];
-        if !dies {
+        if !crash_before_durable {
             while self.replicas[i].next_batch(now).is_some() {
                 self.disks[i] = self.replicas[i].state().clone();
                 self.replicas[i].batch_stored(true, now);
@@ -102,12 +103,18 @@
                     self.votes.insert((message.from.name.clone(), message.term), message.to.clone())
                 && before != message.to
             {
-                return Err(format!("{} voted twice in term {}", message.from.name, message.term));
+                return Err(format!(
+                    "{} voted for {before} and {} in term {}",
+                    message.from.name, message.to, message.term
+                ));
             }
             if let MessageBody::AppendRequest { .. } = message.body {
-                let led = self.leaders.entry(message.term).or_insert_with(|| message.from.name.clone());
-                if *led != message.from.name {
-                    return Err(format!("two leaders in term {}", message.term));
+                let leader = self.leaders.entry(message.term).or_insert_with(|| message.from.name.clone());
+                if *leader != message.from.name {
+                    return Err(format!(
+                        "two leaders in term {}: {leader} and {}",
+                        message.term, message.from.name
+                    ));
                 }
             }
             if self.messages.len() < self.budget.messages {
@@ -117,42 +124,42 @@
         self.replicas[i].take_committed();
         let log = &self.replicas[i].state().log;
         for index in 2..=self.replicas[i].commit_index() {
-            let entry = log.entry(index).expect("no compaction here");
+            let entry = log.entry(index).expect("the log is never compacted in this model");
             let first = self.committed.entry(index).or_insert_with(|| entry.clone());
             if first != entry {
-                return Err(format!("two entries committed at index {index}"));
+                return Err(format!("two entries committed at index {index}: {first:?} and {entry:?}"));
             }
         }
         Ok(())
     }
 
-    fn deliver(&mut self, message: &Message, dies: bool) -> Result<(), String> {
-        let i: usize = message.to[1..].parse().expect("a replica's name");
+    fn deliver(&mut self, message: &Message, crash_before_durable: bool) -> Result<(), String> {
+        let i: usize = message.to[1..].parse().expect("replica name ends in its index");
         self.replicas[i].receive(message.clone(), self.clocks[i]);
-        self.complete_step(i, dies)
+        self.complete_step(i, crash_before_durable)
     }
 
-    /// It dies and starts again with what its disk has.
+    /// Restarts replica `i` from its durable state.
     fn crash(&mut self, i: usize, injected_fault: InjectedFault) {
         self.budget.crashes -= 1;
         let seed = 100 + u64::from(self.budget.crashes);
         self.replicas[i] = start(i, self.disks[i].clone(), seed, injected_fault, self.clocks[i]);
     }
 
-    /// Every state that can follow.
-    fn next(&self, injected_fault: InjectedFault) -> Vec<Result<Model, String>> {
-        let mut all = Vec::new();
-        let ways: &[bool] = if self.budget.crashes > 0 { &[false, true] } else { &[false] };
-        for dies in ways.iter().copied() {
-            for at in 0..self.messages.len() {
+    /// Returns every successor state, or the invariant that the transition violates.
+    fn successors(&self, injected_fault: InjectedFault) -> Vec<Result<Model, String>> {
+        let mut successors = Vec::new();
+        let crash_choices: &[bool] = if self.budget.crashes > 0 { &[false, true] } else { &[false] };
+        for crash_before_durable in crash_choices.iter().copied() {
+            for index in 0..self.messages.len() {
                 let mut model = self.clone();
-                let message = model.messages.swap_remove(at);
-                let to: usize = message.to[1..].parse().expect("a replica's name");
-                let done = model.deliver(&message, dies);
-                if dies {
+                let message = model.messages.swap_remove(index);
+                let to: usize = message.to[1..].parse().expect("replica name ends in its index");
+                let outcome = model.deliver(&message, crash_before_durable);
+                if crash_before_durable {
                     model.crash(to, injected_fault);
                 }
-                all.push(done.map(|()| model));
+                successors.push(outcome.map(|()| model));
             }
             for i in 0..3 {
                 if self.budget.timeouts > 0 {
@@ -161,103 +168,109 @@
                     model.clocks[i] = model.clocks[i].after(Micros(ELECTION.0 * 3));
                     let now = model.clocks[i];
                     model.replicas[i].tick(now);
-                    let done = model.complete_step(i, dies);
-                    if dies {
+                    let outcome = model.complete_step(i, crash_before_durable);
+                    if crash_before_durable {
                         model.crash(i, injected_fault);
                     }
-                    all.push(done.map(|()| model));
+                    successors.push(outcome.map(|()| model));
                 }
                 if self.budget.changes > 0 && self.replicas[i].is_leader() {
                     let mut model = self.clone();
                     model.budget.changes -= 1;
                     let _ = model.replicas[i].propose(vec![model.budget.changes as u8], model.clocks[i]);
-                    let done = model.complete_step(i, dies);
-                    if dies {
+                    let outcome = model.complete_step(i, crash_before_durable);
+                    if crash_before_durable {
                         model.crash(i, injected_fault);
                     }
-                    all.push(done.map(|()| model));
+                    successors.push(outcome.map(|()| model));
                 }
             }
         }
-        all
+        successors
     }
 
-    fn key(&self) -> u64 {
-        let mut h = DefaultHasher::new();
+    fn fingerprint(&self) -> u64 {
+        let mut hasher = DefaultHasher::new();
         for i in 0..3 {
-            self.replicas[i].search_key(self.clocks[i]).hash(&mut h);
-            format!("{:?}", self.disks[i]).hash(&mut h);
+            self.replicas[i].search_key(self.clocks[i]).hash(&mut hasher);
+            format!("{:?}", self.disks[i]).hash(&mut hasher);
         }
-        // Stamps are moments.
+        // Leaves out `sent_at` and `request_sent_at`, which differ between otherwise equal states.
         let mut messages: Vec<String> = self
             .messages
             .iter()
-            .map(|l| match &l.body {
+            .map(|message| match &message.body {
                 MessageBody::AppendRequest { prev_index, prev_term, entries, commit_index, .. } => {
                     let prev = (prev_index, prev_term);
-                    format!("{} {} {} {prev:?} {entries:?} {commit_index}", l.from.name, l.to, l.term)
+                    format!(
+                        "{} {} {} {prev:?} {entries:?} {commit_index}",
+                        message.from.name, message.to, message.term
+                    )
                 }
                 MessageBody::AppendAccepted { match_index, .. } => {
-                    format!("{} {} {} accepted {match_index}", l.from.name, l.to, l.term)
+                    format!("{} {} {} accepted {match_index}", message.from.name, message.to, message.term)
                 }
                 MessageBody::AppendRejected { match_index, .. } => {
-                    format!("{} {} {} rejected {match_index}", l.from.name, l.to, l.term)
+                    format!("{} {} {} rejected {match_index}", message.from.name, message.to, message.term)
                 }
-                other => format!("{} {} {} {other:?}", l.from.name, l.to, l.term),
+                other => format!("{} {} {} {other:?}", message.from.name, message.to, message.term),
             })
             .collect();
         messages.sort();
-        (messages, self.budget).hash(&mut h);
-        h.finish()
+        (messages, self.budget).hash(&mut hasher);
+        hasher.finish()
     }
 }
 
-/// Walks all states within a budget, or as many as `max_states`. Returns how many there were, and how many
-/// entries were committed at most; or the first violation.
+/// Explores the states within a budget breadth first, at most `max_states` of them. Returns the number of
+/// distinct states and the largest number of committed entries, or the first violation.
 fn search(
     budget: Budget,
     injected_fault: InjectedFault,
     max_states: usize,
 ) -> Result<(usize, usize), String> {
     let first = Model::new(budget, injected_fault);
-    let mut seen = HashSet::from([first.key()]);
-    let mut open = VecDeque::from([first]);
+    let mut visited = HashSet::from([first.fingerprint()]);
+    let mut frontier = VecDeque::from([first]);
     let mut committed = 0;
-    while let Some(world) = open.pop_front() {
-        for next in world.next(injected_fault) {
-            let next = next?;
-            committed = committed.max(next.committed.len());
-            if seen.len() < max_states && seen.insert(next.key()) {
-                open.push_back(next);
+    while let Some(state) = frontier.pop_front() {
+        for successor in state.successors(injected_fault) {
+            let successor = successor?;
+            committed = committed.max(successor.committed.len());
+            if visited.len() < max_states && visited.insert(successor.fingerprint()) {
+                frontier.push_back(successor);
             }
         }
     }
-    Ok((seen.len(), committed))
+    Ok((visited.len(), committed))
 }
 
-fn variable(name: &str, default: u64) -> u64 {
+fn env_or(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
 #[test]
-fn no_state_within_the_bounds_has_two_leaders_or_two_entries_at_an_index() {
+fn no_reachable_state_has_two_leaders_in_a_term_or_two_entries_at_an_index() {
     let budget = Budget {
-        timeouts: variable("FLAXSTAND_TIMEOUTS", 2) as u32,
-        crashes: variable("FLAXSTAND_CRASHES", 1) as u32,
-        changes: variable("FLAXSTAND_CHANGES", 1) as u32,
-        messages: variable("FLAXSTAND_LETTERS", 3) as usize,
+        timeouts: env_or("FLAXSTAND_TIMEOUTS", 2) as u32,
+        crashes: env_or("FLAXSTAND_CRASHES", 1) as u32,
+        changes: env_or("FLAXSTAND_CHANGES", 1) as u32,
+        messages: env_or("FLAXSTAND_LETTERS", 3) as usize,
     };
-    let max_states = variable("FLAXSTAND_STATES", 60_000) as usize;
+    let max_states = env_or("FLAXSTAND_STATES", 60_000) as usize;
     let (states, committed) =
         search(budget, InjectedFault::None, max_states).unwrap_or_else(|e| panic!("{e}"));
-    println!("{budget:?}: {states} states, at most {committed} entries committed");
-    assert!(states > 10_000 && committed > 0, "{states} states, {committed} entries");
+    println!("{budget:?}: {states} distinct states, at most {committed} committed entries");
+    assert!(
+        states > 10_000 && committed > 0,
+        "explored only {states} states with at most {committed} committed entries"
+    );
 }
 
 #[test]
-fn an_injected_fault_is_found() {
+fn the_search_detects_an_injected_fault() {
     let budget = Budget { timeouts: 3, crashes: 0, changes: 0, messages: 4 };
-    // An assertion of the replicas' own, or two entries at one index.
-    let found = std::panic::catch_unwind(|| search(budget, InjectedFault::StaleLogElected, 400_000));
-    assert!(!matches!(found, Ok(Ok(_))), "{found:?}");
+    // Either an assertion in the replica fails, or two entries are committed at one index.
+    let outcome = std::panic::catch_unwind(|| search(budget, InjectedFault::StaleLogElected, 400_000));
+    assert!(!matches!(outcome, Ok(Ok(_))), "the injected fault was not detected: {outcome:?}");
 }
