--- a/crates/flaxstand-consensus/tests/capacity/fleet.rs
+++ b/crates/flaxstand-consensus/tests/capacity/fleet.rs
@@ -149,7 +149,7 @@
 }
 
 fn host_number(name: &str) -> usize {
-    name.rsplit_once('-').and_then(|(_, digits)| digits.parse().ok()).expect("a host's name")
+    name.rsplit_once('-').and_then(|(_, digits)| digits.parse().ok()).expect("host name ends in its number")
 }
 
 fn rules(limit: f64) -> Rules {
--- a/crates/flaxstand-consensus/tests/participants/harness.rs
+++ b/crates/flaxstand-consensus/tests/participants/harness.rs
@@ -214,7 +214,7 @@
         host.active_rules = ActiveRules::Fallback;
     }
 
-    /// Kills the process. With `power_loss`, unsynced data on its disk is lost as well.
+    /// Crashes the process. With `power_loss`, unsynced data on its disk is lost as well.
     pub fn crash(&mut self, i: usize, power_loss: bool) {
         let host = &mut self.hosts[i];
         if power_loss {
--- a/crates/flaxstand-consensus/tests/replicas/harness.rs
+++ b/crates/flaxstand-consensus/tests/replicas/harness.rs
@@ -130,7 +130,7 @@
         node.replica = Some(Replica::start(config, recovered, segments, self.now));
     }
 
-    /// Kills the process. With `power_loss`, part of the unsynced data on its disk is lost as well.
+    /// Crashes the process. With `power_loss`, part of the unsynced data on its disk is lost as well.
     pub fn crash(&mut self, at: usize, power_loss: bool) {
         let node = &mut self.nodes[at];
         // The batch that is being written is cut off after a random operation.
