--- a/crates/flaxstand-gateway/examples/list_costs.rs
+++ b/crates/flaxstand-gateway/examples/list_costs.rs
@@ -3,10 +3,10 @@
 //!
 //! `cargo run --release -p flaxstand-gateway --example list_costs`
 
+#[path = "../tests/harness/full_lists.rs"]
+mod full_lists;
 #[path = "../tests/harness/mod.rs"]
 mod harness;
-#[path = "../tests/harness/whole_lists.rs"]
-mod whole_lists;
 
 use flaxstand::api::ListScope;
 use flaxstand_gateway::core::{Bounds, Config, Core, Policy, Wire};
@@ -14,10 +14,10 @@
 use flaxstand_http::ResponseReader;
 use flaxstand_platform::{Configuration, Listing, Target, TargetState};
 use flaxstand_proto::{Entry, Extent, Frame, List, Role, State, VERSION, Welcome, encode};
-use harness::{entry, ms, on_platform};
+use full_lists::{full_list_frame, full_listing, listed_address};
+use harness::{entry, ms, platform_config};
 use rustix::time::{ClockId, clock_gettime};
 use std::fmt::Write as _;
-use whole_lists::{listed_address, whole_frame, whole_listing};
 
 /// How many nodes are listed.
 const LISTED: [u64; 4] = [100, 1_000, 3_000, 25_000];
@@ -63,7 +63,7 @@
 }
 
 fn whole_list(listed: u64) {
-    let text = whole_listing(listed, 1);
+    let text = full_listing(listed, 1);
     let frames = spent_on_a_whole_frame(listed);
     let platform = spent_on_a_whole_listing(listed, &text);
     let with_length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
@@ -82,7 +82,7 @@
 fn spent_on_a_whole_frame(listed: u64) -> f64 {
     let now = ms(1_000_000);
     let (mut core, list) = watching(listed, now);
-    let bytes = whole_frame(listed, 1);
+    let bytes = full_list_frame(listed, 1);
     spent(|| {
         bytes.chunks(SEGMENT).for_each(|piece| core.received(list, piece, now));
         core.settle(now);
@@ -274,7 +274,7 @@
 fn config(wire: Wire, listed: u64) -> Config {
     let mut config = match wire {
         Wire::Frames => harness::config(),
-        Wire::Platform => on_platform(2_500),
+        Wire::Platform => platform_config(2_500),
     };
     config.policy = Policy::RoundRobin;
     config.bounds = Bounds { max_endpoints: listed as usize, max_clients: CLIENTS, ..Bounds::default() };
--- a/crates/flaxstand-gateway/tests/client_places.rs
+++ b/crates/flaxstand-gateway/tests/client_places.rs
@@ -6,14 +6,14 @@
 use harness::*;
 use proptest::prelude::*;
 
-fn world(clients: usize) -> World {
-    let mut c = on_platform(2500);
+fn world(clients: usize) -> Harness {
+    let mut c = platform_config(2500);
     c.bounds.max_clients = clients;
-    World::new(c, 1)
+    Harness::new(c, 1)
 }
 
-fn ask(w: &mut World, client: ConnId) {
-    w.says(client, b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
+fn ask(w: &mut Harness, client: ConnId) {
+    w.send_bytes(client, b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     w.turn();
 }
 
@@ -84,10 +84,10 @@
 }
 
 /// Time closes some, and a request that does not end is answered with an error: taken as it came about.
-fn pass_a_millisecond(w: &mut World, clients: &mut Vec<Client>) {
+fn pass_a_millisecond(w: &mut Harness, clients: &mut Vec<Client>) {
     w.run(1);
     clients.retain(|c| !w.closed.contains(&c.conn));
-    for c in clients.iter_mut().filter(|c| c.half && w.shut.contains(&c.conn)) {
+    for c in clients.iter_mut().filter(|c| c.half && w.write_closed.contains(&c.conn)) {
         (c.close_reason, c.half, c.since) = (true, false, w.now.0);
     }
 }
@@ -107,13 +107,13 @@
                     (clients[n].since, clients[n].asked) = (now, true);
                 }
                 Step::Err(n) if n < clients.len() && !clients[n].close_reason && !clients[n].half => {
-                    w.says(clients[n].conn, b"no request\r\n\r\n");
+                    w.send_bytes(clients[n].conn, b"no request\r\n\r\n");
                     w.turn();
                     let asked = clients[n].asked;
                     clients[n] = Client { close_reason: true, since: now, half: false, asked, ..clients[n] };
                 }
                 Step::Half(n) if n < clients.len() && !clients[n].close_reason && !clients[n].half => {
-                    w.says(clients[n].conn, b"GET /re");
+                    w.send_bytes(clients[n].conn, b"GET /re");
                     w.turn();
                     clients[n].half = true;
                     if clients[n].asked {
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -9,8 +9,8 @@
 use proptest::prelude::*;
 
 /// A client with one request out at node 0.
-fn one_out(class: u16) -> (World, ConnId, (u64, u32)) {
-    let mut w = World::new(config(), 2);
+fn one_out(class: u16) -> (Harness, ConnId, (u64, u32)) {
+    let mut w = Harness::new(config(), 2);
     let client = w.client();
     w.submit(client, 1, class, Some(0));
     w.run(2);
@@ -24,7 +24,7 @@
     let (mut w, client, sent) = one_out(READ);
     w.done(w.node_conn(0), sent, Code::Served, b"data");
     w.run(1);
-    assert_eq!(w.answers(client), [Said::Served(1, 0, b"data".to_vec())]);
+    assert_eq!(w.answers(client), [SentFrame::Served(1, 0, b"data".to_vec())]);
     assert_eq!((w.core.pending_requests(), w.core.counts().served), (0, 1));
 }
 
@@ -32,7 +32,7 @@
 fn a_client_that_stops_reading_holds_up_only_itself_and_is_cut_off_at_the_bound() {
     let mut c = config();
     (c.bounds.client_pause_bytes, c.bounds.max_client_bytes) = (10_000, 30_000);
-    let mut w = World::new(c, 2);
+    let mut w = Harness::new(c, 2);
     let (stuck, other) = (w.client(), w.client());
     w.blocked.insert(stuck);
     let data = vec![1; 4000];
@@ -63,7 +63,7 @@
 fn a_client_that_reads_again_is_read_again() {
     let mut c = config();
     c.bounds.client_pause_bytes = 1000;
-    let mut w = World::new(c, 1);
+    let mut w = Harness::new(c, 1);
     let client = w.client();
     w.blocked.insert(client);
     w.submit(client, 1, READ, Some(0));
@@ -108,8 +108,8 @@
     w.run(980);
     assert!(w.answers(client).is_empty());
     w.run(10);
-    assert_eq!(w.answers(client), [Said::Failed(1)], "ten milliseconds before it gives up");
-    assert!(w.said_on(w.node_conn(0)).contains(&Said::Cancel(1)), "the node is told");
+    assert_eq!(w.answers(client), [SentFrame::Failed(1)], "ten milliseconds before it gives up");
+    assert!(w.sent_frames_on(w.node_conn(0)).contains(&SentFrame::Cancel(1)), "the node is told");
     assert_eq!((w.core.pending_requests(), w.core.counts().overdue), (0, 0));
 }
 
@@ -130,7 +130,7 @@
     let second = *w.attempts(0).last().unwrap();
     assert_ne!(second, sent);
     w.core.closed(node, "reset", w.now);
-    w.called.remove(&node);
+    w.connected.remove(&node);
     w.run(200);
     let again = w.node_conn(0);
     w.done(again, second, Code::Served, b"of the connection that broke");
@@ -141,14 +141,18 @@
     w.done(again, third, Code::Served, b"right");
     w.run(1);
     let answers = w.answers(client);
-    assert_eq!(answers, [Said::Failed(1), Said::Served(9, 1, vec![]), Said::Served(2, 0, b"right".to_vec())]);
+    assert_eq!(
+        answers,
+        [SentFrame::Failed(1), SentFrame::Served(9, 1, vec![]), SentFrame::Served(2, 0, b"right".to_vec())]
+    );
 }
 
 /// What left in part can't have run; what left in full may have: an unsafe request tells the two apart.
 #[test]
 fn a_connection_lost_between_a_frames_bytes_proves_that_it_did_not_run() {
-    for (all, answers) in [(false, vec![Said::Served(1, 0, vec![])]), (true, vec![Said::Failed(1)])] {
-        let mut w = World::new(config(), 1);
+    for (all, answers) in [(false, vec![SentFrame::Served(1, 0, vec![])]), (true, vec![SentFrame::Failed(1)])]
+    {
+        let mut w = Harness::new(config(), 1);
         let client = w.client();
         w.submit(client, 9, READ, Some(0));
         w.run(2);
@@ -163,7 +167,7 @@
         assert!(waits > 20);
         w.core.written(node, if all { waits } else { waits - 1 }, w.now);
         w.core.closed(node, "reset", w.now);
-        w.called.remove(&node);
+        w.connected.remove(&node);
         w.run(400);
         if !all {
             let again = w.attempts(0)[0];
@@ -177,63 +181,63 @@
 
 #[test]
 fn calls_that_are_refused_or_lost_or_never_greeted_are_no_connection() {
-    for dial in [Dial::Refused, Dial::Lost, Dial::Deaf] {
-        let mut w = World::new(config(), 1);
-        w.dials.insert(address(0).parse().unwrap(), dial);
+    for dial in [ConnectOutcome::Refused, ConnectOutcome::NoReply, ConnectOutcome::Silent] {
+        let mut w = Harness::new(config(), 1);
+        w.connect_outcomes.insert(address(0).parse().unwrap(), dial);
         let client = w.client();
         w.submit(client, 1, ONCE, Some(0));
         w.run(2000);
         // An unsafe request may be refused only where no attempt can have run.
         assert!(
-            matches!(w.answers(client)[..], [Said::Refused(1, Refusal::Load)]),
+            matches!(w.answers(client)[..], [SentFrame::Refused(1, Refusal::Load)]),
             "{dial:?}: {:?}",
             w.answers(client)
         );
-        assert!(w.calls > 2, "{dial:?}: it was called again");
+        assert!(w.connect_count > 2, "{dial:?}: it was called again");
         assert_eq!(w.core.pending_requests(), 0);
     }
 }
 
 #[test]
 fn with_all_nodes_gone_requests_are_refused_and_served_again_once_they_are_back() {
-    let mut w = World::new(config(), 2);
+    let mut w = Harness::new(config(), 2);
     let client = w.client();
     let full = std::mem::take(&mut w.list);
     w.revision += 1;
-    w.tell_list(w.list_conn());
+    w.send_list(w.list_conn());
     w.submit(client, 1, READ, Some(0));
     w.submit(client, 2, READ, None);
     w.run(1000);
     let answers = w.answers(client);
-    assert!(matches!(answers[..], [Said::Refused(..), Said::Refused(..)]), "{answers:?}");
+    assert!(matches!(answers[..], [SentFrame::Refused(..), SentFrame::Refused(..)]), "{answers:?}");
     w.submit(client, 3, READ, Some(0));
     w.run(100);
     w.list = full;
     w.revision += 1;
-    w.tell_list(w.list_conn());
+    w.send_list(w.list_conn());
     w.run(20);
     let sent = *w.attempts(0).last().expect("what was held leaves");
     w.done(w.node_conn(0), sent, Code::Served, b"");
     w.run(1);
-    assert_eq!(w.answers(client)[2..], [Said::Served(3, 0, vec![])]);
+    assert_eq!(w.answers(client)[2..], [SentFrame::Served(3, 0, vec![])]);
 }
 
 #[test]
 fn two_nodes_that_swap_addresses_are_told_apart_by_their_greeting() {
-    let mut w = World::new(config(), 2);
-    w.dials.insert(address(0).parse().unwrap(), Dial::Greets(1));
-    w.dials.insert(address(1).parse().unwrap(), Dial::Greets(0));
+    let mut w = Harness::new(config(), 2);
+    w.connect_outcomes.insert(address(0).parse().unwrap(), ConnectOutcome::Welcomes(1));
+    w.connect_outcomes.insert(address(1).parse().unwrap(), ConnectOutcome::Welcomes(0));
     let client = w.client();
     w.submit(client, 1, READ, Some(0));
     w.run(50);
     assert!(
-        w.said.values().flatten().all(|s| !matches!(s, Said::Attempt { .. })),
+        w.sent_frames.values().flatten().all(|s| !matches!(s, SentFrame::Attempt { .. })),
         "nothing is sent to the wrong node"
     );
-    assert!(w.said.values().flatten().any(|s| *s == Said::Bye(CloseReason::WrongPeer)));
+    assert!(w.sent_frames.values().flatten().any(|s| *s == SentFrame::Bye(CloseReason::WrongPeer)));
     w.list = vec![(0, State::Serving, 0, address(1)), (1, State::Serving, 1, address(0))];
     w.revision += 1;
-    w.tell_list(w.list_conn());
+    w.send_list(w.list_conn());
     w.run(450);
     assert_eq!(w.attempts(1).len(), 1, "the list caught up: node 0 is at the other address");
 }
@@ -246,16 +250,20 @@
     c.seed = 4;
     c.site.settings.initiators = 243;
     (c.site.settings.slow_start_min_units, c.site.settings.slow_start_window) = (1.0, 300.0);
-    let mut w = World::new(c, 1);
-    w.starts.insert(0, 2);
+    let mut w = Harness::new(c, 1);
+    w.epochs.insert(0, 2);
     let client = w.client();
     w.submit(client, 1, READ, Some(0));
     w.run(5);
     assert!(w.attempts(0).is_empty(), "what waited for the connection was not sent");
     w.run(1500);
-    assert_eq!(w.answers(client), [Said::Refused(1, Refusal::Load)], "this host's part is smaller than that");
+    assert_eq!(
+        w.answers(client),
+        [SentFrame::Refused(1, Refusal::Load)],
+        "this host's part is smaller than that"
+    );
     // The list's word of the same start, and stale word of the one before, change nothing.
-    w.tell_list(w.list_conn());
+    w.send_list(w.list_conn());
     w.run(5000);
     w.submit(client, 2, READ, Some(0));
     w.run(5);
@@ -263,41 +271,42 @@
     // A start older than the one met is another process at the same address.
     let node = w.node_conn(0);
     w.core.closed(node, "reset", w.now);
-    w.called.remove(&node);
-    w.starts.insert(0, 1);
+    w.connected.remove(&node);
+    w.epochs.insert(0, 1);
     w.run(300);
-    assert!(w.said.values().flatten().any(|s| *s == Said::Bye(CloseReason::WrongPeer)));
+    assert!(w.sent_frames.values().flatten().any(|s| *s == SentFrame::Bye(CloseReason::WrongPeer)));
 }
 
 #[test]
 fn a_saved_list_serves_until_the_list_service_answers() {
-    let saved = World::new(config(), 2).saved.expect("a list that was told is saved");
-    let mut w = World::with_saved(config(), 2, Some(&saved));
+    let saved = Harness::new(config(), 2).saved.expect("a list that was told is saved");
+    let mut w = Harness::with_saved(config(), 2, Some(&saved));
     w.list_up = false;
-    let mut fresh = World::with_saved(config(), 0, Some(&saved));
+    let mut fresh = Harness::with_saved(config(), 0, Some(&saved));
     fresh.list_up = false;
     let client = w.client();
     w.submit(client, 1, READ, Some(1));
     w.run(5);
     assert_eq!(w.attempts(1).len(), 1);
     // Node 1 has moved since: who answers at its old address is not it.
-    let mut w = World::with_saved(config(), 2, Some(&saved));
-    w.dials.insert(address(1).parse().unwrap(), Dial::Refused);
-    w.dials.insert("127.0.0.1:999".parse().unwrap(), Dial::Greets(1));
+    let mut w = Harness::with_saved(config(), 2, Some(&saved));
+    w.connect_outcomes.insert(address(1).parse().unwrap(), ConnectOutcome::Refused);
+    w.connect_outcomes.insert("127.0.0.1:999".parse().unwrap(), ConnectOutcome::Welcomes(1));
     let client = w.client();
     w.submit(client, 1, READ, Some(1));
     w.run(20);
     w.list[1].3 = "127.0.0.1:999".into();
     w.revision += 1;
-    w.tell_list(w.list_conn());
+    w.send_list(w.list_conn());
     w.run(500);
-    let moved = w.called.iter().find(|(_, a)| a.to_string() == "127.0.0.1:999").expect("called where it is");
+    let moved =
+        w.connected.iter().find(|(_, a)| a.to_string() == "127.0.0.1:999").expect("called where it is");
     assert_eq!(w.attempts_on(*moved.0).len(), 1);
 }
 
 #[test]
 fn a_damaged_saved_list_is_told_apart() {
-    let saved = World::new(config(), 2).saved.unwrap();
+    let saved = Harness::new(config(), 2).saved.unwrap();
     for cut in 0..saved.len() {
         assert!(Core::new(config(), Some(&saved[..cut]), ms(1)).is_err(), "cut at {cut}");
     }
@@ -318,7 +327,7 @@
 
 #[test]
 fn changes_apply_in_order_once_and_a_gap_asks_for_the_whole_list() {
-    let mut w = World::new(config(), 1);
+    let mut w = Harness::new(config(), 1);
     let (client, list) = (w.client(), w.list_conn());
     w.core.received(list, &change(1, 2, State::Draining), w.now);
     // A duplicate, and an older one: both know nothing new.
@@ -326,8 +335,8 @@
     w.core.received(list, &change(0, 1, State::Serving), w.now);
     w.submit(client, 1, READ, Some(0));
     w.run(50);
-    assert!(w.attempts_on(list).is_empty() && w.calls == 1, "nothing goes to a node that drains");
-    let asked = |w: &World| w.said_on(list).iter().filter(|s| **s == Said::GetList).count();
+    assert!(w.attempts_on(list).is_empty() && w.connect_count == 1, "nothing goes to a node that drains");
+    let asked = |w: &Harness| w.sent_frames_on(list).iter().filter(|s| **s == SentFrame::GetList).count();
     assert_eq!(asked(&w), 0);
     w.revision = 9;
     w.core.received(list, &change(7, 8, State::Serving), w.now);
@@ -338,7 +347,7 @@
 
 #[test]
 fn a_silent_list_service_is_asked_and_then_called_anew() {
-    let mut w = World::new(config(), 1);
+    let mut w = Harness::new(config(), 1);
     let first = w.list_conn();
     w.blocked.insert(first);
     w.run(11_000);
@@ -349,12 +358,12 @@
 
 #[test]
 fn a_list_service_out_of_reach_is_called_ever_more_rarely() {
-    let mut w = World::new(config(), 1);
+    let mut w = Harness::new(config(), 1);
     w.list_up = false;
     w.core.closed(w.list_conn(), "reset", w.now);
-    w.calls = 0;
+    w.connect_count = 0;
     w.run(60_000);
-    assert!((20..200).contains(&w.calls), "{} calls in a minute", w.calls);
+    assert!((20..200).contains(&w.connect_count), "{} calls in a minute", w.connect_count);
     w.list_up = true;
     w.run(3000);
     w.list_conn();
@@ -364,16 +373,16 @@
 fn a_list_on_request_is_asked_for_by_the_module() {
     let mut c = config();
     c.site.settings.polls_list = true;
-    let mut w = World::new(c, 1);
-    assert!(w.said_on(w.list_conn()).contains(&Said::Watch));
+    let mut w = Harness::new(c, 1);
+    assert!(w.sent_frames_on(w.list_conn()).contains(&SentFrame::Watch));
     w.list_up = false;
     let first = w.list_conn();
     w.core.closed(first, "reset", w.now);
-    w.called.remove(&first);
+    w.connected.remove(&first);
     w.run(2000);
     w.list_up = true;
     w.run(6000);
-    assert!(w.said_on(w.list_conn()).contains(&Said::Watch), "asked again after the failure");
+    assert!(w.sent_frames_on(w.list_conn()).contains(&SentFrame::Watch), "asked again after the failure");
 }
 
 #[test]
@@ -382,7 +391,7 @@
     (c.bounds.max_clients, c.bounds.max_requests, c.bounds.max_requests_per_client, c.bounds.max_volumes) =
         (2, 5, 3, 1);
     c.bounds.max_endpoints = 1;
-    let mut w = World::new(c, 2);
+    let mut w = Harness::new(c, 2);
     let (a, b) = (w.client(), w.client());
     let goodbye = w.core.accepted(0, w.now).expect_err("a third client");
     assert!(matches!(decode(&goodbye), Ok(Some((Frame::Bye { close_reason: CloseReason::Bound, .. }, _)))));
@@ -390,13 +399,13 @@
         w.submit(a, id, READ, Some(1));
     }
     w.turn();
-    assert_eq!(w.answers(a), [Said::Refused(3, Refusal::Client)]);
+    assert_eq!(w.answers(a), [SentFrame::Refused(3, Refusal::Client)]);
     for id in 0..3 {
         w.submit(b, id, READ, Some(1));
     }
     w.turn();
-    assert_eq!(w.answers(b), [Said::Refused(2, Refusal::Held)]);
-    assert_eq!(w.calls, 1, "a node beyond the bound is left out of the list");
+    assert_eq!(w.answers(b), [SentFrame::Refused(2, Refusal::Held)]);
+    assert_eq!(w.connect_count, 1, "a node beyond the bound is left out of the list");
     w.run(2000);
     assert_eq!((w.answers(a).len(), w.answers(b).len(), w.core.pending_requests()), (4, 3, 0));
     let submit = Submit {
@@ -415,16 +424,16 @@
         time_left: 1_000_000,
         payload: b"",
     };
-    w.tell(a, &Frame::Submit(submit));
+    w.send_frame(a, &Frame::Submit(submit));
     w.turn();
-    assert_eq!(w.answers(a).last(), Some(&Said::Refused(50, Refusal::Held)), "a second volume");
+    assert_eq!(w.answers(a).last(), Some(&SentFrame::Refused(50, Refusal::Held)), "a second volume");
 }
 
 #[test]
 fn what_waits_for_a_node_is_bounded() {
     let mut c = config();
     c.bounds.max_node_bytes = 10;
-    let mut w = World::new(c, 1);
+    let mut w = Harness::new(c, 1);
     let client = w.client();
     w.submit(client, 1, READ, Some(0));
     w.run(2);
@@ -446,20 +455,20 @@
     w.core.control(Control::Stop, w.now);
     w.submit(client, 2, READ, Some(0));
     w.run(5);
-    assert_eq!(w.answers(client), [Said::Refused(2, Refusal::Stopping)]);
+    assert_eq!(w.answers(client), [SentFrame::Refused(2, Refusal::Stopping)]);
     assert!(w.core.accepted(0, w.now).is_err() && !w.exited);
     w.done(w.node_conn(0), sent, Code::Served, b"");
     w.run(1);
     assert!(w.exited);
-    assert_eq!(w.answers(client)[1..], [Said::Served(1, 0, vec![])]);
-    assert_eq!(w.said_on(client).last(), Some(&Said::Bye(CloseReason::Stopping)));
+    assert_eq!(w.answers(client)[1..], [SentFrame::Served(1, 0, vec![])]);
+    assert_eq!(w.sent_frames_on(client).last(), Some(&SentFrame::Bye(CloseReason::Stopping)));
 }
 
 #[test]
 fn a_stop_that_lasts_too_long_fails_what_is_left() {
     let mut c = config();
     c.site.timeouts.shutdown_timeout = ms(100);
-    let mut w = World::new(c, 1);
+    let mut w = Harness::new(c, 1);
     let client = w.client();
     w.submit(client, 1, READ, Some(0));
     w.run(2);
@@ -468,7 +477,7 @@
     assert!(!w.exited);
     w.run(5);
     assert!(w.exited);
-    assert_eq!(w.answers(client), [Said::Failed(1)]);
+    assert_eq!(w.answers(client), [SentFrame::Failed(1)]);
 }
 
 #[test]
@@ -476,23 +485,26 @@
     let (mut w, client, sent) = one_out(STREAM);
     let node = w.node_conn(0);
     let chunk = |payload| Frame::Chunk { request: sent.0, attempt: sent.1, payload };
-    w.tell(node, &chunk(b"one"));
+    w.send_frame(node, &chunk(b"one"));
     w.run(1500);
     assert!(w.answers(client).is_empty(), "the deadline runs no more once the answer has begun");
-    w.tell(node, &chunk(b"two"));
+    w.send_frame(node, &chunk(b"two"));
     w.run(1);
-    assert_eq!(w.said_on(client)[1..], [Said::Part(1, b"one".to_vec()), Said::Part(1, b"two".to_vec())]);
+    assert_eq!(
+        w.sent_frames_on(client)[1..],
+        [SentFrame::Part(1, b"one".to_vec()), SentFrame::Part(1, b"two".to_vec())]
+    );
     w.core.closed(node, "reset", w.now);
     w.run(10);
-    assert_eq!(w.answers(client), [Said::Failed(1)], "its client has a part of it: not tried again");
+    assert_eq!(w.answers(client), [SentFrame::Failed(1)], "its client has a part of it: not tried again");
     assert_eq!(w.core.pending_requests(), 0);
 }
 
 #[test]
 fn what_does_not_belong_closes_its_connection_and_nothing_else() {
-    type Send<'a> = &'a dyn Fn(&mut World, ConnId);
+    type Send<'a> = &'a dyn Fn(&mut Harness, ConnId);
     let other_frames: [Send<'_>; 6] = [
-        &|w, c| w.tell(c, &Frame::Watch),
+        &|w, c| w.send_frame(c, &Frame::Watch),
         &|w, c| w.submit(c, 1, 9, Some(0)),
         &|w, c| {
             w.submit(c, 7, READ, Some(0));
@@ -506,7 +518,7 @@
         },
         &|w, c| {
             let hello = Hello { role: Role::Client, versions: (VERSION, VERSION), id: 1, epoch: 1, name: "" };
-            w.tell(c, &Frame::Hello(hello));
+            w.send_frame(c, &Frame::Hello(hello));
         },
     ];
     for (n, send) in other_frames.iter().enumerate() {
@@ -515,7 +527,7 @@
         send(&mut w, bad);
         w.run(1);
         assert!(w.closed.contains(&bad), "case {n}");
-        assert_eq!(w.said_on(bad).last(), Some(&Said::Bye(CloseReason::Protocol)), "case {n}");
+        assert_eq!(w.sent_frames_on(bad).last(), Some(&SentFrame::Bye(CloseReason::Protocol)), "case {n}");
         assert_eq!(w.core.counts().protocol_faults, 1);
         w.done(w.node_conn(0), sent, Code::Served, b"");
         w.run(1);
@@ -525,11 +537,14 @@
 
 #[test]
 fn a_client_of_another_version_or_without_a_greeting_is_turned_away() {
-    let mut w = World::new(config(), 1);
+    let mut w = Harness::new(config(), 1);
     let newer = w.core.accepted(0, w.now).unwrap();
-    w.tell(newer, &Frame::Hello(Hello { role: Role::Client, versions: (7, 9), id: 1, epoch: 1, name: "" }));
+    w.send_frame(
+        newer,
+        &Frame::Hello(Hello { role: Role::Client, versions: (7, 9), id: 1, epoch: 1, name: "" }),
+    );
     w.run(1);
-    assert_eq!(w.said_on(newer), [Said::Bye(CloseReason::Version)]);
+    assert_eq!(w.sent_frames_on(newer), [SentFrame::Bye(CloseReason::Version)]);
     let mute = w.core.accepted(0, w.now).unwrap();
     w.run(1999);
     assert!(!w.closed.contains(&mute));
@@ -593,13 +608,13 @@
     fn garbage_from_every_peer_harms_no_one_else(all in proptest::collection::vec(garbage(), 1..40)) {
         let mut c = config();
         c.bounds.max_requests = 50;
-        let mut w = World::new(c, 2);
+        let mut w = Harness::new(c, 2);
         let good = w.client();
         for (n, one) in all.into_iter().enumerate() {
             w.submit(good, n as u64, READ, Some((n % 2) as u32));
             w.run(1);
-            let peers: Vec<_> = w.called.keys().copied().collect();
-            let to = |to: u8, w: &mut World| match (to, peers.get(usize::from(to))) {
+            let peers: Vec<_> = w.connected.keys().copied().collect();
+            let to = |to: u8, w: &mut Harness| match (to, peers.get(usize::from(to))) {
                 (3, _) | (_, None) => w.client(),
                 (_, Some(peer)) => *peer,
             };
@@ -624,7 +639,7 @@
                 Garbage::Close(peer) => {
                     let conn = to(peer, &mut w);
                     if conn != good {
-                        w.called.remove(&conn);
+                        w.connected.remove(&conn);
                         w.core.closed(conn, "test", w.now);
                     }
                 }
@@ -637,7 +652,7 @@
         prop_assert_eq!(w.core.pending_requests(), 0);
         prop_assert_eq!(w.core.counts().overdue, 0);
         let mut ids: Vec<u64> = w.answers(good).iter().map(|s| match s {
-            Said::Served(id, ..) | Said::Refused(id, _) | Said::Failed(id) => *id,
+            SentFrame::Served(id, ..) | SentFrame::Refused(id, _) | SentFrame::Failed(id) => *id,
             _ => u64::MAX,
         }).collect();
         ids.sort_unstable();
@@ -648,7 +663,7 @@
 
 #[test]
 fn a_crowd_of_clients_is_told_when_its_turns_are_and_those_served_notice_nothing() {
-    let mut w = World::new(config(), 1);
+    let mut w = Harness::new(config(), 1);
     let served = w.client();
     let mut told = Vec::new();
     let mut taken = 1;
@@ -689,8 +704,8 @@
 
 #[test]
 fn repeats_in_a_storm_are_refused_at_once_with_cause_and_scope_and_first_tries_are_not() {
-    let mut w = World::new(stormy(), 1);
-    w.dials.insert(address(0).parse().unwrap(), Dial::Refused);
+    let mut w = Harness::new(stormy(), 1);
+    w.connect_outcomes.insert(address(0).parse().unwrap(), ConnectOutcome::Refused);
     let client = w.client();
     // Each press is for the same extents, with little patience.
     for press in 0..40u64 {
@@ -702,7 +717,7 @@
     let damped = w.core.counts().retries_rejected;
     assert!(damped > 200, "{damped} of 390 repeats");
     let said = w.answers(client);
-    let storms = said.iter().filter(|s| matches!(s, Said::Refused(_, Refusal::Storm))).count();
+    let storms = said.iter().filter(|s| matches!(s, SentFrame::Refused(_, Refusal::Storm))).count();
     assert_eq!(storms as u64, damped);
     assert_eq!(said.len(), 400, "each is answered once");
     w.submit_extent(client, 9000, READ, 777, 500);
@@ -712,7 +727,7 @@
 
 #[test]
 fn an_answer_that_comes_as_the_deadline_passes_is_one_answer() {
-    let mut w = World::new(stormy(), 1);
+    let mut w = Harness::new(stormy(), 1);
     let client = w.client();
     w.submit_extent(client, 1, READ, 5, 300);
     w.run(5);
@@ -728,7 +743,7 @@
 }
 
 /// A request that node 0 serves after so many ms.
-fn serve(w: &mut World, client: ConnId, id: u64, millis: u64) {
+fn serve(w: &mut Harness, client: ConnId, id: u64, millis: u64) {
     w.submit(client, id, READ, Some(0));
     w.run(millis);
     let sent = *w.attempts(0).last().unwrap();
@@ -737,24 +752,24 @@
 }
 
 /// A core that may probe and copy, with an answer of node 0 just lost.
-fn after_a_loss() -> (World, ConnId) {
+fn after_a_loss() -> (Harness, ConnId) {
     let mut c = config();
     (c.site.settings.max_concurrent_attempts, c.site.settings.may_probe, c.site.settings.may_cancel) =
         (2, true, true);
-    let mut w = World::new(c, 1);
+    let mut w = Harness::new(c, 1);
     let client = w.client();
     (0..5).for_each(|id| serve(&mut w, client, id, 10));
     w.submit(client, 10, READ, Some(0));
     w.run(5);
     serve(&mut w, client, 11, 10);
     w.run(1100);
-    assert_eq!(w.answers(client).last(), Some(&Said::Failed(10)));
+    assert_eq!(w.answers(client).last(), Some(&SentFrame::Failed(10)));
     (w, client)
 }
 
-fn probe_on(w: &World) -> Option<u64> {
-    let token = |s: &Said| if let Said::Probe(token) = s { Some(*token) } else { None };
-    w.said_on(w.node_conn(0)).iter().rev().find_map(token)
+fn probe_on(w: &Harness) -> Option<u64> {
+    let token = |s: &SentFrame| if let SentFrame::Probe(token) = s { Some(*token) } else { None };
+    w.sent_frames_on(w.node_conn(0)).iter().rev().find_map(token)
 }
 
 #[test]
@@ -764,14 +779,14 @@
     w.run(60);
     let first = *w.attempts(0).last().unwrap();
     let token = probe_on(&w).expect("it is out for longer than it should be");
-    w.tell(w.node_conn(0), &Frame::Probed { token, report: Report::default() });
+    w.send_frame(w.node_conn(0), &Frame::Probed { token, report: Report::default() });
     w.run(60);
     let copy = *w.attempts(0).last().unwrap();
     assert_eq!(copy, (first.0, 1));
     w.done(w.node_conn(0), copy, Code::Served, b"again");
     w.run(5);
-    assert_eq!(w.answers(client).last(), Some(&Said::Served(20, 0, b"again".to_vec())));
-    assert_eq!(w.said_on(w.node_conn(0)).last(), Some(&Said::Cancel(first.0)));
+    assert_eq!(w.answers(client).last(), Some(&SentFrame::Served(20, 0, b"again".to_vec())));
+    assert_eq!(w.sent_frames_on(w.node_conn(0)).last(), Some(&SentFrame::Cancel(first.0)));
     // Its answer comes after all: nobody waits for it, and the client hears nothing twice.
     w.done(w.node_conn(0), first, Code::Served, b"late");
     w.run(5);
@@ -786,12 +801,12 @@
     assert!(probe_on(&w).is_some());
     assert_eq!(w.attempts(0).last().unwrap().1, 0);
     w.run(700);
-    assert_eq!(w.answers(client).last(), Some(&Said::Failed(20)));
+    assert_eq!(w.answers(client).last(), Some(&SentFrame::Failed(20)));
     assert_eq!(w.core.pending_requests(), 0);
 }
 
 /// Pace in a saved list, microseconds a unit.
-fn saved_pace(w: &World) -> Option<u32> {
+fn saved_pace(w: &Harness) -> Option<u32> {
     let list = SavedList::read(w.saved.as_ref().unwrap()).expect("a saved list");
     assert_eq!((list.entries.len(), list.torn_bytes), (1, 0));
     list.entries[0].service_time
@@ -799,7 +814,7 @@
 
 #[test]
 fn what_was_learnt_of_a_nodes_pace_lasts_over_the_switch_and_ends_with_its_start() {
-    let mut w = World::new(config(), 1);
+    let mut w = Harness::new(config(), 1);
     let client = w.client();
     (0..5).for_each(|id| serve(&mut w, client, id, 30));
     assert_eq!(saved_pace(&w), None, "the list came before anything was learnt");
@@ -808,14 +823,14 @@
     let learnt = saved_pace(&w).expect("the stop saves what was learnt");
     // The next life, and the same list from the service: the pace is kept from its first second.
     let saved = w.saved.clone().unwrap();
-    let mut next = World::with_saved(config(), 1, Some(&saved));
+    let mut next = Harness::with_saved(config(), 1, Some(&saved));
     next.run(1000);
     assert_eq!(saved_pace(&next), Some(learnt));
     // It acts on it: what that pace does not get done in its client's time is refused at once.
     let client = next.client();
     next.submit_within(client, 1, READ, Some(0), 25);
     next.run(3);
-    assert!(matches!(next.answers(client)[..], [Said::Refused(1, _)]));
+    assert!(matches!(next.answers(client)[..], [SentFrame::Refused(1, _)]));
     // Another start of the node: learnt afresh.
     let address = address(0);
     let start = Entry { incarnation: 2, age: Some(1), ..entry(0, State::Serving, 0, &address) };
@@ -830,8 +845,8 @@
     let learnt = Entry { service_time, ..entry(0, State::Serving, 0, &address) };
     let list = List { extent: Extent::Full, since: 1, revision: 1, entries: vec![learnt] };
     for (start, kept) in [(1, service_time), (2, None)] {
-        let mut w = World::cut_off(config(), 1, &bytes_of(&Frame::List(list.clone())));
-        w.starts.insert(0, start);
+        let mut w = Harness::without_list_service(config(), 1, &bytes_of(&Frame::List(list.clone())));
+        w.epochs.insert(0, start);
         let client = w.client();
         w.submit(client, 1, READ, Some(0));
         w.run(50);
@@ -843,12 +858,12 @@
 
 #[test]
 fn a_list_saved_by_the_build_before_is_read_without_sizes_and_paces() {
-    let saved = World::new(config(), 1).saved.unwrap();
+    let saved = Harness::new(config(), 1).saved.unwrap();
     // Version 2: the entry ends after zone with the address. Size and pace are nine bytes before it.
     let mut body = saved[12..].to_vec();
     let at = body.len() - address(0).len() - 1 - 9;
     body.drain(at..at + 9);
-    let mut w = World::cut_off(config(), 1, &sealed_as(2, saved[9], &body));
+    let mut w = Harness::without_list_service(config(), 1, &sealed_as(2, saved[9], &body));
     let client = w.client();
     w.submit(client, 1, READ, Some(0));
     w.run(5);
@@ -857,21 +872,21 @@
 
 #[test]
 fn a_request_whose_client_left_while_its_node_was_called_is_not_sent_without_its_payload() {
-    let mut w = World::new(config(), 1);
-    w.dials.insert(address(0).parse().unwrap(), Dial::Deaf);
+    let mut w = Harness::new(config(), 1);
+    w.connect_outcomes.insert(address(0).parse().unwrap(), ConnectOutcome::Silent);
     let client = w.client();
     w.submit(client, 1, READ, Some(0));
     w.run(5);
     w.core.closed(client, "gone", w.now);
     let welcome = Welcome { version: VERSION, role: Role::Node, id: 0, epoch: 1, name: "" };
-    w.tell(w.node_conn(0), &Frame::Welcome(welcome));
+    w.send_frame(w.node_conn(0), &Frame::Welcome(welcome));
     w.run(5);
     assert_eq!(w.attempts(0), []);
     assert_eq!(w.core.pending_requests(), 0);
 }
 
 /// Proposes the next version at an initiator that agrees with itself alone.
-fn propose(w: &mut World, base: u64, attempts: f64) {
+fn propose(w: &mut Harness, base: u64, attempts: f64) {
     use flaxstand_consensus::participant::{OperatorReply, OperatorRequest, PeerMessage};
     use flaxstand_consensus::replicated_state::Version;
     use flaxstand_consensus::rules::Value;
@@ -887,7 +902,11 @@
     w.run(5);
     let agreed =
         postcard::to_stdvec(&PeerMessage::OperatorReply(OperatorReply::Committed(base + 1))).unwrap();
-    assert!(w.said[&operator].contains(&Said::Agreement(agreed)), "{:?}", w.said[&operator]);
+    assert!(
+        w.sent_frames[&operator].contains(&SentFrame::Agreement(agreed)),
+        "{:?}",
+        w.sent_frames[&operator]
+    );
 }
 
 #[test]
@@ -902,7 +921,7 @@
         max_clock_drift: 0.0,
         initial_rules: Default::default(),
     });
-    let mut w = World::new(c, 1);
+    let mut w = Harness::new(c, 1);
     w.core.start_agreement(1, Some(StoredReplica::default()), None, w.now);
     w.run(3000);
     propose(&mut w, 0, 3.0);
--- a/crates/flaxstand-gateway/tests/crossings.rs
+++ b/crates/flaxstand-gateway/tests/crossings.rs
@@ -6,7 +6,7 @@
 use flaxstand_gateway::core::Config;
 use flaxstand_gateway::machine::{Address, ConnId, Control, Machine, Micros, Reloaded};
 use flaxstand_proto::State;
-use harness::{Dial, World, address, ask_as, ms, with_keyed};
+use harness::{ConnectOutcome, Harness, address, http_request, ms, platform_config_with_keyed};
 use std::collections::BTreeMap;
 
 /// From when on a change counts as told, after discovery had it.
@@ -15,7 +15,7 @@
 const WINDOW: f64 = 300.0;
 
 fn platform() -> Config {
-    with_keyed(2500, WINDOW)
+    platform_config_with_keyed(2500, WINDOW)
 }
 
 fn seeded(seed: u64) -> Config {
@@ -23,12 +23,12 @@
 }
 
 fn ask(id: &str, class: &str) -> String {
-    ask_as(id, class, 0, "1.000")
+    http_request(id, class, 0, "1.000")
 }
 
 /// Attempts of a request that node 0 was sent, over all its connections.
-fn sent(w: &World, id: &str) -> usize {
-    w.links(0).iter().map(|l| w.heard_on(*l).matches(&format!("X-Request-ID: {id}\r\n")).count()).sum()
+fn sent(w: &Harness, id: &str) -> usize {
+    w.conns_to(0).iter().map(|l| w.sent_text_on(*l).matches(&format!("X-Request-ID: {id}\r\n")).count()).sum()
 }
 
 fn list_address() -> Address {
@@ -36,9 +36,9 @@
 }
 
 /// Calls to the list service so far, by connection.
-fn list_calls(w: &World) -> BTreeMap<ConnId, usize> {
-    let lists = w.dialled.iter().filter(|(_, a)| *a == list_address());
-    lists.map(|(c, _)| (*c, w.heard_on(*c).matches("GET /v1/endpoints").count())).collect()
+fn list_calls(w: &Harness) -> BTreeMap<ConnId, usize> {
+    let lists = w.connect_attempts.iter().filter(|(_, a)| *a == list_address());
+    lists.map(|(c, _)| (*c, w.sent_text_on(*c).matches("GET /v1/endpoints").count())).collect()
 }
 
 /// Guards against a change that counts as told before it is heard. The watch is silent from its first moment, and at
@@ -46,7 +46,7 @@
 #[test]
 fn a_silent_watch_and_busy_calls_after_it_are_over_before_the_change_counts_as_told() {
     for (seed, turned_away) in (0..120).flat_map(|seed| [0, 1, 2, 3].map(|n| (seed, n))) {
-        let mut w = World::new(seeded(seed), 2);
+        let mut w = Harness::new(seeded(seed), 2);
         // The watch that is open now is the one that falls silent.
         let silent = w.list_conn();
         let began = w.now;
@@ -55,9 +55,9 @@
         let (mut away, mut heard) = (turned_away, None);
         while heard.is_none() && w.now < began.after(ms(20_000)) {
             w.run(1);
-            let open = w.called.iter().find(|(_, a)| **a == list_address()).map(|(c, _)| *c);
+            let open = w.connected.iter().find(|(_, a)| **a == list_address()).map(|(c, _)| *c);
             let Some(conn) = open.filter(|c| *c != silent) else { continue };
-            if w.heard_on(conn).is_empty() {
+            if w.sent_text_on(conn).is_empty() {
                 continue;
             }
             if away > 0 {
@@ -81,13 +81,13 @@
 /// A call that is made anew after a silent one is answered at once or is silent too: it must not wait in its turn.
 #[test]
 fn the_call_after_a_failed_one_does_not_wait() {
-    let mut w = World::new(platform(), 2);
+    let mut w = Harness::new(platform(), 2);
     let first = w.list_conn();
-    let other_than = |w: &mut World, old: ConnId| {
+    let other_than = |w: &mut Harness, old: ConnId| {
         let until = w.now.after(ms(4000));
         while w.now < until {
             w.run(1);
-            let open = w.called.iter().find(|(_, a)| **a == list_address()).map(|(c, _)| *c);
+            let open = w.connected.iter().find(|(_, a)| **a == list_address()).map(|(c, _)| *c);
             if let Some(conn) = open.filter(|c| *c != old) {
                 return conn;
             }
@@ -96,7 +96,7 @@
     };
     let second = other_than(&mut w, first);
     assert!(w.closed.contains(&first), "silent beyond its wait");
-    assert!(w.heard_on(second).contains("since=1&timeout_ms=0 "), "{}", w.heard_on(second));
+    assert!(w.sent_text_on(second).contains("since=1&timeout_ms=0 "), "{}", w.sent_text_on(second));
     let called = w.now;
     let third = other_than(&mut w, second);
     assert!(w.closed.contains(&second) && w.now.since(called) < ms(1500), "it is silent too");
@@ -104,7 +104,7 @@
     w.answer(third, "200 OK", changes);
     w.run(5);
     assert!(
-        !w.heard_on(third).ends_with("timeout_ms=0 HTTP/1.1\r\nHost: 127.0.0.1:1\r\n\r\n"),
+        !w.sent_text_on(third).ends_with("timeout_ms=0 HTTP/1.1\r\nHost: 127.0.0.1:1\r\n\r\n"),
         "it waits again"
     );
 }
@@ -113,7 +113,7 @@
 /// not told to the module, and each failure counted as one more in a row.
 #[test]
 fn an_answer_that_changes_nothing_ends_a_row_of_failures() {
-    let mut w = World::new(platform(), 2);
+    let mut w = Harness::new(platform(), 2);
     for _ in 0..8 {
         let conn = w.list_conn();
         w.answer(conn, "200 OK", r#"{"rev":1,"all":false,"targets":[]}"#);
@@ -128,24 +128,24 @@
 #[test]
 fn a_reload_with_a_call_in_flight_is_heard_in_time_although_the_new_service_is_busy() {
     for seed in 0..40 {
-        let mut w = World::new(seeded(seed), 2);
+        let mut w = Harness::new(seeded(seed), 2);
         // Failures at the old one, so that the module would wait long.
         w.list_up = false;
         let old = w.list_conn();
         w.core.closed(old, "reset", w.now);
-        w.called.remove(&old);
+        w.connected.remove(&old);
         w.run(9000);
         let new: Address = "127.0.0.1:2".parse().unwrap();
-        w.dials.insert(new.clone(), Dial::Deaf);
-        w.busy = 2;
-        w.answers_at_once = true;
+        w.connect_outcomes.insert(new.clone(), ConnectOutcome::Silent);
+        w.rejections_left = 2;
+        w.answers_polls = true;
         let began = w.now;
         let reloaded = Reloaded { bounds: platform().bounds, list: new.clone() };
         w.core.control(Control::Reload(reloaded), w.now);
         while w.listed_at <= began && w.now < began.after(ms(10_000)) {
             w.run(1);
         }
-        assert_eq!(w.busy, 0);
+        assert_eq!(w.rejections_left, 0);
         assert!(w.listed_at > began, "seed {seed}: the new one is called until it answers");
         let took = w.listed_at.since(began);
         assert!(took < ms(4000), "seed {seed}: {} ms", took.ms());
@@ -157,7 +157,7 @@
 fn calls_of_a_whole_fleet_spread_out() {
     let mut calls: BTreeMap<u64, usize> = BTreeMap::new();
     for seed in 0..300 {
-        let mut w = World::new(seeded(seed), 2);
+        let mut w = Harness::new(seeded(seed), 2);
         let start = w.now;
         let mut made = 0;
         let mut due: Option<(ConnId, Micros)> = None;
@@ -169,7 +169,7 @@
                 made = now;
                 let conn = w.list_conn();
                 let wait: u64 = w
-                    .heard_on(conn)
+                    .sent_text_on(conn)
                     .rsplit("timeout_ms=")
                     .next()
                     .unwrap()
@@ -195,14 +195,14 @@
 #[test]
 fn while_a_request_waits_the_module_is_looked_to_every_few_milliseconds() {
     for seed in 0..60 {
-        let mut w = World::new(seeded(seed), 1);
+        let mut w = Harness::new(seeded(seed), 1);
         // Offsets that milliseconds in floating point do not hold exactly.
         w.now = Micros(w.now.0 + 7 + seed * 131);
-        w.dials.insert(address(0).parse().unwrap(), Dial::Refused);
+        w.connect_outcomes.insert(address(0).parse().unwrap(), ConnectOutcome::Refused);
         let mut clients = Vec::new();
         for n in 0..12 {
             let client = w.http_client();
-            w.says(client, ask(&format!("r{n}"), "read").as_bytes());
+            w.send_bytes(client, ask(&format!("r{n}"), "read").as_bytes());
             clients.push(client);
             for _ in 0..(1 + (seed + n) % 5) {
                 w.now = Micros(w.now.0 + 613);
@@ -222,14 +222,14 @@
 #[test]
 fn a_repeat_whose_window_ends_while_its_connection_comes_up_is_not_sent() {
     for late in [false, true] {
-        let mut w = World::new(platform(), 1);
-        let (client, link) = w.asked("r1", "keyed");
+        let mut w = Harness::new(platform(), 1);
+        let (client, link) = w.request_in_flight("r1", "keyed");
         w.run(90);
-        w.dials.insert(address(0).parse().unwrap(), Dial::Lost);
+        w.connect_outcomes.insert(address(0).parse().unwrap(), ConnectOutcome::NoReply);
         w.core.closed(link, "reset", w.now);
-        w.called.remove(&link);
+        w.connected.remove(&link);
         w.run(60);
-        let again = *w.links(0).last().unwrap();
+        let again = *w.conns_to(0).last().unwrap();
         assert_ne!(again, link, "it is repeated inside the window");
         w.run(if late { 170 } else { 100 });
         w.core.connected(again, w.now);
@@ -246,16 +246,16 @@
 /// The same for the client's time, and for a client that left.
 #[test]
 fn nothing_is_sent_on_a_connection_that_comes_up_for_nobody() {
-    let mut w = World::new(platform(), 1);
-    w.dials.insert(address(0).parse().unwrap(), Dial::Lost);
-    let (client, link) = w.asked("r1", "once");
+    let mut w = Harness::new(platform(), 1);
+    w.connect_outcomes.insert(address(0).parse().unwrap(), ConnectOutcome::NoReply);
+    let (client, link) = w.request_in_flight("r1", "once");
     w.core.closed(client, "closed by peer", w.now);
     w.core.connected(link, w.now);
     w.run(5);
-    assert_eq!(w.heard_on(link), "");
+    assert_eq!(w.sent_text_on(link), "");
     // The connection is kept: the next request has it.
     w.run(25);
-    let (_, used) = w.asked("r2", "once");
+    let (_, used) = w.request_in_flight("r2", "once");
     assert_eq!(used, link);
     assert_eq!(sent(&w, "r2"), 1);
 }
@@ -264,12 +264,12 @@
 /// wholly written when the client closed.
 #[test]
 fn what_a_client_sent_behind_its_last_answer_is_not_begun_once_it_has_gone() {
-    let mut w = World::new(platform(), 1);
-    let (client, link) = w.asked("r1", "read");
+    let mut w = Harness::new(platform(), 1);
+    let (client, link) = w.request_in_flight("r1", "read");
     w.blocked.insert(client);
     w.answer(link, "200 OK", "ok");
     w.run(30);
-    w.says(client, ask("r2", "read").as_bytes());
+    w.send_bytes(client, ask("r2", "read").as_bytes());
     assert!(w.core.peer_finished(client, w.now), "its answer still goes out");
     w.blocked.remove(&client);
     w.drain(client);
@@ -282,12 +282,12 @@
 /// Guards against an attempt that begins long after its client has gone, because its node read nothing until then.
 #[test]
 fn an_attempt_that_has_not_wholly_left_does_not_follow_its_client() {
-    let mut w = World::new(platform(), 1);
-    let (first, link) = w.asked("r0", "read");
+    let mut w = Harness::new(platform(), 1);
+    let (first, link) = w.request_in_flight("r0", "read");
     w.answer(link, "200 OK", "ok");
     w.run(30);
     w.blocked.insert(link);
-    w.says(first, ask("r1", "once").as_bytes());
+    w.send_bytes(first, ask("r1", "once").as_bytes());
     w.run(5);
     assert!(!w.core.outgoing(link).is_empty(), "it waits to be written");
     w.core.closed(first, "closed by peer", w.now);
@@ -302,12 +302,12 @@
 #[test]
 fn a_second_answer_some_milliseconds_late_is_no_answer_to_the_next_request() {
     for late in [0, 1, 4, 10, 15] {
-        let mut w = World::new(platform(), 1);
-        let (client, link) = w.asked("r1", "read");
+        let mut w = Harness::new(platform(), 1);
+        let (client, link) = w.request_in_flight("r1", "read");
         w.run(40);
         w.answer(link, "200 OK", "first");
         w.turn();
-        w.says(client, ask("r2", "read").as_bytes());
+        w.send_bytes(client, ask("r2", "read").as_bytes());
         w.run(late);
         assert!(late < 4 || sent(&w, "r2") == 1);
         w.answer(link, "200 OK", "first");
@@ -315,56 +315,56 @@
         assert_eq!(w.statuses(client), [200], "{late} ms: the second request waits for its own answer");
         assert!(w.closed.contains(&link), "a connection that brings more than belongs to it");
         w.run(100);
-        let next = *w.links(0).last().unwrap();
+        let next = *w.conns_to(0).last().unwrap();
         w.answer(next, "200 OK", "second");
         w.run(5);
-        assert!(w.heard_on(client).ends_with("second"), "{}", w.heard_on(client));
+        assert!(w.sent_text_on(client).ends_with("second"), "{}", w.sent_text_on(client));
     }
     // Another answer, however soon, and the same one later are good; and where all come soon, the same one always.
-    let mut w = World::new(platform(), 1);
-    let (client, link) = w.asked("r1", "read");
+    let mut w = Harness::new(platform(), 1);
+    let (client, link) = w.request_in_flight("r1", "read");
     w.run(40);
     let answers = [(5, "first"), (5, "second"), (25, "second"), (5, "third"), (5, "third"), (4, "third")];
     for (n, (wait, body)) in answers.into_iter().enumerate() {
         w.run(wait);
         w.answer(link, "200 OK", body);
         w.turn();
-        w.says(client, ask(&format!("s{n}"), "read").as_bytes());
+        w.send_bytes(client, ask(&format!("s{n}"), "read").as_bytes());
         w.run(1);
         assert_eq!(w.statuses(client).len(), n + 1, "{body}");
     }
-    assert_eq!(w.links(0).len(), 1);
+    assert_eq!(w.conns_to(0).len(), 1);
 }
 
 /// One that has rested is preferred to the newest: a second copy shows on that one as what nobody asked for.
 #[test]
 fn a_connection_that_has_rested_is_used_before_one_that_was_just_answered_on() {
-    let mut w = World::new(platform(), 1);
-    let (_, first) = w.asked("r1", "read");
-    let (second_client, second) = w.asked("r2", "read");
+    let mut w = Harness::new(platform(), 1);
+    let (_, first) = w.request_in_flight("r1", "read");
+    let (second_client, second) = w.request_in_flight("r2", "read");
     w.answer(first, "200 OK", "first");
     w.run(25);
     w.answer(second, "200 OK", "second");
-    w.says(second_client, ask("r3", "read").as_bytes());
+    w.send_bytes(second_client, ask("r3", "read").as_bytes());
     w.run(5);
-    assert!(w.heard_on(first).contains("X-Request-ID: r3\r\n"), "{}", w.heard_on(first));
-    assert!(!w.heard_on(second).contains("X-Request-ID: r3\r\n"));
+    assert!(w.sent_text_on(first).contains("X-Request-ID: r3\r\n"), "{}", w.sent_text_on(first));
+    assert!(!w.sent_text_on(second).contains("X-Request-ID: r3\r\n"));
 }
 
 /// An answer that says no length and that its connection ends with it is whole at the end of the stream; a reset is
 /// no end.
 #[test]
 fn an_answer_without_a_length_is_whole_at_the_end_of_its_stream_and_never_at_a_reset() {
-    let begun = |w: &mut World| {
-        let (client, link) = w.asked("r1", "once");
-        w.says(link, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhal");
+    let begun = |w: &mut Harness| {
+        let (client, link) = w.request_in_flight("r1", "once");
+        w.send_bytes(link, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhal");
         w.run(100);
-        w.says(link, b"f and half");
+        w.send_bytes(link, b"f and half");
         w.run(100);
         assert!(w.statuses(client).is_empty());
         (client, link)
     };
-    let mut w = World::new(platform(), 1);
+    let mut w = Harness::new(platform(), 1);
     let (client, link) = begun(&mut w);
     // What a driver does at the end of a stream.
     if !w.core.peer_finished(link, w.now) {
@@ -372,16 +372,16 @@
     }
     w.run(5);
     assert_eq!(w.statuses(client), [200]);
-    assert!(w.heard_on(client).ends_with("half and half"));
+    assert!(w.sent_text_on(client).ends_with("half and half"));
     assert_eq!(w.core.footprint().partial_bytes, 0);
-    let mut w = World::new(platform(), 1);
+    let mut w = Harness::new(platform(), 1);
     let (client, link) = begun(&mut w);
     w.core.closed(link, "reset by peer", w.now);
     w.run(5);
     assert_eq!(w.statuses(client), [500], "it may have run, and is not to run again");
     assert_eq!(w.core.footprint().partial_bytes, 0);
     // One that stands still does not hold its client.
-    let mut w = World::new(platform(), 1);
+    let mut w = Harness::new(platform(), 1);
     let (client, _) = begun(&mut w);
     w.run(300);
     assert_eq!(w.statuses(client), [500]);
@@ -391,8 +391,8 @@
 /// shutdown: resting clients are shut first and read to their end, and what they send then is dropped.
 #[test]
 fn at_the_end_of_a_stop_resting_clients_are_shut_and_what_crosses_is_not_sent_on() {
-    let mut w = World::new(platform(), 1);
-    let (resting, link) = w.asked("r1", "read");
+    let mut w = Harness::new(platform(), 1);
+    let (resting, link) = w.request_in_flight("r1", "read");
     w.answer(link, "200 OK", "ok");
     w.run(30);
     let new = w.http_client();
@@ -400,13 +400,15 @@
     w.run(1380);
     let last = w.http_client();
     w.run(30);
-    assert!(w.shut.contains(&resting) && w.shut.contains(&new) && !w.closed.contains(&resting));
-    w.says(resting, ask("r2", "read").as_bytes());
-    w.says(last, ask("r3", "read").as_bytes());
+    assert!(
+        w.write_closed.contains(&resting) && w.write_closed.contains(&new) && !w.closed.contains(&resting)
+    );
+    w.send_bytes(resting, ask("r2", "read").as_bytes());
+    w.send_bytes(last, ask("r3", "read").as_bytes());
     w.run(20);
     assert_eq!(sent(&w, "r2") + sent(&w, "r3"), 0);
     assert_eq!(w.statuses(last), [503], "who came last is told");
-    assert!(w.heard_on(last).contains("Connection: close") && w.shut.contains(&last));
+    assert!(w.sent_text_on(last).contains("Connection: close") && w.write_closed.contains(&last));
     assert!(!w.exited, "they may still be reading");
     for conn in [resting, new, last] {
         w.core.closed(conn, "closed by peer", w.now);
@@ -418,16 +420,16 @@
 /// What a client sent behind its last request is dropped, and its answer is not taken away by that.
 #[test]
 fn the_last_answer_of_a_stop_is_read_although_more_was_sent_behind_its_request() {
-    let mut w = World::new(platform(), 1);
-    let (client, link) = w.asked("r1", "read");
-    w.says(client, ask("r2", "read").as_bytes());
+    let mut w = Harness::new(platform(), 1);
+    let (client, link) = w.request_in_flight("r1", "read");
+    w.send_bytes(client, ask("r2", "read").as_bytes());
     w.core.control(Control::Stop, w.now);
     w.answer(link, "200 OK", "ok");
     w.run(1460);
     assert_eq!(w.statuses(client), [200, 500], "the second is answered before the end");
     let asked = sent(&w, "r2");
-    assert!(w.shut.contains(&client) && !w.closed.contains(&client));
-    w.says(client, ask("r3", "read").as_bytes());
+    assert!(w.write_closed.contains(&client) && !w.closed.contains(&client));
+    w.send_bytes(client, ask("r3", "read").as_bytes());
     w.run(50);
     assert!(!w.closed.contains(&client) && !w.exited, "it is read until its client closes");
     assert_eq!((sent(&w, "r2"), sent(&w, "r3")), (asked, 0));
--- a/crates/flaxstand-gateway/tests/crossings_drawn.rs
+++ b/crates/flaxstand-gateway/tests/crossings_drawn.rs
@@ -6,7 +6,7 @@
 use flaxstand_gateway::core::Config;
 use flaxstand_gateway::machine::{ConnId, Control, Machine, Micros};
 use flaxstand_proto::State;
-use harness::{Dial, World, address, ask_as, ms, with_keyed};
+use harness::{ConnectOutcome, Harness, address, http_request, ms, platform_config_with_keyed};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 const LINKS: usize = 6;
 
 fn platform(seed: u64) -> Config {
-    let mut c = with_keyed(2500, WINDOW as f64);
+    let mut c = platform_config_with_keyed(2500, WINDOW as f64);
     c.seed = seed;
     (c.site.settings.may_probe, c.site.settings.max_concurrent_attempts) = (true, 2);
     (c.bounds.max_clients, c.bounds.max_node_connections) = (CLIENTS, LINKS);
@@ -91,7 +91,7 @@
 
 /// A play of one seed.
 struct Play {
-    w: World,
+    w: Harness,
     rng: Pcg64Mcg,
     seen: Vec<(Micros, Seen)>,
     /// Clients that are connected, with the requests asked on each, in their order, and how many are answered.
@@ -117,8 +117,8 @@
     fn turn(&mut self) {
         (0..3).for_each(|_| self.w.turn());
         for node in 0..NODES {
-            for link in self.w.links(node) {
-                let heard = self.w.heard_on(link).to_owned();
+            for link in self.w.conns_to(node) {
+                let heard = self.w.sent_text_on(link).to_owned();
                 let ids: Vec<u32> = heard
                     .split("X-Request-ID: r")
                     .skip(1)
@@ -137,7 +137,7 @@
             }
         }
         for (conn, (asked, answered)) in &mut self.clients {
-            let now = self.w.heard_on(*conn).matches("HTTP/1.1 ").count();
+            let now = self.w.sent_text_on(*conn).matches("HTTP/1.1 ").count();
             for id in &asked[*answered..now] {
                 self.seen.push((self.w.now, Seen::Answered(*id)));
             }
@@ -169,10 +169,10 @@
                 let (id, shard) = (self.next, self.draw(NODES));
                 self.next += 1;
                 let name = ["read", "once", "keyed"][class];
-                let text = ask_as(&format!("r{id}"), name, shard as i64, "0.800");
+                let text = http_request(&format!("r{id}"), name, shard as i64, "0.800");
                 self.clients.get_mut(&conn).unwrap().0.push(id);
                 self.seen.push((self.w.now, Seen::Asked(id, class)));
-                self.w.says(conn, text.as_bytes());
+                self.w.send_bytes(conn, text.as_bytes());
             }
             6 => {
                 let Some(conn) = self.pick(clients) else { return };
@@ -190,23 +190,23 @@
                     0..=7 => self.w.answer(conn, "200 OK", &format!("answer to {id}")),
                     8 => {
                         self.seen.push((now, Seen::AttemptEnd(id, true)));
-                        self.w.says(
+                        self.w.send_bytes(
                             conn,
                             b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
                         );
                     }
                     9 => self.w.answer(conn, "500 No", ""),
                     10 => {
-                        self.w.called.remove(&conn);
+                        self.w.connected.remove(&conn);
                         self.w.core.closed(conn, "reset", now);
                         self.w.closed.insert(conn);
                     }
                     _ => {
-                        self.w.says(conn, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf");
+                        self.w.send_bytes(conn, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf");
                         if self.draw(2) == 0 && !self.w.core.peer_finished(conn, now) {
                             self.w.core.closed(conn, "closed by peer", now);
                             self.w.closed.insert(conn);
-                            self.w.called.remove(&conn);
+                            self.w.connected.remove(&conn);
                         }
                     }
                 }
@@ -215,29 +215,36 @@
                 // A node's calls are lost, refused or stand; one that was lost stands late.
                 let (node, how) = (
                     self.draw(NODES),
-                    [Dial::Lost, Dial::Refused, Dial::Deaf, Dial::Deaf, Dial::Deaf, Dial::Deaf],
+                    [
+                        ConnectOutcome::NoReply,
+                        ConnectOutcome::Refused,
+                        ConnectOutcome::Silent,
+                        ConnectOutcome::Silent,
+                        ConnectOutcome::Silent,
+                        ConnectOutcome::Silent,
+                    ],
                 );
                 let how = how[self.draw(6) as usize];
-                self.w.dials.insert(address(node).parse().unwrap(), how);
+                self.w.connect_outcomes.insert(address(node).parse().unwrap(), how);
                 let lost: Vec<ConnId> = self
                     .w
-                    .links(node)
+                    .conns_to(node)
                     .into_iter()
                     .filter(|c| {
-                        !self.w.called.contains_key(c)
+                        !self.w.connected.contains_key(c)
                             && !self.w.closed.contains(c)
                             && !self.open.contains_key(c)
                     })
                     .collect();
                 if let Some(conn) = self.pick(lost) {
-                    self.w.called.insert(conn, address(node).parse().unwrap());
+                    self.w.connected.insert(conn, address(node).parse().unwrap());
                     self.w.core.connected(conn, self.w.now);
                 }
             }
             12 => {
                 let node = self.draw(NODES);
                 let list =
-                    self.w.called.iter().find(|(_, a)| a.to_string() == "127.0.0.1:1").map(|(c, _)| *c);
+                    self.w.connected.iter().find(|(_, a)| a.to_string() == "127.0.0.1:1").map(|(c, _)| *c);
                 let Some(conn) = list else { return };
                 let drains = !self.drained.remove(&node);
                 if drains {
@@ -267,7 +274,7 @@
 }
 
 fn play(seed: u64) -> Vec<(Micros, Seen)> {
-    let w = World::new(platform(seed), NODES);
+    let w = Harness::new(platform(seed), NODES);
     let mut p = Play {
         w,
         rng: Pcg64Mcg::seed_from_u64(seed),
--- a/crates/flaxstand-gateway/tests/frames_long_lists.rs
+++ b/crates/flaxstand-gateway/tests/frames_long_lists.rs
@@ -7,7 +7,7 @@
 use flaxstand_gateway::driver::{Driver, Options, clock};
 use flaxstand_gateway::machine::{Address, ConnId, Micros};
 use flaxstand_proto::{Code, Extent, Frame, List, Role, State, VERSION, Welcome};
-use harness::{READ, Said, World, address, bytes_of, config, entry};
+use harness::{Harness, READ, SentFrame, address, bytes_of, config, entry};
 use std::io::Write as _;
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -22,8 +22,8 @@
 }
 
 /// A core that was told of one node, whose list service reads nothing from now on: the test speaks for it.
-fn listening() -> (World, ConnId) {
-    let mut world = World::new(config(), 1);
+fn listening() -> (Harness, ConnId) {
+    let mut world = Harness::new(config(), 1);
     let list = world.list_conn();
     world.blocked.insert(list);
     (world, list)
@@ -40,19 +40,19 @@
 }
 
 /// The bytes arrive in pieces of one length, all but the last piece, which is returned.
-fn arrive_all_but_last<'a>(world: &mut World, list: ConnId, bytes: &'a [u8], over_ms: u64) -> &'a [u8] {
+fn arrive_all_but_last<'a>(world: &mut Harness, list: ConnId, bytes: &'a [u8], over_ms: u64) -> &'a [u8] {
     let pieces = (over_ms / STEP_MS) as usize;
     let mut pieces: Vec<&[u8]> = bytes.chunks(bytes.len().div_ceil(pieces)).collect();
     let last = pieces.pop().expect("there are bytes");
     for piece in pieces {
-        world.says(list, piece);
+        world.send_bytes(list, piece);
         world.run(STEP_MS);
     }
     last
 }
 
 /// Milliseconds until the connection is closed, at most so many.
-fn closed_within(world: &mut World, list: ConnId, most_ms: u64) -> Option<u64> {
+fn closed_within(world: &mut Harness, list: ConnId, most_ms: u64) -> Option<u64> {
     for passed in (0..=most_ms).step_by(STEP_MS as usize) {
         if world.closed.contains(&list) {
             return Some(passed);
@@ -63,17 +63,17 @@
 }
 
 /// Attempts that a node was sent, on connections closed since too.
-fn attempts_ever(world: &World, node: u64) -> Vec<(u64, u32)> {
-    world.links(node).into_iter().flat_map(|conn| world.attempts_on(conn)).collect()
+fn attempts_ever(world: &Harness, node: u64) -> Vec<(u64, u32)> {
+    world.conns_to(node).into_iter().flat_map(|conn| world.attempts_on(conn)).collect()
 }
 
-fn list_calls(world: &World) -> usize {
+fn list_calls(world: &Harness) -> usize {
     let list = "127.0.0.1:1".parse().expect("an address");
-    world.dialled.iter().filter(|(_, called)| *called == list).count()
+    world.connect_attempts.iter().filter(|(_, called)| *called == list).count()
 }
 
-fn times_asked_for_the_whole(world: &World, list: ConnId) -> usize {
-    world.said_on(list).iter().filter(|said| **said == Said::GetList).count()
+fn times_asked_for_the_whole(world: &Harness, list: ConnId) -> usize {
+    world.sent_frames_on(list).iter().filter(|said| **said == SentFrame::GetList).count()
 }
 
 fn taken_while_it_arrives_over_six_silences(nodes: u64) {
@@ -81,7 +81,7 @@
     let bytes = whole_list(nodes, State::Serving);
     let last = arrive_all_but_last(&mut world, list, &bytes, 6 * silence_ms());
     assert!(!world.closed.contains(&list), "{nodes} nodes: hung up on while it answers");
-    world.says(list, last);
+    world.send_bytes(list, last);
     world.run(5);
     assert_eq!(world.core.footprint().nodes as u64, nodes);
     assert_eq!(list_calls(&world), 1);
@@ -108,7 +108,7 @@
     let bytes = whole_list(3_200, State::Serving);
     let last = arrive_all_but_last(&mut world, list, &bytes, 4 * silence_ms());
     assert!(!world.closed.contains(&list), "hung up on while it answers");
-    world.says(list, last);
+    world.send_bytes(list, last);
     world.run(5);
     assert_eq!(world.core.footprint().nodes, 3_200);
 }
@@ -119,7 +119,7 @@
         let (mut world, list) = listening();
         let bytes = whole_list(3_200, State::Serving);
         world.run(silence_ms() / 2);
-        world.says(list, &bytes[..part]);
+        world.send_bytes(list, &bytes[..part]);
         let closed = closed_within(&mut world, list, 2 * silence_ms());
         assert!(closed.is_some(), "still waited for after {part} bytes");
         world.run(silence_ms());
@@ -144,7 +144,7 @@
         let mut pieces = bytes.chunks(bytes_a_step);
         let mut steps = 0;
         while !world.closed.contains(&list) {
-            world.says(list, pieces.next().expect("it is given up long before its end"));
+            world.send_bytes(list, pieces.next().expect("it is given up long before its end"));
             world.run(STEP_MS);
             steps += 1;
         }
@@ -164,7 +164,7 @@
     world.done(world.node_conn(KNOWN), first, Code::Served, b"");
     let bytes = whole_list(3_200, State::Draining);
     let last = arrive_all_but_last(&mut world, list, &bytes, 3 * silence_ms());
-    world.says(list, last);
+    world.send_bytes(list, last);
     world.submit(client, 2, READ, Some(KNOWN as u32));
     world.run(900);
     assert_eq!(attempts_ever(&world, KNOWN), [first], "nothing is sent to a node that was told to drain");
@@ -176,13 +176,21 @@
     let (mut world, list) = listening();
     let told = entry(KNOWN, State::Draining, KNOWN as u32, "no address");
     let (since, revision) = (world.revision, world.revision + 1);
-    world.tell(list, &Frame::List(List { extent: Extent::Changes, since, revision, entries: vec![told] }));
+    world.send_frame(
+        list,
+        &Frame::List(List { extent: Extent::Changes, since, revision, entries: vec![told] }),
+    );
     let client = world.client();
     world.submit(client, 1, READ, Some(KNOWN as u32));
     world.run(900);
     assert_eq!(attempts_ever(&world, KNOWN), []);
     assert!(!world.closed.contains(&list));
-    assert!(world.dialled.iter().all(|(_, called)| *called != address(KNOWN).parse().expect("an address")));
+    assert!(
+        world
+            .connect_attempts
+            .iter()
+            .all(|(_, called)| *called != address(KNOWN).parse().expect("an address"))
+    );
 }
 
 /// Tells a watcher the whole list over a socket, in pieces over so long. Returns how often it was called.
--- a/crates/flaxstand-gateway/tests/harness/whole_lists.rs
+++ b/crates/flaxstand-gateway/tests/harness/full_lists.rs
@@ -1,16 +1,16 @@
-//! Whole lists of any length, in the words of both wires.
+//! Full lists of any length, as the platform's JSON and as a frame.
 #![allow(dead_code)]
 
 use crate::harness::{bytes_of, entry};
 use flaxstand_proto::{Extent, Frame, List, State};
 use std::fmt::Write as _;
 
-/// Where a listed node or target listens.
+/// The address of a listed node or target.
 pub fn listed_address(node: u64) -> String {
     format!("10.{}.{}.{}:7000", node >> 16, (node >> 8) & 255, node & 255)
 }
 
-/// A target's entry with all fields that the platform tells.
+/// A target's list entry with all fields that the platform sends.
 pub fn target_json(target: u64, state: &str) -> String {
     let (address, zone) = (listed_address(target), target % 3);
     format!(
@@ -18,8 +18,8 @@
     )
 }
 
-/// The platform's whole list, all of it in service.
-pub fn whole_listing(targets: u64, revision: u64) -> String {
+/// The platform's full list, with every target in service.
+pub fn full_listing(targets: u64, revision: u64) -> String {
     let mut text = format!(r#"{{"rev":{revision},"all":true,"targets":["#);
     for target in 0..targets {
         let comma = if target > 0 { "," } else { "" };
@@ -28,10 +28,10 @@
     text + "]}"
 }
 
-/// The whole list as one frame, all of it in service.
-pub fn whole_frame(nodes: u64, revision: u64) -> Vec<u8> {
+/// The full list as one frame, with every node in service.
+pub fn full_list_frame(nodes: u64, revision: u64) -> Vec<u8> {
     let addresses: Vec<String> = (0..nodes).map(listed_address).collect();
-    let told = (0..nodes).zip(&addresses);
-    let entries = told.map(|(node, address)| entry(node, State::Serving, node as u32, address)).collect();
+    let nodes = (0..nodes).zip(&addresses);
+    let entries = nodes.map(|(node, address)| entry(node, State::Serving, node as u32, address)).collect();
     bytes_of(&Frame::List(List { extent: Extent::Full, since: revision, revision, entries }))
 }
--- a/crates/flaxstand-gateway/tests/harness/line_counter.rs
+++ b/crates/flaxstand-gateway/tests/harness/line_counter.rs
@@ -1,4 +1,4 @@
-//! Counts what each thread logs at the level that a process logs at by default.
+//! Counts the log lines of each thread at the default log level, `INFO`.
 
 use std::cell::Cell;
 use std::sync::Once;
@@ -9,7 +9,7 @@
     static LINES: Cell<u64> = const { Cell::new(0) };
 }
 
-/// One for all threads: subscribers that come and go would change what others see.
+/// One subscriber for all threads: installing and removing subscribers would affect tests on other threads.
 struct LineCounter;
 
 impl Subscriber for LineCounter {
@@ -31,8 +31,8 @@
     fn exit(&self, _: &Id) {}
 }
 
-/// Lines that this thread logs during a call.
-pub fn lines_of(call: impl FnOnce()) -> u64 {
+/// Returns the number of lines that this thread logs during a call.
+pub fn log_lines_during(call: impl FnOnce()) -> u64 {
     static INSTALL: Once = Once::new();
     INSTALL.call_once(|| {
         tracing::subscriber::set_global_default(LineCounter).expect("no other subscriber in this process");
--- a/crates/flaxstand-gateway/tests/harness/mod.rs
+++ b/crates/flaxstand-gateway/tests/harness/mod.rs
@@ -1,6 +1,6 @@
-//! A core on virtual time between scripted peers: what it writes is read frame by frame, what peers say is
-//! handed to it as bytes. On the platform's wire what it writes is kept as bytes, and the list service's first
-//! call is answered; all else is the test's to say.
+//! A gateway core on virtual time with scripted peers. The core's output is decoded frame by frame and peers' input
+//! is passed to it as bytes. On the platform's HTTP wire the output is kept as text, and requests for the full list
+//! are answered automatically; all other responses come from the test.
 #![allow(dead_code)]
 
 use flaxstand::api::{Class, DeduplicationScope, Effect, Plan, Settings};
@@ -83,14 +83,14 @@
     }
 }
 
-/// The same on the platform's wire, where a watch of the list waits for so long at most.
-pub fn on_platform(watch: u64) -> Config {
+/// A configuration for the platform's wire, with this maximum long poll of the list in milliseconds.
+pub fn platform_config(long_poll_ms: u64) -> Config {
     let mut c = config();
     c.wire = Wire::Platform;
     c.site.settings.polls_list = true;
     c.site.timeouts = Timeouts {
         node_idle_timeout: ms(18_000),
-        max_long_poll: ms(watch),
+        max_long_poll: ms(long_poll_ms),
         shutdown_grace: ms(1400),
         shutdown_timeout: ms(1600),
         ..c.site.timeouts
@@ -99,9 +99,10 @@
     c
 }
 
-/// The same, with the third class "keyed": nodes of a shard drop its repeats for so long.
-pub fn with_keyed(watch: u64, window: f64) -> Config {
-    let mut c = on_platform(watch);
+/// The platform configuration with "keyed" as its third class: the nodes of a shard drop repeated requests of this
+/// class within `window` milliseconds.
+pub fn platform_config_with_keyed(long_poll_ms: u64, window: f64) -> Config {
+    let mut c = platform_config(long_poll_ms);
     let keyed = Effect::IdempotencyKey { group: DeduplicationScope::Shard, window };
     c.site.settings.classes[2] = Class { effect: keyed, ..c.site.settings.classes[2].clone() };
     c.site.classes[2].name = "keyed".into();
@@ -110,17 +111,17 @@
 
 pub const PATH: &str = "/api/00000003b4d60021/7f3a9c21e0b4d655";
 
-/// A read as a client of the platform asks for it.
-pub fn ask_as(id: &str, class: &str, shard: i64, timeout: &str) -> String {
+/// A client's HTTP read request on the platform's wire.
+pub fn http_request(id: &str, class: &str, shard: i64, timeout: &str) -> String {
     format!(
         "GET {PATH} HTTP/1.1\r\nHost: h\r\nX-Request-ID: {id}\r\nX-Priority-Class: {class}\r\n\
          X-Qos-Policy: plan\r\nX-Timeout: {timeout}\r\nX-Placement: units=1,shard={shard},hosts=1\r\n\r\n"
     )
 }
 
-/// What the core wrote, in a form that outlives the bytes.
+/// An owned copy of a frame that the core wrote.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum SentFrame {
     Hello,
     Welcome,
     Bye(CloseReason),
@@ -141,83 +142,87 @@
     Other,
 }
 
-fn said(frame: &Frame<'_>) -> Said {
+fn sent_frame(frame: &Frame<'_>) -> SentFrame {
     match *frame {
-        Frame::Hello(_) => Said::Hello,
-        Frame::Welcome(_) => Said::Welcome,
-        Frame::Bye { close_reason, .. } => Said::Bye(close_reason),
-        Frame::Served { id, shard, payload } => Said::Served(id, shard, payload.to_vec()),
-        Frame::Refused { id, refusal, .. } => Said::Refused(id, refusal),
-        Frame::Failed { id } => Said::Failed(id),
-        Frame::Part { id, payload } => Said::Part(id, payload.to_vec()),
-        Frame::Attempt(a) => Said::Attempt { request: a.request, attempt: a.attempt, operation: a.operation },
-        Frame::Cancel { request, .. } => Said::Cancel(request),
-        Frame::Probe { token } => Said::Probe(token),
-        Frame::Buffered { id } => Said::Buffered(id),
-        Frame::Barred { id } => Said::Barred(id),
-        Frame::Flushed { id } => Said::Flushed(id),
-        Frame::Status { json, .. } => Said::Status(String::from_utf8_lossy(json).into_owned()),
-        Frame::Agreement { bytes } => Said::Agreement(bytes.to_vec()),
-        Frame::Watch => Said::Watch,
-        Frame::GetList => Said::GetList,
-        _ => Said::Other,
+        Frame::Hello(_) => SentFrame::Hello,
+        Frame::Welcome(_) => SentFrame::Welcome,
+        Frame::Bye { close_reason, .. } => SentFrame::Bye(close_reason),
+        Frame::Served { id, shard, payload } => SentFrame::Served(id, shard, payload.to_vec()),
+        Frame::Refused { id, refusal, .. } => SentFrame::Refused(id, refusal),
+        Frame::Failed { id } => SentFrame::Failed(id),
+        Frame::Part { id, payload } => SentFrame::Part(id, payload.to_vec()),
+        Frame::Attempt(a) => {
+            SentFrame::Attempt { request: a.request, attempt: a.attempt, operation: a.operation }
+        }
+        Frame::Cancel { request, .. } => SentFrame::Cancel(request),
+        Frame::Probe { token } => SentFrame::Probe(token),
+        Frame::Buffered { id } => SentFrame::Buffered(id),
+        Frame::Barred { id } => SentFrame::Barred(id),
+        Frame::Flushed { id } => SentFrame::Flushed(id),
+        Frame::Status { json, .. } => SentFrame::Status(String::from_utf8_lossy(json).into_owned()),
+        Frame::Agreement { bytes } => SentFrame::Agreement(bytes.to_vec()),
+        Frame::Watch => SentFrame::Watch,
+        Frame::GetList => SentFrame::GetList,
+        _ => SentFrame::Other,
     }
 }
 
-/// How a scripted node takes a call.
+/// What happens when the core connects to an address.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Dial {
-    /// Stands, and greets as node number so and so.
-    Greets(u64),
-    /// Stands, and says nothing.
-    Deaf,
-    /// Refused.
+pub enum ConnectOutcome {
+    /// The connection is established and the peer sends `Welcome` as this node.
+    Welcomes(u64),
+    /// The connection is established, but the peer sends nothing.
+    Silent,
+    /// The connection is refused.
     Refused,
-    /// Never heard of again.
-    Lost,
+    /// The attempt neither succeeds nor fails.
+    NoReply,
 }
 
-pub struct World {
+/// A core under test together with its scripted peers.
+pub struct Harness {
     pub core: Core,
     pub now: Micros,
-    /// What the core wrote on each connection.
-    pub said: BTreeMap<ConnId, Vec<Said>>,
+    /// Frames that the core wrote, by connection.
+    pub sent_frames: BTreeMap<ConnId, Vec<SentFrame>>,
     inboxes: BTreeMap<ConnId, Inbox>,
-    /// The same, as bytes.
-    pub raw: BTreeMap<ConnId, Vec<u8>>,
+    /// The same frames as bytes.
+    pub sent_bytes: BTreeMap<ConnId, Vec<u8>>,
     wire: Wire,
-    /// On the platform: the bytes that the core wrote on each connection.
-    pub heard: BTreeMap<ConnId, String>,
-    /// Connections called, in their order, with the address.
-    pub dialled: Vec<(ConnId, Address)>,
-    /// Connections that the core called and that stand, with the address called.
-    pub called: BTreeMap<ConnId, Address>,
+    /// On the platform's wire: the text that the core wrote, by connection.
+    pub sent_text: BTreeMap<ConnId, String>,
+    /// Every connection that the core opened with its address, in order.
+    pub connect_attempts: Vec<(ConnId, Address)>,
+    /// Established outgoing connections with their addresses.
+    pub connected: BTreeMap<ConnId, Address>,
     pub closed: BTreeSet<ConnId>,
-    /// Connections on which the core sends nothing more; it still reads them.
-    pub shut: BTreeSet<ConnId>,
+    /// Connections whose write side the core has shut down; it still reads from them.
+    pub write_closed: BTreeSet<ConnId>,
     /// Connections whose peer does not read.
     pub blocked: BTreeSet<ConnId>,
-    /// How each address takes a call; the list service's stands by itself.
-    pub dials: BTreeMap<Address, Dial>,
+    /// The outcome of connecting to each node address; `list_up` decides for the list service.
+    pub connect_outcomes: BTreeMap<Address, ConnectOutcome>,
     pub list: Vec<(u64, State, u32, String)>,
     pub revision: u64,
     pub list_up: bool,
-    /// On the platform: calls for the whole list that are turned away before one is answered; when the last was.
-    pub busy: u32,
-    /// On the platform: calls for the whole list are the test's to answer.
-    pub leaves_calls: bool,
-    /// On the platform: calls for changes that may not wait are answered at once too, or turned away.
-    pub answers_at_once: bool,
+    /// On the platform's wire: how many more list requests are rejected with 503 before one is answered.
+    pub rejections_left: u32,
+    /// On the platform's wire: requests for the full list wait for a response from the test.
+    pub holds_list_calls: bool,
+    /// On the platform's wire: requests for changes with a zero timeout are also answered or rejected automatically.
+    pub answers_polls: bool,
+    /// When the last list was sent automatically.
     pub listed_at: Micros,
-    /// Which start a node says it is, where not the first.
-    pub starts: BTreeMap<u64, u64>,
-    /// What attempts brought: operation, where it begins, data.
-    pub brought: Vec<(u64, Option<u32>, Vec<u8>)>,
-    /// Batches that the disk has not done yet.
-    pub batches: VecDeque<Batch>,
+    /// Epochs that nodes report in `Welcome`; 1 where absent.
+    pub epochs: BTreeMap<u64, u64>,
+    /// Operation, offset and payload of each attempt that the core sent.
+    pub attempt_payloads: Vec<(u64, Option<u32>, Vec<u8>)>,
+    /// Write-back batches that the disk has not completed yet.
+    pub pending_batches: VecDeque<Batch>,
     pub saved: Option<Vec<u8>>,
     pub exited: bool,
-    pub calls: u32,
+    pub connect_count: u32,
     wake: Option<Micros>,
 }
 
@@ -225,7 +230,7 @@
     format!("127.0.0.1:{}", 100 + node)
 }
 
-/// A read of one unit.
+/// A read request of one unit.
 pub fn request(id: u64, class: u16, (shard, extent): (Option<u32>, u64)) -> Submit<'static> {
     Submit {
         id,
@@ -245,7 +250,7 @@
     }
 }
 
-/// A node's entry in the list, at its first start.
+/// A node's list entry with incarnation 1.
 pub fn entry(node: u64, state: State, shard: u32, address: &str) -> Entry<'_> {
     Entry { node, incarnation: 1, state, age: None, shard, zone: 0, size: 0, service_time: None, address }
 }
@@ -256,8 +261,8 @@
     out
 }
 
-impl World {
-    /// A core whose list has so many nodes; node and shard have one number.
+impl Harness {
+    /// A core whose list has `nodes` nodes; node `n` holds shard `n`.
     pub fn new(config: Config, nodes: u64) -> Self {
         Self::with_saved(config, nodes, None)
     }
@@ -266,56 +271,58 @@
         Self::started(config, nodes, saved, true)
     }
 
-    /// A core that never reaches the list service.
-    pub fn cut_off(config: Config, nodes: u64, saved: &[u8]) -> Self {
+    /// A core with a saved list and an unreachable list service.
+    pub fn without_list_service(config: Config, nodes: u64, saved: &[u8]) -> Self {
         Self::started(config, nodes, Some(saved), false)
     }
 
     fn started(config: Config, nodes: u64, saved: Option<&[u8]>, list_up: bool) -> Self {
         let now = ms(1_000_000);
         let wire = config.wire;
-        let core = Core::new(config, saved, now).expect("the saved list is sound");
-        let (said, inboxes, called, closed, blocked) = Default::default();
-        let dials = (0..nodes).map(|n| (address(n).parse().unwrap(), Dial::Greets(n))).collect();
+        let core = Core::new(config, saved, now).expect("the saved list is valid");
+        let (sent_frames, inboxes, connected, closed, blocked) = Default::default();
+        let connect_outcomes =
+            (0..nodes).map(|n| (address(n).parse().unwrap(), ConnectOutcome::Welcomes(n))).collect();
         let list = (0..nodes).map(|n| (n, State::Serving, n as u32, address(n))).collect();
-        let mut world = World {
+        let mut harness = Harness {
             core,
             now,
-            said,
+            sent_frames,
             inboxes,
-            raw: BTreeMap::new(),
+            sent_bytes: BTreeMap::new(),
             wire,
-            heard: BTreeMap::new(),
-            dialled: Vec::new(),
-            called,
+            sent_text: BTreeMap::new(),
+            connect_attempts: Vec::new(),
+            connected,
             closed,
-            shut: BTreeSet::new(),
+            write_closed: BTreeSet::new(),
             blocked,
-            dials,
+            connect_outcomes,
             list,
             revision: 1,
             list_up,
-            busy: 0,
-            leaves_calls: false,
-            answers_at_once: false,
+            rejections_left: 0,
+            holds_list_calls: false,
+            answers_polls: false,
             listed_at: now,
-            starts: BTreeMap::new(),
-            brought: Vec::new(),
-            batches: VecDeque::new(),
+            epochs: BTreeMap::new(),
+            attempt_payloads: Vec::new(),
+            pending_batches: VecDeque::new(),
             saved: None,
             exited: false,
-            calls: 0,
+            connect_count: 0,
             wake: None,
         };
-        world.run(5);
-        world
+        harness.run(5);
+        harness
     }
 
-    /// When the core wants to be called again.
+    /// When the core's next timer is due.
     pub fn next_wake(&self) -> Option<Micros> {
         self.wake
     }
 
+    /// Settles the core and executes its commands until it has none left.
     pub fn turn(&mut self) {
         self.wake = self.core.settle(self.now);
         loop {
@@ -323,110 +330,113 @@
             if commands.is_empty() {
                 break;
             }
-            commands.into_iter().for_each(|c| self.carry_out(c));
+            commands.into_iter().for_each(|c| self.execute(c));
         }
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         match command {
-            Command::Connect { conn, address } => self.dial(conn, address),
+            Command::Connect { conn, address } => self.connect(conn, address),
             Command::Flush(conn) => self.drain(conn),
             Command::ShutdownWrite(conn) => {
                 self.drain(conn);
-                self.shut.insert(conn);
+                self.write_closed.insert(conn);
             }
             Command::Close { conn, last } => {
-                self.hear(conn, &last);
+                self.record_sent(conn, &last);
                 self.closed.insert(conn);
-                self.called.remove(&conn);
+                self.connected.remove(&conn);
             }
             Command::SaveList(bytes) => self.saved = Some(bytes),
             Command::AppendList(bytes) => self.saved.get_or_insert_default().extend(bytes),
             Command::Exit => self.exited = true,
-            Command::StoreWriteBack(batch) => self.batches.push_back(batch),
-            // A disk that is done at once.
+            Command::StoreWriteBack(batch) => self.pending_batches.push_back(batch),
+            // Consensus records are stored immediately.
             Command::StoreConsensus(_) => self.core.consensus_stored(true, self.now),
             Command::SaveReplicatedState(_) => {}
             Command::StopListening | Command::Print(_) | Command::AppendOutput(..) => {}
         }
     }
 
-    fn dial(&mut self, conn: ConnId, address: Address) {
-        self.calls += 1;
-        self.dialled.push((conn, address.clone()));
-        let list = address == "127.0.0.1:1".parse().unwrap();
-        let dial = match list {
-            true if self.list_up => Dial::Greets(0),
-            true => Dial::Refused,
-            false => self.dials.get(&address).copied().unwrap_or(Dial::Refused),
+    fn connect(&mut self, conn: ConnId, address: Address) {
+        self.connect_count += 1;
+        self.connect_attempts.push((conn, address.clone()));
+        let is_list = address == "127.0.0.1:1".parse().unwrap();
+        let outcome = match is_list {
+            true if self.list_up => ConnectOutcome::Welcomes(0),
+            true => ConnectOutcome::Refused,
+            false => self.connect_outcomes.get(&address).copied().unwrap_or(ConnectOutcome::Refused),
         };
-        match dial {
-            Dial::Refused => self.core.connect_failed(conn, "refused", self.now),
-            Dial::Lost => {}
-            Dial::Greets(_) | Dial::Deaf => {
-                self.called.insert(conn, address);
+        match outcome {
+            ConnectOutcome::Refused => self.core.connect_failed(conn, "refused", self.now),
+            ConnectOutcome::NoReply => {}
+            ConnectOutcome::Welcomes(_) | ConnectOutcome::Silent => {
+                self.connected.insert(conn, address);
                 self.core.connected(conn, self.now);
                 if self.wire == Wire::Platform {
                     return;
                 }
-                if let Dial::Greets(id) = dial {
-                    let role = if list { Role::List } else { Role::Node };
-                    let epoch = self.starts.get(&id).copied().unwrap_or(1);
-                    self.tell(conn, &Frame::Welcome(Welcome { version: VERSION, role, id, epoch, name: "" }));
+                if let ConnectOutcome::Welcomes(id) = outcome {
+                    let role = if is_list { Role::List } else { Role::Node };
+                    let epoch = self.epochs.get(&id).copied().unwrap_or(1);
+                    self.send_frame(
+                        conn,
+                        &Frame::Welcome(Welcome { version: VERSION, role, id, epoch, name: "" }),
+                    );
                 }
             }
         }
     }
 
-    /// The peer reads all that waits.
+    /// The peer reads all pending output, unless the connection is blocked.
     pub fn drain(&mut self, conn: ConnId) {
         if self.blocked.contains(&conn) {
             return;
         }
         let bytes = self.core.outgoing(conn).to_vec();
         self.core.written(conn, bytes.len(), self.now);
-        self.hear(conn, &bytes);
+        self.record_sent(conn, &bytes);
     }
 
-    fn hear(&mut self, conn: ConnId, bytes: &[u8]) {
+    fn record_sent(&mut self, conn: ConnId, bytes: &[u8]) {
         if self.wire == Wire::Platform {
             let text = String::from_utf8_lossy(bytes);
-            self.heard.entry(conn).or_default().push_str(&text);
-            let whole = text.starts_with("GET /v1/endpoints HTTP");
-            let at_once = text.starts_with("GET /v1/endpoints?") && text.contains("timeout_ms=0 ");
-            if whole && !self.leaves_calls || at_once && self.answers_at_once {
-                if self.busy > 0 {
-                    self.busy -= 1;
+            self.sent_text.entry(conn).or_default().push_str(&text);
+            let is_full = text.starts_with("GET /v1/endpoints HTTP");
+            let is_poll = text.starts_with("GET /v1/endpoints?") && text.contains("timeout_ms=0 ");
+            if is_full && !self.holds_list_calls || is_poll && self.answers_polls {
+                if self.rejections_left > 0 {
+                    self.rejections_left -= 1;
                     return self.answer(conn, "503 Busy", "");
                 }
                 self.listed_at = self.now;
-                let list = self.listing(whole);
+                let list = self.listing(is_full);
                 self.answer(conn, "200 OK", &list);
             }
             return;
         }
-        self.raw.entry(conn).or_default().extend_from_slice(bytes);
-        let mut heard = Vec::new();
-        let brought = &mut self.brought;
+        self.sent_bytes.entry(conn).or_default().extend_from_slice(bytes);
+        let mut sent = Vec::new();
+        let payloads = &mut self.attempt_payloads;
         let inbox = self.inboxes.entry(conn).or_default();
         inbox
             .feed(bytes, |frame| {
                 if let Frame::Attempt(a) = &frame {
-                    brought.push((a.operation, a.at, a.payload.to_vec()));
+                    payloads.push((a.operation, a.at, a.payload.to_vec()));
                 }
-                heard.push(said(&frame));
+                sent.push(sent_frame(&frame));
                 true
             })
-            .expect("the core writes frames");
-        for said in heard {
-            if matches!(said, Said::Watch | Said::GetList) {
-                self.tell_list(conn);
+            .expect("the core writes valid frames");
+        for frame in sent {
+            if matches!(frame, SentFrame::Watch | SentFrame::GetList) {
+                self.send_list(conn);
             }
-            self.said.entry(conn).or_default().push(said);
+            self.sent_frames.entry(conn).or_default().push(frame);
         }
     }
 
-    /// The list in the platform's words.
+    /// The current list as the platform's JSON; `all` marks it as a full list.
     pub fn listing(&self, all: bool) -> String {
         let mut text = format!(r#"{{"rev":{},"all":{all},"targets":["#, self.revision);
         for (at, (node, state, shard, address)) in self.list.iter().enumerate() {
@@ -444,75 +454,82 @@
         text + "]}"
     }
 
-    /// A peer answers what it was asked over HTTP.
+    /// A peer sends an HTTP response.
     pub fn answer(&mut self, conn: ConnId, status: &str, body: &str) {
         let text = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        self.says(conn, text.as_bytes());
+        self.send_bytes(conn, text.as_bytes());
     }
 
-    /// Bytes of a peer.
-    pub fn says(&mut self, conn: ConnId, bytes: &[u8]) {
+    /// A peer sends bytes to the core.
+    pub fn send_bytes(&mut self, conn: ConnId, bytes: &[u8]) {
         self.core.received(conn, bytes, self.now);
     }
 
-    /// What the core wrote there.
-    pub fn heard_on(&self, conn: ConnId) -> &str {
-        self.heard.get(&conn).map_or("", |t| t)
+    /// The text that the core wrote on a connection.
+    pub fn sent_text_on(&self, conn: ConnId) -> &str {
+        self.sent_text.get(&conn).map_or("", |t| t)
     }
 
-    /// A client's connection on the platform.
+    /// Opens a client connection on the platform's wire.
     pub fn http_client(&mut self) -> ConnId {
-        let conn = self.core.accepted(0, self.now).expect("there is room");
+        let conn = self.core.accepted(0, self.now).expect("the connection limit is not reached");
         self.turn();
         conn
     }
 
-    /// A client of the platform whose request is out at node 0, and the connection that carries it.
-    pub fn asked(&mut self, id: &str, class: &str) -> (ConnId, ConnId) {
+    /// Sends a client's request on the platform's wire. Returns the client's connection and the connection to node 0
+    /// on which the request is in flight.
+    pub fn request_in_flight(&mut self, id: &str, class: &str) -> (ConnId, ConnId) {
         let client = self.http_client();
-        self.says(client, ask_as(id, class, 0, "1.000").as_bytes());
+        self.send_bytes(client, http_request(id, class, 0, "1.000").as_bytes());
         self.run(5);
-        (client, *self.links(0).last().expect("it was sent"))
+        (client, *self.conns_to(0).last().expect("the request was sent to node 0"))
     }
 
-    /// The statuses that a client of the platform was answered with.
+    /// The HTTP status codes that a client received.
     pub fn statuses(&self, conn: ConnId) -> Vec<u16> {
-        let heads = self.heard_on(conn).split("HTTP/1.1 ").skip(1);
-        heads.map(|h| h[..3].parse().expect("a status")).collect()
+        let heads = self.sent_text_on(conn).split("HTTP/1.1 ").skip(1);
+        heads.map(|h| h[..3].parse().expect("a status code")).collect()
     }
 
-    /// Connections to a node on which a request is or was, in the order of calling.
-    pub fn links(&self, node: u64) -> Vec<ConnId> {
+    /// Every connection opened to a node, in order.
+    pub fn conns_to(&self, node: u64) -> Vec<ConnId> {
         let at: Address = address(node).parse().unwrap();
-        self.dialled.iter().filter(|(_, a)| *a == at).map(|(c, _)| *c).collect()
+        self.connect_attempts.iter().filter(|(_, a)| *a == at).map(|(c, _)| *c).collect()
     }
 
-    pub fn tell_list(&mut self, conn: ConnId) {
+    /// The list service sends the current list as a full list.
+    pub fn send_list(&mut self, conn: ConnId) {
         let list = self.list.clone();
         let entries = list.iter().map(|(node, state, shard, address)| entry(*node, *state, *shard, address));
         let (since, revision) = (self.revision, self.revision);
         let list = List { extent: Extent::Full, since, revision, entries: entries.collect() };
-        self.tell(conn, &Frame::List(list));
+        self.send_frame(conn, &Frame::List(list));
     }
 
-    /// The list's connection.
+    /// The connection to the list service.
     pub fn list_conn(&self) -> ConnId {
         let list = "127.0.0.1:1".parse().unwrap();
-        *self.called.iter().find(|(_, a)| **a == list).expect("the list service was called").0
+        *self
+            .connected
+            .iter()
+            .find(|(_, a)| **a == list)
+            .expect("the core is connected to the list service")
+            .0
     }
 
-    /// A node's connection.
+    /// The connection to a node.
     pub fn node_conn(&self, node: u64) -> ConnId {
         let at: Address = address(node).parse().unwrap();
-        *self.called.iter().find(|(_, a)| **a == at).expect("the node was called").0
+        *self.connected.iter().find(|(_, a)| **a == at).expect("the core is connected to the node").0
     }
 
-    /// A peer says something.
-    pub fn tell(&mut self, conn: ConnId, frame: &Frame<'_>) {
+    /// A peer sends a frame to the core.
+    pub fn send_frame(&mut self, conn: ConnId, frame: &Frame<'_>) {
         self.core.received(conn, &bytes_of(frame), self.now);
     }
 
-    /// Time passes, with a turn at each moment that the core asks for.
+    /// Advances the clock, with a turn whenever one of the core's timers is due.
     pub fn run(&mut self, millis: u64) {
         let until = self.now.after(ms(millis));
         self.turn();
@@ -524,11 +541,11 @@
         self.turn();
     }
 
-    /// A client that has been greeted.
+    /// Opens a client connection and completes its handshake.
     pub fn client(&mut self) -> ConnId {
-        let conn = self.core.accepted(0, self.now).expect("there is room");
+        let conn = self.core.accepted(0, self.now).expect("the connection limit is not reached");
         let hello = Hello { role: Role::Client, versions: (VERSION, VERSION), id: 1, epoch: 1, name: "test" };
-        self.tell(conn, &Frame::Hello(hello));
+        self.send_frame(conn, &Frame::Hello(hello));
         self.turn();
         conn
     }
@@ -546,39 +563,40 @@
     }
 
     fn submit_as(&mut self, conn: ConnId, id: u64, class: u16, to: (Option<u32>, u64), millis: u32) {
-        self.tell(conn, &Frame::Submit(Submit { time_left: millis * 1000, ..request(id, class, to) }));
+        self.send_frame(conn, &Frame::Submit(Submit { time_left: millis * 1000, ..request(id, class, to) }));
     }
 
-    /// Attempts that a node was sent.
+    /// Request and attempt numbers of the attempts sent to a node.
     pub fn attempts(&self, node: u64) -> Vec<(u64, u32)> {
         let at: Address = address(node).parse().unwrap();
-        let conns = self.called.iter().filter(|(_, a)| **a == at).map(|(c, _)| c);
+        let conns = self.connected.iter().filter(|(_, a)| **a == at).map(|(c, _)| c);
         conns.flat_map(|c| self.attempts_on(*c)).collect()
     }
 
     pub fn attempts_on(&self, conn: ConnId) -> Vec<(u64, u32)> {
-        let of = |s: &Said| match s {
-            Said::Attempt { request, attempt, .. } => Some((*request, *attempt)),
+        let numbers = |s: &SentFrame| match s {
+            SentFrame::Attempt { request, attempt, .. } => Some((*request, *attempt)),
             _ => None,
         };
-        self.said.get(&conn).into_iter().flatten().filter_map(of).collect()
+        self.sent_frames.get(&conn).into_iter().flatten().filter_map(numbers).collect()
     }
 
+    /// A node reports an attempt as done.
     pub fn done(&mut self, conn: ConnId, (request, attempt): (u64, u32), code: Code, payload: &[u8]) {
         let report = Report::default();
-        self.tell(conn, &Frame::Done(Done { request, attempt, code, report, payload }));
+        self.send_frame(conn, &Frame::Done(Done { request, attempt, code, report, payload }));
     }
 
-    /// Final answers that a client read.
-    pub fn answers(&self, conn: ConnId) -> Vec<Said> {
-        let last = |s: &&Said| {
-            use Said::*;
+    /// Final responses that a client received.
+    pub fn answers(&self, conn: ConnId) -> Vec<SentFrame> {
+        let is_final = |s: &&SentFrame| {
+            use SentFrame::*;
             matches!(s, Served(..) | Refused(..) | Failed(_) | Buffered(_) | Barred(_) | Flushed(_))
         };
-        self.said.get(&conn).into_iter().flatten().filter(last).cloned().collect()
+        self.sent_frames.get(&conn).into_iter().flatten().filter(is_final).cloned().collect()
     }
 
-    pub fn said_on(&self, conn: ConnId) -> &[Said] {
-        self.said.get(&conn).map_or(&[], |s| &s[..])
+    pub fn sent_frames_on(&self, conn: ConnId) -> &[SentFrame] {
+        self.sent_frames.get(&conn).map_or(&[], |s| &s[..])
     }
 }
--- a/crates/flaxstand-gateway/tests/list_answers.rs
+++ b/crates/flaxstand-gateway/tests/list_answers.rs
@@ -14,20 +14,20 @@
 const STEP: u64 = 10;
 
 fn platform() -> Config {
-    let mut config = on_platform(2500);
+    let mut config = platform_config(2500);
     config.bounds.max_endpoints = 2 * TARGETS as usize;
     config
 }
 
 /// A core whose first call, of the whole list, is out.
-fn asked_for_all() -> (World, ConnId) {
-    let mut w = World::new(platform(), 0);
-    w.leaves_calls = true;
+fn asked_for_all() -> (Harness, ConnId) {
+    let mut w = Harness::new(platform(), 0);
+    w.holds_list_calls = true;
     // The list goes back, so that all of it is asked for.
     let conn = w.list_conn();
     w.answer(conn, "200 OK", r#"{"rev":0,"all":false,"targets":[]}"#);
     w.run(STEP);
-    assert!(w.heard_on(conn).contains("GET /v1/endpoints HTTP"));
+    assert!(w.sent_text_on(conn).contains("GET /v1/endpoints HTTP"));
     (w, conn)
 }
 
@@ -48,16 +48,16 @@
 }
 
 /// Says bytes at an even pace over so many ms.
-fn says_over(w: &mut World, conn: ConnId, bytes: &[u8], millis: u64) {
+fn says_over(w: &mut Harness, conn: ConnId, bytes: &[u8], millis: u64) {
     let steps = millis / STEP;
     for step in 0..steps {
         let (from, to) = (bytes.len() as u64 * step / steps, bytes.len() as u64 * (step + 1) / steps);
-        w.says(conn, &bytes[from as usize..to as usize]);
+        w.send_bytes(conn, &bytes[from as usize..to as usize]);
         w.run(STEP);
     }
 }
 
-fn listed(w: &World) -> usize {
+fn listed(w: &Harness) -> usize {
     w.core.footprint().nodes
 }
 
@@ -87,7 +87,7 @@
 fn a_list_that_pauses_on_its_way_is_heard() {
     let (mut w, conn) = asked_for_all();
     for part in with_head(&whole_list(2)).chunks(100_000) {
-        w.says(conn, part);
+        w.send_bytes(conn, part);
         w.run(600);
     }
     assert_eq!(listed(&w), TARGETS as usize);
@@ -97,7 +97,7 @@
 fn a_whole_list_that_takes_the_service_some_seconds_is_heard() {
     let (mut w, conn) = asked_for_all();
     w.run(3_500);
-    w.says(conn, &with_head(&whole_list(2)));
+    w.send_bytes(conn, &with_head(&whole_list(2)));
     w.run(STEP);
     assert_eq!(listed(&w), TARGETS as usize);
 }
@@ -106,14 +106,14 @@
 #[test]
 fn a_head_that_comes_long_before_its_body_is_no_trouble() {
     let (mut w, conn) = asked_for_all();
-    w.says(conn, &with_head(&whole_list(2)));
+    w.send_bytes(conn, &with_head(&whole_list(2)));
     w.run(STEP);
     let body = r#"{"rev":2,"all":false,"targets":[]}"#;
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-    w.says(conn, head.as_bytes());
+    w.send_bytes(conn, head.as_bytes());
     w.run(1_400);
     assert!(!w.closed.contains(&conn));
-    w.says(conn, body.as_bytes());
+    w.send_bytes(conn, body.as_bytes());
     w.run(STEP);
     assert!(!w.closed.contains(&conn));
 }
@@ -122,7 +122,7 @@
 fn an_answer_that_stands_still_is_given_up() {
     let (mut w, conn) = asked_for_all();
     let bytes = with_head(&whole_list(2));
-    w.says(conn, &bytes[..bytes.len() / 2]);
+    w.send_bytes(conn, &bytes[..bytes.len() / 2]);
     w.run(1_400);
     assert!(!w.closed.contains(&conn));
     w.run(200);
@@ -134,10 +134,10 @@
 #[test]
 fn an_answer_that_trickles_is_given_up() {
     let (mut w, conn) = asked_for_all();
-    w.says(conn, &with_head(&whole_list(2))[..200]);
+    w.send_bytes(conn, &with_head(&whole_list(2))[..200]);
     let mut passed = 0;
     while !w.closed.contains(&conn) {
-        w.says(conn, b"      ");
+        w.send_bytes(conn, b"      ");
         w.run(500);
         passed += 500;
         assert!(passed < 10_000, "it would go on for ever");
@@ -148,11 +148,11 @@
 #[test]
 fn an_answer_without_an_end_is_given_up() {
     let (mut w, conn) = asked_for_all();
-    w.says(conn, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    w.send_bytes(conn, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     let chunk = format!("{:x}\r\n{}\r\n", 1 << 20, " ".repeat(1 << 20));
     let mut chunks = 0;
     while !w.closed.contains(&conn) {
-        w.says(conn, chunk.as_bytes());
+        w.send_bytes(conn, chunk.as_bytes());
         w.run(STEP);
         chunks += 1;
         assert!(chunks < 40, "more than any list has");
@@ -164,14 +164,14 @@
 fn large_answers_of_nodes_do_not_cost_the_list() {
     let mut config = platform();
     config.bounds.max_response_bytes = 1 << 20;
-    let mut w = World::new(config, 2);
-    let (_, link) = w.asked("r1", "read");
+    let mut w = Harness::new(config, 2);
+    let (_, link) = w.request_in_flight("r1", "read");
     let conn = w.list_conn();
     let half = [b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n".as_slice(), &[b'x'; 900_000]].concat();
-    w.says(link, &half);
+    w.send_bytes(link, &half);
     let bytes = with_head(&whole_list(2));
     for part in bytes.chunks(100_000) {
-        w.says(conn, part);
+        w.send_bytes(conn, part);
         w.run(STEP);
     }
     assert_eq!(listed(&w), TARGETS as usize);
@@ -187,22 +187,22 @@
         notified_after_move: 4_000.0,
         drain_grace: 1_000.0,
     });
-    let mut w = World::new(config, 2);
+    let mut w = Harness::new(config, 2);
     let conn = w.list_conn();
     let bytes = with_head(&whole_list(2));
-    w.says(conn, &bytes[..bytes.len() / 2]);
+    w.send_bytes(conn, &bytes[..bytes.len() / 2]);
     w.run(500);
-    let (client, _) = w.asked("r1", "read");
+    let (client, _) = w.request_in_flight("r1", "read");
     assert!(w.statuses(client).is_empty(), "it was sent");
     w.run(400);
     let client = w.http_client();
-    w.says(client, ask_as("r2", "read", 1, "1.000").as_bytes());
+    w.send_bytes(client, http_request("r2", "read", 1, "1.000").as_bytes());
     w.run(STEP);
     assert_eq!(w.statuses(client), [503]);
-    w.says(conn, &bytes[bytes.len() / 2..]);
+    w.send_bytes(conn, &bytes[bytes.len() / 2..]);
     w.run(STEP);
     let client = w.http_client();
-    w.says(client, ask_as("r3", "read", 1, "1.000").as_bytes());
+    w.send_bytes(client, http_request("r3", "read", 1, "1.000").as_bytes());
     w.run(STEP);
     assert!(w.statuses(client).is_empty(), "it was sent");
 }
@@ -212,18 +212,18 @@
     let mut config = platform();
     config.site.settings.notification_terms =
         Some(NotificationTerms { notified_within: 6_000.0, notified_after_move: 4_000.0, drain_grace });
-    let mut w = World::new(config, 2);
-    let (_, link) = w.asked("r1", "read");
+    let mut w = Harness::new(config, 2);
+    let (_, link) = w.request_in_flight("r1", "read");
     w.answer(link, "200 OK", "ok");
     w.run(50);
     w.blocked.insert(link);
     let client = w.http_client();
-    w.says(client, ask_as("r2", "read", 0, "5.000").as_bytes());
+    w.send_bytes(client, http_request("r2", "read", 0, "5.000").as_bytes());
     w.run(STEP);
-    assert!(!w.closed.contains(&link) && !w.heard_on(link).contains("r2"), "it waits to be written");
+    assert!(!w.closed.contains(&link) && !w.sent_text_on(link).contains("r2"), "it waits to be written");
     let conn = w.list_conn();
     let bytes = with_head(&whole_list(2));
-    w.says(conn, &bytes[..bytes.len() / 2]);
+    w.send_bytes(conn, &bytes[..bytes.len() / 2]);
     w.run(after_ms);
     assert!(w.closed.contains(&link), "it is taken back");
     assert_eq!(w.statuses(client), [503]);
--- a/crates/flaxstand-gateway/tests/list_fleet/clients.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/clients.rs
@@ -42,8 +42,12 @@
 
 fn request_text(request: usize, class: &str, shard: Option<usize>, wait: Micros) -> String {
     let shard = shard.map_or(-1, |shard| shard as i64);
-    let text =
-        super::harness::ask_as(&format!("r{request}"), class, shard, &format!("{:.3}", wait.ms() / 1000.0));
+    let text = super::harness::http_request(
+        &format!("r{request}"),
+        class,
+        shard,
+        &format!("{:.3}", wait.ms() / 1000.0),
+    );
     match class {
         "keyed" => text.replace("\r\n\r\n", &format!("\r\nIdempotency-Key: k{request}\r\n\r\n")),
         _ => text,
--- a/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/hosts.rs
@@ -2,7 +2,7 @@
 //! the writing, so that the core counts with an earlier moment than the one at which its bytes leave.
 
 use super::events::{HostConn, Input};
-use super::harness::with_keyed;
+use super::harness::platform_config_with_keyed;
 use super::list_service::FIRST_REVISION;
 use super::simulation::{ASK_WITHIN, Simulation};
 use flaxstand::api::{ListScope, NotificationTerms};
@@ -80,7 +80,7 @@
 
 impl Simulation {
     fn config(&self, host: usize) -> Config {
-        let mut config = with_keyed(WATCH_MS, KEYED_WINDOW_MS);
+        let mut config = platform_config_with_keyed(WATCH_MS, KEYED_WINDOW_MS);
         config.name = format!("host-{host}");
         config.seed = self.day.seed.wrapping_mul(31).wrapping_add(host as u64);
         config.epoch = u64::from(self.hosts[host].life);
--- a/crates/flaxstand-gateway/tests/list_growth.rs
+++ b/crates/flaxstand-gateway/tests/list_growth.rs
@@ -20,12 +20,12 @@
 /// Nodes looked at, connections gone through, bytes saved.
 type Work = (u64, u64, u64);
 
-fn work(w: &World) -> Work {
+fn work(w: &Harness) -> Work {
     let counts = w.core.counts();
     (counts.nodes_visited, counts.connections_walked, counts.saved_bytes)
 }
 
-fn since(w: &World, before: Work) -> Work {
+fn since(w: &Harness, before: Work) -> Work {
     let now = work(w);
     (now.0 - before.0, now.1 - before.1, now.2 - before.2)
 }
@@ -40,7 +40,7 @@
 }
 
 /// Tells changes on frames. All addresses have one length, so that entries have.
-fn tell_changes(w: &mut World, nodes: &[u64], state: State) {
+fn tell_changes(w: &mut Harness, nodes: &[u64], state: State) {
     let address_of = |node: &u64| format!("127.0.0.1:{}", 10_000 + node);
     let addresses: Vec<String> = nodes.iter().map(address_of).collect();
     let told = nodes.iter().zip(&addresses);
@@ -48,13 +48,13 @@
     let since = w.revision;
     w.revision += 1;
     let list = List { extent: Extent::Changes, since, revision: w.revision, entries };
-    w.tell(w.list_conn(), &Frame::List(list));
+    w.send_frame(w.list_conn(), &Frame::List(list));
     w.turn();
 }
 
 /// A core on frames with so many nodes listed, all of them saved.
-fn listed(nodes: u64) -> World {
-    let mut w = World::new(baseline(config(), nodes), 0);
+fn listed(nodes: u64) -> Harness {
+    let mut w = Harness::new(baseline(config(), nodes), 0);
     let all: Vec<u64> = (0..nodes).collect();
     all.chunks(PART).for_each(|part| tell_changes(&mut w, part, State::Serving));
     // A life that was told of the whole anew saves it whole.
@@ -70,7 +70,7 @@
     Target { uid, address: endpoint, zone: az, shard: node as u32, state, started_at_ms: 1, size: 1.0 }
 }
 
-fn tell_targets(w: &mut World, nodes: impl Iterator<Item = u64>, state: TargetState) {
+fn tell_targets(w: &mut Harness, nodes: impl Iterator<Item = u64>, state: TargetState) {
     w.revision += 1;
     let targets = nodes.map(|node| target(node, state)).collect();
     let listing = Listing { revision: w.revision, is_full: false, targets };
@@ -79,8 +79,8 @@
 }
 
 /// A core on the platform with so many targets listed, and so many clients that have been answered once.
-fn platform(targets: u64, clients: usize) -> World {
-    let mut w = World::new(baseline(on_platform(2500), targets), 0);
+fn platform(targets: u64, clients: usize) -> Harness {
+    let mut w = Harness::new(baseline(platform_config(2500), targets), 0);
     tell_targets(&mut w, 0..targets, TargetState::Up);
     for _ in 0..clients {
         let client = w.http_client();
@@ -89,8 +89,8 @@
     w
 }
 
-fn ask_ready(w: &mut World, client: ConnId) {
-    w.says(client, b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
+fn ask_ready(w: &mut Harness, client: ConnId) {
+    w.send_bytes(client, b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     w.turn();
 }
 
@@ -179,18 +179,21 @@
 #[test]
 fn the_longest_idle_connection_gives_its_place_without_a_walk() {
     let room = |targets| {
-        let mut c = baseline(on_platform(2500), targets);
+        let mut c = baseline(platform_config(2500), targets);
         c.bounds.max_node_connections = 3;
-        let mut w = World::new(c, 0);
+        let mut w = Harness::new(c, 0);
         tell_targets(&mut w, 0..targets, TargetState::Up);
         for node in 0..4 {
-            w.dials.insert(format!("127.0.0.1:{}", 10_000 + node).parse().unwrap(), Dial::Greets(node));
+            w.connect_outcomes.insert(
+                format!("127.0.0.1:{}", 10_000 + node).parse().unwrap(),
+                ConnectOutcome::Welcomes(node),
+            );
         }
-        let served = |w: &mut World, node: u64| {
+        let served = |w: &mut Harness, node: u64| {
             let client = w.http_client();
-            w.says(client, ask_as(&format!("{node}"), "read", node as i64, "1.000").as_bytes());
+            w.send_bytes(client, http_request(&format!("{node}"), "read", node as i64, "1.000").as_bytes());
             w.run(5);
-            let link = w.dialled.last().unwrap().0;
+            let link = w.connect_attempts.last().unwrap().0;
             w.answer(link, "200 OK", "");
             w.run(5);
             assert_eq!(w.statuses(client), [200]);
@@ -212,17 +215,17 @@
 #[test]
 fn whether_a_large_answer_has_room_is_known_without_a_walk_over_the_clients() {
     const LARGE_ANSWER: usize = 70_000;
-    let mut c = baseline(on_platform(2500), 1);
+    let mut c = baseline(platform_config(2500), 1);
     c.bounds.max_response_bytes = 2 * LARGE_ANSWER;
-    let mut w = World::new(c, 0);
-    w.dials.insert("127.0.0.1:10000".parse().unwrap(), Dial::Greets(0));
+    let mut w = Harness::new(c, 0);
+    w.connect_outcomes.insert("127.0.0.1:10000".parse().unwrap(), ConnectOutcome::Welcomes(0));
     tell_targets(&mut w, 0..1, TargetState::Up);
-    let served = |w: &mut World, id: &str| {
+    let served = |w: &mut Harness, id: &str| {
         let client = w.http_client();
-        w.says(client, ask_as(id, "read", 0, "1.000").as_bytes());
+        w.send_bytes(client, http_request(id, "read", 0, "1.000").as_bytes());
         w.run(5);
         w.blocked.insert(client);
-        let link = w.dialled.last().unwrap().0;
+        let link = w.connect_attempts.last().unwrap().0;
         w.answer(link, "200 OK", &"x".repeat(LARGE_ANSWER));
         w.run(30);
         client
@@ -246,11 +249,11 @@
 }
 
 /// A core on the platform that may probe its one target, and has this many idle connections to it.
-fn probing(idle: u64) -> World {
-    let mut c = on_platform(2500);
+fn probing(idle: u64) -> Harness {
+    let mut c = platform_config(2500);
     (c.site.settings.max_concurrent_attempts, c.site.settings.may_probe) = (2, true);
-    let mut w = World::new(c, 0);
-    w.dials.insert("127.0.0.1:10000".parse().unwrap(), Dial::Greets(0));
+    let mut w = Harness::new(c, 0);
+    w.connect_outcomes.insert("127.0.0.1:10000".parse().unwrap(), ConnectOutcome::Welcomes(0));
     tell_targets(&mut w, 0..1, TargetState::Up);
     for id in (0..5).map(|round| 10 * round) {
         (id..id + idle).for_each(|id| ask(&mut w, id));
@@ -263,31 +266,31 @@
 }
 
 /// A new client asks the first target for something.
-fn ask(w: &mut World, id: u64) {
+fn ask(w: &mut Harness, id: u64) {
     let client = w.http_client();
-    w.says(client, ask_as(&format!("{id}"), "read", 0, "1.000").as_bytes());
+    w.send_bytes(client, http_request(&format!("{id}"), "read", 0, "1.000").as_bytes());
     w.run(10);
 }
 
 /// The newest open connection whose last message has these words.
-fn carrying(w: &World, words: &str) -> Option<ConnId> {
-    let last_message = |conn: &ConnId| w.heard_on(*conn).rsplit("\r\n\r\n").nth(1);
-    let open = w.dialled.iter().rev().map(|(conn, _)| *conn).filter(|conn| !w.closed.contains(conn));
+fn carrying(w: &Harness, words: &str) -> Option<ConnId> {
+    let last_message = |conn: &ConnId| w.sent_text_on(*conn).rsplit("\r\n\r\n").nth(1);
+    let open = w.connect_attempts.iter().rev().map(|(conn, _)| *conn).filter(|conn| !w.closed.contains(conn));
     let mut carrying = open.filter(|conn| last_message(conn).is_some_and(|text| text.contains(words)));
     carrying.next()
 }
 
-fn answer_attempt(w: &mut World, id: u64) {
+fn answer_attempt(w: &mut Harness, id: u64) {
     let link = carrying(w, &format!("X-Request-ID: {id}\r\n")).expect("it was sent");
     w.answer(link, "200 OK", "");
 }
 
 /// A probe goes out. Where, and whether it was on a connection that had been called before.
-fn probe_sent(w: &mut World) -> (ConnId, bool) {
-    let called = w.dialled.len();
+fn probe_sent(w: &mut Harness) -> (ConnId, bool) {
+    let called = w.connect_attempts.len();
     for _ in 0..400 {
         if let Some(conn) = carrying(w, "/health") {
-            return (conn, w.dialled[..called].iter().any(|(before, _)| *before == conn));
+            return (conn, w.connect_attempts[..called].iter().any(|(before, _)| *before == conn));
         }
         w.run(1);
     }
--- a/crates/flaxstand-gateway/tests/long_lists.rs
+++ b/crates/flaxstand-gateway/tests/long_lists.rs
@@ -4,7 +4,7 @@
 
 use flaxstand_gateway::core::{Config, Core, Wire};
 use flaxstand_proto::{Extent, Frame, List, State};
-use harness::{Said, World, bytes_of, config, entry, ms};
+use harness::{Harness, SentFrame, bytes_of, config, entry, ms};
 
 const NODES: u64 = 25_000;
 
@@ -33,10 +33,10 @@
 
 #[test]
 fn a_list_of_25_000_nodes_is_taken_and_saved_whole_on_frames() {
-    let mut world = World::new(config(), 1);
+    let mut world = Harness::new(config(), 1);
     let list = world.list_conn();
     for piece in whole_list().chunks(65_536) {
-        world.says(list, piece);
+        world.send_bytes(list, piece);
     }
     world.run(5);
     assert!(!world.closed.contains(&list));
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_list_of_25_000_nodes_is_taken_whole_on_the_platform() {
-    let mut world = World::new(Config { wire: Wire::Platform, ..config() }, 1);
+    let mut world = Harness::new(Config { wire: Wire::Platform, ..config() }, 1);
     let list = world.list_conn();
     world.answer(list, "200 OK", &whole_listing());
     world.run(5);
@@ -58,9 +58,9 @@
 
 #[test]
 fn a_client_that_states_so_long_a_body_is_closed_before_it_is_read() {
-    let mut world = World::new(config(), 1);
+    let mut world = Harness::new(config(), 1);
     let client = world.client();
-    world.says(client, &whole_list()[..64]);
+    world.send_bytes(client, &whole_list()[..64]);
     world.run(5);
     assert!(world.closed.contains(&client));
 }
@@ -69,7 +69,7 @@
 #[test]
 fn an_empty_list_of_changes_keeps_a_quiet_list_from_being_asked_for() {
     let asked = |heartbeats: bool| {
-        let mut world = World::new(config(), 3);
+        let mut world = Harness::new(config(), 3);
         let list = world.list_conn();
         let silence_ms = config().site.timeouts.discovery_idle_timeout.0 / 1000;
         for _ in 0..8 {
@@ -77,11 +77,11 @@
             if heartbeats {
                 let (since, revision) = (world.revision, world.revision);
                 let unchanged = List { extent: Extent::Changes, since, revision, entries: Vec::new() };
-                world.tell(list, &Frame::List(unchanged));
+                world.send_frame(list, &Frame::List(unchanged));
             }
         }
         assert!(!world.closed.contains(&list), "the service answers when it is asked");
-        world.said_on(list).iter().filter(|said| **said == Said::GetList).count()
+        world.sent_frames_on(list).iter().filter(|said| **said == SentFrame::GetList).count()
     };
     assert_eq!(asked(true), 0);
     assert!(asked(false) > 0);
--- a/crates/flaxstand-gateway/tests/platform.rs
+++ b/crates/flaxstand-gateway/tests/platform.rs
@@ -5,24 +5,24 @@
 use flaxstand_gateway::core::{Bounds, Config};
 use flaxstand_gateway::machine::{ConnId, Control, Machine, Reloaded};
 use flaxstand_proto::State;
-use harness::{Dial, PATH, World, address, ask_as, on_platform};
+use harness::{ConnectOutcome, Harness, PATH, address, http_request, platform_config};
 
 fn platform() -> Config {
-    let c = on_platform(5000);
+    let c = platform_config(5000);
     Config { bounds: Bounds { max_clients: 8, max_node_connections: 6, ..c.bounds }, ..c }
 }
 
-fn world() -> World {
-    World::new(platform(), 2)
+fn world() -> Harness {
+    Harness::new(platform(), 2)
 }
 
 fn ask(id: &str) -> String {
-    ask_as(id, "once", 0, "1.000")
+    http_request(id, "once", 0, "1.000")
 }
 
 /// A client whose request is out at node 0, and the connection that carries it.
-fn asked(w: &mut World, id: &str) -> (ConnId, ConnId) {
-    w.asked(id, "once")
+fn asked(w: &mut Harness, id: &str) -> (ConnId, ConnId) {
+    w.request_in_flight(id, "once")
 }
 
 #[test]
@@ -35,11 +35,11 @@
     );
     // Whatever the pieces.
     for byte in text.as_bytes() {
-        w.says(client, &[*byte]);
+        w.send_bytes(client, &[*byte]);
     }
     w.run(5);
-    let link = w.links(0)[0];
-    let passed = w.heard_on(link).to_owned();
+    let link = w.conns_to(0)[0];
+    let passed = w.sent_text_on(link).to_owned();
     assert!(passed.starts_with(&format!("PUT {PATH}?part=2 HTTP/1.1\r\n")), "{passed}");
     for field in
         ["X-Request-ID: r1\r\n", "Idempotency-Key: k-7\r\n", "Content-Length: 4\r\n", "X-Timeout: 0.4"]
@@ -50,27 +50,28 @@
     for byte in
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-Iops-Used: ??\r\nContent-Length: 5\r\n\r\nb\0dy\n"
     {
-        w.says(link, &[*byte]);
+        w.send_bytes(link, &[*byte]);
     }
     w.run(5);
-    assert!(w.heard_on(client).starts_with("HTTP/1.1 200 OK\r\n"));
-    assert!(w.heard_on(client).ends_with("Content-Length: 5\r\n\r\nb\0dy\n"));
+    assert!(w.sent_text_on(client).starts_with("HTTP/1.1 200 OK\r\n"));
+    assert!(w.sent_text_on(client).ends_with("Content-Length: 5\r\n\r\nb\0dy\n"));
     assert!(!w.closed.contains(&link) && !w.closed.contains(&client), "both are kept");
 }
 
 #[test]
 fn what_comes_back_is_the_outcome_that_the_platform_means() {
     // Of a class that must never run twice: a refusal promises that it has never run.
-    let after = |what: &dyn Fn(&mut World, ConnId)| {
+    let after = |what: &dyn Fn(&mut Harness, ConnId)| {
         let mut w = world();
         let (client, link) = asked(&mut w, "r1");
         what(&mut w, link);
         w.run(980);
-        let sent = w.links(0).iter().map(|l| w.heard_on(*l).matches("GET /api").count()).sum::<usize>();
+        let sent =
+            w.conns_to(0).iter().map(|l| w.sent_text_on(*l).matches("GET /api").count()).sum::<usize>();
         (sent, w.statuses(client))
     };
-    let never = |w: &mut World, link| {
-        w.says(link, b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
+    let never = |w: &mut Harness, link| {
+        w.send_bytes(link, b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
     };
     assert_eq!(after(&never).1, [503]);
     assert_eq!(after(&|w, link| w.answer(link, "503 Full", "")), (1, vec![500]));
@@ -78,11 +79,11 @@
     assert_eq!(after(&|w, link| w.core.closed(link, "reset", w.now)), (1, vec![500]));
     assert_eq!(after(&|_, _| {}), (1, vec![]), "nothing came yet");
     let mut w = world();
-    w.dials.insert(address(0).parse().unwrap(), Dial::Refused);
+    w.connect_outcomes.insert(address(0).parse().unwrap(), ConnectOutcome::Refused);
     let client = w.http_client();
-    w.says(client, ask("r1").as_bytes());
+    w.send_bytes(client, ask("r1").as_bytes());
     w.run(300);
-    assert!(w.links(0).len() > 1, "a connection refused: it has never run, and is tried again");
+    assert!(w.conns_to(0).len() > 1, "a connection refused: it has never run, and is tried again");
     w.run(1000);
     assert_eq!(w.statuses(client), [503]);
 }
@@ -103,16 +104,16 @@
     for text in spoilt {
         let mut w = world();
         let (client, link) = asked(&mut w, "r1");
-        w.says(link, text.as_bytes());
+        w.send_bytes(link, text.as_bytes());
         w.run(300);
         assert_eq!(w.statuses(client), [500], "{text:?}");
-        assert!(!w.heard_on(client).contains("xxxx"), "{text:?}");
+        assert!(!w.sent_text_on(client).contains("xxxx"), "{text:?}");
         assert!(w.closed.contains(&link), "{text:?}");
         assert_eq!(w.core.pending_requests(), 0);
     }
     let mut w = world();
     let (client, link) = asked(&mut w, "r1");
-    w.says(link, format!("HTTP/1.1 200 OK\r\n{}", "X: y\r\n".repeat(3000)).as_bytes());
+    w.send_bytes(link, format!("HTTP/1.1 200 OK\r\n{}", "X: y\r\n".repeat(3000)).as_bytes());
     w.run(5);
     assert_eq!(w.statuses(client), [500], "a head that never ends is cut off at its bound");
 }
@@ -122,19 +123,19 @@
     let mut w = world();
     let (client, link) = asked(&mut w, "r1");
     let body = "x".repeat(400_000);
-    w.says(link, format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes());
+    w.send_bytes(link, format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes());
     for part in body.as_bytes().chunks(100_000) {
         w.run(200);
-        w.says(link, part);
+        w.send_bytes(link, part);
     }
     w.run(5);
     assert_eq!(w.statuses(client), [200]);
-    assert!(w.heard_on(client).ends_with(&body));
+    assert!(w.sent_text_on(client).ends_with(&body));
     assert_eq!(w.core.footprint().partial_bytes, 0);
     // One that stops short is given up long before its client leaves.
     let mut w = world();
     let (client, link) = asked(&mut w, "r2");
-    w.says(link, b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\nxx");
+    w.send_bytes(link, b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\nxx");
     w.run(260);
     assert_eq!(w.statuses(client), [500]);
     assert_eq!(w.core.footprint().partial_bytes, 0);
@@ -144,7 +145,7 @@
 fn large_answers_that_clients_do_not_read_have_a_bound() {
     let mut c = platform();
     c.bounds.max_response_bytes = 1_000_000;
-    let mut w = World::new(c, 2);
+    let mut w = Harness::new(c, 2);
     let answered: Vec<ConnId> = (0..4)
         .map(|n| {
             let (client, link) = asked(&mut w, &format!("r{n}"));
@@ -163,7 +164,7 @@
 fn a_good_answer_with_bytes_behind_it_is_served_and_its_connection_not_used_again() {
     let mut w = world();
     let (client, link) = asked(&mut w, "r1");
-    w.says(
+    w.send_bytes(
         link,
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
@@ -174,7 +175,7 @@
     w.answer(link, "200 OK", "ok");
     w.run(5);
     assert_eq!(w.statuses(client), [200]);
-    w.says(link, b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    w.send_bytes(link, b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     assert!(
         {
             w.turn();
@@ -214,10 +215,10 @@
     for (text, status, kept) in bad {
         let mut w = world();
         let client = w.http_client();
-        w.says(client, text.as_bytes());
+        w.send_bytes(client, text.as_bytes());
         w.run(5);
         assert_eq!(w.statuses(client), [status], "{text:?}");
-        assert_eq!((w.core.pending_requests(), w.links(0).len()), (0, 0), "{text:?}");
+        assert_eq!((w.core.pending_requests(), w.conns_to(0).len()), (0, 0), "{text:?}");
         w.run(600);
         assert_eq!(!w.closed.contains(&client), kept, "{text:?}");
         assert_eq!(w.core.footprint().partial_bytes, 0);
@@ -229,12 +230,12 @@
     let mut w = world();
     let (client, link) = asked(&mut w, "r1");
     let other = w.http_client();
-    w.says(other, ask("r1").as_bytes());
+    w.send_bytes(other, ask("r1").as_bytes());
     w.run(5);
     assert_eq!(w.statuses(other), [409]);
     w.answer(link, "200 OK", "ok");
     w.run(5);
-    w.says(other, ask("r1").as_bytes());
+    w.send_bytes(other, ask("r1").as_bytes());
     w.run(5);
     assert_eq!(w.statuses(client), [200]);
     assert_eq!(w.core.pending_requests(), 1, "it is served this time");
@@ -244,25 +245,25 @@
 fn requests_behind_one_another_wait_their_turn() {
     let mut w = world();
     let client = w.http_client();
-    w.says(client, (ask("r1") + &ask("r2") + &ask("r3")).as_bytes());
+    w.send_bytes(client, (ask("r1") + &ask("r2") + &ask("r3")).as_bytes());
     for done in 1..=3 {
         w.run(5);
         assert_eq!(w.core.pending_requests(), 1, "one at a time");
-        let link = *w.links(0).last().unwrap();
+        let link = *w.conns_to(0).last().unwrap();
         w.answer(link, "200 OK", "ok");
         w.run(5);
         assert_eq!(w.statuses(client).len(), done);
     }
-    assert_eq!(w.links(0).len(), 1, "one connection served them all");
+    assert_eq!(w.conns_to(0).len(), 1, "one connection served them all");
 }
 
 #[test]
 fn connections_that_do_not_come_to_a_request_are_closed() {
     let mut w = world();
     let (silent, half, slow) = (w.http_client(), w.http_client(), w.http_client());
-    w.says(half, b"PUT /api/x HTTP/1.1\r\nContent-Le");
+    w.send_bytes(half, b"PUT /api/x HTTP/1.1\r\nContent-Le");
     for _ in 0..19 {
-        w.says(slow, b"G");
+        w.send_bytes(slow, b"G");
         w.run(100);
     }
     assert!(![silent, half].iter().any(|c| w.closed.contains(c)));
@@ -275,7 +276,7 @@
     w.answer(link, "200 OK", "ok");
     w.run(20_000);
     assert!(!w.closed.contains(&client));
-    w.says(client, b"GET /ready HTTP/1.1\r\n\r\n");
+    w.send_bytes(client, b"GET /ready HTTP/1.1\r\n\r\n");
     w.run(5);
     assert_eq!(w.statuses(client), [200, 200]);
 }
@@ -334,14 +335,14 @@
 #[test]
 fn an_attempt_given_up_before_it_left_has_never_run_and_never_does() {
     let mut w = world();
-    w.dials.insert(address(0).parse().unwrap(), Dial::Lost);
+    w.connect_outcomes.insert(address(0).parse().unwrap(), ConnectOutcome::NoReply);
     let client = w.http_client();
-    w.says(client, ask("r1").as_bytes());
+    w.send_bytes(client, ask("r1").as_bytes());
     w.run(240);
-    assert_eq!(w.links(0).len(), 1, "still being called");
+    assert_eq!(w.conns_to(0).len(), 1, "still being called");
     w.run(1000);
     assert_eq!(w.statuses(client), [503]);
-    assert!(w.links(0).iter().all(|l| w.heard_on(*l).is_empty()));
+    assert!(w.conns_to(0).iter().all(|l| w.sent_text_on(*l).is_empty()));
     // Written in part: what is left must not follow when the connection is closed.
     let mut w = world();
     let (_, link) = asked(&mut w, "r0");
@@ -349,10 +350,10 @@
     w.run(5);
     w.blocked.insert(link);
     let client = w.http_client();
-    w.says(client, ask("r1").as_bytes());
+    w.send_bytes(client, ask("r1").as_bytes());
     w.run(1100);
     assert_eq!(w.statuses(client).len(), 1);
-    assert_eq!(w.heard_on(link).matches("GET /api").count(), 1, "only the first");
+    assert_eq!(w.sent_text_on(link).matches("GET /api").count(), 1, "only the first");
 }
 
 #[test]
@@ -366,12 +367,12 @@
     let newest = pairs[2].1;
     for n in 0..15 {
         let client = pairs[0].0;
-        w.says(client, ask(&format!("s{n}")).as_bytes());
+        w.send_bytes(client, ask(&format!("s{n}")).as_bytes());
         w.run(5);
         w.answer(newest, "200 OK", "ok");
         w.run(1500);
     }
-    assert_eq!(w.heard_on(newest).matches("GET /api").count(), 16);
+    assert_eq!(w.sent_text_on(newest).matches("GET /api").count(), 16);
     assert!(w.closed.contains(&pairs[0].1) && w.closed.contains(&pairs[1].1), "idle for 20 s");
     assert!(!w.closed.contains(&newest));
 }
@@ -381,7 +382,7 @@
     let mut w = world();
     for n in 0..40 {
         let (_, link) = asked(&mut w, &format!("r{n}"));
-        w.says(link, b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok");
+        w.send_bytes(link, b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok");
         w.run(300);
     }
     w.run(3000);
@@ -391,9 +392,9 @@
 #[test]
 fn a_node_that_drains_while_it_is_called_is_not_sent_to() {
     let mut w = world();
-    w.dials.insert(address(0).parse().unwrap(), Dial::Lost);
+    w.connect_outcomes.insert(address(0).parse().unwrap(), ConnectOutcome::NoReply);
     let client = w.http_client();
-    w.says(client, ask("r1").as_bytes());
+    w.send_bytes(client, ask("r1").as_bytes());
     w.run(100);
     let list = w.list_conn();
     w.list[0].1 = State::Draining;
@@ -401,29 +402,29 @@
     let changes = w.listing(false);
     w.answer(list, "200 OK", &changes);
     w.run(5);
-    let link = w.links(0)[0];
+    let link = w.conns_to(0)[0];
     w.core.connected(link, w.now);
     w.run(5);
-    assert_eq!(w.heard_on(link), "");
+    assert_eq!(w.sent_text_on(link), "");
 }
 
 #[test]
 fn the_list_is_watched_and_a_watch_that_fails_is_taken_up_again() {
     let mut w = world();
     let list = w.list_conn();
-    let calls = |w: &World, conn| w.heard_on(conn).matches("GET ").count();
-    let wait = |w: &World, conn| -> u64 {
-        let calls = w.heard_on(conn).rsplit("timeout_ms=").next().expect("a watch");
+    let calls = |w: &Harness, conn| w.sent_text_on(conn).matches("GET ").count();
+    let wait = |w: &Harness, conn| -> u64 {
+        let calls = w.sent_text_on(conn).rsplit("timeout_ms=").next().expect("a watch");
         calls.split(' ').next().and_then(|ms| ms.parse().ok()).expect("a wait")
     };
-    assert!(w.heard_on(list).contains("GET /v1/endpoints?since=1&timeout_ms="));
-    assert!((3000..=5000).contains(&wait(&w, list)), "{}", w.heard_on(list));
+    assert!(w.sent_text_on(list).contains("GET /v1/endpoints?since=1&timeout_ms="));
+    assert!((3000..=5000).contains(&wait(&w, list)), "{}", w.sent_text_on(list));
     w.list.truncate(1);
     w.revision = 2;
     let all = w.listing(true);
     w.answer(list, "200 OK", &all);
     w.run(5);
-    assert!(w.heard_on(list).contains("since=2&"), "the next call follows at once");
+    assert!(w.sent_text_on(list).contains("since=2&"), "the next call follows at once");
     assert_eq!(calls(&w, list), 3);
     // It fails: the module asks again, ever more rarely, for the whole list or what is newer, and does not wait.
     w.answer(list, "503 Down", "");
@@ -431,7 +432,7 @@
     assert!(w.closed.contains(&list));
     w.run(1000);
     let again = w.list_conn();
-    assert!(w.heard_on(again).contains("since=2&timeout_ms=0 "));
+    assert!(w.sent_text_on(again).contains("since=2&timeout_ms=0 "));
     // Silence for longer than it may wait is a failure too.
     w.run(1000);
     assert!(w.closed.contains(&again));
@@ -443,9 +444,9 @@
     w.run(1000);
     assert!(w.closed.contains(&conn));
     let client = w.http_client();
-    w.says(client, ask("r1").as_bytes());
+    w.send_bytes(client, ask("r1").as_bytes());
     w.run(5);
-    assert_eq!(w.links(0).len(), 1, "the list held stays in use");
+    assert_eq!(w.conns_to(0).len(), 1, "the list held stays in use");
 }
 
 /// Answers that tell of no change keep the list fresh too: after a long quiet time a watch that fell silent is opened
@@ -474,15 +475,15 @@
     let mut w = world();
     let (client, link) = asked(&mut w, "r1");
     let (old, new) = (w.list_conn(), "127.0.0.1:2".parse().unwrap());
-    w.dials.insert("127.0.0.1:2".parse().unwrap(), Dial::Greets(0));
+    w.connect_outcomes.insert("127.0.0.1:2".parse().unwrap(), ConnectOutcome::Welcomes(0));
     let bounds = platform().bounds;
-    w.answers_at_once = true;
+    w.answers_polls = true;
     w.core.control(Control::Reload(Reloaded { bounds, list: new }), w.now);
     w.run(5);
     assert!(w.closed.contains(&old));
-    let (conn, at) = w.dialled.last().cloned().unwrap();
+    let (conn, at) = w.connect_attempts.last().cloned().unwrap();
     assert_eq!(at.to_string(), "127.0.0.1:2");
-    let calls: Vec<&str> = w.heard_on(conn).split("GET ").skip(1).collect();
+    let calls: Vec<&str> = w.sent_text_on(conn).split("GET ").skip(1).collect();
     assert_eq!(calls.len(), 2, "{calls:?}");
     let first = "/v1/endpoints?since=1&timeout_ms=0 ";
     assert!(calls[0].starts_with(first), "what is newer than the list held, at once: {calls:?}");
@@ -503,25 +504,25 @@
     w.core.control(Control::Stop, w.now);
     w.run(200);
     let late = w.http_client();
-    w.says(late, b"GET /ready HTTP/1.1\r\n\r\n");
+    w.send_bytes(late, b"GET /ready HTTP/1.1\r\n\r\n");
     w.run(5);
     assert_eq!(w.statuses(late), [503]);
     w.answer(link, "200 OK", "ok");
     w.run(900);
-    w.says(client, ask("r2").as_bytes());
+    w.send_bytes(client, ask("r2").as_bytes());
     w.run(5);
-    assert_eq!(w.heard_on(link).matches("GET /api").count(), 2, "still served");
+    assert_eq!(w.sent_text_on(link).matches("GET /api").count(), 2, "still served");
     w.run(300);
     assert!(
-        w.shut.contains(&late) && !w.closed.contains(&late),
+        w.write_closed.contains(&late) && !w.closed.contains(&late),
         "it waits for nothing, and closes in its turn"
     );
     w.core.closed(late, "closed by peer", w.now);
-    assert!(!w.shut.contains(&client) && !w.closed.contains(&client) && !w.exited);
+    assert!(!w.write_closed.contains(&client) && !w.closed.contains(&client) && !w.exited);
     assert_eq!(w.statuses(client), [200]);
     w.run(150);
     assert_eq!(w.statuses(client), [200, 500], "answered before the end, though its second is not over");
-    assert!(w.heard_on(client).contains("Connection: close"));
+    assert!(w.sent_text_on(client).contains("Connection: close"));
     w.run(50);
     assert!(w.exited);
 }
@@ -535,17 +536,17 @@
         let slot = (n % 2) as usize;
         let node = 10 + n;
         w.list[slot] = (node, State::Serving, slot as u32, address(node));
-        w.dials.insert(address(node).parse().unwrap(), Dial::Greets(node));
+        w.connect_outcomes.insert(address(node).parse().unwrap(), ConnectOutcome::Welcomes(node));
         w.revision += 1;
         let (list, all) = (w.list_conn(), w.listing(true));
         w.answer(list, "200 OK", &all);
         w.run(5);
         let client = w.http_client();
-        w.says(client, ask_as(&format!("r{n}"), "read", slot as i64, "1.0").as_bytes());
+        w.send_bytes(client, http_request(&format!("r{n}"), "read", slot as i64, "1.0").as_bytes());
         w.run(5);
-        let link = *w.links(node).last().expect("it was sent");
+        let link = *w.conns_to(node).last().expect("it was sent");
         match n % 5 {
-            0 => w.says(link, b"noise"),
+            0 => w.send_bytes(link, b"noise"),
             1 => {}
             _ => w.answer(link, "200 OK", "ok"),
         }
@@ -553,8 +554,8 @@
         if n % 3 != 0 {
             w.core.closed(client, "closed by peer", w.now);
         }
-        w.dialled.clear();
-        w.heard.clear();
+        w.connect_attempts.clear();
+        w.sent_text.clear();
         w.run(1500);
         if n == 1000 {
             at_half = Some(w.core.footprint());
@@ -569,15 +570,15 @@
 #[test]
 fn a_request_whose_client_left_while_its_node_was_called_is_not_sent_without_its_data() {
     let mut w = world();
-    w.dials.insert(address(0).parse().unwrap(), Dial::Lost);
+    w.connect_outcomes.insert(address(0).parse().unwrap(), ConnectOutcome::NoReply);
     let client = w.http_client();
     let put = ask("r1").replace("GET", "PUT").replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\ndata");
-    w.says(client, put.as_bytes());
+    w.send_bytes(client, put.as_bytes());
     w.run(5);
     w.core.closed(client, "gone", w.now);
-    let link = w.links(0)[0];
+    let link = w.conns_to(0)[0];
     w.core.connected(link, w.now);
     w.run(5);
-    assert_eq!(w.heard_on(link), "");
+    assert_eq!(w.sent_text_on(link), "");
     assert_eq!(w.core.pending_requests(), 0);
 }
--- a/crates/flaxstand-gateway/tests/platform_growth.rs
+++ b/crates/flaxstand-gateway/tests/platform_growth.rs
@@ -4,21 +4,21 @@
 
 #[path = "harness/counting_allocator.rs"]
 mod counting_allocator;
+#[path = "harness/full_lists.rs"]
+mod full_lists;
 mod harness;
 #[path = "harness/line_counter.rs"]
 mod line_counter;
-#[path = "harness/whole_lists.rs"]
-mod whole_lists;
 
-use counting_allocator::{CountingAllocator, allocations, held_bytes, peak_bytes, reset_peak};
+use counting_allocator::{CountingAllocator, allocations, live_bytes, peak_bytes, reset_peak};
 use flaxstand::api::ListScope;
 use flaxstand_gateway::core::{Config, Core};
 use flaxstand_gateway::machine::{ConnId, Machine as _, Micros};
 use flaxstand_platform::Listing;
+use full_lists::{full_listing, listed_address, target_json};
 use harness::*;
 use rustix::time::{ClockId, clock_gettime};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use whole_lists::{listed_address, target_json, whole_listing};
 
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
@@ -41,7 +41,7 @@
 const MIB: f64 = (1 << 20) as f64;
 
 fn site_config(targets: u64) -> Config {
-    let mut config = on_platform(2_500);
+    let mut config = platform_config(2_500);
     config.bounds.max_endpoints = targets as usize + 10;
     config.site.settings.may_probe = true;
     config
@@ -71,7 +71,7 @@
 
 /// An initiator between clients, targets and a list service that play the same whatever the number of targets.
 struct Site {
-    world: World,
+    world: Harness,
     free: VecDeque<ConnId>,
     busy: BTreeMap<ConnId, usize>,
     /// Bytes that have been looked at of what the core wrote on a connection to a target.
@@ -88,12 +88,12 @@
 
 impl Site {
     fn new(targets: u64) -> Self {
-        let mut world = World::new(site_config(targets), 0);
+        let mut world = Harness::new(site_config(targets), 0);
         for target in 0..targets {
             let address = listed_address(target).parse().expect("an address");
-            world.dials.insert(address, Dial::Greets(target));
+            world.connect_outcomes.insert(address, ConnectOutcome::Welcomes(target));
         }
-        let list = whole_listing(targets, 2);
+        let list = full_listing(targets, 2);
         reset_peak();
         let conn = world.list_conn();
         world.answer(conn, "200 OK", &list);
@@ -133,7 +133,7 @@
                 self.needs.connections_peak.max(self.world.core.footprint().connections);
         }
         let counts = self.world.core.counts();
-        self.needs.dialled = self.world.dialled.len();
+        self.needs.dialled = self.world.connect_attempts.len();
         self.needs.nodes_visited = counts.nodes_visited - before.0.nodes_visited;
         self.needs.connections_walked = counts.connections_walked - before.0.connections_walked;
         self.needs.allocations = allocations() - before.1;
@@ -145,15 +145,15 @@
         let id = self.needs.asked;
         self.needs.asked += 1;
         let Some(client) = self.free.pop_front() else { return };
-        self.busy.insert(client, self.world.heard_on(client).len());
-        self.world.says(client, ask_as(&format!("r{id}"), "read", shard, "1.000").as_bytes());
+        self.busy.insert(client, self.world.sent_text_on(client).len());
+        self.world.send_bytes(client, http_request(&format!("r{id}"), "read", shard, "1.000").as_bytes());
     }
 
     /// A target answers each request after some milliseconds of work.
     fn read_targets(&mut self) {
         let (now, list) = (self.world.now, self.world.list_conn());
-        for conn in self.world.called.keys().filter(|conn| **conn != list) {
-            let heard = self.world.heard_on(*conn);
+        for conn in self.world.connected.keys().filter(|conn| **conn != list) {
+            let heard = self.world.sent_text_on(*conn);
             let read = self.read.entry(*conn).or_default();
             if heard.len() > *read {
                 *read = heard.len();
@@ -176,9 +176,9 @@
     /// One target after the other of those in use drains and comes back. Only changes are told.
     fn serve_list(&mut self) {
         let conn = self.world.list_conn();
-        if self.world.heard_on(conn).len() > self.list_read {
-            self.list_read = self.world.heard_on(conn).len();
-            self.watch_ends = Some(self.world.now.after(asked_wait(self.world.heard_on(conn))));
+        if self.world.sent_text_on(conn).len() > self.list_read {
+            self.list_read = self.world.sent_text_on(conn).len();
+            self.watch_ends = Some(self.world.now.after(asked_wait(self.world.sent_text_on(conn))));
         }
         let (now, Some(ends)) = (self.world.now, self.watch_ends) else { return };
         let changed = if now >= self.change_due {
@@ -199,7 +199,7 @@
 
     fn take_answers(&mut self) {
         let answered = |(client, before): (&ConnId, &usize)| {
-            let text = &self.world.heard_on(*client)[*before..];
+            let text = &self.world.sent_text_on(*client)[*before..];
             (!text.is_empty()).then(|| (*client, text.starts_with("HTTP/1.1 200")))
         };
         let answered: Vec<(ConnId, bool)> = self.busy.iter().filter_map(answered).collect();
@@ -297,14 +297,14 @@
 fn a_listed_target_holds_less_than_four_kilobytes() {
     const HELD_MOST: f64 = 4.0 * MIB / 1000.0;
     for targets in [FEW, SIXTEEN_TIMES, MANY] {
-        let text = whole_listing(targets, 2);
-        let before = held_bytes();
+        let text = full_listing(targets, 2);
+        let before = live_bytes();
         reset_peak();
         let mut core = listed_core(targets, &text);
         let now = ms(1_000_001);
         core.settle(now);
         drop(core.take_commands());
-        let (held, peak) = (held_bytes() - before, peak_bytes() - before);
+        let (held, peak) = (live_bytes() - before, peak_bytes() - before);
         println!("{targets} targets: {held} bytes held, {peak} at the peak");
         assert!((held as f64) < HELD_MOST * targets as f64 + 1.0 * MIB, "{held} bytes for {targets} targets");
         assert!((peak as f64) < HELD_MOST * targets as f64 + 8.0 * MIB, "{peak} bytes at the peak");
@@ -331,7 +331,7 @@
 #[test]
 fn a_change_costs_the_same_among_200_as_among_25_000_targets() {
     let change = |targets: u64| {
-        let mut core = listed_core(targets, &whole_listing(targets, 2));
+        let mut core = listed_core(targets, &full_listing(targets, 2));
         core.settle(ms(1_000_001));
         drop(core.take_commands());
         let told = |state: &str| -> Listing {
@@ -340,7 +340,7 @@
         };
         let (draining, up) = (told("draining"), told("up"));
         let before = (core.counts(), allocations());
-        let lines = line_counter::lines_of(|| {
+        let lines = line_counter::log_lines_during(|| {
             core.apply_platform_listing(ListScope::Changes, &draining, ms(1_000_010));
             core.settle(ms(1_000_020));
             core.apply_platform_listing(ListScope::Changes, &up, ms(1_000_030));
--- a/crates/flaxstand-gateway/tests/recorded.rs
+++ b/crates/flaxstand-gateway/tests/recorded.rs
@@ -9,7 +9,7 @@
 use flaxstand_proto::{Code, Entry, Extent, Frame, List, State};
 use flaxstand_storage::faulty::FaultyDisk;
 use flaxstand_write_back::recover;
-use harness::{PATH, READ, Said, World, address, ask_as, config, entry, ms, on_platform};
+use harness::{Harness, PATH, READ, SentFrame, address, config, entry, http_request, ms, platform_config};
 use std::fmt::Write as _;
 
 const SETTINGS: [&str; 2] = ["settings/every-key.kdl", "settings/buffered.kdl"];
@@ -94,7 +94,7 @@
 
 /// A saved list: the whole, two appended changes, and a third that is torn.
 fn saved_list() -> Vec<u8> {
-    let mut w = World::new(quiet(), 20);
+    let mut w = Harness::new(quiet(), 20);
     let client = w.client();
     w.submit(client, 1, READ, Some(3));
     w.run(5);
@@ -108,7 +108,7 @@
         let since = w.revision;
         w.revision += 1;
         let list = List { extent: Extent::Changes, since, revision: w.revision, entries: vec![changed] };
-        w.tell(w.list_conn(), &Frame::List(list));
+        w.send_frame(w.list_conn(), &Frame::List(list));
         w.turn();
     }
     let mut bytes = w.saved.expect("it was saved");
@@ -124,7 +124,7 @@
     let list = SavedList::read(&bytes).expect("a saved list");
     assert!(list.torn_bytes > 0);
     fixtures().assert_text("saved-list.values", &values_of(&format!("{list:?}")));
-    let mut next = World::cut_off(quiet(), 20, &bytes);
+    let mut next = Harness::without_list_service(quiet(), 20, &bytes);
     let client = next.client();
     (0..4).for_each(|node| next.submit(client, node, READ, Some(node as u32)));
     next.run(20);
@@ -133,15 +133,19 @@
 }
 
 fn platform() -> Config {
-    let c = on_platform(5000);
+    let c = platform_config(5000);
     Config { bounds: Bounds { max_clients: 8, max_node_connections: 6, ..c.bounds }, ..c }
 }
 
 /// All that the core wrote, by connection in the order of calling.
-fn transcript(w: &World) -> String {
+fn transcript(w: &Harness) -> String {
     let mut text = String::new();
-    for (conn, bytes) in &w.heard {
-        let to = w.dialled.iter().find(|(c, _)| c == conn).map_or("a client".into(), |(_, a)| a.to_string());
+    for (conn, bytes) in &w.sent_text {
+        let to = w
+            .connect_attempts
+            .iter()
+            .find(|(c, _)| c == conn)
+            .map_or("a client".into(), |(_, a)| a.to_string());
         let closed = if w.closed.contains(conn) { ", closed" } else { "" };
         let _ = writeln!(text, "--- to {to}{closed}\n{}", bytes.replace("\r\n", "\\r\\n\n"));
     }
@@ -156,35 +160,35 @@
     )
 }
 
-fn served(w: &mut World) {
+fn served(w: &mut Harness) {
     let client = w.http_client();
-    w.says(client, put("r1").as_bytes());
+    w.send_bytes(client, put("r1").as_bytes());
     w.run(5);
-    let link = *w.links(0).last().expect("it was sent");
-    w.says(link, b"HTTP/1.1 200 OK\r\nX-Server-Load: inflight=2\r\nContent-Length: 4\r\n\r\nbody");
+    let link = *w.conns_to(0).last().expect("it was sent");
+    w.send_bytes(link, b"HTTP/1.1 200 OK\r\nX-Server-Load: inflight=2\r\nContent-Length: 4\r\n\r\nbody");
     w.run(5);
 }
 
-fn refused(w: &mut World) {
+fn refused(w: &mut Harness) {
     let client = w.http_client();
-    w.says(client, ask_as("r2", "read", 99, "0.300").as_bytes());
+    w.send_bytes(client, http_request("r2", "read", 99, "0.300").as_bytes());
     w.run(400);
-    let (_, link) = w.asked("r3", "once");
-    w.says(link, b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
+    let (_, link) = w.request_in_flight("r3", "once");
+    w.send_bytes(link, b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
     w.run(1100);
 }
 
-fn failed(w: &mut World) {
-    let (_, link) = w.asked("r4", "once");
+fn failed(w: &mut Harness) {
+    let (_, link) = w.request_in_flight("r4", "once");
     w.answer(link, "500 No", "");
     w.run(5);
-    let (client, _) = w.asked("r5", "read");
+    let (client, _) = w.request_in_flight("r5", "read");
     w.core.closed(client, "left", w.now);
     w.run(50);
 }
 
-fn wrong(w: &mut World) {
-    let good = ask_as("r6", "read", 0, "1.000");
+fn wrong(w: &mut Harness) {
+    let good = http_request("r6", "read", 0, "1.000");
     for bad in [
         good.replace("X-Request-ID: r6\r\n", ""),
         good.replace("X-Priority-Class: read", "X-Priority-Class: nobody"),
@@ -194,16 +198,16 @@
         "noise\r\n\r\n".to_owned(),
     ] {
         let client: ConnId = w.http_client();
-        w.says(client, bad.as_bytes());
+        w.send_bytes(client, bad.as_bytes());
         w.run(5);
         w.core.closed(client, "left", w.now);
         w.run(1);
     }
 }
 
-fn listed(w: &mut World) {
+fn listed(w: &mut Harness) {
     w.run(6000);
-    let call = *w.called.iter().find(|(_, a)| a.to_string() == "127.0.0.1:1").expect("it watches").0;
+    let call = *w.connected.iter().find(|(_, a)| a.to_string() == "127.0.0.1:1").expect("it watches").0;
     w.answer(call, "200 OK", r#"{"rev":2,"all":false,"targets":[{"uid":"s-1","state":"draining"}]}"#);
     w.run(50);
     w.answer(call, "503 Busy", "");
@@ -213,15 +217,15 @@
 /// Guards against a changed head, status, path or wait on the platform's wire, both to clients and to targets.
 #[test]
 fn a_conversation_on_the_platforms_wire_is_the_recorded_one() {
-    type Part = fn(&mut World);
+    type Part = fn(&mut Harness);
     let parts: [(&str, Part); 5] =
         [("served", served), ("refused", refused), ("failed", failed), ("wrong", wrong), ("listed", listed)];
     for (name, part) in parts {
-        let mut w = World::new(platform(), 2);
+        let mut w = Harness::new(platform(), 2);
         part(&mut w);
         fixtures().assert_text(&format!("platform/{name}.txt"), &transcript(&w));
     }
-    let mut w = World::new(platform(), 2);
+    let mut w = Harness::new(platform(), 2);
     served(&mut w);
     w.core.control(Control::Stop, w.now);
     w.run(3000);
@@ -235,15 +239,15 @@
     let mut c = config();
     c.site.write_back = Some(WriteBack::default());
     c.site.classes[0].is_buffered = true;
-    let mut w = World::new(c, 1);
+    let mut w = Harness::new(c, 1);
     let recovered = recover(&mut FaultyDisk::new(1)).expect("an empty log");
     w.core.attach(recovered, w.now);
     w.run(5);
     let client = w.client();
-    w.tell(client, &Frame::AskStatus { id: 1 });
+    w.send_frame(client, &Frame::AskStatus { id: 1 });
     w.run(5);
-    let status = w.said_on(client).iter().find_map(|said| match said {
-        Said::Status(json) => Some(json.clone()),
+    let status = w.sent_frames_on(client).iter().find_map(|said| match said {
+        SentFrame::Status(json) => Some(json.clone()),
         _ => None,
     });
     let status = status.expect("it was answered");
@@ -258,7 +262,7 @@
 fn a_conversation_in_frames_is_the_recorded_one() {
     let mut c = config();
     c.site.timeouts = Timeouts { shutdown_timeout: ms(500), ..c.site.timeouts };
-    let mut w = World::new(c, 3);
+    let mut w = Harness::new(c, 3);
     let client = w.client();
     (1..=3).for_each(|id| w.submit(client, id, READ, Some(id as u32 - 1)));
     w.submit_within(client, 4, READ, Some(99), 200);
@@ -270,7 +274,8 @@
     w.run(300);
     w.core.control(Control::Stop, w.now);
     w.run(3000);
-    let raw: String = w.raw.iter().map(|(conn, bytes)| format!("{}: {}\n", conn.0, hex(bytes))).collect();
+    let raw: String =
+        w.sent_bytes.iter().map(|(conn, bytes)| format!("{}: {}\n", conn.0, hex(bytes))).collect();
     fixtures().assert_text("frames.txt", &raw);
     assert!(w.exited);
 }
--- a/crates/flaxstand-gateway/tests/saved_list.rs
+++ b/crates/flaxstand-gateway/tests/saved_list.rs
@@ -18,19 +18,19 @@
     config
 }
 
-fn tell(w: &mut World, entries: Vec<Entry<'_>>) {
+fn tell(w: &mut Harness, entries: Vec<Entry<'_>>) {
     let since = w.revision;
     w.revision += 1;
     let list = List { extent: Extent::Changes, since, revision: w.revision, entries };
-    w.tell(w.list_conn(), &Frame::List(list));
+    w.send_frame(w.list_conn(), &Frame::List(list));
     w.turn();
 }
 
-fn tell_one(w: &mut World, node: u64, state: State) {
+fn tell_one(w: &mut Harness, node: u64, state: State) {
     tell(w, vec![entry(node, state, node as u32, &address(node))]);
 }
 
-fn saved(w: &World) -> &[u8] {
+fn saved(w: &Harness) -> &[u8] {
     w.saved.as_ref().expect("a list that was told is saved")
 }
 
@@ -52,13 +52,13 @@
 
 #[test]
 fn a_change_is_appended_and_a_restart_while_the_list_service_is_away_knows_it() {
-    let mut w = World::new(quiet(), 3);
+    let mut w = Harness::new(quiet(), 3);
     let whole = saved(&w).to_vec();
     tell_one(&mut w, 1, State::Draining);
     tell_one(&mut w, 2, State::Removed);
     assert!(saved(&w).starts_with(&whole), "the whole was not written again");
     assert_eq!(states(saved(&w)), [(0, State::Serving), (1, State::Draining)]);
-    let mut next = World::cut_off(quiet(), 3, saved(&w));
+    let mut next = Harness::without_list_service(quiet(), 3, saved(&w));
     let client = next.client();
     (0..3).for_each(|node| next.submit(client, node, READ, Some(node as u32)));
     next.run(20);
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_torn_end_is_cut_off_and_all_before_it_is_read() {
-    let mut w = World::new(quiet(), 5);
+    let mut w = Harness::new(quiet(), 5);
     tell_one(&mut w, 1, State::Draining);
     tell_one(&mut w, 2, State::Draining);
     let bytes = saved(&w).to_vec();
@@ -98,7 +98,7 @@
 
 #[test]
 fn the_whole_is_written_anew_once_the_changes_are_as_long() {
-    let mut w = World::new(quiet(), 20);
+    let mut w = Harness::new(quiet(), 20);
     let whole = saved(&w).len();
     let before = w.core.counts().whole_saves;
     for change in 0..400_u64 {
@@ -120,7 +120,7 @@
         config.bounds.max_endpoints = NODES as usize;
         config
     };
-    let mut w = World::new(roomy(), 0);
+    let mut w = Harness::new(roomy(), 0);
     let far_address = |node: u64| format!("10.{}.{}.{}:7000", node >> 16, (node >> 8) & 255, node & 255);
     let addresses: Vec<String> = (0..NODES).map(far_address).collect();
     let all: Vec<Entry<'_>> =
@@ -135,12 +135,12 @@
         end += length;
         assert_eq!(SavedList::read(&saved(&w)[..end]), Err(SavedListError::Incomplete));
     }
-    assert_eq!(World::cut_off(roomy(), 0, saved(&w)).core.footprint().nodes, NODES as usize);
+    assert_eq!(Harness::without_list_service(roomy(), 0, saved(&w)).core.footprint().nodes, NODES as usize);
 }
 
 #[test]
 fn a_change_that_tells_of_no_node_writes_nothing() {
-    let mut w = World::new(quiet(), 3);
+    let mut w = Harness::new(quiet(), 3);
     let before = (saved(&w).to_vec(), w.core.counts());
     tell(&mut w, Vec::new());
     assert_eq!((saved(&w), w.core.counts().saved_bytes), (&before.0[..], before.1.saved_bytes));
@@ -162,13 +162,13 @@
 /// What was saved early has grown as old as what was saved last.
 #[test]
 fn ages_are_as_of_the_last_save() {
-    let mut w = World::new(quiet(), 0);
+    let mut w = Harness::new(quiet(), 0);
     let (young, other) = (address(1), address(2));
     tell(&mut w, vec![Entry { age: Some(1_000), ..entry(1, State::Serving, 1, &young) }]);
     // A whole, then a change behind it.
     w.core.save_failed(w.now);
     w.run(11_000);
-    let age = |w: &World| SavedList::read(saved(w)).unwrap().entries[0].age.unwrap();
+    let age = |w: &Harness| SavedList::read(saved(w)).unwrap().entries[0].age.unwrap();
     let at_whole = age(&w);
     w.run(3_000);
     tell(&mut w, vec![entry(2, State::Serving, 2, &other)]);
@@ -179,7 +179,7 @@
 /// Paces are saved with a change of the list, of nodes that were used and of no others.
 #[test]
 fn the_pace_of_a_node_in_use_is_saved_with_the_next_change_of_another() {
-    let mut w = World::new(quiet(), 30);
+    let mut w = Harness::new(quiet(), 30);
     let client = w.client();
     for id in 0..4 {
         w.submit(client, id, READ, Some(0));
@@ -225,7 +225,7 @@
 
     #[test]
     fn what_is_read_back_is_what_was_held(steps in proptest::collection::vec(step(), 1..80)) {
-        let mut w = World::new(quiet(), 0);
+        let mut w = Harness::new(quiet(), 0);
         let mut held: BTreeMap<u64, Held> = BTreeMap::new();
         let mut newest: BTreeMap<u64, u64> = BTreeMap::new();
         for step in steps {
@@ -244,7 +244,7 @@
                         (*node, state, *node as u32, address(*node))
                     }).collect();
                     w.revision += 1;
-                    w.tell_list(w.list_conn());
+                    w.send_list(w.list_conn());
                     w.turn();
                     held.clear();
                     for (node, state, _, address) in &w.list {
--- a/crates/flaxstand-gateway/tests/writeback.rs
+++ b/crates/flaxstand-gateway/tests/writeback.rs
@@ -29,7 +29,7 @@
 
 /// A world whose core buffers, and its disk.
 struct Desk {
-    w: World,
+    w: Harness,
     disk: FaultyDisk,
     client: ConnId,
 }
@@ -41,7 +41,7 @@
 
     /// A core that starts with what a disk holds.
     fn on(mut disk: FaultyDisk, config: Config) -> Self {
-        let mut w = World::new(config, 2);
+        let mut w = Harness::new(config, 2);
         w.core.attach(recover(&mut disk).expect("the log is sound"), w.now);
         w.run(30);
         let client = w.client();
@@ -82,21 +82,21 @@
         let (at, payload) = write.unwrap_or((None, &[]));
         let base = request(id, class, (Some(0), extent));
         let submit = Submit { write: write.is_some(), at, time_left, payload, ..base };
-        self.w.tell(self.client, &Frame::Submit(submit));
+        self.w.send_frame(self.client, &Frame::Submit(submit));
     }
 
     fn say(&mut self, frame: &Frame<'_>) {
-        self.w.tell(self.client, frame);
+        self.w.send_frame(self.client, frame);
         self.w.run(1);
     }
 
     /// The disk does all that it was asked to, and what follows from that.
     fn store(&mut self) {
         for _ in 0..20 {
-            if self.w.batches.is_empty() {
+            if self.w.pending_batches.is_empty() {
                 self.w.run(10);
             }
-            let Some(batch) = self.w.batches.pop_front() else { return };
+            let Some(batch) = self.w.pending_batches.pop_front() else { return };
             let well = perform(&mut self.disk, &batch).is_ok();
             self.w.core.write_back_stored(well, self.w.now);
             self.w.run(6);
@@ -111,12 +111,12 @@
         self.w.run(3);
     }
 
-    fn answers(&self) -> Vec<Said> {
+    fn answers(&self) -> Vec<SentFrame> {
         self.w.answers(self.client)
     }
 
     fn brought(&self) -> Vec<u64> {
-        self.w.brought.iter().map(|(op, ..)| *op).collect()
+        self.w.attempt_payloads.iter().map(|(op, ..)| *op).collect()
     }
 
     fn writes(&self) -> usize {
@@ -131,8 +131,8 @@
     assert_eq!(d.answers(), [], "the disk has not said a word yet");
     assert_eq!(d.brought(), [0u64; 0]);
     d.store();
-    assert_eq!(d.answers(), [Said::Buffered(1)]);
-    assert_eq!(d.w.brought, [(1001, None, b"seat".to_vec())]);
+    assert_eq!(d.answers(), [SentFrame::Buffered(1)]);
+    assert_eq!(d.w.attempt_payloads, [(1001, None, b"seat".to_vec())]);
     d.serve();
     d.store();
     assert_eq!(d.writes(), 0);
@@ -145,9 +145,9 @@
 fn a_class_that_is_not_buffered_goes_through() {
     let mut d = Desk::new(buffering());
     d.write(1, PLAIN, 7, None, b"seat");
-    assert_eq!((d.brought(), d.w.batches.len()), (vec![1001], 0));
+    assert_eq!((d.brought(), d.w.pending_batches.len()), (vec![1001], 0));
     d.serve();
-    assert_eq!(d.answers(), [Said::Served(1, 0, vec![])]);
+    assert_eq!(d.answers(), [SentFrame::Served(1, 0, vec![])]);
 }
 
 #[test]
@@ -156,7 +156,7 @@
     // The header's sync goes well, the batch's does not.
     d.disk.set(Faults { sync_fails_at: Some(1), ..Faults::default() });
     d.write(1, ORDER, 7, None, b"seat");
-    let batch = d.w.batches.pop_front().unwrap();
+    let batch = d.w.pending_batches.pop_front().unwrap();
     assert!(perform(&mut d.disk, &batch).is_err());
     d.w.core.write_back_stored(false, d.w.now);
     d.w.run(1);
@@ -166,7 +166,7 @@
     assert_eq!(d.brought(), [1002]);
     d.w.run(30);
     d.store();
-    assert_eq!(d.answers(), [Said::Buffered(1)]);
+    assert_eq!(d.answers(), [SentFrame::Buffered(1)]);
     let log = recover(&mut d.disk).unwrap();
     assert_eq!(log.live.len(), 1);
 }
@@ -181,13 +181,13 @@
         d.w.run(10);
     }
     // It may be in the log's torn end: its client can't be told that it has not run.
-    assert_eq!(d.answers(), [Said::Failed(1)]);
+    assert_eq!(d.answers(), [SentFrame::Failed(1)]);
     d.write(2, ORDER, 8, None, b"other");
     d.serve();
-    assert!(d.answers().contains(&Said::Served(2, 0, vec![])), "{:?}", d.answers());
+    assert!(d.answers().contains(&SentFrame::Served(2, 0, vec![])), "{:?}", d.answers());
     // Its own extent is blocked, until the log is mended: it is told so, and nothing is promised.
     d.write(3, ORDER, 7, None, b"again");
-    assert!(d.answers().contains(&Said::Refused(3, Refusal::Buffer)), "{:?}", d.answers());
+    assert!(d.answers().contains(&SentFrame::Refused(3, Refusal::Buffer)), "{:?}", d.answers());
     d.disk.set(Faults::default());
     d.w.run(1500);
     d.store();
@@ -204,7 +204,7 @@
     assert_eq!(d.brought(), [1002], "not durable: not to be seen yet, the node is asked");
     d.store();
     d.read(3, 7);
-    assert!(d.answers().contains(&Said::Served(3, 0, b"abcdef".to_vec())), "{:?}", d.answers());
+    assert!(d.answers().contains(&SentFrame::Served(3, 0, b"abcdef".to_vec())), "{:?}", d.answers());
     d.write(4, ORDER, 8, Some(2), b"XY");
     d.store();
     d.read(5, 8);
@@ -217,7 +217,7 @@
     d.w.run(2);
     d.w.done(conn, read, Code::Served, b"123456");
     d.w.run(2);
-    assert!(d.answers().contains(&Said::Served(5, 0, b"12XY56".to_vec())), "{:?}", d.answers());
+    assert!(d.answers().contains(&SentFrame::Served(5, 0, b"12XY56".to_vec())), "{:?}", d.answers());
 }
 
 #[test]
@@ -230,11 +230,11 @@
     d.read(2, 8);
     let conn = d.w.node_conn(0);
     let (request, attempt) = *d.w.attempts_on(conn).last().unwrap();
-    d.w.tell(conn, &Frame::Chunk { request, attempt, payload: b"ab" });
+    d.w.send_frame(conn, &Frame::Chunk { request, attempt, payload: b"ab" });
     d.w.done(conn, (request, attempt), Code::Served, b"cd");
     d.w.run(2);
-    assert!(d.answers().contains(&Said::Served(2, 0, b"aXcd".to_vec())), "{:?}", d.answers());
-    assert!(!d.w.said_on(d.client).iter().any(|s| matches!(s, Said::Part(..))));
+    assert!(d.answers().contains(&SentFrame::Served(2, 0, b"aXcd".to_vec())), "{:?}", d.answers());
+    assert!(!d.w.sent_frames_on(d.client).iter().any(|s| matches!(s, SentFrame::Part(..))));
 }
 
 #[test]
@@ -246,20 +246,20 @@
     d.write(4, PLAIN, 9, None, b"through, after");
     d.say(&Frame::Flush { id: 5, volume: Some(5), time_left: 5_000_000 });
     d.store();
-    assert_eq!(d.answers(), [Said::Buffered(1), Said::Barred(2), Said::Buffered(3)]);
+    assert_eq!(d.answers(), [SentFrame::Buffered(1), SentFrame::Barred(2), SentFrame::Buffered(3)]);
     assert_eq!(d.brought(), [1001], "what is after the barrier waits, also what goes through");
     d.serve();
     d.store();
     let mut after = d.brought();
     after.sort_unstable();
     assert_eq!(after, [1001, 1003, 1004]);
-    assert!(!d.answers().contains(&Said::Flushed(5)));
+    assert!(!d.answers().contains(&SentFrame::Flushed(5)));
     let conn = d.w.node_conn(0);
     for attempt in d.w.attempts_on(conn).into_iter().skip(1) {
         d.w.done(conn, attempt, Code::Served, b"");
     }
     d.w.run(5);
-    assert!(d.answers().contains(&Said::Flushed(5)), "{:?}", d.answers());
+    assert!(d.answers().contains(&SentFrame::Flushed(5)), "{:?}", d.answers());
 }
 
 #[test]
@@ -268,9 +268,9 @@
     d.write(1, ORDER, 7, None, b"x");
     d.say(&Frame::Barrier { id: 2, volume: 5, time_left: 5_000_000 });
     d.say(&Frame::Barrier { id: 3, volume: 6, time_left: 5_000_000 });
-    assert_eq!(d.answers(), [Said::Barred(3)], "nothing lies before it");
+    assert_eq!(d.answers(), [SentFrame::Barred(3)], "nothing lies before it");
     d.store();
-    assert!(d.answers().contains(&Said::Barred(2)));
+    assert!(d.answers().contains(&SentFrame::Barred(2)));
 }
 
 #[test]
@@ -286,7 +286,7 @@
     assert_eq!(d.brought(), [1001], "one of an extent at a time");
     d.serve();
     d.store();
-    assert_eq!(d.w.brought[1..], [(1004, None, b"for".to_vec())], "three became one");
+    assert_eq!(d.w.attempt_payloads[1..], [(1004, None, b"for".to_vec())], "three became one");
     d.serve();
     d.store();
     assert_eq!(d.writes(), 0);
@@ -318,7 +318,7 @@
     d.store();
     d.write(3, PLAIN, 8, None, b"through");
     d.w.run(1100);
-    assert!(d.answers().contains(&Said::Refused(3, Refusal::Buffer)), "{:?}", d.answers());
+    assert!(d.answers().contains(&SentFrame::Refused(3, Refusal::Buffer)), "{:?}", d.answers());
     assert!(!d.brought().contains(&1003));
 }
 
@@ -326,9 +326,9 @@
 fn one_whose_time_is_up_as_it_comes_holds_up_nothing_behind_it() {
     let mut d = Desk::new(buffering());
     d.write_within(1, PLAIN, 7, None, b"x", 0);
-    assert_eq!(d.answers(), [Said::Refused(1, Refusal::Buffer)]);
+    assert_eq!(d.answers(), [SentFrame::Refused(1, Refusal::Buffer)]);
     d.say(&Frame::Barrier { id: 2, volume: 5, time_left: 5_000_000 });
-    assert!(d.answers().contains(&Said::Barred(2)), "nothing lies before it");
+    assert!(d.answers().contains(&SentFrame::Barred(2)), "nothing lies before it");
     d.write(3, ORDER, 7, None, b"y");
     d.store();
     assert_eq!(d.brought(), [1003]);
@@ -336,17 +336,17 @@
 
 #[test]
 fn without_a_buffer_marks_are_refused_and_status_is_empty() {
-    let mut w = World::new(config(), 2);
+    let mut w = Harness::new(config(), 2);
     let client = w.client();
-    w.tell(client, &Frame::Barrier { id: 1, volume: 5, time_left: 5_000_000 });
-    w.tell(client, &Frame::Flush { id: 2, volume: None, time_left: 5_000_000 });
-    w.tell(client, &Frame::AskStatus { id: 3 });
+    w.send_frame(client, &Frame::Barrier { id: 1, volume: 5, time_left: 5_000_000 });
+    w.send_frame(client, &Frame::Flush { id: 2, volume: None, time_left: 5_000_000 });
+    w.send_frame(client, &Frame::AskStatus { id: 3 });
     w.run(1);
     assert_eq!(
         w.answers(client),
-        [Said::Refused(1, Refusal::Unbuffered), Said::Refused(2, Refusal::Unbuffered)]
+        [SentFrame::Refused(1, Refusal::Unbuffered), SentFrame::Refused(2, Refusal::Unbuffered)]
     );
-    assert!(w.said_on(client).contains(&Said::Status("{}".into())));
+    assert!(w.sent_frames_on(client).contains(&SentFrame::Status("{}".into())));
 }
 
 #[test]
@@ -381,12 +381,12 @@
 fn what_is_held_too_long_is_taken_back_and_offered_at_a_higher_worth() {
     let mut d = Desk::new(buffering());
     // Its node is not there: the module holds it.
-    d.w.dials.insert(address(0).parse().unwrap(), Dial::Lost);
+    d.w.connect_outcomes.insert(address(0).parse().unwrap(), ConnectOutcome::NoReply);
     d.write(1, ORDER, 7, None, b"one");
     d.store();
     d.w.run(2500);
     d.store();
-    d.w.dials.insert(address(0).parse().unwrap(), Dial::Greets(0));
+    d.w.connect_outcomes.insert(address(0).parse().unwrap(), ConnectOutcome::Welcomes(0));
     d.w.run(3000);
     d.store();
     assert!(
@@ -402,7 +402,7 @@
     d.write(1, ORDER, 7, None, b"one");
     d.store();
     d.say(&Frame::AskStatus { id: 9 });
-    let Some(Said::Status(json)) = d.w.said_on(d.client).last() else { panic!("no status") };
+    let Some(SentFrame::Status(json)) = d.w.sent_frames_on(d.client).last() else { panic!("no status") };
     assert!(json.contains("\"writes\": 1") && json.contains("\"syncs_total\": "), "{json}");
     let core: &Core = &d.w.core;
     assert_eq!(core.counts().buffered, 1);
