--- a/crates/flaxstand-gateway/tests/harness/counting_allocator.rs
+++ b/crates/flaxstand-gateway/tests/harness/counting_allocator.rs
@@ -1,5 +1,5 @@
-//! A wrapper of the system allocator that counts allocations per thread, so that tests running in parallel do not
-//! affect each other's figures.
+//! A wrapper of the system allocator that counts allocations per thread, so that tests running in parallel do
+//! not affect each other's figures.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
@@ -45,7 +45,8 @@
     LIVE.set(LIVE.get().saturating_sub(bytes));
 }
 
-// SAFETY: every call is forwarded unchanged to the system allocator; the counters neither allocate nor unwind.
+// SAFETY: every call is forwarded unchanged to the system allocator; the counters neither allocate nor
+// unwind.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         allocated(layout.size());
--- a/crates/flaxstand-gateway/tests/harness/mod.rs
+++ b/crates/flaxstand-gateway/tests/harness/mod.rs
@@ -1,6 +1,6 @@
-//! A gateway core on virtual time with scripted peers. The core's output is decoded frame by frame and peers' input
-//! is passed to it as bytes. On the platform's HTTP wire the output is kept as text, and requests for the full list
-//! are answered automatically; all other responses come from the test.
+//! A gateway core on virtual time with scripted peers. The core's output is decoded frame by frame and peers'
+//! input is passed to it as bytes. On the platform's HTTP wire the output is kept as text, and requests for
+//! the full list are answered automatically; all other responses come from the test.
 #![allow(dead_code)]
 
 use flaxstand::api::{Class, DeduplicationScope, Effect, Plan, Settings};
@@ -99,8 +99,8 @@
     c
 }
 
-/// The platform configuration with "keyed" as its third class: the nodes of a shard drop repeated requests of this
-/// class within `window` milliseconds.
+/// The platform configuration with "keyed" as its third class: the nodes of a shard drop repeated requests of
+/// this class within `window` milliseconds.
 pub fn platform_config_with_keyed(long_poll_ms: u64, window: f64) -> Config {
     let mut c = platform_config(long_poll_ms);
     let keyed = Effect::IdempotencyKey { group: DeduplicationScope::Shard, window };
@@ -210,7 +210,8 @@
     pub rejections_left: u32,
     /// On the platform's wire: requests for the full list wait for a response from the test.
     pub holds_list_calls: bool,
-    /// On the platform's wire: requests for changes with a zero timeout are also answered or rejected automatically.
+    /// On the platform's wire: requests for changes with a zero timeout are also answered or rejected
+    /// automatically.
     pub answers_polls: bool,
     /// When the last list was sent automatically.
     pub listed_at: Micros,
@@ -477,8 +478,8 @@
         conn
     }
 
-    /// Sends a client's request on the platform's wire. Returns the client's connection and the connection to node 0
-    /// on which the request is in flight.
+    /// Sends a client's request on the platform's wire. Returns the client's connection and the connection to
+    /// node 0 on which the request is in flight.
     pub fn request_in_flight(&mut self, id: &str, class: &str) -> (ConnId, ConnId) {
         let client = self.http_client();
         self.send_bytes(client, http_request(id, class, 0, "1.000").as_bytes());
--- a/crates/flaxstand-gateway/tests/list_fleet/audit.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/audit.rs
@@ -1,53 +1,55 @@
-//! Judges what was sent: a request whose first byte leaves for a target that drains or was removed, later than the
-//! grace after the change counts as told, is a break. When a change counts as told is worked out here from what the
-//! service, the network and the hosts did, and from nothing that the core says of itself.
+//! Checks the requests that hosts send to targets. A host violates the drain rule if the first byte of a
+//! request to a draining or removed target leaves later than the drain grace after the host counts as
+//! notified of the change. The time of notification is derived from what the list service, the network and
+//! the hosts do, never from the state of the core under test.
 
 use super::list_service::TargetId;
 use flaxstand_gateway::machine::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Every time limit is this much longer than the settings say.
+/// Tolerance added to every time limit from the settings.
 pub const SLACK: Micros = Micros(50_000);
-/// A change counts as told this long after the service had it and could be reached.
-const REACHABLE_FOR: Micros = Micros(6_000_000);
-/// What a watch misses that fell silent counts as told this long after it fell silent,
-const SILENT_FOR: Micros = Micros(6_000_000);
-/// or this long after the wait that it asked for, where that is later.
-const AFTER_WAIT: Micros = Micros(2_000_000);
-/// Whatever the service has counts as told this long after a reload.
-const RELOADED_FOR: Micros = Micros(4_000_000);
-/// A call that failed holds a host to its list so many times as long as one that was answered.
+/// A host counts as notified of a change once the service has had it and was reachable for this long.
+const NOTIFIED_AFTER_REACHABLE: Micros = Micros(6_000_000);
+/// A host counts as notified of a change that its silent watch missed this long after the watch went silent,
+/// or [`NOTIFIED_AFTER_WAIT`] after the end of the watch's long poll, whichever is later.
+const NOTIFIED_AFTER_SILENCE: Micros = Micros(6_000_000);
+/// See [`NOTIFIED_AFTER_SILENCE`].
+const NOTIFIED_AFTER_WAIT: Micros = Micros(2_000_000);
+/// A host counts as notified of every change that the service has this long after a reload.
+const NOTIFIED_AFTER_RELOAD: Micros = Micros(4_000_000);
+/// After a failed call, a host may use its list this many times as long as after an answered one.
 const FAILED_CALL_FACTOR: u64 = 4;
-/// A request has its final answer at the latest this long after its time.
+/// A request must have its final response within this time after its deadline.
 const ANSWER_SLACK: Micros = Micros(500_000);
 
-/// Why a change counts as told.
+/// Why a host counts as notified of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// The process was started with a list that has it.
-    Known,
-    /// The service began to write an answer that holds it.
-    Written {
-        /// When the last byte of that answer was written, if it was by now.
-        whole_at: Option<Micros>,
+    /// The host started with a list that contains the change.
+    KnownAtStart,
+    /// The service started to write a response that contains the change.
+    ResponseStarted {
+        /// When the last byte of that response was written, if it has been.
+        completed_at: Option<Micros>,
     },
-    /// The service had it and could be reached for long enough.
-    Reachable,
-    /// A watch that missed it had been silent for long enough.
+    /// The service has had the change and was reachable for long enough.
+    ServiceReachable,
+    /// A watch that missed the change has been silent for long enough.
     SilentWatch,
-    /// The last reload was long enough ago.
+    /// A reload was long enough ago.
     Reload,
-    /// The host had not called for long enough.
+    /// The host has not called the service for long enough.
     NoCall,
 }
 
 impl Reason {
     pub fn name(self) -> &'static str {
         match self {
-            Reason::Known => "known at the start",
-            Reason::Written { .. } => "written",
-            Reason::Reachable => "service reachable",
+            Reason::KnownAtStart => "known at the start",
+            Reason::ResponseStarted { .. } => "response started",
+            Reason::ServiceReachable => "service reachable",
             Reason::SilentWatch => "silent watch",
             Reason::Reload => "reload",
             Reason::NoCall => "no call",
@@ -55,65 +57,66 @@
     }
 }
 
-/// A moment at which a change counts as told, and why.
+/// When a host counts as notified of a change, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Told {
+pub struct Notified {
     pub at: Micros,
-    pub why: Reason,
+    pub reason: Reason,
 }
 
-/// A request that was sent too late to a target that takes nothing new.
+/// A request that was sent too late to a draining or removed target.
 #[derive(Clone, Debug)]
-pub struct Break {
+pub struct Violation {
     pub host: usize,
     pub target: TargetId,
     pub changed: Micros,
-    pub told: Told,
+    pub notified: Notified,
     pub sent: Micros,
-    /// It would be none if an answer counted from its last byte on, and not from its first.
+    /// Whether it is a violation only because responses count from their first byte, not from their last.
     pub only_by_first_byte: bool,
 }
 
-impl fmt::Display for Break {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (told, sent) = (self.told, self.sent);
+        let (notified, sent) = (self.notified, self.sent);
         write!(
             f,
-            "host {} sent to target {} at {:.1} ms, {:.1} ms after its change at {:.1} ms counted as told at {:.1} ms ({:?})",
+            "host {} sent a request to target {} at {:.1} ms, {:.1} ms after its notification: \
+             target changed at {:.1} ms, host notified at {:.1} ms ({:?})",
             self.host,
             self.target.0,
             sent.ms(),
-            sent.since(told.at).ms(),
+            sent.since(notified.at).ms(),
             self.changed.ms(),
-            told.at.ms(),
-            self.told.why
+            notified.at.ms(),
+            notified.reason
         )
     }
 }
 
-/// From when on an answer that the service writes counts.
+/// Whether a response notifies the host with its first or with its last byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reading {
+enum CountedFrom {
     FirstByte,
     LastByte,
 }
 
-/// A change that made a target take nothing new.
+/// A change after which a target takes no new requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Change {
     pub at: Micros,
     pub revision: u64,
 }
 
-/// An answer that the service wrote to a host.
+/// A response of the list service to a host.
 #[derive(Clone, Copy, Debug)]
-struct Written {
-    begun: Micros,
-    whole_at: Option<Micros>,
+struct ListResponse {
+    started: Micros,
+    completed_at: Option<Micros>,
     revision: u64,
 }
 
-/// A call on which nothing is said any more.
+/// A call on which the service sends nothing more.
 #[derive(Clone, Copy, Debug)]
 struct SilentCall {
     since: Micros,
@@ -121,20 +124,20 @@
     closed: Option<Micros>,
 }
 
-/// What one life of a host has seen of the list service.
+/// The calls and responses between one incarnation of a host and the list service.
 #[derive(Clone, Debug, Default)]
-struct Life {
-    began: Micros,
-    known: u64,
-    written: Vec<Written>,
-    silent: Vec<SilentCall>,
+struct HostRecord {
+    started: Micros,
+    initial_revision: u64,
+    responses: Vec<ListResponse>,
+    silent_calls: Vec<SilentCall>,
     reloads: Vec<Micros>,
     last_call: Micros,
-    call_out: bool,
+    call_in_flight: bool,
     call_failed: bool,
 }
 
-/// A time without the service.
+/// A period in which the list service is down.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     from: Micros,
@@ -149,41 +152,41 @@
 
 /// A client's request.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct Request {
     host: usize,
     at: Micros,
     deadline: Micros,
-    /// Its target took work when it was asked for.
+    /// Whether its target was in service when the request was issued.
     servable: bool,
-    answered: Option<(Micros, u16)>,
-    /// Its host was killed, or its client left.
-    void: bool,
+    response: Option<(Micros, u16)>,
+    /// Whether it is left out of all counts because its host was killed.
+    excluded: bool,
 }
 
-/// How many requests there were, and what became of them.
+/// The number of requests, and how many of them were served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Share {
-    pub asked: usize,
+pub struct ServedShare {
+    pub requests: usize,
     pub served: usize,
 }
 
-impl Share {
-    pub fn part(self) -> f64 {
-        self.served as f64 / self.asked.max(1) as f64
+impl ServedShare {
+    pub fn ratio(self) -> f64 {
+        self.served as f64 / self.requests.max(1) as f64
     }
 }
 
-/// The judge of one day.
+/// Records one day and checks it against the drain rule.
 pub struct Audit {
     grace: Micros,
     poll_within: Micros,
-    lives: Vec<Life>,
+    hosts: Vec<HostRecord>,
     outages: Vec<Outage>,
-    /// Targets that take nothing new, by the change that began that.
-    closed_targets: BTreeMap<TargetId, Change>,
-    requests: Vec<Asked>,
-    breaks: Vec<Break>,
-    sends: usize,
+    /// Draining and removed targets, each with the change that took it out of service.
+    withdrawn_targets: BTreeMap<TargetId, Change>,
+    requests: Vec<Request>,
+    violations: Vec<Violation>,
+    requests_sent: usize,
 }
 
 impl Audit {
@@ -191,32 +194,33 @@
         Audit {
             grace,
             poll_within,
-            lives: vec![Life::default(); hosts],
+            hosts: vec![HostRecord::default(); hosts],
             outages: Vec::new(),
-            closed_targets: BTreeMap::new(),
+            withdrawn_targets: BTreeMap::new(),
             requests: Vec::new(),
-            breaks: Vec::new(),
-            sends: 0,
+            violations: Vec::new(),
+            requests_sent: 0,
         }
     }
 
-    /// A process starts with the list as of revision `known`.
-    pub fn host_starts(&mut self, host: usize, known: u64, now: Micros) {
-        self.lives[host] = Life { began: now, known, last_call: now, ..Life::default() };
+    /// A host starts with the list as of `initial_revision`.
+    pub fn host_started(&mut self, host: usize, initial_revision: u64, now: Micros) {
+        self.hosts[host] =
+            HostRecord { started: now, initial_revision, last_call: now, ..HostRecord::default() };
     }
 
-    /// All that was asked of a host that is killed is void.
+    /// A host is killed: its unanswered requests are left out of all counts.
     pub fn host_killed(&mut self, host: usize) {
-        let open = |asked: &&mut Asked| asked.host == host && asked.answered.is_none();
-        self.requests.iter_mut().filter(open).for_each(|asked| asked.void = true);
+        let pending = |request: &&mut Request| request.host == host && request.response.is_none();
+        self.requests.iter_mut().filter(pending).for_each(|request| request.excluded = true);
     }
 
-    pub fn target_closes(&mut self, target: TargetId, revision: u64, now: Micros) {
-        self.closed_targets.entry(target).or_insert(Change { at: now, revision });
+    pub fn target_withdrawn(&mut self, target: TargetId, revision: u64, now: Micros) {
+        self.withdrawn_targets.entry(target).or_insert(Change { at: now, revision });
     }
 
-    pub fn target_opens(&mut self, target: TargetId) {
-        self.closed_targets.remove(&target);
+    pub fn target_in_service(&mut self, target: TargetId) {
+        self.withdrawn_targets.remove(&target);
     }
 
     pub fn outage_begins(&mut self, now: Micros) {
@@ -230,169 +234,185 @@
     }
 
     pub fn reloaded(&mut self, host: usize, now: Micros) {
-        self.lives[host].reloads.push(now);
+        self.hosts[host].reloads.push(now);
     }
 
-    pub fn called(&mut self, host: usize, now: Micros) {
-        let life = &mut self.lives[host];
-        (life.last_call, life.call_out, life.call_failed) = (now, true, false);
+    pub fn call_started(&mut self, host: usize, now: Micros) {
+        let record = &mut self.hosts[host];
+        (record.last_call, record.call_in_flight, record.call_failed) = (now, true, false);
     }
 
-    pub fn call_ended(&mut self, host: usize, well: bool) {
-        let life = &mut self.lives[host];
-        (life.call_out, life.call_failed) = (false, !well);
+    pub fn call_ended(&mut self, host: usize, succeeded: bool) {
+        let record = &mut self.hosts[host];
+        (record.call_in_flight, record.call_failed) = (false, !succeeded);
     }
 
-    /// The service began to write an answer that it will write whole.
-    pub fn writing(&mut self, host: usize, revision: u64, now: Micros) {
-        self.lives[host].written.push(Written { begun: now, whole_at: None, revision });
+    /// The service starts to write a response that no fault is going to truncate.
+    pub fn response_started(&mut self, host: usize, revision: u64, now: Micros) {
+        self.hosts[host].responses.push(ListResponse { started: now, completed_at: None, revision });
     }
 
-    /// The last byte of that answer was written.
-    pub fn written(&mut self, host: usize, now: Micros) {
-        if let Some(written) = self.lives[host].written.last_mut() {
-            written.whole_at = Some(now);
+    /// The service wrote the last byte of its response.
+    pub fn response_completed(&mut self, host: usize, now: Micros) {
+        if let Some(response) = self.hosts[host].responses.last_mut() {
+            response.completed_at = Some(now);
         }
     }
 
-    /// The service, or the way, broke an answer off: what was to come in it is not told by it.
-    pub fn broken_off(&mut self, host: usize) {
-        self.lives[host].written.pop_if(|written| written.whole_at.is_none());
+    /// A response was aborted by the service or the network, so it does not notify the host.
+    pub fn response_aborted(&mut self, host: usize) {
+        self.hosts[host].responses.pop_if(|response| response.completed_at.is_none());
     }
 
-    /// From now on nothing is said on the host's open call.
-    pub fn call_fell_silent(&mut self, host: usize, wait_ends: Micros, now: Micros) {
-        self.lives[host].silent.push(SilentCall { since: now, wait_ends, closed: None });
+    /// From now on the service sends nothing on the host's open call.
+    pub fn call_went_silent(&mut self, host: usize, wait_ends: Micros, now: Micros) {
+        self.hosts[host].silent_calls.push(SilentCall { since: now, wait_ends, closed: None });
     }
 
     pub fn silent_call_closed(&mut self, host: usize, now: Micros) {
-        if let Some(silent) = self.lives[host].silent.last_mut() {
+        if let Some(silent) = self.hosts[host].silent_calls.last_mut() {
             silent.closed.get_or_insert(now);
         }
     }
 
-    /// The first byte of a request left for a target.
-    pub fn sent(&mut self, host: usize, target: TargetId, at: Micros) {
-        self.sends += 1;
-        let Some(change) = self.closed_targets.get(&target).copied() else { return };
-        let is_late = |told: &Told| at > told.at.after(self.grace).after(SLACK);
-        let Some(told) = self.told(host, change).filter(is_late) else { return };
-        let by_last_byte = self.told_as(Reading::LastByte, host, change);
+    /// The first byte of a request to a target leaves a host.
+    pub fn request_sent(&mut self, host: usize, target: TargetId, at: Micros) {
+        self.requests_sent += 1;
+        let Some(change) = self.withdrawn_targets.get(&target).copied() else { return };
+        let is_late = |notified: &Notified| at > notified.at.after(self.grace).after(SLACK);
+        let Some(notified) = self.notified(host, change).filter(is_late) else { return };
+        let by_last_byte = self.notified_counting(CountedFrom::LastByte, host, change);
         let only_by_first_byte = by_last_byte.filter(is_late).is_none();
-        self.breaks.push(Break { host, target, changed: change.at, told, sent: at, only_by_first_byte });
+        self.violations.push(Violation {
+            host,
+            target,
+            changed: change.at,
+            notified,
+            sent: at,
+            only_by_first_byte,
+        });
     }
 
-    /// When a change counts as told to a host, as far as can be said by now.
-    pub fn told(&self, host: usize, change: Change) -> Option<Told> {
-        self.told_as(Reading::FirstByte, host, change)
+    /// When a host counts as notified of a change, given the events recorded so far.
+    pub fn notified(&self, host: usize, change: Change) -> Option<Notified> {
+        self.notified_counting(CountedFrom::FirstByte, host, change)
     }
 
-    fn told_as(&self, reading: Reading, host: usize, change: Change) -> Option<Told> {
-        let life = &self.lives[host];
-        if change.revision <= life.known {
-            return Some(Told { at: life.began.max(change.at), why: Reason::Known });
+    fn notified_counting(&self, from: CountedFrom, host: usize, change: Change) -> Option<Notified> {
+        let record = &self.hosts[host];
+        if change.revision <= record.initial_revision {
+            return Some(Notified { at: record.started.max(change.at), reason: Reason::KnownAtStart });
         }
         let reasons = [
-            self.told_when_written(reading, life, change),
-            self.told_when_reachable(life, change),
-            self.told_by_silence(life, change),
-            self.told_by_reload(life, change),
-            self.told_without_call(life, change),
+            self.notified_by_response(from, record, change),
+            self.notified_by_reachability(record, change),
+            self.notified_by_silent_watch(record, change),
+            self.notified_by_reload(record, change),
+            self.notified_without_call(record, change),
         ];
         reasons.into_iter().flatten().min()
     }
 
-    fn told_when_written(&self, reading: Reading, life: &Life, change: Change) -> Option<Told> {
-        let moments = life.written.iter().filter(|written| written.revision >= change.revision);
-        let mut moments = moments.filter_map(|written| match reading {
-            Reading::FirstByte => Some((written.begun, written.whole_at)),
-            Reading::LastByte => Some((written.whole_at?, written.whole_at)),
+    fn notified_by_response(
+        &self,
+        from: CountedFrom,
+        record: &HostRecord,
+        change: Change,
+    ) -> Option<Notified> {
+        let responses = record.responses.iter().filter(|response| response.revision >= change.revision);
+        let mut times = responses.filter_map(|response| match from {
+            CountedFrom::FirstByte => Some((response.started, response.completed_at)),
+            CountedFrom::LastByte => Some((response.completed_at?, response.completed_at)),
         });
-        let (at, whole_at) = moments.next()?;
-        Some(Told { at, why: Reason::Written { whole_at } })
+        let (at, completed_at) = times.next()?;
+        Some(Notified { at, reason: Reason::ResponseStarted { completed_at } })
     }
 
-    fn told_when_reachable(&self, life: &Life, change: Change) -> Option<Told> {
-        let at = self.reachable_for(REACHABLE_FOR, life.began.max(change.at))?;
-        Some(Told { at, why: Reason::Reachable })
+    fn notified_by_reachability(&self, record: &HostRecord, change: Change) -> Option<Notified> {
+        let at = self.reachable_for(NOTIFIED_AFTER_REACHABLE, record.started.max(change.at))?;
+        Some(Notified { at, reason: Reason::ServiceReachable })
     }
 
-    fn told_by_silence(&self, life: &Life, change: Change) -> Option<Told> {
+    fn notified_by_silent_watch(&self, record: &HostRecord, change: Change) -> Option<Notified> {
         let missed = |silent: &&SilentCall| silent.closed.is_none_or(|closed| change.at < closed);
-        let told = life.silent.iter().filter(missed).filter_map(|silent| {
-            let due = silent.since.after(SILENT_FOR).max(silent.wait_ends.after(AFTER_WAIT));
+        let times = record.silent_calls.iter().filter(missed).filter_map(|silent| {
+            let due =
+                silent.since.after(NOTIFIED_AFTER_SILENCE).max(silent.wait_ends.after(NOTIFIED_AFTER_WAIT));
             self.is_reachable(silent.since, due).then_some(due.max(change.at))
         });
-        Some(Told { at: told.min()?, why: Reason::SilentWatch })
+        Some(Notified { at: times.min()?, reason: Reason::SilentWatch })
     }
 
-    fn told_by_reload(&self, life: &Life, change: Change) -> Option<Told> {
-        let told = life.reloads.iter().filter_map(|reload| {
-            let due = reload.after(RELOADED_FOR);
+    fn notified_by_reload(&self, record: &HostRecord, change: Change) -> Option<Notified> {
+        let times = record.reloads.iter().filter_map(|reload| {
+            let due = reload.after(NOTIFIED_AFTER_RELOAD);
             (change.at <= due && self.is_reachable(*reload, due)).then_some(due)
         });
-        Some(Told { at: told.min()?, why: Reason::Reload })
+        Some(Notified { at: times.min()?, reason: Reason::Reload })
     }
 
-    fn told_without_call(&self, life: &Life, change: Change) -> Option<Told> {
-        if life.call_out {
+    fn notified_without_call(&self, record: &HostRecord, change: Change) -> Option<Notified> {
+        if record.call_in_flight {
             return None;
         }
-        let factor = if life.call_failed { FAILED_CALL_FACTOR } else { 1 };
-        let held = Micros(self.poll_within.0 * factor);
-        let since = life.last_call.max(change.at);
-        Some(Told { at: self.reachable_for(held, since)?, why: Reason::NoCall })
+        let factor = if record.call_failed { FAILED_CALL_FACTOR } else { 1 };
+        let list_valid_for = Micros(self.poll_within.0 * factor);
+        let since = record.last_call.max(change.at);
+        Some(Notified { at: self.reachable_for(list_valid_for, since)?, reason: Reason::NoCall })
     }
 
-    /// The end of the first time of this length from `from` on in which there is no outage.
+    /// The end of the first period of this length, starting at or after `from`, without an outage.
     fn reachable_for(&self, length: Micros, from: Micros) -> Option<Micros> {
-        let mut begins = from;
+        let mut start = from;
         for outage in &self.outages {
-            if outage.overlaps(begins, begins.after(length)) {
-                begins = outage.to?;
+            if outage.overlaps(start, start.after(length)) {
+                start = outage.to?;
             }
         }
-        Some(begins.after(length))
+        Some(start.after(length))
     }
 
     fn is_reachable(&self, from: Micros, to: Micros) -> bool {
         !self.outages.iter().any(|outage| outage.overlaps(from, to))
     }
 
-    /// A client asks. Returns the request's number.
-    pub fn asked(&mut self, host: usize, servable: bool, deadline: Micros, now: Micros) -> usize {
-        let asked = Asked { host, at: now, deadline, servable, answered: None, void: false };
-        self.requests.push(asked);
+    /// A client issues a request. Returns the request's number.
+    pub fn request_issued(&mut self, host: usize, servable: bool, deadline: Micros, now: Micros) -> usize {
+        let request = Request { host, at: now, deadline, servable, response: None, excluded: false };
+        self.requests.push(request);
         self.requests.len() - 1
     }
 
-    /// A request has its final answer, or its connection was closed under it (status 0).
-    pub fn answered(&mut self, request: usize, status: u16, now: Micros) {
-        self.requests[request].answered.get_or_insert((now, status));
+    /// A client receives its final response, or its connection closes without one (status 0).
+    pub fn request_answered(&mut self, request: usize, status: u16, now: Micros) {
+        self.requests[request].response.get_or_insert((now, status));
     }
 
-    /// What was served of the requests asked from one moment to another whose target took work then.
-    pub fn share(&self, from: Micros, to: Micros) -> Share {
-        let counts = |asked: &&Asked| asked.servable && !asked.void && asked.at >= from && asked.at < to;
-        let asked: Vec<&Asked> = self.requests.iter().filter(counts).collect();
-        let served = asked.iter().filter(|asked| asked.answered.is_some_and(|(_, status)| status == 200));
-        Share { asked: asked.len(), served: served.count() }
+    /// The served share of the requests issued in a period, without those whose target was out of service.
+    pub fn served_share(&self, from: Micros, to: Micros) -> ServedShare {
+        let counts = |request: &&Request| {
+            request.servable && !request.excluded && request.at >= from && request.at < to
+        };
+        let requests: Vec<&Request> = self.requests.iter().filter(counts).collect();
+        let served =
+            requests.iter().filter(|request| request.response.is_some_and(|(_, status)| status == 200));
+        ServedShare { requests: requests.len(), served: served.count() }
     }
 
-    /// Requests whose time is over and that had no final answer in time.
+    /// The number of requests past their deadline that had no final response in time.
     pub fn unanswered(&self, now: Micros) -> usize {
-        let lost = |asked: &&Asked| {
-            let last = asked.deadline.after(ANSWER_SLACK);
-            !asked.void && last < now && asked.answered.is_none_or(|(at, _)| at > last)
+        let unanswered = |request: &&Request| {
+            let latest = request.deadline.after(ANSWER_SLACK);
+            !request.excluded && latest < now && request.response.is_none_or(|(at, _)| at > latest)
         };
-        self.requests.iter().filter(lost).count()
+        self.requests.iter().filter(unanswered).count()
     }
 
-    pub fn breaks(&self) -> &[Break] {
-        &self.breaks
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
     }
 
-    pub fn sends(&self) -> usize {
-        self.sends
+    pub fn requests_sent(&self) -> usize {
+        self.requests_sent
     }
 }
--- a/crates/flaxstand-gateway/tests/list_fleet/day.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/day.rs
@@ -1,46 +1,47 @@
-//! A day: how large, how fast, and what happens when. Fixed by a test, or drawn from a seed.
+//! A day: the size and speed of the simulated fleet and the steps of its scenario, fixed by a test or
+//! generated from a seed.
 
 use super::faults::{Fault, FaultSpan, Outage};
 use super::list_service::{Speed, Style, TargetId};
 use flaxstand_gateway::machine::Micros;
 
-/// The clock of every day begins here: other times of a day count from this.
+/// The virtual time at which every day starts; all other times of a day are relative to it.
 pub const START: Micros = Micros(1_000_000_000);
 
-/// A duration of so many seconds.
+/// Converts seconds to a duration.
 pub fn seconds(seconds: f64) -> Micros {
     Micros::from_ms(1000.0 * seconds)
 }
 
-/// Something that is done to the fleet.
+/// An action on the fleet.
 #[derive(Clone, Debug)]
 pub enum Step {
     Drain(Vec<TargetId>),
     Remove(Vec<TargetId>),
-    /// Removed targets are listed again under their uids.
-    Return(Vec<TargetId>),
-    /// New targets take the addresses and shards of removed ones.
+    /// Lists removed targets again under their uids.
+    Relist(Vec<TargetId>),
+    /// Adds new targets at the addresses and with the shards of removed ones.
     Replace(Vec<TargetId>),
-    OutageBegins(Outage),
-    OutageEnds,
-    /// Every call is turned away, or none any more.
-    TurnAway(bool),
-    /// What is open at the list service falls silent.
-    WatchesFallSilent,
-    /// What is open at the list service is reset.
-    WatchesReset,
-    /// The list service moves, and all hosts are told.
+    BeginOutage(Outage),
+    EndOutage,
+    /// Starts or stops rejecting every call to the list service.
+    RejectCalls(bool),
+    /// The list service sends nothing more on the calls that are open.
+    SilenceWatches,
+    /// Resets all connections to the list service.
+    ResetWatches,
+    /// Moves the list service to another address and reloads the settings of all hosts.
     Reload,
-    /// A host's process ends at once.
+    /// Kills a host's process.
     Kill(usize),
-    /// It starts anew, with a list that is so many revisions old.
+    /// Starts a host again, with a list that is this many revisions behind.
     Start {
         host: usize,
         revisions_behind: u64,
     },
 }
 
-/// A day.
+/// A scenario to play.
 #[derive(Clone, Debug)]
 pub struct Day {
     pub seed: u64,
@@ -48,50 +49,50 @@
     pub targets: usize,
     pub speed: Speed,
     pub style: Style,
-    /// How long a change that counts as told may be ignored.
+    /// How long a host may still send requests to a target after it is notified that the target drains.
     pub grace: Micros,
     pub length: Micros,
-    /// Requests a second of all clients together.
-    pub asks_per_second: f64,
-    /// How fast an answer of the list service comes.
+    /// Requests per second of all clients together.
+    pub requests_per_second: f64,
+    /// Transfer rate of the list service's responses.
     pub bytes_per_second: f64,
-    /// Which part of all turns is held up between the reading of the clock and the writing.
-    pub held_up: f64,
-    /// Which part of all connections to targets comes up late.
-    pub late_connections: f64,
+    /// The probability that a host's turn is delayed between reading the clock and writing.
+    pub delayed_turn_rate: f64,
+    /// The probability that a connection to a target is slow to establish.
+    pub slow_connect_rate: f64,
     pub faults: Vec<FaultSpan>,
-    /// What is done, by the time from the start on.
+    /// The actions on the fleet, each with its time since the start.
     pub steps: Vec<(Micros, Step)>,
 }
 
 impl Day {
-    /// A quiet day: a service that is fast enough for its fleet, and no trouble.
-    pub fn quiet(seed: u64, hosts: usize, targets: usize) -> Self {
+    /// A day without faults, with a list service that is fast enough for the fleet.
+    pub fn without_faults(seed: u64, hosts: usize, targets: usize) -> Self {
         Day {
             seed,
             hosts,
             targets,
-            speed: Speed { call_lines: 40.0, lines_per_second: 3000.0, tells_changes: true },
+            speed: Speed { call_lines: 40.0, lines_per_second: 3000.0, sends_changes: true },
             style: Style::default(),
             grace: seconds(1.0),
             length: seconds(20.0),
-            asks_per_second: 40.0,
+            requests_per_second: 40.0,
             bytes_per_second: 20e6,
-            held_up: 0.002,
-            late_connections: 0.0,
+            delayed_turn_rate: 0.002,
+            slow_connect_rate: 0.0,
             faults: Vec::new(),
             steps: Vec::new(),
         }
     }
 
-    /// With so much work a second done by the list service.
+    /// Sets the list service's speed.
     pub fn lines_per_second(self, lines_per_second: f64) -> Self {
         Day { speed: Speed { lines_per_second, ..self.speed }, ..self }
     }
 
-    /// Watches are answered with whole lists.
-    pub fn whole_lists_only(self) -> Self {
-        Day { speed: Speed { tells_changes: false, ..self.speed }, ..self }
+    /// Lets the list service answer watches with full lists only.
+    pub fn full_lists_only(self) -> Self {
+        Day { speed: Speed { sends_changes: false, ..self.speed }, ..self }
     }
 
     pub fn style(self, style: Style) -> Self {
@@ -110,21 +111,21 @@
         Day { bytes_per_second, ..self }
     }
 
-    /// At this time from the start on, this is done.
+    /// Adds an action at this time since the start.
     pub fn step(mut self, at: Micros, step: Step) -> Self {
         self.steps.push((at, step));
         self
     }
 
-    /// From one time to another, this part of the calls meets a fault.
-    pub fn fault(mut self, fault: Fault, (from, to): (f64, f64), part: f64) -> Self {
+    /// Adds a fault that affects calls with this probability between two times in seconds.
+    pub fn fault(mut self, fault: Fault, (from, to): (f64, f64), probability: f64) -> Self {
         let (from, to) = (START.after(seconds(from)), START.after(seconds(to)));
-        self.faults.push(FaultSpan { fault, from, to, part });
+        self.faults.push(FaultSpan { fault, from, to, probability });
         self
     }
 
-    /// The first targets of the list, so many of a hundred.
-    pub fn percent(&self, percent: usize) -> Vec<TargetId> {
+    /// The first `percent` % of the targets.
+    pub fn first_percent(&self, percent: usize) -> Vec<TargetId> {
         (0..self.targets * percent / 100).map(TargetId).collect()
     }
 }
--- a/crates/flaxstand-gateway/tests/list_fleet/events.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/events.rs
@@ -1,5 +1,5 @@
-//! What is still to happen, in the order of its moments; what has one moment happens in the order in which it was
-//! planned.
+//! The queue of scheduled events, in order of time. Events at the same time run in the order in which they
+//! were scheduled.
 
 use super::day::Step;
 use super::list_service::{Call, TargetId};
@@ -8,74 +8,75 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-/// A connection of one life of a host.
+/// A connection of one incarnation of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostConn {
     pub host: usize,
-    pub life: u32,
+    pub incarnation: u32,
     pub conn: ConnId,
 }
 
-/// What reaches a host.
+/// An input that a host receives.
 #[derive(Clone, Debug)]
 pub enum Input {
     Connected(ConnId),
     ConnectFailed(ConnId, &'static str),
     Bytes(ConnId, Rc<[u8]>, Range<usize>),
     Closed(ConnId, &'static str),
-    /// A client asks: the request's number, and its bytes.
-    Ask(usize, String),
+    /// A client's request: its number and its bytes.
+    Request(usize, String),
     Control(Control),
 }
 
-/// What happens.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub enum Event {
     Step(Step),
-    /// This reaches that life of a host.
+    /// An incarnation of a host receives an input.
     Input {
         host: usize,
-        life: u32,
+        incarnation: u32,
         input: Input,
     },
-    /// A call reaches the list service.
+    /// A call arrives at the list service.
     DiscoveryCall(HostConn, Call),
-    /// The next part of a list service's answer leaves.
-    Piece(HostConn),
-    /// The list service closes what is left of the connections to an address that it had.
-    CloseOldLinks(usize),
-    /// The first byte of a request leaves for a target.
-    Send {
+    /// The list service sends the next segment of a response.
+    SendSegment(HostConn),
+    /// The list service closes the connections to addresses that it had before its nth move.
+    CloseOldConnections(usize),
+    /// The first byte of a request to a target leaves a host.
+    RequestSent {
         host: usize,
-        life: u32,
+        incarnation: u32,
         target: TargetId,
     },
-    TargetAnswers(HostConn),
-    /// The process of a removed target ends.
-    TargetEnds(TargetId),
-    NextClient,
+    TargetResponds(HostConn),
+    /// The process of a removed target exits.
+    TargetExits(TargetId),
+    /// The next client issues a request.
+    NextRequest,
 }
 
-/// The events to come.
+/// The scheduled events.
 #[derive(Default)]
 pub struct Events {
-    planned: BTreeMap<(Micros, u64), Event>,
-    next: u64,
+    scheduled: BTreeMap<(Micros, u64), Event>,
+    next_sequence: u64,
 }
 
 impl Events {
-    pub fn at(&mut self, moment: Micros, event: Event) {
-        self.planned.insert((moment, self.next), event);
-        self.next += 1;
+    pub fn schedule(&mut self, time: Micros, event: Event) {
+        self.scheduled.insert((time, self.next_sequence), event);
+        self.next_sequence += 1;
     }
 
-    pub fn next_moment(&self) -> Option<Micros> {
-        self.planned.first_key_value().map(|((at, _), _)| *at)
+    pub fn next_time(&self) -> Option<Micros> {
+        self.scheduled.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// The next event that is due by now.
+    /// Removes and returns the next event that is due.
     pub fn due(&mut self, now: Micros) -> Option<Event> {
-        let first = self.planned.first_entry().filter(|entry| entry.key().0 <= now)?;
+        let first = self.scheduled.first_entry().filter(|entry| entry.key().0 <= now)?;
         Some(first.remove())
     }
 }
--- a/crates/flaxstand-gateway/tests/list_fleet/faults.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/faults.rs
@@ -1,82 +1,83 @@
-//! What goes wrong between hosts and the list service, and when.
+//! Faults and outages between hosts and the list service.
 
 use super::simulation::Simulation;
 use flaxstand_gateway::machine::Micros;
 
-/// So many calls of a host in a row may fail without a byte from the service: after more of them nobody could tell a
-/// fault of the way from an outage, in which service goes on.
-const LIFELESS_IN_A_ROW: u32 = 2;
+/// Maximum number of consecutive calls of a host that get no byte from the service. A host cannot tell a
+/// longer series of network faults from an outage, during which it keeps using its list.
+const MAX_CONSECUTIVE_UNRESPONSIVE: u32 = 2;
 
-/// How the service is down.
+/// How the list service fails during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// Calls are accepted, and nothing is ever said on them.
+    /// Calls are accepted but never answered.
     Silent,
-    /// Connections are refused, and those that are open reset.
+    /// New connections are refused and open ones are reset.
     Refused,
-    /// Connections are accepted, and reset when a call comes.
+    /// Connections are accepted, and reset when a call arrives.
     Reset,
-    /// Calls are accepted, wait for up to a second and are turned away.
-    TurnsAwayLate,
+    /// Calls are accepted and rejected after up to a second.
+    RejectsLate,
 }
 
-/// A fault of the way, while the service is up.
+/// A network fault while the service is up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A connection is refused.
-    DialRefused,
-    /// A connection never comes up.
-    DialLost,
-    /// The connection is reset as the call arrives.
+    /// The connection is refused.
+    ConnectRefused,
+    /// The connection is never established.
+    ConnectHangs,
+    /// The connection is reset when the call arrives.
     Reset,
-    /// Nothing is ever said on the call.
+    /// The call is never answered.
     Silent,
-    /// The answer's first byte is so late, ms.
-    FirstByteLate(f64),
-    /// The answer comes slowly, and with pauses of up to so many ms.
-    SlowBody { bytes_per_second: f64, pause_most: f64 },
-    /// The answer has no end.
+    /// The response's first byte is delayed by up to this many milliseconds.
+    FirstByteDelayed(f64),
+    /// The response is slow, with pauses.
+    SlowBody { bytes_per_second: f64, max_pause_ms: f64 },
+    /// The response never ends.
     Endless,
-    /// The connection is reset in the middle of the answer.
-    CutOff,
-    /// The answer comes in chunks.
+    /// The connection is reset in the middle of the response.
+    Truncated,
+    /// The response uses chunked encoding.
     Chunked,
 }
 
 impl Fault {
-    /// No byte of the service reaches the host.
-    fn is_lifeless(self) -> bool {
-        matches!(self, Fault::DialRefused | Fault::DialLost | Fault::Reset | Fault::Silent)
+    /// Returns whether the host receives no byte of a response.
+    fn is_unresponsive(self) -> bool {
+        matches!(self, Fault::ConnectRefused | Fault::ConnectHangs | Fault::Reset | Fault::Silent)
     }
 }
 
-/// A time in which a part of the calls meets a fault.
+/// A period in which calls are affected by a fault with a given probability.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultSpan {
     pub fault: Fault,
     pub from: Micros,
     pub to: Micros,
-    pub part: f64,
+    pub probability: f64,
 }
 
 impl Simulation {
-    /// Draws a fault of this moment that `concerns` what a host does.
-    pub(super) fn fault(&mut self, host: usize, concerns: impl Fn(Fault) -> bool) -> Option<Fault> {
-        let lifeless = self.hosts[host].lifeless_calls;
-        let fault = self
-            .draw_fault(|fault| concerns(fault) && (!fault.is_lifeless() || lifeless < LIFELESS_IN_A_ROW));
-        if fault.is_some_and(Fault::is_lifeless) {
-            self.hosts[host].lifeless_calls += 1;
+    /// Draws the fault, if any, that affects an operation of a host now, among those that satisfy `applies`.
+    pub(super) fn fault(&mut self, host: usize, applies: impl Fn(Fault) -> bool) -> Option<Fault> {
+        let unresponsive = self.hosts[host].unresponsive_calls;
+        let fault = self.pick_fault(|fault| {
+            applies(fault) && (!fault.is_unresponsive() || unresponsive < MAX_CONSECUTIVE_UNRESPONSIVE)
+        });
+        if fault.is_some_and(Fault::is_unresponsive) {
+            self.hosts[host].unresponsive_calls += 1;
         }
         fault
     }
 
-    fn draw_fault(&mut self, concerns: impl Fn(Fault) -> bool) -> Option<Fault> {
+    fn pick_fault(&mut self, applies: impl Fn(Fault) -> bool) -> Option<Fault> {
         let now = self.now;
         for at in 0..self.day.faults.len() {
             let span = self.day.faults[at];
-            let holds = concerns(span.fault) && now >= span.from && now < span.to;
-            if holds && self.draw.chance(span.part) {
+            let is_current = applies(span.fault) && now >= span.from && now < span.to;
+            if is_current && self.random.chance(span.probability) {
                 return Some(span.fault);
             }
         }
--- a/crates/flaxstand-gateway/tests/list_fleet/list_service.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/list_service.rs
@@ -1,5 +1,6 @@
-//! A model of the list service, without I/O. It is serial: a call that has been answered occupies it for the work
-//! that the call cost, and calls that come while more than a second of work is ahead are turned away with 503.
+//! A model of the list service without I/O. It processes one call at a time: each answered call keeps it busy
+//! for the cost of the call. Calls that arrive while more than a second of work is queued are rejected with
+//! 503.
 
 use flaxstand_gateway::machine::Micros;
 use flaxstand_platform::{Listing, Target, TargetState};
@@ -7,58 +8,58 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-/// A call that finds more work than this ahead of it is turned away.
-const BACKLOG_MOST: Micros = Micros(1_000_000);
-/// A call is turned away this long after it came.
-const TURNED_AWAY_AFTER: Micros = Micros(5_000);
-/// Turning a call away costs this part of the lines of an answered call without entries.
-const TURNED_AWAY_COST: f64 = 0.25;
+/// Calls that arrive behind more queued work than this are rejected.
+const MAX_BACKLOG: Micros = Micros(1_000_000);
+/// Delay of a rejection after the call.
+const REJECTION_DELAY: Micros = Micros(5_000);
+/// Cost of a rejection relative to an answered call without entries.
+const REJECTION_COST: f64 = 0.25;
 
-/// A target; the same for all its lives under one uid.
+/// A target, identified by its uid; a restarted target keeps its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TargetId(pub usize);
 
-/// A call of one host.
+/// A call of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// What a call asks for: the whole list, or a wait for what is newer than a revision.
+/// A request for the full list, or a long poll for changes after the revision `since`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
     pub since: Option<u64>,
     pub wait: Micros,
 }
 
-/// How fast the service works and what its answers hold.
+/// The speed of the service and the kind of its responses.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
-    /// Each call costs as much as so many lines.
+    /// Fixed cost of a call, in lines.
     pub call_lines: f64,
     pub lines_per_second: f64,
-    /// Watches are answered with the changed entries; else with whole lists.
-    pub tells_changes: bool,
+    /// Whether watches are answered with the changed entries only, not with full lists.
+    pub sends_changes: bool,
 }
 
-/// How answers are written.
+/// The format of responses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Style {
     pub indented: bool,
-    /// An entry that makes no sense stands behind the others.
-    pub nonsense_entry: Option<&'static str>,
-    /// The address of a target that drains or is removed can't be read.
-    pub drops_addresses: bool,
+    /// A malformed entry to append to the other entries.
+    pub malformed_entry: Option<&'static str>,
+    /// Whether the addresses of draining and removed targets are unreadable.
+    pub unreadable_addresses: bool,
 }
 
-/// An answer, in its form before it is put on a connection.
+/// A response before HTTP framing.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// 503.
-    Busy,
-    /// A list whose body covers all changes up to this revision.
+    /// Status 503.
+    Rejected,
+    /// A list with all changes up to this revision.
     List { revision: u64, body: Rc<[u8]> },
 }
 
-/// An answer that is due now.
+/// A response that is due.
 #[derive(Clone, Debug)]
 pub struct Reply {
     pub call: CallId,
@@ -82,7 +83,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Due {
-    Busy,
+    Rejection,
     List { since: Option<u64> },
 }
 
@@ -91,32 +92,34 @@
     speed: Speed,
     style: Style,
     targets: Vec<Target>,
-    /// How many were in the first list.
-    first_targets: usize,
-    /// Listed targets: all that are not removed.
+    /// Number of targets in the initial list.
+    initial_targets: usize,
+    /// Number of listed targets: all that are not removed.
     listed: usize,
     revision: u64,
-    /// All changes since the first list, by their revisions.
+    /// All changes since the initial list, in order of revision.
     changes: Vec<Change>,
-    /// When the work that was accepted so far is done.
+    /// When the work accepted so far is done.
     free_at: Micros,
-    /// Answers by the moment at which they begin.
+    /// Responses by the time at which they start.
     due: BTreeMap<(Micros, CallId), Due>,
     watches: BTreeMap<CallId, Watch>,
+    /// Cached bodies of the current revision, by the `since` of the request.
     bodies: BTreeMap<Option<u64>, Rc<[u8]>>,
-    turns_all_away: bool,
+    rejects_all: bool,
 }
 
-/// The revision of the first list.
+/// The revision of the initial list.
 pub const FIRST_REVISION: u64 = 40;
 
 impl ListService {
     pub fn new(speed: Speed, style: Style, targets: usize) -> Self {
-        let targets: Vec<Target> = (0..targets).map(|index| first_target(index, address_of(index))).collect();
+        let targets: Vec<Target> =
+            (0..targets).map(|index| initial_target(index, address_of(index))).collect();
         ListService {
             speed,
             style,
-            first_targets: targets.len(),
+            initial_targets: targets.len(),
             listed: targets.len(),
             targets,
             revision: FIRST_REVISION,
@@ -125,7 +128,7 @@
             due: BTreeMap::new(),
             watches: BTreeMap::new(),
             bodies: BTreeMap::new(),
-            turns_all_away: false,
+            rejects_all: false,
         }
     }
 
@@ -137,15 +140,16 @@
         &self.targets[id.0]
     }
 
-    /// A target that was never listed, at this address and with the shard of an earlier one.
+    /// Adds an unlisted target with this address and shard.
     pub fn add_target(&mut self, endpoint: String, shard: u32) -> TargetId {
         let id = TargetId(self.targets.len());
-        let target = Target { shard, state: TargetState::Removed, ..first_target(id.0, endpoint) };
+        let target = Target { shard, state: TargetState::Removed, ..initial_target(id.0, endpoint) };
         self.targets.push(target);
         id
     }
 
-    /// Changes the state of a target, at a revision of its own. Watches are told by [`ListService::tell_watches`].
+    /// Changes the state of a target under a new revision. Watches are answered by
+    /// [`ListService::answer_watches`].
     pub fn change_one(&mut self, id: TargetId, state: TargetState, now: Micros) {
         let target = &mut self.targets[id.0];
         match (target.state == TargetState::Removed, state == TargetState::Removed) {
@@ -163,41 +167,40 @@
         self.bodies.clear();
     }
 
-    /// Answers the watches that wait for what is newer than they have.
-    pub fn tell_watches(&mut self, now: Micros) {
+    /// Answers all open watches.
+    pub fn answer_watches(&mut self, now: Micros) {
         for (call, watch) in std::mem::take(&mut self.watches) {
             self.admit(call, Some(watch.since), now);
         }
     }
 
-    /// From now on every call is turned away, or none any more.
-    pub fn turn_all_away(&mut self, turns_away: bool, now: Micros) {
-        self.turns_all_away = turns_away;
-        if turns_away {
-            self.tell_watches(now);
+    /// Starts or stops rejecting every call.
+    pub fn reject_all(&mut self, rejects: bool, now: Micros) {
+        self.rejects_all = rejects;
+        if rejects {
+            self.answer_watches(now);
         }
     }
 
-    /// A call has come.
+    /// A call arrives.
     pub fn call(&mut self, id: CallId, call: Call, now: Micros) {
-        let waits = call.since.filter(|since| *since >= self.revision && call.wait > Micros(0));
-        match waits {
-            Some(since) if !self.is_crowded(now) => {
+        let watched = call.since.filter(|since| *since >= self.revision && call.wait > Micros(0));
+        match watched {
+            Some(since) if !self.is_overloaded(now) => {
                 self.watches.insert(id, Watch { since, ends: now.after(call.wait) });
             }
             _ => self.admit(id, call.since, now),
         }
     }
 
-    /// The caller has gone, or nothing is ever said on this call. The work that was accepted for it is done all the
-    /// same.
-    pub fn forget(&mut self, id: CallId) {
+    /// Cancels a call that is closed or will not be answered. Its queued work still counts.
+    pub fn cancel(&mut self, id: CallId) {
         self.watches.remove(&id);
         self.due.retain(|(_, call), _| *call != id);
     }
 
-    /// Nothing is left of calls that came before: the service was down.
-    pub fn forget_all(&mut self, now: Micros) {
+    /// Drops all calls and all queued work, as after an outage.
+    pub fn reset(&mut self, now: Micros) {
         self.watches.clear();
         self.due.clear();
         self.free_at = now;
@@ -209,7 +212,7 @@
         [answer, watch].into_iter().flatten().min()
     }
 
-    /// The answers that begin now.
+    /// Returns the responses that start by now.
     pub fn due(&mut self, now: Micros) -> Vec<Reply> {
         let ended: Vec<CallId> =
             self.watches.iter().filter(|(_, watch)| watch.ends <= now).map(|(id, _)| *id).collect();
@@ -222,7 +225,7 @@
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
             let ((_, call), due) = entry.remove_entry();
             let answer = match due {
-                Due::Busy => Answer::Busy,
+                Due::Rejection => Answer::Rejected,
                 Due::List { since } => self.list_since(since),
             };
             replies.push(Reply { call, answer });
@@ -230,21 +233,21 @@
         replies
     }
 
-    fn is_crowded(&self, now: Micros) -> bool {
-        self.turns_all_away || self.free_at.since(now) > BACKLOG_MOST
+    fn is_overloaded(&self, now: Micros) -> bool {
+        self.rejects_all || self.free_at.since(now) > MAX_BACKLOG
     }
 
-    /// Gives a call its turn behind the work ahead, or turns it away.
+    /// Queues a call behind the accepted work, or rejects it.
     fn admit(&mut self, id: CallId, since: Option<u64>, now: Micros) {
-        if self.is_crowded(now) {
-            self.free_at = self.free_at.max(now).after(self.work(TURNED_AWAY_COST * self.speed.call_lines));
-            self.due.insert((now.after(TURNED_AWAY_AFTER), id), Due::Busy);
+        if self.is_overloaded(now) {
+            self.free_at = self.free_at.max(now).after(self.work(REJECTION_COST * self.speed.call_lines));
+            self.due.insert((now.after(REJECTION_DELAY), id), Due::Rejection);
             return;
         }
-        let begins = self.free_at.max(now);
+        let start = self.free_at.max(now);
         let lines = self.speed.call_lines + self.lines_since(since) as f64;
-        self.free_at = begins.after(self.work(lines));
-        self.due.insert((begins, id), Due::List { since });
+        self.free_at = start.after(self.work(lines));
+        self.due.insert((start, id), Due::List { since });
     }
 
     fn work(&self, lines: f64) -> Micros {
@@ -254,7 +257,7 @@
     fn lines_since(&self, since: Option<u64>) -> usize {
         match since {
             Some(since) if since >= self.revision => 0,
-            Some(since) if self.speed.tells_changes => self.changed_since(since).len(),
+            Some(since) if self.speed.sends_changes => self.changed_since(since).len(),
             _ => self.listed,
         }
     }
@@ -266,7 +269,7 @@
 
     fn list_since(&mut self, since: Option<u64>) -> Answer {
         let revision = self.revision;
-        let since = since.filter(|since| self.speed.tells_changes || *since >= revision);
+        let since = since.filter(|since| self.speed.sends_changes || *since >= revision);
         if let Some(body) = self.bodies.get(&since) {
             return Answer::List { revision, body: body.clone() };
         }
@@ -280,16 +283,16 @@
         let line = if self.style.indented { "\n    " } else { "" };
         let mut text = format!(r#"{{"rev":{},"all":{all},"targets":["#, self.revision);
         let listed = |id: &TargetId| self.target(*id).state != TargetState::Removed;
-        let told: Vec<TargetId> = match since {
+        let entries: Vec<TargetId> = match since {
             None => (0..self.targets.len()).map(TargetId).filter(listed).collect(),
             Some(since) => self.changed_since(since).into_iter().collect(),
         };
-        for (at, id) in told.iter().enumerate() {
+        for (at, id) in entries.iter().enumerate() {
             text.push_str(if at > 0 { "," } else { "" });
             text.push_str(line);
             self.render_entry(&mut text, self.target(*id));
         }
-        if let Some(entry) = self.style.nonsense_entry.filter(|_| !told.is_empty()) {
+        if let Some(entry) = self.style.malformed_entry.filter(|_| !entries.is_empty()) {
             text.push(',');
             text.push_str(entry);
         }
@@ -304,21 +307,21 @@
             TargetState::Draining => "draining",
             TargetState::Removed => "removed",
         };
-        let unreadable = self.style.drops_addresses && target.state != TargetState::Up;
+        let unreadable = self.style.unreadable_addresses && target.state != TargetState::Up;
         let endpoint = if unreadable { "unknown" } else { &target.address };
         let Target { uid, zone: az, shard: pod_group, started_at_ms: boot_ms, .. } = target;
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = write!(
             text,
             r#"{{{space}"az":"{az}",{space}"boot_ms":{boot_ms},{space}"capacity_hint":2.0,{space}"endpoint":"{endpoint}",{space}"model":"{MODEL}",{space}"pod_group":{pod_group},{space}"state":"{state}",{space}"uid":"{uid}"}}"#
         );
     }
 
-    /// The whole list as it was at a revision.
+    /// The full list as of a revision.
     pub fn listing_at(&self, revision: u64) -> Listing {
         let mut targets = self.targets.clone();
         for (index, target) in targets.iter_mut().enumerate() {
-            let first = index < self.first_targets;
+            let first = index < self.initial_targets;
             (target.state, target.started_at_ms) =
                 if first { (TargetState::Up, 0) } else { (TargetState::Removed, 0) };
         }
@@ -331,10 +334,10 @@
     }
 }
 
-/// Long enough for an entry of some 220 bytes.
+/// A model name of realistic length: it makes an entry about 220 bytes long.
 const MODEL: &str = "storage-general-purpose-2c-8g-ssd-balanced-generation-4";
 
-fn first_target(index: usize, endpoint: String) -> Target {
+fn initial_target(index: usize, endpoint: String) -> Target {
     Target {
         uid: format!("s-{:08x}", index * 0x9e37 + 0x0f03_c277),
         address: endpoint,
@@ -346,7 +349,7 @@
     }
 }
 
-/// Where a target of the first list listens.
+/// The address of a target of the initial list.
 pub fn address_of(index: usize) -> String {
     format!("127.{}.{}.{}:8000", 16 + (index >> 16), (index >> 8) & 255, index & 255)
 }
--- a/crates/flaxstand-gateway/tests/list_fleet/network.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/network.rs
@@ -1,6 +1,6 @@
 //! Connections between hosts and the list service: calls, outages, resets, and moves to another address.
 
-use super::delivery::{Delivery, busy};
+use super::delivery::{Delivery, rejection};
 use super::events::{Event, HostConn, Input};
 use super::faults::{Fault, Outage};
 use super::list_service::{Call, CallId};
@@ -8,11 +8,13 @@
 use flaxstand_gateway::machine::Micros;
 use std::collections::BTreeMap;
 
-/// How long calls wait before they are turned away in an outage that turns them away late, least and most, ms.
-const TURNED_AWAY_AFTER: (f64, f64) = (10.0, 1000.0);
+/// Shortest and longest delay of a rejection in an outage with late rejections, in milliseconds.
+const LATE_REJECTION_RANGE: (f64, f64) = (10.0, 1000.0);
 
-/// Connections to an address that the list service has left are closed after this.
-const OLD_ADDRESS: Micros = Micros(1_500_000);
+/// How long connections to an earlier address of the list service stay open.
+const OLD_CONNECTION_GRACE: Micros = Micros(1_500_000);
+
+/// A call that the list service has not answered yet.
 struct OpenCall {
     id: CallId,
     wait_ends: Micros,
@@ -20,57 +22,60 @@
 }
 
 /// A connection of a host to the list service.
-struct Link {
-    /// The address that was called, by the moves before it.
+struct Connection {
+    /// The number of moves of the list service before it had the address of this connection.
     moves: usize,
     call: Option<OpenCall>,
     delivery: Option<Delivery>,
+    /// Whether the service sends nothing more on it.
     silent: bool,
 }
 
 /// All connections to the list service.
 #[derive(Default)]
 pub struct ListNetwork {
+    /// Number of moves of the list service so far.
     pub moves: usize,
-    links: BTreeMap<HostConn, Link>,
+    connections: BTreeMap<HostConn, Connection>,
     calls: BTreeMap<CallId, HostConn>,
     next_call: u64,
     outage: Option<Outage>,
 }
 
 impl ListNetwork {
-    pub fn holds(&self, link: HostConn) -> bool {
-        self.links.contains_key(&link)
+    pub fn contains(&self, conn: HostConn) -> bool {
+        self.connections.contains_key(&conn)
     }
 
-    /// A call is about to be answered: on which connection, and with which fault. None: nobody hears it.
-    pub fn answers(&mut self, call: CallId) -> Option<(HostConn, Option<Fault>)> {
+    /// Removes a call that is about to be answered. Returns its connection and fault, or `None` if the
+    /// response cannot reach the host.
+    pub fn take_call(&mut self, call: CallId) -> Option<(HostConn, Option<Fault>)> {
         let conn = self.calls.remove(&call)?;
-        let link = self.links.get_mut(&conn).filter(|link| !link.silent)?;
-        Some((conn, link.call.take()?.fault))
+        let connection = self.connections.get_mut(&conn).filter(|connection| !connection.silent)?;
+        Some((conn, connection.call.take()?.fault))
     }
 
-    /// An answer is on its way.
-    pub fn deliver(&mut self, conn: HostConn, delivery: Delivery) {
-        if let Some(link) = self.links.get_mut(&conn) {
-            link.delivery = Some(delivery);
+    /// Starts sending a response.
+    pub fn start_delivery(&mut self, conn: HostConn, delivery: Delivery) {
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.delivery = Some(delivery);
         }
     }
 
-    /// The answer that is on its way.
+    /// The response that is being sent.
     pub fn delivery(&mut self, conn: HostConn) -> Option<&mut Delivery> {
-        self.links.get_mut(&conn)?.delivery.as_mut()
+        self.connections.get_mut(&conn)?.delivery.as_mut()
     }
 
-    /// It has left to its end.
-    pub fn delivered(&mut self, conn: HostConn) {
-        if let Some(link) = self.links.get_mut(&conn) {
-            link.delivery = None;
+    /// The response has been sent completely.
+    pub fn finish_delivery(&mut self, conn: HostConn) {
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.delivery = None;
         }
     }
 }
 
-/// The call that a host wrote.
+/// Parses a host's request.
 fn read_call(text: &str) -> Option<Call> {
     let target = text.strip_prefix("GET /v1/endpoints")?.split(' ').next()?;
     let number = |name: &str| {
@@ -82,168 +87,184 @@
 }
 
 impl Simulation {
-    /// A host calls the list service at one of its addresses.
-    pub(super) fn dial_list(&mut self, conn: HostConn, moves: usize, leaves: Micros) {
+    /// A host connects to one of the list service's addresses.
+    pub(super) fn connect_to_list(&mut self, conn: HostConn, moves: usize, sent_at: Micros) {
         self.hosts[conn.host].list_connections += 1;
-        self.audit.called(conn.host, leaves);
-        let fault = self.fault(conn.host, |fault| matches!(fault, Fault::DialRefused | Fault::DialLost));
+        self.audit.call_started(conn.host, sent_at);
+        let fault =
+            self.fault(conn.host, |fault| matches!(fault, Fault::ConnectRefused | Fault::ConnectHangs));
         let refused = moves < self.network.moves
             || self.network.outage == Some(Outage::Refused)
-            || fault == Some(Fault::DialRefused);
-        let at = leaves.after(LATENCY);
+            || fault == Some(Fault::ConnectRefused);
+        let at = sent_at.after(LATENCY);
         if refused {
             self.audit.call_ended(conn.host, false);
-            return self.reaches(conn.host, conn.life, at, Input::ConnectFailed(conn.conn, "refused"));
+            return self.schedule_input(
+                conn.host,
+                conn.incarnation,
+                at,
+                Input::ConnectFailed(conn.conn, "refused"),
+            );
         }
-        let link = Link { moves, call: None, delivery: None, silent: false };
-        self.network.links.insert(conn, link);
-        if fault != Some(Fault::DialLost) {
-            self.reaches(conn.host, conn.life, at, Input::Connected(conn.conn));
+        let connection = Connection { moves, call: None, delivery: None, silent: false };
+        self.network.connections.insert(conn, connection);
+        if fault != Some(Fault::ConnectHangs) {
+            self.schedule_input(conn.host, conn.incarnation, at, Input::Connected(conn.conn));
         }
     }
 
-    /// A host wrote a call.
-    pub(super) fn list_hears(&mut self, conn: HostConn, text: &[u8], leaves: Micros) {
-        self.audit.called(conn.host, leaves);
-        let arrives = leaves.after(LATENCY);
+    /// A host writes to the list service.
+    pub(super) fn write_to_list(&mut self, conn: HostConn, text: &[u8], sent_at: Micros) {
+        self.audit.call_started(conn.host, sent_at);
+        let arrives = sent_at.after(LATENCY);
         if let Some(call) = read_call(&String::from_utf8_lossy(text)) {
-            self.events.at(arrives, Event::DiscoveryCall(conn, call));
+            self.events.schedule(arrives, Event::DiscoveryCall(conn, call));
         }
     }
 
     /// A call arrives at the list service.
-    pub(super) fn list_called(&mut self, conn: HostConn, call: Call) {
-        if !self.network.holds(conn) {
+    pub(super) fn call_arrives(&mut self, conn: HostConn, call: Call) {
+        if !self.network.contains(conn) {
             return;
         }
-        let fault = self.fault(conn.host, |fault| !matches!(fault, Fault::DialRefused | Fault::DialLost));
+        let fault =
+            self.fault(conn.host, |fault| !matches!(fault, Fault::ConnectRefused | Fault::ConnectHangs));
         let wait_ends = self.now.after(call.wait);
         match (self.network.outage, fault) {
             (Some(Outage::Silent), _) => self.silence(conn),
-            (Some(Outage::TurnsAwayLate), _) => self.turn_away_late(conn),
-            (Some(_), _) | (None, Some(Fault::Reset)) => self.reset_link(conn),
+            (Some(Outage::RejectsLate), _) => self.reject_late(conn),
+            (Some(_), _) | (None, Some(Fault::Reset)) => self.reset_connection(conn),
             (None, Some(Fault::Silent)) => {
                 self.silence(conn);
-                self.audit.call_fell_silent(conn.host, wait_ends, self.now);
+                self.audit.call_went_silent(conn.host, wait_ends, self.now);
             }
             (None, fault) => {
                 let id = CallId(self.network.next_call);
                 self.network.next_call += 1;
                 self.network.calls.insert(id, conn);
-                if let Some(link) = self.network.links.get_mut(&conn) {
-                    link.call = Some(OpenCall { id, wait_ends, fault });
+                if let Some(connection) = self.network.connections.get_mut(&conn) {
+                    connection.call = Some(OpenCall { id, wait_ends, fault });
                 }
                 self.service.call(id, call, self.now);
             }
         }
     }
 
-    /// From now on nothing is said on a connection.
+    /// From now on the list service sends nothing on a connection.
     fn silence(&mut self, conn: HostConn) {
-        self.break_off(conn);
-        if let Some(link) = self.network.links.get_mut(&conn) {
-            link.silent = true;
+        self.abort_response(conn);
+        if let Some(connection) = self.network.connections.get_mut(&conn) {
+            connection.silent = true;
         }
     }
 
-    /// Nothing is said on a connection until its call is turned away.
-    fn turn_away_late(&mut self, conn: HostConn) {
+    /// The list service sends nothing on a connection until it rejects its call.
+    fn reject_late(&mut self, conn: HostConn) {
         self.silence(conn);
-        let waits = self.draw.millis(TURNED_AWAY_AFTER.0, TURNED_AWAY_AFTER.1);
-        let bytes = busy();
+        let delay = self.random.millis(LATE_REJECTION_RANGE.0, LATE_REJECTION_RANGE.1);
+        let bytes = rejection();
         let range = 0..bytes.len();
-        self.reaches(conn.host, conn.life, self.now.after(waits), Input::Bytes(conn.conn, bytes, range));
+        self.schedule_input(
+            conn.host,
+            conn.incarnation,
+            self.now.after(delay),
+            Input::Bytes(conn.conn, bytes, range),
+        );
     }
 
-    /// An answer that is on its way does not come whole.
-    fn break_off(&mut self, conn: HostConn) {
-        let link = self.network.links.get_mut(&conn);
-        if link.is_some_and(|link| link.delivery.take().is_some()) {
-            self.audit.broken_off(conn.host);
+    /// Aborts the response that is being sent, if any.
+    fn abort_response(&mut self, conn: HostConn) {
+        let connection = self.network.connections.get_mut(&conn);
+        if connection.is_some_and(|connection| connection.delivery.take().is_some()) {
+            self.audit.response_aborted(conn.host);
         }
     }
 
-    /// The list service, or something on the way, resets a connection.
-    pub(super) fn reset_link(&mut self, conn: HostConn) {
-        self.break_off(conn);
-        self.close_link(conn, self.now);
+    /// The list service or the network resets a connection.
+    pub(super) fn reset_connection(&mut self, conn: HostConn) {
+        self.abort_response(conn);
+        self.close_connection(conn, self.now);
         self.audit.call_ended(conn.host, false);
         let input = Input::Closed(conn.conn, "reset");
-        self.reaches(conn.host, conn.life, self.now.after(LATENCY), input);
+        self.schedule_input(conn.host, conn.incarnation, self.now.after(LATENCY), input);
     }
 
-    /// A connection is no more.
-    pub(super) fn close_link(&mut self, conn: HostConn, at: Micros) {
-        let Some(link) = self.network.links.remove(&conn) else { return };
-        if let Some(call) = &link.call {
-            self.service.forget(call.id);
+    /// Removes a closed connection and cancels its call.
+    pub(super) fn close_connection(&mut self, conn: HostConn, at: Micros) {
+        let Some(connection) = self.network.connections.remove(&conn) else { return };
+        if let Some(call) = &connection.call {
+            self.service.cancel(call.id);
             self.network.calls.remove(&call.id);
         }
-        if link.silent {
+        if connection.silent {
             self.audit.silent_call_closed(conn.host, at);
         }
-        if link.silent || link.call.is_some() || link.delivery.is_some() {
+        if connection.silent || connection.call.is_some() || connection.delivery.is_some() {
             self.audit.call_ended(conn.host, false);
         }
     }
 
-    pub(super) fn close_links_of(&mut self, host: usize) {
-        let links = self.open_links().into_iter().filter(|conn| conn.host == host);
-        links.for_each(|conn| self.close_link(conn, self.now));
+    pub(super) fn close_connections_of(&mut self, host: usize) {
+        let connections = self.open_connections().into_iter().filter(|conn| conn.host == host);
+        connections.for_each(|conn| self.close_connection(conn, self.now));
     }
 
-    fn open_links(&self) -> Vec<HostConn> {
-        self.network.links.keys().copied().collect()
+    fn open_connections(&self) -> Vec<HostConn> {
+        self.network.connections.keys().copied().collect()
     }
 
-    pub(super) fn outage_begins(&mut self, outage: Outage) {
+    pub(super) fn begin_outage(&mut self, outage: Outage) {
         self.audit.outage_begins(self.now);
         self.network.outage = Some(outage);
         self.network.calls.clear();
-        self.service.forget_all(self.now);
+        self.service.reset(self.now);
         match outage {
-            Outage::Silent => self.open_links().into_iter().for_each(|conn| self.silence(conn)),
-            Outage::TurnsAwayLate => self.open_links().into_iter().for_each(|conn| self.turn_away_late(conn)),
-            Outage::Refused | Outage::Reset => self.watches_reset(),
+            Outage::Silent => self.open_connections().into_iter().for_each(|conn| self.silence(conn)),
+            Outage::RejectsLate => {
+                self.open_connections().into_iter().for_each(|conn| self.reject_late(conn))
+            }
+            Outage::Refused | Outage::Reset => self.reset_watches(),
         }
     }
 
-    /// Calls that came during a silent outage stay silent.
-    pub(super) fn outage_ends(&mut self) {
+    /// Ends the outage. Calls that arrived during a silent outage are never answered.
+    pub(super) fn end_outage(&mut self) {
         self.audit.outage_ends(self.now);
         self.network.outage = None;
-        self.service.forget_all(self.now);
+        self.service.reset(self.now);
     }
 
-    /// The calls that are open at the list service fall silent.
-    pub(super) fn watches_fall_silent(&mut self) {
+    /// From now on the list service sends nothing on the calls that are open.
+    pub(super) fn silence_watches(&mut self) {
         let now = self.now;
-        for conn in self.open_links() {
+        for conn in self.open_connections() {
             self.silence(conn);
-            let call = self.network.links.get_mut(&conn).and_then(|link| link.call.take());
+            let call = self.network.connections.get_mut(&conn).and_then(|connection| connection.call.take());
             if let Some(call) = call {
-                self.service.forget(call.id);
+                self.service.cancel(call.id);
                 self.network.calls.remove(&call.id);
-                self.audit.call_fell_silent(conn.host, call.wait_ends, now);
+                self.audit.call_went_silent(conn.host, call.wait_ends, now);
             }
         }
     }
 
-    /// All connections to the list service are reset.
-    pub(super) fn watches_reset(&mut self) {
-        self.open_links().into_iter().for_each(|conn| self.reset_link(conn));
+    /// Resets all connections to the list service.
+    pub(super) fn reset_watches(&mut self) {
+        self.open_connections().into_iter().for_each(|conn| self.reset_connection(conn));
     }
 
-    /// The list service moves: its old address takes nothing new, and closes what is open there a little later.
-    pub(super) fn reload(&mut self) {
+    /// Moves the list service: its old address refuses new connections and closes the open ones a little
+    /// later.
+    pub(super) fn move_list_service(&mut self) {
         self.network.moves += 1;
-        self.events.at(self.now.after(OLD_ADDRESS), Event::CloseOldLinks(self.network.moves));
-        self.tell_reload();
+        self.events
+            .schedule(self.now.after(OLD_CONNECTION_GRACE), Event::CloseOldConnections(self.network.moves));
+        self.reload_hosts();
     }
 
-    pub(super) fn close_old_links(&mut self, moves: usize) {
-        let old = self.network.links.iter().filter(|(_, link)| link.moves < moves);
+    pub(super) fn close_old_connections(&mut self, moves: usize) {
+        let old = self.network.connections.iter().filter(|(_, connection)| connection.moves < moves);
         let old: Vec<HostConn> = old.map(|(conn, _)| *conn).collect();
-        old.into_iter().for_each(|conn| self.reset_link(conn));
+        old.into_iter().for_each(|conn| self.reset_connection(conn));
     }
 }
--- a/crates/flaxstand-gateway/tests/list_fleet/targets.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/targets.rs
@@ -1,4 +1,4 @@
-//! Targets: who listens at an address, what is open there, and when it answers.
+//! Targets: listening addresses, open connections and responses.
 
 use super::events::{Event, HostConn, Input};
 use super::list_service::{ListService, TargetId};
@@ -8,21 +8,21 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Least and longest time in which a target answers, ms.
-const ANSWERS_IN: (f64, f64) = (2.0, 15.0);
-/// Longest time in which a late connection comes up, ms.
-const LATE_MOST: f64 = 1000.0;
-/// The process of a removed target goes on for so long at most, ms.
-const LINGERS_MOST: f64 = 10_000.0;
+/// Shortest and longest response time of a target in milliseconds.
+const RESPONSE_TIME_RANGE: (f64, f64) = (2.0, 15.0);
+/// Longest time to establish a slow connection, in milliseconds.
+const MAX_CONNECT_MS: f64 = 1000.0;
+/// Longest time that the process of a removed target keeps running, in milliseconds.
+const MAX_EXIT_DELAY_MS: f64 = 10_000.0;
 
 /// The targets' processes.
 pub struct Targets {
-    /// Who listens where.
+    /// The target that listens at each address.
     listening: BTreeMap<String, TargetId>,
-    open: BTreeMap<HostConn, TargetId>,
-    /// Which target holds a shard now.
+    connections: BTreeMap<HostConn, TargetId>,
+    /// The target that currently holds each shard.
     by_shard: Vec<TargetId>,
-    answer: Rc<[u8]>,
+    response: Rc<[u8]>,
 }
 
 impl Targets {
@@ -30,120 +30,129 @@
         let ids: Vec<TargetId> = (0..count).map(TargetId).collect();
         Targets {
             listening: ids.iter().map(|id| (service.target(*id).address.clone(), *id)).collect(),
-            open: BTreeMap::new(),
+            connections: BTreeMap::new(),
             by_shard: ids,
-            answer: b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".as_slice().into(),
+            response: b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".as_slice().into(),
         }
     }
 
-    pub fn holds(&self, link: HostConn) -> bool {
-        self.open.contains_key(&link)
+    pub fn contains(&self, conn: HostConn) -> bool {
+        self.connections.contains_key(&conn)
     }
 
-    pub fn close(&mut self, link: HostConn) {
-        self.open.remove(&link);
+    pub fn close(&mut self, conn: HostConn) {
+        self.connections.remove(&conn);
     }
 
+    /// Number of shards.
     pub fn shards(&self) -> usize {
         self.by_shard.len()
     }
 
-    pub fn of_shard(&self, shard: usize) -> TargetId {
+    pub fn holder_of(&self, shard: usize) -> TargetId {
         self.by_shard[shard]
     }
 
-    /// A process of a host is gone with all its connections.
+    /// Closes all connections of a host.
     pub fn close_all_of(&mut self, host: usize) {
-        self.open.retain(|link, _| link.host != host);
+        self.connections.retain(|conn, _| conn.host != host);
     }
 }
 
 impl Simulation {
-    /// A host calls a target.
-    pub(super) fn dial_target(&mut self, link: HostConn, address: &str, leaves: Micros) {
+    /// A host connects to a target.
+    pub(super) fn connect_to_target(&mut self, conn: HostConn, address: &str, sent_at: Micros) {
         let Some(target) = self.targets.listening.get(address).copied() else {
-            let input = Input::ConnectFailed(link.conn, "refused");
-            return self.reaches(link.host, link.life, leaves.after(LATENCY), input);
+            let input = Input::ConnectFailed(conn.conn, "refused");
+            return self.schedule_input(conn.host, conn.incarnation, sent_at.after(LATENCY), input);
         };
-        self.targets.open.insert(link, target);
-        let late = self.draw.chance(self.day.late_connections);
-        let takes = if late { self.draw.millis(1.0, LATE_MOST) } else { LATENCY };
-        self.reaches(link.host, link.life, leaves.after(takes), Input::Connected(link.conn));
+        self.targets.connections.insert(conn, target);
+        let is_slow = self.random.chance(self.day.slow_connect_rate);
+        let connect_time = if is_slow { self.random.millis(1.0, MAX_CONNECT_MS) } else { LATENCY };
+        self.schedule_input(
+            conn.host,
+            conn.incarnation,
+            sent_at.after(connect_time),
+            Input::Connected(conn.conn),
+        );
     }
 
-    /// A host wrote to a target.
-    pub(super) fn target_hears(&mut self, link: HostConn, text: &[u8], leaves: Micros) {
-        let Some(target) = self.targets.open.get(&link).copied() else { return };
+    /// A host writes to a target.
+    pub(super) fn write_to_target(&mut self, conn: HostConn, text: &[u8], sent_at: Micros) {
+        let Some(target) = self.targets.connections.get(&conn).copied() else { return };
         let text = String::from_utf8_lossy(text);
         if text.contains(field::ID) {
-            self.events.at(leaves, Event::Send { host: link.host, life: link.life, target });
+            self.events.schedule(
+                sent_at,
+                Event::RequestSent { host: conn.host, incarnation: conn.incarnation, target },
+            );
         }
-        let takes = self.draw.millis(ANSWERS_IN.0, ANSWERS_IN.1);
-        self.events.at(leaves.after(takes), Event::TargetAnswers(link));
+        let response_time = self.random.millis(RESPONSE_TIME_RANGE.0, RESPONSE_TIME_RANGE.1);
+        self.events.schedule(sent_at.after(response_time), Event::TargetResponds(conn));
     }
 
-    pub(super) fn target_answers(&mut self, link: HostConn) {
-        if self.targets.holds(link) {
-            let answer = self.targets.answer.clone();
-            let whole = 0..answer.len();
-            let input = Input::Bytes(link.conn, answer, whole);
-            self.reaches(link.host, link.life, self.now.after(LATENCY), input);
+    pub(super) fn target_responds(&mut self, conn: HostConn) {
+        if self.targets.contains(conn) {
+            let response = self.targets.response.clone();
+            let range = 0..response.len();
+            let input = Input::Bytes(conn.conn, response, range);
+            self.schedule_input(conn.host, conn.incarnation, self.now.after(LATENCY), input);
         }
     }
 
-    /// Targets are removed; their processes go on for some time.
+    /// Removes targets from the list; their processes keep running for some time.
     pub(super) fn remove(&mut self, targets: &[TargetId]) {
-        self.change(targets, TargetState::Removed);
+        self.change_targets(targets, TargetState::Removed);
         for target in targets {
-            let lingers = self.draw.millis(0.0, LINGERS_MOST);
-            self.events.at(self.now.after(lingers), Event::TargetEnds(*target));
+            let exit_delay = self.random.millis(0.0, MAX_EXIT_DELAY_MS);
+            self.events.schedule(self.now.after(exit_delay), Event::TargetExits(*target));
         }
     }
 
-    /// Removed targets start anew at their addresses.
-    pub(super) fn list_again(&mut self, targets: &[TargetId]) {
+    /// Restarts removed targets at their addresses and lists them again.
+    pub(super) fn relist(&mut self, targets: &[TargetId]) {
         for target in targets {
-            self.process_ends(*target);
-            self.process_starts(*target);
+            self.stop_process(*target);
+            self.start_process(*target);
         }
-        self.change(targets, TargetState::Up);
+        self.change_targets(targets, TargetState::Up);
     }
 
-    /// New targets take the places of removed ones.
+    /// Replaces removed targets by new ones with the same addresses and shards.
     pub(super) fn replace(&mut self, targets: &[TargetId]) {
         let mut new = Vec::new();
         for target in targets {
-            self.process_ends(*target);
+            self.stop_process(*target);
             let old = self.service.target(*target);
             let (endpoint, shard) = (old.address.clone(), old.shard);
             let target = self.service.add_target(endpoint, shard);
-            self.process_starts(target);
+            self.start_process(target);
             new.push(target);
         }
-        self.change(&new, TargetState::Up);
+        self.change_targets(&new, TargetState::Up);
     }
 
-    /// The process of a removed target ends, unless the target is back by now.
-    pub(super) fn target_ends(&mut self, target: TargetId) {
+    /// Ends the process of a removed target, unless the target has been listed again.
+    pub(super) fn target_exits(&mut self, target: TargetId) {
         if self.service.target(target).state == TargetState::Removed {
-            self.process_ends(target);
+            self.stop_process(target);
         }
     }
 
-    fn process_starts(&mut self, target: TargetId) {
-        let told = self.service.target(target);
-        self.targets.by_shard[told.shard as usize] = target;
-        self.targets.listening.insert(told.address.clone(), target);
+    fn start_process(&mut self, target: TargetId) {
+        let listed = self.service.target(target);
+        self.targets.by_shard[listed.shard as usize] = target;
+        self.targets.listening.insert(listed.address.clone(), target);
     }
 
-    fn process_ends(&mut self, target: TargetId) {
+    fn stop_process(&mut self, target: TargetId) {
         self.targets.listening.retain(|_, listening| *listening != target);
-        let open = self.targets.open.iter().filter(|(_, to)| **to == target);
-        let links: Vec<HostConn> = open.map(|(link, _)| *link).collect();
-        for link in links {
-            self.targets.close(link);
-            let input = Input::Closed(link.conn, "reset");
-            self.reaches(link.host, link.life, self.now.after(LATENCY), input);
+        let open = self.targets.connections.iter().filter(|(_, to)| **to == target);
+        let conns: Vec<HostConn> = open.map(|(conn, _)| *conn).collect();
+        for conn in conns {
+            self.targets.close(conn);
+            let input = Input::Closed(conn.conn, "reset");
+            self.schedule_input(conn.host, conn.incarnation, self.now.after(LATENCY), input);
         }
     }
 }
--- a/crates/flaxstand-gateway/tests/list_fleet/turnover_tests.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/turnover_tests.rs
@@ -1,41 +1,43 @@
-//! Targets that drain, are removed and come back, under their uids or with new ones at their addresses.
+//! Targets drain, are removed and are listed again, under the same uids or as new targets at the same
+//! addresses.
 
+use super::assertions::{LARGE, assert_passes};
 use super::day::{Day, Step, seconds};
 use super::list_service::TargetId;
-use super::verdicts::{LARGE, assert_holds};
 
-/// A tenth of the targets drains, is removed and comes back, and what came back drains in turn.
-fn turnover(seed: u64, comes_back: fn(Vec<TargetId>) -> Step) -> Day {
-    let day = Day::quiet(seed, 3, LARGE).length(seconds(30.0));
-    let first = day.percent(10);
+/// A day on which a tenth of the targets drains, is removed and is listed again by the step that `relist`
+/// makes.
+fn turnover(seed: u64, relist: fn(Vec<TargetId>) -> Step) -> Day {
+    let day = Day::without_faults(seed, 3, LARGE).length(seconds(30.0));
+    let first = day.first_percent(10);
     day.step(seconds(5.0), Step::Drain(first.clone()))
         .step(seconds(7.0), Step::Remove(first.clone()))
-        .step(seconds(12.0), comes_back(first))
+        .step(seconds(12.0), relist(first))
 }
 
 #[test]
-fn targets_come_back_under_their_uids_and_drain_again() {
-    let day = turnover(61, Step::Return);
-    let again = day.percent(10);
-    assert_holds(&day.step(seconds(18.0), Step::Drain(again)));
+fn relisted_targets_drain_again() {
+    let day = turnover(61, Step::Relist);
+    let relisted = day.first_percent(10);
+    assert_passes(&day.step(seconds(18.0), Step::Drain(relisted)));
 }
 
 #[test]
 fn new_targets_at_the_same_addresses_drain() {
     let day = turnover(62, Step::Replace);
     let new = (day.targets..day.targets + day.targets / 10).map(TargetId).collect();
-    assert_holds(&day.step(seconds(18.0), Step::Drain(new)));
+    assert_passes(&day.step(seconds(18.0), Step::Drain(new)));
 }
 
 #[test]
 fn half_of_the_targets_are_replaced_in_steps() {
-    let mut day = Day::quiet(63, 4, LARGE).length(seconds(30.0));
-    let all = day.percent(50);
+    let mut day = Day::without_faults(63, 4, LARGE).length(seconds(30.0));
+    let all = day.first_percent(50);
     for (step, group) in all.chunks(all.len() / 10).enumerate() {
-        let begins = 4.0 + step as f64;
-        day = day.step(seconds(begins), Step::Drain(group.to_vec()));
-        day = day.step(seconds(begins + 1.0), Step::Remove(group.to_vec()));
-        day = day.step(seconds(begins + 1.5), Step::Replace(group.to_vec()));
+        let start = 4.0 + step as f64;
+        day = day.step(seconds(start), Step::Drain(group.to_vec()));
+        day = day.step(seconds(start + 1.0), Step::Remove(group.to_vec()));
+        day = day.step(seconds(start + 1.5), Step::Replace(group.to_vec()));
     }
-    assert_holds(&day);
+    assert_passes(&day);
 }
