--- a/crates/flaxstand-gateway/tests/list_fleet/growth_tests.rs
+++ b/crates/flaxstand-gateway/tests/list_fleet/growth_tests.rs
@@ -49,7 +49,8 @@
             && large.share.ratio() >= MIN_RELATIVE_SERVED * baseline.share.ratio();
         let figures = format!(
             "{targets} targets: {} list bytes (at most {max_bytes}; {} with {BASELINE_TARGETS} targets), \
-             {} connections (at most {max_connections}), served share {:.2} ({:.2} with {BASELINE_TARGETS} targets)",
+             {} connections (at most {max_connections}), \
+             served share {:.2} ({:.2} with {BASELINE_TARGETS} targets)",
             large.list_bytes,
             baseline.list_bytes,
             large.list_connections,
