--- a/crates/flaxstand-gateway/examples/list_costs.rs
+++ b/crates/flaxstand-gateway/examples/list_costs.rs
@@ -1,5 +1,5 @@
-//! What a change of the node list costs the gateway's core, by how many nodes are listed: processor time and
-//! bytes saved. The decider is the round-robin baseline, so that the decision module's own part does not count.
+//! Measures the cost of changes to the node list in the gateway's core by list length: processor time and
+//! bytes saved. The round-robin baseline decides, so that the decision module's own work does not count.
 //!
 //! `cargo run --release -p flaxstand-gateway --example list_costs`
 
@@ -19,101 +19,102 @@
 use std::fmt::Write as _;
 use whole_lists::{listed_address, whole_frame, whole_listing};
 
-/// How many nodes are listed.
-const LISTED: [u64; 4] = [100, 1_000, 3_000, 25_000];
-/// Changes told one after the other, each in a turn of its own.
+/// Numbers of listed nodes.
+const LIST_LENGTHS: [u64; 4] = [100, 1_000, 3_000, 25_000];
+/// Number of changes applied in sequence, each in its own turn.
 const CHANGES: u64 = 200;
-/// Sweeps of the platform's pools that are measured.
+/// Number of measured sweeps of the platform's connection pools.
 const SWEEPS: u64 = 50;
-/// Client connections held besides, on the platform's wire.
+/// Number of open client connections on the platform's wire.
 const CLIENTS: usize = 6_100;
-/// Sizes at which whole lists are told.
-const WHOLE_LISTS: [u64; 3] = [30, 3_200, 25_000];
-/// Bytes that one read brings where a list comes in many: a segment of TCP.
-const SEGMENT: usize = 1_448;
-/// Bytes of a chunk where a list comes in chunks.
-const CHUNK: usize = 16 * 1_024;
-/// Entries that one frame of the wire may hold.
-const ENTRIES_A_FRAME: u64 = 32_768;
+/// Lengths of the full lists.
+const FULL_LIST_LENGTHS: [u64; 3] = [30, 3_200, 25_000];
+/// Bytes per read where a list arrives in many reads: the payload of a TCP segment.
+const READ_BYTES: usize = 1_448;
+/// Bytes per chunk in chunked transfer encoding.
+const CHUNK_BYTES: usize = 16 * 1_024;
+/// Maximum number of entries in a frame.
+const MAX_ENTRIES_PER_FRAME: u64 = 32_768;
 
 fn main() {
-    println!("frames: a change told, its turn and its save");
+    println!("frames: one change with its turn and its save");
     println!(
-        "| listed | processor time a change, µs | bytes saved a change | whole saves | a whole save, µs |"
+        "| listed | processor time per change, µs | bytes saved per change | full saves | one full save, µs |"
     );
     println!("| --- | --- | --- | --- | --- |");
-    LISTED.into_iter().for_each(frames_change);
-    println!("platform, {CLIENTS} client connections: a change told and its turn; a sweep");
-    println!("| listed | a change, µs | a sweep, µs |");
+    LIST_LENGTHS.into_iter().for_each(measure_frames_change);
+    println!("platform, {CLIENTS} client connections: one change with its turn; one sweep");
+    println!("| listed | one change, µs | one sweep, µs |");
     println!("| --- | --- | --- |");
-    LISTED.into_iter().for_each(platform_change);
-    println!("a whole list, told to a core that holds none, µs in one turn; reads are of {SEGMENT} bytes");
+    LIST_LENGTHS.into_iter().for_each(measure_platform_change);
+    println!("a full list, received by a core without a list, µs in one turn; reads of {READ_BYTES} bytes");
     println!(
-        "| listed | frames, read and taken | platform, taken | read with a length | read in chunks | settings read anew |"
+        "| listed | frames, read and applied | platform, applied | read with a length | read in chunks | settings reloaded |"
     );
     println!("| --- | --- | --- | --- | --- | --- |");
-    WHOLE_LISTS.into_iter().for_each(whole_list);
+    FULL_LIST_LENGTHS.into_iter().for_each(measure_full_list);
 }
 
-/// Processor time that a call takes, microseconds.
-fn spent(call: impl FnOnce()) -> f64 {
-    let began = processor_time();
+/// Processor time of a call in microseconds.
+fn time_us(call: impl FnOnce()) -> f64 {
+    let began = processor_time_us();
     call();
-    processor_time() - began
+    processor_time_us() - began
 }
 
-fn whole_list(listed: u64) {
+fn measure_full_list(listed: u64) {
     let text = whole_listing(listed, 1);
-    let frames = spent_on_a_whole_frame(listed);
-    let platform = spent_on_a_whole_listing(listed, &text);
+    let frames = time_full_frame(listed);
+    let platform = time_full_listing(listed, &text);
     let with_length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
     let mut chunked = String::from("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    for chunk in text.as_bytes().chunks(CHUNK) {
+    for chunk in text.as_bytes().chunks(CHUNK_BYTES) {
         let chunk = std::str::from_utf8(chunk).expect("the list is ASCII");
         let _ = write!(chunked, "{:x}\r\n{chunk}\r\n", chunk.len());
     }
     chunked.push_str("0\r\n\r\n");
-    let read = [with_length, chunked].map(|answer| spent_on_reading(&answer));
+    let read = [with_length, chunked].map(|answer| time_reading(&answer));
     let settings = settings_text(&text);
-    let reload = spent(|| drop(Configuration::read(&settings).expect("settings")));
+    let reload = time_us(|| drop(Configuration::read(&settings).expect("valid settings")));
     println!("| {listed} | {frames:.0} | {platform:.0} | {:.0} | {:.0} | {reload:.0} |", read[0], read[1]);
 }
 
-fn spent_on_a_whole_frame(listed: u64) -> f64 {
+fn time_full_frame(listed: u64) -> f64 {
     let now = ms(1_000_000);
-    let (mut core, list) = watching(listed, now);
+    let (mut core, list) = core_with_list_service(listed, now);
     let bytes = whole_frame(listed, 1);
-    spent(|| {
-        bytes.chunks(SEGMENT).for_each(|piece| core.received(list, piece, now));
+    time_us(|| {
+        bytes.chunks(READ_BYTES).for_each(|piece| core.received(list, piece, now));
         core.settle(now);
     })
 }
 
-fn spent_on_a_whole_listing(listed: u64, text: &str) -> f64 {
+fn time_full_listing(listed: u64, text: &str) -> f64 {
     let now = ms(1_000_000);
-    let mut core = Core::new(config(Wire::Platform, listed), None, now).expect("no saved list");
+    let mut core =
+        Core::new(config(Wire::Platform, listed), None, now).expect("the core starts without a saved list");
     core.settle(now);
-    spent(|| {
-        let listing: Listing = serde_json::from_str(text).expect("a list");
+    time_us(|| {
+        let listing: Listing = serde_json::from_str(text).expect("a valid list");
         core.apply_platform_listing(ListScope::Full, &listing, now);
         core.settle(now);
     })
 }
 
-fn spent_on_reading(answer: &str) -> f64 {
+fn time_reading(answer: &str) -> f64 {
     const MAX_REQUEST_BODY_BYTES: usize = 16 << 20;
     let mut reader = ResponseReader::with_body_limit(MAX_REQUEST_BODY_BYTES);
-    spent(|| {
-        let mut whole = None;
-        for piece in answer.as_bytes().chunks(SEGMENT) {
+    time_us(|| {
+        let mut response = None;
+        for piece in answer.as_bytes().chunks(READ_BYTES) {
             reader.push(piece);
-            whole = whole.or(reader.take().expect("an answer"));
+            response = response.or(reader.take().expect("a valid answer"));
         }
-        assert!(whole.is_some(), "the answer is whole");
+        assert!(response.is_some(), "the answer is complete");
     })
 }
 
-/// The file that is read at the start and at each reload, with this list as the known one.
+/// The settings file read at the start and at each reload, with the given known list.
 fn settings_text(known: &str) -> String {
     let class = r#"{"name":"read","aimMs":200,"deadlineMs":1000,"worth":1,"semantics":"repeatable"}"#;
     format!(
@@ -127,81 +128,84 @@
     )
 }
 
-/// Processor time of the process so far, microseconds.
-fn processor_time() -> f64 {
+/// Processor time of the process so far, in microseconds.
+fn processor_time_us() -> f64 {
     let time = clock_gettime(ClockId::ProcessCPUTime);
     time.tv_sec as f64 * 1e6 + time.tv_nsec as f64 / 1e3
 }
 
-/// A core on frames that watches the list, and the connection to its service.
-fn watching(listed: u64, now: Micros) -> (Core, ConnId) {
-    let mut core = Core::new(config(Wire::Frames, listed), None, now).expect("no saved list");
+/// A core on frames with a greeted list service. Returns the core and the connection to the list service.
+fn core_with_list_service(listed: u64, now: Micros) -> (Core, ConnId) {
+    let mut core =
+        Core::new(config(Wire::Frames, listed), None, now).expect("the core starts without a saved list");
     core.settle(now);
-    let list = called(&core.take_commands());
+    let list = list_connection(&core.take_commands());
     core.connected(list, now);
     let welcome = Welcome { version: VERSION, role: Role::List, id: 0, epoch: 0, name: "measured" };
-    tell(&mut core, list, &Frame::Welcome(welcome), now);
+    deliver(&mut core, list, &Frame::Welcome(welcome), now);
     (core, list)
 }
 
-fn frames_change(listed: u64) {
+fn measure_frames_change(listed: u64) {
     let mut now = Micros(1_000_000_000);
-    let (mut core, list) = watching(listed, now);
+    let (mut core, list) = core_with_list_service(listed, now);
     let nodes: Vec<u64> = (0..listed).collect();
     let mut revision = 0;
-    for (part, nodes) in nodes.chunks(ENTRIES_A_FRAME as usize).enumerate() {
+    for (part, nodes) in nodes.chunks(MAX_ENTRIES_PER_FRAME as usize).enumerate() {
         let extent = if part == 0 { Extent::Full } else { Extent::Changes };
-        tell_entries(&mut core, list, extent, &mut revision, nodes, State::Serving, now);
+        deliver_entries(&mut core, list, extent, &mut revision, nodes, State::Serving, now);
     }
     core.settle(now);
     core.take_commands();
-    let (mut saved, mut whole) = (0, 0);
-    let began = processor_time();
+    let (mut saved_bytes, mut full_saves) = (0, 0);
+    let began = processor_time_us();
     for change in 0..CHANGES {
         now = now.after(Micros(500_000));
         let node = (change * 7919) % listed;
         let state = if change % 2 == 0 { State::Draining } else { State::Serving };
-        tell_entries(&mut core, list, Extent::Changes, &mut revision, &[node], state, now);
+        deliver_entries(&mut core, list, Extent::Changes, &mut revision, &[node], state, now);
         core.settle(now);
         for command in core.take_commands() {
             match command {
                 Command::SaveList(bytes) => {
-                    whole += 1;
-                    saved += bytes.len() as u64;
+                    full_saves += 1;
+                    saved_bytes += bytes.len() as u64;
                 }
-                Command::AppendList(bytes) => saved += bytes.len() as u64,
+                Command::AppendList(bytes) => saved_bytes += bytes.len() as u64,
                 _ => {}
             }
         }
     }
-    let spent = (processor_time() - began) / CHANGES as f64;
-    let whole_save = whole_save(&mut core, now);
-    println!("| {listed} | {spent:.1} | {} | {whole} | {whole_save:.0} |", saved / CHANGES);
+    let change_us = (processor_time_us() - began) / CHANGES as f64;
+    let full_save_us = time_full_save(&mut core, now);
+    println!("| {listed} | {change_us:.1} | {} | {full_saves} | {full_save_us:.0} |", saved_bytes / CHANGES);
 }
 
-/// Processor time of a turn in which all of the list is encoded anew, as when the appended changes have grown as long.
-fn whole_save(core: &mut Core, now: Micros) -> f64 {
+/// Processor time of a turn that encodes the full list again, as when the appended changes have grown as long
+/// as the list.
+fn time_full_save(core: &mut Core, now: Micros) -> f64 {
     core.save_failed(now);
     let now = now.after(Micros(60_000_000));
-    let began = processor_time();
+    let began = processor_time_us();
     core.settle(now);
-    let spent = processor_time() - began;
+    let elapsed_us = processor_time_us() - began;
     let saves = |command: &Command| matches!(command, Command::SaveList(_));
-    assert!(core.take_commands().iter().any(saves), "the list is saved whole after a save that failed");
-    spent
+    assert!(core.take_commands().iter().any(saves), "the full list is saved after a failed save");
+    elapsed_us
 }
 
-fn platform_change(listed: u64) {
+fn measure_platform_change(listed: u64) {
     let mut now = Micros(1_000_000_000);
-    let mut core = Core::new(config(Wire::Platform, listed), None, now).expect("no saved list");
+    let mut core =
+        Core::new(config(Wire::Platform, listed), None, now).expect("the core starts without a saved list");
     for _ in 0..CLIENTS {
-        core.accepted(0, now).expect("there is room");
+        core.accepted(0, now).expect("the connection is accepted");
     }
     let all: Vec<u64> = (0..listed).collect();
     core.apply_platform_listing(ListScope::Full, &listing(1, &all, TargetState::Up), now);
     core.settle(now);
     core.take_commands();
-    let began = processor_time();
+    let began = processor_time_us();
     for change in 0..CHANGES {
         now = now.after(Micros(1_000));
         let node = (change * 7919) % listed;
@@ -210,35 +214,35 @@
         core.settle(now);
         core.take_commands();
     }
-    let change = (processor_time() - began) / CHANGES as f64;
-    // The clients' own time to ask is over before: it is not measured.
+    let change_us = (processor_time_us() - began) / CHANGES as f64;
+    // The clients' request time-outs expire before the measurement.
     now = now.after(Micros(3_600_000_000));
     core.settle(now);
     core.take_commands();
-    let mut spent = 0.0;
+    let mut sweeps_us = 0.0;
     for _ in 0..SWEEPS {
         now = now.after(Micros(1_000_001));
-        let began = processor_time();
+        let began = processor_time_us();
         core.settle(now);
-        spent += processor_time() - began;
+        sweeps_us += processor_time_us() - began;
         core.take_commands();
     }
-    println!("| {listed} | {change:.1} | {:.1} |", spent / SWEEPS as f64);
+    println!("| {listed} | {change_us:.1} | {:.1} |", sweeps_us / SWEEPS as f64);
 }
 
-fn called(commands: &[Command]) -> ConnId {
+fn list_connection(commands: &[Command]) -> ConnId {
     let connect =
         |command: &Command| if let Command::Connect { conn, .. } = command { Some(*conn) } else { None };
-    commands.iter().find_map(connect).expect("the list service is called")
+    commands.iter().find_map(connect).expect("the list service is connected")
 }
 
-fn tell(core: &mut Core, conn: ConnId, frame: &Frame<'_>, now: Micros) {
+fn deliver(core: &mut Core, conn: ConnId, frame: &Frame<'_>, now: Micros) {
     let mut bytes = Vec::new();
     encode(frame, &mut bytes);
     core.received(conn, &bytes, now);
 }
 
-fn tell_entries(
+fn deliver_entries(
     core: &mut Core,
     conn: ConnId,
     extent: Extent,
@@ -248,13 +252,13 @@
     now: Micros,
 ) {
     let addresses: Vec<String> = nodes.iter().map(|node| listed_address(*node)).collect();
-    let told = nodes.iter().zip(&addresses);
-    let entries = told
+    let nodes_with_address = nodes.iter().zip(&addresses);
+    let entries = nodes_with_address
         .map(|(node, address)| Entry { size: 100, ..entry(*node, state, *node as u32, address) })
         .collect();
     let since = *revision;
     *revision += 1;
-    tell(core, conn, &Frame::List(List { extent, since, revision: *revision, entries }), now);
+    deliver(core, conn, &Frame::List(List { extent, since, revision: *revision, entries }), now);
 }
 
 fn listing(rev: u64, nodes: &[u64], state: TargetState) -> Listing {
@@ -270,7 +274,7 @@
     Listing { revision: rev, is_full: nodes.len() > 1, targets: nodes.iter().map(target).collect() }
 }
 
-/// The tests' site with the baseline as its decider, as one of many initiators.
+/// The tests' site with the round-robin baseline, as one of many initiators.
 fn config(wire: Wire, listed: u64) -> Config {
     let mut config = match wire {
         Wire::Frames => harness::config(),
--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core between scripted peers: each hard case of connections, bounds, lists and answers.
+//! Tests of the core against scripted peers: connection handling, limits, endpoint list updates and answers.
 
 mod harness;
 
@@ -8,8 +8,8 @@
 use harness::*;
 use proptest::prelude::*;
 
-/// A client with one request out at node 0.
-fn one_out(class: u16) -> (World, ConnId, (u64, u32)) {
+/// A client with one request in flight at node 0. Returns the client and the attempt's identifiers.
+fn world_with_request_in_flight(class: u16) -> (World, ConnId, (u64, u32)) {
     let mut w = World::new(config(), 2);
     let client = w.client();
     w.submit(client, 1, class, Some(0));
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn a_request_goes_to_its_shards_node_and_its_answer_to_its_client() {
-    let (mut w, client, sent) = one_out(READ);
+fn a_request_is_routed_to_the_node_of_its_shard_and_the_answer_to_its_client() {
+    let (mut w, client, sent) = world_with_request_in_flight(READ);
     w.done(w.node_conn(0), sent, Code::Served, b"data");
     w.run(1);
     assert_eq!(w.answers(client), [Said::Served(1, 0, b"data".to_vec())]);
@@ -29,19 +29,19 @@
 }
 
 #[test]
-fn a_client_that_stops_reading_holds_up_only_itself_and_is_cut_off_at_the_bound() {
+fn a_client_that_stops_reading_is_paused_then_disconnected_without_delaying_others() {
     let mut c = config();
     (c.bounds.client_pause_bytes, c.bounds.max_client_bytes) = (10_000, 30_000);
     let mut w = World::new(c, 2);
-    let (stuck, other) = (w.client(), w.client());
-    w.blocked.insert(stuck);
+    let (stalled, other) = (w.client(), w.client());
+    w.blocked.insert(stalled);
     let data = vec![1; 4000];
     let mut paused = false;
     for id in 0..12 {
-        if w.closed.contains(&stuck) {
+        if w.closed.contains(&stalled) {
             break;
         }
-        w.submit(stuck, id, READ, Some(0));
+        w.submit(stalled, id, READ, Some(0));
         w.submit(other, id, READ, Some(1));
         w.run(2);
         for node in [0, 1] {
@@ -50,17 +50,17 @@
             }
         }
         w.run(2);
-        assert_eq!(w.answers(other).len(), id as usize + 1, "the other client is served all along");
-        paused |= !w.core.wants_read(stuck) && !w.closed.contains(&stuck);
+        assert_eq!(w.answers(other).len(), id as usize + 1, "the client that reads is served throughout");
+        paused |= !w.core.wants_read(stalled) && !w.closed.contains(&stalled);
     }
-    assert!(paused, "above the lower bound it is not read");
-    assert!(w.closed.contains(&stuck), "above the upper one it is disconnected");
+    assert!(paused, "reads pause above client_pause_bytes");
+    assert!(w.closed.contains(&stalled), "the client is disconnected above max_client_bytes");
     assert!(!w.closed.contains(&other));
     assert_eq!(w.core.clients(), 1);
 }
 
 #[test]
-fn a_client_that_reads_again_is_read_again() {
+fn a_paused_client_is_read_again_once_its_output_drains() {
     let mut c = config();
     c.bounds.client_pause_bytes = 1000;
     let mut w = World::new(c, 1);
@@ -79,47 +79,52 @@
 }
 
 #[test]
-fn a_client_gone_while_its_attempt_runs_leaves_nothing_behind() {
-    let (mut w, client, sent) = one_out(READ);
-    w.core.closed(client, "gone", w.now);
+fn a_request_of_a_disconnected_client_is_released_when_its_attempt_ends() {
+    let (mut w, client, sent) = world_with_request_in_flight(READ);
+    w.core.closed(client, "closed by peer", w.now);
     w.run(5);
-    assert_eq!((w.core.pending_requests(), w.core.counts().abandoned), (1, 1), "held while its attempt runs");
+    assert_eq!(
+        (w.core.pending_requests(), w.core.counts().abandoned),
+        (1, 1),
+        "the request is kept while its attempt is in flight"
+    );
     w.done(w.node_conn(0), sent, Code::Error, b"");
     w.run(2000);
     assert_eq!(w.core.pending_requests(), 0);
-    assert_eq!(w.attempts(0), [sent], "nothing more is sent for it");
+    assert_eq!(w.attempts(0), [sent], "the request is not retried");
 }
 
 #[test]
-fn a_client_that_closes_its_sending_side_still_gets_its_answers() {
-    let (mut w, client, sent) = one_out(READ);
-    assert!(w.core.peer_finished(client, w.now), "it is owed an answer");
+fn a_half_closed_client_still_receives_its_pending_answers() {
+    let (mut w, client, sent) = world_with_request_in_flight(READ);
+    assert!(w.core.peer_finished(client, w.now), "the connection stays open for the pending answer");
     w.done(w.node_conn(0), sent, Code::Served, b"");
     w.run(1);
     assert_eq!(w.answers(client).len(), 1);
-    assert!(w.closed.contains(&client), "then there is nothing to keep it for");
+    assert!(w.closed.contains(&client), "the connection closes after the last pending answer");
     let idle = w.client();
     assert!(!w.core.peer_finished(idle, w.now));
 }
 
 #[test]
-fn a_node_that_never_answers_costs_a_client_its_request_but_never_the_answer() {
-    let (mut w, client, _) = one_out(READ);
+fn a_request_to_an_unresponsive_node_fails_shortly_before_its_deadline() {
+    let (mut w, client, _) = world_with_request_in_flight(READ);
     w.run(980);
     assert!(w.answers(client).is_empty());
     w.run(10);
-    assert_eq!(w.answers(client), [Said::Failed(1)], "ten milliseconds before it gives up");
-    assert!(w.said_on(w.node_conn(0)).contains(&Said::Cancel(1)), "the node is told");
+    assert_eq!(w.answers(client), [Said::Failed(1)], "the request fails 10 ms before the client's time-out");
+    assert!(w.said_on(w.node_conn(0)).contains(&Said::Cancel(1)), "the node receives a Cancel frame");
     assert_eq!((w.core.pending_requests(), w.core.counts().overdue), (0, 0));
 }
 
 #[test]
-fn answers_that_come_late_are_counted_and_go_nowhere() {
-    let (mut w, client, sent) = one_out(READ);
+fn late_answers_are_counted_and_discarded() {
+    let (mut w, client, sent) = world_with_request_in_flight(READ);
     let node = w.node_conn(0);
     w.run(1000);
-    w.done(node, sent, Code::Served, b"after the final answer and the cancel");
-    // Word of another node: the module does not take the one that was silent for what is usual.
+    w.done(node, sent, Code::Served, b"after the final answer and the cancellation");
+    // An answer from another node first: the decision module does not select a node that has been silent for
+    // longer than usual.
     w.run(5000);
     w.submit(client, 9, READ, Some(1));
     w.run(2);
@@ -133,21 +138,26 @@
     w.called.remove(&node);
     w.run(200);
     let again = w.node_conn(0);
-    w.done(again, second, Code::Served, b"of the connection that broke");
+    w.done(again, second, Code::Served, b"for an attempt on the lost connection");
     w.run(1);
     assert_eq!(w.core.counts().late_outcomes, 2);
     let third = *w.attempts(0).last().unwrap();
-    assert_eq!(third.1, 1, "it was tried again");
-    w.done(again, third, Code::Served, b"right");
+    assert_eq!(third.1, 1, "the request is retried");
+    w.done(again, third, Code::Served, b"current");
     w.run(1);
     let answers = w.answers(client);
-    assert_eq!(answers, [Said::Failed(1), Said::Served(9, 1, vec![]), Said::Served(2, 0, b"right".to_vec())]);
+    assert_eq!(
+        answers,
+        [Said::Failed(1), Said::Served(9, 1, vec![]), Said::Served(2, 0, b"current".to_vec())]
+    );
 }
 
-/// What left in part can't have run; what left in full may have: an unsafe request tells the two apart.
+/// A frame that was written only in part can't have run; one that was written in full may have. A request
+/// that must run at most once is retried in the first case and fails in the second.
 #[test]
-fn a_connection_lost_between_a_frames_bytes_proves_that_it_did_not_run() {
-    for (all, answers) in [(false, vec![Said::Served(1, 0, vec![])]), (true, vec![Said::Failed(1)])] {
+fn a_request_is_retried_if_its_connection_is_lost_before_the_frame_is_fully_written() {
+    for (fully_written, answers) in [(false, vec![Said::Served(1, 0, vec![])]), (true, vec![Said::Failed(1)])]
+    {
         let mut w = World::new(config(), 1);
         let client = w.client();
         w.submit(client, 9, READ, Some(0));
@@ -159,15 +169,15 @@
         w.blocked.insert(node);
         w.submit(client, 1, ONCE, Some(0));
         w.run(2);
-        let waits = w.core.outgoing(node).len();
-        assert!(waits > 20);
-        w.core.written(node, if all { waits } else { waits - 1 }, w.now);
+        let pending = w.core.outgoing(node).len();
+        assert!(pending > 20);
+        w.core.written(node, if fully_written { pending } else { pending - 1 }, w.now);
         w.core.closed(node, "reset", w.now);
         w.called.remove(&node);
         w.run(400);
-        if !all {
+        if !fully_written {
             let again = w.attempts(0)[0];
-            assert_eq!(again.1, 1, "sent once more");
+            assert_eq!(again.1, 1, "the request is retried once");
             w.done(w.node_conn(0), again, Code::Served, b"");
         }
         w.run(2);
@@ -176,29 +186,29 @@
 }
 
 #[test]
-fn calls_that_are_refused_or_lost_or_never_greeted_are_no_connection() {
+fn requests_are_refused_when_connecting_to_the_node_fails_or_its_greeting_is_missing() {
     for dial in [Dial::Refused, Dial::Lost, Dial::Deaf] {
         let mut w = World::new(config(), 1);
         w.dials.insert(address(0).parse().unwrap(), dial);
         let client = w.client();
         w.submit(client, 1, ONCE, Some(0));
         w.run(2000);
-        // An unsafe request may be refused only where no attempt can have run.
+        // A request that must run at most once may be refused only if no attempt can have run.
         assert!(
             matches!(w.answers(client)[..], [Said::Refused(1, Refusal::Load)]),
             "{dial:?}: {:?}",
             w.answers(client)
         );
-        assert!(w.calls > 2, "{dial:?}: it was called again");
+        assert!(w.calls > 2, "{dial:?}: the connection attempt is repeated");
         assert_eq!(w.core.pending_requests(), 0);
     }
 }
 
 #[test]
-fn with_all_nodes_gone_requests_are_refused_and_served_again_once_they_are_back() {
+fn requests_are_refused_while_no_node_is_listed_and_served_once_nodes_return() {
     let mut w = World::new(config(), 2);
     let client = w.client();
-    let full = std::mem::take(&mut w.list);
+    let listed = std::mem::take(&mut w.list);
     w.revision += 1;
     w.tell_list(w.list_conn());
     w.submit(client, 1, READ, Some(0));
@@ -208,18 +218,18 @@
     assert!(matches!(answers[..], [Said::Refused(..), Said::Refused(..)]), "{answers:?}");
     w.submit(client, 3, READ, Some(0));
     w.run(100);
-    w.list = full;
+    w.list = listed;
     w.revision += 1;
     w.tell_list(w.list_conn());
     w.run(20);
-    let sent = *w.attempts(0).last().expect("what was held leaves");
+    let sent = *w.attempts(0).last().expect("the queued request is sent");
     w.done(w.node_conn(0), sent, Code::Served, b"");
     w.run(1);
     assert_eq!(w.answers(client)[2..], [Said::Served(3, 0, vec![])]);
 }
 
 #[test]
-fn two_nodes_that_swap_addresses_are_told_apart_by_their_greeting() {
+fn nodes_that_swapped_addresses_are_detected_by_their_greeting() {
     let mut w = World::new(config(), 2);
     w.dials.insert(address(0).parse().unwrap(), Dial::Greets(1));
     w.dials.insert(address(1).parse().unwrap(), Dial::Greets(0));
@@ -228,21 +238,22 @@
     w.run(50);
     assert!(
         w.said.values().flatten().all(|s| !matches!(s, Said::Attempt { .. })),
-        "nothing is sent to the wrong node"
+        "no attempt is sent to the wrong node"
     );
     assert!(w.said.values().flatten().any(|s| *s == Said::Bye(CloseReason::WrongPeer)));
     w.list = vec![(0, State::Serving, 0, address(1)), (1, State::Serving, 1, address(0))];
     w.revision += 1;
     w.tell_list(w.list_conn());
     w.run(450);
-    assert_eq!(w.attempts(1).len(), 1, "the list caught up: node 0 is at the other address");
+    assert_eq!(w.attempts(1).len(), 1, "after the list update the request reaches node 0 at its new address");
 }
 
-/// Of hundreds of hosts whose canaries wait for a dead node each would send one at once when it is back.
+/// Guards against a burst at a restarted node: hundreds of initiators each hold a request for it and would
+/// all send it as soon as the node is reachable.
 #[test]
-fn a_node_that_greets_as_a_new_start_gets_nothing_until_the_module_knows_that_it_is_cold() {
+fn a_node_that_greets_with_a_new_incarnation_gets_no_queued_requests_until_slow_start_applies() {
     let mut c = config();
-    // A phase of its own that is not early.
+    // A seed that does not place this initiator early in the slow start.
     c.seed = 4;
     c.site.settings.initiators = 243;
     (c.site.settings.slow_start_min_units, c.site.settings.slow_start_window) = (1.0, 300.0);
@@ -251,16 +262,20 @@
     let client = w.client();
     w.submit(client, 1, READ, Some(0));
     w.run(5);
-    assert!(w.attempts(0).is_empty(), "what waited for the connection was not sent");
+    assert!(w.attempts(0).is_empty(), "requests that waited for the connection are not sent");
     w.run(1500);
-    assert_eq!(w.answers(client), [Said::Refused(1, Refusal::Load)], "this host's part is smaller than that");
-    // The list's word of the same start, and stale word of the one before, change nothing.
+    assert_eq!(
+        w.answers(client),
+        [Said::Refused(1, Refusal::Load)],
+        "this initiator's share of the slow start is less than one request"
+    );
+    // A list entry with the same incarnation, or an older one, changes nothing.
     w.tell_list(w.list_conn());
     w.run(5000);
     w.submit(client, 2, READ, Some(0));
     w.run(5);
-    assert_eq!(w.attempts(0).len(), 1, "warm by now, by when it was met");
-    // A start older than the one met is another process at the same address.
+    assert_eq!(w.attempts(0).len(), 1, "the node has warmed up, counted from its first greeting");
+    // A greeting with an older incarnation than the known one comes from another process at the same address.
     let node = w.node_conn(0);
     w.core.closed(node, "reset", w.now);
     w.called.remove(&node);
@@ -271,7 +286,7 @@
 
 #[test]
 fn a_saved_list_serves_until_the_list_service_answers() {
-    let saved = World::new(config(), 2).saved.expect("a list that was told is saved");
+    let saved = World::new(config(), 2).saved.expect("a received list is saved");
     let mut w = World::with_saved(config(), 2, Some(&saved));
     w.list_up = false;
     let mut fresh = World::with_saved(config(), 0, Some(&saved));
@@ -280,7 +295,7 @@
     w.submit(client, 1, READ, Some(1));
     w.run(5);
     assert_eq!(w.attempts(1).len(), 1);
-    // Node 1 has moved since: who answers at its old address is not it.
+    // Node 1 has moved since the save: a peer at its old address is not node 1.
     let mut w = World::with_saved(config(), 2, Some(&saved));
     w.dials.insert(address(1).parse().unwrap(), Dial::Refused);
     w.dials.insert("127.0.0.1:999".parse().unwrap(), Dial::Greets(1));
@@ -291,12 +306,16 @@
     w.revision += 1;
     w.tell_list(w.list_conn());
     w.run(500);
-    let moved = w.called.iter().find(|(_, a)| a.to_string() == "127.0.0.1:999").expect("called where it is");
+    let moved = w
+        .called
+        .iter()
+        .find(|(_, a)| a.to_string() == "127.0.0.1:999")
+        .expect("the new address is connected");
     assert_eq!(w.attempts_on(*moved.0).len(), 1);
 }
 
 #[test]
-fn a_damaged_saved_list_is_told_apart() {
+fn a_damaged_saved_list_is_rejected() {
     let saved = World::new(config(), 2).saved.unwrap();
     for cut in 0..saved.len() {
         assert!(Core::new(config(), Some(&saved[..cut]), ms(1)).is_err(), "cut at {cut}");
@@ -308,60 +327,60 @@
 }
 
 fn change(since: u64, revision: u64, state: State) -> Vec<u8> {
-    changed(since, revision, entry(0, state, 0, &address(0)))
+    change_of_entry(since, revision, entry(0, state, 0, &address(0)))
 }
 
-fn changed(since: u64, revision: u64, entry: Entry<'_>) -> Vec<u8> {
+fn change_of_entry(since: u64, revision: u64, entry: Entry<'_>) -> Vec<u8> {
     let extent = Extent::Changes;
     bytes_of(&Frame::List(List { extent, since, revision, entries: vec![entry] }))
 }
 
 #[test]
-fn changes_apply_in_order_once_and_a_gap_asks_for_the_whole_list() {
+fn changes_apply_once_in_revision_order_and_a_gap_requests_the_full_list() {
     let mut w = World::new(config(), 1);
     let (client, list) = (w.client(), w.list_conn());
     w.core.received(list, &change(1, 2, State::Draining), w.now);
-    // A duplicate, and an older one: both know nothing new.
+    // A duplicate and an older change: both are ignored.
     w.core.received(list, &change(1, 2, State::Serving), w.now);
     w.core.received(list, &change(0, 1, State::Serving), w.now);
     w.submit(client, 1, READ, Some(0));
     w.run(50);
-    assert!(w.attempts_on(list).is_empty() && w.calls == 1, "nothing goes to a node that drains");
-    let asked = |w: &World| w.said_on(list).iter().filter(|s| **s == Said::GetList).count();
-    assert_eq!(asked(&w), 0);
+    assert!(w.attempts_on(list).is_empty() && w.calls == 1, "no attempt is sent to a draining node");
+    let full_list_requests = |w: &World| w.said_on(list).iter().filter(|s| **s == Said::GetList).count();
+    assert_eq!(full_list_requests(&w), 0);
     w.revision = 9;
     w.core.received(list, &change(7, 8, State::Serving), w.now);
     w.run(5);
-    assert_eq!(asked(&w), 1);
-    assert_eq!(w.attempts(0).len(), 1, "the whole list says that it serves");
+    assert_eq!(full_list_requests(&w), 1);
+    assert_eq!(w.attempts(0).len(), 1, "the full list has the node in state Serving");
 }
 
 #[test]
-fn a_silent_list_service_is_asked_and_then_called_anew() {
+fn a_silent_list_service_is_queried_then_reconnected() {
     let mut w = World::new(config(), 1);
     let first = w.list_conn();
     w.blocked.insert(first);
     w.run(11_000);
-    assert!(w.closed.contains(&first), "asked, and silent again");
+    assert!(w.closed.contains(&first), "the connection is closed after an unanswered query");
     w.run(500);
     assert_ne!(w.list_conn(), first);
 }
 
 #[test]
-fn a_list_service_out_of_reach_is_called_ever_more_rarely() {
+fn connection_attempts_to_an_unreachable_list_service_back_off() {
     let mut w = World::new(config(), 1);
     w.list_up = false;
     w.core.closed(w.list_conn(), "reset", w.now);
     w.calls = 0;
     w.run(60_000);
-    assert!((20..200).contains(&w.calls), "{} calls in a minute", w.calls);
+    assert!((20..200).contains(&w.calls), "{} connection attempts in a minute", w.calls);
     w.list_up = true;
     w.run(3000);
     w.list_conn();
 }
 
 #[test]
-fn a_list_on_request_is_asked_for_by_the_module() {
+fn a_polled_list_is_requested_by_the_decision_module() {
     let mut c = config();
     c.site.settings.polls_list = true;
     let mut w = World::new(c, 1);
@@ -373,11 +392,11 @@
     w.run(2000);
     w.list_up = true;
     w.run(6000);
-    assert!(w.said_on(w.list_conn()).contains(&Said::Watch), "asked again after the failure");
+    assert!(w.said_on(w.list_conn()).contains(&Said::Watch), "the list is requested again after the failure");
 }
 
 #[test]
-fn every_bound_refuses_what_is_beyond_it_and_says_which() {
+fn each_limit_refuses_the_excess_with_its_own_cause() {
     let mut c = config();
     (c.bounds.max_clients, c.bounds.max_requests, c.bounds.max_requests_per_client, c.bounds.max_volumes) =
         (2, 5, 3, 1);
@@ -396,7 +415,7 @@
     }
     w.turn();
     assert_eq!(w.answers(b), [Said::Refused(2, Refusal::Held)]);
-    assert_eq!(w.calls, 1, "a node beyond the bound is left out of the list");
+    assert_eq!(w.calls, 1, "a node beyond max_endpoints is left out of the list");
     w.run(2000);
     assert_eq!((w.answers(a).len(), w.answers(b).len(), w.core.pending_requests()), (4, 3, 0));
     let submit = Submit {
@@ -421,7 +440,7 @@
 }
 
 #[test]
-fn what_waits_for_a_node_is_bounded() {
+fn output_queued_for_a_node_is_bounded() {
     let mut c = config();
     c.bounds.max_node_bytes = 10;
     let mut w = World::new(c, 1);
@@ -432,17 +451,17 @@
     w.blocked.insert(node);
     w.submit(client, 2, READ, Some(0));
     w.run(2);
-    let waits = w.core.outgoing(node).len();
+    let pending = w.core.outgoing(node).len();
     w.submit(client, 3, READ, Some(0));
     w.run(5);
-    assert_eq!(w.core.outgoing(node).len(), waits, "nothing more is added");
+    assert_eq!(w.core.outgoing(node).len(), pending, "no further attempt is queued");
     w.run(1000);
     assert_eq!(w.answers(client).len(), 3);
 }
 
 #[test]
-fn a_stop_answers_what_is_held_takes_nothing_new_and_ends() {
-    let (mut w, client, sent) = one_out(READ);
+fn a_shutdown_answers_pending_requests_refuses_new_ones_and_exits() {
+    let (mut w, client, sent) = world_with_request_in_flight(READ);
     w.core.control(Control::Stop, w.now);
     w.submit(client, 2, READ, Some(0));
     w.run(5);
@@ -456,7 +475,7 @@
 }
 
 #[test]
-fn a_stop_that_lasts_too_long_fails_what_is_left() {
+fn a_shutdown_that_times_out_fails_the_remaining_requests() {
     let mut c = config();
     c.site.timeouts.shutdown_timeout = ms(100);
     let mut w = World::new(c, 1);
@@ -472,26 +491,30 @@
 }
 
 #[test]
-fn a_streamed_answer_is_passed_on_and_its_break_is_a_failure() {
-    let (mut w, client, sent) = one_out(STREAM);
+fn a_streamed_answer_is_forwarded_and_fails_if_its_connection_is_lost() {
+    let (mut w, client, sent) = world_with_request_in_flight(STREAM);
     let node = w.node_conn(0);
     let chunk = |payload| Frame::Chunk { request: sent.0, attempt: sent.1, payload };
     w.tell(node, &chunk(b"one"));
     w.run(1500);
-    assert!(w.answers(client).is_empty(), "the deadline runs no more once the answer has begun");
+    assert!(w.answers(client).is_empty(), "the deadline does not apply once the answer has begun");
     w.tell(node, &chunk(b"two"));
     w.run(1);
     assert_eq!(w.said_on(client)[1..], [Said::Part(1, b"one".to_vec()), Said::Part(1, b"two".to_vec())]);
     w.core.closed(node, "reset", w.now);
     w.run(10);
-    assert_eq!(w.answers(client), [Said::Failed(1)], "its client has a part of it: not tried again");
+    assert_eq!(
+        w.answers(client),
+        [Said::Failed(1)],
+        "the client has a part of the answer, so the request is not retried"
+    );
     assert_eq!(w.core.pending_requests(), 0);
 }
 
 #[test]
-fn what_does_not_belong_closes_its_connection_and_nothing_else() {
+fn a_protocol_violation_closes_only_the_connection_it_arrives_on() {
     type Send<'a> = &'a dyn Fn(&mut World, ConnId);
-    let other_frames: [Send<'_>; 6] = [
+    let violations: [Send<'_>; 6] = [
         &|w, c| w.tell(c, &Frame::Watch),
         &|w, c| w.submit(c, 1, 9, Some(0)),
         &|w, c| {
@@ -509,8 +532,8 @@
             w.tell(c, &Frame::Hello(hello));
         },
     ];
-    for (n, send) in other_frames.iter().enumerate() {
-        let (mut w, good, sent) = one_out(READ);
+    for (n, send) in violations.iter().enumerate() {
+        let (mut w, good, sent) = world_with_request_in_flight(READ);
         let bad = w.client();
         send(&mut w, bad);
         w.run(1);
@@ -524,23 +547,23 @@
 }
 
 #[test]
-fn a_client_of_another_version_or_without_a_greeting_is_turned_away() {
+fn a_client_with_an_unsupported_version_or_without_a_greeting_is_disconnected() {
     let mut w = World::new(config(), 1);
     let newer = w.core.accepted(0, w.now).unwrap();
     w.tell(newer, &Frame::Hello(Hello { role: Role::Client, versions: (7, 9), id: 1, epoch: 1, name: "" }));
     w.run(1);
     assert_eq!(w.said_on(newer), [Said::Bye(CloseReason::Version)]);
-    let mute = w.core.accepted(0, w.now).unwrap();
+    let silent = w.core.accepted(0, w.now).unwrap();
     w.run(1999);
-    assert!(!w.closed.contains(&mute));
+    assert!(!w.closed.contains(&silent));
     w.run(2);
-    assert!(w.closed.contains(&mute));
+    assert!(w.closed.contains(&silent));
     assert_eq!(w.core.clients(), 0);
 }
 
 #[test]
-fn an_idle_node_is_let_go_and_called_again() {
-    let (mut w, client, sent) = one_out(READ);
+fn an_idle_node_connection_is_closed_and_reopened_on_demand() {
+    let (mut w, client, sent) = world_with_request_in_flight(READ);
     let first = w.node_conn(0);
     w.done(first, sent, Code::Served, b"");
     w.run(14_000);
@@ -552,9 +575,10 @@
     assert_eq!(w.attempts(0).len(), 1);
 }
 
-/// Whatever peers send, in whatever pieces: no panic, bounded memory, and a sound client is served.
+/// A step of the test with invalid input: what a peer sends, a connection that closes, or a wait in
+/// milliseconds.
 #[derive(Clone, Debug)]
-enum Garbage {
+enum Fault {
     Bytes(u8, Vec<u8>),
     Frame(u8, u8, Vec<u8>),
     Mutated(u8, usize, u8),
@@ -562,23 +586,23 @@
     Wait(u64),
 }
 
-fn garbage() -> impl Strategy<Value = Garbage> {
+fn fault() -> impl Strategy<Value = Fault> {
     let bytes = || proptest::collection::vec(any::<u8>(), 0..80);
     prop_oneof![
-        (0u8..4, bytes()).prop_map(|(to, b)| Garbage::Bytes(to, b)),
+        (0u8..4, bytes()).prop_map(|(to, b)| Fault::Bytes(to, b)),
         (0u8..4, prop_oneof![1u8..4, 16u8..21, 32u8..38, 48u8..52], bytes())
-            .prop_map(|(to, kind, b)| Garbage::Frame(to, kind, b)),
-        (0u8..4, 0usize..90, any::<u8>()).prop_map(|(to, at, with)| Garbage::Mutated(to, at, with)),
-        (0u8..4).prop_map(Garbage::Close),
-        (0u64..300).prop_map(Garbage::Wait),
+            .prop_map(|(to, kind, b)| Fault::Frame(to, kind, b)),
+        (0u8..4, 0usize..90, any::<u8>()).prop_map(|(to, at, with)| Fault::Mutated(to, at, with)),
+        (0u8..4).prop_map(Fault::Close),
+        (0u64..300).prop_map(Fault::Wait),
     ]
 }
 
-fn sealed(kind: u8, body: &[u8]) -> Vec<u8> {
-    sealed_as(VERSION, kind, body)
+fn frame_bytes(kind: u8, body: &[u8]) -> Vec<u8> {
+    frame_bytes_of_version(VERSION, kind, body)
 }
 
-fn sealed_as(version: u8, kind: u8, body: &[u8]) -> Vec<u8> {
+fn frame_bytes_of_version(version: u8, kind: u8, body: &[u8]) -> Vec<u8> {
     let mut bytes = (body.len() as u32).to_le_bytes().to_vec();
     let rest: Vec<u8> = [version, kind, 0, 0].into_iter().chain(body.iter().copied()).collect();
     bytes.extend(crc32c::crc32c_append(crc32c::crc32c(&bytes), &rest).to_le_bytes());
@@ -588,14 +612,17 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
-
+    /// Whatever peers send and however it is split, the core does not panic, its queue stays within the limit
+    /// and a well-behaved client is served.
     #[test]
-    fn garbage_from_every_peer_harms_no_one_else(all in proptest::collection::vec(garbage(), 1..40)) {
+    fn invalid_input_from_any_peer_does_not_affect_a_well_behaved_client(
+        faults in proptest::collection::vec(fault(), 1..40),
+    ) {
         let mut c = config();
         c.bounds.max_requests = 50;
         let mut w = World::new(c, 2);
         let good = w.client();
-        for (n, one) in all.into_iter().enumerate() {
+        for (n, fault) in faults.into_iter().enumerate() {
             w.submit(good, n as u64, READ, Some((n % 2) as u32));
             w.run(1);
             let peers: Vec<_> = w.called.keys().copied().collect();
@@ -603,32 +630,32 @@
                 (3, _) | (_, None) => w.client(),
                 (_, Some(peer)) => *peer,
             };
-            match one {
-                Garbage::Bytes(peer, bytes) => {
+            match fault {
+                Fault::Bytes(peer, bytes) => {
                     let conn = to(peer, &mut w);
                     w.core.received(conn, &bytes, w.now);
                 }
-                Garbage::Frame(peer, kind, body) => {
+                Fault::Frame(peer, kind, body) => {
                     let conn = to(peer, &mut w);
-                    w.core.received(conn, &sealed(kind, &body), w.now);
+                    w.core.received(conn, &frame_bytes(kind, &body), w.now);
                 }
-                Garbage::Mutated(peer, at, with) => {
+                Fault::Mutated(peer, at, with) => {
                     let conn = to(peer, &mut w);
                     let report = Report::default();
                     let done = Done { request: n as u64, attempt: 0, code: Code::Served, report, payload: b"" };
                     let mut body = bytes_of(&Frame::Done(done))[12..].to_vec();
                     let at = at % body.len();
                     body[at] = with;
-                    w.core.received(conn, &sealed(34, &body), w.now);
+                    w.core.received(conn, &frame_bytes(34, &body), w.now);
                 }
-                Garbage::Close(peer) => {
+                Fault::Close(peer) => {
                     let conn = to(peer, &mut w);
                     if conn != good {
                         w.called.remove(&conn);
                         w.core.closed(conn, "test", w.now);
                     }
                 }
-                Garbage::Wait(millis) => w.run(millis),
+                Fault::Wait(millis) => w.run(millis),
             }
             w.run(1);
             prop_assert!(w.core.pending_requests() <= 50);
@@ -641,32 +668,34 @@
             _ => u64::MAX,
         }).collect();
         ids.sort_unstable();
-        let wanted: Vec<u64> = (0..ids.len() as u64).collect();
-        prop_assert_eq!(ids, wanted, "each request of the sound client has one answer");
+        let expected: Vec<u64> = (0..ids.len() as u64).collect();
+        prop_assert_eq!(ids, expected, "each request of the well-behaved client has exactly one answer");
     }
 }
 
 #[test]
-fn a_crowd_of_clients_is_told_when_its_turns_are_and_those_served_notice_nothing() {
+fn excess_clients_get_evenly_spread_retry_times_and_connected_clients_are_unaffected() {
     let mut w = World::new(config(), 1);
     let served = w.client();
-    let mut told = Vec::new();
-    let mut taken = 1;
+    let mut retry_delays = Vec::new();
+    let mut accepted = 1;
     for _ in 0..242 {
         match w.core.accepted(0, w.now) {
-            Ok(_) => taken += 1,
+            Ok(_) => accepted += 1,
             Err(goodbye) => match decode(&goodbye) {
-                Ok(Some((Frame::Bye { close_reason: CloseReason::Turn, wait, .. }, _))) => told.push(wait),
+                Ok(Some((Frame::Bye { close_reason: CloseReason::Turn, wait, .. }, _))) => {
+                    retry_delays.push(wait)
+                }
                 other => panic!("{other:?}"),
             },
         }
     }
-    assert_eq!((taken, told.len()), (100, 143));
-    // Uniform over the time that they take: each tenth of it has about a tenth of them.
-    let most = f64::from(*told.iter().max().unwrap());
+    assert_eq!((accepted, retry_delays.len()), (100, 143));
+    // The delays are uniform over their range: each tenth of it has about a tenth of them.
+    let most = f64::from(*retry_delays.iter().max().unwrap());
     for tenth in 0..10 {
         let within = |w: &&u32| (f64::from(**w) * 10.0 / (most + 1.0)) as usize == tenth;
-        let count = told.iter().filter(within).count();
+        let count = retry_delays.iter().filter(within).count();
         assert!((9..=20).contains(&count), "{count} of 143 in tenth {tenth}");
     }
     w.submit(served, 1, READ, Some(0));
@@ -677,8 +706,8 @@
     assert_eq!(w.answers(served).len(), 1);
 }
 
-/// A site that meets storms, and a client that presses again and again on a node that is not there.
-fn stormy() -> flaxstand_gateway::core::Config {
+/// A site with retry throttling.
+fn config_with_retry_throttle() -> flaxstand_gateway::core::Config {
     let mut c = config();
     c.site.retry_throttle = Some(flaxstand_overload::RetryThrottleConfig {
         retry_floor: 2.0,
@@ -688,37 +717,38 @@
 }
 
 #[test]
-fn repeats_in_a_storm_are_refused_at_once_with_cause_and_scope_and_first_tries_are_not() {
-    let mut w = World::new(stormy(), 1);
+fn retries_in_a_retry_storm_are_refused_at_once_and_first_attempts_are_not() {
+    let mut w = World::new(config_with_retry_throttle(), 1);
     w.dials.insert(address(0).parse().unwrap(), Dial::Refused);
     let client = w.client();
-    // Each press is for the same extents, with little patience.
-    for press in 0..40u64 {
+    // Each round requests the same extents again with a short time-out, as a user who reloads a page does.
+    for round in 0..40u64 {
         for extent in 0..10 {
-            w.submit_extent(client, press * 100 + extent, READ, extent, 60);
+            w.submit_extent(client, round * 100 + extent, READ, extent, 60);
         }
         w.run(70);
     }
-    let damped = w.core.counts().retries_rejected;
-    assert!(damped > 200, "{damped} of 390 repeats");
+    let rejected = w.core.counts().retries_rejected;
+    assert!(rejected > 200, "{rejected} of 390 retries rejected");
     let said = w.answers(client);
     let storms = said.iter().filter(|s| matches!(s, Said::Refused(_, Refusal::Storm))).count();
-    assert_eq!(storms as u64, damped);
-    assert_eq!(said.len(), 400, "each is answered once");
+    assert_eq!(storms as u64, rejected);
+    assert_eq!(said.len(), 400, "each request has one answer");
     w.submit_extent(client, 9000, READ, 777, 500);
     w.run(5);
-    assert_eq!(w.answers(client).len(), 400, "a first try is taken, not turned away");
+    assert_eq!(w.answers(client).len(), 400, "a first attempt is accepted");
 }
 
 #[test]
-fn an_answer_that_comes_as_the_deadline_passes_is_one_answer() {
-    let mut w = World::new(stormy(), 1);
+fn an_answer_that_arrives_at_the_deadline_yields_exactly_one_answer() {
+    let mut w = World::new(config_with_retry_throttle(), 1);
     let client = w.client();
     w.submit_extent(client, 1, READ, 5, 300);
     w.run(5);
     let attempt = w.attempts(0)[0];
     let node = w.node_conn(0);
-    // 300 ms less the margin for the answer's way: the deadline fires in the turn in which the answer comes.
+    // 300 ms less the margin for the answer's transit: the deadline timer fires in the same turn in which the
+    // answer arrives.
     w.run(284);
     w.now = w.now.after(ms(1));
     w.done(node, attempt, Code::Served, b"");
@@ -727,7 +757,7 @@
     assert_eq!(w.core.pending_requests(), 0);
 }
 
-/// A request that node 0 serves after so many ms.
+/// Submits a request that node 0 serves after the given number of milliseconds.
 fn serve(w: &mut World, client: ConnId, id: u64, millis: u64) {
     w.submit(client, id, READ, Some(0));
     w.run(millis);
@@ -736,8 +766,8 @@
     w.run(2);
 }
 
-/// A core that may probe and copy, with an answer of node 0 just lost.
-fn after_a_loss() -> (World, ConnId) {
+/// A core that may send probes and concurrent attempts, right after an answer of node 0 was lost.
+fn world_after_lost_answer() -> (World, ConnId) {
     let mut c = config();
     (c.site.settings.max_concurrent_attempts, c.site.settings.may_probe, c.site.settings.may_cancel) =
         (2, true, true);
@@ -752,103 +782,104 @@
     (w, client)
 }
 
-fn probe_on(w: &World) -> Option<u64> {
+fn last_probe_token(w: &World) -> Option<u64> {
     let token = |s: &Said| if let Said::Probe(token) = s { Some(*token) } else { None };
     w.said_on(w.node_conn(0)).iter().rev().find_map(token)
 }
 
 #[test]
-fn a_lost_answer_is_probed_for_asked_for_again_and_its_attempt_called_off() {
-    let (mut w, client) = after_a_loss();
+fn a_lost_answer_leads_to_a_probe_then_a_second_attempt_and_cancels_the_first() {
+    let (mut w, client) = world_after_lost_answer();
     w.submit(client, 20, READ, Some(0));
     w.run(60);
     let first = *w.attempts(0).last().unwrap();
-    let token = probe_on(&w).expect("it is out for longer than it should be");
+    let token = last_probe_token(&w).expect("an overdue attempt triggers a probe");
     w.tell(w.node_conn(0), &Frame::Probed { token, report: Report::default() });
     w.run(60);
-    let copy = *w.attempts(0).last().unwrap();
-    assert_eq!(copy, (first.0, 1));
-    w.done(w.node_conn(0), copy, Code::Served, b"again");
+    let second = *w.attempts(0).last().unwrap();
+    assert_eq!(second, (first.0, 1));
+    w.done(w.node_conn(0), second, Code::Served, b"again");
     w.run(5);
     assert_eq!(w.answers(client).last(), Some(&Said::Served(20, 0, b"again".to_vec())));
     assert_eq!(w.said_on(w.node_conn(0)).last(), Some(&Said::Cancel(first.0)));
-    // Its answer comes after all: nobody waits for it, and the client hears nothing twice.
+    // The first attempt's answer arrives late: it is discarded, and the client gets no second answer.
     w.done(w.node_conn(0), first, Code::Served, b"late");
     w.run(5);
     assert_eq!((w.answers(client).len(), w.core.pending_requests()), (8, 0));
 }
 
 #[test]
-fn a_probe_that_is_never_answered_ends_by_itself_and_copies_nothing() {
-    let (mut w, client) = after_a_loss();
+fn an_unanswered_probe_times_out_without_a_second_attempt() {
+    let (mut w, client) = world_after_lost_answer();
     w.submit(client, 20, READ, Some(0));
     w.run(400);
-    assert!(probe_on(&w).is_some());
+    assert!(last_probe_token(&w).is_some());
     assert_eq!(w.attempts(0).last().unwrap().1, 0);
     w.run(700);
     assert_eq!(w.answers(client).last(), Some(&Said::Failed(20)));
     assert_eq!(w.core.pending_requests(), 0);
 }
 
-/// Pace in a saved list, microseconds a unit.
-fn saved_pace(w: &World) -> Option<u32> {
+/// The service time of the only entry in the saved list, in microseconds per unit.
+fn saved_service_time(w: &World) -> Option<u32> {
     let list = SavedList::read(w.saved.as_ref().unwrap()).expect("a saved list");
     assert_eq!((list.entries.len(), list.torn_bytes), (1, 0));
     list.entries[0].service_time
 }
 
 #[test]
-fn what_was_learnt_of_a_nodes_pace_lasts_over_the_switch_and_ends_with_its_start() {
+fn a_learnt_service_time_survives_an_initiator_restart_and_ends_with_the_nodes_incarnation() {
     let mut w = World::new(config(), 1);
     let client = w.client();
     (0..5).for_each(|id| serve(&mut w, client, id, 30));
-    assert_eq!(saved_pace(&w), None, "the list came before anything was learnt");
+    assert_eq!(saved_service_time(&w), None, "the list was saved before any service time was measured");
     w.core.control(Control::Stop, w.now);
     w.run(50);
-    let learnt = saved_pace(&w).expect("the stop saves what was learnt");
-    // The next life, and the same list from the service: the pace is kept from its first second.
+    let measured = saved_service_time(&w).expect("the shutdown saves the measured service time");
+    // After a restart with the same list from the service, the service time is known from the start.
     let saved = w.saved.clone().unwrap();
     let mut next = World::with_saved(config(), 1, Some(&saved));
     next.run(1000);
-    assert_eq!(saved_pace(&next), Some(learnt));
-    // It acts on it: what that pace does not get done in its client's time is refused at once.
+    assert_eq!(saved_service_time(&next), Some(measured));
+    // The service time takes effect: a request that can't complete in its client's time is refused at once.
     let client = next.client();
     next.submit_within(client, 1, READ, Some(0), 25);
     next.run(3);
     assert!(matches!(next.answers(client)[..], [Said::Refused(1, _)]));
-    // Another start of the node: learnt afresh.
+    // A new incarnation of the node discards the service time.
     let address = address(0);
     let start = Entry { incarnation: 2, age: Some(1), ..entry(0, State::Serving, 0, &address) };
-    next.core.received(next.list_conn(), &changed(1, 2, start), next.now);
+    next.core.received(next.list_conn(), &change_of_entry(1, 2, start), next.now);
     next.run(5);
-    assert_eq!(saved_pace(&next), None);
+    assert_eq!(saved_service_time(&next), None);
 }
 
 #[test]
-fn a_pace_is_void_at_a_start_that_the_node_tells_before_the_list_does() {
+fn a_service_time_is_discarded_when_the_node_greets_with_a_new_incarnation_before_the_list_has_it() {
     let (address, service_time) = (address(0), Some(40_000));
-    let learnt = Entry { service_time, ..entry(0, State::Serving, 0, &address) };
-    let list = List { extent: Extent::Full, since: 1, revision: 1, entries: vec![learnt] };
-    for (start, kept) in [(1, service_time), (2, None)] {
+    let measured = Entry { service_time, ..entry(0, State::Serving, 0, &address) };
+    let list = List { extent: Extent::Full, since: 1, revision: 1, entries: vec![measured] };
+    for (incarnation, expected) in [(1, service_time), (2, None)] {
         let mut w = World::cut_off(config(), 1, &bytes_of(&Frame::List(list.clone())));
-        w.starts.insert(0, start);
+        w.starts.insert(0, incarnation);
         let client = w.client();
         w.submit(client, 1, READ, Some(0));
         w.run(50);
         w.core.control(Control::Stop, w.now);
         w.run(6000);
-        assert_eq!(saved_pace(&w), kept, "start {start}");
+        assert_eq!(saved_service_time(&w), expected, "incarnation {incarnation}");
     }
 }
 
 #[test]
-fn a_list_saved_by_the_build_before_is_read_without_sizes_and_paces() {
+fn a_saved_list_of_format_version_2_is_read_without_sizes_and_service_times() {
     let saved = World::new(config(), 1).saved.unwrap();
-    // Version 2: the entry ends after zone with the address. Size and pace are nine bytes before it.
+    // In version 2 an entry ends with the zone and the address. Size and service time are the nine bytes
+    // before the address.
     let mut body = saved[12..].to_vec();
     let at = body.len() - address(0).len() - 1 - 9;
     body.drain(at..at + 9);
-    let mut w = World::cut_off(config(), 1, &sealed_as(2, saved[9], &body));
+    let mut w = World::cut_off(config(), 1, &frame_bytes_of_version(2, saved[9], &body));
     let client = w.client();
     w.submit(client, 1, READ, Some(0));
     w.run(5);
@@ -856,13 +887,13 @@
 }
 
 #[test]
-fn a_request_whose_client_left_while_its_node_was_called_is_not_sent_without_its_payload() {
+fn a_request_whose_client_disconnects_while_its_node_is_being_connected_is_not_sent() {
     let mut w = World::new(config(), 1);
     w.dials.insert(address(0).parse().unwrap(), Dial::Deaf);
     let client = w.client();
     w.submit(client, 1, READ, Some(0));
     w.run(5);
-    w.core.closed(client, "gone", w.now);
+    w.core.closed(client, "closed by peer", w.now);
     let welcome = Welcome { version: VERSION, role: Role::Node, id: 0, epoch: 1, name: "" };
     w.tell(w.node_conn(0), &Frame::Welcome(welcome));
     w.run(5);
@@ -870,12 +901,12 @@
     assert_eq!(w.core.pending_requests(), 0);
 }
 
-/// Proposes the next version at an initiator that agrees with itself alone.
+/// Proposes the next rule version at an initiator that is the only voter.
 fn propose(w: &mut World, base: u64, attempts: f64) {
     use flaxstand_consensus::participant::{OperatorReply, OperatorRequest, PeerMessage};
     use flaxstand_consensus::replicated_state::Version;
     use flaxstand_consensus::rules::Value;
-    let operator = w.core.accepted(1, w.now).expect("it is let in");
+    let operator = w.core.accepted(1, w.now).expect("the operator connection is accepted");
     let hello = Hello { role: Role::Client, versions: (VERSION, VERSION), id: 0, epoch: 0, name: "test" };
     w.core.received(operator, &bytes_of(&Frame::Hello(hello)), w.now);
     let mut version = Version::default();
@@ -885,13 +916,13 @@
             .unwrap();
     w.core.received(operator, &bytes_of(&Frame::Agreement { bytes: &bytes }), w.now);
     w.run(5);
-    let agreed =
+    let committed =
         postcard::to_stdvec(&PeerMessage::OperatorReply(OperatorReply::Committed(base + 1))).unwrap();
-    assert!(w.said[&operator].contains(&Said::Agreement(agreed)), "{:?}", w.said[&operator]);
+    assert!(w.said[&operator].contains(&Said::Agreement(committed)), "{:?}", w.said[&operator]);
 }
 
 #[test]
-fn what_waits_to_leave_when_the_rules_change_never_leaves() {
+fn an_attempt_still_queued_for_writing_when_the_rules_change_is_not_sent() {
     use flaxstand_consensus::participant::StoredReplica;
     let mut c = config();
     c.consensus = Some(ConsensusConfig {
@@ -917,16 +948,12 @@
     w.blocked.insert(node);
     w.submit(client, 2, READ, Some(0));
     w.run(2);
-    assert!(!w.core.outgoing(node).is_empty(), "it waits to leave");
+    assert!(!w.core.outgoing(node).is_empty(), "the attempt is queued for writing");
     for _ in 0..30 {
         w.client();
     }
     let walked = w.core.counts().connections_walked;
     propose(&mut w, 1, 1.0);
     assert!(w.closed.contains(&node) && w.core.outgoing(node).is_empty());
-    assert_eq!(
-        w.core.counts().connections_walked - walked,
-        1,
-        "only connections to nodes are looked through"
-    );
+    assert_eq!(w.core.counts().connections_walked - walked, 1, "only connections to nodes are walked");
 }
--- a/crates/flaxstand-gateway/tests/driver.rs
+++ b/crates/flaxstand-gateway/tests/driver.rs
@@ -1,5 +1,5 @@
-//! The driver on real sockets: partial writes, peers that stop reading or close one side, calls that fail,
-//! and the clock. No test depends on how fast anything is.
+//! Tests of the driver on real sockets: partial writes, peers that stop reading or half-close, failed
+//! connection attempts, and the clock. No test depends on timing.
 
 use flaxstand_gateway::driver::{Driver, Options};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Control, Machine, Micros};
@@ -9,76 +9,88 @@
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
 
-/// Answers each byte with a block of its own, stops at `q`, and checks every moment that it is told.
-struct Blocks {
+/// A machine that answers each byte with a block of that byte and exits after `q`. It checks the time passed
+/// to each callback: the clock is monotonic and constant within a turn.
+struct BlockEcho {
     out: BTreeMap<ConnId, Vec<u8>>,
     next: u64,
     commands: Vec<Command>,
-    calls: Vec<Address>,
-    failed: Vec<String>,
-    latest: Micros,
+    connect_to: Vec<Address>,
+    failure_causes: Vec<String>,
+    last_now: Micros,
     turn_ended: bool,
     turns: u64,
-    quit: bool,
+    exit_requested: bool,
 }
 
-impl Default for Blocks {
+impl Default for BlockEcho {
     fn default() -> Self {
-        let (out, next, commands, calls, failed, latest, turns, quit) = Default::default();
-        Blocks { out, next, commands, calls, failed, latest, turn_ended: true, turns, quit }
+        let (out, next, commands, connect_to, failure_causes, last_now, turns, exit_requested) =
+            Default::default();
+        BlockEcho {
+            out,
+            next,
+            commands,
+            connect_to,
+            failure_causes,
+            last_now,
+            turn_ended: true,
+            turns,
+            exit_requested,
+        }
     }
 }
 
 const BLOCK: usize = 3_000_000;
 
-impl Blocks {
-    fn tick(&mut self, now: Micros) {
-        assert!(now >= self.latest, "the clock went back");
-        if now != self.latest {
-            assert!(self.turn_ended, "two moments in one turn");
-            (self.latest, self.turn_ended) = (now, false);
+impl BlockEcho {
+    fn check_time(&mut self, now: Micros) {
+        assert!(now >= self.last_now, "the clock went backwards from {:?} to {now:?}", self.last_now);
+        if now != self.last_now {
+            assert!(self.turn_ended, "the time changed within a turn");
+            (self.last_now, self.turn_ended) = (now, false);
         }
     }
 }
 
-impl Machine for Blocks {
+impl Machine for BlockEcho {
     fn accepted(&mut self, _listener: usize, now: Micros) -> Result<ConnId, Vec<u8>> {
-        self.tick(now);
+        self.check_time(now);
         self.next += 1;
         self.out.insert(ConnId(self.next), Vec::new());
         Ok(ConnId(self.next))
     }
     fn connected(&mut self, _conn: ConnId, now: Micros) {
-        self.tick(now);
+        self.check_time(now);
     }
     fn connect_failed(&mut self, _conn: ConnId, cause: &str, now: Micros) {
-        self.tick(now);
-        self.failed.push(cause.to_owned());
+        self.check_time(now);
+        self.failure_causes.push(cause.to_owned());
     }
     fn received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
-        self.tick(now);
+        self.check_time(now);
         for byte in bytes {
-            self.quit |= *byte == b'q';
+            self.exit_requested |= *byte == b'q';
             self.out.get_mut(&conn).unwrap().extend(vec![*byte; BLOCK]);
         }
         self.commands.push(Command::Flush(conn));
     }
     fn peer_finished(&mut self, conn: ConnId, now: Micros) -> bool {
-        self.tick(now);
+        self.check_time(now);
         !self.out[&conn].is_empty()
     }
     fn closed(&mut self, conn: ConnId, _cause: &str, now: Micros) {
-        self.tick(now);
+        self.check_time(now);
         self.out.remove(&conn);
     }
     fn outgoing(&self, conn: ConnId) -> &[u8] {
         self.out.get(&conn).map_or(&[], |o| o)
     }
     fn written(&mut self, conn: ConnId, count: usize, now: Micros) {
-        self.tick(now);
+        self.check_time(now);
         let out = self.out.get_mut(&conn).unwrap();
         out.drain(..count);
-        if out.is_empty() && self.quit {
+        if out.is_empty() && self.exit_requested {
             self.out.remove(&conn);
             self.commands.push(Command::Close { conn, last: Vec::new() });
             self.commands.push(Command::Exit);
@@ -88,12 +100,12 @@
         self.out.get(&conn).is_some_and(|o| o.len() < 2 * BLOCK)
     }
     fn control(&mut self, _control: Control, now: Micros) {
-        self.tick(now);
+        self.check_time(now);
     }
     fn settle(&mut self, now: Micros) -> Option<Micros> {
-        self.tick(now);
+        self.check_time(now);
         (self.turn_ended, self.turns) = (true, self.turns + 1);
-        for address in std::mem::take(&mut self.calls) {
+        for address in std::mem::take(&mut self.connect_to) {
             self.next += 1;
             self.commands.push(Command::Connect { conn: ConnId(self.next), address });
         }
@@ -104,29 +116,29 @@
     }
 }
 
-fn socket(name: &str) -> PathBuf {
+fn temp_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("flaxstand-driver-{name}-{}", std::process::id()))
 }
 
-fn start(name: &str, machine: Blocks) -> (PathBuf, std::thread::JoinHandle<Blocks>) {
-    let path = socket(name);
+fn start(name: &str, machine: BlockEcho) -> (PathBuf, std::thread::JoinHandle<BlockEcho>) {
+    let path = temp_path(name);
     let mut driver = Driver::new(machine, Options::default()).unwrap();
     driver.listen(&Address::Unix(path.clone())).unwrap();
     (path, std::thread::spawn(move || driver.run().unwrap()))
 }
 
 #[test]
-fn what_is_written_in_part_arrives_whole_and_a_stuck_reader_holds_up_no_one() {
-    let (path, driver) = start("parts", Blocks::default());
-    let mut stuck = UnixStream::connect(&path).unwrap();
-    // More than the system buffers: it is neither read nor written to any further.
-    stuck.write_all(b"xxxxx").unwrap();
+fn partial_writes_are_completed_and_a_stalled_reader_does_not_delay_others() {
+    let (path, driver) = start("parts", BlockEcho::default());
+    let mut stalled = UnixStream::connect(&path).unwrap();
+    // More than the socket buffers hold: the driver stops reading from this client, and its writes block.
+    stalled.write_all(b"xxxxx").unwrap();
     let mut reader = UnixStream::connect(&path).unwrap();
     reader.write_all(b"ab").unwrap();
     let mut bytes = vec![0; 2 * BLOCK];
     reader.read_exact(&mut bytes).unwrap();
     assert!(bytes[..BLOCK].iter().all(|b| *b == b'a') && bytes[BLOCK..].iter().all(|b| *b == b'b'));
-    // A peer that sends no more still gets what it asked for.
+    // A half-closed peer still receives its answer.
     reader.write_all(b"q").unwrap();
     reader.shutdown(std::net::Shutdown::Write).unwrap();
     let mut last = Vec::new();
@@ -134,37 +146,37 @@
     assert_eq!(last, vec![b'q'; BLOCK]);
     let machine = driver.join().unwrap();
     assert!(machine.turns > 3);
-    drop(stuck);
+    drop(stalled);
 }
 
 #[test]
-fn calls_that_fail_are_told_with_their_cause() {
-    // A port that was listened at and is no more; a socket file that is none.
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let calls = vec![Address::Tcp(gone), Address::Unix(socket("none"))];
-    let (path, driver) = start("calls", Blocks { calls, ..Blocks::default() });
+fn failed_connection_attempts_are_reported_with_their_cause() {
+    // A port without a listener any more, and a socket file that does not exist.
+    let closed_port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let connect_to = vec![Address::Tcp(closed_port), Address::Unix(temp_path("none"))];
+    let (path, driver) = start("connect", BlockEcho { connect_to, ..BlockEcho::default() });
     let mut client = UnixStream::connect(&path).unwrap();
     client.write_all(b"a").unwrap();
     client.read_exact(&mut vec![0; BLOCK]).unwrap();
     client.write_all(b"q").unwrap();
     client.read_to_end(&mut Vec::new()).unwrap();
     let machine = driver.join().unwrap();
-    assert_eq!(machine.failed.len(), 2, "{:?}", machine.failed);
-    assert!(machine.failed.iter().any(|c| c.contains("refused")), "{:?}", machine.failed);
+    assert_eq!(machine.failure_causes.len(), 2, "{:?}", machine.failure_causes);
+    assert!(machine.failure_causes.iter().any(|c| c.contains("refused")), "{:?}", machine.failure_causes);
 }
 
-/// Saves and appends step by step, and counts what failed. It pauses after each step: after a long turn the driver
-/// settles the machine once more before it carries out the commands, and the next step would come before the result
-/// of this one.
-struct Saver {
+/// A machine that issues one save or append command per step and records the steps that failed. It skips
+/// every second turn: after a long turn the driver settles the machine once more before it executes the
+/// commands, so the next step would precede the result of this one.
+struct SaveSequence {
     steps: std::vec::IntoIter<(Command, Option<PathBuf>)>,
-    failures: Vec<usize>,
+    failed_steps: Vec<usize>,
     step: usize,
-    pauses: bool,
+    skips_turn: bool,
     commands: Vec<Command>,
 }
 
-impl Machine for Saver {
+impl Machine for SaveSequence {
     fn accepted(&mut self, _listener: usize, _now: Micros) -> Result<ConnId, Vec<u8>> {
         Err(Vec::new())
     }
@@ -183,18 +195,18 @@
         false
     }
     fn save_failed(&mut self, _now: Micros) {
-        self.failures.push(self.step);
+        self.failed_steps.push(self.step);
     }
     fn control(&mut self, _control: Control, _now: Micros) {}
     fn settle(&mut self, now: Micros) -> Option<Micros> {
-        self.pauses = !self.pauses;
-        if self.pauses {
+        self.skips_turn = !self.skips_turn;
+        if self.skips_turn {
             return Some(now);
         }
         match self.steps.next() {
-            Some((command, removed)) => {
+            Some((command, file_to_remove)) => {
                 self.step += 1;
-                if let Some(path) = removed {
+                if let Some(path) = file_to_remove {
                     std::fs::remove_file(path).unwrap();
                 }
                 self.commands.push(command);
@@ -209,32 +221,33 @@
 }
 
 #[test]
-fn a_saved_state_is_replaced_or_added_to_and_the_machine_hears_of_what_failed() {
-    let path = socket("state");
+fn a_saved_list_is_replaced_or_appended_to_and_failed_steps_are_reported() {
+    let path = temp_path("state");
     let _ = std::fs::remove_file(&path);
-    let (save, more) = (|b: &[u8]| Command::SaveList(b.to_vec()), |b: &[u8]| Command::AppendList(b.to_vec()));
+    let (save, append) =
+        (|b: &[u8]| Command::SaveList(b.to_vec()), |b: &[u8]| Command::AppendList(b.to_vec()));
     let steps = vec![
-        // Nothing is there to add to: bytes without a beginning would be no state.
-        (more(b"lost"), None),
+        // There is no file yet: appended bytes without a preceding save would not be a valid list.
+        (append(b"lost"), None),
         (save(b"old"), None),
         (save(b"one "), None),
-        (more(b"two "), None),
-        (more(b"three"), None),
-        // Somebody took the file away.
-        (more(b"lost"), Some(path.clone())),
+        (append(b"two "), None),
+        (append(b"three"), None),
+        // The file has been removed.
+        (append(b"lost"), Some(path.clone())),
         (save(b"four "), None),
-        (more(b"five"), None),
+        (append(b"five"), None),
     ];
-    let machine = Saver {
+    let machine = SaveSequence {
         steps: steps.into_iter(),
-        failures: Vec::new(),
+        failed_steps: Vec::new(),
         step: 0,
-        pauses: false,
+        skips_turn: false,
         commands: Vec::new(),
     };
     let options = Options { saved_list: Some(path.clone()), ..Options::default() };
     let machine = Driver::new(machine, options).unwrap().run().unwrap();
-    assert_eq!(machine.failures, [1, 6]);
+    assert_eq!(machine.failed_steps, [1, 6]);
     assert_eq!(std::fs::read(&path).unwrap(), b"four five");
     std::fs::remove_file(&path).unwrap();
 }
--- /dev/null
+++ b/crates/flaxstand-gateway/tests/driver_races.rs
@@ -0,0 +1,257 @@
+//! Race conditions of the driver on real sockets: a peer acts between two steps of the driver. The scripted
+//! machine lets the peer act from within a callback, so that each race happens at a fixed place, independent
+//! of the speed of the host.
+
+use flaxstand_gateway::driver::{Driver, Options};
+use flaxstand_gateway::machine::{Address, Command, ConnId, Control, Machine, Micros};
+use std::collections::BTreeMap;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::Duration;
+
+/// An action of the peer that runs within a callback of the machine.
+type PeerAction = Box<dyn FnMut(&mut RaceMachine) + Send>;
+
+/// A machine that accepts connections and runs the test's actions within its callbacks.
+#[derive(Default)]
+struct RaceMachine {
+    out: BTreeMap<ConnId, Vec<u8>>,
+    next: u64,
+    commands: Vec<Command>,
+    /// Connections reported as idle, and connections that are not read.
+    idle: Vec<ConnId>,
+    unread: Vec<ConnId>,
+    /// Whether new connections are refused.
+    refuses_connections: bool,
+    /// Actions that run once: when the first bytes arrive, and when the first outgoing connection is
+    /// established.
+    on_bytes: Option<PeerAction>,
+    on_connected: Option<PeerAction>,
+    /// Connections accepted, connections closed with the cause, and the number of bytes written on each.
+    accepted: Vec<ConnId>,
+    closed: Vec<(ConnId, String)>,
+    written: BTreeMap<ConnId, usize>,
+}
+
+impl RaceMachine {
+    fn write(&mut self, conn: ConnId, bytes: &[u8]) {
+        self.out.entry(conn).or_default().extend_from_slice(bytes);
+        self.commands.push(Command::Flush(conn));
+    }
+}
+
+impl Machine for RaceMachine {
+    fn accepted(&mut self, _listener: usize, _now: Micros) -> Result<ConnId, Vec<u8>> {
+        if self.refuses_connections {
+            return Err(b"too many connections".to_vec());
+        }
+        self.next += 1;
+        self.accepted.push(ConnId(self.next));
+        Ok(ConnId(self.next))
+    }
+    fn connected(&mut self, _conn: ConnId, _now: Micros) {
+        if let Some(mut action) = self.on_connected.take() {
+            action(self);
+        }
+    }
+    fn connect_failed(&mut self, _conn: ConnId, cause: &str, _now: Micros) {
+        panic!("connecting over loopback failed: {cause}");
+    }
+    fn received(&mut self, _conn: ConnId, _bytes: &[u8], _now: Micros) {
+        if let Some(mut action) = self.on_bytes.take() {
+            action(self);
+        }
+    }
+    fn peer_finished(&mut self, _conn: ConnId, _now: Micros) -> bool {
+        false
+    }
+    fn closed(&mut self, conn: ConnId, cause: &str, _now: Micros) {
+        self.closed.push((conn, cause.to_owned()));
+        self.commands.push(Command::Exit);
+    }
+    fn outgoing(&self, conn: ConnId) -> &[u8] {
+        self.out.get(&conn).map_or(&[], |o| o)
+    }
+    fn written(&mut self, conn: ConnId, count: usize, _now: Micros) {
+        self.idle.retain(|c| *c != conn);
+        *self.written.entry(conn).or_default() += count;
+        if let Some(out) = self.out.get_mut(&conn) {
+            out.drain(..count);
+        }
+    }
+    fn wants_read(&self, conn: ConnId) -> bool {
+        !self.unread.contains(&conn)
+    }
+    fn wants_peer_end(&self, conn: ConnId) -> bool {
+        self.unread.contains(&conn)
+    }
+    fn is_idle(&self, conn: ConnId) -> bool {
+        self.idle.contains(&conn)
+    }
+    fn control(&mut self, _control: Control, _now: Micros) {}
+    fn settle(&mut self, _now: Micros) -> Option<Micros> {
+        None
+    }
+    fn take_commands(&mut self) -> Vec<Command> {
+        std::mem::take(&mut self.commands)
+    }
+}
+
+fn run(machine: RaceMachine) -> (SocketAddr, std::thread::JoinHandle<RaceMachine>) {
+    let mut driver = Driver::new(machine, Options::default()).unwrap();
+    let Address::Tcp(at) = driver.listen(&"127.0.0.1:0".parse().unwrap()).unwrap() else { panic!("no TCP") };
+    (at, std::thread::spawn(move || driver.run().unwrap()))
+}
+
+fn connect(at: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(at).unwrap();
+    stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    stream
+}
+
+/// Runs a machine with an idle connection to a peer. When the first client's bytes arrive, the peer acts on
+/// its end, and then the machine writes on the idle connection. Returns the machine and the number of bytes
+/// that the peer read.
+fn write_on_idle_connection_after(
+    action: impl Fn(&mut Option<TcpStream>) + Send + 'static,
+) -> (RaceMachine, usize) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let idle = ConnId(1000);
+    let mut machine = RaceMachine { idle: vec![idle], ..RaceMachine::default() };
+    machine
+        .commands
+        .push(Command::Connect { conn: idle, address: Address::Tcp(listener.local_addr().unwrap()) });
+    let (report_connected, connected) = std::sync::mpsc::channel();
+    machine.on_connected = Some(Box::new(move |_| report_connected.send(()).unwrap()));
+    let peer_end = std::sync::Arc::new(std::sync::Mutex::new(None));
+    let (accept, keep_peer) = (listener.try_clone().unwrap(), std::sync::Arc::clone(&peer_end));
+    machine.on_bytes = Some(Box::new(move |m| {
+        let mut peer = Some(accept.accept().unwrap().0);
+        action(&mut peer);
+        *keep_peer.lock().unwrap() = peer.take();
+        m.write(idle, b"a request");
+        m.commands.push(Command::Exit);
+    }));
+    let (at, driver) = run(machine);
+    connected.recv_timeout(Duration::from_secs(20)).expect("the connection is established");
+    let mut client = connect(at);
+    client.write_all(b"x").unwrap();
+    let machine = driver.join().unwrap();
+    let mut read = Vec::new();
+    if let Some(mut peer) = peer_end.lock().unwrap().take() {
+        let _ = peer.read_to_end(&mut read);
+    }
+    (machine, read.len())
+}
+
+/// Guards against a request that is lost on a stale idle connection: its peer closed it after the last poll.
+#[test]
+fn nothing_is_written_on_an_idle_connection_that_its_peer_has_closed() {
+    let (machine, _) = write_on_idle_connection_after(|peer| *peer = None);
+    assert_eq!(machine.written.get(&ConnId(1000)), None);
+    assert!(
+        machine.closed.iter().any(|(c, cause)| *c == ConnId(1000) && cause.contains("before it was used"))
+    );
+}
+
+/// The same for an idle connection on which part of an answer, or a second one, has arrived.
+#[test]
+fn nothing_is_written_on_an_idle_connection_that_has_unexpected_bytes() {
+    let (machine, read) =
+        write_on_idle_connection_after(|peer| peer.as_mut().unwrap().write_all(b"HTTP/1.1 2").unwrap());
+    assert_eq!((machine.written.get(&ConnId(1000)), read), (None, 0));
+    assert!(machine.closed.iter().any(|(c, cause)| *c == ConnId(1000) && cause.contains("bytes came")));
+    let (machine, read) = write_on_idle_connection_after(|_| {});
+    assert_eq!(
+        (machine.written.get(&ConnId(1000)), read),
+        (Some(&9), 9),
+        "an idle connection without events is used"
+    );
+}
+
+/// Guards against a refusal that is lost to a reset: closing a connection with unread bytes from the client
+/// resets it.
+#[test]
+fn a_client_refused_after_it_sent_a_request_can_read_the_refusal() {
+    let mut machine = RaceMachine::default();
+    let (send_address, address) = std::sync::mpsc::channel::<SocketAddr>();
+    let (send_late, late_clients) = std::sync::mpsc::channel();
+    machine.on_bytes = Some(Box::new(move |m| {
+        m.refuses_connections = true;
+        // Connects and sends a request before the driver polls its listener again.
+        let mut late = connect(address.recv().unwrap());
+        late.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
+        send_late.send(late).unwrap();
+    }));
+    let (at, driver) = run(machine);
+    send_address.send(at).unwrap();
+    let mut client = connect(at);
+    client.write_all(b"x").unwrap();
+    let mut late = late_clients.recv_timeout(Duration::from_secs(20)).unwrap();
+    let mut read = Vec::new();
+    late.read_to_end(&mut read).expect("the connection is not reset");
+    assert_eq!(read, b"too many connections");
+    drop(client);
+    driver.join().unwrap();
+}
+
+/// Guards against clients that are reset at a shutdown because they had connected but were not yet accepted.
+#[test]
+fn clients_connected_before_the_listener_closes_are_accepted() {
+    let mut machine = RaceMachine::default();
+    let (send_address, address) = std::sync::mpsc::channel::<SocketAddr>();
+    let (send_late, late_clients) = std::sync::mpsc::channel();
+    machine.on_bytes = Some(Box::new(move |m| {
+        let at = address.recv().unwrap();
+        send_late.send((0..100).map(|_| connect(at)).collect::<Vec<_>>()).unwrap();
+        m.commands.push(Command::StopListening);
+        m.commands.push(Command::Exit);
+    }));
+    let (at, driver) = run(machine);
+    send_address.send(at).unwrap();
+    let mut client = connect(at);
+    client.write_all(b"x").unwrap();
+    let late = late_clients.recv_timeout(Duration::from_secs(20)).unwrap();
+    let machine = driver.join().unwrap();
+    assert_eq!(machine.accepted.len(), 101);
+    drop(late);
+    assert_eq!(TcpStream::connect(at).unwrap_err().kind(), ErrorKind::ConnectionRefused);
+}
+
+/// Guards against a disconnect that goes unnoticed because it is queued behind bytes that are not read.
+#[test]
+fn the_end_of_a_stream_is_reported_although_bytes_before_it_are_unread() {
+    let on_bytes: PeerAction = Box::new(|m| {
+        m.unread = m.accepted.clone();
+        m.commands.push(Command::Flush(ConnId(1)));
+    });
+    let machine = RaceMachine { on_bytes: Some(on_bytes), ..RaceMachine::default() };
+    let (at, driver) = run(machine);
+    let mut client = connect(at);
+    // Fits into the socket buffers: with more data the end of the stream would not leave the sender.
+    client.write_all(&[b'x'; 60_000]).unwrap();
+    drop(client);
+    let machine = driver.join().unwrap();
+    assert_eq!(machine.closed.len(), 1);
+}
+
+/// All pending output is sent before the write side is shut down, and the peer is still read.
+#[test]
+fn a_half_closed_connection_sends_all_pending_output_and_is_read_to_its_end() {
+    const OUTPUT_BYTES: usize = 8 << 20;
+    let on_bytes: PeerAction = Box::new(|m| {
+        m.write(ConnId(1), &vec![b'y'; OUTPUT_BYTES]);
+        m.commands.push(Command::ShutdownWrite(ConnId(1)));
+    });
+    let machine = RaceMachine { on_bytes: Some(on_bytes), ..RaceMachine::default() };
+    let (at, driver) = run(machine);
+    let mut client = connect(at);
+    client.write_all(b"x").unwrap();
+    let mut read = Vec::new();
+    client.read_to_end(&mut read).unwrap();
+    assert_eq!(read.len(), OUTPUT_BYTES);
+    client.write_all(b"still here").unwrap();
+    drop(client);
+    let machine = driver.join().unwrap();
+    assert_eq!(machine.closed.len(), 1, "the peer's close is reported");
+}
--- a/crates/flaxstand-gateway/tests/frames_long_lists.rs
+++ b/crates/flaxstand-gateway/tests/frames_long_lists.rs
@@ -1,5 +1,5 @@
-//! Long lists that arrive slowly on frames: bytes of a list that is on its way are word of its service. What
-//! falls silent or trickles is given up all the same.
+//! Long lists that arrive slowly as frames: bytes of an incomplete list count as activity of the list
+//! service. A transfer that stops or trickles is abandoned.
 
 mod harness;
 
@@ -14,33 +14,38 @@
 
 /// Time between two pieces of a frame.
 const STEP_MS: u64 = 100;
-/// A node that is listed from the start and takes requests.
+/// A node that is listed and serving from the start.
 const KNOWN: u64 = 0;
 
-fn silence_ms() -> u64 {
+fn idle_timeout_ms() -> u64 {
     config().site.timeouts.discovery_idle_timeout.0 / 1000
 }
 
-/// A core that was told of one node, whose list service reads nothing from now on: the test speaks for it.
-fn listening() -> (World, ConnId) {
+/// A core with one listed node. Its list service reads nothing from now on, and the test sends in its place.
+fn world_with_scripted_list_service() -> (World, ConnId) {
     let mut world = World::new(config(), 1);
     let list = world.list_conn();
     world.blocked.insert(list);
     (world, list)
 }
 
-/// The whole list with so many nodes, as one frame. The known node is told in this state.
-fn whole_list(nodes: u64, known: State) -> Vec<u8> {
+/// The full list with the given number of nodes as one frame. The known node has the given state.
+fn full_list_frame(nodes: u64, known_state: State) -> Vec<u8> {
     let addresses: Vec<String> = (0..nodes).map(|n| format!("127.0.{}.{}:7000", n >> 8, n & 255)).collect();
-    let mut entries = vec![entry(KNOWN, known, KNOWN as u32, "127.0.0.1:100")];
+    let mut entries = vec![entry(KNOWN, known_state, KNOWN as u32, "127.0.0.1:100")];
     for (node, address) in (0..nodes).zip(&addresses).skip(1) {
         entries.push(entry(node, State::Serving, node as u32, address));
     }
     bytes_of(&Frame::List(List { extent: Extent::Full, since: 7, revision: 7, entries }))
 }
 
-/// The bytes arrive in pieces of one length, all but the last piece, which is returned.
-fn arrive_all_but_last<'a>(world: &mut World, list: ConnId, bytes: &'a [u8], over_ms: u64) -> &'a [u8] {
+/// Delivers the bytes in equal pieces over the given time, except for the last piece, which is returned.
+fn deliver_all_but_last_piece<'a>(
+    world: &mut World,
+    list: ConnId,
+    bytes: &'a [u8],
+    over_ms: u64,
+) -> &'a [u8] {
     let pieces = (over_ms / STEP_MS) as usize;
     let mut pieces: Vec<&[u8]> = bytes.chunks(bytes.len().div_ceil(pieces)).collect();
     let last = pieces.pop().expect("there are bytes");
@@ -51,161 +56,174 @@
     last
 }
 
-/// Milliseconds until the connection is closed, at most so many.
-fn closed_within(world: &mut World, list: ConnId, most_ms: u64) -> Option<u64> {
-    for passed in (0..=most_ms).step_by(STEP_MS as usize) {
+/// Milliseconds until the connection is closed, or `None` if it is still open after `max_ms`.
+fn time_until_closed(world: &mut World, list: ConnId, max_ms: u64) -> Option<u64> {
+    for elapsed_ms in (0..=max_ms).step_by(STEP_MS as usize) {
         if world.closed.contains(&list) {
-            return Some(passed);
+            return Some(elapsed_ms);
         }
         world.run(STEP_MS);
     }
     None
 }
 
-/// Attempts that a node was sent, on connections closed since too.
-fn attempts_ever(world: &World, node: u64) -> Vec<(u64, u32)> {
+/// Attempts sent to a node, including those on connections that have been closed.
+fn all_attempts(world: &World, node: u64) -> Vec<(u64, u32)> {
     world.links(node).into_iter().flat_map(|conn| world.attempts_on(conn)).collect()
 }
 
-fn list_calls(world: &World) -> usize {
-    let list = "127.0.0.1:1".parse().expect("an address");
+fn list_connections(world: &World) -> usize {
+    let list = "127.0.0.1:1".parse().expect("a valid address");
     world.dialled.iter().filter(|(_, called)| *called == list).count()
 }
 
-fn times_asked_for_the_whole(world: &World, list: ConnId) -> usize {
+fn full_list_requests(world: &World, list: ConnId) -> usize {
     world.said_on(list).iter().filter(|said| **said == Said::GetList).count()
 }
 
-fn taken_while_it_arrives_over_six_silences(nodes: u64) {
-    let (mut world, list) = listening();
-    let bytes = whole_list(nodes, State::Serving);
-    let last = arrive_all_but_last(&mut world, list, &bytes, 6 * silence_ms());
-    assert!(!world.closed.contains(&list), "{nodes} nodes: hung up on while it answers");
+fn list_arriving_over_six_idle_timeouts_is_applied(nodes: u64) {
+    let (mut world, list) = world_with_scripted_list_service();
+    let bytes = full_list_frame(nodes, State::Serving);
+    let last = deliver_all_but_last_piece(&mut world, list, &bytes, 6 * idle_timeout_ms());
+    assert!(!world.closed.contains(&list), "{nodes} nodes: connection closed during the transfer");
     world.says(list, last);
     world.run(5);
     assert_eq!(world.core.footprint().nodes as u64, nodes);
-    assert_eq!(list_calls(&world), 1);
+    assert_eq!(list_connections(&world), 1);
     world.blocked.remove(&list);
     world.drain(list);
-    assert_eq!(times_asked_for_the_whole(&world, list), 0, "what arrives is not asked for again");
+    assert_eq!(full_list_requests(&world, list), 0, "a list in transfer is not requested again");
 }
 
 #[test]
-fn a_list_of_3_200_nodes_that_arrives_over_six_silences_is_taken() {
-    taken_while_it_arrives_over_six_silences(3_200);
+fn a_list_of_3_200_nodes_that_arrives_over_six_idle_timeouts_is_applied() {
+    list_arriving_over_six_idle_timeouts_is_applied(3_200);
 }
 
 #[test]
-fn a_list_of_25_000_nodes_that_arrives_over_six_silences_is_taken() {
-    taken_while_it_arrives_over_six_silences(25_000);
+fn a_list_of_25_000_nodes_that_arrives_over_six_idle_timeouts_is_applied() {
+    list_arriving_over_six_idle_timeouts_is_applied(25_000);
 }
 
 #[test]
-fn an_answer_that_begins_late_and_arrives_slowly_is_taken() {
-    let (mut world, list) = listening();
-    // The service says nothing: it is asked, and begins just before it would be given up.
-    world.run(2 * silence_ms() - 200);
-    let bytes = whole_list(3_200, State::Serving);
-    let last = arrive_all_but_last(&mut world, list, &bytes, 4 * silence_ms());
-    assert!(!world.closed.contains(&list), "hung up on while it answers");
+fn an_answer_that_begins_late_and_arrives_slowly_is_applied() {
+    let (mut world, list) = world_with_scripted_list_service();
+    // The service is silent, receives a query, and begins its answer just before the time-out.
+    world.run(2 * idle_timeout_ms() - 200);
+    let bytes = full_list_frame(3_200, State::Serving);
+    let last = deliver_all_but_last_piece(&mut world, list, &bytes, 4 * idle_timeout_ms());
+    assert!(!world.closed.contains(&list), "connection closed during the transfer");
     world.says(list, last);
     world.run(5);
     assert_eq!(world.core.footprint().nodes, 3_200);
 }
 
 #[test]
-fn a_service_that_falls_silent_within_a_frame_is_called_anew() {
-    for part in [1, 12, 40, 100_000] {
-        let (mut world, list) = listening();
-        let bytes = whole_list(3_200, State::Serving);
-        world.run(silence_ms() / 2);
-        world.says(list, &bytes[..part]);
-        let closed = closed_within(&mut world, list, 2 * silence_ms());
-        assert!(closed.is_some(), "still waited for after {part} bytes");
-        world.run(silence_ms());
-        assert!(list_calls(&world) > 1, "called anew");
+fn a_service_that_stops_within_a_frame_is_reconnected() {
+    for sent_bytes in [1, 12, 40, 100_000] {
+        let (mut world, list) = world_with_scripted_list_service();
+        let bytes = full_list_frame(3_200, State::Serving);
+        world.run(idle_timeout_ms() / 2);
+        world.says(list, &bytes[..sent_bytes]);
+        let closed = time_until_closed(&mut world, list, 2 * idle_timeout_ms());
+        assert!(
+            closed.is_some(),
+            "connection still open after a transfer that stopped at {sent_bytes} bytes"
+        );
+        world.run(idle_timeout_ms());
+        assert!(list_connections(&world) > 1, "the list service is reconnected");
     }
 }
 
 #[test]
-fn a_service_that_falls_silent_after_a_long_arrival_is_called_anew() {
-    let (mut world, list) = listening();
-    let bytes = whole_list(25_000, State::Serving);
-    arrive_all_but_last(&mut world, list, &bytes, 4 * silence_ms());
+fn a_service_that_stops_after_a_long_transfer_is_disconnected() {
+    let (mut world, list) = world_with_scripted_list_service();
+    let bytes = full_list_frame(25_000, State::Serving);
+    deliver_all_but_last_piece(&mut world, list, &bytes, 4 * idle_timeout_ms());
     assert!(!world.closed.contains(&list));
-    assert!(closed_within(&mut world, list, 2 * silence_ms()).is_some());
+    assert!(time_until_closed(&mut world, list, 2 * idle_timeout_ms()).is_some());
 }
 
 #[test]
-fn a_frame_that_trickles_is_given_up_within_three_silences() {
-    for bytes_a_step in [1, 100] {
-        let (mut world, list) = listening();
-        let bytes = whole_list(25_000, State::Serving);
-        let mut pieces = bytes.chunks(bytes_a_step);
+fn a_trickling_frame_is_abandoned_within_three_idle_timeouts() {
+    for bytes_per_step in [1, 100] {
+        let (mut world, list) = world_with_scripted_list_service();
+        let bytes = full_list_frame(25_000, State::Serving);
+        let mut pieces = bytes.chunks(bytes_per_step);
         let mut steps = 0;
         while !world.closed.contains(&list) {
-            world.says(list, pieces.next().expect("it is given up long before its end"));
+            world.says(list, pieces.next().expect("the transfer is abandoned before its end"));
             world.run(STEP_MS);
             steps += 1;
         }
-        let passed = steps * STEP_MS;
-        assert!(passed <= 3 * silence_ms(), "{bytes_a_step} bytes a step: given up after {passed} ms");
+        let elapsed_ms = steps * STEP_MS;
+        assert!(
+            elapsed_ms <= 3 * idle_timeout_ms(),
+            "{bytes_per_step} bytes per step: abandoned after {elapsed_ms} ms"
+        );
     }
 }
 
-/// What a frame tells holds once all of it has come and its checksum is right, and from that moment on.
+/// A frame takes effect as soon as it is complete and its checksum is valid.
 #[test]
-fn a_drain_told_in_a_frame_that_arrives_slowly_holds_once_the_frame_is_whole() {
-    let (mut world, list) = listening();
+fn a_drain_in_a_slow_frame_takes_effect_once_the_frame_is_complete() {
+    let (mut world, list) = world_with_scripted_list_service();
     let client = world.client();
     world.submit(client, 1, READ, Some(KNOWN as u32));
     world.run(5);
-    let first = attempts_ever(&world, KNOWN)[0];
+    let first = all_attempts(&world, KNOWN)[0];
     world.done(world.node_conn(KNOWN), first, Code::Served, b"");
-    let bytes = whole_list(3_200, State::Draining);
-    let last = arrive_all_but_last(&mut world, list, &bytes, 3 * silence_ms());
+    let bytes = full_list_frame(3_200, State::Draining);
+    let last = deliver_all_but_last_piece(&mut world, list, &bytes, 3 * idle_timeout_ms());
     world.says(list, last);
     world.submit(client, 2, READ, Some(KNOWN as u32));
     world.run(900);
-    assert_eq!(attempts_ever(&world, KNOWN), [first], "nothing is sent to a node that was told to drain");
+    assert_eq!(all_attempts(&world, KNOWN), [first], "no attempt is sent to a draining node");
 }
 
-/// A drain of a known node counts, whatever is wrong with the address told with it.
+/// A drain of a known node takes effect even if the address in the entry is invalid.
 #[test]
-fn a_draining_entry_with_unparsable_address_takes_a_known_node_out_of_service_on_frames() {
-    let (mut world, list) = listening();
-    let told = entry(KNOWN, State::Draining, KNOWN as u32, "no address");
+fn a_draining_entry_with_an_invalid_address_drains_a_known_node() {
+    let (mut world, list) = world_with_scripted_list_service();
+    let draining_entry = entry(KNOWN, State::Draining, KNOWN as u32, "invalid address");
     let (since, revision) = (world.revision, world.revision + 1);
-    world.tell(list, &Frame::List(List { extent: Extent::Changes, since, revision, entries: vec![told] }));
+    world.tell(
+        list,
+        &Frame::List(List { extent: Extent::Changes, since, revision, entries: vec![draining_entry] }),
+    );
     let client = world.client();
     world.submit(client, 1, READ, Some(KNOWN as u32));
     world.run(900);
-    assert_eq!(attempts_ever(&world, KNOWN), []);
+    assert_eq!(all_attempts(&world, KNOWN), []);
     assert!(!world.closed.contains(&list));
-    assert!(world.dialled.iter().all(|(_, called)| *called != address(KNOWN).parse().expect("an address")));
+    assert!(
+        world.dialled.iter().all(|(_, called)| *called != address(KNOWN).parse().expect("a valid address"))
+    );
 }
 
-/// Tells a watcher the whole list over a socket, in pieces over so long. Returns how often it was called.
-fn serve_slowly(listener: &TcpListener, list: &[u8], over: Duration) -> usize {
+/// Sends the full list over a socket in pieces over the given time. Returns the number of connections
+/// accepted.
+fn serve_slowly(listener: &TcpListener, list: &[u8], duration: Duration) -> usize {
     const PIECES: u32 = 50;
-    listener.set_nonblocking(true).expect("a listener that does not wait");
-    let mut stream = accepted_within(listener, Duration::from_secs(10)).expect("the list service is called");
-    stream.set_nonblocking(false).expect("a stream that waits");
+    listener.set_nonblocking(true).expect("the listener is set to non-blocking");
+    let mut stream =
+        accepted_within(listener, Duration::from_secs(10)).expect("the list service is connected");
+    stream.set_nonblocking(false).expect("the stream is set to blocking");
     let welcome = Welcome { version: VERSION, role: Role::List, id: 0, epoch: 1, name: "slow" };
-    stream.write_all(&bytes_of(&Frame::Welcome(welcome))).expect("it is read");
+    stream.write_all(&bytes_of(&Frame::Welcome(welcome))).expect("the greeting is written");
     for piece in list.chunks(list.len().div_ceil(PIECES as usize)) {
-        std::thread::sleep(over / PIECES);
+        std::thread::sleep(duration / PIECES);
         if stream.write_all(piece).is_err() {
             break;
         }
     }
-    let again = accepted_within(listener, Duration::from_millis(300));
-    1 + usize::from(again.is_some())
+    let second_connection = accepted_within(listener, Duration::from_millis(300));
+    1 + usize::from(second_connection.is_some())
 }
 
-fn accepted_within(listener: &TcpListener, most: Duration) -> Option<TcpStream> {
+fn accepted_within(listener: &TcpListener, timeout: Duration) -> Option<TcpStream> {
     let began = Instant::now();
-    while began.elapsed() < most {
+    while began.elapsed() < timeout {
         if let Ok((stream, _)) = listener.accept() {
             return Some(stream);
         }
@@ -214,28 +232,28 @@
     None
 }
 
-/// The same over sockets: the driver reads it in many turns, and the core saves it whole.
+/// The same over sockets: the driver reads the list in many turns, and the core saves the full list.
 #[test]
-fn a_list_of_25_000_nodes_over_five_silences_comes_through_the_driver() {
-    const SILENCE: Duration = Duration::from_millis(400);
+fn a_list_of_25_000_nodes_over_five_idle_timeouts_is_received_by_the_driver() {
+    const IDLE_TIMEOUT: Duration = Duration::from_millis(400);
     let saved = std::env::temp_dir().join(format!("flaxstand-long-list-{}", std::process::id()));
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port");
     let mut site = config();
-    site.discovery_address = Address::Tcp(listener.local_addr().expect("an address"));
-    site.site.timeouts.discovery_idle_timeout = Micros(SILENCE.as_micros() as u64);
+    site.discovery_address = Address::Tcp(listener.local_addr().expect("a valid address"));
+    site.site.timeouts.discovery_idle_timeout = Micros(IDLE_TIMEOUT.as_micros() as u64);
     let options = Options { saved_list: Some(saved.clone()), ..Options::default() };
-    // It runs until the test's process ends.
+    // The driver runs until the test process ends.
     std::thread::spawn(move || {
-        let core = Core::new(site, None, clock()).expect("no saved list");
-        Driver::new(core, options).expect("a driver").run()
+        let core = Core::new(site, None, clock()).expect("the core starts without a saved list");
+        Driver::new(core, options).expect("the driver starts").run()
     });
-    let calls = serve_slowly(&listener, &whole_list(25_000, State::Serving), 5 * SILENCE);
-    assert_eq!(calls, 1, "it is not called anew while it answers");
+    let connections = serve_slowly(&listener, &full_list_frame(25_000, State::Serving), 5 * IDLE_TIMEOUT);
+    assert_eq!(connections, 1, "the service is not reconnected during the transfer");
     let began = Instant::now();
     while !saved.exists() && began.elapsed() < Duration::from_secs(10) {
         std::thread::sleep(Duration::from_millis(10));
     }
     let bytes = std::fs::read(&saved).expect("the list is saved");
-    std::fs::remove_file(&saved).expect("it is there");
-    assert_eq!(SavedList::read(&bytes).expect("a saved list").entries.len(), 25_000);
+    std::fs::remove_file(&saved).expect("the saved list is removed");
+    assert_eq!(SavedList::read(&bytes).expect("a valid saved list").entries.len(), 25_000);
 }
--- a/crates/flaxstand-gateway/tests/list_answers.rs
+++ b/crates/flaxstand-gateway/tests/list_answers.rs
@@ -1,5 +1,5 @@
-//! Answers of the list service that take their time: one that makes progress is waited for, and what does not end
-//! is given up. On virtual time.
+//! Slow answers of the list service, in virtual time: an answer that makes progress is awaited, one that does
+//! not complete is abandoned.
 
 mod harness;
 
@@ -8,180 +8,181 @@
 use flaxstand_gateway::machine::ConnId;
 use harness::*;
 
-/// Targets of a large list, and bytes of an answer that tells them all.
+/// Number of targets in a large list.
 const TARGETS: u64 = 3_200;
-/// So long a stretch between two looks of a play, ms.
-const STEP: u64 = 10;
+/// Simulation step in milliseconds.
+const STEP_MS: u64 = 10;
 
-fn platform() -> Config {
+fn platform_config() -> Config {
     let mut config = on_platform(2500);
     config.bounds.max_endpoints = 2 * TARGETS as usize;
     config
 }
 
-/// A core whose first call, of the whole list, is out.
-fn asked_for_all() -> (World, ConnId) {
-    let mut w = World::new(platform(), 0);
+/// A core whose request for the full list is in flight.
+fn world_with_full_list_request() -> (World, ConnId) {
+    let mut w = World::new(platform_config(), 0);
     w.leaves_calls = true;
-    // The list goes back, so that all of it is asked for.
+    // The revision goes backwards, so the full list is requested.
     let conn = w.list_conn();
     w.answer(conn, "200 OK", r#"{"rev":0,"all":false,"targets":[]}"#);
-    w.run(STEP);
+    w.run(STEP_MS);
     assert!(w.heard_on(conn).contains("GET /v1/endpoints HTTP"));
     (w, conn)
 }
 
-fn entry_text(node: u64) -> String {
+fn target_json(node: u64) -> String {
     format!(
         r#"{{"az":"a","boot_ms":0,"capacity_hint":2.0,"endpoint":"127.0.0.1:{}","model":"m","pod_group":{node},"state":"up","uid":"s-{node}"}}"#,
         10_000 + node
     )
 }
 
-fn whole_list(revision: u64) -> String {
-    let entries: Vec<String> = (0..TARGETS).map(entry_text).collect();
+fn full_list_json(revision: u64) -> String {
+    let entries: Vec<String> = (0..TARGETS).map(target_json).collect();
     format!(r#"{{"rev":{revision},"all":true,"targets":[{}]}}"#, entries.join(","))
 }
 
-fn with_head(body: &str) -> Vec<u8> {
+fn http_response(body: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Says bytes at an even pace over so many ms.
-fn says_over(w: &mut World, conn: ConnId, bytes: &[u8], millis: u64) {
-    let steps = millis / STEP;
+/// Delivers the bytes at a constant rate over the given number of milliseconds.
+fn deliver_over(w: &mut World, conn: ConnId, bytes: &[u8], millis: u64) {
+    let steps = millis / STEP_MS;
     for step in 0..steps {
         let (from, to) = (bytes.len() as u64 * step / steps, bytes.len() as u64 * (step + 1) / steps);
         w.says(conn, &bytes[from as usize..to as usize]);
-        w.run(STEP);
+        w.run(STEP_MS);
     }
 }
 
-fn listed(w: &World) -> usize {
+fn listed_nodes(w: &World) -> usize {
     w.core.footprint().nodes
 }
 
 #[test]
-fn a_list_that_comes_slowly_is_heard() {
-    let (mut w, conn) = asked_for_all();
-    says_over(&mut w, conn, &with_head(&whole_list(2)), 5_000);
-    assert_eq!(listed(&w), TARGETS as usize);
-    assert!(!w.closed.contains(&conn), "the next call follows on the same connection");
+fn a_list_that_arrives_slowly_is_applied() {
+    let (mut w, conn) = world_with_full_list_request();
+    deliver_over(&mut w, conn, &http_response(&full_list_json(2)), 5_000);
+    assert_eq!(listed_nodes(&w), TARGETS as usize);
+    assert!(!w.closed.contains(&conn), "the connection is kept for the next request");
 }
 
 #[test]
-fn a_list_that_comes_slowly_in_chunks_is_heard() {
-    let (mut w, conn) = asked_for_all();
+fn a_chunked_list_that_arrives_slowly_is_applied() {
+    let (mut w, conn) = world_with_full_list_request();
     let mut bytes = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
-    for chunk in whole_list(2).as_bytes().chunks(700) {
+    for chunk in full_list_json(2).as_bytes().chunks(700) {
         bytes.extend(format!("{:x}\r\n", chunk.len()).bytes());
         bytes.extend_from_slice(chunk);
         bytes.extend(b"\r\n");
     }
     bytes.extend(b"0\r\n\r\n");
-    says_over(&mut w, conn, &bytes, 5_000);
-    assert_eq!(listed(&w), TARGETS as usize);
+    deliver_over(&mut w, conn, &bytes, 5_000);
+    assert_eq!(listed_nodes(&w), TARGETS as usize);
 }
 
 #[test]
-fn a_list_that_pauses_on_its_way_is_heard() {
-    let (mut w, conn) = asked_for_all();
-    for part in with_head(&whole_list(2)).chunks(100_000) {
+fn a_list_with_pauses_in_its_transfer_is_applied() {
+    let (mut w, conn) = world_with_full_list_request();
+    for part in http_response(&full_list_json(2)).chunks(100_000) {
         w.says(conn, part);
         w.run(600);
     }
-    assert_eq!(listed(&w), TARGETS as usize);
+    assert_eq!(listed_nodes(&w), TARGETS as usize);
 }
 
 #[test]
-fn a_whole_list_that_takes_the_service_some_seconds_is_heard() {
-    let (mut w, conn) = asked_for_all();
+fn a_full_list_that_the_service_sends_after_some_seconds_is_applied() {
+    let (mut w, conn) = world_with_full_list_request();
     w.run(3_500);
-    w.says(conn, &with_head(&whole_list(2)));
-    w.run(STEP);
-    assert_eq!(listed(&w), TARGETS as usize);
+    w.says(conn, &http_response(&full_list_json(2)));
+    w.run(STEP_MS);
+    assert_eq!(listed_nodes(&w), TARGETS as usize);
 }
 
-/// A proxy may send the head of its answer at once, and the rest when there is something to tell.
+/// A proxy may send the head of a response at once and the body when there is a change.
 #[test]
-fn a_head_that_comes_long_before_its_body_is_no_trouble() {
-    let (mut w, conn) = asked_for_all();
-    w.says(conn, &with_head(&whole_list(2)));
-    w.run(STEP);
+fn a_response_head_long_before_its_body_is_accepted() {
+    let (mut w, conn) = world_with_full_list_request();
+    w.says(conn, &http_response(&full_list_json(2)));
+    w.run(STEP_MS);
     let body = r#"{"rev":2,"all":false,"targets":[]}"#;
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
     w.says(conn, head.as_bytes());
     w.run(1_400);
     assert!(!w.closed.contains(&conn));
     w.says(conn, body.as_bytes());
-    w.run(STEP);
+    w.run(STEP_MS);
     assert!(!w.closed.contains(&conn));
 }
 
 #[test]
-fn an_answer_that_stands_still_is_given_up() {
-    let (mut w, conn) = asked_for_all();
-    let bytes = with_head(&whole_list(2));
+fn an_answer_that_stops_is_abandoned() {
+    let (mut w, conn) = world_with_full_list_request();
+    let bytes = http_response(&full_list_json(2));
     w.says(conn, &bytes[..bytes.len() / 2]);
     w.run(1_400);
     assert!(!w.closed.contains(&conn));
     w.run(200);
     assert!(w.closed.contains(&conn));
     w.run(1_000);
-    assert_ne!(w.list_conn(), conn, "the list is asked for again");
+    assert_ne!(w.list_conn(), conn, "the list is requested again");
 }
 
 #[test]
-fn an_answer_that_trickles_is_given_up() {
-    let (mut w, conn) = asked_for_all();
-    w.says(conn, &with_head(&whole_list(2))[..200]);
-    let mut passed = 0;
+fn a_trickling_answer_is_abandoned() {
+    let (mut w, conn) = world_with_full_list_request();
+    w.says(conn, &http_response(&full_list_json(2))[..200]);
+    let mut elapsed_ms = 0;
     while !w.closed.contains(&conn) {
         w.says(conn, b"      ");
         w.run(500);
-        passed += 500;
-        assert!(passed < 10_000, "it would go on for ever");
+        elapsed_ms += 500;
+        assert!(elapsed_ms < 10_000, "a trickling answer is still awaited after {elapsed_ms} ms");
     }
-    assert!(passed > 3_000, "{passed} ms: a slow beginning is let be");
+    assert!(elapsed_ms > 3_000, "abandoned after {elapsed_ms} ms, too early for a slow start");
 }
 
 #[test]
-fn an_answer_without_an_end_is_given_up() {
-    let (mut w, conn) = asked_for_all();
+fn an_endless_answer_is_abandoned() {
+    let (mut w, conn) = world_with_full_list_request();
     w.says(conn, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     let chunk = format!("{:x}\r\n{}\r\n", 1 << 20, " ".repeat(1 << 20));
     let mut chunks = 0;
     while !w.closed.contains(&conn) {
         w.says(conn, chunk.as_bytes());
-        w.run(STEP);
+        w.run(STEP_MS);
         chunks += 1;
-        assert!(chunks < 40, "more than any list has");
+        assert!(chunks < 40, "more than {chunks} MiB accepted, more than any list has");
     }
 }
 
-/// What nodes have on their way in is bounded; the list has a bound of its own.
+/// The limit on partial answers of nodes does not apply to the list, which has its own limit.
 #[test]
-fn large_answers_of_nodes_do_not_cost_the_list() {
-    let mut config = platform();
+fn large_partial_answers_of_nodes_do_not_displace_the_list() {
+    let mut config = platform_config();
     config.bounds.max_response_bytes = 1 << 20;
     let mut w = World::new(config, 2);
     let (_, link) = w.asked("r1", "read");
     let conn = w.list_conn();
     let half = [b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n".as_slice(), &[b'x'; 900_000]].concat();
     w.says(link, &half);
-    let bytes = with_head(&whole_list(2));
+    let bytes = http_response(&full_list_json(2));
     for part in bytes.chunks(100_000) {
         w.says(conn, part);
-        w.run(STEP);
+        w.run(STEP_MS);
     }
-    assert_eq!(listed(&w), TARGETS as usize);
+    assert_eq!(listed_nodes(&w), TARGETS as usize);
     assert!(!w.closed.contains(&conn));
 }
 
-/// While an answer is arriving nothing is known of what it tells: requests are sent for the grace of drains alone.
+/// While an answer is arriving its changes are unknown, but must count as notified: requests are sent only
+/// for the drain grace period.
 #[test]
-fn what_an_answer_tells_counts_while_it_is_arriving() {
-    let mut config = platform();
+fn an_incomplete_list_answer_stops_new_attempts_after_the_drain_grace_period() {
+    let mut config = platform_config();
     config.site.settings.notification_terms = Some(NotificationTerms {
         notified_within: 6_000.0,
         notified_after_move: 4_000.0,
@@ -189,27 +190,27 @@
     });
     let mut w = World::new(config, 2);
     let conn = w.list_conn();
-    let bytes = with_head(&whole_list(2));
+    let bytes = http_response(&full_list_json(2));
     w.says(conn, &bytes[..bytes.len() / 2]);
     w.run(500);
     let (client, _) = w.asked("r1", "read");
-    assert!(w.statuses(client).is_empty(), "it was sent");
+    assert!(w.statuses(client).is_empty(), "the request was sent");
     w.run(400);
     let client = w.http_client();
     w.says(client, ask_as("r2", "read", 1, "1.000").as_bytes());
-    w.run(STEP);
+    w.run(STEP_MS);
     assert_eq!(w.statuses(client), [503]);
     w.says(conn, &bytes[bytes.len() / 2..]);
-    w.run(STEP);
+    w.run(STEP_MS);
     let client = w.http_client();
     w.says(client, ask_as("r3", "read", 1, "1.000").as_bytes());
-    w.run(STEP);
-    assert!(w.statuses(client).is_empty(), "it was sent");
+    w.run(STEP_MS);
+    assert!(w.statuses(client).is_empty(), "the request was sent");
 }
 
-/// An attempt that waits in our own buffer when the list becomes too old does not begin.
-fn waiting_attempt_is_taken_back(drain_grace: f64, after_ms: u64) {
-    let mut config = platform();
+/// An attempt that is still in the initiator's output buffer when the list becomes stale does not start.
+fn buffered_attempt_is_withdrawn(drain_grace: f64, after_ms: u64) {
+    let mut config = platform_config();
     config.site.settings.notification_terms =
         Some(NotificationTerms { notified_within: 6_000.0, notified_after_move: 4_000.0, drain_grace });
     let mut w = World::new(config, 2);
@@ -219,23 +220,26 @@
     w.blocked.insert(link);
     let client = w.http_client();
     w.says(client, ask_as("r2", "read", 0, "5.000").as_bytes());
-    w.run(STEP);
-    assert!(!w.closed.contains(&link) && !w.heard_on(link).contains("r2"), "it waits to be written");
+    w.run(STEP_MS);
+    assert!(
+        !w.closed.contains(&link) && !w.heard_on(link).contains("r2"),
+        "the attempt is queued for writing"
+    );
     let conn = w.list_conn();
-    let bytes = with_head(&whole_list(2));
+    let bytes = http_response(&full_list_json(2));
     w.says(conn, &bytes[..bytes.len() / 2]);
     w.run(after_ms);
-    assert!(w.closed.contains(&link), "it is taken back");
+    assert!(w.closed.contains(&link), "the attempt is withdrawn");
     assert_eq!(w.statuses(client), [503]);
 }
 
 #[test]
-fn a_waiting_attempt_is_taken_back_when_the_list_becomes_too_old() {
-    waiting_attempt_is_taken_back(1_000.0, 800);
+fn a_buffered_attempt_is_withdrawn_when_the_list_becomes_stale() {
+    buffered_attempt_is_withdrawn(1_000.0, 800);
 }
 
-/// A grace that is shorter than what is kept back of it is over at once.
+/// A grace period shorter than its safety margin ends at once.
 #[test]
-fn a_waiting_attempt_is_taken_back_where_the_grace_is_short() {
-    waiting_attempt_is_taken_back(100.0, STEP);
+fn a_buffered_attempt_is_withdrawn_at_once_with_a_short_grace_period() {
+    buffered_attempt_is_withdrawn(100.0, STEP_MS);
 }
--- a/crates/flaxstand-gateway/tests/list_bounds.rs
+++ b/crates/flaxstand-gateway/tests/list_bounds.rs
@@ -1,4 +1,5 @@
-//! Bounds and timers that a long list could meet, at 30, 3,200 and 25,000 nodes: docs/list-bounds.md has the table.
+//! Limits and timers that a long list could hit, with 30, 3,200 and 25,000 nodes: docs/list-bounds.md has the
+//! table.
 
 mod harness;
 #[path = "harness/line_counter.rs"]
@@ -13,33 +14,33 @@
 use whole_lists::{whole_frame, whole_listing};
 
 const SIZES: [u64; 3] = [30, 3_200, 25_000];
-/// Bytes that one read brings.
-const PIECE: usize = 65_536;
-/// What answers of targets on their way may hold: less than a list of 3,200 targets has.
-const ANSWER_BYTES: usize = 64 << 10;
+/// Number of bytes per read.
+const READ_BYTES: usize = 65_536;
+/// Limit on partial answers of targets: less than a list of 3,200 targets.
+const MAX_PARTIAL_ANSWER_BYTES: usize = 64 << 10;
 
 fn platform_config() -> Config {
     let mut config = on_platform(2_500);
-    config.bounds.max_response_bytes = ANSWER_BYTES;
+    config.bounds.max_response_bytes = MAX_PARTIAL_ANSWER_BYTES;
     config
 }
 
-/// The list service's answer comes in pieces within one moment.
-fn tell_listing(world: &mut World, text: &str) {
+/// Delivers the list service's answer in several reads at the same virtual time.
+fn deliver_listing(world: &mut World, text: &str) {
     let list = world.list_conn();
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
-    for piece in answer.as_bytes().chunks(PIECE) {
+    for piece in answer.as_bytes().chunks(READ_BYTES) {
         world.says(list, piece);
     }
     world.run(5);
 }
 
 #[test]
-fn a_list_of_each_size_is_taken_whatever_answers_of_targets_may_hold() {
+fn a_list_of_each_size_is_applied_regardless_of_the_limit_on_target_answers() {
     for targets in SIZES {
         let mut world = World::new(platform_config(), 0);
         let list = world.list_conn();
-        tell_listing(&mut world, &whole_listing(targets, 2));
+        deliver_listing(&mut world, &whole_listing(targets, 2));
         assert!(!world.closed.contains(&list), "{targets} targets");
         assert_eq!(world.core.footprint().nodes as u64, targets);
         assert_eq!(world.core.footprint().partial_bytes, 0);
@@ -47,11 +48,11 @@
 }
 
 #[test]
-fn what_is_only_listed_has_neither_timer_nor_connection() {
-    let held = |targets| {
+fn listed_but_unused_nodes_have_neither_timers_nor_connections() {
+    let resources = |targets| {
         let mut world = World::new(platform_config(), 0);
-        tell_listing(&mut world, &whole_listing(targets, 2));
-        // The timer of an answer in pieces has gone by.
+        deliver_listing(&mut world, &whole_listing(targets, 2));
+        // The timer for partial answers has fired.
         world.run(300);
         let platform = world.core.footprint();
         let mut world = World::new(config(), 0);
@@ -61,48 +62,49 @@
         assert_eq!((platform.nodes, frames.nodes), (targets as usize, targets as usize));
         (platform.timers, platform.connections, frames.timers, frames.connections)
     };
-    let few = held(SIZES[0]);
-    assert!(SIZES.iter().all(|targets| held(*targets) == few), "{few:?}");
+    let few = resources(SIZES[0]);
+    assert!(SIZES.iter().all(|targets| resources(*targets) == few), "{few:?}");
 }
 
 #[test]
-fn a_whole_list_logs_one_line_however_long_it_is() {
+fn a_full_list_logs_one_line_regardless_of_its_length() {
     for nodes in SIZES {
         let mut world = World::new(platform_config(), 0);
-        let first = lines_of(|| tell_listing(&mut world, &whole_listing(nodes, 2)));
-        let again = lines_of(|| tell_listing(&mut world, &whole_listing(nodes, 3)));
+        let first = lines_of(|| deliver_listing(&mut world, &whole_listing(nodes, 2)));
+        let again = lines_of(|| deliver_listing(&mut world, &whole_listing(nodes, 3)));
         assert_eq!((first, again), (1, 1), "{nodes} targets on the platform");
         let mut world = World::new(config(), 0);
         let list = world.list_conn();
-        let mut tell = |revision| {
+        let mut deliver = |revision| {
             let frame = whole_frame(nodes, revision);
             lines_of(|| {
                 world.says(list, &frame);
                 world.run(5);
             })
         };
-        assert_eq!((tell(2), tell(3)), (1, 1), "{nodes} nodes on frames");
+        assert_eq!((deliver(2), deliver(3)), (1, 1), "{nodes} nodes on frames");
     }
 }
 
-/// New bounds and the same list service: no node is looked at, and a frame that is on its way comes in.
+/// A reload with new limits and the same list service visits no node, and a frame in transfer still
+/// completes.
 #[test]
-fn a_reload_walks_no_nodes_and_leaves_a_list_that_arrives_alone() {
+fn a_reload_visits_no_nodes_and_does_not_disturb_a_list_transfer() {
     for nodes in SIZES {
         let mut world = World::new(config(), 0);
         let list = world.list_conn();
         world.says(list, &whole_frame(nodes, 2));
         world.run(5);
         let frame = whole_frame(nodes, 3);
-        let (before, behind) = frame.split_at(frame.len() / 2);
-        world.says(list, before);
+        let (first_half, second_half) = frame.split_at(frame.len() / 2);
+        world.says(list, first_half);
         world.run(5);
         let visited = world.core.counts().nodes_visited;
         let reloaded = Reloaded { bounds: Bounds::default(), list: config().discovery_address };
         world.core.control(Control::Reload(reloaded), world.now);
         world.run(5);
         assert_eq!(world.core.counts().nodes_visited, visited, "{nodes} nodes");
-        world.says(list, behind);
+        world.says(list, second_half);
         world.run(5);
         assert!(!world.closed.contains(&list));
         assert_eq!(world.core.list_revision(), Some(3));
--- a/crates/flaxstand-gateway/tests/list_growth.rs
+++ b/crates/flaxstand-gateway/tests/list_growth.rs
@@ -1,5 +1,5 @@
-//! What a change of the list, a save, a sweep, a probe and a request cost as the list grows, by counts and never
-//! by time: nodes looked at, connections gone through, bytes saved.
+//! Cost of a list change, a save, a sweep, a probe and a request as the list grows, measured by counters
+//! rather than by time: nodes visited, connections walked, bytes saved.
 
 mod harness;
 
@@ -12,39 +12,40 @@
 
 const SMALL: u64 = 100;
 const LARGE: u64 = 25_000;
-/// Entries told in one frame.
-const PART: usize = 3_000;
-/// A node that is gone is forgotten after this.
-const REMEMBERED_MS: u64 = 30_000;
+/// Number of entries per frame.
+const ENTRIES_PER_FRAME: usize = 3_000;
+/// Time in milliseconds after which a removed node is discarded.
+const REMOVED_RETENTION_MS: u64 = 30_000;
 
-/// Nodes looked at, connections gone through, bytes saved.
-type Work = (u64, u64, u64);
+/// Nodes visited, connections walked, bytes saved.
+type WorkCounts = (u64, u64, u64);
 
-fn work(w: &World) -> Work {
+fn work_counts(w: &World) -> WorkCounts {
     let counts = w.core.counts();
     (counts.nodes_visited, counts.connections_walked, counts.saved_bytes)
 }
 
-fn since(w: &World, before: Work) -> Work {
-    let now = work(w);
+fn work_since(w: &World, before: WorkCounts) -> WorkCounts {
+    let now = work_counts(w);
     (now.0 - before.0, now.1 - before.1, now.2 - before.2)
 }
 
-/// The baseline decides: what the module does is not counted here.
-fn baseline(config: Config, listed: u64) -> Config {
+/// Uses the round-robin baseline, so that the decision module's work is not counted.
+fn baseline(config: Config, node_count: u64) -> Config {
     let mut config = Config { policy: Policy::RoundRobin, ..config };
-    config.bounds.max_endpoints = listed as usize + 10;
-    // The list is told by the test alone.
+    config.bounds.max_endpoints = node_count as usize + 10;
+    // Only the test delivers lists: no requests for the list after silence.
     config.site.timeouts.discovery_idle_timeout = ms(3_600_000);
     config
 }
 
-/// Tells changes on frames. All addresses have one length, so that entries have.
-fn tell_changes(w: &mut World, nodes: &[u64], state: State) {
+/// Delivers changes as frames. All addresses have the same length, so all entries do.
+fn deliver_changes(w: &mut World, nodes: &[u64], state: State) {
     let address_of = |node: &u64| format!("127.0.0.1:{}", 10_000 + node);
     let addresses: Vec<String> = nodes.iter().map(address_of).collect();
-    let told = nodes.iter().zip(&addresses);
-    let entries = told.map(|(node, address)| entry(*node, state, *node as u32, address)).collect();
+    let nodes_with_address = nodes.iter().zip(&addresses);
+    let entries =
+        nodes_with_address.map(|(node, address)| entry(*node, state, *node as u32, address)).collect();
     let since = w.revision;
     w.revision += 1;
     let list = List { extent: Extent::Changes, since, revision: w.revision, entries };
@@ -52,12 +53,12 @@
     w.turn();
 }
 
-/// A core on frames with so many nodes listed, all of them saved.
-fn listed(nodes: u64) -> World {
+/// A core on frames with the given number of nodes listed, all of them saved.
+fn world_with_nodes(nodes: u64) -> World {
     let mut w = World::new(baseline(config(), nodes), 0);
     let all: Vec<u64> = (0..nodes).collect();
-    all.chunks(PART).for_each(|part| tell_changes(&mut w, part, State::Serving));
-    // A life that was told of the whole anew saves it whole.
+    all.chunks(ENTRIES_PER_FRAME).for_each(|part| deliver_changes(&mut w, part, State::Serving));
+    // After a failed save the core saves the full list.
     w.core.save_failed(w.now);
     w.run(20_000);
     w.turn();
@@ -70,7 +71,7 @@
     Target { uid, address: endpoint, zone: az, shard: node as u32, state, started_at_ms: 1, size: 1.0 }
 }
 
-fn tell_targets(w: &mut World, nodes: impl Iterator<Item = u64>, state: TargetState) {
+fn deliver_targets(w: &mut World, nodes: impl Iterator<Item = u64>, state: TargetState) {
     w.revision += 1;
     let targets = nodes.map(|node| target(node, state)).collect();
     let listing = Listing { revision: w.revision, is_full: false, targets };
@@ -78,18 +79,19 @@
     w.turn();
 }
 
-/// A core on the platform with so many targets listed, and so many clients that have been answered once.
-fn platform(targets: u64, clients: usize) -> World {
+/// A core on the platform's wire with the given number of targets listed and clients that have each been
+/// answered once.
+fn platform_world(targets: u64, clients: usize) -> World {
     let mut w = World::new(baseline(on_platform(2500), targets), 0);
-    tell_targets(&mut w, 0..targets, TargetState::Up);
+    deliver_targets(&mut w, 0..targets, TargetState::Up);
     for _ in 0..clients {
         let client = w.http_client();
-        ask_ready(&mut w, client);
+        request_readiness(&mut w, client);
     }
     w
 }
 
-fn ask_ready(w: &mut World, client: ConnId) {
+fn request_readiness(w: &mut World, client: ConnId) {
     w.says(client, b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     w.turn();
 }
@@ -97,11 +99,11 @@
 #[test]
 fn a_change_on_frames_costs_the_same_with_100_nodes_listed_as_with_25_000() {
     let change = |nodes| {
-        let mut w = listed(nodes);
-        let before = work(&w);
-        tell_changes(&mut w, &[7], State::Draining);
-        tell_changes(&mut w, &[7], State::Removed);
-        since(&w, before)
+        let mut w = world_with_nodes(nodes);
+        let before = work_counts(&w);
+        deliver_changes(&mut w, &[7], State::Draining);
+        deliver_changes(&mut w, &[7], State::Removed);
+        work_since(&w, before)
     };
     let small = change(SMALL);
     assert_eq!(small, change(LARGE));
@@ -109,13 +111,13 @@
 }
 
 #[test]
-fn a_change_on_the_platform_goes_through_no_more_with_many_targets_and_clients() {
+fn a_change_on_the_platform_costs_the_same_with_many_targets_and_clients() {
     let change = |targets, clients| {
-        let mut w = platform(targets, clients);
-        let before = work(&w);
-        tell_targets(&mut w, 7..8, TargetState::Draining);
-        tell_targets(&mut w, 7..8, TargetState::Removed);
-        since(&w, before)
+        let mut w = platform_world(targets, clients);
+        let before = work_counts(&w);
+        deliver_targets(&mut w, 7..8, TargetState::Draining);
+        deliver_targets(&mut w, 7..8, TargetState::Removed);
+        work_since(&w, before)
     };
     let small = change(SMALL, 1);
     assert_eq!(small, change(LARGE, 300));
@@ -123,38 +125,42 @@
 }
 
 #[test]
-fn bytes_saved_follow_the_changes_and_not_the_list() {
-    // So many changes that a small list is rewritten many times.
+fn saved_bytes_depend_on_the_changes_and_not_on_the_list_length() {
+    // Enough changes that a small list is rewritten many times.
     const CHANGES: u64 = 2_000;
     let changes = |nodes| {
-        let mut w = listed(nodes);
-        let (whole, before) = (w.saved.as_ref().map_or(0, Vec::len) as u64, work(&w));
+        let mut w = world_with_nodes(nodes);
+        let (full_list_bytes, before) = (w.saved.as_ref().map_or(0, Vec::len) as u64, work_counts(&w));
         for change in 0..CHANGES {
             let state = if change % 2 == 0 { State::Draining } else { State::Serving };
-            tell_changes(&mut w, &[change % SMALL], state);
+            deliver_changes(&mut w, &[change % SMALL], state);
         }
-        (whole, since(&w, before).2)
+        (full_list_bytes, work_since(&w, before).2)
     };
-    let (whole, small) = changes(SMALL);
+    let (full_list_bytes, small) = changes(SMALL);
     let (_, large) = changes(LARGE);
-    // Nothing is rewritten in a large list yet: this is what the changes themselves take.
-    assert!(large > 0 && large < CHANGES * 150, "{large} bytes for {CHANGES} changes");
-    assert!(small <= 2 * large + whole, "{small} bytes where the changes alone are {large}");
+    // The large list has not been rewritten yet: this is the size of the appended changes.
+    assert!(large > 0 && large < CHANGES * 150, "{large} bytes saved for {CHANGES} changes");
+    assert!(small <= 2 * large + full_list_bytes, "{small} bytes saved, the changes alone take {large}");
 }
 
 #[test]
-fn a_sweep_looks_at_what_is_due_only() {
-    let sweeps = |targets, gone: u64| {
-        let mut w = platform(targets, 20);
-        tell_targets(&mut w, 0..gone, TargetState::Removed);
-        w.run(REMEMBERED_MS - 2_000);
+fn a_sweep_visits_only_nodes_that_are_due() {
+    let sweeps = |targets, removed: u64| {
+        let mut w = platform_world(targets, 20);
+        deliver_targets(&mut w, 0..removed, TargetState::Removed);
+        w.run(REMOVED_RETENTION_MS - 2_000);
         assert_eq!(w.core.footprint().nodes, targets as usize);
-        let before = work(&w);
+        let before = work_counts(&w);
         w.run(1_000);
-        assert_eq!(since(&w, before), (0, 0, 0), "nothing is due");
+        assert_eq!(work_since(&w, before), (0, 0, 0), "no node is due");
         w.run(2_000);
-        assert_eq!(w.core.footprint().nodes, (targets - gone) as usize, "the due ones are forgotten");
-        since(&w, before)
+        assert_eq!(
+            w.core.footprint().nodes,
+            (targets - removed) as usize,
+            "removed nodes are discarded when due"
+        );
+        work_since(&w, before)
     };
     let small = sweeps(SMALL, 5);
     assert_eq!(small, sweeps(LARGE, 5));
@@ -162,27 +168,27 @@
 }
 
 #[test]
-fn whether_any_target_serves_is_known_without_a_look_at_them() {
+fn the_readiness_check_visits_no_targets() {
     for targets in [SMALL, LARGE] {
-        let mut w = platform(targets, 0);
+        let mut w = platform_world(targets, 0);
         let client = w.http_client();
         for (state, status) in [(TargetState::Draining, 503), (TargetState::Up, 200)] {
-            tell_targets(&mut w, 0..targets, state);
-            let before = work(&w);
-            ask_ready(&mut w, client);
+            deliver_targets(&mut w, 0..targets, state);
+            let before = work_counts(&w);
+            request_readiness(&mut w, client);
             assert_eq!(w.statuses(client).last(), Some(&status));
-            assert_eq!(since(&w, before), (0, 0, 0));
+            assert_eq!(work_since(&w, before), (0, 0, 0));
         }
     }
 }
 
 #[test]
-fn the_longest_idle_connection_gives_its_place_without_a_walk() {
-    let room = |targets| {
+fn the_longest_idle_node_connection_is_evicted_without_a_walk() {
+    let eviction_work = |targets| {
         let mut c = baseline(on_platform(2500), targets);
         c.bounds.max_node_connections = 3;
         let mut w = World::new(c, 0);
-        tell_targets(&mut w, 0..targets, TargetState::Up);
+        deliver_targets(&mut w, 0..targets, TargetState::Up);
         for node in 0..4 {
             w.dials.insert(format!("127.0.0.1:{}", 10_000 + node).parse().unwrap(), Dial::Greets(node));
         }
@@ -199,24 +205,24 @@
         let first = served(&mut w, 0);
         served(&mut w, 1);
         served(&mut w, 2);
-        let before = work(&w);
+        let before = work_counts(&w);
         served(&mut w, 3);
-        assert!(w.closed.contains(&first), "the longest idle is closed");
-        since(&w, before)
+        assert!(w.closed.contains(&first), "the longest idle connection is closed");
+        work_since(&w, before)
     };
-    let small = room(SMALL);
-    assert_eq!(small, room(LARGE));
+    let small = eviction_work(SMALL);
+    assert_eq!(small, eviction_work(LARGE));
     assert!(small.0 < 30 && small.1 == 0, "{small:?}");
 }
 
 #[test]
-fn whether_a_large_answer_has_room_is_known_without_a_walk_over_the_clients() {
+fn the_limit_on_buffered_answers_is_checked_without_a_walk_over_the_clients() {
     const LARGE_ANSWER: usize = 70_000;
     let mut c = baseline(on_platform(2500), 1);
     c.bounds.max_response_bytes = 2 * LARGE_ANSWER;
     let mut w = World::new(c, 0);
     w.dials.insert("127.0.0.1:10000".parse().unwrap(), Dial::Greets(0));
-    tell_targets(&mut w, 0..1, TargetState::Up);
+    deliver_targets(&mut w, 0..1, TargetState::Up);
     let served = |w: &mut World, id: &str| {
         let client = w.http_client();
         w.says(client, ask_as(id, "read", 0, "1.000").as_bytes());
@@ -230,30 +236,31 @@
     for _ in 0..50 {
         w.http_client();
     }
-    let before = work(&w);
+    let before = work_counts(&w);
     let clients = ["1", "2", "3"].map(|id| served(&mut w, id));
-    assert_eq!(since(&w, before).1, 0);
+    assert_eq!(work_since(&w, before).1, 0);
     let sizes = clients.map(|client| w.core.outgoing(client).len() / LARGE_ANSWER);
-    assert_eq!(sizes, [1, 0, 0], "head and body of two are more than may wait");
-    // What was read, or will never be, waits no longer.
+    assert_eq!(sizes, [1, 0, 0], "two answers with their heads exceed max_response_bytes");
+    // An answer that was read, or whose client disconnected, no longer counts.
     w.blocked.clear();
     w.drain(clients[0]);
     let fourth = served(&mut w, "4");
     assert_eq!(w.core.outgoing(fourth).len() / LARGE_ANSWER, 1);
-    w.core.closed(fourth, "gone", w.now);
+    w.core.closed(fourth, "closed by peer", w.now);
     let fifth = served(&mut w, "5");
     assert_eq!(w.core.outgoing(fifth).len() / LARGE_ANSWER, 1);
 }
 
-/// A core on the platform that may probe its one target, and has this many idle connections to it.
-fn probing(idle: u64) -> World {
+/// A core on the platform's wire that may probe its only target and has the given number of idle connections
+/// to it.
+fn probing_world(idle: u64) -> World {
     let mut c = on_platform(2500);
     (c.site.settings.max_concurrent_attempts, c.site.settings.may_probe) = (2, true);
     let mut w = World::new(c, 0);
     w.dials.insert("127.0.0.1:10000".parse().unwrap(), Dial::Greets(0));
-    tell_targets(&mut w, 0..1, TargetState::Up);
+    deliver_targets(&mut w, 0..1, TargetState::Up);
     for id in (0..5).map(|round| 10 * round) {
-        (id..id + idle).for_each(|id| ask(&mut w, id));
+        (id..id + idle).for_each(|id| submit_request(&mut w, id));
         for id in id..id + idle {
             answer_attempt(&mut w, id);
         }
@@ -262,69 +269,69 @@
     w
 }
 
-/// A new client asks the first target for something.
-fn ask(w: &mut World, id: u64) {
+/// A new client sends a request for the first target.
+fn submit_request(w: &mut World, id: u64) {
     let client = w.http_client();
     w.says(client, ask_as(&format!("{id}"), "read", 0, "1.000").as_bytes());
     w.run(10);
 }
 
-/// The newest open connection whose last message has these words.
-fn carrying(w: &World, words: &str) -> Option<ConnId> {
+/// The newest open connection whose last message contains the text.
+fn newest_conn_with(w: &World, text: &str) -> Option<ConnId> {
     let last_message = |conn: &ConnId| w.heard_on(*conn).rsplit("\r\n\r\n").nth(1);
     let open = w.dialled.iter().rev().map(|(conn, _)| *conn).filter(|conn| !w.closed.contains(conn));
-    let mut carrying = open.filter(|conn| last_message(conn).is_some_and(|text| text.contains(words)));
-    carrying.next()
+    let mut matching = open.filter(|conn| last_message(conn).is_some_and(|message| message.contains(text)));
+    matching.next()
 }
 
 fn answer_attempt(w: &mut World, id: u64) {
-    let link = carrying(w, &format!("X-Request-ID: {id}\r\n")).expect("it was sent");
+    let link = newest_conn_with(w, &format!("X-Request-ID: {id}\r\n")).expect("the attempt was sent");
     w.answer(link, "200 OK", "");
 }
 
-/// A probe goes out. Where, and whether it was on a connection that had been called before.
-fn probe_sent(w: &mut World) -> (ConnId, bool) {
-    let called = w.dialled.len();
+/// Waits until a probe is sent. Returns its connection and whether that connection had been opened before.
+fn wait_for_probe(w: &mut World) -> (ConnId, bool) {
+    let dialled_before = w.dialled.len();
     for _ in 0..400 {
-        if let Some(conn) = carrying(w, "/health") {
-            return (conn, w.dialled[..called].iter().any(|(before, _)| *before == conn));
+        if let Some(conn) = newest_conn_with(w, "/health") {
+            return (conn, w.dialled[..dialled_before].iter().any(|(before, _)| *before == conn));
         }
         w.run(1);
     }
-    panic!("no probe for an attempt that is out for too long");
+    panic!("no probe was sent for an overdue attempt within 400 ms");
 }
 
 #[test]
-fn a_probe_that_is_not_answered_is_hung_up_on_without_a_walk() {
-    for (idle, again) in [(1, false), (3, true)] {
-        let mut w = probing(idle);
-        // An answer is lost: a later request overtakes it.
-        ask(&mut w, 100);
-        ask(&mut w, 101);
+fn the_connection_of_an_unanswered_probe_is_closed_without_a_walk() {
+    for (idle, reuses_connection) in [(1, false), (3, true)] {
+        let mut w = probing_world(idle);
+        // An answer is lost: a later request is answered before it.
+        submit_request(&mut w, 100);
+        submit_request(&mut w, 101);
         answer_attempt(&mut w, 101);
         w.run(1_100);
         for _ in 0..50 {
             w.http_client();
         }
-        ask(&mut w, 200);
-        let (probe, on_old) = probe_sent(&mut w);
-        assert_eq!(on_old, again, "{idle} idle connections");
-        let before = work(&w);
+        submit_request(&mut w, 200);
+        let (probe, on_existing) = wait_for_probe(&mut w);
+        assert_eq!(on_existing, reuses_connection, "{idle} idle connections");
+        let before = work_counts(&w);
         w.run(255);
-        assert!(w.closed.contains(&probe), "it is not waited for any longer");
-        assert_eq!(since(&w, before).1, 0, "no connection was gone through for it");
+        assert!(w.closed.contains(&probe), "the probe has timed out");
+        assert_eq!(work_since(&w, before).1, 0, "no connection was walked for it");
     }
 }
 
-/// What waits for a save after one that failed is written once, whole, and not at every turn.
+/// Changes that are unsaved after a failed save are written once, as the full list, and not at every turn.
 #[test]
-fn a_save_that_failed_is_made_again_whole_and_not_at_once() {
-    let mut w = listed(SMALL);
+fn a_failed_save_is_retried_once_with_the_full_list_after_a_delay() {
+    let mut w = world_with_nodes(SMALL);
     let before = w.core.counts();
     w.core.save_failed(w.now);
-    tell_changes(&mut w, &[3], State::Draining);
-    tell_changes(&mut w, &[4], State::Draining);
-    assert_eq!(w.core.counts().saved_bytes, before.saved_bytes, "not yet");
+    deliver_changes(&mut w, &[3], State::Draining);
+    deliver_changes(&mut w, &[4], State::Draining);
+    assert_eq!(w.core.counts().saved_bytes, before.saved_bytes, "no save before the retry delay");
     w.run(11_000);
     let after = w.core.counts();
     assert_eq!(after.whole_saves, before.whole_saves + 1);
--- a/crates/flaxstand-gateway/tests/long_lists.rs
+++ b/crates/flaxstand-gateway/tests/long_lists.rs
@@ -1,4 +1,5 @@
-//! Lists as long as `docs/CAPACITY.md` plans for: taken whole on both wires, saved whole, and refused from other peers.
+//! Lists as long as `docs/CAPACITY.md` plans for: received in full on both wires, saved in full, and rejected
+//! from other peers.
 
 mod harness;
 
@@ -12,16 +13,16 @@
     format!("10.{}.{}.{}:7000", node >> 16, (node >> 8) & 255, node & 255)
 }
 
-/// A list service's whole list, as one frame.
-fn whole_list() -> Vec<u8> {
+/// The full list of a list service as one frame.
+fn full_list_frame() -> Vec<u8> {
     let addresses: Vec<String> = (0..NODES).map(address).collect();
     let entries =
         addresses.iter().zip(0..).map(|(address, node)| entry(node, State::Serving, node as u32, address));
     bytes_of(&Frame::List(List { extent: Extent::Full, since: 7, revision: 7, entries: entries.collect() }))
 }
 
-/// The same in the platform's words.
-fn whole_listing() -> String {
+/// The same list in the platform's JSON format.
+fn full_list_json() -> String {
     let targets: Vec<String> = (0..NODES)
         .map(|node| {
             let address = address(node);
@@ -32,57 +33,58 @@
 }
 
 #[test]
-fn a_list_of_25_000_nodes_is_taken_and_saved_whole_on_frames() {
+fn a_list_of_25_000_nodes_is_applied_and_saved_in_full_on_frames() {
     let mut world = World::new(config(), 1);
     let list = world.list_conn();
-    for piece in whole_list().chunks(65_536) {
+    for piece in full_list_frame().chunks(65_536) {
         world.says(list, piece);
     }
     world.run(5);
     assert!(!world.closed.contains(&list));
     assert!(world.core.footprint().nodes as u64 >= NODES);
-    let saved = world.saved.clone().expect("a list that was told is saved");
-    let restarted = Core::new(config(), Some(&saved), ms(1)).expect("a long saved list is read");
+    let saved = world.saved.clone().expect("a received list is saved");
+    let restarted = Core::new(config(), Some(&saved), ms(1)).expect("the saved list is read");
     assert_eq!(restarted.footprint().nodes as u64, NODES);
 }
 
 #[test]
-fn a_list_of_25_000_nodes_is_taken_whole_on_the_platform() {
+fn a_list_of_25_000_nodes_is_applied_in_full_on_the_platform() {
     let mut world = World::new(Config { wire: Wire::Platform, ..config() }, 1);
     let list = world.list_conn();
-    world.answer(list, "200 OK", &whole_listing());
+    world.answer(list, "200 OK", &full_list_json());
     world.run(5);
     assert!(!world.closed.contains(&list));
     assert!(world.core.footprint().nodes as u64 >= NODES);
 }
 
 #[test]
-fn a_client_that_states_so_long_a_body_is_closed_before_it_is_read() {
+fn a_client_that_announces_so_long_a_body_is_closed_before_it_is_read() {
     let mut world = World::new(config(), 1);
     let client = world.client();
-    world.says(client, &whole_list()[..64]);
+    world.says(client, &full_list_frame()[..64]);
     world.run(5);
     assert!(world.closed.contains(&client));
 }
 
-/// A quiet service says so in 31 bytes; an initiator that hears nothing asks for all of it.
+/// A heartbeat of a list service without changes takes 31 bytes; without it, an initiator requests the full
+/// list after the idle timeout.
 #[test]
-fn an_empty_list_of_changes_keeps_a_quiet_list_from_being_asked_for() {
-    let asked = |heartbeats: bool| {
+fn an_empty_list_of_changes_prevents_requests_for_an_unchanged_list() {
+    let full_list_requests = |heartbeats: bool| {
         let mut world = World::new(config(), 3);
         let list = world.list_conn();
-        let silence_ms = config().site.timeouts.discovery_idle_timeout.0 / 1000;
+        let idle_timeout_ms = config().site.timeouts.discovery_idle_timeout.0 / 1000;
         for _ in 0..8 {
-            world.run(silence_ms / 2);
+            world.run(idle_timeout_ms / 2);
             if heartbeats {
                 let (since, revision) = (world.revision, world.revision);
                 let unchanged = List { extent: Extent::Changes, since, revision, entries: Vec::new() };
                 world.tell(list, &Frame::List(unchanged));
             }
         }
-        assert!(!world.closed.contains(&list), "the service answers when it is asked");
+        assert!(!world.closed.contains(&list), "the connection is kept while the service answers requests");
         world.said_on(list).iter().filter(|said| **said == Said::GetList).count()
     };
-    assert_eq!(asked(true), 0);
-    assert!(asked(false) > 0);
+    assert_eq!(full_list_requests(true), 0);
+    assert!(full_list_requests(false) > 0);
 }
--- a/crates/flaxstand-gateway/tests/platform.rs
+++ b/crates/flaxstand-gateway/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The core on the platform's wire: clients, targets and discovery speak HTTP by hand, on virtual time.
+//! Tests of the core on the platform's wire in virtual time: clients, targets and discovery exchange
+//! handwritten HTTP messages.
 
 mod harness;
 
@@ -7,46 +8,46 @@
 use flaxstand_proto::State;
 use harness::{Dial, PATH, World, address, ask_as, on_platform};
 
-fn platform() -> Config {
+fn platform_config() -> Config {
     let c = on_platform(5000);
     Config { bounds: Bounds { max_clients: 8, max_node_connections: 6, ..c.bounds }, ..c }
 }
 
-fn world() -> World {
-    World::new(platform(), 2)
+fn platform_world() -> World {
+    World::new(platform_config(), 2)
 }
 
-fn ask(id: &str) -> String {
+fn request_text(id: &str) -> String {
     ask_as(id, "once", 0, "1.000")
 }
 
-/// A client whose request is out at node 0, and the connection that carries it.
-fn asked(w: &mut World, id: &str) -> (ConnId, ConnId) {
+/// Returns a client whose request is in flight at node 0, and the connection that carries it.
+fn request_in_flight(w: &mut World, id: &str) -> (ConnId, ConnId) {
     w.asked(id, "once")
 }
 
 #[test]
-fn a_request_passes_unchanged_and_so_does_its_answer() {
-    let mut w = world();
+fn a_request_and_its_answer_are_forwarded_unchanged() {
+    let mut w = platform_world();
     let client = w.http_client();
     let text = format!(
         "PUT {PATH}?part=2 HTTP/1.1\r\nHost: h\r\nX-Request-ID: r1\r\nX-Priority-Class: once\r\nX-Qos-Policy: plan\r\n\
          X-Timeout: 0.5\r\nX-Placement: units=1,shard=0,hosts=1\r\nIdempotency-Key: k-7\r\nContent-Length: 4\r\n\r\ndata"
     );
-    // Whatever the pieces.
+    // The request arrives byte by byte.
     for byte in text.as_bytes() {
         w.says(client, &[*byte]);
     }
     w.run(5);
     let link = w.links(0)[0];
-    let passed = w.heard_on(link).to_owned();
-    assert!(passed.starts_with(&format!("PUT {PATH}?part=2 HTTP/1.1\r\n")), "{passed}");
+    let forwarded = w.heard_on(link).to_owned();
+    assert!(forwarded.starts_with(&format!("PUT {PATH}?part=2 HTTP/1.1\r\n")), "{forwarded}");
     for field in
         ["X-Request-ID: r1\r\n", "Idempotency-Key: k-7\r\n", "Content-Length: 4\r\n", "X-Timeout: 0.4"]
     {
-        assert!(passed.contains(field), "{field} in {passed}");
+        assert!(forwarded.contains(field), "{field} in {forwarded}");
     }
-    assert!(passed.ends_with("\r\n\r\ndata"));
+    assert!(forwarded.ends_with("\r\n\r\ndata"));
     for byte in
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-Iops-Used: ??\r\nContent-Length: 5\r\n\r\nb\0dy\n"
     {
@@ -55,41 +56,44 @@
     w.run(5);
     assert!(w.heard_on(client).starts_with("HTTP/1.1 200 OK\r\n"));
     assert!(w.heard_on(client).ends_with("Content-Length: 5\r\n\r\nb\0dy\n"));
-    assert!(!w.closed.contains(&link) && !w.closed.contains(&client), "both are kept");
+    assert!(!w.closed.contains(&link) && !w.closed.contains(&client), "both connections are kept");
 }
 
 #[test]
-fn what_comes_back_is_the_outcome_that_the_platform_means() {
-    // Of a class that must never run twice: a refusal promises that it has never run.
-    let after = |what: &dyn Fn(&mut World, ConnId)| {
-        let mut w = world();
-        let (client, link) = asked(&mut w, "r1");
-        what(&mut w, link);
+fn responses_and_connection_errors_map_to_the_platforms_outcomes() {
+    // The class must run at most once: a refusal guarantees that the request has not run.
+    let outcome_after = |event: &dyn Fn(&mut World, ConnId)| {
+        let mut w = platform_world();
+        let (client, link) = request_in_flight(&mut w, "r1");
+        event(&mut w, link);
         w.run(980);
         let sent = w.links(0).iter().map(|l| w.heard_on(*l).matches("GET /api").count()).sum::<usize>();
         (sent, w.statuses(client))
     };
-    let never = |w: &mut World, link| {
+    let not_processed = |w: &mut World, link| {
         w.says(link, b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
     };
-    assert_eq!(after(&never).1, [503]);
-    assert_eq!(after(&|w, link| w.answer(link, "503 Full", "")), (1, vec![500]));
-    assert_eq!(after(&|w, link| w.answer(link, "500 No", "")), (1, vec![500]));
-    assert_eq!(after(&|w, link| w.core.closed(link, "reset", w.now)), (1, vec![500]));
-    assert_eq!(after(&|_, _| {}), (1, vec![]), "nothing came yet");
-    let mut w = world();
+    assert_eq!(outcome_after(&not_processed).1, [503]);
+    assert_eq!(outcome_after(&|w, link| w.answer(link, "503 Full", "")), (1, vec![500]));
+    assert_eq!(outcome_after(&|w, link| w.answer(link, "500 No", "")), (1, vec![500]));
+    assert_eq!(outcome_after(&|w, link| w.core.closed(link, "reset", w.now)), (1, vec![500]));
+    assert_eq!(outcome_after(&|_, _| {}), (1, vec![]), "no answer yet");
+    let mut w = platform_world();
     w.dials.insert(address(0).parse().unwrap(), Dial::Refused);
     let client = w.http_client();
-    w.says(client, ask("r1").as_bytes());
+    w.says(client, request_text("r1").as_bytes());
     w.run(300);
-    assert!(w.links(0).len() > 1, "a connection refused: it has never run, and is tried again");
+    assert!(
+        w.links(0).len() > 1,
+        "a refused connection attempt proves that the request has not run, so it is retried"
+    );
     w.run(1000);
     assert_eq!(w.statuses(client), [503]);
 }
 
 #[test]
-fn spoilt_answers_end_their_attempt_and_their_connection_and_show_nowhere() {
-    let spoilt = [
+fn malformed_answers_fail_the_attempt_close_the_connection_and_are_not_forwarded() {
+    let malformed = [
         "\u{1}\u{2}noise\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx",
         "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nxxxx",
@@ -100,9 +104,9 @@
         "HTTP/1.1 200 OK\r\nX-Server-Load: in",
         "HTTP/9.9 xx\r\n\r\n",
     ];
-    for text in spoilt {
-        let mut w = world();
-        let (client, link) = asked(&mut w, "r1");
+    for text in malformed {
+        let mut w = platform_world();
+        let (client, link) = request_in_flight(&mut w, "r1");
         w.says(link, text.as_bytes());
         w.run(300);
         assert_eq!(w.statuses(client), [500], "{text:?}");
@@ -110,17 +114,17 @@
         assert!(w.closed.contains(&link), "{text:?}");
         assert_eq!(w.core.pending_requests(), 0);
     }
-    let mut w = world();
-    let (client, link) = asked(&mut w, "r1");
+    let mut w = platform_world();
+    let (client, link) = request_in_flight(&mut w, "r1");
     w.says(link, format!("HTTP/1.1 200 OK\r\n{}", "X: y\r\n".repeat(3000)).as_bytes());
     w.run(5);
-    assert_eq!(w.statuses(client), [500], "a head that never ends is cut off at its bound");
+    assert_eq!(w.statuses(client), [500], "a response head over the size limit fails the attempt");
 }
 
 #[test]
-fn a_large_answer_is_served_however_slowly_its_body_comes_as_long_as_it_does() {
-    let mut w = world();
-    let (client, link) = asked(&mut w, "r1");
+fn a_large_answer_is_served_as_long_as_its_body_makes_progress() {
+    let mut w = platform_world();
+    let (client, link) = request_in_flight(&mut w, "r1");
     let body = "x".repeat(400_000);
     w.says(link, format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes());
     for part in body.as_bytes().chunks(100_000) {
@@ -131,9 +135,9 @@
     assert_eq!(w.statuses(client), [200]);
     assert!(w.heard_on(client).ends_with(&body));
     assert_eq!(w.core.footprint().partial_bytes, 0);
-    // One that stops short is given up long before its client leaves.
-    let mut w = world();
-    let (client, link) = asked(&mut w, "r2");
+    // An answer that stops is abandoned long before its client disconnects.
+    let mut w = platform_world();
+    let (client, link) = request_in_flight(&mut w, "r2");
     w.says(link, b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\nxx");
     w.run(260);
     assert_eq!(w.statuses(client), [500]);
@@ -141,28 +145,28 @@
 }
 
 #[test]
-fn large_answers_that_clients_do_not_read_have_a_bound() {
-    let mut c = platform();
+fn the_total_size_of_unread_large_answers_is_bounded() {
+    let mut c = platform_config();
     c.bounds.max_response_bytes = 1_000_000;
     let mut w = World::new(c, 2);
     let answered: Vec<ConnId> = (0..4)
         .map(|n| {
-            let (client, link) = asked(&mut w, &format!("r{n}"));
+            let (client, link) = request_in_flight(&mut w, &format!("r{n}"));
             w.blocked.insert(client);
             w.answer(link, "200 OK", &"x".repeat(400_000));
             w.run(5);
             client
         })
         .collect();
-    let waits = |conn: &ConnId| w.core.outgoing(*conn).len();
-    assert!(answered[..2].iter().all(|c| waits(c) > 400_000));
+    let pending = |conn: &ConnId| w.core.outgoing(*conn).len();
+    assert!(answered[..2].iter().all(|c| pending(c) > 400_000));
     assert!(answered[2..].iter().all(|c| w.core.outgoing(*c).starts_with(b"HTTP/1.1 500")));
 }
 
 #[test]
-fn a_good_answer_with_bytes_behind_it_is_served_and_its_connection_not_used_again() {
-    let mut w = world();
-    let (client, link) = asked(&mut w, "r1");
+fn a_valid_answer_with_trailing_bytes_is_served_and_its_connection_closed() {
+    let mut w = platform_world();
+    let (client, link) = request_in_flight(&mut w, "r1");
     w.says(
         link,
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
@@ -170,7 +174,7 @@
     w.run(5);
     assert_eq!(w.statuses(client), [200]);
     assert!(w.closed.contains(&link));
-    let (client, link) = asked(&mut w, "r2");
+    let (client, link) = request_in_flight(&mut w, "r2");
     w.answer(link, "200 OK", "ok");
     w.run(5);
     assert_eq!(w.statuses(client), [200]);
@@ -180,39 +184,43 @@
             w.turn();
             w.closed.contains(&link)
         },
-        "bytes on an idle connection close it"
+        "unexpected bytes on an idle connection close it"
     );
 }
 
 #[test]
-fn what_can_not_be_served_gets_an_error_and_reaches_no_node() {
-    let good = ask("r1");
-    let bad = [
-        (good.replace("X-Request-ID: r1\r\n", ""), 400, true),
-        (good.replace("once", "nobody"), 400, true),
-        (good.replace("X-Timeout: 1.000", "X-Timeout: soon"), 400, true),
-        (good.replace("hosts=1", "hosts=99"), 400, true),
-        (good.replace("GET", "POST").replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n"), 405, true),
-        (good.replace(PATH, "/elsewhere"), 404, true),
+fn an_invalid_request_gets_an_error_and_reaches_no_node() {
+    let valid = request_text("r1");
+    let invalid = [
+        (valid.replace("X-Request-ID: r1\r\n", ""), 400, true),
+        (valid.replace("once", "nobody"), 400, true),
+        (valid.replace("X-Timeout: 1.000", "X-Timeout: soon"), 400, true),
+        (valid.replace("hosts=1", "hosts=99"), 400, true),
+        (valid.replace("GET", "POST").replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n"), 405, true),
+        (valid.replace(PATH, "/elsewhere"), 404, true),
         (
-            good.replace("\r\n\r\n", "\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
+            valid.replace("\r\n\r\n", "\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
             501,
             false,
         ),
-        (good.replace("\r\n\r\n", "\r\nContent-Length: -1\r\n\r\n"), 400, false),
-        (good.replace("\r\n\r\n", "\r\nContent-Length: 99999999999999999999\r\n\r\n"), 413, false),
+        (valid.replace("\r\n\r\n", "\r\nContent-Length: -1\r\n\r\n"), 400, false),
+        (valid.replace("\r\n\r\n", "\r\nContent-Length: 99999999999999999999\r\n\r\n"), 413, false),
         (
-            good.replace("GET", "PUT").replace("\r\n\r\n", "\r\nContent-Length: 62914560\r\n\r\nxx"),
+            valid.replace("GET", "PUT").replace("\r\n\r\n", "\r\nContent-Length: 62914560\r\n\r\nxx"),
             413,
             false,
         ),
-        (good.replace("GET", "PUT").replace("\r\n\r\n", "\r\nContent-Length: 2\r\n\r\ntoo long"), 400, false),
-        (good.replace("GET", "PUT"), 411, false),
+        (
+            valid.replace("GET", "PUT").replace("\r\n\r\n", "\r\nContent-Length: 2\r\n\r\ntoo long"),
+            400,
+            false,
+        ),
+        (valid.replace("GET", "PUT"), 411, false),
         ("\u{3}\u{4}noise\r\n\r\n".into(), 400, false),
         (format!("GET / HTTP/1.1\r\n{}", "X: y\r\n".repeat(3000)), 431, false),
     ];
-    for (text, status, kept) in bad {
-        let mut w = world();
+    for (text, status, kept) in invalid {
+        let mut w = platform_world();
         let client = w.http_client();
         w.says(client, text.as_bytes());
         w.run(5);
@@ -225,53 +233,53 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_refused_and_free_again_after() {
-    let mut w = world();
-    let (client, link) = asked(&mut w, "r1");
+fn a_request_id_in_flight_is_refused_and_reusable_after_its_answer() {
+    let mut w = platform_world();
+    let (client, link) = request_in_flight(&mut w, "r1");
     let other = w.http_client();
-    w.says(other, ask("r1").as_bytes());
+    w.says(other, request_text("r1").as_bytes());
     w.run(5);
     assert_eq!(w.statuses(other), [409]);
     w.answer(link, "200 OK", "ok");
     w.run(5);
-    w.says(other, ask("r1").as_bytes());
+    w.says(other, request_text("r1").as_bytes());
     w.run(5);
     assert_eq!(w.statuses(client), [200]);
-    assert_eq!(w.core.pending_requests(), 1, "it is served this time");
+    assert_eq!(w.core.pending_requests(), 1, "the id is accepted again");
 }
 
 #[test]
-fn requests_behind_one_another_wait_their_turn() {
-    let mut w = world();
+fn pipelined_requests_are_processed_in_order() {
+    let mut w = platform_world();
     let client = w.http_client();
-    w.says(client, (ask("r1") + &ask("r2") + &ask("r3")).as_bytes());
+    w.says(client, (request_text("r1") + &request_text("r2") + &request_text("r3")).as_bytes());
     for done in 1..=3 {
         w.run(5);
-        assert_eq!(w.core.pending_requests(), 1, "one at a time");
+        assert_eq!(w.core.pending_requests(), 1, "one request at a time is pending");
         let link = *w.links(0).last().unwrap();
         w.answer(link, "200 OK", "ok");
         w.run(5);
         assert_eq!(w.statuses(client).len(), done);
     }
-    assert_eq!(w.links(0).len(), 1, "one connection served them all");
+    assert_eq!(w.links(0).len(), 1, "one connection carries all requests");
 }
 
 #[test]
-fn connections_that_do_not_come_to_a_request_are_closed() {
-    let mut w = world();
-    let (silent, half, slow) = (w.http_client(), w.http_client(), w.http_client());
-    w.says(half, b"PUT /api/x HTTP/1.1\r\nContent-Le");
+fn connections_without_a_complete_request_are_closed() {
+    let mut w = platform_world();
+    let (silent, partial, slow) = (w.http_client(), w.http_client(), w.http_client());
+    w.says(partial, b"PUT /api/x HTTP/1.1\r\nContent-Le");
     for _ in 0..19 {
         w.says(slow, b"G");
         w.run(100);
     }
-    assert!(![silent, half].iter().any(|c| w.closed.contains(c)));
+    assert!(![silent, partial].iter().any(|c| w.closed.contains(c)));
     w.run(700);
-    assert!([silent, half, slow].iter().all(|c| w.closed.contains(c)));
-    assert_eq!(w.statuses(half), [408]);
+    assert!([silent, partial, slow].iter().all(|c| w.closed.contains(c)));
+    assert_eq!(w.statuses(partial), [408]);
     assert_eq!(w.core.clients(), 0);
-    // One that has asked may hold its connection, and ask again.
-    let (client, link) = asked(&mut w, "r1");
+    // A client that has sent a request may keep its connection and send another.
+    let (client, link) = request_in_flight(&mut w, "r1");
     w.answer(link, "200 OK", "ok");
     w.run(20_000);
     assert!(!w.closed.contains(&client));
@@ -281,23 +289,26 @@
 }
 
 #[test]
-fn a_crowd_of_silent_connections_gives_way_to_clients_that_ask() {
-    let mut w = world();
-    let (busy, _) = asked(&mut w, "r1");
+fn silent_connections_are_evicted_for_clients_that_send_requests() {
+    let mut w = platform_world();
+    let (busy, _) = request_in_flight(&mut w, "r1");
     let silent: Vec<ConnId> = (0..7).map(|_| w.http_client()).collect();
-    assert!(w.core.accepted(0, w.now).is_err(), "as many as may be, and none of them waits for long");
+    assert!(
+        w.core.accepted(0, w.now).is_err(),
+        "the limit is reached and no connection is idle for long enough"
+    );
     w.run(300);
-    let (other, _) = asked(&mut w, "r2");
+    let (other, _) = request_in_flight(&mut w, "r2");
     assert_eq!(silent.iter().filter(|c| w.closed.contains(c)).count(), 1);
     assert!(![busy, other].iter().any(|c| w.closed.contains(c)));
 }
 
 #[test]
-fn clients_that_ask_once_and_stay_give_way_to_those_that_come() {
-    let mut w = world();
-    // More a second than there are places: each is served, though none goes by itself.
+fn idle_clients_are_evicted_for_new_ones() {
+    let mut w = platform_world();
+    // More new clients per second than max_clients: each is served, though none disconnects by itself.
     for n in 0..40 {
-        let (client, link) = asked(&mut w, &format!("r{n}"));
+        let (client, link) = request_in_flight(&mut w, &format!("r{n}"));
         w.answer(link, "200 OK", "ok");
         w.run(30);
         assert_eq!(w.statuses(client), [200], "client {n}");
@@ -306,10 +317,10 @@
 }
 
 #[test]
-fn a_client_that_leaves_is_told_to_the_module_and_its_attempt_runs_to_its_end() {
-    let mut w = world();
-    let (client, link) = asked(&mut w, "r1");
-    w.core.closed(client, "gone", w.now);
+fn the_attempt_of_a_disconnected_client_completes_and_the_request_is_abandoned() {
+    let mut w = platform_world();
+    let (client, link) = request_in_flight(&mut w, "r1");
+    w.core.closed(client, "closed by peer", w.now);
     w.run(5);
     assert_eq!(w.core.pending_requests(), 1);
     w.answer(link, "200 OK", "ok");
@@ -319,46 +330,46 @@
 }
 
 #[test]
-fn giving_up_closes_that_attempts_connection_alone() {
-    let mut w = world();
-    let (first, out) = asked(&mut w, "r1");
-    let (second, other) = asked(&mut w, "r2");
-    assert_ne!(out, other);
+fn a_timed_out_attempt_closes_only_its_own_connection() {
+    let mut w = platform_world();
+    let (first, first_link) = request_in_flight(&mut w, "r1");
+    let (second, second_link) = request_in_flight(&mut w, "r2");
+    assert_ne!(first_link, second_link);
     w.run(500);
-    w.answer(other, "200 OK", "ok");
+    w.answer(second_link, "200 OK", "ok");
     w.run(500);
     assert_eq!((w.statuses(first), w.statuses(second)), (vec![500], vec![200]));
-    assert!(w.closed.contains(&out) && !w.closed.contains(&other));
+    assert!(w.closed.contains(&first_link) && !w.closed.contains(&second_link));
 }
 
 #[test]
-fn an_attempt_given_up_before_it_left_has_never_run_and_never_does() {
-    let mut w = world();
+fn an_attempt_cancelled_before_it_was_sent_is_refused_and_never_runs() {
+    let mut w = platform_world();
     w.dials.insert(address(0).parse().unwrap(), Dial::Lost);
     let client = w.http_client();
-    w.says(client, ask("r1").as_bytes());
+    w.says(client, request_text("r1").as_bytes());
     w.run(240);
-    assert_eq!(w.links(0).len(), 1, "still being called");
+    assert_eq!(w.links(0).len(), 1, "the connection attempt is still pending");
     w.run(1000);
     assert_eq!(w.statuses(client), [503]);
     assert!(w.links(0).iter().all(|l| w.heard_on(*l).is_empty()));
-    // Written in part: what is left must not follow when the connection is closed.
-    let mut w = world();
-    let (_, link) = asked(&mut w, "r0");
+    // An attempt still queued for writing must not be sent when the connection is closed.
+    let mut w = platform_world();
+    let (_, link) = request_in_flight(&mut w, "r0");
     w.answer(link, "200 OK", "ok");
     w.run(5);
     w.blocked.insert(link);
     let client = w.http_client();
-    w.says(client, ask("r1").as_bytes());
+    w.says(client, request_text("r1").as_bytes());
     w.run(1100);
     assert_eq!(w.statuses(client).len(), 1);
-    assert_eq!(w.heard_on(link).matches("GET /api").count(), 1, "only the first");
+    assert_eq!(w.heard_on(link).matches("GET /api").count(), 1, "only the first request was sent");
 }
 
 #[test]
-fn connections_are_used_newest_first_closed_when_idle_and_bounded() {
-    let mut w = world();
-    let pairs: Vec<_> = (0..3).map(|n| asked(&mut w, &format!("r{n}"))).collect();
+fn the_newest_idle_connection_is_reused_and_others_close_after_the_idle_timeout() {
+    let mut w = platform_world();
+    let pairs: Vec<_> = (0..3).map(|n| request_in_flight(&mut w, &format!("r{n}"))).collect();
     for (_, link) in &pairs {
         w.answer(*link, "200 OK", "ok");
     }
@@ -366,34 +377,41 @@
     let newest = pairs[2].1;
     for n in 0..15 {
         let client = pairs[0].0;
-        w.says(client, ask(&format!("s{n}")).as_bytes());
+        w.says(client, request_text(&format!("s{n}")).as_bytes());
         w.run(5);
         w.answer(newest, "200 OK", "ok");
         w.run(1500);
     }
     assert_eq!(w.heard_on(newest).matches("GET /api").count(), 16);
-    assert!(w.closed.contains(&pairs[0].1) && w.closed.contains(&pairs[1].1), "idle for 20 s");
+    assert!(
+        w.closed.contains(&pairs[0].1) && w.closed.contains(&pairs[1].1),
+        "both were idle for longer than the idle timeout"
+    );
     assert!(!w.closed.contains(&newest));
 }
 
 #[test]
-fn idle_connections_are_looked_through_by_one_timer_however_often_the_last_is_closed() {
-    let mut w = world();
+fn one_sweep_timer_serves_all_idle_connections_however_often_the_last_one_closes() {
+    let mut w = platform_world();
     for n in 0..40 {
-        let (_, link) = asked(&mut w, &format!("r{n}"));
+        let (_, link) = request_in_flight(&mut w, &format!("r{n}"));
         w.says(link, b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok");
         w.run(300);
     }
     w.run(3000);
-    assert!(w.core.footprint().timers <= 2, "{:?}: the list's, and one that sweeps", w.core.footprint());
+    assert!(
+        w.core.footprint().timers <= 2,
+        "{:?}: expected the list's timer and one sweep timer",
+        w.core.footprint()
+    );
 }
 
 #[test]
-fn a_node_that_drains_while_it_is_called_is_not_sent_to() {
-    let mut w = world();
+fn a_node_that_drains_while_it_is_being_connected_gets_no_attempt() {
+    let mut w = platform_world();
     w.dials.insert(address(0).parse().unwrap(), Dial::Lost);
     let client = w.http_client();
-    w.says(client, ask("r1").as_bytes());
+    w.says(client, request_text("r1").as_bytes());
     w.run(100);
     let list = w.list_conn();
     w.list[0].1 = State::Draining;
@@ -408,51 +426,52 @@
 }
 
 #[test]
-fn the_list_is_watched_and_a_watch_that_fails_is_taken_up_again() {
-    let mut w = world();
+fn the_list_is_long_polled_and_a_failed_long_poll_is_retried() {
+    let mut w = platform_world();
     let list = w.list_conn();
-    let calls = |w: &World, conn| w.heard_on(conn).matches("GET ").count();
-    let wait = |w: &World, conn| -> u64 {
-        let calls = w.heard_on(conn).rsplit("timeout_ms=").next().expect("a watch");
-        calls.split(' ').next().and_then(|ms| ms.parse().ok()).expect("a wait")
+    let request_count = |w: &World, conn| w.heard_on(conn).matches("GET ").count();
+    let long_poll_ms = |w: &World, conn| -> u64 {
+        let timeout = w.heard_on(conn).rsplit("timeout_ms=").next().expect("a long poll");
+        timeout.split(' ').next().and_then(|ms| ms.parse().ok()).expect("a long-poll time-out")
     };
     assert!(w.heard_on(list).contains("GET /v1/endpoints?since=1&timeout_ms="));
-    assert!((3000..=5000).contains(&wait(&w, list)), "{}", w.heard_on(list));
+    assert!((3000..=5000).contains(&long_poll_ms(&w, list)), "{}", w.heard_on(list));
     w.list.truncate(1);
     w.revision = 2;
     let all = w.listing(true);
     w.answer(list, "200 OK", &all);
     w.run(5);
-    assert!(w.heard_on(list).contains("since=2&"), "the next call follows at once");
-    assert_eq!(calls(&w, list), 3);
-    // It fails: the module asks again, ever more rarely, for the whole list or what is newer, and does not wait.
+    assert!(w.heard_on(list).contains("since=2&"), "the next request follows at once");
+    assert_eq!(request_count(&w, list), 3);
+    // After a failure the decision module requests the list again with a growing back-off, for the full list
+    // or newer changes, and without a long poll.
     w.answer(list, "503 Down", "");
     w.run(5);
     assert!(w.closed.contains(&list));
     w.run(1000);
     let again = w.list_conn();
     assert!(w.heard_on(again).contains("since=2&timeout_ms=0 "));
-    // Silence for longer than it may wait is a failure too.
+    // Silence beyond the time-out is a failure too.
     w.run(1000);
     assert!(w.closed.contains(&again));
     w.run(1000);
     assert_ne!(w.list_conn(), again);
-    // What can't be read is not taken.
+    // An invalid list is discarded.
     let conn = w.list_conn();
     w.answer(conn, "200 OK", "{\"rev\":3,");
     w.run(1000);
     assert!(w.closed.contains(&conn));
     let client = w.http_client();
-    w.says(client, ask("r1").as_bytes());
+    w.says(client, request_text("r1").as_bytes());
     w.run(5);
-    assert_eq!(w.links(0).len(), 1, "the list held stays in use");
+    assert_eq!(w.links(0).len(), 1, "the current list stays in use");
 }
 
-/// Answers that tell of no change keep the list fresh too: after a long quiet time a watch that fell silent is opened
-/// anew as soon as after a busy one.
+/// Answers without a change keep the list fresh too: after a long time without changes a silent long poll is
+/// reopened as quickly as after frequent changes.
 #[test]
-fn a_watch_that_falls_silent_after_a_quiet_time_is_opened_anew_at_once() {
-    let mut w = world();
+fn a_long_poll_that_falls_silent_after_a_time_without_changes_is_reopened_quickly() {
+    let mut w = platform_world();
     let list = w.list_conn();
     for _ in 0..20 {
         w.answer(list, "200 OK", r#"{"rev":1,"all":false,"targets":[]}"#);
@@ -463,43 +482,43 @@
     while !w.closed.contains(&list) {
         w.run(10);
         silent_for += 10;
-        assert!(silent_for < 7000, "a silent watch is given up");
+        assert!(silent_for < 7000, "a silent long poll is closed within its time-out");
     }
     w.run(200);
-    assert_ne!(w.list_conn(), list, "called again within 0.2 s");
+    assert_ne!(w.list_conn(), list, "the list service is reconnected within 0.2 s");
 }
 
 #[test]
-fn a_reload_moves_to_the_new_list_service_and_disturbs_nothing_else() {
-    let mut w = world();
-    let (client, link) = asked(&mut w, "r1");
+fn a_reload_switches_the_list_service_and_affects_nothing_else() {
+    let mut w = platform_world();
+    let (client, link) = request_in_flight(&mut w, "r1");
     let (old, new) = (w.list_conn(), "127.0.0.1:2".parse().unwrap());
     w.dials.insert("127.0.0.1:2".parse().unwrap(), Dial::Greets(0));
-    let bounds = platform().bounds;
+    let bounds = platform_config().bounds;
     w.answers_at_once = true;
     w.core.control(Control::Reload(Reloaded { bounds, list: new }), w.now);
     w.run(5);
     assert!(w.closed.contains(&old));
     let (conn, at) = w.dialled.last().cloned().unwrap();
     assert_eq!(at.to_string(), "127.0.0.1:2");
-    let calls: Vec<&str> = w.heard_on(conn).split("GET ").skip(1).collect();
-    assert_eq!(calls.len(), 2, "{calls:?}");
+    let requests: Vec<&str> = w.heard_on(conn).split("GET ").skip(1).collect();
+    assert_eq!(requests.len(), 2, "{requests:?}");
     let first = "/v1/endpoints?since=1&timeout_ms=0 ";
-    assert!(calls[0].starts_with(first), "what is newer than the list held, at once: {calls:?}");
+    assert!(requests[0].starts_with(first), "an immediate request for newer changes: {requests:?}");
     let then = "/v1/endpoints?since=1&timeout_ms=";
-    assert!(calls[1].starts_with(then) && !calls[1].starts_with(first), "a watch: {calls:?}");
+    assert!(requests[1].starts_with(then) && !requests[1].starts_with(first), "a long poll: {requests:?}");
     w.answer(link, "200 OK", "ok");
     w.run(5);
     assert_eq!(w.statuses(client), [200]);
     w.core.control(Control::Reload(Reloaded { bounds, list: "127.0.0.1:2".parse().unwrap() }), w.now);
     w.run(5);
-    assert!(!w.closed.contains(&conn), "the same address: nothing changes");
+    assert!(!w.closed.contains(&conn), "the connection is kept for the same address");
 }
 
 #[test]
-fn after_a_stop_connected_clients_are_served_until_shortly_before_the_end() {
-    let mut w = world();
-    let (client, link) = asked(&mut w, "r1");
+fn during_a_shutdown_connected_clients_are_served_until_shortly_before_the_time_out() {
+    let mut w = platform_world();
+    let (client, link) = request_in_flight(&mut w, "r1");
     w.core.control(Control::Stop, w.now);
     w.run(200);
     let late = w.http_client();
@@ -508,30 +527,30 @@
     assert_eq!(w.statuses(late), [503]);
     w.answer(link, "200 OK", "ok");
     w.run(900);
-    w.says(client, ask("r2").as_bytes());
+    w.says(client, request_text("r2").as_bytes());
     w.run(5);
-    assert_eq!(w.heard_on(link).matches("GET /api").count(), 2, "still served");
+    assert_eq!(w.heard_on(link).matches("GET /api").count(), 2, "the request is still sent to the node");
     w.run(300);
     assert!(
         w.shut.contains(&late) && !w.closed.contains(&late),
-        "it waits for nothing, and closes in its turn"
+        "without a pending answer the connection is half-closed"
     );
     w.core.closed(late, "closed by peer", w.now);
     assert!(!w.shut.contains(&client) && !w.closed.contains(&client) && !w.exited);
     assert_eq!(w.statuses(client), [200]);
     w.run(150);
-    assert_eq!(w.statuses(client), [200, 500], "answered before the end, though its second is not over");
+    assert_eq!(w.statuses(client), [200, 500], "the pending second request is answered before the exit");
     assert!(w.heard_on(client).contains("Connection: close"));
     w.run(50);
     assert!(w.exited);
 }
 
 #[test]
-fn nothing_grows_over_thousands_of_replacements_and_requests() {
-    let mut w = world();
+fn resource_use_does_not_grow_over_thousands_of_replacements_and_requests() {
+    let mut w = platform_world();
     let mut at_half = None;
     for n in 0..2000u64 {
-        // A new target takes the place of one of the two.
+        // A new target replaces one of the two.
         let slot = (n % 2) as usize;
         let node = 10 + n;
         w.list[slot] = (node, State::Serving, slot as u32, address(node));
@@ -543,7 +562,7 @@
         let client = w.http_client();
         w.says(client, ask_as(&format!("r{n}"), "read", slot as i64, "1.0").as_bytes());
         w.run(5);
-        let link = *w.links(node).last().expect("it was sent");
+        let link = *w.links(node).last().expect("an attempt was sent");
         match n % 5 {
             0 => w.says(link, b"noise"),
             1 => {}
@@ -560,21 +579,25 @@
             at_half = Some(w.core.footprint());
         }
     }
-    let (half, end) = (at_half.unwrap(), w.core.footprint());
+    let (halfway, end) = (at_half.unwrap(), w.core.footprint());
     assert!(end.nodes < 60 && end.connections < 40 && end.timers < 200, "{end:?}");
-    assert!(end.nodes <= half.nodes + 2 && end.connections <= half.connections + 4, "{half:?} {end:?}");
+    assert!(
+        end.nodes <= halfway.nodes + 2 && end.connections <= halfway.connections + 4,
+        "halfway: {halfway:?}, at the end: {end:?}"
+    );
     assert_eq!((end.client_request_ids, end.partial_bytes), (w.core.pending_requests(), 0));
 }
 
 #[test]
-fn a_request_whose_client_left_while_its_node_was_called_is_not_sent_without_its_data() {
-    let mut w = world();
+fn a_request_whose_client_disconnects_while_its_node_is_being_connected_is_not_sent() {
+    let mut w = platform_world();
     w.dials.insert(address(0).parse().unwrap(), Dial::Lost);
     let client = w.http_client();
-    let put = ask("r1").replace("GET", "PUT").replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\ndata");
+    let put =
+        request_text("r1").replace("GET", "PUT").replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\ndata");
     w.says(client, put.as_bytes());
     w.run(5);
-    w.core.closed(client, "gone", w.now);
+    w.core.closed(client, "closed by peer", w.now);
     let link = w.links(0)[0];
     w.core.connected(link, w.now);
     w.run(5);
