--- a/crates/flaxstand-gateway/tests/platform_growth.rs
+++ b/crates/flaxstand-gateway/tests/platform_growth.rs
@@ -1,6 +1,6 @@
-//! What an initiator on the platform needs as its targets grow from 200 to 3,200 and 25,000 under the same load,
-//! by counts on virtual time: connections, bytes of the list, nodes looked at, allocations, log lines, memory,
-//! and the share that is served.
+//! Resources that an initiator on the platform's wire needs as its targets grow from 200 to 3,200 and 25,000
+//! under the same load, measured by counters in virtual time: connections, bytes of the list, nodes visited,
+//! allocations, log lines, memory, and the share of requests that are served.
 
 #[path = "harness/counting_allocator.rs"]
 mod counting_allocator;
@@ -26,18 +26,18 @@
 const FEW: u64 = 200;
 const SIXTEEN_TIMES: u64 = 16 * FEW;
 const MANY: u64 = 25_000;
-/// Clients that ask one request at a time each.
+/// Number of clients; each has at most one request in flight.
 const CLIENTS: usize = 60;
-/// Milliseconds between two requests.
-const PAUSE_MS: u64 = 10;
-/// How long a site plays.
-const PLAY_MS: u64 = 20_000;
-/// Every so many requests one is for a new object, which may go to any target.
+/// Time between two requests in milliseconds.
+const REQUEST_INTERVAL_MS: u64 = 10;
+/// Duration of a simulation in milliseconds.
+const DURATION_MS: u64 = 20_000;
+/// One request in this many is for a new object, which may go to any target.
 const NEW_OBJECT_EVERY: u64 = 3;
-/// Shards that hold the data that is read, however many there are.
+/// Number of shards whose data is read, the same for any number of targets.
 const SHARDS_IN_USE: u64 = FEW;
-/// Milliseconds between two changes of the list.
-const CHANGE_MS: u64 = 2_000;
+/// Time between two list changes in milliseconds.
+const CHANGE_INTERVAL_MS: u64 = 2_000;
 const MIB: f64 = (1 << 20) as f64;
 
 fn site_config(targets: u64) -> Config {
@@ -47,50 +47,51 @@
     config
 }
 
-/// What a site needed while it played.
+/// Resources used during a simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Needs {
+struct ResourceUse {
     dialled: usize,
     connections_peak: usize,
     list_bytes: usize,
     nodes_visited: u64,
     connections_walked: u64,
     allocations: u64,
-    asked: u64,
+    submitted: u64,
     served: u64,
     peak_bytes: usize,
-    /// Microseconds in which the core had its turns. Told, and held to nothing: it differs by machine.
+    /// Processor time of the core's turns in microseconds. Printed but not checked: it differs between hosts.
     processor_us: u64,
 }
 
-impl Needs {
+impl ResourceUse {
     fn served_share(&self) -> f64 {
-        self.served as f64 / self.asked as f64
+        self.served as f64 / self.submitted as f64
     }
 }
 
-/// An initiator between clients, targets and a list service that play the same whatever the number of targets.
-struct Site {
+/// An initiator with simulated clients, targets and a list service that behave the same for any number of
+/// targets.
+struct Simulation {
     world: World,
-    free: VecDeque<ConnId>,
-    busy: BTreeMap<ConnId, usize>,
-    /// Bytes that have been looked at of what the core wrote on a connection to a target.
-    read: BTreeMap<ConnId, usize>,
+    idle_clients: VecDeque<ConnId>,
+    busy_clients: BTreeMap<ConnId, usize>,
+    /// Number of bytes processed of the core's output on each connection to a target.
+    bytes_processed: BTreeMap<ConnId, usize>,
     answers_due: BTreeSet<(Micros, ConnId)>,
-    /// Bytes that have been looked at of what the core wrote to the list service.
-    list_read: usize,
-    /// A call of the list waits, until then at most.
-    watch_ends: Option<Micros>,
+    /// Number of bytes processed of the core's output to the list service.
+    list_bytes_processed: usize,
+    /// When the pending long poll of the list ends, if there is one.
+    long_poll_ends: Option<Micros>,
     changes: u64,
     change_due: Micros,
-    needs: Needs,
+    usage: ResourceUse,
 }
 
-impl Site {
+impl Simulation {
     fn new(targets: u64) -> Self {
         let mut world = World::new(site_config(targets), 0);
         for target in 0..targets {
-            let address = listed_address(target).parse().expect("an address");
+            let address = listed_address(target).parse().expect("a valid address");
             world.dials.insert(address, Dial::Greets(target));
         }
         let list = whole_listing(targets, 2);
@@ -99,71 +100,71 @@
         world.answer(conn, "200 OK", &list);
         world.run(5);
         assert_eq!(world.core.footprint().nodes as u64, targets);
-        let free = (0..CLIENTS).map(|_| world.http_client()).collect();
-        let change_due = world.now.after(ms(CHANGE_MS));
-        let needs = Needs { list_bytes: list.len(), ..Needs::default() };
-        Site {
+        let idle_clients = (0..CLIENTS).map(|_| world.http_client()).collect();
+        let change_due = world.now.after(ms(CHANGE_INTERVAL_MS));
+        let usage = ResourceUse { list_bytes: list.len(), ..ResourceUse::default() };
+        Simulation {
             world,
-            free,
-            busy: BTreeMap::new(),
-            read: BTreeMap::new(),
+            idle_clients,
+            busy_clients: BTreeMap::new(),
+            bytes_processed: BTreeMap::new(),
             answers_due: BTreeSet::new(),
-            list_read: 0,
-            watch_ends: None,
+            list_bytes_processed: 0,
+            long_poll_ends: None,
             changes: 0,
             change_due,
-            needs,
+            usage,
         }
     }
 
-    fn play(mut self, shard_of: impl Fn(u64) -> i64) -> Needs {
+    fn run(mut self, shard_of: impl Fn(u64) -> i64) -> ResourceUse {
         let before = (self.world.core.counts(), allocations());
-        for passed in 0..PLAY_MS {
-            if passed.is_multiple_of(PAUSE_MS) {
-                self.ask(shard_of(self.needs.asked));
+        for elapsed_ms in 0..DURATION_MS {
+            if elapsed_ms.is_multiple_of(REQUEST_INTERVAL_MS) {
+                self.submit(shard_of(self.usage.submitted));
             }
             let began = thread_time_us();
             self.world.run(1);
-            self.needs.processor_us += thread_time_us() - began;
-            self.read_targets();
-            self.answer_due();
+            self.usage.processor_us += thread_time_us() - began;
+            self.process_target_requests();
+            self.send_due_answers();
             self.serve_list();
-            self.take_answers();
-            self.needs.connections_peak =
-                self.needs.connections_peak.max(self.world.core.footprint().connections);
+            self.process_answers();
+            self.usage.connections_peak =
+                self.usage.connections_peak.max(self.world.core.footprint().connections);
         }
         let counts = self.world.core.counts();
-        self.needs.dialled = self.world.dialled.len();
-        self.needs.nodes_visited = counts.nodes_visited - before.0.nodes_visited;
-        self.needs.connections_walked = counts.connections_walked - before.0.connections_walked;
-        self.needs.allocations = allocations() - before.1;
-        self.needs.peak_bytes = peak_bytes();
-        self.needs
+        self.usage.dialled = self.world.dialled.len();
+        self.usage.nodes_visited = counts.nodes_visited - before.0.nodes_visited;
+        self.usage.connections_walked = counts.connections_walked - before.0.connections_walked;
+        self.usage.allocations = allocations() - before.1;
+        self.usage.peak_bytes = peak_bytes();
+        self.usage
     }
 
-    fn ask(&mut self, shard: i64) {
-        let id = self.needs.asked;
-        self.needs.asked += 1;
-        let Some(client) = self.free.pop_front() else { return };
-        self.busy.insert(client, self.world.heard_on(client).len());
+    fn submit(&mut self, shard: i64) {
+        let id = self.usage.submitted;
+        self.usage.submitted += 1;
+        let Some(client) = self.idle_clients.pop_front() else { return };
+        self.busy_clients.insert(client, self.world.heard_on(client).len());
         self.world.says(client, ask_as(&format!("r{id}"), "read", shard, "1.000").as_bytes());
     }
 
-    /// A target answers each request after some milliseconds of work.
-    fn read_targets(&mut self) {
+    /// Targets answer each request after some milliseconds of service time.
+    fn process_target_requests(&mut self) {
         let (now, list) = (self.world.now, self.world.list_conn());
         for conn in self.world.called.keys().filter(|conn| **conn != list) {
-            let heard = self.world.heard_on(*conn);
-            let read = self.read.entry(*conn).or_default();
-            if heard.len() > *read {
-                *read = heard.len();
-                let work = ms(4 + (conn.0 * 7919 + now.0 / 1000) % 9);
-                self.answers_due.insert((now.after(work), *conn));
+            let output = self.world.heard_on(*conn);
+            let bytes_processed = self.bytes_processed.entry(*conn).or_default();
+            if output.len() > *bytes_processed {
+                *bytes_processed = output.len();
+                let service_time = ms(4 + (conn.0 * 7919 + now.0 / 1000) % 9);
+                self.answers_due.insert((now.after(service_time), *conn));
             }
         }
     }
 
-    fn answer_due(&mut self) {
+    fn send_due_answers(&mut self) {
         while let Some((at, conn)) = self.answers_due.first().copied().filter(|(at, _)| *at <= self.world.now)
         {
             self.answers_due.remove(&(at, conn));
@@ -173,18 +174,19 @@
         }
     }
 
-    /// One target after the other of those in use drains and comes back. Only changes are told.
+    /// The targets in use drain and return to service one after the other. Only changes are sent.
     fn serve_list(&mut self) {
         let conn = self.world.list_conn();
-        if self.world.heard_on(conn).len() > self.list_read {
-            self.list_read = self.world.heard_on(conn).len();
-            self.watch_ends = Some(self.world.now.after(asked_wait(self.world.heard_on(conn))));
+        if self.world.heard_on(conn).len() > self.list_bytes_processed {
+            self.list_bytes_processed = self.world.heard_on(conn).len();
+            self.long_poll_ends = Some(self.world.now.after(requested_long_poll(self.world.heard_on(conn))));
         }
-        let (now, Some(ends)) = (self.world.now, self.watch_ends) else { return };
+        let (now, Some(ends)) = (self.world.now, self.long_poll_ends) else { return };
         let changed = if now >= self.change_due {
             let state = if self.changes.is_multiple_of(2) { "draining" } else { "up" };
             let target = (self.changes / 2 * 37) % SHARDS_IN_USE;
-            (self.changes, self.change_due) = (self.changes + 1, self.change_due.after(ms(CHANGE_MS)));
+            (self.changes, self.change_due) =
+                (self.changes + 1, self.change_due.after(ms(CHANGE_INTERVAL_MS)));
             target_json(target, state)
         } else if now >= ends {
             String::new()
@@ -192,133 +194,149 @@
             return;
         };
         let list = format!(r#"{{"rev":{},"all":false,"targets":[{changed}]}}"#, 2 + self.changes);
-        self.watch_ends = None;
-        self.needs.list_bytes += list.len();
+        self.long_poll_ends = None;
+        self.usage.list_bytes += list.len();
         self.world.answer(conn, "200 OK", &list);
     }
 
-    fn take_answers(&mut self) {
-        let answered = |(client, before): (&ConnId, &usize)| {
+    fn process_answers(&mut self) {
+        let final_answer = |(client, before): (&ConnId, &usize)| {
             let text = &self.world.heard_on(*client)[*before..];
             (!text.is_empty()).then(|| (*client, text.starts_with("HTTP/1.1 200")))
         };
-        let answered: Vec<(ConnId, bool)> = self.busy.iter().filter_map(answered).collect();
+        let answered: Vec<(ConnId, bool)> = self.busy_clients.iter().filter_map(final_answer).collect();
         for (client, served) in answered {
-            self.busy.remove(&client);
-            self.free.push_back(client);
-            self.needs.served += u64::from(served);
+            self.busy_clients.remove(&client);
+            self.idle_clients.push_back(client);
+            self.usage.served += u64::from(served);
         }
     }
 }
 
-/// How long the last call on the list's connection asked to wait.
-fn asked_wait(heard: &str) -> Micros {
-    let wait = heard.rsplit("timeout_ms=").next().and_then(|rest| rest.split(' ').next());
-    ms(wait.and_then(|wait| wait.parse().ok()).expect("a call that waits"))
+/// The long-poll time-out that the last list request asked for.
+fn requested_long_poll(output: &str) -> Micros {
+    let timeout = output.rsplit("timeout_ms=").next().and_then(|rest| rest.split(' ').next());
+    ms(timeout.and_then(|timeout| timeout.parse().ok()).expect("a long poll with a time-out"))
 }
 
-/// Processor time of this thread so far.
+/// Processor time of this thread so far, in microseconds.
 fn thread_time_us() -> u64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1000
 }
 
-/// Reads of the same data, wherever else targets are.
+/// Shard of a request: reads of the same data, regardless of the number of targets.
 fn reads(request: u64) -> i64 {
     (request * 31 % SHARDS_IN_USE) as i64
 }
 
-/// The same, and new objects between them.
+/// The same with requests for new objects (shard -1) in between.
 fn reads_and_new_objects(request: u64) -> i64 {
     if request.is_multiple_of(NEW_OBJECT_EVERY) { -1 } else { reads(request) }
 }
 
-fn played(targets: u64, shard_of: fn(u64) -> i64) -> Needs {
-    let needs = Site::new(targets).play(shard_of);
-    println!("{targets} targets: {needs:?}");
-    needs
+fn simulate(targets: u64, shard_of: fn(u64) -> i64) -> ResourceUse {
+    let usage = Simulation::new(targets).run(shard_of);
+    println!("{targets} targets: {usage:?}");
+    usage
 }
 
 fn thousands(targets: u64) -> f64 {
     targets as f64 / 1000.0
 }
 
-fn holds_connections(few: Needs, many: Needs) {
+fn assert_connections_within_bounds(few: ResourceUse, many: ResourceUse) {
     let dialled = (few.dialled, many.dialled);
-    assert!(dialled.1 as f64 <= 2.5 * dialled.0 as f64 + 40.0, "connections made: {dialled:?}");
+    assert!(dialled.1 as f64 <= 2.5 * dialled.0 as f64 + 40.0, "connections opened: {dialled:?}");
     let peak = (few.connections_peak, many.connections_peak);
-    assert!(peak.1 <= 2 * peak.0 + 40, "connections at once: {peak:?}");
+    assert!(peak.1 <= 2 * peak.0 + 40, "peak of open connections: {peak:?}");
 }
 
-fn holds_list_memory_and_share(few: Needs, many: Needs, targets: u64) {
+fn assert_list_memory_and_served_share_within_bounds(few: ResourceUse, many: ResourceUse, targets: u64) {
     let list_bytes = 2.0 * few.list_bytes as f64 + 65_536.0 + 500_000.0 * thousands(targets);
-    assert!(many.list_bytes as f64 <= list_bytes, "{} bytes of the list", many.list_bytes);
+    assert!(many.list_bytes as f64 <= list_bytes, "{} bytes of list answers", many.list_bytes);
     let peak_bytes = 1.5 * few.peak_bytes as f64 + 8.0 * MIB + 4.0 * MIB * thousands(targets);
-    assert!(many.peak_bytes as f64 <= peak_bytes, "{} bytes at the peak", many.peak_bytes);
-    assert!(few.served_share() > 0.95, "served {} of {}", few.served, few.asked);
-    assert!(many.served_share() >= 0.85 * few.served_share(), "served {} of {}", many.served, many.asked);
+    assert!(many.peak_bytes as f64 <= peak_bytes, "{} bytes of memory at the peak", many.peak_bytes);
+    assert!(few.served_share() > 0.95, "served {} of {} requests", few.served, few.submitted);
+    assert!(
+        many.served_share() >= 0.85 * few.served_share(),
+        "served {} of {} requests",
+        many.served,
+        many.submitted
+    );
 }
 
-/// The processor's part, by counts: work follows requests and changes, not targets.
-fn holds_work(few: Needs, many: Needs) {
-    assert!(many.nodes_visited as f64 <= 1.4 * few.nodes_visited as f64, "{} visited", many.nodes_visited);
+/// Processor work, by counters: it grows with requests and changes, not with targets.
+fn assert_work_within_bounds(few: ResourceUse, many: ResourceUse) {
+    assert!(
+        many.nodes_visited as f64 <= 1.4 * few.nodes_visited as f64,
+        "{} nodes visited",
+        many.nodes_visited
+    );
     assert_eq!(many.connections_walked, few.connections_walked);
     assert!(many.allocations as f64 <= 1.4 * few.allocations as f64, "{} allocations", many.allocations);
 }
 
 #[test]
-fn the_same_reads_among_sixteen_times_the_targets_need_hardly_more() {
-    let few = played(FEW, reads);
+fn the_same_reads_among_many_more_targets_need_hardly_more_resources() {
+    let few = simulate(FEW, reads);
     for targets in [SIXTEEN_TIMES, MANY] {
-        let many = played(targets, reads);
-        holds_connections(few, many);
-        holds_list_memory_and_share(few, many, targets);
-        holds_work(few, many);
+        let many = simulate(targets, reads);
+        assert_connections_within_bounds(few, many);
+        assert_list_memory_and_served_share_within_bounds(few, many, targets);
+        assert_work_within_bounds(few, many);
     }
 }
 
 #[test]
-fn new_objects_among_sixteen_times_the_targets_need_hardly_more_but_connections() {
-    let few = played(FEW, reads_and_new_objects);
-    let many = played(SIXTEEN_TIMES, reads_and_new_objects);
-    holds_list_memory_and_share(few, many, SIXTEEN_TIMES);
-    holds_work(few, many);
+fn new_objects_among_sixteen_times_the_targets_need_hardly_more_besides_connections() {
+    let few = simulate(FEW, reads_and_new_objects);
+    let many = simulate(SIXTEEN_TIMES, reads_and_new_objects);
+    assert_list_memory_and_served_share_within_bounds(few, many, SIXTEEN_TIMES);
+    assert_work_within_bounds(few, many);
 }
 
 #[test]
 fn new_objects_among_sixteen_times_the_targets_need_hardly_more_connections() {
-    let few = played(FEW, reads_and_new_objects);
-    let many = played(SIXTEEN_TIMES, reads_and_new_objects);
-    holds_connections(few, many);
+    let few = simulate(FEW, reads_and_new_objects);
+    let many = simulate(SIXTEEN_TIMES, reads_and_new_objects);
+    assert_connections_within_bounds(few, many);
 }
 
-/// Bytes held for each target that is listed, by the core and the module.
+/// Memory held by the core and the decision module for each listed target.
 #[test]
 fn a_listed_target_holds_less_than_four_kilobytes() {
-    const HELD_MOST: f64 = 4.0 * MIB / 1000.0;
+    const MAX_BYTES_PER_TARGET: f64 = 4.0 * MIB / 1000.0;
     for targets in [FEW, SIXTEEN_TIMES, MANY] {
         let text = whole_listing(targets, 2);
         let before = held_bytes();
         reset_peak();
-        let mut core = listed_core(targets, &text);
+        let mut core = core_with_targets(targets, &text);
         let now = ms(1_000_001);
         core.settle(now);
         drop(core.take_commands());
         let (held, peak) = (held_bytes() - before, peak_bytes() - before);
         println!("{targets} targets: {held} bytes held, {peak} at the peak");
-        assert!((held as f64) < HELD_MOST * targets as f64 + 1.0 * MIB, "{held} bytes for {targets} targets");
-        assert!((peak as f64) < HELD_MOST * targets as f64 + 8.0 * MIB, "{peak} bytes at the peak");
+        assert!(
+            (held as f64) < MAX_BYTES_PER_TARGET * targets as f64 + 1.0 * MIB,
+            "{held} bytes for {targets} targets"
+        );
+        assert!(
+            (peak as f64) < MAX_BYTES_PER_TARGET * targets as f64 + 8.0 * MIB,
+            "{peak} bytes at the peak"
+        );
     }
 }
 
-fn listed_core(targets: u64, text: &str) -> Core {
-    let mut core = Core::new(site_config(targets), None, ms(1_000_000)).expect("no saved list");
-    let listing: Listing = serde_json::from_str(text).expect("a list");
+fn core_with_targets(targets: u64, text: &str) -> Core {
+    let mut core =
+        Core::new(site_config(targets), None, ms(1_000_000)).expect("the core starts without a saved list");
+    let listing: Listing = serde_json::from_str(text).expect("a valid list");
     core.apply_platform_listing(ListScope::Full, &listing, ms(1_000_000));
     core
 }
 
-/// What a target's drain and its return cost.
+/// Cost of a target's drain and its return to service.
 #[derive(Clone, Copy, Debug)]
 struct ChangeCost {
     visited: u64,
@@ -327,18 +345,19 @@
     allocations: u64,
 }
 
-/// A change costs the same however many targets are listed: nodes looked at, allocations, lines of the log.
+/// A change costs the same for any number of listed targets: nodes visited, connections walked, allocations,
+/// log lines.
 #[test]
 fn a_change_costs_the_same_among_200_as_among_25_000_targets() {
     let change = |targets: u64| {
-        let mut core = listed_core(targets, &whole_listing(targets, 2));
+        let mut core = core_with_targets(targets, &whole_listing(targets, 2));
         core.settle(ms(1_000_001));
         drop(core.take_commands());
-        let told = |state: &str| -> Listing {
+        let parse_change = |state: &str| -> Listing {
             let text = format!(r#"{{"rev":3,"all":false,"targets":[{}]}}"#, target_json(7, state));
-            serde_json::from_str(&text).expect("a list")
+            serde_json::from_str(&text).expect("a valid list")
         };
-        let (draining, up) = (told("draining"), told("up"));
+        let (draining, up) = (parse_change("draining"), parse_change("up"));
         let before = (core.counts(), allocations());
         let lines = line_counter::lines_of(|| {
             core.apply_platform_listing(ListScope::Changes, &draining, ms(1_000_010));
@@ -352,12 +371,15 @@
         ChangeCost { visited, walked, lines, allocations: allocations() - before.1 }
     };
     let few = change(FEW);
-    println!("a drain and back among {FEW}: {few:?}");
+    println!("cost of a drain and a return among {FEW} targets: {few:?}");
     for targets in [SIXTEEN_TIMES, MANY] {
         let many = change(targets);
-        println!("among {targets}: {many:?}");
+        println!("cost of a drain and a return among {targets} targets: {many:?}");
         assert_eq!((many.visited, many.walked, many.lines), (few.visited, few.walked, few.lines));
-        assert!(many.allocations <= few.allocations + few.allocations / 4 + 8, "{few:?} and {many:?}");
+        assert!(
+            many.allocations <= few.allocations + few.allocations / 4 + 8,
+            "{few:?} with {FEW} targets, {many:?} with {targets}"
+        );
     }
     assert!(few.visited < 30 && few.walked == 0 && few.lines <= 4, "{few:?}");
 }
--- a/crates/flaxstand-gateway/tests/recorded.rs
+++ b/crates/flaxstand-gateway/tests/recorded.rs
@@ -1,4 +1,5 @@
-//! Settings files, saved endpoint lists and what passes over the wire, as an earlier build read and wrote them.
+//! Compatibility with recorded fixtures: settings files, saved endpoint lists and wire traffic are read and
+//! written as by the earlier build that recorded them.
 
 mod harness;
 
@@ -13,15 +14,15 @@
 use std::fmt::Write as _;
 
 const SETTINGS: [&str; 2] = ["settings/every-key.kdl", "settings/buffered.kdl"];
-/// Stands for a value of the wrong kind, and for a key that is not known.
-const NONSENSE: &str = "\"nonsense\"";
+/// A value of the wrong type.
+const WRONG_VALUE: &str = "\"nonsense\"";
 
 fn fixtures() -> Fixtures {
     Fixtures::of_package(env!("CARGO_MANIFEST_DIR"))
 }
 
 fn text_of(name: &str) -> String {
-    String::from_utf8(fixtures().read(name)).expect("a text")
+    String::from_utf8(fixtures().read(name)).expect("the fixture is UTF-8")
 }
 
 #[test]
@@ -30,13 +31,13 @@
         let text = text_of(name);
         let daemon = read_daemon(name, &text).unwrap_or_else(|e| panic!("{e}: {:?}", e.problems));
         fixtures().assert_text(&format!("{name}.values"), &values_of(&format!("{daemon:?}")));
-        let rules = read_rules(name, &text).expect("it is sound");
+        let rules = read_rules(name, &text).expect("the settings are valid");
         fixtures()
             .assert_text(&format!("{name}.rules"), &format!("{:#?}", rules.values.keys()).replace(',', ""));
         fixtures().assert_text(&format!("{name}.rule-values"), &values_of(&format!("{rules:?}")));
     }
     let example = include_str!("../../../docs/example.kdl");
-    let daemon = read_daemon("example.kdl", example).expect("it is sound");
+    let daemon = read_daemon("example.kdl", example).expect("the settings are valid");
     fixtures().assert_text("settings/example.values", &values_of(&format!("{daemon:?}")));
 }
 
@@ -50,55 +51,58 @@
     }
 }
 
-/// The file with the value at the end of one line replaced, or the whole line's key made one that is not known.
-fn spoilt(text: &str, number: usize, spoil: impl Fn(&str) -> String) -> String {
-    let line = |(at, line): (usize, &str)| if at == number { spoil(line) } else { line.to_owned() };
+/// The text with one line replaced, numbered from 0.
+fn with_line_replaced(text: &str, number: usize, replacement: impl Fn(&str) -> String) -> String {
+    let line = |(at, line): (usize, &str)| if at == number { replacement(line) } else { line.to_owned() };
     text.lines().enumerate().map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// Guards against a renamed key, and against an error that names another key or place than the mistake's.
+/// Guards against a renamed key and against an error that names the wrong key or line.
 #[test]
-fn each_mistake_in_a_settings_file_is_told_as_recorded() {
+fn each_mistake_in_a_settings_file_is_reported_as_recorded() {
     for name in SETTINGS {
         let text = text_of(name);
-        let mut told = String::new();
+        let mut reports = String::new();
         for (number, line) in text.lines().enumerate() {
             let trimmed = line.trim();
             if trimmed.is_empty() || trimmed.starts_with("//") || trimmed == "}" {
                 continue;
             }
-            let wrong_value =
-                spoilt(&text, number, |line| match line.trim_end_matches(" {").rsplit_once([' ', '=']) {
+            let wrong_value = with_line_replaced(&text, number, |line| {
+                match line.trim_end_matches(" {").rsplit_once([' ', '=']) {
                     Some((before, value)) => line.replacen(
                         &format!("{before}{}{value}", &line[before.len()..=before.len()]),
-                        &format!("{before}{}{NONSENSE}", &line[before.len()..=before.len()]),
+                        &format!("{before}{}{WRONG_VALUE}", &line[before.len()..=before.len()]),
                         1,
                     ),
                     None => line.to_owned(),
-                });
-            let unknown_key = spoilt(&text, number, |line| line.replacen(trimmed, &format!("x{trimmed}"), 1));
-            let _ = writeln!(told, "line {}: {trimmed}", number + 1);
-            let _ = writeln!(told, "  wrong value:\n    {}", problems_of(&wrong_value));
-            let _ = writeln!(told, "  unknown key:\n    {}", problems_of(&unknown_key));
+                }
+            });
+            let unknown_key =
+                with_line_replaced(&text, number, |line| line.replacen(trimmed, &format!("x{trimmed}"), 1));
+            let _ = writeln!(reports, "line {}: {trimmed}", number + 1);
+            let _ = writeln!(reports, "  wrong value:\n    {}", problems_of(&wrong_value));
+            let _ = writeln!(reports, "  unknown key:\n    {}", problems_of(&unknown_key));
         }
-        fixtures().assert_text(&format!("{name}.mistakes"), &told);
+        fixtures().assert_text(&format!("{name}.mistakes"), &reports);
     }
 }
 
-/// A host that is told its list by the test alone.
-fn quiet() -> Config {
+/// An initiator that receives lists only when the test delivers them: it sends no list requests after
+/// silence.
+fn config_without_list_requests() -> Config {
     let mut config = config();
     config.site.timeouts.discovery_idle_timeout = ms(3_600_000);
     config
 }
 
-/// A saved list: the whole, two appended changes, and a third that is torn.
+/// A saved list: the full list, two appended changes, and a truncated third one.
 fn saved_list() -> Vec<u8> {
-    let mut w = World::new(quiet(), 20);
+    let mut w = World::new(config_without_list_requests(), 20);
     let client = w.client();
     w.submit(client, 1, READ, Some(3));
     w.run(5);
-    let sent = *w.attempts(3).last().expect("it was sent");
+    let sent = *w.attempts(3).last().expect("an attempt was sent");
     w.done(w.node_conn(3), sent, Code::Served, b"");
     w.run(5);
     for (node, state) in [(1, State::Draining), (2, State::Removed), (0, State::Draining)] {
@@ -111,33 +115,38 @@
         w.tell(w.list_conn(), &Frame::List(list));
         w.turn();
     }
-    let mut bytes = w.saved.expect("it was saved");
+    let mut bytes = w.saved.expect("the list was saved");
     bytes.truncate(bytes.len() - 7);
     bytes
 }
 
-/// Guards against a restart during an outage of the list service that forgets which endpoints drain.
+/// Guards against an initiator that forgets draining endpoints when it restarts during an outage of the list
+/// service.
 #[test]
-fn a_recorded_saved_list_is_read_and_acted_on() {
+fn a_recorded_saved_list_is_read_and_applied() {
     fixtures().assert_bytes("saved.list", &saved_list());
     let bytes = fixtures().read("saved.list");
-    let list = SavedList::read(&bytes).expect("a saved list");
+    let list = SavedList::read(&bytes).expect("a valid saved list");
     assert!(list.torn_bytes > 0);
     fixtures().assert_text("saved-list.values", &values_of(&format!("{list:?}")));
-    let mut next = World::cut_off(quiet(), 20, &bytes);
-    let client = next.client();
-    (0..4).for_each(|node| next.submit(client, node, READ, Some(node as u32)));
-    next.run(20);
-    let sent: Vec<usize> = (0..4).map(|node| next.attempts(node).len()).collect();
-    assert_eq!(sent, [1, 0, 0, 1], "node 1 drains, node 2 is gone, word of node 0 is torn");
+    let mut restarted = World::cut_off(config_without_list_requests(), 20, &bytes);
+    let client = restarted.client();
+    (0..4).for_each(|node| restarted.submit(client, node, READ, Some(node as u32)));
+    restarted.run(20);
+    let sent: Vec<usize> = (0..4).map(|node| restarted.attempts(node).len()).collect();
+    assert_eq!(
+        sent,
+        [1, 0, 0, 1],
+        "node 1 is draining, node 2 is removed, the change of node 0 is truncated"
+    );
 }
 
-fn platform() -> Config {
+fn platform_config() -> Config {
     let c = on_platform(5000);
     Config { bounds: Bounds { max_clients: 8, max_node_connections: 6, ..c.bounds }, ..c }
 }
 
-/// All that the core wrote, by connection in the order of calling.
+/// The core's output by connection, in the order in which the connections were opened.
 fn transcript(w: &World) -> String {
     let mut text = String::new();
     for (conn, bytes) in &w.heard {
@@ -156,16 +165,16 @@
     )
 }
 
-fn served(w: &mut World) {
+fn run_served(w: &mut World) {
     let client = w.http_client();
     w.says(client, put("r1").as_bytes());
     w.run(5);
-    let link = *w.links(0).last().expect("it was sent");
+    let link = *w.links(0).last().expect("an attempt was sent");
     w.says(link, b"HTTP/1.1 200 OK\r\nX-Server-Load: inflight=2\r\nContent-Length: 4\r\n\r\nbody");
     w.run(5);
 }
 
-fn refused(w: &mut World) {
+fn run_refused(w: &mut World) {
     let client = w.http_client();
     w.says(client, ask_as("r2", "read", 99, "0.300").as_bytes());
     w.run(400);
@@ -174,69 +183,80 @@
     w.run(1100);
 }
 
-fn failed(w: &mut World) {
+fn run_failed(w: &mut World) {
     let (_, link) = w.asked("r4", "once");
     w.answer(link, "500 No", "");
     w.run(5);
     let (client, _) = w.asked("r5", "read");
-    w.core.closed(client, "left", w.now);
+    w.core.closed(client, "closed by peer", w.now);
     w.run(50);
 }
 
-fn wrong(w: &mut World) {
-    let good = ask_as("r6", "read", 0, "1.000");
-    for bad in [
-        good.replace("X-Request-ID: r6\r\n", ""),
-        good.replace("X-Priority-Class: read", "X-Priority-Class: nobody"),
-        good.replace("GET", "POST").replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n"),
-        good.replace(PATH, "/elsewhere"),
+fn run_invalid_requests(w: &mut World) {
+    let valid_request = ask_as("r6", "read", 0, "1.000");
+    for request in [
+        valid_request.replace("X-Request-ID: r6\r\n", ""),
+        valid_request.replace("X-Priority-Class: read", "X-Priority-Class: nobody"),
+        valid_request.replace("GET", "POST").replace("\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n"),
+        valid_request.replace(PATH, "/elsewhere"),
         "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n".to_owned(),
         "noise\r\n\r\n".to_owned(),
     ] {
         let client: ConnId = w.http_client();
-        w.says(client, bad.as_bytes());
+        w.says(client, request.as_bytes());
         w.run(5);
-        w.core.closed(client, "left", w.now);
+        w.core.closed(client, "closed by peer", w.now);
         w.run(1);
     }
 }
 
-fn listed(w: &mut World) {
+fn run_list_updates(w: &mut World) {
     w.run(6000);
-    let call = *w.called.iter().find(|(_, a)| a.to_string() == "127.0.0.1:1").expect("it watches").0;
-    w.answer(call, "200 OK", r#"{"rev":2,"all":false,"targets":[{"uid":"s-1","state":"draining"}]}"#);
+    let list_conn = *w
+        .called
+        .iter()
+        .find(|(_, a)| a.to_string() == "127.0.0.1:1")
+        .expect("the list service is connected")
+        .0;
+    w.answer(list_conn, "200 OK", r#"{"rev":2,"all":false,"targets":[{"uid":"s-1","state":"draining"}]}"#);
     w.run(50);
-    w.answer(call, "503 Busy", "");
+    w.answer(list_conn, "503 Busy", "");
     w.run(3000);
 }
 
-/// Guards against a changed head, status, path or wait on the platform's wire, both to clients and to targets.
+/// Guards against a changed header, status, path or time-out on the platform's wire, towards clients and
+/// targets.
 #[test]
-fn a_conversation_on_the_platforms_wire_is_the_recorded_one() {
-    type Part = fn(&mut World);
-    let parts: [(&str, Part); 5] =
-        [("served", served), ("refused", refused), ("failed", failed), ("wrong", wrong), ("listed", listed)];
-    for (name, part) in parts {
-        let mut w = World::new(platform(), 2);
-        part(&mut w);
+fn traffic_on_the_platforms_wire_matches_the_recording() {
+    type Scenario = fn(&mut World);
+    let scenarios: [(&str, Scenario); 5] = [
+        ("served", run_served),
+        ("refused", run_refused),
+        ("failed", run_failed),
+        ("wrong", run_invalid_requests),
+        ("listed", run_list_updates),
+    ];
+    for (name, run_scenario) in scenarios {
+        let mut w = World::new(platform_config(), 2);
+        run_scenario(&mut w);
         fixtures().assert_text(&format!("platform/{name}.txt"), &transcript(&w));
     }
-    let mut w = World::new(platform(), 2);
-    served(&mut w);
+    let mut w = World::new(platform_config(), 2);
+    run_served(&mut w);
     w.core.control(Control::Stop, w.now);
     w.run(3000);
     assert!(w.exited);
     fixtures().assert_text("platform/stopped.txt", &transcript(&w));
 }
 
-/// Guards against a figure of `buffer status --json` under another name.
+/// Guards against a renamed field of `buffer status --json`.
 #[test]
-fn the_buffers_figures_have_the_recorded_names() {
+fn the_buffer_status_fields_have_the_recorded_names() {
     let mut c = config();
     c.site.write_back = Some(WriteBack::default());
     c.site.classes[0].is_buffered = true;
     let mut w = World::new(c, 1);
-    let recovered = recover(&mut FaultyDisk::new(1)).expect("an empty log");
+    let recovered = recover(&mut FaultyDisk::new(1)).expect("an empty log is recovered");
     w.core.attach(recovered, w.now);
     w.run(5);
     let client = w.client();
@@ -246,16 +266,16 @@
         Said::Status(json) => Some(json.clone()),
         _ => None,
     });
-    let status = status.expect("it was answered");
+    let status = status.expect("a Status frame was sent");
     let object: serde_json::Map<String, serde_json::Value> =
-        serde_json::from_str(&status).expect("an object");
+        serde_json::from_str(&status).expect("the status is a JSON object");
     let names: Vec<&str> = object.keys().map(String::as_str).collect();
     fixtures().assert_text("buffer-figures.txt", &format!("{}\n", names.join("\n")));
 }
 
-/// Guards against frames that leave in another order, or with other fields, than before.
+/// Guards against frames sent in another order or with other fields than recorded.
 #[test]
-fn a_conversation_in_frames_is_the_recorded_one() {
+fn traffic_in_frames_matches_the_recording() {
     let mut c = config();
     c.site.timeouts = Timeouts { shutdown_timeout: ms(500), ..c.site.timeouts };
     let mut w = World::new(c, 3);
@@ -263,9 +283,9 @@
     (1..=3).for_each(|id| w.submit(client, id, READ, Some(id as u32 - 1)));
     w.submit_within(client, 4, READ, Some(99), 200);
     w.run(20);
-    let sent = *w.attempts(0).last().expect("it was sent");
+    let sent = *w.attempts(0).last().expect("an attempt was sent");
     w.done(w.node_conn(0), sent, Code::Served, b"answer");
-    let sent = *w.attempts(1).last().expect("it was sent");
+    let sent = *w.attempts(1).last().expect("an attempt was sent");
     w.done(w.node_conn(1), sent, Code::Error, b"");
     w.run(300);
     w.core.control(Control::Stop, w.now);
--- a/crates/flaxstand-gateway/tests/writeback.rs
+++ b/crates/flaxstand-gateway/tests/writeback.rs
@@ -1,4 +1,4 @@
-//! The core with a write-back buffer, between a scripted disk and scripted nodes.
+//! Tests of the core with a write-back buffer, a simulated disk and scripted nodes.
 
 mod harness;
 
@@ -10,10 +10,10 @@
 use flaxstand_write_back::{BufferLimits, recover};
 use harness::*;
 
-const ORDER: u16 = 0;
-const PLAIN: u16 = 2;
+const BUFFERED: u16 = 0;
+const UNBUFFERED: u16 = 2;
 
-fn buffering() -> Config {
+fn config_with_buffer() -> Config {
     let mut c = config();
     c.site.classes[0].is_buffered = true;
     c.site.settings.key_cooldown = 20.0;
@@ -27,25 +27,25 @@
     c
 }
 
-/// A world whose core buffers, and its disk.
-struct Desk {
+/// A world whose core has a write-back buffer, the disk of the buffer, and one client.
+struct BufferedWorld {
     w: World,
     disk: FaultyDisk,
     client: ConnId,
 }
 
-impl Desk {
+impl BufferedWorld {
     fn new(config: Config) -> Self {
-        Self::on(FaultyDisk::new(1), config)
+        Self::with_disk(FaultyDisk::new(1), config)
     }
 
-    /// A core that starts with what a disk holds.
-    fn on(mut disk: FaultyDisk, config: Config) -> Self {
+    /// A core that recovers its buffer from the disk.
+    fn with_disk(mut disk: FaultyDisk, config: Config) -> Self {
         let mut w = World::new(config, 2);
-        w.core.attach(recover(&mut disk).expect("the log is sound"), w.now);
+        w.core.attach(recover(&mut disk).expect("the log is recovered"), w.now);
         w.run(30);
         let client = w.client();
-        Desk { w, disk, client }
+        BufferedWorld { w, disk, client }
     }
 
     fn write(&mut self, id: u64, class: u16, extent: u64, at: Option<u32>, payload: &[u8]) {
@@ -66,11 +66,11 @@
     }
 
     fn read(&mut self, id: u64, extent: u64) {
-        self.submit(id, PLAIN, extent, None, 1_000_000);
+        self.submit(id, UNBUFFERED, extent, None, 1_000_000);
         self.w.run(3);
     }
 
-    /// A read, or a write with where it begins and its data.
+    /// Submits a read, or a write with its offset and data.
     fn submit(
         &mut self,
         id: u64,
@@ -85,28 +85,28 @@
         self.w.tell(self.client, &Frame::Submit(submit));
     }
 
-    fn say(&mut self, frame: &Frame<'_>) {
+    fn send(&mut self, frame: &Frame<'_>) {
         self.w.tell(self.client, frame);
         self.w.run(1);
     }
 
-    /// The disk does all that it was asked to, and what follows from that.
-    fn store(&mut self) {
+    /// The disk performs all requested batches, including those that follow from them.
+    fn perform_batches(&mut self) {
         for _ in 0..20 {
             if self.w.batches.is_empty() {
                 self.w.run(10);
             }
             let Some(batch) = self.w.batches.pop_front() else { return };
-            let well = perform(&mut self.disk, &batch).is_ok();
-            self.w.core.write_back_stored(well, self.w.now);
+            let stored = perform(&mut self.disk, &batch).is_ok();
+            self.w.core.write_back_stored(stored, self.w.now);
             self.w.run(6);
         }
     }
 
-    /// The node serves the attempt that it was sent last.
-    fn serve(&mut self) {
+    /// The node serves the last attempt it received.
+    fn serve_last_attempt(&mut self) {
         let conn = self.w.node_conn(0);
-        let last = *self.w.attempts_on(conn).last().expect("an attempt is out");
+        let last = *self.w.attempts_on(conn).last().expect("an attempt is in flight");
         self.w.done(conn, last, Code::Served, b"");
         self.w.run(3);
     }
@@ -115,104 +115,109 @@
         self.w.answers(self.client)
     }
 
-    fn brought(&self) -> Vec<u64> {
+    fn sent_operations(&self) -> Vec<u64> {
         self.w.brought.iter().map(|(op, ..)| *op).collect()
     }
 
     fn writes(&self) -> usize {
-        self.w.core.buffer_status(self.w.now).expect("it buffers").writes
+        self.w.core.buffer_status(self.w.now).expect("the core has a buffer").writes
     }
 }
 
 #[test]
-fn a_write_is_acknowledged_when_it_is_durable_and_then_goes_out() {
-    let mut d = Desk::new(buffering());
-    d.write(1, ORDER, 7, None, b"seat");
-    assert_eq!(d.answers(), [], "the disk has not said a word yet");
-    assert_eq!(d.brought(), [0u64; 0]);
-    d.store();
+fn a_write_is_acknowledged_when_durable_and_then_written_back() {
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write(1, BUFFERED, 7, None, b"seat");
+    assert_eq!(d.answers(), [], "the disk has not confirmed the write yet");
+    assert_eq!(d.sent_operations(), [0u64; 0]);
+    d.perform_batches();
     assert_eq!(d.answers(), [Said::Buffered(1)]);
     assert_eq!(d.w.brought, [(1001, None, b"seat".to_vec())]);
-    d.serve();
-    d.store();
+    d.serve_last_attempt();
+    d.perform_batches();
     assert_eq!(d.writes(), 0);
     let log = recover(&mut d.disk).unwrap();
-    assert!(log.live.is_empty(), "the log knows that it is done");
-    assert_eq!(d.answers().len(), 1, "answered once");
+    assert!(log.live.is_empty(), "the log records the completion");
+    assert_eq!(d.answers().len(), 1, "the client gets one answer");
 }
 
 #[test]
-fn a_class_that_is_not_buffered_goes_through() {
-    let mut d = Desk::new(buffering());
-    d.write(1, PLAIN, 7, None, b"seat");
-    assert_eq!((d.brought(), d.w.batches.len()), (vec![1001], 0));
-    d.serve();
+fn a_write_of_an_unbuffered_class_is_sent_directly() {
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write(1, UNBUFFERED, 7, None, b"seat");
+    assert_eq!((d.sent_operations(), d.w.batches.len()), (vec![1001], 0));
+    d.serve_last_attempt();
     assert_eq!(d.answers(), [Said::Served(1, 0, vec![])]);
 }
 
 #[test]
 fn a_failed_sync_acknowledges_nothing_until_a_new_segment_holds_it() {
-    let mut d = Desk::new(buffering());
-    // The header's sync goes well, the batch's does not.
+    let mut d = BufferedWorld::new(config_with_buffer());
+    // The sync of the header succeeds, the one of the batch fails.
     d.disk.set(Faults { sync_fails_at: Some(1), ..Faults::default() });
-    d.write(1, ORDER, 7, None, b"seat");
+    d.write(1, BUFFERED, 7, None, b"seat");
     let batch = d.w.batches.pop_front().unwrap();
     assert!(perform(&mut d.disk, &batch).is_err());
     d.w.core.write_back_stored(false, d.w.now);
     d.w.run(1);
     assert_eq!(d.answers(), []);
-    // Meanwhile another extent's write goes through.
-    d.write(2, ORDER, 8, None, b"other");
-    assert_eq!(d.brought(), [1002]);
+    // Meanwhile a write to another extent is sent directly.
+    d.write(2, BUFFERED, 8, None, b"other");
+    assert_eq!(d.sent_operations(), [1002]);
     d.w.run(30);
-    d.store();
+    d.perform_batches();
     assert_eq!(d.answers(), [Said::Buffered(1)]);
     let log = recover(&mut d.disk).unwrap();
     assert_eq!(log.live.len(), 1);
 }
 
 #[test]
-fn a_full_disk_lets_writes_through_and_one_that_was_being_stored_fails_in_time() {
-    let mut d = Desk::new(buffering());
+fn with_a_full_disk_writes_bypass_the_buffer_and_one_being_stored_fails_at_its_deadline() {
+    let mut d = BufferedWorld::new(config_with_buffer());
     d.disk.set(Faults { capacity: Some(20), ..Faults::default() });
-    d.write(1, ORDER, 7, None, b"seat");
+    d.write(1, BUFFERED, 7, None, b"seat");
     for _ in 0..200 {
-        d.store();
+        d.perform_batches();
         d.w.run(10);
     }
-    // It may be in the log's torn end: its client can't be told that it has not run.
+    // The write may be in the truncated end of the log, so it must not be reported as not run.
     assert_eq!(d.answers(), [Said::Failed(1)]);
-    d.write(2, ORDER, 8, None, b"other");
-    d.serve();
+    d.write(2, BUFFERED, 8, None, b"other");
+    d.serve_last_attempt();
     assert!(d.answers().contains(&Said::Served(2, 0, vec![])), "{:?}", d.answers());
-    // Its own extent is blocked, until the log is mended: it is told so, and nothing is promised.
-    d.write(3, ORDER, 7, None, b"again");
+    // Its own extent is blocked until the log is repaired: writes to it are refused with that cause.
+    d.write(3, BUFFERED, 7, None, b"again");
     assert!(d.answers().contains(&Said::Refused(3, Refusal::Buffer)), "{:?}", d.answers());
     d.disk.set(Faults::default());
     d.w.run(1500);
-    d.store();
-    d.serve();
-    d.store();
-    assert_eq!(d.writes(), 0, "mended: it has gone out after all");
+    d.perform_batches();
+    d.serve_last_attempt();
+    d.perform_batches();
+    assert_eq!(d.writes(), 0, "the write is written back after the repair");
 }
 
 #[test]
-fn reads_see_what_is_buffered_whole_or_laid_over_the_nodes_answer() {
-    let mut d = Desk::new(buffering());
-    d.write(1, ORDER, 7, None, b"abcdef");
+fn reads_return_buffered_data_or_merge_it_into_the_nodes_answer() {
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write(1, BUFFERED, 7, None, b"abcdef");
     d.read(2, 7);
-    assert_eq!(d.brought(), [1002], "not durable: not to be seen yet, the node is asked");
-    d.store();
+    assert_eq!(
+        d.sent_operations(),
+        [1002],
+        "data that is not durable is not visible, so the read goes to the node"
+    );
+    d.perform_batches();
     d.read(3, 7);
     assert!(d.answers().contains(&Said::Served(3, 0, b"abcdef".to_vec())), "{:?}", d.answers());
-    d.write(4, ORDER, 8, Some(2), b"XY");
-    d.store();
+    d.write(4, BUFFERED, 8, Some(2), b"XY");
+    d.perform_batches();
     d.read(5, 8);
     let conn = d.w.node_conn(0);
     let read = *d.w.attempts_on(conn).last().unwrap();
-    // The write is confirmed while the read is out, which the node may have served before or after.
-    let out = d.w.attempts_on(conn);
-    let written = out[out.len() - 2];
+    // The write is confirmed while the read is in flight; the node may have served the read before or after
+    // it.
+    let attempts = d.w.attempts_on(conn);
+    let written = attempts[attempts.len() - 2];
     d.w.done(conn, written, Code::Served, b"");
     d.w.run(2);
     d.w.done(conn, read, Code::Served, b"123456");
@@ -221,12 +226,12 @@
 }
 
 #[test]
-fn a_streamed_read_of_a_buffered_part_comes_as_one_answer() {
-    let mut c = buffering();
-    c.site.classes[usize::from(PLAIN)].is_streamed = true;
-    let mut d = Desk::new(c);
-    d.write(1, ORDER, 8, Some(1), b"X");
-    d.store();
+fn a_streamed_read_of_a_partly_buffered_extent_is_one_answer() {
+    let mut c = config_with_buffer();
+    c.site.classes[usize::from(UNBUFFERED)].is_streamed = true;
+    let mut d = BufferedWorld::new(c);
+    d.write(1, BUFFERED, 8, Some(1), b"X");
+    d.perform_batches();
     d.read(2, 8);
     let conn = d.w.node_conn(0);
     let (request, attempt) = *d.w.attempts_on(conn).last().unwrap();
@@ -238,19 +243,19 @@
 }
 
 #[test]
-fn nothing_passes_a_barrier_and_a_flush_waits_for_the_nodes() {
-    let mut d = Desk::new(buffering());
-    d.write(1, ORDER, 7, None, b"before");
-    d.say(&Frame::Barrier { id: 2, volume: 5, time_left: 5_000_000 });
-    d.write(3, ORDER, 8, None, b"after");
-    d.write(4, PLAIN, 9, None, b"through, after");
-    d.say(&Frame::Flush { id: 5, volume: Some(5), time_left: 5_000_000 });
-    d.store();
+fn no_write_passes_a_barrier_and_a_flush_waits_for_the_nodes() {
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write(1, BUFFERED, 7, None, b"before");
+    d.send(&Frame::Barrier { id: 2, volume: 5, time_left: 5_000_000 });
+    d.write(3, BUFFERED, 8, None, b"after");
+    d.write(4, UNBUFFERED, 9, None, b"unbuffered, after");
+    d.send(&Frame::Flush { id: 5, volume: Some(5), time_left: 5_000_000 });
+    d.perform_batches();
     assert_eq!(d.answers(), [Said::Buffered(1), Said::Barred(2), Said::Buffered(3)]);
-    assert_eq!(d.brought(), [1001], "what is after the barrier waits, also what goes through");
-    d.serve();
-    d.store();
-    let mut after = d.brought();
+    assert_eq!(d.sent_operations(), [1001], "writes after the barrier wait, including unbuffered ones");
+    d.serve_last_attempt();
+    d.perform_batches();
+    let mut after = d.sent_operations();
     after.sort_unstable();
     assert_eq!(after, [1001, 1003, 1004]);
     assert!(!d.answers().contains(&Said::Flushed(5)));
@@ -264,78 +269,82 @@
 
 #[test]
 fn two_barriers_of_two_volumes_do_not_wait_for_each_other() {
-    let mut d = Desk::new(buffering());
-    d.write(1, ORDER, 7, None, b"x");
-    d.say(&Frame::Barrier { id: 2, volume: 5, time_left: 5_000_000 });
-    d.say(&Frame::Barrier { id: 3, volume: 6, time_left: 5_000_000 });
-    assert_eq!(d.answers(), [Said::Barred(3)], "nothing lies before it");
-    d.store();
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write(1, BUFFERED, 7, None, b"x");
+    d.send(&Frame::Barrier { id: 2, volume: 5, time_left: 5_000_000 });
+    d.send(&Frame::Barrier { id: 3, volume: 6, time_left: 5_000_000 });
+    assert_eq!(d.answers(), [Said::Barred(3)], "no write precedes the barrier");
+    d.perform_batches();
     assert!(d.answers().contains(&Said::Barred(2)));
 }
 
 #[test]
-fn an_overwrite_of_what_is_out_waits_and_what_waits_is_merged() {
-    let mut d = Desk::new(buffering());
-    d.write(1, ORDER, 7, None, b"one");
-    d.store();
-    assert_eq!(d.brought(), [1001]);
+fn overwrites_of_an_extent_in_flight_wait_and_are_merged() {
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write(1, BUFFERED, 7, None, b"one");
+    d.perform_batches();
+    assert_eq!(d.sent_operations(), [1001]);
     for (id, data) in [(2, b"two"), (3, b"tre"), (4, b"for")] {
-        d.write(id, ORDER, 7, None, data);
+        d.write(id, BUFFERED, 7, None, data);
     }
-    d.store();
-    assert_eq!(d.brought(), [1001], "one of an extent at a time");
-    d.serve();
-    d.store();
-    assert_eq!(d.w.brought[1..], [(1004, None, b"for".to_vec())], "three became one");
-    d.serve();
-    d.store();
+    d.perform_batches();
+    assert_eq!(d.sent_operations(), [1001], "one write per extent is in flight");
+    d.serve_last_attempt();
+    d.perform_batches();
+    assert_eq!(d.w.brought[1..], [(1004, None, b"for".to_vec())], "three pending writes are merged into one");
+    d.serve_last_attempt();
+    d.perform_batches();
     assert_eq!(d.writes(), 0);
 }
 
 #[test]
-fn killed_after_the_acknowledgement_the_next_life_brings_it_under_the_same_key() {
-    let mut d = Desk::new(buffering());
-    d.write(1, ORDER, 7, None, b"seat");
-    d.store();
-    assert_eq!(d.brought(), [1001], "it is out");
+fn after_a_crash_an_acknowledged_write_is_written_back_under_the_same_key() {
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write(1, BUFFERED, 7, None, b"seat");
+    d.perform_batches();
+    assert_eq!(d.sent_operations(), [1001], "the write is in flight");
     let mut disk = d.disk;
     disk.lose_power();
-    let mut d = Desk::on(disk, buffering());
+    let mut d = BufferedWorld::with_disk(disk, config_with_buffer());
     assert_eq!(d.writes(), 1);
-    d.write(2, ORDER, 7, None, b"newer");
-    d.store();
-    assert_eq!(d.brought(), [1001], "as it was, though a newer one is there");
-    d.serve();
-    d.store();
-    assert_eq!(d.brought(), [1001, 1002]);
+    d.write(2, BUFFERED, 7, None, b"newer");
+    d.perform_batches();
+    assert_eq!(
+        d.sent_operations(),
+        [1001],
+        "the recovered write is sent unmerged although a newer one is pending"
+    );
+    d.serve_last_attempt();
+    d.perform_batches();
+    assert_eq!(d.sent_operations(), [1001, 1002]);
 }
 
 #[test]
-fn a_client_that_gives_up_behind_a_barrier_is_told_that_it_has_not_run() {
-    let mut d = Desk::new(buffering());
-    d.write(1, ORDER, 7, None, b"before");
-    d.say(&Frame::Barrier { id: 2, volume: 5, time_left: 5_000_000 });
-    d.store();
-    d.write(3, PLAIN, 8, None, b"through");
+fn a_request_that_times_out_behind_a_barrier_is_refused_as_not_run() {
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write(1, BUFFERED, 7, None, b"before");
+    d.send(&Frame::Barrier { id: 2, volume: 5, time_left: 5_000_000 });
+    d.perform_batches();
+    d.write(3, UNBUFFERED, 8, None, b"through");
     d.w.run(1100);
     assert!(d.answers().contains(&Said::Refused(3, Refusal::Buffer)), "{:?}", d.answers());
-    assert!(!d.brought().contains(&1003));
+    assert!(!d.sent_operations().contains(&1003));
 }
 
 #[test]
-fn one_whose_time_is_up_as_it_comes_holds_up_nothing_behind_it() {
-    let mut d = Desk::new(buffering());
-    d.write_within(1, PLAIN, 7, None, b"x", 0);
+fn a_request_that_arrives_expired_does_not_block_later_requests() {
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write_within(1, UNBUFFERED, 7, None, b"x", 0);
     assert_eq!(d.answers(), [Said::Refused(1, Refusal::Buffer)]);
-    d.say(&Frame::Barrier { id: 2, volume: 5, time_left: 5_000_000 });
-    assert!(d.answers().contains(&Said::Barred(2)), "nothing lies before it");
-    d.write(3, ORDER, 7, None, b"y");
-    d.store();
-    assert_eq!(d.brought(), [1003]);
+    d.send(&Frame::Barrier { id: 2, volume: 5, time_left: 5_000_000 });
+    assert!(d.answers().contains(&Said::Barred(2)), "no write precedes the barrier");
+    d.write(3, BUFFERED, 7, None, b"y");
+    d.perform_batches();
+    assert_eq!(d.sent_operations(), [1003]);
 }
 
 #[test]
-fn without_a_buffer_marks_are_refused_and_status_is_empty() {
+fn without_a_buffer_barriers_and_flushes_are_refused_and_the_status_is_empty() {
     let mut w = World::new(config(), 2);
     let client = w.client();
     w.tell(client, &Frame::Barrier { id: 1, volume: 5, time_left: 5_000_000 });
@@ -350,59 +359,59 @@
 }
 
 #[test]
-fn a_write_beyond_an_extents_end_is_a_fault() {
-    let mut d = Desk::new(buffering());
-    d.write(1, ORDER, 7, Some(u32::MAX), b"x");
+fn a_write_beyond_the_end_of_an_extent_closes_the_connection() {
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write(1, BUFFERED, 7, Some(u32::MAX), b"x");
     assert!(d.w.closed.contains(&d.client));
 }
 
 #[test]
-fn stopping_brings_out_what_is_buffered_and_what_is_left_stays() {
-    let mut d = Desk::new(buffering());
-    d.write(1, ORDER, 7, None, b"one");
-    d.store();
+fn a_shutdown_writes_back_buffered_data_and_keeps_the_rest_in_the_log() {
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write(1, BUFFERED, 7, None, b"one");
+    d.perform_batches();
     d.w.core.control(Control::Stop, d.w.now);
     d.w.run(10);
-    assert!(!d.w.exited, "it is not on its node yet");
-    d.serve();
-    d.store();
+    assert!(!d.w.exited, "the write has not reached its node yet");
+    d.serve_last_attempt();
+    d.perform_batches();
     d.w.run(10);
     assert!(d.w.exited);
-    let mut d = Desk::new(buffering());
-    d.write(1, ORDER, 7, None, b"one");
-    d.store();
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write(1, BUFFERED, 7, None, b"one");
+    d.perform_batches();
     d.w.core.control(Control::Stop, d.w.now);
     d.w.run(6000);
-    assert!(d.w.exited, "the stop has lasted long enough");
+    assert!(d.w.exited, "the shutdown has timed out");
     assert_eq!(recover(&mut d.disk).unwrap().live.len(), 1);
 }
 
 #[test]
-fn what_is_held_too_long_is_taken_back_and_offered_at_a_higher_worth() {
-    let mut d = Desk::new(buffering());
-    // Its node is not there: the module holds it.
+fn a_write_queued_for_too_long_is_resubmitted_with_a_higher_priority() {
+    let mut d = BufferedWorld::new(config_with_buffer());
+    // The node is unreachable: the decision module queues the write.
     d.w.dials.insert(address(0).parse().unwrap(), Dial::Lost);
-    d.write(1, ORDER, 7, None, b"one");
-    d.store();
+    d.write(1, BUFFERED, 7, None, b"one");
+    d.perform_batches();
     d.w.run(2500);
-    d.store();
+    d.perform_batches();
     d.w.dials.insert(address(0).parse().unwrap(), Dial::Greets(0));
     d.w.run(3000);
-    d.store();
+    d.perform_batches();
     assert!(
-        d.brought().contains(&1001),
-        "it goes once the node is back: {:?}",
+        d.sent_operations().contains(&1001),
+        "the write is sent once the node is reachable: {:?}",
         d.w.core.buffer_status(d.w.now)
     );
 }
 
 #[test]
-fn the_status_has_figures_and_is_json() {
-    let mut d = Desk::new(buffering());
-    d.write(1, ORDER, 7, None, b"one");
-    d.store();
-    d.say(&Frame::AskStatus { id: 9 });
-    let Some(Said::Status(json)) = d.w.said_on(d.client).last() else { panic!("no status") };
+fn the_status_is_json_with_counters() {
+    let mut d = BufferedWorld::new(config_with_buffer());
+    d.write(1, BUFFERED, 7, None, b"one");
+    d.perform_batches();
+    d.send(&Frame::AskStatus { id: 9 });
+    let Some(Said::Status(json)) = d.w.said_on(d.client).last() else { panic!("no Status frame was sent") };
     assert!(json.contains("\"writes\": 1") && json.contains("\"syncs_total\": "), "{json}");
     let core: &Core = &d.w.core;
     assert_eq!(core.counts().buffered, 1);
