--- a/crates/flaxstand-gateway/tests/core.rs
+++ b/crates/flaxstand-gateway/tests/core.rs
@@ -436,7 +436,11 @@
     };
     w.tell(a, &Frame::Submit(submit));
     w.turn();
-    assert_eq!(w.answers(a).last(), Some(&Said::Refused(50, Refusal::Held)), "a second volume");
+    assert_eq!(
+        w.answers(a).last(),
+        Some(&Said::Refused(50, Refusal::Held)),
+        "a request for a second volume is refused"
+    );
 }
 
 #[test]
@@ -822,7 +826,7 @@
 
 /// The service time of the only entry in the saved list, in microseconds per unit.
 fn saved_service_time(w: &World) -> Option<u32> {
-    let list = SavedList::read(w.saved.as_ref().unwrap()).expect("a saved list");
+    let list = SavedList::read(w.saved.as_ref().unwrap()).expect("a valid saved list");
     assert_eq!((list.entries.len(), list.torn_bytes), (1, 0));
     list.entries[0].service_time
 }
--- a/crates/flaxstand-gateway/tests/frames_long_lists.rs
+++ b/crates/flaxstand-gateway/tests/frames_long_lists.rs
@@ -48,7 +48,7 @@
 ) -> &'a [u8] {
     let pieces = (over_ms / STEP_MS) as usize;
     let mut pieces: Vec<&[u8]> = bytes.chunks(bytes.len().div_ceil(pieces)).collect();
-    let last = pieces.pop().expect("there are bytes");
+    let last = pieces.pop().expect("the frame is not empty");
     for piece in pieces {
         world.says(list, piece);
         world.run(STEP_MS);
--- a/crates/flaxstand-gateway/tests/list_growth.rs
+++ b/crates/flaxstand-gateway/tests/list_growth.rs
@@ -319,7 +319,7 @@
         let before = work_counts(&w);
         w.run(255);
         assert!(w.closed.contains(&probe), "the probe has timed out");
-        assert_eq!(work_since(&w, before).1, 0, "no connection was walked for it");
+        assert_eq!(work_since(&w, before).1, 0, "closing it walks no connections");
     }
 }
 
--- a/crates/flaxstand-gateway/tests/platform.rs
+++ b/crates/flaxstand-gateway/tests/platform.rs
@@ -385,7 +385,7 @@
     assert_eq!(w.heard_on(newest).matches("GET /api").count(), 16);
     assert!(
         w.closed.contains(&pairs[0].1) && w.closed.contains(&pairs[1].1),
-        "both were idle for longer than the idle timeout"
+        "both were idle for 20 s, longer than the idle timeout of 18 s"
     );
     assert!(!w.closed.contains(&newest));
 }
