--- a/crates/flaxstand-simulation/src/scale/collect.rs
+++ b/crates/flaxstand-simulation/src/scale/collect.rs
@@ -1,62 +1,64 @@
-//! The end of a step: reports of all processes, joined into the step's figures.
+//! The end of a step: merges the reports of all processes into the report of the step.
 
-use super::hollow::{Arrival, HollowReport, Restarted};
-use super::lags::{Change, Lags, LogFacts};
+use super::hollow::{Activation, HollowReport, Restart};
+use super::lags::{Change, Lags, LogEvents};
 use super::node_list::ListReport;
-use super::participants::Real;
+use super::participants::RealInitiator;
 use super::result::{FaultReport, RoleLags};
-use super::run::{REPORT_WITHIN, Running, parsed};
+use super::run::{REPORT_TIMEOUT, RunningStep, parse_report};
 use super::traffic::Traffic;
 use crate::process::{RehearsalError, io_error};
 use flaxstand_gateway::core::SavedList;
 use flaxstand_proto::MAX_LIST_ENTRIES;
 use std::collections::BTreeSet;
 
-impl Running<'_> {
-    /// Asks all for their reports and joins them.
+impl RunningStep<'_> {
+    /// Requests the reports of all processes and merges them.
     pub(super) fn collect(
         &mut self,
-        begun_at: u64,
+        started_at: u64,
         faults: Vec<FaultReport>,
         leader: Option<usize>,
     ) -> Result<(), RehearsalError> {
-        let interrupt = self.workplace.interrupt;
+        let interrupt = self.environment.interrupt;
         let list = &mut self.participants.list;
         list.tell("report");
-        let list: ListReport = parsed(&interrupt.expect(list, "report", REPORT_WITHIN)?)?;
+        let list: ListReport = parse_report(&interrupt.expect(list, "report", REPORT_TIMEOUT)?)?;
         let mut hollow = HollowReport::default();
         for process in &mut self.participants.hollow {
             process.process.tell("report");
-            let json = interrupt.expect(&mut process.process, "report", REPORT_WITHIN)?;
-            add(&mut hollow, parsed(&json)?);
+            let json = interrupt.expect(&mut process.process, "report", REPORT_TIMEOUT)?;
+            merge(&mut hollow, parse_report(&json)?);
         }
         self.report.fault_reports = faults;
         if !hollow.restarts.is_empty() {
-            self.report.fault_reports.push(restarts(&hollow.restarts));
+            self.report.fault_reports.push(summarize_restarts(&hollow.restarts));
         }
-        self.report.floors = hollow.floors;
+        self.report.fallbacks = hollow.fallbacks;
         self.check_nodes()?;
         self.add_traffic(&list, &hollow, leader);
-        self.add_lags(&list, &hollow, begun_at)
+        self.add_lags(&list, &hollow, started_at)
     }
 
-    /// Whether the processes hold, and save, as many nodes as are listed.
+    /// Reports if a process dropped listed nodes, or saved fewer nodes than are listed.
     fn check_nodes(&mut self) -> Result<(), RehearsalError> {
         let nodes = self.size().nodes as usize;
         let mut reasons = BTreeSet::new();
         for initiator in self.participants.initiators() {
-            let left_out = facts(initiator)?.left_out;
+            let left_out = read_log(initiator)?.left_out;
             if left_out > 0 {
                 reasons.insert(format!(
-                    "{left_out} of {nodes} listed nodes are left out (settings: bounds nodes)"
+                    "{left_out} of {nodes} listed nodes exceed the bound of an initiator \
+                     (settings: bounds nodes)"
                 ));
             }
-            // A node that drains is listed and saved too.
+            // Draining nodes count as well: they are listed and saved.
             let saved = std::fs::read(&initiator.saved_list).unwrap_or_default();
             let saved = SavedList::read(&saved).map_or(0, |list| list.entries.len());
             if saved + left_out < nodes {
                 reasons.insert(format!(
-                    "a saved list has {saved} of {nodes} entries (MAX_LIST_ENTRIES {MAX_LIST_ENTRIES}, flaxstand-proto/src/codec.rs)"
+                    "a saved list has {saved} of {nodes} entries \
+                     (MAX_LIST_ENTRIES {MAX_LIST_ENTRIES}, flaxstand-proto/src/codec.rs)"
                 ));
             }
         }
@@ -66,17 +68,17 @@
 
     fn add_traffic(&mut self, list: &ListReport, hollow: &HollowReport, leader: Option<usize>) {
         let keepers = self.size().keepers;
-        let of = |numbers: Vec<u32>| {
+        let mean_of = |numbers: Vec<u32>| {
             let mut sum = Traffic::default();
             for traffic in numbers.iter().filter_map(|number| list.by_initiator.get(number)) {
-                sum.add(&seen_from_there(traffic));
+                sum.add(&reversed(traffic));
             }
             divided(&sum, numbers.len() as u64)
         };
-        let leads = |number: &u32| Some(*number as usize) == leader;
-        let leader_traffic = of((0..keepers).filter(leads).collect());
-        let keeper_traffic = of((0..keepers).filter(|number| !leads(number)).collect());
-        let real_traffic = of((keepers..keepers + self.size().real).collect());
+        let is_leader = |number: &u32| Some(*number as usize) == leader;
+        let leader_traffic = mean_of((0..keepers).filter(is_leader).collect());
+        let keeper_traffic = mean_of((0..keepers).filter(|number| !is_leader(number)).collect());
+        let real_traffic = mean_of((keepers..keepers + self.size().real).collect());
         for role in &mut self.report.roles {
             role.list = match role.role {
                 "leader" => Some(leader_traffic),
@@ -93,17 +95,18 @@
         &mut self,
         list: &ListReport,
         hollow: &HollowReport,
-        begun_at: u64,
+        started_at: u64,
     ) -> Result<(), RehearsalError> {
         let changes: Vec<Change> =
             list.changes.iter().map(|(number, at)| Change { number: *number, at: *at }).collect();
-        let mut processes = LogFacts::default();
+        let mut processes = LogEvents::default();
         for initiator in self.participants.initiators() {
-            let facts = facts(initiator)?;
-            processes.revisions.extend(facts.revisions.into_iter().filter(|arrival| arrival.at >= begun_at));
-            processes.versions.extend(facts.versions.into_iter().filter(|arrival| arrival.at >= begun_at));
+            let events = read_log(initiator)?;
+            let measured = |activation: &Activation| activation.at >= started_at;
+            processes.revisions.extend(events.revisions.into_iter().filter(measured));
+            processes.versions.extend(events.versions.into_iter().filter(measured));
         }
-        let by_role: [(&'static str, &[Arrival], &[Arrival], usize); 2] = [
+        let by_role: [(&'static str, &[Activation], &[Activation], usize); 2] = [
             ("hollow", &hollow.revisions, &hollow.versions, self.size().hollow as usize),
             ("process", &processes.revisions, &processes.versions, self.participants.initiators().count()),
         ];
@@ -123,13 +126,15 @@
     }
 }
 
-/// What the log of an initiator tells.
-pub(super) fn facts(initiator: &Real) -> Result<LogFacts, RehearsalError> {
-    let log = std::fs::read_to_string(&initiator.log).map_err(io_error("an initiator's log"))?;
-    Ok(LogFacts::read(initiator.number, &log))
+/// Reads and parses the log of an initiator process.
+pub(super) fn read_log(initiator: &RealInitiator) -> Result<LogEvents, RehearsalError> {
+    let path = &initiator.log;
+    let log =
+        std::fs::read_to_string(path).map_err(io_error(format!("cannot read the log {}", path.display())))?;
+    Ok(LogEvents::parse(initiator.number, &log))
 }
 
-fn add(sum: &mut HollowReport, other: HollowReport) {
+fn merge(sum: &mut HollowReport, other: HollowReport) {
     sum.state.started += other.state.started;
     sum.state.listed += other.state.listed;
     sum.state.leased += other.state.leased;
@@ -139,11 +144,11 @@
     sum.revisions.extend(other.revisions);
     sum.versions.extend(other.versions);
     sum.restarts.extend(other.restarts);
-    sum.floors += other.floors;
+    sum.fallbacks += other.fallbacks;
 }
 
-/// What the list service sent, its watcher received.
-fn seen_from_there(traffic: &Traffic) -> Traffic {
+/// Returns the traffic as the other end of the connections counts it, with the directions swapped.
+fn reversed(traffic: &Traffic) -> Traffic {
     Traffic {
         messages_in: traffic.messages_out,
         bytes_in: traffic.bytes_out,
@@ -152,23 +157,25 @@
     }
 }
 
-fn divided(traffic: &Traffic, by: u64) -> Traffic {
-    let by = by.max(1);
+fn divided(traffic: &Traffic, divisor: u64) -> Traffic {
+    let divisor = divisor.max(1);
     Traffic {
-        messages_in: traffic.messages_in / by,
-        bytes_in: traffic.bytes_in / by,
-        messages_out: traffic.messages_out / by,
-        bytes_out: traffic.bytes_out / by,
+        messages_in: traffic.messages_in / divisor,
+        bytes_in: traffic.bytes_in / divisor,
+        messages_out: traffic.messages_out / divisor,
+        bytes_out: traffic.bytes_out / divisor,
     }
 }
 
-fn restarts(all: &[Restarted]) -> FaultReport {
-    let mut times: Vec<u64> = all.iter().filter_map(|one| Some(one.ready? - one.at)).collect();
+/// Summarizes the restarts of hollow initiators.
+fn summarize_restarts(restarts: &[Restart]) -> FaultReport {
+    let mut times: Vec<u64> =
+        restarts.iter().filter_map(|restart| Some(restart.ready? - restart.at)).collect();
     times.sort_unstable();
-    let ms = |place: usize| times.get(place).map_or(0.0, |micros| *micros as f64 / 1000.0);
+    let ms = |rank: usize| times.get(rank).map_or(0.0, |micros| *micros as f64 / 1000.0);
     FaultReport {
         kind: "restart, until listed and leased".to_owned(),
-        struck: all.len(),
+        affected: restarts.len(),
         ready: times.len(),
         p50_ms: ms(times.len() / 2),
         last_ms: ms(times.len().saturating_sub(1)),
--- a/crates/flaxstand-simulation/src/scale/interrupt.rs
+++ b/crates/flaxstand-simulation/src/scale/interrupt.rs
@@ -1,4 +1,5 @@
-//! Waits that end at SIGINT or SIGTERM: a run gives up then, and what it holds ends with it.
+//! Waits that end early at SIGINT or SIGTERM. The run then fails, and the processes that it started are
+//! killed.
 
 use crate::process::{Process, RehearsalError};
 use std::io;
@@ -6,18 +7,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Longest time until an interrupt is noticed.
-const SLICE: Duration = Duration::from_millis(50);
+/// Interval at which waits check for an interrupt.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether the run is to end.
+/// Flag that is set by SIGINT and SIGTERM.
 pub(super) struct Interrupt(Arc<AtomicBool>);
 
 impl Interrupt {
-    /// Catches SIGINT and SIGTERM from now on.
+    /// Installs the handlers for SIGINT and SIGTERM.
     ///
     /// # Errors
-    /// The system does not allow it.
-    pub(super) fn catch() -> io::Result<Interrupt> {
+    /// A handler cannot be installed.
+    pub(super) fn install() -> io::Result<Interrupt> {
         let flag = Arc::new(AtomicBool::new(false));
         for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
             signal_hook::flag::register(signal, Arc::clone(&flag))?;
@@ -31,48 +32,48 @@
         if self.0.load(Ordering::Relaxed) { Err(RehearsalError::Interrupted) } else { Ok(()) }
     }
 
-    /// Waits until a moment.
+    /// Sleeps until `deadline`.
     ///
     /// # Errors
     /// The run was interrupted.
-    pub(super) fn sleep_until(&self, until: Instant) -> Result<(), RehearsalError> {
+    pub(super) fn sleep_until(&self, deadline: Instant) -> Result<(), RehearsalError> {
         loop {
             self.check()?;
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(SLICE));
+            std::thread::sleep(remaining.min(CHECK_INTERVAL));
         }
     }
 
-    /// Waits for a time.
+    /// Sleeps for `duration`.
     ///
     /// # Errors
     /// The run was interrupted.
-    pub(super) fn sleep(&self, time: Duration) -> Result<(), RehearsalError> {
-        self.sleep_until(Instant::now() + time)
+    pub(super) fn sleep(&self, duration: Duration) -> Result<(), RehearsalError> {
+        self.sleep_until(Instant::now() + duration)
     }
 
-    /// Waits for a process's line that starts with a word; returns the rest of it.
+    /// Waits until a process prints a line that starts with `prefix`. Returns the rest of the line.
     ///
     /// # Errors
-    /// The run was interrupted, the process ended, or it did not say so in time.
+    /// The run was interrupted, the process ended, or it printed no such line within `timeout`.
     pub(super) fn expect(
         &self,
         process: &mut Process,
-        word: &str,
-        within: Duration,
+        prefix: &str,
+        timeout: Duration,
     ) -> Result<String, RehearsalError> {
-        let until = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         loop {
             self.check()?;
-            let left = until.saturating_duration_since(Instant::now());
-            if let Some(rest) = process.line(word, left.min(SLICE))? {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if let Some(rest) = process.line(prefix, remaining.min(CHECK_INTERVAL))? {
                 return Ok(rest);
             }
-            if left.is_zero() {
-                return Err(process.silent(word));
+            if remaining.is_zero() {
+                return Err(process.silent(prefix));
             }
         }
     }
--- a/crates/flaxstand-simulation/src/scale/node_list.rs
+++ b/crates/flaxstand-simulation/src/scale/node_list.rs
@@ -1,15 +1,16 @@
-//! A list service for scale runs: so many nodes, which change at a steady rate, told to however many watch.
-//! It keeps nothing about a watcher but a count of messages and bytes.
+//! An emulated list service for scale runs. It serves a list of nodes that changes at a steady rate to any
+//! number of watchers. Its only state per watcher is a count of messages and bytes.
 //!
 //! | line of standard input | meaning |
 //! | --- | --- |
-//! | `start` | changes begin, and counts from 0 |
-//! | `stop` | no further changes, and nothing more is counted |
-//! | `away 0` or `1` | closes all connections and takes none |
+//! | `start` | resets the counts and starts the changes |
+//! | `stop` | stops the changes and the counting |
+//! | `away 1` | closes all connections and accepts none |
+//! | `away 0` | accepts connections again |
 //! | `report` | prints `report` and a [`ListReport`] |
 //!
-//! A frame holds [`MAX_LIST_ENTRIES`] entries at most. A longer list is told as a full list of that many and
-//! changes that bring the rest, under revisions of their own.
+//! A frame holds at most [`MAX_LIST_ENTRIES`] entries. A longer list is sent as a full list of that many
+//! entries, followed by changes with the remaining entries, each under its own revision.
 
 use super::traffic::Traffic;
 use crate::rehearse::{StandIn, serve};
@@ -23,38 +24,41 @@
 use std::io;
 use tracing::warn;
 
-/// The revision of the list before its first change. Pieces of a long list but for the last have lower ones.
+/// Revision of the complete list before its first change. The earlier frames of a long list have lower
+/// revisions.
 pub const FIRST_REVISION: u64 = 1000;
-/// Initiators whose own counts are kept: those that are processes have the lowest numbers.
-const COUNTED_ALONE: u32 = 64;
-/// Zones that nodes are spread over.
+/// Number of initiators with counts of their own. Initiators that run as their own process have the lowest
+/// numbers.
+const COUNTED_INDIVIDUALLY: u32 = 64;
+/// Number of zones that the nodes are spread over.
 const ZONES: u32 = 27;
-/// The nominal size of each node.
+/// Nominal size of each node.
 const NODE_SIZE: u32 = 100;
 
-/// What the service is told at its start.
+/// Options of the service.
 #[derive(Clone, Debug)]
 pub struct NodeListOptions {
-    /// Nodes in the list.
+    /// Number of nodes in the list.
     pub nodes: u32,
-    /// Changes a second, once started.
+    /// Changes per second after `start`.
     pub changes: f64,
-    /// How often watchers are told that nothing has changed; none: never.
+    /// Interval between heartbeats (empty changes) to all watchers. With `None` there are none.
     pub heartbeat: Option<Micros>,
-    /// Addresses of the first nodes; nothing listens at those of the others.
+    /// Addresses of the first nodes in the list, which answer requests. Nothing listens at those of the other
+    /// nodes.
     pub answering: Vec<Address>,
 }
 
-/// What the service has counted since `start`.
+/// Counts since `start`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ListReport {
-    /// Connections that watch.
+    /// Number of connections that watch the list.
     pub watchers: u64,
-    /// Over all initiators.
+    /// Traffic with all initiators.
     pub traffic: Traffic,
-    /// Of initiators with low numbers, one by one.
+    /// Traffic with each of the initiators that are counted individually, by number.
     pub by_initiator: BTreeMap<u32, Traffic>,
-    /// Revision and moment (microseconds of the host's clock) of each change.
+    /// Revision and time (microseconds of the host's monotonic clock) of each change.
     pub changes: Vec<(u64, u64)>,
 }
 
@@ -70,14 +74,14 @@
     options: NodeListOptions,
     nodes: Vec<Node>,
     revision: u64,
-    away: bool,
-    /// Initiators by connection, and whether they watch.
+    unavailable: bool,
+    /// For each connection, the number of the initiator and whether it watches the list.
     watchers: BTreeMap<ConnId, (u32, bool)>,
     next_change: Option<Micros>,
     next_heartbeat: Option<Micros>,
     counting: bool,
-    /// How many changes were made since the start of the process.
-    made: u64,
+    /// Number of changes since the start of the process.
+    changes_made: u64,
     report: ListReport,
 }
 
@@ -85,7 +89,7 @@
     fn new(options: NodeListOptions) -> Self {
         let address = |number: u32| match options.answering.get(number as usize) {
             Some(address) => address.to_string(),
-            // A loopback address for each, where nothing listens.
+            // Each other node gets its own loopback address. Nothing listens there.
             None => format!("127.{}.{}.{}:9", 100 + (number >> 16), (number >> 8) & 0xff, number & 0xff),
         };
         let node =
@@ -94,12 +98,12 @@
             nodes: (0..options.nodes).map(node).collect(),
             options,
             revision: FIRST_REVISION,
-            away: false,
+            unavailable: false,
             watchers: BTreeMap::new(),
             next_change: None,
             next_heartbeat: None,
             counting: false,
-            made: 0,
+            changes_made: 0,
             report: ListReport::default(),
         }
     }
@@ -119,51 +123,53 @@
         }
     }
 
-    fn count(&mut self, conn: ConnId, note: impl Fn(&mut Traffic)) {
+    fn count(&mut self, conn: ConnId, add: impl Fn(&mut Traffic)) {
         if !self.counting {
             return;
         }
-        note(&mut self.report.traffic);
-        if let Some((initiator, _)) = self.watchers.get(&conn).filter(|(i, _)| *i < COUNTED_ALONE) {
-            note(self.report.by_initiator.entry(*initiator).or_default());
+        add(&mut self.report.traffic);
+        if let Some((initiator, _)) = self.watchers.get(&conn).filter(|(i, _)| *i < COUNTED_INDIVIDUALLY) {
+            add(self.report.by_initiator.entry(*initiator).or_default());
         }
     }
 
     fn send(&mut self, links: &mut Links, conn: ConnId, frame: &Frame<'_>) {
         links.push(conn, frame);
-        let bytes = length(frame);
+        let bytes = encoded_length(frame);
         self.count(conn, |traffic| traffic.sent(bytes));
     }
 
-    fn send_all(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
-        let pieces = self.nodes.len().div_ceil(MAX_LIST_ENTRIES).max(1);
+    /// Sends the complete list, in as many frames as it needs.
+    fn send_complete_list(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
+        let frames = self.nodes.len().div_ceil(MAX_LIST_ENTRIES).max(1);
         let mut lengths = Vec::new();
-        for piece in 0..pieces {
-            let revision = self.revision - (pieces - 1 - piece) as u64;
-            let (extent, since) = match piece {
+        for nth in 0..frames {
+            let revision = self.revision - (frames - 1 - nth) as u64;
+            let (extent, since) = match nth {
                 0 => (Extent::Full, revision),
                 _ => (Extent::Changes, revision - 1),
             };
-            let numbers = piece * MAX_LIST_ENTRIES..((piece + 1) * MAX_LIST_ENTRIES).min(self.nodes.len());
+            let numbers = nth * MAX_LIST_ENTRIES..((nth + 1) * MAX_LIST_ENTRIES).min(self.nodes.len());
             let entries = numbers.map(|number| self.entry(number, now)).collect();
             let frame = Frame::List(List { extent, since, revision, entries });
             links.push(conn, &frame);
-            lengths.push(length(&frame));
+            lengths.push(encoded_length(&frame));
         }
         for bytes in lengths {
             self.count(conn, |traffic| traffic.sent(bytes));
         }
     }
 
-    /// Drains a node, or brings it back under a new incarnation, in turn. Those that answer stay as they are.
-    fn change(&mut self, links: &mut Links, now: Micros) {
-        let spared = self.options.answering.len().min(self.nodes.len());
-        let changing = self.nodes.len() - spared;
+    /// Changes one node. Changes alternate between draining a node and returning it to service under a new
+    /// incarnation. The nodes that answer do not change.
+    fn apply_change(&mut self, links: &mut Links, now: Micros) {
+        let answering = self.options.answering.len().min(self.nodes.len());
+        let changing = self.nodes.len() - answering;
         if changing == 0 {
             return;
         }
-        let number = spared + (self.made / 2) as usize % changing;
-        self.made += 1;
+        let number = answering + (self.changes_made / 2) as usize % changing;
+        self.changes_made += 1;
         let node = &mut self.nodes[number];
         if node.state == State::Serving {
             node.state = State::Draining;
@@ -175,13 +181,13 @@
         let since = self.revision;
         self.revision += 1;
         self.report.changes.push((self.revision, now.0));
-        if self.away {
+        if self.unavailable {
             return;
         }
         let entries = vec![self.entry(number, now)];
         let frame = Frame::List(List { extent: Extent::Changes, since, revision: self.revision, entries });
         let watching = self.watching();
-        let bytes = length(&frame);
+        let bytes = encoded_length(&frame);
         for conn in &watching {
             links.push(*conn, &frame);
         }
@@ -190,12 +196,12 @@
         }
     }
 
-    /// Tells all watchers that nothing has changed.
-    fn beat(&mut self, links: &mut Links) {
+    /// Sends an empty change to all watchers.
+    fn send_heartbeat(&mut self, links: &mut Links) {
         let (since, revision) = (self.revision, self.revision);
         for conn in self.watching() {
-            let unchanged = List { extent: Extent::Changes, since, revision, entries: Vec::new() };
-            self.send(links, conn, &Frame::List(unchanged));
+            let heartbeat = List { extent: Extent::Changes, since, revision, entries: Vec::new() };
+            self.send(links, conn, &Frame::List(heartbeat));
         }
     }
 
@@ -203,19 +209,20 @@
         self.watchers.iter().filter(|(_, (_, watches))| *watches).map(|(conn, _)| *conn).collect()
     }
 
-    fn gap(&self) -> Option<Micros> {
+    /// Returns the interval between changes, or `None` if there are none.
+    fn change_interval(&self) -> Option<Micros> {
         (self.options.changes > 0.0).then(|| Micros((1e6 / self.options.changes) as u64))
     }
 
     fn print_report(&mut self, links: &mut Links) {
         self.report.watchers = self.watchers.values().filter(|(_, watches)| *watches).count() as u64;
-        let json = serde_json::to_string(&self.report).expect("counts are plain data");
+        let json = serde_json::to_string(&self.report).expect("a report of numbers serializes as JSON");
         links.command(Command::Print(format!("report {json}")));
     }
 }
 
-/// Bytes of a frame on the wire.
-fn length(frame: &Frame<'_>) -> usize {
+/// Returns the encoded length of a frame in bytes.
+fn encoded_length(frame: &Frame<'_>) -> usize {
     let mut bytes = Vec::new();
     encode(frame, &mut bytes);
     bytes.len()
@@ -223,13 +230,13 @@
 
 impl Peer for NodeList {
     fn accepts(&self) -> bool {
-        !self.away
+        !self.unavailable
     }
 
     fn opened(&mut self, _links: &mut Links, _conn: ConnId, _now: Micros) {}
 
     fn frame(&mut self, links: &mut Links, conn: ConnId, frame: Frame<'_>, now: Micros) {
-        let bytes = length(&frame);
+        let bytes = encoded_length(&frame);
         if let Frame::Hello(Hello { role: Role::Initiator, id, .. }) = frame {
             self.watchers.insert(conn, (id as u32, false));
         }
@@ -240,16 +247,16 @@
                     Welcome { version: VERSION, role: Role::List, id: 0, epoch: 0, name: "emulated" };
                 self.send(links, conn, &Frame::Welcome(welcome));
             }
-            Frame::GetList => self.send_all(links, conn, now),
+            Frame::GetList => self.send_complete_list(links, conn, now),
             Frame::Watch => {
                 if let Some((_, watches)) = self.watchers.get_mut(&conn) {
                     *watches = true;
                 }
-                self.send_all(links, conn, now);
+                self.send_complete_list(links, conn, now);
             }
             Frame::Bye { .. } => {}
             other => {
-                warn!(?other, "a frame that has no place here");
+                warn!(?other, "unexpected frame; closing the connection");
                 links.close(conn);
                 self.watchers.remove(&conn);
             }
@@ -265,33 +272,35 @@
             ["start"] => {
                 self.report = ListReport::default();
                 self.counting = true;
-                self.next_change = self.gap().map(|gap| now.after(gap));
+                self.next_change = self.change_interval().map(|interval| now.after(interval));
             }
             ["stop"] => {
                 self.next_change = None;
                 self.counting = false;
             }
             ["away", "1"] => {
-                self.away = true;
+                self.unavailable = true;
                 links.all().into_iter().for_each(|conn| links.close(conn));
                 self.watchers.clear();
             }
-            ["away", "0"] => self.away = false,
+            ["away", "0"] => self.unavailable = false,
             ["report"] => self.print_report(links),
-            _ => warn!(line, "an unknown line"),
+            _ => warn!(line, "ignoring an unknown command on standard input"),
         }
     }
 
     fn settle(&mut self, links: &mut Links, now: Micros) -> Option<Micros> {
-        while let (Some(due), Some(gap)) = (self.next_change.filter(|due| *due <= now), self.gap()) {
-            self.change(links, now);
-            self.next_change = Some(due.after(gap));
+        while let (Some(due), Some(interval)) =
+            (self.next_change.filter(|due| *due <= now), self.change_interval())
+        {
+            self.apply_change(links, now);
+            self.next_change = Some(due.after(interval));
         }
-        if let Some(gap) = self.options.heartbeat
+        if let Some(interval) = self.options.heartbeat
             && self.next_heartbeat.is_none_or(|due| due <= now)
         {
-            self.beat(links);
-            self.next_heartbeat = Some(now.after(gap));
+            self.send_heartbeat(links);
+            self.next_heartbeat = Some(now.after(interval));
         }
         [self.next_change, self.next_heartbeat].into_iter().flatten().min()
     }
@@ -300,7 +309,7 @@
 /// Runs the service until its standard input ends.
 ///
 /// # Errors
-/// It can't listen, or the driver fails.
+/// The service cannot listen, or the driver fails.
 pub fn serve_node_list(options: NodeListOptions, what: &StandIn) -> io::Result<()> {
     serve(NodeList::new(options), what)
 }
--- a/crates/flaxstand-simulation/src/scale/participants.rs
+++ b/crates/flaxstand-simulation/src/scale/participants.rs
@@ -1,37 +1,39 @@
-//! The processes of one step, and their settings. All end with whoever holds them.
+//! The processes of one step and their settings. All processes are killed when their handles are dropped.
 
 use super::interrupt::Interrupt;
-use super::plan::{HOLLOW_MOST, KEEPERS_MOST, Plan, REAL_MOST, Size};
+use super::plan::{MAX_HOLLOW, MAX_KEEPERS, MAX_REAL, Plan, Size};
 use crate::agreed::listeners;
 use crate::process::{Process, RehearsalError, SOON, io_error};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Nodes that answer, the first of the list.
+/// Number of nodes that answer requests. They are the first in the list.
 pub(super) const ANSWERING_NODES: u32 = 8;
-/// Hollow initiators of one process, most: each has some three connections, and a process 20,000 descriptors.
-const HOLLOW_A_PROCESS: u32 = 1200;
-/// The list service, the nodes that answer, and the clients.
-const STAND_INS: u64 = 3;
-/// Processes of a step, most. What a plan may ask for stays below it.
-const PROCESSES_MOST: u64 = 300;
+/// Maximum number of hollow initiators per process. Each has about three connections, and a process may have
+/// 20,000 descriptors.
+const HOLLOW_PER_PROCESS: u32 = 1200;
+/// Number of emulated peers: the list service, the nodes that answer, and the clients.
+const STAND_IN_PROCESSES: u64 = 3;
+/// Maximum number of processes of a step. The limits of the plan file stay within it.
+const MAX_PROCESSES: u64 = 300;
 const _: () = assert!(
-    HOLLOW_MOST.div_ceil(HOLLOW_A_PROCESS as u64) + REAL_MOST + KEEPERS_MOST + STAND_INS <= PROCESSES_MOST
+    MAX_HOLLOW.div_ceil(HOLLOW_PER_PROCESS as u64) + MAX_REAL + MAX_KEEPERS + STAND_IN_PROCESSES
+        <= MAX_PROCESSES
 );
-/// Where a hollow initiator is said to listen: it does not, and nobody calls it.
-const NOWHERE: &str = "127.0.0.1:9";
+/// Address in the settings of hollow initiators, which do not listen. No peer connects to it.
+const UNUSED_ADDRESS: &str = "127.0.0.1:9";
 
-/// An initiator that is a process of its own.
-pub(super) struct Real {
+/// An initiator that runs as its own process.
+pub(super) struct RealInitiator {
     pub(super) process: Process,
-    /// Its number among the site's initiators.
+    /// Number among the initiators of the site.
     pub(super) number: u32,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub(super) address: String,
-    /// Where it logs.
+    /// Path of the log.
     pub(super) log: PathBuf,
-    /// Where it saves the list.
+    /// Path of the saved list.
     pub(super) saved_list: PathBuf,
 }
 
@@ -45,35 +47,36 @@
 pub(super) struct Participants {
     pub(super) list: Process,
     pub(super) answering: Process,
-    /// Keepers; none: it was killed.
-    pub(super) keepers: Vec<Option<Real>>,
-    pub(super) real: Vec<Real>,
+    /// Keepers by number. `None` for a keeper that was killed.
+    pub(super) keepers: Vec<Option<RealInitiator>>,
+    pub(super) real: Vec<RealInitiator>,
     pub(super) hollow: Vec<HollowProcess>,
-    /// Where the keepers listen for other initiators.
+    /// Listen addresses of the keepers for other initiators.
     pub(super) keeper_addresses: Vec<SocketAddr>,
 }
 
-/// Where processes come from and where their files go.
-pub(super) struct Workplace<'a> {
+/// Everything needed to start the processes of a step.
+pub(super) struct StepEnvironment<'a> {
     pub(super) program: &'a Path,
     pub(super) folder: &'a Path,
     pub(super) plan: &'a Plan,
     pub(super) interrupt: &'a Interrupt,
 }
 
-/// An `agreement` block, but for what is one initiator's own.
+/// The participants of an agreement, as listed in the `agreement` block of every initiator.
 struct Membership {
     keepers: Vec<SocketAddr>,
     real: Vec<SocketAddr>,
     hollow: std::ops::Range<u32>,
 }
 
-impl Workplace<'_> {
-    /// Starts everything that a step needs, and waits until each process says that it is ready.
+impl StepEnvironment<'_> {
+    /// Starts all processes of a step. Waits until each reports that it is ready.
     pub(super) fn start(&self, size: &Size) -> Result<Participants, RehearsalError> {
         let (answering, list) = self.start_stand_ins(size)?;
         let list_address = list.1;
-        let addresses = listeners((size.keepers + size.real) as usize).map_err(io_error("addresses"))?;
+        let addresses = listeners((size.keepers + size.real) as usize)
+            .map_err(io_error("cannot reserve listen addresses on the loopback interface"))?;
         let (keeper_addresses, real_addresses) = addresses.split_at(size.keepers as usize);
         let first_hollow = size.keepers + size.real;
         let membership = Membership {
@@ -93,7 +96,7 @@
         let mut hollow = Vec::new();
         let mut first = first_hollow;
         while first < membership.hollow.end {
-            let count = HOLLOW_A_PROCESS.min(membership.hollow.end - first);
+            let count = HOLLOW_PER_PROCESS.min(membership.hollow.end - first);
             hollow.push(self.start_hollow(first, count, &list_address, &membership)?);
             first += count;
         }
@@ -113,10 +116,11 @@
         Ok((answering, self.start_ready("list", &arguments)?))
     }
 
+    /// Starts a process and waits until it is ready. Returns its listen addresses, separated by spaces.
     fn start_ready(&self, name: &str, arguments: &[String]) -> Result<(Process, String), RehearsalError> {
         let mut process = Process::start(self.program, self.folder, name, arguments)?;
-        let said = self.interrupt.expect(&mut process, "ready", SOON)?;
-        Ok((process, said))
+        let addresses = self.interrupt.expect(&mut process, "ready", SOON)?;
+        Ok((process, addresses))
     }
 
     fn start_real(
@@ -125,14 +129,14 @@
         number: u32,
         list: &str,
         membership: &Membership,
-    ) -> Result<Real, RehearsalError> {
+    ) -> Result<RealInitiator, RehearsalError> {
         let settings = self.settings(name, number, list, membership, &membership.hollow);
         let file = self.write_settings(name, &settings)?;
         let arguments = ["run", "--config", &file, "--with-parent"].map(str::to_owned);
         let (process, addresses) = self.start_ready(name, &arguments)?;
         let address = addresses.split_whitespace().next().unwrap_or_default().to_owned();
         let file = |kind: &str| self.folder.join(format!("{name}.{kind}"));
-        Ok(Real { process, number, address, log: file("log"), saved_list: file("list") })
+        Ok(RealInitiator { process, number, address, log: file("log"), saved_list: file("list") })
     }
 
     fn start_hollow(
@@ -159,11 +163,13 @@
 
     fn write_settings(&self, name: &str, text: &str) -> Result<String, RehearsalError> {
         let file = self.folder.join(format!("{name}.kdl"));
-        std::fs::write(&file, text).map_err(io_error("an initiator's settings"))?;
+        std::fs::write(&file, text)
+            .map_err(io_error(format!("cannot write the settings file {}", file.display())))?;
         Ok(file.display().to_string())
     }
 
-    /// Settings of one initiator. `others` are the hollow ones that it is told of.
+    /// Returns the settings file of one initiator. Its `agreement` block lists the hollow initiators in
+    /// `others`.
     fn settings(
         &self,
         name: &str,
@@ -193,7 +199,7 @@
         others: &std::ops::Range<u32>,
     ) -> String {
         let addresses: Vec<&SocketAddr> = membership.keepers.iter().chain(&membership.real).collect();
-        let listen = addresses.get(number as usize).map_or(NOWHERE.to_owned(), ToString::to_string);
+        let listen = addresses.get(number as usize).map_or(UNUSED_ADDRESS.to_owned(), ToString::to_string);
         let folder = self.folder.join(format!("{name}.agreement"));
         let terms = &self.plan.terms;
         let mut text = format!(
@@ -209,20 +215,20 @@
             let _ = writeln!(text, "    initiator \"real-{nth}\" at=\"{at}\"");
         }
         for other in others.clone() {
-            let _ = writeln!(text, "    initiator \"hollow-{other}\" at=\"{NOWHERE}\"");
+            let _ = writeln!(text, "    initiator \"hollow-{other}\" at=\"{UNUSED_ADDRESS}\"");
         }
         text + "}\n"
     }
 }
 
 impl Participants {
-    /// Processes that are initiators on their own: keepers that live, then the others.
-    pub(super) fn initiators(&self) -> impl Iterator<Item = &Real> {
+    /// Returns the initiators that run as their own process: the running keepers, then the real initiators.
+    pub(super) fn initiators(&self) -> impl Iterator<Item = &RealInitiator> {
         self.keepers.iter().flatten().chain(&self.real)
     }
 
-    /// Ids of all processes.
-    pub(super) fn ids(&self) -> Vec<u32> {
+    /// Returns the process ids of all initiators, the list service and the answering nodes.
+    pub(super) fn pids(&self) -> Vec<u32> {
         let stand_ins = [self.list.id(), self.answering.id()];
         let initiators = self.initiators().map(|real| real.process.id());
         let hollow = self.hollow.iter().map(|hollow| hollow.process.id());
--- a/crates/flaxstand-simulation/src/scale/plan.rs
+++ b/crates/flaxstand-simulation/src/scale/plan.rs
@@ -1,55 +1,55 @@
-//! The file of a scale run: what all initiators of the site share, a base size, and steps that each change some of
-//! it. `docs/scale.md` describes every key.
+//! The plan file of a scale run: the settings shared by all initiators of the site, a base size, and steps
+//! that each override parts of it. `docs/scale.md` describes every key.
 
 use flaxstand_gateway::settings::{Block, SettingsError, Source, read_fallback_rules, read_site, rules_of};
 use serde::Serialize;
 use std::time::Duration;
 
-/// Hollow initiators of a step, most.
-pub(super) const HOLLOW_MOST: u64 = 10_000;
-/// Listed nodes of a step, most.
-const NODES_MOST: u64 = 60_000;
-/// Real initiators of a step, most.
-pub(super) const REAL_MOST: u64 = 50;
-/// Keepers of a step, most.
-pub(super) const KEEPERS_MOST: u64 = 5;
-/// Client connections of a step, most: a process may have 20,000 descriptors open.
-const CONNECTIONS_MOST: u64 = 18_000;
-/// Longest gap between two heartbeats of the list service, milliseconds.
-const HEARTBEAT_MOST: u64 = 600_000;
+/// Maximum number of hollow initiators of a step.
+pub(super) const MAX_HOLLOW: u64 = 10_000;
+/// Maximum number of listed nodes of a step.
+const MAX_NODES: u64 = 60_000;
+/// Maximum number of real initiators of a step.
+pub(super) const MAX_REAL: u64 = 50;
+/// Maximum number of keepers of a step.
+pub(super) const MAX_KEEPERS: u64 = 5;
+/// Maximum number of client connections of a step. A process may have 20,000 open descriptors.
+const MAX_CONNECTIONS: u64 = 18_000;
+/// Maximum interval between two heartbeats of the list service, milliseconds.
+const MAX_HEARTBEAT_MS: u64 = 600_000;
 
-/// What there is in a step.
+/// Participants, load and rates of change of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Size {
     /// Hollow initiators.
     pub hollow: u32,
     /// Real initiators, each a process `flaxstand run`.
     pub real: u32,
-    /// Keepers, each a process `flaxstand run`; 0: nobody agrees on rules.
+    /// Keepers, each a process `flaxstand run`. With 0 there is no agreement on rules.
     pub keepers: u32,
     /// Nodes in the list.
     pub nodes: u32,
-    /// Changes of the list a second.
+    /// Changes of the list per second.
     pub node_changes: f64,
-    /// How often the list service says that nothing has changed, milliseconds; 0: never.
+    /// Interval between heartbeats of the list service, milliseconds. With 0 it sends none.
     pub list_heartbeat_ms: u32,
-    /// Changes of the rules a second; needs keepers.
+    /// Changes of the rules per second. Needs keepers.
     pub rule_changes: f64,
     /// Client connections of the first real initiator.
     pub connections: u32,
-    /// Requests a second over these.
+    /// Requests per second over all of these connections.
     pub requests: f64,
-    /// How long is measured, seconds.
+    /// Length of the measurement, seconds.
     pub seconds: f64,
 }
 
 impl Size {
-    /// Participants that watch the list.
+    /// Returns the number of participants that watch the list.
     pub fn participants(&self) -> u32 {
         self.hollow + self.real + self.keepers
     }
 
-    /// How long is measured.
+    /// Returns the length of the measurement.
     pub fn duration(&self) -> Duration {
         Duration::from_secs_f64(self.seconds)
     }
@@ -72,84 +72,84 @@
     }
 }
 
-/// What goes wrong in a step.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum FaultKind {
-    /// A share of the hollow initiators is ended outright and started again at once.
+    /// A share of the hollow initiators is stopped without a shutdown and started again at once.
     Restart {
-        /// The share, 0 to 1.
+        /// Share of the hollow initiators, 0 to 1.
         share: f64,
     },
-    /// The process of the keeper that leads is killed.
+    /// The process of the leader among the keepers is killed.
     KillLeader,
-    /// The list service closes all connections and takes none for a while.
+    /// The list service closes all connections and accepts none for some time.
     ListAway {
-        /// For how long, seconds.
+        /// Length of the outage, seconds.
         seconds: f64,
     },
 }
 
-/// A fault and when it begins, counted from the start of the measurement.
+/// A fault and its start time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fault {
-    /// Seconds.
+    /// Seconds since the start of the measurement.
     pub at: f64,
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
 
 /// One step.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Step {
-    /// What it is called in the result.
+    /// Name of the step in the result.
     pub name: String,
-    /// What there is.
+    /// Participants, load and rates of change.
     pub size: Size,
-    /// What goes wrong.
+    /// Faults of the step.
     pub faults: Vec<Fault>,
 }
 
-/// The terms on which initiators agree.
+/// Timing of the agreement.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct LeaseTerms {
-    /// How long a lease is, ms.
+    /// Length of a lease, ms.
     pub lease_ms: f64,
-    /// How long keepers hear no leader before they elect one, ms.
+    /// Time without contact from a leader after which the keepers start an election, ms.
     pub election_ms: f64,
 }
 
-/// A scale run.
+/// The plan of a scale run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name.
+    /// Name of the plan.
     pub name: String,
-    /// Seed of every participant's random numbers, together with its number.
+    /// Base seed. Each participant combines it with its own number.
     pub seed: u64,
-    /// Terms of the agreement, where a step has one.
+    /// Timing of the agreement in steps with keepers.
     pub terms: LeaseTerms,
-    /// Steps, in the order in which they are run.
+    /// Steps in the order in which they run.
     pub steps: Vec<Step>,
-    /// The part that settings files of initiators share.
+    /// The part of the settings that all initiators share.
     pub shared_settings: String,
-    /// The rules of that part, for proposals.
+    /// The rules in the shared settings, as the base of proposals.
     pub rules: flaxstand_consensus::rules::Rules,
-    /// Names of plans.
+    /// Names of the site's limit plans.
     pub plan_names: Vec<String>,
 }
 
 impl Plan {
-    /// Reads a plan. `name` is for messages.
+    /// Parses a plan. Error messages contain `name` as the file name.
     ///
     /// # Errors
-    /// Everything that is wrong with it, with its place.
+    /// All problems of the plan, each with its line.
     pub fn read(name: &str, text: &str) -> Result<Plan, SettingsError> {
         let source = Source::new(name, text);
         let document = source.parse()?;
         let root = Block::document(&source, &document);
         let site = read_site(&root);
-        let floor = read_fallback_rules(&root);
-        // Read by the initiators themselves.
+        let fallback_rules = read_fallback_rules(&root);
+        // The initiators read this block themselves. Here it only counts as a known block.
         root.block("bounds");
         let mut plan = Plan {
             name: String::new(),
@@ -157,7 +157,7 @@
             terms: LeaseTerms { lease_ms: 3000.0, election_ms: 500.0 },
             steps: Vec::new(),
             shared_settings: flaxstand_gateway::settings::shared_part(text),
-            rules: rules_of(&site, floor),
+            rules: rules_of(&site, fallback_rules),
             plan_names: site.site.plans.clone(),
         };
         if let Some(block) = root.required_block("scale") {
@@ -199,16 +199,16 @@
 }
 
 fn read_size(block: &Block<'_>, base: &Size) -> Size {
-    let whole = |key, most, default: u32| block.integer(key, 0..=most, Some(default.into())) as u32;
+    let integer = |key, max, default: u32| block.integer(key, 0..=max, Some(default.into())) as u32;
     Size {
-        hollow: whole("hollow", HOLLOW_MOST, base.hollow),
-        real: whole("real", REAL_MOST, base.real),
-        keepers: whole("keepers", KEEPERS_MOST, base.keepers),
-        nodes: whole("nodes", NODES_MOST, base.nodes),
+        hollow: integer("hollow", MAX_HOLLOW, base.hollow),
+        real: integer("real", MAX_REAL, base.real),
+        keepers: integer("keepers", MAX_KEEPERS, base.keepers),
+        nodes: integer("nodes", MAX_NODES, base.nodes),
         node_changes: block.number("node-changes", 0.0..=1000.0, Some(base.node_changes)),
-        list_heartbeat_ms: whole("list-heartbeat-ms", HEARTBEAT_MOST, base.list_heartbeat_ms),
+        list_heartbeat_ms: integer("list-heartbeat-ms", MAX_HEARTBEAT_MS, base.list_heartbeat_ms),
         rule_changes: block.number("rule-changes", 0.0..=100.0, Some(base.rule_changes)),
-        connections: whole("connections", CONNECTIONS_MOST, base.connections),
+        connections: integer("connections", MAX_CONNECTIONS, base.connections),
         requests: block.number("requests", 0.0..=1e6, Some(base.requests)),
         seconds: block.number("seconds", 0.5..=600.0, Some(base.seconds)),
     }
@@ -227,13 +227,19 @@
         ));
     }
     if size.rule_changes > 0.0 && size.keepers == 0 {
-        block.report("there are rule-changes, expected keepers".into());
+        let rate = size.rule_changes;
+        block.report(format!("rule-changes is {rate} and keepers is 0, expected keepers 1, 3 or 5"));
     }
     if size.connections > 0 && (size.real == 0 || size.requests == 0.0) {
-        block.report("there are connections, expected a real initiator and requests".into());
+        let Size { connections, real, requests, .. } = size;
+        block.report(format!(
+            "connections is {connections}, real is {real} and requests is {requests}, \
+             expected a real initiator and requests"
+        ));
     }
     if size.connections == 0 && size.requests > 0.0 {
-        block.report("there are requests, expected connections".into());
+        let requests = size.requests;
+        block.report(format!("requests is {requests} and connections is 0, expected at least 1 connection"));
     }
     let faults = block.blocks("fault").iter().filter_map(|fault| read_fault(fault, &size)).collect();
     block.reject_unknown_keys();
@@ -245,7 +251,7 @@
     let kind = match &name[..] {
         "restart" => {
             if size.hollow == 0 {
-                block.report("there is nobody to restart, expected hollow initiators".into());
+                block.report("hollow is 0, expected at least 1 hollow initiator to restart".into());
             }
             FaultKind::Restart { share: block.number("share", 0.0..=1.0, Some(0.1)) }
         }
@@ -258,7 +264,7 @@
         "list-away" => FaultKind::ListAway { seconds: block.number("for", 0.1..=600.0, Some(8.0)) },
         "" => return None,
         _ => {
-            block.report("no such fault; there are restart, kill-leader, list-away".into());
+            block.report("no such fault, expected restart, kill-leader or list-away".into());
             return None;
         }
     };
--- a/crates/flaxstand-simulation/src/scale/account.rs
+++ b/crates/flaxstand-simulation/src/scale/process_usage.rs
@@ -1,34 +1,34 @@
-//! What a process has used, by the system's own account under `/proc`.
+//! Resource usage of a process as reported under `/proc`.
 
 use serde::Serialize;
 use std::fs;
 
-/// What one process has used so far and holds now.
+/// Cumulative and current resource usage of one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Account {
-    /// Processor time of all its threads, nanoseconds.
+pub struct ProcessUsage {
+    /// CPU time of all threads, nanoseconds.
     pub processor_ns: u64,
-    /// Time that its threads were ready to run and had no processor, nanoseconds.
+    /// Time during which threads were runnable without a CPU, nanoseconds.
     pub waited_ns: u64,
-    /// Memory that is resident now, KiB.
+    /// Resident memory, KiB.
     pub resident_kib: u64,
-    /// The most that ever was, KiB.
+    /// Peak resident memory since the process started, KiB.
     pub resident_peak_kib: u64,
-    /// Bytes that it read by system calls: sockets, files and pipes.
+    /// Bytes read by system calls: sockets, files and pipes.
     pub read_bytes: u64,
-    /// Bytes that it wrote by system calls: sockets, files, pipes and its log.
+    /// Bytes written by system calls: sockets, files, pipes and the log.
     pub written_bytes: u64,
-    /// Descriptors open now.
+    /// Number of open descriptors.
     pub descriptors: u64,
 }
 
-impl Account {
-    /// The account of a process; none if it is gone.
-    pub fn of(pid: u32) -> Option<Account> {
+impl ProcessUsage {
+    /// Reads the usage of a process. Returns `None` if the process has ended.
+    pub fn read(pid: u32) -> Option<ProcessUsage> {
         let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let io = fs::read_to_string(format!("/proc/{pid}/io")).ok()?;
-        let (processor_ns, waited_ns) = processor_time(pid)?;
-        Some(Account {
+        let (processor_ns, waited_ns) = thread_times(pid)?;
+        Some(ProcessUsage {
             processor_ns,
             waited_ns,
             resident_kib: field(&status, "VmRSS:")?,
@@ -40,12 +40,12 @@
     }
 }
 
-/// Time of all threads on a processor, and ready without one. The first is the `utime + stime` of `stat`, in
-/// nanoseconds in place of hundredths of a second.
-fn processor_time(pid: u32) -> Option<(u64, u64)> {
+/// Returns the CPU time and the time spent runnable without a CPU, summed over all threads, in nanoseconds.
+/// `schedstat` has nanoseconds; `utime + stime` of `stat` has the same CPU time in units of 10 ms.
+fn thread_times(pid: u32) -> Option<(u64, u64)> {
     let (mut ran, mut waited) = (0, 0);
     for task in fs::read_dir(format!("/proc/{pid}/task")).ok()?.flatten() {
-        // A thread that ended meanwhile has no account any more.
+        // The file is missing if the thread has ended since the directory was read.
         let Ok(schedstat) = fs::read_to_string(task.path().join("schedstat")) else { continue };
         let mut fields = schedstat.split_whitespace().map(str::parse::<u64>);
         ran += fields.next()?.ok()?;
@@ -59,13 +59,13 @@
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Memory of the machine, KiB.
+/// Returns the total memory of the machine, KiB.
 pub fn machine_memory_kib() -> u64 {
     let meminfo = fs::read_to_string("/proc/meminfo").unwrap_or_default();
     field(&meminfo, "MemTotal:").unwrap_or(0)
 }
 
-/// How busy the machine was over the last minute, as the system tells it.
+/// Returns the machine's load average over the last minute.
 pub fn load_average() -> f64 {
     let loadavg = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     loadavg.split_whitespace().next().and_then(|first| first.parse().ok()).unwrap_or(0.0)
--- a/crates/flaxstand-simulation/src/scale/result.rs
+++ b/crates/flaxstand-simulation/src/scale/result.rs
@@ -1,146 +1,151 @@
-//! The result of a scale run: figures by step and role.
+//! The report of a scale run, with figures by step and role.
 
-use super::account::Account;
 use super::lags::Lags;
 use super::plan::{Fault, Size};
+use super::process_usage::ProcessUsage;
 use super::traffic::Traffic;
 use crate::press::Seen;
 use serde::Serialize;
 use std::fmt::Write as _;
 
-const KIB_A_MIB: f64 = 1024.0;
-const BYTES_A_KB: f64 = 1000.0;
-const NANOSECONDS_A_SECOND: f64 = 1e9;
+const KIB_PER_MIB: f64 = 1024.0;
+const BYTES_PER_KB: f64 = 1000.0;
+const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// A result.
+/// Report of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScaleReport {
-    /// The plan's name.
+    /// Name of the plan.
     pub name: String,
-    /// Memory of the machine, MiB.
+    /// Total memory of the machine, MiB.
     pub machine_mib: f64,
-    /// Processors that the run could use.
+    /// CPUs available to the run.
     pub processors: usize,
-    /// Steps, in the order in which they were run.
+    /// Steps in the order in which they ran.
     pub steps: Vec<StepReport>,
 }
 
-/// A step's figures.
+/// Report of a step.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct StepReport {
-    /// The step's name.
+    /// Name of the step.
     pub name: String,
-    /// What there was to be.
+    /// Planned size.
     pub size: Size,
-    /// What went wrong, as planned.
+    /// Planned faults.
     pub faults: Vec<Fault>,
-    /// What of the size did not fit, and at which bound; none: all of it did.
+    /// Parts of the planned size that did not fit, each with the limit that it exceeded. Empty if all of it
+    /// fitted.
     pub does_not_fit: Vec<String>,
-    /// Time until every initiator had the list, and a lease where they agree, ms.
+    /// Time until every initiator had the list and, in steps with keepers, a lease, ms.
     pub ready_ms: f64,
-    /// How long was measured, seconds.
+    /// Length of the measurement, seconds.
     pub measured_seconds: f64,
-    /// The machine's load average at the step's start and end.
+    /// Load average of the machine at the start and at the end of the step.
     pub load_average: (f64, f64),
-    /// Processes.
+    /// Number of processes.
     pub processes: usize,
-    /// Resident memory of all of them at the end, MiB.
+    /// Resident memory of all processes at the end, MiB.
     pub resident_mib: f64,
     /// Figures of each role.
     pub roles: Vec<RoleReport>,
-    /// Times until changes of the list were in force.
+    /// Delays until changes of the list took effect.
     pub node_changes: Vec<RoleLags>,
-    /// Times until changes of the rules were in force, from when each was proposed.
+    /// Delays from the proposal of a change of the rules until it took effect.
     pub rule_changes: Vec<RoleLags>,
-    /// Proposals that were not taken.
+    /// Proposals that were not accepted.
     pub proposals_refused: u32,
-    /// Times that a hollow initiator fell back to the floor for want of a lease.
-    pub floors: u64,
-    /// What clients of the first real initiator saw.
+    /// Number of times that a hollow initiator switched to the fallback rules because it had no lease.
+    #[serde(rename = "floors")]
+    pub fallbacks: u64,
+    /// Results of the clients of the first real initiator.
     pub load: Option<Seen>,
-    /// What became of faults.
+    /// Effects of the faults.
     pub fault_reports: Vec<FaultReport>,
 }
 
-/// Times until changes were in force at the initiators of a role.
+/// Delays until changes took effect at the initiators of a role.
 #[derive(Clone, Debug, Serialize)]
 pub struct RoleLags {
-    /// The role.
+    /// Name of the role.
     pub role: &'static str,
-    /// The times.
+    /// Distribution of the delays.
     #[serde(flatten)]
     pub lags: Lags,
 }
 
-/// What became of a fault.
+/// Effect of a fault.
 #[derive(Clone, Debug, Serialize)]
 pub struct FaultReport {
-    /// What went wrong.
+    /// Kind of the fault, and the condition that ends it.
     pub kind: String,
-    /// Initiators that it struck.
-    pub struck: usize,
-    /// Those of them that were ready again when the step ended.
+    /// Initiators affected by the fault.
+    #[serde(rename = "struck")]
+    pub affected: usize,
+    /// Affected initiators that were ready again when the step ended.
     pub ready: usize,
-    /// Time until half of them were, ms.
+    /// Median of the time until one of these was ready again, ms.
     pub p50_ms: f64,
-    /// Time until the last was, ms.
+    /// Time until the last of these was ready again, ms.
     pub last_ms: f64,
 }
 
-/// Figures of a role: means over its processes for a second, but where the name says otherwise.
+/// Figures of a role. Rates are per second and means over the processes of the role unless noted otherwise.
 #[derive(Clone, Debug, Serialize)]
 pub struct RoleReport {
     /// `leader`, `keeper`, `real`, `hollow`, `list`.
     pub role: &'static str,
-    /// Processes.
+    /// Number of processes.
     pub processes: usize,
-    /// Initiators in them; for the list service 0.
+    /// Number of initiators in these processes. 0 for the list service.
     pub initiators: u32,
-    /// Processor time of a process, percent of one core.
+    /// CPU time of a process, percent of one core.
     pub processor_percent: f64,
-    /// Of the process that used most.
+    /// CPU time of the process that used most, percent of one core.
     pub processor_percent_most: f64,
-    /// For each initiator.
+    /// CPU time per initiator, percent of one core.
     pub processor_percent_each: f64,
-    /// Time that a process was ready to run and had no processor, percent: where this is much, other work on the machine
-    /// made latencies longer.
+    /// Time that a process was runnable without a CPU, percent. A high value means that other work on the
+    /// machine increased the latencies.
     pub waiting_percent: f64,
-    /// Resident memory of the largest process at the end, MiB.
+    /// Resident memory of the largest process at the end of the measurement, MiB.
     pub resident_mib_most: f64,
-    /// The most that any process ever held, MiB.
+    /// Highest peak of the resident memory of any process, MiB.
     pub resident_peak_mib_most: f64,
-    /// Descriptors of the process with most.
+    /// Open descriptors of the process with the most of them.
     pub descriptors_most: u64,
-    /// Bytes that a process read by system calls, KB a second.
+    /// Bytes that a process read by system calls, KB/s.
     pub read_kb_s: f64,
-    /// Bytes that a process wrote by system calls, log and saved state included, KB a second.
+    /// Bytes that a process wrote by system calls, including its log and saved state, KB/s.
     pub written_kb_s: f64,
-    /// Messages and bytes of the list for each initiator, all over the time measured.
+    /// Traffic with the list service per initiator, total over the measurement. For the role `list`: over all
+    /// initiators.
     pub list: Option<Traffic>,
-    /// Messages and bytes of the agreement over all hollow initiators, all over the time measured.
+    /// Agreement traffic of all hollow initiators, total over the measurement.
     pub agreement: Option<Traffic>,
 }
 
-/// The accounts of a process at the start and at the end.
+/// Resource usage of a process at the start and at the end of the measurement.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Accounted {
-    pub(super) before: Account,
-    pub(super) after: Account,
+pub(super) struct UsageInterval {
+    pub(super) before: ProcessUsage,
+    pub(super) after: ProcessUsage,
 }
 
-impl Accounted {
+impl UsageInterval {
     fn processor_percent(&self, seconds: f64) -> f64 {
         let used = self.after.processor_ns.saturating_sub(self.before.processor_ns);
-        used as f64 / NANOSECONDS_A_SECOND / seconds * 100.0
+        used as f64 / NANOSECONDS_PER_SECOND / seconds * 100.0
     }
 }
 
 impl RoleReport {
-    /// Of processes of a role, with so many initiators in all.
+    /// Computes the figures of the processes of a role, which hold `initiators` initiators in total. Returns
+    /// `None` if there is no process.
     pub(super) fn of(
         role: &'static str,
         initiators: u32,
-        all: &[Accounted],
+        all: &[UsageInterval],
         seconds: f64,
     ) -> Option<RoleReport> {
         if all.is_empty() {
@@ -149,13 +154,14 @@
         let count = all.len() as f64;
         let percents: Vec<f64> = all.iter().map(|one| one.processor_percent(seconds)).collect();
         let sum: f64 = percents.iter().sum();
-        let waited = |one: &Accounted| one.after.waited_ns.saturating_sub(one.before.waited_ns) as f64;
-        let waited: f64 = all.iter().map(waited).sum();
-        let most = |figure: fn(&Account) -> u64| all.iter().map(|one| figure(&one.after)).max().unwrap_or(0);
-        let rate = |figure: fn(&Account) -> u64| {
+        let waited_ns = |one: &UsageInterval| one.after.waited_ns.saturating_sub(one.before.waited_ns) as f64;
+        let waited_ns: f64 = all.iter().map(waited_ns).sum();
+        let max =
+            |figure: fn(&ProcessUsage) -> u64| all.iter().map(|one| figure(&one.after)).max().unwrap_or(0);
+        let rate = |figure: fn(&ProcessUsage) -> u64| {
             let used: u64 =
                 all.iter().map(|one| figure(&one.after).saturating_sub(figure(&one.before))).sum();
-            used as f64 / BYTES_A_KB / seconds / count
+            used as f64 / BYTES_PER_KB / seconds / count
         };
         Some(RoleReport {
             role,
@@ -164,12 +170,12 @@
             processor_percent: sum / count,
             processor_percent_most: percents.iter().copied().fold(0.0, f64::max),
             processor_percent_each: sum / f64::from(initiators.max(1)),
-            waiting_percent: waited / NANOSECONDS_A_SECOND / seconds * 100.0 / count,
-            resident_mib_most: most(|account| account.resident_kib) as f64 / KIB_A_MIB,
-            resident_peak_mib_most: most(|account| account.resident_peak_kib) as f64 / KIB_A_MIB,
-            descriptors_most: most(|account| account.descriptors),
-            read_kb_s: rate(|account| account.read_bytes),
-            written_kb_s: rate(|account| account.written_bytes),
+            waiting_percent: waited_ns / NANOSECONDS_PER_SECOND / seconds * 100.0 / count,
+            resident_mib_most: max(|usage| usage.resident_kib) as f64 / KIB_PER_MIB,
+            resident_peak_mib_most: max(|usage| usage.resident_peak_kib) as f64 / KIB_PER_MIB,
+            descriptors_most: max(|usage| usage.descriptors),
+            read_kb_s: rate(|usage| usage.read_bytes),
+            written_kb_s: rate(|usage| usage.written_bytes),
             list: None,
             agreement: None,
         })
@@ -177,7 +183,7 @@
 }
 
 impl ScaleReport {
-    /// For people.
+    /// Formats the report as text.
     pub fn text(&self) -> String {
         let mut out = format!("{}: {} processors, {:.0} MiB\n", self.name, self.processors, self.machine_mib);
         self.steps.iter().for_each(|step| step.write(&mut out));
@@ -190,8 +196,9 @@
         let size = &self.size;
         let _ = writeln!(
             out,
-            "\n{}: {} hollow, {} real, {} keepers, {} nodes, {}/s node changes, {}/s rule changes, {} connections, \
-             {}/s requests; ready in {:.0} ms, {:.1} s measured, load average {:.1} to {:.1}, {} processes, {:.0} MiB",
+            "\n{}: {} hollow, {} real, {} keepers, {} nodes, {}/s node changes, {}/s rule changes, \
+             {} connections, {}/s requests; ready in {:.0} ms, {:.1} s measured, \
+             load average {:.1} to {:.1}, {} processes, {:.0} MiB",
             self.name,
             size.hollow,
             size.real,
@@ -216,10 +223,10 @@
             all.iter().for_each(|lags| write_lags(out, what, lags));
         }
         if self.proposals_refused > 0 {
-            let _ = writeln!(out, "  {} proposals refused", self.proposals_refused);
+            let _ = writeln!(out, "  {} proposals not accepted", self.proposals_refused);
         }
-        if self.floors > 0 {
-            let _ = writeln!(out, "  {} times a hollow initiator was without a lease", self.floors);
+        if self.fallbacks > 0 {
+            let _ = writeln!(out, "  hollow initiators lost their lease {} times", self.fallbacks);
         }
         if let Some(load) = &self.load {
             let rate = load.served as f64 / load.seconds.max(1e-9);
@@ -232,8 +239,8 @@
         for fault in &self.fault_reports {
             let _ = writeln!(
                 out,
-                "  {}: {} struck, {} ready again, half after {:.0} ms, the last after {:.0} ms",
-                fault.kind, fault.struck, fault.ready, fault.p50_ms, fault.last_ms
+                "  {}: {} affected, {} ready again, median {:.0} ms, last {:.0} ms",
+                fault.kind, fault.affected, fault.ready, fault.p50_ms, fault.last_ms
             );
         }
     }
@@ -266,7 +273,8 @@
             });
             let _ = writeln!(
                 out,
-                "  {:8} {:>5} {:>6} {:>8.3} {:>8.3} {:>8.4} {:>7.2} {:>8.1} {:>8.1} {:>6} {:>9.2} {:>9.2} {list:>12} {agreement:>12}",
+                "  {:8} {:>5} {:>6} {:>8.3} {:>8.3} {:>8.4} {:>7.2} {:>8.1} {:>8.1} {:>6} \
+                 {:>9.2} {:>9.2} {list:>12} {agreement:>12}",
                 role.role,
                 role.processes,
                 role.initiators,
@@ -284,12 +292,13 @@
     }
 }
 
-fn write_lags(out: &mut String, what: &str, of: &RoleLags) {
-    let lags = &of.lags;
+fn write_lags(out: &mut String, what: &str, of_role: &RoleLags) {
+    let lags = &of_role.lags;
     let expected = lags.changes * lags.initiators;
     let _ = writeln!(
         out,
-        "  {what} in force at {:7}: {} of {expected} ({} changes), p50 {:.1} ms, p99 {:.1} ms, last {:.1} ms",
-        of.role, lags.reached, lags.changes, lags.p50_ms, lags.p99_ms, lags.last_ms
+        "  changes of {what} in effect at {:7}: {} of {expected} ({} changes), \
+         p50 {:.1} ms, p99 {:.1} ms, last {:.1} ms",
+        of_role.role, lags.reached, lags.changes, lags.p50_ms, lags.p99_ms, lags.last_ms
     );
 }
--- a/crates/flaxstand-simulation/tests/scale.rs
+++ b/crates/flaxstand-simulation/tests/scale.rs
@@ -1,7 +1,7 @@
 //! Parts of scale runs without processes: plans, counts of messages, times until changes are in force.
 
 use flaxstand_proto::{Frame, encode};
-use flaxstand_simulation::scale::hollow::Arrival;
+use flaxstand_simulation::scale::hollow::Activation;
 use flaxstand_simulation::scale::lags::{Change, Lags};
 use flaxstand_simulation::scale::plan::{FaultKind, Plan};
 use flaxstand_simulation::scale::traffic::FrameCounter;
@@ -77,8 +77,8 @@
     }
 }
 
-fn arrival(initiator: u32, number: u64, at: u64) -> Arrival {
-    Arrival { initiator, number, at }
+fn arrival(initiator: u32, number: u64, at: u64) -> Activation {
+    Activation { initiator, number, at }
 }
 
 #[test]
