--- a/crates/flaxstand-cli/src/args.rs
+++ b/crates/flaxstand-cli/src/args.rs
@@ -1,4 +1,4 @@
-//! Arguments.
+//! Command-line arguments.
 
 use clap::{Args as Group, Parser, Subcommand, ValueEnum};
 use flaxstand_gateway::core::Policy;
@@ -12,146 +12,146 @@
     name = "flaxstand",
     version,
     max_term_width = 100,
-    after_help = "Exit codes: 0 all is well; \
-1 a rule was broken; 2 wrong arguments or a file with problems; 3 the system or a process failed."
+    after_help = "Exit codes: 0 success; 1 a rule was broken or a log is damaged; \
+2 invalid arguments or an invalid file; 3 any other failure, of the system or of a process."
 )]
 pub struct Args {
-    /// What to log to standard error: a level, or `target=level` parts. `debug` has each decision
+    /// Log filter for standard error: a level or a list of `target=level`; `debug` includes each decision
     #[arg(long, global = true, default_value = "info", env = "FLAXSTAND_LOG", hide_env = true)]
     pub log: String,
-    /// How to log
+    /// Log format
     #[arg(long, global = true, value_enum, default_value = "text")]
     pub log_format: LogFormat,
-    /// What to do
+    /// Command to run
     #[command(subcommand)]
-    pub task: Task,
+    pub command: Command,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 pub enum LogFormat {
-    /// For people
+    /// Plain text
     Text,
-    /// An object a line
+    /// One JSON object per line
     Json,
 }
 
 #[derive(Subcommand)]
-pub enum Task {
-    /// Run an initiator until SIGTERM; SIGHUP reads its bounds and the list service's address anew
+pub enum Command {
+    /// Run an initiator until SIGTERM; SIGHUP reloads its bounds and the list service's address
     Run {
-        /// Its settings
+        /// Settings file
         #[arg(long, value_name = "FILE", required_unless_present = "platform")]
         config: Option<PathBuf>,
-        /// Speak the platform's HTTP/1.1 and take the configuration from the file that RELAY_CONFIG names
+        /// Serve the platform's HTTP/1.1 protocol, with the configuration file that RELAY_CONFIG names
         #[arg(long, conflicts_with_all = ["config", "with_parent"])]
         platform: bool,
-        /// Stop when standard input ends
+        /// Stop when standard input is closed
         #[arg(long, hide = true)]
         with_parent: bool,
     },
-    /// Check a settings file or a day
+    /// Validate a settings file or a day
     Check {
-        /// The file
+        /// Settings file or day
         file: PathBuf,
     },
     /// Play a day on loopback and audit it
-    Rehearse(Rehearsal),
-    /// Draw days at random, play each on virtual time, and cut the first that breaks a rule down to a small one
+    Rehearse(RehearseArgs),
+    /// Play random days on virtual time and minimise the first that breaks a rule
     Swarm {
         /// Seed of the first day
         #[arg(long, default_value_t = 1)]
         first: u64,
-        /// How many days
+        /// Number of days
         #[arg(long, default_value_t = 1000)]
         days: u64,
-        /// How many at a time
+        /// Number of days played in parallel
         #[arg(long, default_value_t = 4)]
         threads: usize,
-        /// Where the small day goes
+        /// Folder for the minimised day
         #[arg(long, value_name = "FOLDER", default_value = "days/found")]
         found: PathBuf,
     },
-    /// Audit what a rehearsal kept, and report on it
+    /// Audit the records that a rehearsal kept and print a report
     Report {
-        /// The day that was played
+        /// Day that was played
         day: PathBuf,
-        /// What `rehearse --keep` left
+        /// Folder that `rehearse --keep` wrote
         folder: PathBuf,
-        /// Write the report there too; `-` prints it in place of the text
+        /// Also write the report as JSON to this file; with `-`, print only the JSON
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Write a page with plots there
+        /// Write an HTML page with plots to this file
         #[arg(long, value_name = "FILE")]
         html: Option<PathBuf>,
     },
-    /// Play days with variants, paired by seed, and tell what differs
+    /// Play days with variants, paired by seed, and compare the results
     Experiment {
-        /// The experiment
+        /// Experiment file
         file: PathBuf,
-        /// Keep each run's figures there, and go on from them
+        /// Save the figures of each run in this file and skip the runs that it already has
         #[arg(long, value_name = "FILE")]
         resume: Option<PathBuf>,
-        /// Write the result there too; `-` prints it in place of the text
+        /// Also write the result as JSON to this file; with `-`, print only the JSON
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Write a page with a plot there
+        /// Write an HTML page with a plot to this file
         #[arg(long, value_name = "FILE")]
         html: Option<PathBuf>,
-        /// How many runs at a time
+        /// Number of runs in parallel
         #[arg(long, default_value_t = 4)]
         threads: usize,
     },
-    /// Press on a running initiator, open or closed loop; prints what was served and how fast, as JSON
-    Load(Press),
-    /// Measure what an initiator costs, beside a straight pipe, against nodes that answer at once
+    /// Generate load on a running initiator, open or closed loop; prints counts and latencies as JSON
+    Load(LoadArgs),
+    /// Measure the cost of an initiator compared with a plain pipe, with nodes that answer immediately
     Measure {
-        /// What of it
+        /// What to measure
         #[arg(value_enum, default_value = "requests")]
-        what: Measured,
-        /// Seconds for each figure
+        what: Measurement,
+        /// Duration of each measurement in seconds
         #[arg(long, default_value_t = 3.0)]
         seconds: f64,
-        /// Write the figures there too
+        /// Also write the figures as JSON to this file; with `-`, print only the JSON
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
-    /// Measure what each role costs as a fleet grows: hollow initiators beside real processes
+    /// Measure the cost of each role as a fleet grows, with hollow initiators beside real processes
     Scale(ScaleArgs),
-    /// Look at a write-back log, or empty it
+    /// Inspect, drain and repair a write-back log
     #[command(subcommand)]
-    Buffer(BufferTask),
-    /// Settings that initiators agree on: propose, look, withdraw
+    Buffer(BufferCommand),
+    /// Show and change the settings that initiators agree on
     Settings(SettingsArgs),
-    /// One process of a rehearsal
+    /// Run one process of a rehearsal
     #[command(subcommand, hide = true)]
-    StandIn(Role),
+    StandIn(StandInRole),
 }
 
 #[derive(Group)]
-pub struct Rehearsal {
-    /// The day
+pub struct RehearseArgs {
+    /// Day to play
     pub day: PathBuf,
-    /// How long requests come, in place of what the day says
+    /// Seconds during which clients send requests, instead of the duration in the day
     #[arg(long)]
     pub seconds: Option<f64>,
-    /// Write the report there too; `-` prints it in place of the text
+    /// Also write the report as JSON to this file; with `-`, print only the JSON
     #[arg(long, value_name = "FILE")]
     pub json: Option<PathBuf>,
-    /// Write a page with plots there
+    /// Write an HTML page with plots to this file
     #[arg(long, value_name = "FILE")]
     pub html: Option<PathBuf>,
     /// Keep records (and, on loopback, settings and logs) in this new folder
     #[arg(long, value_name = "FOLDER")]
     pub keep: Option<PathBuf>,
-    /// What decides: module, or a baseline: pipe, least-out, two-choices
-    #[arg(long, value_parser = policy, default_value = "module")]
+    /// Scheduling policy: module, or one of the baselines pipe, least-out and two-choices
+    #[arg(long, value_parser = parse_policy, default_value = "module")]
     pub policy: Policy,
-    /// In one process on virtual time, in place of loopback: the same day gives the same record
+    /// Run in one process on virtual time instead of on loopback; the same day gives the same records
     #[arg(long = "virtual")]
-    pub virtually: bool,
+    pub virtual_time: bool,
 }
 
-/// A name that is not a policy's.
+/// The name of a policy is unknown.
 #[derive(Debug, Error)]
 #[error("expected one of {}", policy_names().join(", "))]
 pub struct UnknownPolicy;
@@ -160,209 +160,210 @@
     Policy::ALL.iter().map(|(name, _)| *name).collect()
 }
 
-/// The policy of this name.
-fn policy(name: &str) -> Result<Policy, UnknownPolicy> {
+/// Parses the name of a policy.
+fn parse_policy(name: &str) -> Result<Policy, UnknownPolicy> {
     let found = Policy::ALL.iter().find(|(known, _)| *known == name);
     found.map(|(_, policy)| *policy).ok_or(UnknownPolicy)
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum Measured {
-    /// Requests a second, latency, processor time, memory
+pub enum Measurement {
+    /// Requests per second, latency, processor time, memory
     Requests,
-    /// Agreement on against off: requests a second, processor time, in turn
+    /// Requests per second and processor time, with agreement on and off in alternation
     Agreement,
-    /// Buffered writes beside writes through: latency, writes and syncs a second, reading a log back
+    /// Buffered writes and write-through: latency, writes and syncs per second; time to read a log
     Buffer,
 }
 
 #[derive(Group)]
 pub struct ScaleArgs {
-    /// What there is to be, step by step
+    /// Plan of the run: fleet sizes, load and faults, in steps
     pub file: PathBuf,
-    /// Write the result there too; `-` prints it in place of the text
+    /// Also write the result as JSON to this file; with `-`, print only the JSON
     #[arg(long, value_name = "FILE")]
     pub json: Option<PathBuf>,
 }
 
 #[derive(Group)]
 pub struct HollowArgs {
-    /// Settings of the first
+    /// Settings file of the first initiator
     #[arg(long)]
     pub config: PathBuf,
-    /// Its number among the site's initiators
+    /// Index of the first initiator among those of the site
     #[arg(long)]
     pub first: u32,
-    /// How many
+    /// Number of initiators
     #[arg(long)]
     pub count: u32,
 }
 
 #[derive(Group)]
 pub struct NodeListArgs {
-    /// Nodes in the list
+    /// Number of nodes in the list
     #[arg(long)]
     pub nodes: u32,
-    /// Changes a second, once started
+    /// Changes of the list per second, once started
     #[arg(long)]
     pub changes: f64,
-    /// How often watchers are told that nothing has changed, milliseconds; 0: never
+    /// Interval of heartbeats to watchers while the list does not change, in milliseconds; 0 for none
     #[arg(long, default_value_t = 0)]
     pub heartbeat_ms: u32,
-    /// Addresses of the first nodes; nothing listens at those of the others
+    /// Addresses of the first nodes; nothing listens at the addresses of the others
     #[arg(long)]
     pub answering: Vec<Address>,
+    /// Addresses to listen at
     #[arg(long)]
     pub listen: Vec<Address>,
 }
 
 #[derive(Subcommand)]
-pub enum BufferTask {
-    /// What is buffered: of a running initiator its own figures, of a log's folder what it holds
+pub enum BufferCommand {
+    /// Show figures of the buffered writes of a running initiator or of a log folder
     Status {
         #[command(flatten)]
-        of: Which,
-        /// As a JSON object
+        source: BufferSource,
+        /// Print a JSON object
         #[arg(long)]
         json: bool,
     },
-    /// Read a log through; exit code 1 if it is damaged. Nothing is changed, and it may be in use
+    /// Verify a log without changing it, even while it is in use; exit code 1 if it is damaged
     Verify {
-        /// The log's folder
+        /// Log folder
         folder: PathBuf,
     },
-    /// List what is buffered, a line each: number, volume, extent, class, operation, bytes, age, state
+    /// List buffered writes, one per line: number, volume, extent, class, operation, bytes, age, state
     Dump {
-        /// The log's folder
+        /// Log folder
         folder: PathBuf,
-        /// Only what waits for an operator
+        /// List only parked writes, which wait for a decision of an operator
         #[arg(long)]
         parked: bool,
-        /// Each line a JSON object
+        /// Print one JSON object per line
         #[arg(long)]
         json: bool,
     },
-    /// Bring all that is buffered to its nodes: by a running initiator, or with a stopped one's settings
+    /// Write all buffered writes to their nodes, by a running initiator or with the settings of a stopped one
     Drain {
         #[command(flatten)]
-        by: By,
-        /// How long at most
+        by: DrainBy,
+        /// Time limit in seconds
         #[arg(long, default_value_t = 60.0)]
         seconds: f64,
     },
-    /// Say what becomes of a write that waits for an operator; the initiator must be stopped
+    /// Decide on a parked write; the initiator must be stopped
     Decide {
-        /// The log's folder
+        /// Log folder
         folder: PathBuf,
-        /// Its number, as `dump` shows it
+        /// Number of the write, as `dump` prints it
         number: u64,
-        /// Is it on its node, or is it to go again
+        /// Whether the write has reached its node or is sent again
         #[arg(value_enum)]
-        verdict: ParkedDecisionArgument,
+        verdict: Verdict,
     },
-    /// Make a damaged log usable: what can be read goes to a new segment, the old ones are set aside
+    /// Repair a damaged log: copy the readable records to a new segment and set the old segments aside
     Salvage {
-        /// The log's folder
+        /// Log folder
         folder: PathBuf,
     },
 }
 
 #[derive(Group)]
 pub struct SettingsArgs {
-    /// Settings of any initiator of the site: its `agreement` says where the others are
+    /// Settings file of any initiator of the site; its `agreement` section has the addresses of the others
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
-    /// What to do
+    /// Command to run
     #[command(subcommand)]
-    pub task: SettingsTask,
+    pub command: SettingsCommand,
 }
 
 #[derive(Subcommand)]
-pub enum SettingsTask {
-    /// Propose the rules of a file as the next version, and tell what they widen and narrow
+pub enum SettingsCommand {
+    /// Propose the rules of a file as the next version and print what they change
     Propose {
-        /// The file: a settings file, or only what all initiators share
+        /// Settings file, or a file with only the settings that all initiators share
         file: PathBuf,
-        /// Only tell
+        /// Print the changes without proposing them
         #[arg(long)]
         dry_run: bool,
-        /// Wait until it is in force, for so many seconds at most
+        /// Wait up to this many seconds until the version is in force
         #[arg(long, value_name = "SECONDS")]
         wait: Option<f64>,
     },
-    /// Who acts on which version, and who holds a change up and why
+    /// Show which version each initiator acts on and what blocks a change
     Status {
-        /// As a JSON object
+        /// Print a JSON object
         #[arg(long)]
         json: bool,
     },
-    /// What happened to each version
+    /// List the events of each version
     History,
-    /// Print the file of the version in force, or of an earlier one that is still kept
+    /// Print the file of the version in force or of another stored version
     Show {
-        /// Its number
+        /// Number of the version
         number: Option<u64>,
     },
-    /// Take a version back that is not in force yet
+    /// Withdraw a version that is not in force yet
     Withdraw {
-        /// Its number
+        /// Number of the version
         number: u64,
     },
     /// Propose an earlier version again
     Revert {
-        /// Its number
+        /// Number of the version
         number: u64,
     },
-    /// Wait until no change is under way
+    /// Wait until no change is being rolled out
     Wait {
-        /// For so many seconds at most
+        /// Time limit in seconds
         #[arg(long, default_value_t = 60.0)]
         seconds: f64,
     },
-    /// An initiator is gone for good: no longer wait for its word
+    /// Remove an initiator that is permanently stopped, so that changes no longer wait for it
     Forget {
-        /// Its name
+        /// Name of the initiator
         name: String,
     },
 }
 
 #[derive(Group)]
 #[group(required = true, multiple = false)]
-pub struct Which {
-    /// The log's folder
+pub struct BufferSource {
+    /// Log folder
     pub folder: Option<PathBuf>,
-    /// A running initiator
+    /// Address of a running initiator
     #[arg(long, value_name = "ADDRESS")]
     pub initiator: Option<Address>,
 }
 
 #[derive(Group)]
 #[group(required = true, multiple = false)]
-pub struct By {
-    /// A running initiator
+pub struct DrainBy {
+    /// Address of a running initiator
     #[arg(long, value_name = "ADDRESS")]
     pub initiator: Option<Address>,
-    /// The settings of one that is stopped
+    /// Settings file of a stopped initiator
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-pub enum ParkedDecisionArgument {
-    /// It is on its node
+pub enum Verdict {
+    /// The write has reached its node
     Done,
-    /// It is not, and goes out as if it never had
+    /// The write has not reached its node and is sent again
     Again,
 }
 
 #[derive(Subcommand)]
-pub enum Role {
-    /// The list service
+pub enum StandInRole {
+    /// List service
     List {
         #[command(flatten)]
-        files: Files,
+        files: StandInFiles,
     },
-    /// A storage node
+    /// Storage node
     Node {
         day: PathBuf,
         #[arg(long)]
@@ -374,22 +375,22 @@
         #[arg(long)]
         cold: bool,
         #[command(flatten)]
-        files: Files,
+        files: StandInFiles,
     },
-    /// Nodes that answer at once, one for each address, or that never do
+    /// Nodes, one per address, that answer immediately or never
     Echo {
         #[arg(long)]
         mute: bool,
         #[command(flatten)]
-        files: Files,
+        files: StandInFiles,
     },
-    /// The list service of a scale run
+    /// List service of a scale run
     NodeList(NodeListArgs),
     /// Initiators without clients, many in one process
     Hollow(HollowArgs),
-    /// Clients that keep so many requests out, or send so many a second
-    Press(Press),
-    /// The clients
+    /// Clients that keep a number of requests in flight or send at a fixed rate
+    Press(LoadArgs),
+    /// Clients
     Load {
         day: PathBuf,
         #[arg(long)]
@@ -397,41 +398,44 @@
         #[arg(long)]
         initiator: Vec<Address>,
         #[command(flatten)]
-        files: Files,
+        files: StandInFiles,
     },
 }
 
 #[derive(Group)]
-pub struct Press {
-    /// The initiator's address
+pub struct LoadArgs {
+    /// Address of the initiator
     #[arg(long)]
     pub initiator: Address,
-    /// Shards that requests are spread over evenly, from 0
+    /// Number of shards that requests are spread over evenly, from shard 0
     #[arg(long)]
     pub shards: u32,
-    /// Connections
+    /// Number of connections
     #[arg(long, default_value_t = 1)]
     pub clients: u32,
-    /// Requests that each connection keeps out (closed loop)
+    /// Requests that each connection keeps in flight (closed loop)
     #[arg(long, default_value_t = 0, conflicts_with = "rate", required_unless_present = "rate")]
     pub window: u32,
-    /// Requests a second over all connections, whatever is answered (open loop)
+    /// Requests per second over all connections, regardless of the answers (open loop)
     #[arg(long, default_value_t = 0.0)]
     pub rate: f64,
-    /// Bytes of a write, each to an extent of its own; 0: requests read
+    /// Bytes per write, each to its own extent; 0 sends reads
     #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u32).range(0..=1 << 20))]
     pub write: u32,
-    /// How long is measured, after a warm-up of a quarter of that
+    /// Duration of the measurement in seconds, after a warm-up of a quarter of it
     #[arg(long)]
     pub seconds: f64,
 }
 
 #[derive(Group)]
-pub struct Files {
+pub struct StandInFiles {
+    /// Addresses to listen at
     #[arg(long)]
     pub listen: Vec<Address>,
+    /// File for the process's records
     #[arg(long)]
     pub record: Option<PathBuf>,
+    /// File for the data that the process stores
     #[arg(long)]
     pub data: Option<PathBuf>,
 }
--- a/crates/flaxstand-cli/src/buffer.rs
+++ b/crates/flaxstand-cli/src/buffer.rs
@@ -1,6 +1,6 @@
-//! `flaxstand buffer`: what operators do with buffered writes, of a running initiator or in a log's folder.
+//! `flaxstand buffer`: inspects and manages the buffered writes of a running initiator or of a log folder.
 
-use crate::args::{BufferTask, By, ParkedDecisionArgument, Which};
+use crate::args::{BufferCommand, BufferSource, DrainBy, Verdict};
 use crate::connection::{CallError, Connection};
 use crate::daemon::{self, Purpose};
 use crate::error::{CommandError, LogError};
@@ -13,28 +13,30 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Name under which the command connects to an initiator.
+/// Client name in the hello to an initiator.
 const CLIENT_NAME: &str = "flaxstand buffer";
-/// How long an initiator has to answer.
+/// Maximum time for an initiator to answer.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Shortest and longest time that draining may take, seconds.
+/// Range of the time limit of a drain, seconds.
 const MIN_DRAIN_SECONDS: f64 = 0.1;
 const MAX_DRAIN_SECONDS: f64 = 4000.0;
 
-/// Carries out one task.
-pub fn run(task: BufferTask) -> Result<(), CommandError> {
-    match task {
-        BufferTask::Status { of, json } => print_status(&of, json),
-        BufferTask::Verify { folder } => verify(&folder),
-        BufferTask::Dump { folder, parked, json } => dump(&folder, parked, json),
-        BufferTask::Drain { by, seconds } => drain(&by, seconds.clamp(MIN_DRAIN_SECONDS, MAX_DRAIN_SECONDS)),
-        BufferTask::Decide { folder, number, verdict } => decide_parked(&folder, number, verdict),
-        BufferTask::Salvage { folder } => salvage_log(&folder),
+/// Runs one command.
+pub fn run(command: BufferCommand) -> Result<(), CommandError> {
+    match command {
+        BufferCommand::Status { source, json } => print_status(&source, json),
+        BufferCommand::Verify { folder } => verify(&folder),
+        BufferCommand::Dump { folder, parked, json } => dump(&folder, parked, json),
+        BufferCommand::Drain { by, seconds } => {
+            drain(&by, seconds.clamp(MIN_DRAIN_SECONDS, MAX_DRAIN_SECONDS))
+        }
+        BufferCommand::Decide { folder, number, verdict } => decide_parked(&folder, number, verdict),
+        BufferCommand::Salvage { folder } => salvage_log(&folder),
     }
 }
 
-fn print_status(of: &Which, json: bool) -> Result<(), CommandError> {
-    let status = match (&of.initiator, &of.folder) {
+fn print_status(source: &BufferSource, json: bool) -> Result<(), CommandError> {
+    let status = match (&source.initiator, &source.folder) {
         (Some(address), _) => running_status(address)?,
         (None, Some(folder)) => log_status(&read_log(folder)?),
         (None, None) => unreachable!("the argument parser requires one of the two"),
@@ -44,19 +46,19 @@
 }
 
 fn verify(folder: &Path) -> Result<(), CommandError> {
-    let mut storage = SegmentFolder::open_read_only(folder).map_err(in_folder(folder))?;
+    let mut storage = SegmentFolder::open_read_only(folder).map_err(log_error(folder))?;
     match recover(&mut storage) {
         Ok(recovered) => {
             let (segments, bytes) = (recovered.segments.len(), log_bytes(&recovered));
-            println!("{segments} segments, {bytes} bytes, {} records: sound", recovered.records);
+            println!("{segments} segments, {bytes} bytes, {} records: intact", recovered.records);
             if recovered.torn_bytes > 0 {
-                println!("{} bytes at the end were never synced and count for nothing", recovered.torn_bytes);
+                println!("{} bytes at the end were never synced and are ignored", recovered.torn_bytes);
             }
             Ok(())
         }
         Err(error) => {
             println!("{error}");
-            println!("`flaxstand buffer salvage` keeps what can still be read");
+            println!("`flaxstand buffer salvage` keeps the readable records");
             Err(CommandError::RuleBroken)
         }
     }
@@ -73,11 +75,11 @@
     Ok(())
 }
 
-fn drain(by: &By, seconds: f64) -> Result<(), CommandError> {
+fn drain(by: &DrainBy, seconds: f64) -> Result<(), CommandError> {
     match (&by.initiator, &by.config) {
         (Some(address), _) => {
             flush(address, Duration::from_secs_f64(seconds))?;
-            println!("all that was buffered is on its nodes");
+            println!("all buffered writes are on their nodes");
             Ok(())
         }
         (None, Some(config)) => daemon::run(config, Purpose::Drain(Micros::from_ms(seconds * 1000.0))),
@@ -85,36 +87,36 @@
     }
 }
 
-fn decide_parked(folder: &Path, number: u64, verdict: ParkedDecisionArgument) -> Result<(), CommandError> {
+fn decide_parked(folder: &Path, number: u64, verdict: Verdict) -> Result<(), CommandError> {
     let decision = match verdict {
-        ParkedDecisionArgument::Done => ParkedDecision::Done,
-        ParkedDecisionArgument::Again => ParkedDecision::Resend,
+        Verdict::Done => ParkedDecision::Done,
+        Verdict::Again => ParkedDecision::Resend,
     };
-    let mut storage = SegmentFolder::open(folder).map_err(in_folder(folder))?;
-    let is_decided = decide(&mut storage, Seq(number), decision).map_err(in_folder(folder))?;
+    let mut storage = SegmentFolder::open(folder).map_err(log_error(folder))?;
+    let is_decided = decide(&mut storage, Seq(number), decision).map_err(log_error(folder))?;
     if is_decided { Ok(()) } else { Err(CommandError::NotParked { folder: folder.to_owned(), number }) }
 }
 
 fn salvage_log(folder: &Path) -> Result<(), CommandError> {
-    let mut storage = SegmentFolder::open(folder).map_err(in_folder(folder))?;
+    let mut storage = SegmentFolder::open(folder).map_err(log_error(folder))?;
     if recover(&mut storage).is_ok() {
-        println!("the log is sound: nothing is changed");
+        println!("the log is intact: nothing is changed");
         return Ok(());
     }
-    let salvaged = salvage(&mut storage).map_err(in_folder(folder))?;
-    println!("{salvaged} writes and barriers are kept; the old segments are set aside as *.damaged");
+    let salvaged = salvage(&mut storage).map_err(log_error(folder))?;
+    println!("{salvaged} writes and barriers are kept; the old segments are renamed to *.damaged");
     Ok(())
 }
 
-fn in_folder<E: Into<LogError>>(folder: &Path) -> impl FnOnce(E) -> CommandError {
+fn log_error<E: Into<LogError>>(folder: &Path) -> impl FnOnce(E) -> CommandError {
     let folder = folder.to_owned();
     move |error| CommandError::Log { folder, source: error.into() }
 }
 
-/// What a log holds, whether or not a process uses it.
+/// Reads a log without changing it; another process may have it open.
 fn read_log(folder: &Path) -> Result<Recovered, CommandError> {
-    let mut storage = SegmentFolder::open_read_only(folder).map_err(in_folder(folder))?;
-    recover(&mut storage).map_err(in_folder(folder))
+    let mut storage = SegmentFolder::open_read_only(folder).map_err(log_error(folder))?;
+    recover(&mut storage).map_err(log_error(folder))
 }
 
 fn log_bytes(recovered: &Recovered) -> u64 {
@@ -126,7 +128,7 @@
     WallClock(now.as_micros() as u64).since(accepted).unwrap_or_default()
 }
 
-/// Figures of a log, as a JSON object.
+/// Returns the figures of a log as a JSON object.
 fn log_status(recovered: &Recovered) -> String {
     let writes: Vec<&LiveWrite> = recovered
         .live
@@ -147,7 +149,7 @@
     object.to_string()
 }
 
-/// A JSON object as lines.
+/// Formats the fields of a JSON object as lines.
 fn status_lines(object: &str) -> String {
     let parsed: serde_json::Map<String, serde_json::Value> = serde_json::from_str(object).unwrap_or_default();
     if parsed.is_empty() {
@@ -189,7 +191,7 @@
     )
 }
 
-/// Figures of a running initiator, as a JSON object.
+/// Queries the figures of a running initiator, as a JSON object.
 fn running_status(address: &Address) -> Result<String, CallError> {
     let mut connection = Connection::open(address, CLIENT_NAME)?;
     connection.send(&Frame::AskStatus { id: 1 })?;
@@ -199,12 +201,12 @@
     })
 }
 
-/// Has a running initiator write out all that is buffered.
-fn flush(address: &Address, longest: Duration) -> Result<(), CallError> {
-    let time_left = u32::try_from(longest.as_micros()).unwrap_or(u32::MAX);
+/// Makes a running initiator write out all buffered writes within `limit`.
+fn flush(address: &Address, limit: Duration) -> Result<(), CallError> {
+    let time_left = u32::try_from(limit.as_micros()).unwrap_or(u32::MAX);
     let mut connection = Connection::open(address, CLIENT_NAME)?;
     connection.send(&Frame::Flush { id: 1, volume: None, time_left })?;
-    connection.receive(longest + REPLY_TIMEOUT, |frame| match frame {
+    connection.receive(limit + REPLY_TIMEOUT, |frame| match frame {
         Frame::Flushed { .. } => Some(Ok(())),
         Frame::Refused { refusal, .. } => Some(Err(CallError::Rejected(*refusal))),
         Frame::Failed { .. } => Some(Err(CallError::FlushIncomplete)),
--- a/crates/flaxstand-cli/src/check.rs
+++ b/crates/flaxstand-cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `flaxstand check`.
+//! `flaxstand check`: validates a settings file or a day.
 
 use crate::error::CommandError;
 use crate::files::{print_problems, read_day, read_text};
@@ -6,10 +6,10 @@
 use flaxstand_gateway::settings::read_daemon;
 use std::path::Path;
 
-/// Checks a settings file or a day.
+/// Validates a settings file or a day.
 pub fn run(path: &Path) -> Result<(), CommandError> {
     let text = read_text(path)?;
-    // A day says so; all else is taken for settings.
+    // A file with a `day` node is a day, any other is a settings file.
     if text.lines().any(|line| line.trim_start().starts_with("day ")) {
         check_day(path)
     } else {
--- a/crates/flaxstand-cli/src/connection.rs
+++ b/crates/flaxstand-cli/src/connection.rs
@@ -1,4 +1,4 @@
-//! A command's connection to a running initiator.
+//! Client connection of a command to a running initiator.
 
 use flaxstand_gateway::machine::Address;
 use flaxstand_proto::{Frame, FrameError, Hello, Inbox, Refusal, Role, VERSION, VERSION_OLDEST, encode};
@@ -8,53 +8,53 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long an initiator has to accept a connection.
+/// Maximum time for an initiator to welcome a client.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a running initiator did not answer as expected.
+/// A call to a running initiator failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// It can't be reached.
-    #[error("{address}: {source}")]
+    /// The connection failed.
+    #[error("cannot connect to {address}: {source}")]
     Connect {
-        /// Its address.
+        /// Address of the initiator.
         address: Address,
-        /// What the system reports.
+        /// The error of the system.
         source: io::Error,
     },
     /// The request could not be sent.
-    #[error("{0}")]
+    #[error("cannot send to the initiator: {0}")]
     Send(io::Error),
-    /// The request could not be encoded, or the answer decoded.
-    #[error("{0}")]
+    /// The request could not be encoded.
+    #[error("cannot encode the request: {0}")]
     Encode(postcard::Error),
-    /// No answer came.
-    #[error("the initiator: {0}")]
+    /// Reading the answer failed or timed out.
+    #[error("cannot read the initiator's answer: {0}")]
     Receive(io::Error),
-    /// It closed the connection.
-    #[error("the initiator hung up")]
+    /// The initiator closed the connection without a reason.
+    #[error("the initiator closed the connection before it answered")]
     Closed,
-    /// It closed the connection and said why.
-    #[error("the initiator says goodbye: {0}")]
+    /// The initiator closed the connection with a reason.
+    #[error("the initiator closed the connection: {0}")]
     ClosedBecause(String),
-    /// It sent what is not a frame.
-    #[error("{0}")]
+    /// The initiator sent an invalid frame.
+    #[error("invalid frame from the initiator: {0}")]
     Frame(FrameError),
-    /// It rejected the request.
-    #[error("refused: {0:?}")]
+    /// The initiator refused the request.
+    #[error("the initiator refused the request: {0:?}")]
     Rejected(Refusal),
-    /// The flush was not complete in its time.
-    #[error("not all that is buffered reached its node in that time")]
+    /// The flush did not complete within its time limit.
+    #[error("flush incomplete: not all buffered writes reached their nodes within the time limit")]
     FlushIncomplete,
-    /// Its answer can't be decoded.
-    #[error("an answer that can't be read: {0}")]
+    /// The answer could not be decoded.
+    #[error("cannot decode the initiator's answer: {0}")]
     Undecodable(postcard::Error),
-    /// It answered something else.
-    #[error("an answer to something else")]
+    /// The answer is of another kind than the request asks for.
+    #[error("expected a status report from the initiator, found another answer")]
     Unexpected,
 }
 
-/// A connection to a running initiator.
+/// A blocking connection to a running initiator.
 pub struct Connection {
     stream: Box<dyn Stream>,
     inbox: Inbox,
@@ -84,7 +84,7 @@
 }
 
 impl Connection {
-    /// Connects to an initiator, as a client of this name.
+    /// Connects to an initiator as client `name` and waits for its welcome.
     pub fn open(address: &Address, name: &str) -> Result<Connection, CallError> {
         let stream =
             open(address).map_err(|source| CallError::Connect { address: address.clone(), source })?;
@@ -96,14 +96,13 @@
         Ok(connection)
     }
 
-    /// Sends a frame.
     pub fn send(&mut self, frame: &Frame<'_>) -> Result<(), CallError> {
         let mut bytes = Vec::new();
         encode(frame, &mut bytes);
         self.stream.write_all(&bytes).map_err(CallError::Send)
     }
 
-    /// Reads until `answer` finds one in a frame. Each read waits for at most `timeout`.
+    /// Reads frames until `answer` returns a result for one. Each read waits for at most `timeout`.
     pub fn receive<T>(
         &mut self,
         timeout: Duration,
--- a/crates/flaxstand-cli/src/daemon/mod.rs
+++ b/crates/flaxstand-cli/src/daemon/mod.rs
@@ -1,4 +1,5 @@
-//! `flaxstand run`: start, service or draining, and stop of an initiator. `saved_state` has what it goes on with.
+//! `flaxstand run`: starts an initiator, serves clients or drains its buffer, and stops it. `saved_state`
+//! restores the state of the previous process.
 
 mod saved_state;
 
@@ -10,25 +11,25 @@
 use flaxstand_gateway::settings::{ConsensusSettings, Daemon, read_daemon};
 use saved_state::{
     open_consensus_log, open_write_back_log, read_replicated_state, read_saved_list, set_aside_damaged,
-    set_aside_if_old,
+    set_aside_if_expired,
 };
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tracing::{error, info};
 
-/// File of the replicated state in an agreement's folder.
+/// File name of the replicated state in the agreement's folder.
 const REPLICATED_STATE_FILE: &str = "book";
 
-/// What an initiator is run for.
+/// Purpose for which an initiator runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// It serves clients.
+    /// Serve clients.
     Serve {
-        /// It stops when its standard input ends.
+        /// Stop when standard input is closed.
         with_parent: bool,
     },
-    /// It only writes out what is buffered, for at most this long, and listens nowhere.
+    /// Write out the buffered writes within this time, without listening for clients.
     Drain(Micros),
 }
 
@@ -43,7 +44,7 @@
     let daemon = print_problems(read_daemon(&name(path), &read_text(path)?))?;
     let initiator = daemon.config.name.clone();
     let Started { core, options, listen } = start(path, daemon, purpose)?;
-    let mut driver = Driver::new(core, options).map_err(CommandError::io("cannot start"))?;
+    let mut driver = Driver::new(core, options).map_err(CommandError::io("cannot start the driver"))?;
     if purpose.serves() {
         let addresses = listen_at(&mut driver, &listen)?;
         announce(&initiator, &addresses);
@@ -52,14 +53,14 @@
     if purpose.serves() { Ok(()) } else { report_drained(&core) }
 }
 
-/// An initiator that is ready to run.
+/// The parts of an initiator that is ready to run.
 struct Started {
     core: Core,
     options: Options,
     listen: Vec<Address>,
 }
 
-/// Makes the core, with all that it goes on with.
+/// Creates the core and restores its saved state.
 fn start(path: &Path, daemon: Daemon, purpose: Purpose) -> Result<Started, CommandError> {
     let Daemon {
         mut config,
@@ -73,18 +74,18 @@
     if let Some(descriptors) = max_open_files {
         lower_descriptor_limit(descriptors)?;
     }
-    let started_at = calendar();
-    // Grows from one start to the next as long as the host's calendar is not set back.
+    let started_at = wall_clock();
+    // Increases from one start to the next unless the host's clock is set back.
     config.epoch = started_at.as_micros() as u64;
     if let (Some(path), Some(max_age)) = (&saved_list_path, max_saved_list_age) {
-        set_aside_if_old(path, max_age)?;
+        set_aside_if_expired(path, max_age)?;
     }
     let saved_list = saved_list_path.as_deref().and_then(read_saved_list);
-    if let Purpose::Drain(longest) = purpose {
+    if let Purpose::Drain(limit) = purpose {
         if write_back_log.is_none() {
             return Err(CommandError::NothingBuffered(path.to_owned()));
         }
-        config.site.timeouts.shutdown_timeout = longest;
+        config.site.timeouts.shutdown_timeout = limit;
     }
     let now = clock();
     config.calendar = started_at.as_micros() as u64 - now.0;
@@ -114,16 +115,17 @@
 fn lower_descriptor_limit(descriptors: u64) -> Result<(), CommandError> {
     use rustix::process::{Resource, Rlimit, setrlimit};
     let limit = Rlimit { current: Some(descriptors), maximum: Some(descriptors) };
-    setrlimit(Resource::Nofile, limit)
-        .map_err(|errno| CommandError::io("cannot lower the descriptors")(errno.into()))
+    setrlimit(Resource::Nofile, limit).map_err(|errno| {
+        CommandError::io(format!("cannot set the limit of open files to {descriptors}"))(errno.into())
+    })
 }
 
-/// The host's calendar.
-fn calendar() -> Duration {
+/// Time since the Unix epoch by the host's clock.
+fn wall_clock() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// A core that goes on with the saved list. One that can't be used is set aside.
+/// Creates a core with the saved list; an invalid list is set aside and the core starts without it.
 fn new_core(
     config: &Config,
     saved_list: Option<&[u8]>,
@@ -141,7 +143,7 @@
     }
 }
 
-/// Takes part in the consensus. `listener`: index of the listener that other initiators connect to.
+/// Joins the consensus group. `listener` is the index of the listener for connections of other initiators.
 fn join_consensus(
     core: &mut Core,
     options: &mut Options,
@@ -151,7 +153,8 @@
     now: Micros,
 ) -> Result<(), CommandError> {
     let folder = &consensus.directory;
-    std::fs::create_dir_all(folder).map_err(CommandError::io(format!("cannot make {}", folder.display())))?;
+    std::fs::create_dir_all(folder)
+        .map_err(CommandError::io(format!("cannot create {}", folder.display())))?;
     let state_path = folder.join(REPLICATED_STATE_FILE);
     let saved = read_replicated_state(&state_path)?;
     let is_voter = consensus.config.voters.iter().any(|voter| voter.name == name);
@@ -166,7 +169,8 @@
     Ok(())
 }
 
-/// Listens; returns the addresses, with the ports that the system chose where 0 was asked for.
+/// Listens at all addresses and returns them separated by spaces; port 0 is replaced by the port that the
+/// system chose.
 fn listen_at(driver: &mut Driver<Core>, addresses: &[Address]) -> Result<String, CommandError> {
     let mut bound = Vec::new();
     for address in addresses {
@@ -177,18 +181,21 @@
     Ok(bound.join(" "))
 }
 
-/// Tells the log and whoever started the process that it serves.
+/// Logs that the initiator serves and prints the `ready` line for the parent process.
 fn announce(initiator: &str, addresses: &str) {
     info!(initiator, listen = addresses, "running");
     println!("ready {addresses}");
     let _ = std::io::stdout().flush();
 }
 
-/// Runs an initiator until it is done.
+/// Runs an initiator until it stops, and logs requests that were left unanswered.
 pub fn run_to_end(driver: Driver<Core>) -> Result<Core, CommandError> {
     let core = driver.run().map_err(CommandError::io("the driver failed"))?;
     if core.counts().overdue > 0 {
-        error!(overdue = core.counts().overdue, "the module left requests without an answer: report this");
+        error!(
+            overdue = core.counts().overdue,
+            "the decision module left requests unanswered: please report this defect"
+        );
     }
     Ok(core)
 }
@@ -199,24 +206,28 @@
             Err(CommandError::StillBuffered { writes: status.writes, parked: status.parked })
         }
         Some(_) => {
-            println!("nothing is buffered any more");
+            println!("no buffered writes remain");
             Ok(())
         }
         None => Ok(()),
     }
 }
 
-/// Reads again what may change while a process runs. A file with problems changes nothing.
+/// Returns the function that reloads the settings which may change at run time. An invalid file changes
+/// nothing.
 fn reload(path: PathBuf) -> Reload {
     Box::new(move || {
-        let text =
-            std::fs::read_to_string(&path).inspect_err(|error| error!(%error, "cannot reload")).ok()?;
+        let text = std::fs::read_to_string(&path)
+            .inspect_err(
+                |error| error!(%error, "cannot read the settings file: keeping the current settings"),
+            )
+            .ok()?;
         match read_daemon(&name(&path), &text) {
             Ok(Daemon { config, .. }) => {
                 Some(Reloaded { bounds: config.bounds, list: config.discovery_address })
             }
             Err(problems) => {
-                error!(%problems, "cannot reload");
+                error!(%problems, "cannot reload the settings file: keeping the current settings");
                 None
             }
         }
--- a/crates/flaxstand-cli/src/daemon/saved_state.rs
+++ b/crates/flaxstand-cli/src/daemon/saved_state.rs
@@ -1,5 +1,5 @@
-//! What an initiator goes on with after a restart: the saved endpoint list, the write-back log, and its part in the
-//! consensus.
+//! State that an initiator restores after a restart: the saved endpoint list, the write-back log, the
+//! replicated settings and the consensus log.
 
 use crate::error::{CommandError, LogError};
 use flaxstand_consensus::participant::StoredReplica;
@@ -12,40 +12,41 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Extension of a saved list that was too old to be used.
-const TOO_OLD: &str = "old";
-/// Extension of a saved file that could not be read.
-const DAMAGED: &str = "damaged";
+/// Extension of a saved list that has exceeded its maximum age.
+const EXPIRED_EXTENSION: &str = "old";
+/// Extension of a saved file that could not be decoded.
+const DAMAGED_EXTENSION: &str = "damaged";
 
-/// A storage with what was recovered from it.
+/// An opened storage and the state recovered from it.
 pub struct Opened<T> {
     pub storage: Box<dyn Storage>,
     pub recovered: T,
 }
 
-/// Sets a saved list aside that is older than it may be.
-pub fn set_aside_if_old(path: &Path, max_age: Duration) -> Result<(), CommandError> {
+/// Sets a saved list aside if it is older than `max_age`.
+pub fn set_aside_if_expired(path: &Path, max_age: Duration) -> Result<(), CommandError> {
     let modified = std::fs::metadata(path).and_then(|metadata| metadata.modified());
     let Some(age) = modified.ok().and_then(|at| at.elapsed().ok()) else { return Ok(()) };
     if age <= max_age {
         return Ok(());
     }
-    set_aside(path, TOO_OLD, &format!("it is too old: {} s", age.as_secs()))
+    let cause = format!("too old: {} s, expected at most {} s", age.as_secs(), max_age.as_secs());
+    set_aside(path, EXPIRED_EXTENSION, &cause)
 }
 
-/// Keeps a saved file that is not used beside its place, under another extension.
+/// Renames a saved file that is not used to another extension, so that it is kept for inspection.
 fn set_aside(path: &Path, extension: &str, cause: &dyn Display) -> Result<(), CommandError> {
     let aside = path.with_extension(extension);
-    warn!(%cause, path = %path.display(), aside = %aside.display(), "the saved list is set aside");
-    std::fs::rename(path, &aside).map_err(CommandError::io("cannot set the saved list aside"))
+    warn!(%cause, path = %path.display(), aside = %aside.display(), "saved file set aside: starting without it");
+    std::fs::rename(path, &aside).map_err(CommandError::io(format!("cannot rename {}", path.display())))
 }
 
-/// Sets a saved file aside that can't be read.
+/// Sets a saved file aside that could not be decoded.
 pub fn set_aside_damaged(path: &Path, cause: &dyn Display) -> Result<(), CommandError> {
-    set_aside(path, DAMAGED, cause)
+    set_aside(path, DAMAGED_EXTENSION, cause)
 }
 
-/// Bytes of the saved list. One that can't be read is started without.
+/// Reads the saved list. If that fails, the initiator starts without it.
 pub fn read_saved_list(path: &Path) -> Option<Vec<u8>> {
     match std::fs::read(path) {
         Ok(bytes) => Some(bytes),
@@ -57,8 +58,8 @@
     }
 }
 
-/// Opens a write-back log for this process alone and recovers it. A log that is in use, damaged or of a newer
-/// version is left as it is.
+/// Opens a write-back log exclusively and recovers it. A log that is in use, damaged or of a newer version is
+/// an error and stays unchanged.
 pub fn open_write_back_log(folder: &Path) -> Result<Opened<Recovered>, CommandError> {
     recover_write_back_log(folder)
         .map_err(|source| CommandError::OpenLog { folder: folder.to_owned(), source })
@@ -70,8 +71,8 @@
     Ok(Opened { storage: Box::new(storage), recovered })
 }
 
-/// The replicated state that an earlier process knew, with its index. A file that can't be read is set aside: the
-/// state is learnt again, and until then the fallback rules hold.
+/// Reads the replicated state that the previous process saved, with its log index. A damaged file is set
+/// aside: the state is fetched from other initiators, and the fallback rules apply until then.
 pub fn read_replicated_state(path: &Path) -> Result<Option<IndexedState>, CommandError> {
     match std::fs::read(path) {
         Ok(bytes) => match IndexedState::read(&bytes) {
@@ -83,10 +84,11 @@
     }
 }
 
-/// Opens a replica's folder for this process alone. One that is empty or damaged makes a new replica: what it
-/// voted before is lost, and it asks to be admitted again.
+/// Opens the log folder of a replica exclusively. If it is empty or damaged, its earlier votes are lost, so
+/// the process starts as a new replica and asks to join again.
 pub fn open_consensus_log(folder: &Path) -> Result<Opened<StoredReplica>, CommandError> {
-    recover_consensus_log(folder).map_err(CommandError::io(format!("cannot use {}", folder.display())))
+    recover_consensus_log(folder)
+        .map_err(CommandError::io(format!("cannot open the consensus log {}", folder.display())))
 }
 
 fn recover_consensus_log(folder: &Path) -> io::Result<Opened<StoredReplica>> {
@@ -96,7 +98,7 @@
         flaxstand_consensus::RecoveredState::Intact(state) => Some(*state),
         flaxstand_consensus::RecoveredState::Empty => None,
         flaxstand_consensus::RecoveredState::Damaged(cause) => {
-            warn!(cause, folder = %folder.display(), "a keeper's folder is damaged: coming back as a new keeper");
+            warn!(cause, folder = %folder.display(), "consensus log is damaged: joining as a new replica");
             None
         }
     };
--- a/crates/flaxstand-cli/src/error.rs
+++ b/crates/flaxstand-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and with which exit code.
+//! Errors of commands and their exit codes.
 
 use crate::connection::CallError;
 use crate::platform::PlatformError;
@@ -11,106 +11,106 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Why a command failed.
+/// A command failed.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// A file has problems; they were printed.
-    #[error("a file has problems")]
+    /// A file is invalid; its problems have been printed.
+    #[error("invalid file")]
     InvalidFile,
-    /// A rule was broken in a rehearsal, or a log is damaged; it was printed.
+    /// A rule was broken in a rehearsal, or a log is damaged; the details have been printed.
     #[error("a rule was broken")]
     RuleBroken,
-    /// The system reports a failure.
+    /// A system call failed.
     #[error("{context}: {source}")]
     Io {
-        /// What could not be done.
+        /// The operation that failed.
         context: String,
-        /// What the system reports.
+        /// The error of the system.
         source: io::Error,
     },
-    /// The same, where there is nothing to add.
+    /// A system call failed, without context.
     #[error(transparent)]
     System(#[from] io::Error),
     /// A write-back log can't be read or written.
-    #[error("{}: {source}", .folder.display())]
+    #[error("write-back log {}: {source}", .folder.display())]
     Log {
-        /// The log's folder.
+        /// Folder of the log.
         folder: PathBuf,
-        /// What is wrong.
+        /// The cause.
         source: LogError,
     },
     /// An initiator's write-back log can't be opened.
-    #[error("{}: {source}; see `flaxstand buffer verify`", .folder.display())]
+    #[error("cannot open write-back log {}: {source}; see `flaxstand buffer verify`", .folder.display())]
     OpenLog {
-        /// The log's folder.
+        /// Folder of the log.
         folder: PathBuf,
-        /// What is wrong.
+        /// The cause.
         source: LogError,
     },
-    /// A decision on a write that isn't parked.
-    #[error("{}: no write {number} waits for an operator", .folder.display())]
+    /// A decision names a write that is not parked.
+    #[error("write-back log {}: no parked write has number {number}", .folder.display())]
     NotParked {
-        /// The log's folder.
+        /// Folder of the log.
         folder: PathBuf,
         /// Number of the write.
         number: u64,
     },
-    /// An initiator that buffers nothing is to be drained.
-    #[error("{}: no class is buffered", .0.display())]
+    /// The initiator to drain has no write-back log.
+    #[error("{}: cannot drain: no class is buffered", .0.display())]
     NothingBuffered(PathBuf),
-    /// Draining ended before all was written out.
+    /// The drain ended before all writes were written out.
     #[error("{writes} writes are still buffered, {parked} of them parked")]
     StillBuffered {
-        /// Buffered writes.
+        /// Number of buffered writes.
         writes: usize,
-        /// Of those, writes that wait for an operator.
+        /// Number of those that wait for a decision of an operator.
         parked: usize,
     },
-    /// A day whose initiators agree can't be played on virtual time.
-    #[error("{}: initiators agree on this day: play it without --virtual", .0.display())]
+    /// Virtual time does not support days on which initiators agree on settings.
+    #[error("{}: agreement is not supported on virtual time: play this day without --virtual", .0.display())]
     AgreementOnVirtualTime(PathBuf),
-    /// A saved endpoint list can't be used.
+    /// A saved endpoint list is invalid.
     #[error(transparent)]
     SavedList(#[from] SavedListError),
-    /// A running initiator did not answer as expected.
+    /// A call to a running initiator failed.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// Settings that initiators agree on could not be read or changed.
+    /// Agreed settings could not be read or changed.
     #[error(transparent)]
     Settings(#[from] SettingsCommandError),
-    /// The platform's configuration can't be used.
+    /// The platform's configuration is invalid.
     #[error(transparent)]
     Platform(#[from] PlatformError),
-    /// A rehearsal could not be run.
+    /// A rehearsal failed to run.
     #[error(transparent)]
     Rehearsal(#[from] RehearsalError),
-    /// A result can't be written as JSON.
+    /// A result could not be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A page with plots can't be made.
-    #[error("{0}")]
+    /// An HTML page could not be rendered.
+    #[error("cannot render the HTML page: {0}")]
     Page(String),
 }
 
-/// What is wrong with a write-back log.
+/// A write-back log can't be used.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// Its folder can't be used.
+    /// A file operation in its folder failed.
     #[error(transparent)]
     Folder(#[from] io::Error),
-    /// Its content can't be used.
+    /// Its contents can't be recovered.
     #[error(transparent)]
     Content(#[from] RecoverError),
 }
 
 impl CommandError {
-    /// Adds what could not be done to what the system reports.
+    /// Adds context to an error of the system.
     pub fn io(context: impl Into<String>) -> impl FnOnce(io::Error) -> CommandError {
         let context = context.into();
         move |source| CommandError::Io { context, source }
     }
 
-    /// The exit code. What has one of its own was printed where it was found; all else is printed here.
+    /// Prints the error and returns its exit code. Errors with exit code 1 or 2 have been printed already.
     pub fn report(&self) -> ExitCode {
         match self {
             CommandError::RuleBroken => ExitCode::from(1),
--- a/crates/flaxstand-cli/src/files.rs
+++ b/crates/flaxstand-cli/src/files.rs
@@ -1,4 +1,4 @@
-//! Reading files, printing what is wrong with them, and printing results.
+//! Reading of files, printing of their problems, and output of results.
 
 use crate::error::CommandError;
 use flaxstand_gateway::settings::SettingsError;
@@ -6,10 +6,10 @@
 use miette::GraphicalReportHandler;
 use std::path::Path;
 
-/// Columns of the printed places of problems.
+/// Width in columns of the printed source excerpts.
 const REPORT_WIDTH: usize = 100;
 
-/// Text of a file. A failure is printed.
+/// Reads a text file; prints the error if that fails.
 pub fn read_text(path: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path).map_err(|error| {
         eprintln!("flaxstand: cannot read {}: {error}", path.display());
@@ -17,32 +17,32 @@
     })
 }
 
-/// Prints all that is wrong with a file: a line each, then the places in it.
+/// Prints the problems of a file, one per line, followed by excerpts of the places in its text.
 pub fn print_problems<T>(parsed: Result<T, SettingsError>) -> Result<T, CommandError> {
     parsed.map_err(|problems| {
         eprintln!("{problems}\n");
         let mut report = String::new();
         let handler = GraphicalReportHandler::new().with_width(REPORT_WIDTH);
         if handler.render_report(&mut report, &problems).is_ok() {
-            eprintln!("{}", places_of(&report));
+            eprintln!("{}", source_excerpts(&report));
         }
         CommandError::InvalidFile
     })
 }
 
-/// The report without its first lines, which repeat what was printed above.
-fn places_of(report: &str) -> &str {
+/// Strips the first lines of the report, which repeat the list of problems.
+fn source_excerpts(report: &str) -> &str {
     let frame = report.find('╭').or(report.find(",-")).unwrap_or(0);
     let line = report[..frame].rfind('\n').map_or(0, |end| end + 1);
     &report[line..]
 }
 
-/// A day with its text. A failure is printed.
+/// Reads a day and returns it with its text; prints the error if that fails.
 pub fn read_day(path: &Path) -> Result<(Day, String), CommandError> {
     Day::load(path).or_else(print_unreadable)
 }
 
-/// Prints why a day, or a file that names days, can't be read.
+/// Prints why a day, or a file that refers to days, is unreadable.
 pub fn print_unreadable<T>(error: DayError) -> Result<T, CommandError> {
     match error {
         DayError::Settings(problems) => print_problems(Err(problems)),
@@ -53,12 +53,12 @@
     }
 }
 
-/// Writes a file.
 pub fn write_text(path: &Path, text: &str) -> Result<(), CommandError> {
     std::fs::write(path, text).map_err(CommandError::io(format!("cannot write {}", path.display())))
 }
 
-/// Prints a result for people and writes it as JSON where asked; `-` prints the JSON instead of the text.
+/// Prints a result as text and, if `json_path` is set, writes it as JSON; `-` prints the JSON instead of the
+/// text.
 pub fn print_result(
     json: serde_json::Result<String>,
     text: &str,
--- a/crates/flaxstand-cli/src/main.rs
+++ b/crates/flaxstand-cli/src/main.rs
@@ -1,7 +1,7 @@
-//! `flaxstand`: the daemon, what operators do with it, and rehearsals.
+//! `flaxstand`: the initiator daemon, operator commands and rehearsals.
 //!
-//! Exit codes: 0 all is well; 1 a rule was broken in a rehearsal; 2 wrong arguments or a file with problems;
-//! 3 the system or a process failed.
+//! Exit codes: 0 success; 1 a rule was broken in a rehearsal or a log is damaged; 2 invalid arguments or an
+//! invalid file; 3 any other failure, of the system or of a process.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -18,7 +18,7 @@
 mod settings;
 mod stand_in;
 
-use args::{Args, LogFormat, Task};
+use args::{Args, Command, LogFormat};
 use clap::Parser;
 use daemon::Purpose;
 use error::CommandError;
@@ -37,32 +37,32 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     start_logging(&args);
-    match run(args.task) {
+    match run(args.command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => error.report(),
     }
 }
 
-fn run(task: Task) -> Result<(), CommandError> {
-    match task {
-        Task::Run { config: Some(config), with_parent, .. } => {
+fn run(command: Command) -> Result<(), CommandError> {
+    match command {
+        Command::Run { config: Some(config), with_parent, .. } => {
             daemon::run(&config, Purpose::Serve { with_parent })
         }
-        Task::Run { config: None, .. } => platform::run(),
-        Task::Check { file } => check::run(&file),
-        Task::Rehearse(rehearsal) => rehearsal::rehearse(rehearsal),
-        Task::Report { day, folder, json, html } => {
+        Command::Run { config: None, .. } => platform::run(),
+        Command::Check { file } => check::run(&file),
+        Command::Rehearse(arguments) => rehearsal::rehearse(arguments),
+        Command::Report { day, folder, json, html } => {
             rehearsal::report(&day, &folder, json.as_deref(), html.as_deref())
         }
-        Task::Swarm { first, days, threads, found } => rehearsal::swarm(first, days, threads, &found),
-        Task::Experiment { file, resume, json, html, threads } => {
+        Command::Swarm { first, days, threads, found } => rehearsal::swarm(first, days, threads, &found),
+        Command::Experiment { file, resume, json, html, threads } => {
             rehearsal::experiment(&file, resume.as_deref(), json.as_deref(), html.as_deref(), threads)
         }
-        Task::Load(press) => stand_in::load(press, true),
-        Task::Measure { what, seconds, json } => rehearsal::measure(what, seconds, json.as_deref()),
-        Task::Scale(arguments) => scale::run(&arguments),
-        Task::Buffer(task) => buffer::run(task),
-        Task::Settings(task) => settings::run(task),
-        Task::StandIn(role) => stand_in::run(role),
+        Command::Load(arguments) => stand_in::load(arguments, true),
+        Command::Measure { what, seconds, json } => rehearsal::measure(what, seconds, json.as_deref()),
+        Command::Scale(arguments) => scale::run(&arguments),
+        Command::Buffer(command) => buffer::run(command),
+        Command::Settings(arguments) => settings::run(arguments),
+        Command::StandIn(role) => stand_in::run(role),
     }
 }
--- a/crates/flaxstand-cli/src/platform.rs
+++ b/crates/flaxstand-cli/src/platform.rs
@@ -1,7 +1,8 @@
-//! `flaxstand run --platform`: an initiator on the platform's own protocol.
+//! `flaxstand run --platform`: an initiator that serves the platform's HTTP/1.1 protocol.
 //!
-//! Its configuration is the file that `RELAY_CONFIG` names. What needs a disk, or would reject more than the
-//! decision module does, is off: write-back, the retry throttle, the limit on new connections, the saved list.
+//! The environment variable `RELAY_CONFIG` names the configuration file. Features that need a disk
+//! (write-back, the saved list) or that reject requests in addition to the decision module (the retry
+//! throttle, the limit on new connections) are off.
 
 use crate::daemon::run_to_end;
 use crate::error::CommandError;
@@ -18,53 +19,53 @@
 
 /// Environment variable that names the configuration file.
 const CONFIGURATION_VARIABLE: &str = "RELAY_CONFIG";
-/// Descriptors that are neither a client's nor a node's: epoll, signals, listener, endpoint discovery, log.
+/// Descriptors reserved for epoll, signals, the listener, endpoint discovery and the log.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Longest that the discovery service is asked to hold a watch, ms; twice in the time within which it must be
-/// polled. A change counts as notified 6 s after the service had it: a watch that fell silent is given up 1 s after
-/// its hold, and what is left has time for some calls that fail.
+/// Maximum time that the discovery service is asked to hold a watch open, ms; half of the configured poll
+/// interval if that is shorter. A change counts as notified 6 s after the service received it: a silent watch
+/// is abandoned 1 s after its hold time, and the remainder leaves time for several failed calls.
 const MAX_WATCH_MS: f64 = 2500.0;
-/// First back-off between discovery calls that failed, where changes are pushed, ms.
+/// Initial back-off between failed discovery calls while changes are pushed, ms.
 const MIN_CALL_BACKOFF_MS: f64 = 50.0;
-/// Longest such back-off, ms.
+/// Maximum back-off between failed discovery calls, ms.
 const MAX_CALL_BACKOFF_MS: f64 = 1000.0;
-/// Longest deadline that the platform waits for after SIGTERM, ms.
+/// Maximum request deadline that the platform waits for after SIGTERM, ms.
 const MAX_DEADLINE_AT_STOP_MS: f64 = 3000.0;
-/// How much longer it waits before SIGKILL, ms.
+/// Additional time between that deadline and SIGKILL, ms.
 const KILL_AFTER_MS: f64 = 700.0;
-/// How long before SIGKILL the process ends, ms.
+/// Time before SIGKILL at which the process exits, ms.
 const EXIT_BEFORE_KILL_MS: f64 = 100.0;
-/// How long before SIGKILL the last requests are accepted, ms. Until then connected clients go on sending here: they
-/// have nowhere else to go before the next start.
+/// Time before SIGKILL at which the process stops accepting requests, ms. Connected clients are served until
+/// then, as no other initiator serves them before the next start.
 const CLOSE_BEFORE_KILL_MS: f64 = 300.0;
-/// Part of a node's keep-alive time after which an idle connection is closed: well before the node closes it, as a
-/// request that crosses that is lost.
+/// Fraction of a node's keep-alive time after which an idle connection is closed, well before the node closes
+/// it: a request that is sent while the node closes the connection is lost.
 const IDLE_SHARE_OF_KEEPALIVE: f64 = 0.6;
 
-/// Why the platform's configuration can't be used.
+/// The platform's configuration can't be used.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// Nothing names it.
-    #[error("{CONFIGURATION_VARIABLE} is not set, expected a file")]
+    /// The environment variable is not set.
+    #[error("{CONFIGURATION_VARIABLE} is not set, expected the path of a configuration file")]
     NotSet,
     /// The file can't be read.
-    #[error("{}: {source}", .path.display())]
+    #[error("cannot read configuration file {}: {source}", .path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system reports.
+        /// The error of the system.
         source: io::Error,
     },
-    /// The file is not a configuration.
-    #[error("{}: {source}", .path.display())]
+    /// The file is not a valid configuration.
+    #[error("invalid configuration file {}: {source}", .path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// The problem.
         source: ConfigurationError,
     },
-    /// Its settings contradict each other.
-    #[error("{0}")]
+    /// The settings contradict each other.
+    #[error("invalid settings in the configuration: {0}")]
     Settings(String),
 }
 
@@ -74,7 +75,7 @@
     Configuration::read(&text).map_err(|source| PlatformError::Invalid { path: path.to_owned(), source })
 }
 
-/// Limits follow from what the process may use: each connection has one request of bounded size.
+/// Derives bounds from the resource limits of the process. Each connection has one request of bounded size.
 fn bounds(limits: Limits) -> Bounds {
     let sockets = usize::try_from(limits.sockets).unwrap_or(usize::MAX);
     let memory = usize::try_from(limits.memory_mb << 20).unwrap_or(usize::MAX);
@@ -91,10 +92,10 @@
 fn timeouts(configuration: &Configuration, settings: &Settings) -> Timeouts {
     let defaults = Timeouts::default();
     let ms =
-        |given: Option<f64>, factor: f64, default| given.map_or(default, |ms| Micros::from_ms(ms * factor));
-    let longest_deadline = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-    let killed_after = longest_deadline.min(MAX_DEADLINE_AT_STOP_MS) + KILL_AFTER_MS;
-    let watch = if settings.poll_within > 0.0 { settings.poll_within / 2.0 } else { MAX_WATCH_MS };
+        |value: Option<f64>, factor: f64, default| value.map_or(default, |ms| Micros::from_ms(ms * factor));
+    let max_deadline = settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+    let kill_time = max_deadline.min(MAX_DEADLINE_AT_STOP_MS) + KILL_AFTER_MS;
+    let watch_ms = if settings.poll_within > 0.0 { settings.poll_within / 2.0 } else { MAX_WATCH_MS };
     Timeouts {
         connect_timeout: ms(configuration.settings.dial_timeout_ms(), 1.0, defaults.connect_timeout),
         node_idle_timeout: ms(
@@ -102,13 +103,13 @@
             IDLE_SHARE_OF_KEEPALIVE,
             defaults.node_idle_timeout,
         ),
-        max_long_poll: Micros::from_ms(watch.min(MAX_WATCH_MS)),
+        max_long_poll: Micros::from_ms(watch_ms.min(MAX_WATCH_MS)),
         discovery_backoff: BackoffBounds {
             min: Micros::from_ms(MIN_CALL_BACKOFF_MS),
             max: Micros::from_ms(MAX_CALL_BACKOFF_MS),
         },
-        shutdown_grace: Micros::from_ms(killed_after - CLOSE_BEFORE_KILL_MS),
-        shutdown_timeout: Micros::from_ms(killed_after - EXIT_BEFORE_KILL_MS),
+        shutdown_grace: Micros::from_ms(kill_time - CLOSE_BEFORE_KILL_MS),
+        shutdown_timeout: Micros::from_ms(kill_time - EXIT_BEFORE_KILL_MS),
         ..defaults
     }
 }
@@ -146,21 +147,22 @@
     })
 }
 
-/// Runs an initiator on the platform's protocol until it stops.
+/// Runs an initiator with the platform's protocol until it stops.
 pub fn run() -> Result<(), CommandError> {
     let path = std::env::var_os(CONFIGURATION_VARIABLE).map(PathBuf::from).ok_or(PlatformError::NotSet)?;
     let configuration = read(&path)?;
     let mut core = Core::new(config(&configuration)?, None, clock())?;
     core.apply_platform_listing(ListScope::Cached, &configuration.cached_list, clock());
     let options = Options { reload: Some(reload(path)), ..Options::default() };
-    let mut driver = Driver::new(core, options).map_err(CommandError::io("cannot start"))?;
+    let mut driver = Driver::new(core, options).map_err(CommandError::io("cannot start the driver"))?;
     let listen = Address::Tcp(configuration.listen);
     let bound = driver.listen(&listen).map_err(CommandError::io(format!("cannot listen at {listen}")))?;
     info!(initiator = configuration.name, listen = %bound, discovery = %configuration.discovery, "running");
     run_to_end(driver).map(drop)
 }
 
-/// Reads again what may change while a process runs. A file with problems changes nothing.
+/// Returns the function that reloads the settings which may change at run time. An invalid file changes
+/// nothing.
 fn reload(path: PathBuf) -> Reload {
     Box::new(move || match read(&path) {
         Ok(configuration) => Some(Reloaded {
@@ -169,7 +171,7 @@
         }),
         Err(error) => {
             let cause = error.to_string();
-            error!(cause, "cannot reload: all stays as it is");
+            error!(cause, "cannot reload the configuration: keeping the previous one");
             None
         }
     })
--- a/crates/flaxstand-cli/src/rehearsal.rs
+++ b/crates/flaxstand-cli/src/rehearsal.rs
@@ -1,6 +1,6 @@
 //! `flaxstand rehearse`, `report`, `swarm`, `experiment` and `measure`.
 
-use crate::args::{Measured, Rehearsal};
+use crate::args::{Measurement, RehearseArgs};
 use crate::error::CommandError;
 use crate::files::{print_result, print_unreadable, read_day, write_text};
 use flaxstand_audit::AttemptLedger;
@@ -13,28 +13,28 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Shortest and longest time that requests come in a rehearsal, seconds.
+/// Range of the duration of a rehearsal, seconds.
 const MIN_REHEARSAL_SECONDS: f64 = 0.1;
 const MAX_REHEARSAL_SECONDS: f64 = 86_400.0;
-/// Shortest and longest time for a measured figure, seconds.
+/// Range of the duration of one measurement, seconds.
 const MIN_MEASURE_SECONDS: f64 = 0.5;
 const MAX_MEASURE_SECONDS: f64 = 600.0;
-/// Pairs of runs with agreement on and off.
+/// Number of pairs of runs with agreement on and off.
 const AGREEMENT_ROUNDS: u32 = 5;
 
-/// Plays a day and audits it.
-pub fn rehearse(arguments: Rehearsal) -> Result<(), CommandError> {
+/// Plays a day, on virtual time or on loopback, and audits it.
+pub fn rehearse(arguments: RehearseArgs) -> Result<(), CommandError> {
     let (day, text) = read_day(&arguments.day)?;
     let seconds = arguments.seconds.unwrap_or(day.seconds);
     let seconds = seconds.clamp(MIN_REHEARSAL_SECONDS, MAX_REHEARSAL_SECONDS);
-    if arguments.virtually {
+    if arguments.virtual_time {
         rehearse_on_virtual_time(&arguments, &day, seconds)
     } else {
         rehearse_on_loopback(&arguments, day, text, seconds)
     }
 }
 
-fn rehearse_on_virtual_time(arguments: &Rehearsal, day: &Day, seconds: f64) -> Result<(), CommandError> {
+fn rehearse_on_virtual_time(arguments: &RehearseArgs, day: &Day, seconds: f64) -> Result<(), CommandError> {
     if day.accord.is_some() {
         return Err(CommandError::AgreementOnVirtualTime(arguments.day.clone()));
     }
@@ -55,7 +55,7 @@
 }
 
 fn rehearse_on_loopback(
-    arguments: &Rehearsal,
+    arguments: &RehearseArgs,
     day: Day,
     text: String,
     seconds: f64,
@@ -76,7 +76,7 @@
     print_report(&plan.day, &ledger, &report, arguments.json.as_deref(), arguments.html.as_deref())
 }
 
-/// Audits what a rehearsal kept in a folder.
+/// Audits the records that a rehearsal kept in a folder.
 pub fn report(
     day: &Path,
     folder: &Path,
@@ -103,18 +103,18 @@
     if report.kept() { Ok(()) } else { Err(CommandError::RuleBroken) }
 }
 
-/// Plays drawn days until one breaks a rule, and cuts that one down.
+/// Plays random days until one breaks a rule, and minimises that day.
 pub fn swarm(first: u64, days: u64, threads: usize, folder: &Path) -> Result<(), CommandError> {
     let started = Instant::now();
-    let searched = swarm::search(Policy::Module, first, days, threads, |played| {
+    let search = swarm::search(Policy::Module, first, days, threads, |played| {
         if played % 500 == 0 {
             eprintln!("{played} days, {:.0} s", started.elapsed().as_secs_f64());
         }
     });
-    let (played, tries) = (searched.days, searched.tries);
+    let (played, tries) = (search.days, search.tries);
     let seconds = started.elapsed().as_secs_f64();
-    println!("{played} days from seed {first} on, {tries} tries, {seconds:.0} s");
-    let Some(found) = searched.found else {
+    println!("{played} days from seed {first} on, {tries} runs to minimise, {seconds:.0} s");
+    let Some(found) = search.found else {
         println!("no rule broken");
         return Ok(());
     };
@@ -125,13 +125,13 @@
     let (seconds, small_seconds) = (found.drawn.seconds, found.small.seconds);
     println!("seed {}: {}", found.drawn.seed, found.what);
     println!(
-        "cut from {faults} faults to {small_faults}, {seconds:.1} s to {small_seconds:.1} s: {}",
+        "minimised from {faults} faults to {small_faults}, {seconds:.1} s to {small_seconds:.1} s: {}",
         path.display()
     );
     Err(CommandError::RuleBroken)
 }
 
-/// Plays the days of an experiment with its variants.
+/// Runs all variants of an experiment and compares their results.
 pub fn experiment(
     file: &Path,
     resume: Option<&Path>,
@@ -153,19 +153,19 @@
     print_result(serde_json::to_string_pretty(&outcome), &outcome.text(), json)
 }
 
-/// Measures what an initiator costs.
-pub fn measure(what: Measured, seconds: f64, json: Option<&Path>) -> Result<(), CommandError> {
+/// Measures the cost of an initiator.
+pub fn measure(what: Measurement, seconds: f64, json: Option<&Path>) -> Result<(), CommandError> {
     let program = std::env::current_exe()?;
     let folder = rehearse::fresh_folder();
     let seconds = seconds.clamp(MIN_MEASURE_SECONDS, MAX_MEASURE_SECONDS);
-    if what == Measured::Buffer {
+    if what == Measurement::Buffer {
         let measured = measure_buffer::measure(&program, &folder, seconds)?;
         rehearse::clean(&folder);
         return print_result(serde_json::to_string_pretty(&measured), &measured.text(), json);
     }
     let measured = match what {
-        Measured::Agreement => measure::measure_agreement(&program, &folder, seconds, AGREEMENT_ROUNDS)?,
-        Measured::Requests | Measured::Buffer => measure::measure(&program, &folder, seconds)?,
+        Measurement::Agreement => measure::measure_agreement(&program, &folder, seconds, AGREEMENT_ROUNDS)?,
+        Measurement::Requests | Measurement::Buffer => measure::measure(&program, &folder, seconds)?,
     };
     rehearse::clean(&folder);
     print_result(serde_json::to_string_pretty(&measured), &measured.text(), json)
--- a/crates/flaxstand-cli/src/scale.rs
+++ b/crates/flaxstand-cli/src/scale.rs
@@ -1,4 +1,4 @@
-//! `flaxstand scale`, and the processes of a scale run.
+//! `flaxstand scale` and the processes that a scale run starts.
 
 use crate::args::{HollowArgs, NodeListArgs, ScaleArgs};
 use crate::error::CommandError;
@@ -11,7 +11,8 @@
 use flaxstand_simulation::scale::plan::Plan;
 use flaxstand_simulation::scale::run::{ScaleRun, clean};
 
-/// Runs the steps of a plan. A size that does not fit is reported in the result and is no failure.
+/// Runs the steps of a plan. A fleet that exceeds the capacity of the machine is reported in the result, not
+/// as an error.
 pub fn run(arguments: &ScaleArgs) -> Result<(), CommandError> {
     let name = arguments.file.display().to_string();
     let plan = print_problems(Plan::read(&name, &read_text(&arguments.file)?))?;
@@ -24,7 +25,7 @@
     print_result(serde_json::to_string_pretty(&report), &report.text(), arguments.json.as_deref())
 }
 
-/// One process of hollow initiators.
+/// Runs a process with many hollow initiators.
 pub fn hollow(arguments: HollowArgs) -> Result<(), CommandError> {
     let HollowArgs { config, first, count } = arguments;
     let mut daemon = print_problems(read_daemon(&config.display().to_string(), &read_text(&config)?))?;
@@ -33,7 +34,7 @@
     Ok(serve_hollow(options, &StandIn::default())?)
 }
 
-/// The list service of a scale run.
+/// Runs the list service of a scale run.
 pub fn node_list(arguments: NodeListArgs) -> Result<(), CommandError> {
     let NodeListArgs { nodes, changes, heartbeat_ms, answering, listen } = arguments;
     let heartbeat = (heartbeat_ms > 0).then_some(Micros(u64::from(heartbeat_ms) * 1000));
--- a/crates/flaxstand-cli/src/settings/initiators.rs
+++ b/crates/flaxstand-cli/src/settings/initiators.rs
@@ -1,4 +1,4 @@
-//! The initiators of a site, as an operator asks them.
+//! Operator requests to the initiators of a site.
 
 use super::SettingsCommandError;
 use crate::connection::{CallError, Connection};
@@ -9,13 +9,13 @@
 use flaxstand_proto::Frame;
 use std::time::{Duration, Instant};
 
-/// Name under which the command connects to an initiator.
+/// Client name in the hello to an initiator.
 const CLIENT_NAME: &str = "flaxstand settings";
-/// How long one initiator has to answer.
+/// Maximum time for one initiator to answer.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a leader is looked for.
-const LEADER_TIMEOUT: Duration = Duration::from_secs(15);
-/// How often it is looked for, and how often progress is looked at.
+/// Maximum time to find a leader.
+pub const LEADER_TIMEOUT: Duration = Duration::from_secs(15);
+/// Interval between attempts to find the leader and between checks of a rollout's progress.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 struct Initiator {
@@ -26,36 +26,36 @@
 /// The initiators of a site.
 pub struct Initiators {
     all: Vec<Initiator>,
-    /// How many of them, from the first on, are voters.
-    voters: usize,
+    /// Number of voters; they are the first entries of `all`.
+    voter_count: usize,
 }
 
-/// What an initiator reports of itself.
+/// The status report of an initiator, or why there is none.
 pub struct InitiatorStatus {
     pub name: String,
     pub report: Result<Box<StatusReport>, CallError>,
 }
 
 impl Initiators {
-    /// Those that a settings file names.
-    pub fn of(config: &ConsensusConfig) -> Self {
+    /// Returns the initiators that a settings file names.
+    pub fn from_config(config: &ConsensusConfig) -> Self {
         let all = config.voters.iter().chain(&config.other_initiators);
         let initiator =
             |peer: &ConsensusPeer| Initiator { name: peer.name.clone(), address: peer.address.clone() };
-        Initiators { all: all.map(initiator).collect(), voters: config.voters.len() }
+        Initiators { all: all.map(initiator).collect(), voter_count: config.voters.len() }
     }
 
-    /// Has the leader carry out a request. Until there is one, all voters are asked in turn. Returns the number of
-    /// the version that the request is about, 0 where it is about none.
+    /// Sends a request to the leader; asks all voters in turn until one of them leads. Returns the number of
+    /// the version that the request concerns, or 0 if it concerns none.
     pub fn ask_leader(&self, request: &OperatorRequest) -> Result<u64, SettingsCommandError> {
         let started = Instant::now();
         let mut last_answer = String::new();
         while started.elapsed() < LEADER_TIMEOUT {
-            for voter in &self.all[..self.voters] {
+            for voter in &self.all[..self.voter_count] {
                 match ask(&voter.address, request) {
                     Ok(OperatorReply::Committed(number)) => return Ok(number),
-                    Ok(OperatorReply::Refused(why)) => return Err(SettingsCommandError::Rejected(why)),
-                    Ok(_) => last_answer = format!("{} does not lead", voter.name),
+                    Ok(OperatorReply::Refused(cause)) => return Err(SettingsCommandError::Rejected(cause)),
+                    Ok(_) => last_answer = format!("{} is not the leader", voter.name),
                     Err(error) => last_answer = error.to_string(),
                 }
             }
@@ -64,7 +64,7 @@
         Err(SettingsCommandError::NoLeader { last_answer })
     }
 
-    /// The newest replicated state that any initiator knows.
+    /// Returns the newest replicated state that any initiator reports.
     pub fn replicated_state(&self) -> Result<ReplicatedState, SettingsCommandError> {
         let known = self.all.iter().filter_map(|initiator| {
             match ask(&initiator.address, &OperatorRequest::ReplicatedState) {
@@ -76,7 +76,7 @@
         newest.map(|known| known.state).ok_or(SettingsCommandError::UnknownState)
     }
 
-    /// What each initiator reports of itself.
+    /// Queries the status of each initiator.
     pub fn statuses(&self) -> Vec<InitiatorStatus> {
         self.all
             .iter()
--- a/crates/flaxstand-cli/src/settings/status.rs
+++ b/crates/flaxstand-cli/src/settings/status.rs
@@ -1,11 +1,12 @@
-//! `flaxstand settings status` and `wait`: who acts on which version, and what a change waits for.
+//! `flaxstand settings status` and `wait`: the version that each initiator acts on and the conditions that
+//! block a change.
 
 use super::SettingsCommandError;
 use super::initiators::{InitiatorStatus, Initiators, POLL_INTERVAL};
 use flaxstand_consensus::participant::StatusReport;
 use std::time::{Duration, Instant};
 
-/// Prints what the initiators report.
+/// Prints the status of all initiators.
 pub fn print(initiators: &Initiators, json: bool) {
     let statuses = initiators.statuses();
     if json {
@@ -15,7 +16,7 @@
     }
     statuses.iter().for_each(print_initiator);
     match leader(&statuses) {
-        None => println!("no keeper leads: leases run out, and then the floor holds"),
+        None => println!("no leader: leases expire, after which the floor of the settings applies"),
         Some(leader) => print_leader(leader),
     }
 }
@@ -31,15 +32,15 @@
     match report {
         Ok(report) => {
             let replica =
-                report.replica.as_ref().map(|replica| format!(", keeper: {replica}")).unwrap_or_default();
+                report.replica.as_ref().map(|replica| format!(", replica: {replica}")).unwrap_or_default();
             let (rules, lease_ms) = (&report.active_rules, report.lease_ms);
-            println!("{name}: acts on {rules}, for {lease_ms} ms yet{replica}");
+            println!("{name}: acts on {rules}, lease expires in {lease_ms} ms{replica}");
         }
         Err(error) => println!("{name}: {error}"),
     }
 }
 
-/// The report of the initiator that leads.
+/// Returns the report of the leader.
 fn leader(statuses: &[InitiatorStatus]) -> Option<&StatusReport> {
     let reports = statuses.iter().filter_map(|status| status.report.as_deref().ok());
     reports.into_iter().find(|report| report.leader.as_ref() == Some(&report.name))
@@ -48,21 +49,23 @@
 fn print_leader(leader: &StatusReport) {
     println!("{} leads in term {}; voters: {}", leader.name, leader.term, leader.voters.join(" "));
     if !leader.unresponsive.is_empty() {
-        println!("keepers that are not heard: {}", leader.unresponsive.join(" "));
+        println!("voters that do not respond: {}", leader.unresponsive.join(" "));
     }
     match (leader.versions.in_force, leader.versions.next) {
-        (0, _) => println!("no version yet: all act on the floor of their files"),
+        (0, _) => println!("no version yet: all initiators act on the floor of their settings files"),
         (in_force, None) => println!("version {in_force} is in force"),
-        (in_force, Some(next)) => println!("version {in_force} is in force, version {next} under way"),
+        (in_force, Some(next)) => {
+            println!("version {in_force} is in force, version {next} is being rolled out")
+        }
     }
     for blocker in &leader.blockers {
-        let ends = blocker.ends_ms.map(|ms| format!(", at most {ms} ms")).unwrap_or_default();
-        println!("held up by {}: {}{ends}", blocker.who, blocker.why);
+        let limit = blocker.ends_ms.map(|ms| format!(", at most {ms} ms")).unwrap_or_default();
+        println!("blocked by {}: {}{limit}", blocker.who, blocker.why);
     }
 }
 
-/// Waits until no change is under way.
-pub fn wait(initiators: &Initiators, longest: Duration) -> Result<(), SettingsCommandError> {
+/// Waits until no change is being rolled out.
+pub fn wait(initiators: &Initiators, timeout: Duration) -> Result<(), SettingsCommandError> {
     let started = Instant::now();
     loop {
         let statuses = initiators.statuses();
@@ -74,15 +77,15 @@
             println!("version {} is in force", leader.versions.in_force);
             return Ok(());
         }
-        if started.elapsed() >= longest {
-            return Err(SettingsCommandError::NotInForce { cause: what_blocks(leader) });
+        if started.elapsed() >= timeout {
+            return Err(SettingsCommandError::NotInForce { cause: describe_blockers(leader) });
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn what_blocks(leader: Option<&StatusReport>) -> String {
-    let Some(leader) = leader else { return "nobody leads".into() };
+fn describe_blockers(leader: Option<&StatusReport>) -> String {
+    let Some(leader) = leader else { return "there is no leader".into() };
     let blockers: Vec<String> =
         leader.blockers.iter().map(|blocker| format!("{}: {}", blocker.who, blocker.why)).collect();
     blockers.join("; ")
--- a/crates/flaxstand-cli/src/stand_in.rs
+++ b/crates/flaxstand-cli/src/stand_in.rs
@@ -1,6 +1,6 @@
-//! The processes of a rehearsal, and `flaxstand load`.
+//! `flaxstand stand-in`, the processes of a rehearsal, and `flaxstand load`.
 
-use crate::args::{Files, Press, Role};
+use crate::args::{LoadArgs, StandInFiles, StandInRole};
 use crate::error::CommandError;
 use crate::files::read_day;
 use crate::scale;
@@ -8,27 +8,27 @@
 use flaxstand_simulation::press::{self, Pressure};
 use flaxstand_simulation::rehearse::{self, StandIn};
 
-/// Puts load on a running initiator. `alone`: it is not a process of a rehearsal.
-pub fn load(arguments: Press, alone: bool) -> Result<(), CommandError> {
-    let Press { initiator, shards, clients, window, rate, write, seconds } = arguments;
+/// Generates load on a running initiator. `is_standalone` is false for a process of a rehearsal.
+pub fn load(arguments: LoadArgs, is_standalone: bool) -> Result<(), CommandError> {
+    let LoadArgs { initiator, shards, clients, window, rate, write, seconds } = arguments;
     let pressure = Pressure { initiator, shards, clients, window, rate, write, seconds };
-    Ok(press::serve_press(pressure, alone)?)
+    Ok(press::serve_press(pressure, is_standalone)?)
 }
 
 /// Runs one process of a rehearsal.
-pub fn run(role: Role) -> Result<(), CommandError> {
+pub fn run(role: StandInRole) -> Result<(), CommandError> {
     let served = match role {
-        Role::List { files } => rehearse::serve_list(&stand_in(files)),
-        Role::Node { day, node, shard, incarnation, cold, files } => {
+        StandInRole::List { files } => rehearse::serve_list(&stand_in(files)),
+        StandInRole::Node { day, node, shard, incarnation, cold, files } => {
             let (day, _) = read_day(&day)?;
             let identity = Identity { node, incarnation, shard, zone: shard % day.fleet.zones };
             rehearse::serve_node(&day, identity, cold, &stand_in(files))
         }
-        Role::Echo { mute, files } => press::serve_echo(mute, &stand_in(files)),
-        Role::NodeList(arguments) => return scale::node_list(arguments),
-        Role::Hollow(arguments) => return scale::hollow(arguments),
-        Role::Press(arguments) => return load(arguments, false),
-        Role::Load { day, seconds, initiator, files } => {
+        StandInRole::Echo { mute, files } => press::serve_echo(mute, &stand_in(files)),
+        StandInRole::NodeList(arguments) => return scale::node_list(arguments),
+        StandInRole::Hollow(arguments) => return scale::hollow(arguments),
+        StandInRole::Press(arguments) => return load(arguments, false),
+        StandInRole::Load { day, seconds, initiator, files } => {
             let (day, _) = read_day(&day)?;
             rehearse::serve_load(day, seconds, initiator, &stand_in(files))
         }
@@ -36,6 +36,6 @@
     Ok(served?)
 }
 
-fn stand_in(files: Files) -> StandIn {
+fn stand_in(files: StandInFiles) -> StandIn {
     StandIn { listen: files.listen, record: files.record, data: files.data, alone: false }
 }
--- a/crates/flaxstand-cli/tests/agreement/fleet.rs
+++ b/crates/flaxstand-cli/tests/agreement/fleet.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program on loopback, a relay on every link between two of them, and what each one's log
-//! says that it acted on.
+//! A fleet of initiator processes on loopback, with a relay on each link between two of them. The rules that
+//! each process acts on are taken from its log.
 
 use flaxstand_consensus::participant::{OperatorReply, OperatorRequest, RolloutBounds, StatusReport};
 use flaxstand_consensus::replicated_state::{ReplicatedState, Version};
@@ -15,32 +15,32 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long anything that is expected may take. Nothing waits for this to pass.
-const BOUND: Duration = Duration::from_secs(40);
+/// Maximum time for an expected event; a passing test never waits for it to elapse.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(40);
 pub const LEASE_MS: u64 = 900;
 const ELECTION_MS: u64 = 250;
-const ERROR: f64 = 0.001;
+const MAX_CLOCK_DRIFT: f64 = 0.001;
 
 pub struct Process {
     pub name: String,
     child: Option<Child>,
     log: Arc<Mutex<Vec<String>>>,
-    acted: Arc<Mutex<Vec<Acted>>>,
+    transitions: Arc<Mutex<Vec<Acted>>>,
 }
 
 /// The processes of a site.
 pub struct Fleet {
     folder: PathBuf,
     pub all: Vec<Process>,
-    keepers: usize,
-    /// A relay on each link between two.
+    voters: usize,
+    /// One relay per link between two processes.
     pub links: Links,
-    /// When a process stood still: which, from when, to when.
+    /// Pauses of processes: index, start and end in seconds.
     pauses: Vec<(usize, f64, f64)>,
 }
 
-/// What all initiators of the test share.
-pub fn shared(limit: u64, effect: &str) -> String {
+/// Settings that all initiators of a test share.
+pub fn shared_settings(limit: u64, effect: &str) -> String {
     format!(
         "site {{\n initiators 9\n max-attempts 2\n}}\n\
          class \"read\" {{\n effect {effect:?}\n aim-ms 100\n deadline-ms 500\n}}\n\
@@ -50,8 +50,8 @@
 }
 
 impl Fleet {
-    /// `keepers` of `count` processes are keepers; all start.
-    pub fn start(name: &str, keepers: usize, count: usize) -> Fleet {
+    /// Starts `count` processes, of which the first `voters` are voters.
+    pub fn start(name: &str, voters: usize, count: usize) -> Fleet {
         let folder = std::env::temp_dir().join(format!("flaxstand-consensus-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
@@ -59,42 +59,42 @@
             name: format!("i{i}"),
             child: None,
             log: Arc::default(),
-            acted: Arc::default(),
+            transitions: Arc::default(),
         };
         let all: Vec<Process> = (0..count).map(process).collect();
         let links = Links::new(count).unwrap();
-        let mut fleet = Fleet { folder, all, keepers, links, pauses: Vec::new() };
+        let mut fleet = Fleet { folder, all, voters, links, pauses: Vec::new() };
         (0..count).for_each(|i| fleet.write_settings(i));
-        (0..count).for_each(|i| fleet.run(i));
+        (0..count).for_each(|i| fleet.start_process(i));
         fleet
     }
 
-    pub fn file(&self, i: usize) -> PathBuf {
+    pub fn settings_path(&self, i: usize) -> PathBuf {
         self.folder.join(format!("i{i}.kdl"))
     }
 
-    pub fn own_folder(&self, i: usize) -> PathBuf {
+    pub fn state_folder(&self, i: usize) -> PathBuf {
         self.folder.join(format!("i{i}"))
     }
 
     fn write_settings(&self, i: usize) {
         let folder = self.folder.display();
         let ms = |n: u64| Micros(n * 1000);
-        let (keepers, lease, election) = (self.keepers as u32, ms(LEASE_MS), ms(ELECTION_MS));
-        let accord = Accord { keepers, lease, election, clock_error: ERROR };
+        let (keepers, lease, election) = (self.voters as u32, ms(LEASE_MS), ms(ELECTION_MS));
+        let accord = Accord { keepers, lease, election, clock_error: MAX_CLOCK_DRIFT };
         let text = format!(
             "initiator \"i{i}\" {{\n listen \"unix:{folder}/i{i}.sock\"\n list \"unix:{folder}/none.sock\"\n seed {i}\n}}\n\
              {}{}",
-            shared(100, "repeatable"),
-            self.links.settings(i, &accord, |j| format!("i{j}"), &self.own_folder(i)),
+            shared_settings(100, "repeatable"),
+            self.links.settings(i, &accord, |j| format!("i{j}"), &self.state_folder(i)),
         );
-        std::fs::write(self.file(i), text).unwrap();
+        std::fs::write(self.settings_path(i), text).unwrap();
     }
 
-    pub fn run(&mut self, i: usize) {
+    pub fn start_process(&mut self, i: usize) {
         let mut child = Command::new(env!("CARGO_BIN_EXE_flaxstand"))
             .args(["run", "--with-parent", "--config"])
-            .arg(self.file(i))
+            .arg(self.settings_path(i))
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
@@ -103,14 +103,14 @@
         let mut line = String::new();
         BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
         let stderr = BufReader::new(child.stderr.take().unwrap());
-        let (log, acted) = (Arc::clone(&self.all[i].log), Arc::clone(&self.all[i].acted));
+        let (log, transitions) = (Arc::clone(&self.all[i].log), Arc::clone(&self.all[i].transitions));
         if !line.starts_with("ready ") {
-            let said: Vec<String> = stderr.lines().map_while(Result::ok).collect();
-            panic!("i{i} did not start: {line:?} {said:?}");
+            let output: Vec<String> = stderr.lines().map_while(Result::ok).collect();
+            panic!("i{i} did not start: {line:?} {output:?}");
         }
         std::thread::spawn(move || {
             for line in stderr.lines().map_while(Result::ok) {
-                acted.lock().unwrap().extend(acted_of(&line));
+                transitions.lock().unwrap().extend(acted_of(&line));
                 log.lock().unwrap().push(line);
             }
         });
@@ -123,12 +123,12 @@
         }
     }
 
-    /// SIGKILL: what it acted on ends with it.
+    /// Kills a process with SIGKILL and records that it stops acting on any rules.
     pub fn kill(&mut self, i: usize) {
         self.end(i, Signal::KILL);
     }
 
-    /// SIGTERM, and waits for its end.
+    /// Stops a process with SIGTERM and waits until it has exited.
     pub fn stop(&mut self, i: usize) {
         self.end(i, Signal::TERM);
     }
@@ -137,7 +137,11 @@
         self.signal(i, signal);
         if let Some(mut child) = self.all[i].child.take() {
             child.wait().unwrap();
-            self.all[i].acted.lock().unwrap().push(Acted { at: calendar(), what: "Gone".into(), stage: 0 });
+            self.all[i].transitions.lock().unwrap().push(Acted {
+                at: calendar(),
+                what: "Gone".into(),
+                stage: 0,
+            });
         }
     }
 
@@ -146,51 +150,51 @@
         calendar()
     }
 
-    pub fn go_on(&mut self, i: usize, since: f64) {
+    pub fn resume(&mut self, i: usize, since: f64) {
         self.pauses.push((i, since, calendar()));
         self.signal(i, Signal::CONT);
     }
 
-    /// An operator's word to one initiator.
-    pub fn say(&self, i: usize, operator_request: &OperatorRequest) -> Option<OperatorReply> {
+    /// Sends an operator request to one initiator; returns `None` if it does not answer.
+    pub fn request(&self, i: usize, operator_request: &OperatorRequest) -> Option<OperatorReply> {
         ask(self.links.listen(i), operator_request).ok()?
     }
 
     pub fn report(&self, i: usize) -> Option<Box<StatusReport>> {
-        match self.say(i, &OperatorRequest::Status)? {
+        match self.request(i, &OperatorRequest::Status)? {
             OperatorReply::Status(report) => Some(report),
             _ => None,
         }
     }
 
-    pub fn book(&self, i: usize) -> Option<ReplicatedState> {
-        match self.say(i, &OperatorRequest::ReplicatedState)? {
-            OperatorReply::ReplicatedState(book) => book.map(|known| known.state),
+    pub fn replicated_state(&self, i: usize) -> Option<ReplicatedState> {
+        match self.request(i, &OperatorRequest::ReplicatedState)? {
+            OperatorReply::ReplicatedState(state) => state.map(|indexed| indexed.state),
             _ => None,
         }
     }
 
-    /// Waits for something; tells what it saw last if that does not come.
+    /// Polls until `look` returns a value; panics after the time-out with the status and log of each process.
     #[track_caller]
-    pub fn until<T>(&self, what: &str, mut look: impl FnMut(&Fleet) -> Option<T>) -> T {
+    pub fn wait_for<T>(&self, what: &str, mut look: impl FnMut(&Fleet) -> Option<T>) -> T {
         let started = Instant::now();
         loop {
             if let Some(found) = look(self) {
                 return found;
             }
-            if started.elapsed() > BOUND {
+            if started.elapsed() > EVENT_TIMEOUT {
                 let reports: Vec<_> = (0..self.all.len()).map(|i| self.report(i)).collect();
                 let logs: Vec<String> = self.all.iter().map(|p| p.tail(25)).collect();
-                panic!("waited in vain for {what}: {reports:#?}\n{}", logs.join("\n"));
+                panic!("timed out waiting for {what}: {reports:#?}\n{}", logs.join("\n"));
             }
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Who leads, once somebody does of those asked.
+    /// Waits until one of these initiators leads and returns its index.
     #[track_caller]
-    pub fn leader_of(&self, some: &[usize]) -> usize {
-        self.until("a leader", |f| {
+    pub fn leader_among(&self, some: &[usize]) -> usize {
+        self.wait_for("a leader", |f| {
             some.iter().copied().find(|i| {
                 f.report(*i).is_some_and(|r| {
                     r.leader.as_ref() == Some(&r.name) && r.replica.as_deref() == Some("leader")
@@ -201,71 +205,73 @@
 
     #[track_caller]
     pub fn leader(&self) -> usize {
-        let all: Vec<usize> = (0..self.keepers).collect();
-        self.leader_of(&all)
+        let all: Vec<usize> = (0..self.voters).collect();
+        self.leader_among(&all)
     }
 
-    /// Proposes by whichever keeper leads, until it is taken. The version's number.
+    /// Proposes a version through the current leader until it is committed; returns the number of the
+    /// version.
     #[track_caller]
     pub fn propose(&self, base: u64, text: &str) -> u64 {
         let operator_request = OperatorRequest::Propose { base, version: version(text) };
-        self.until("a proposal to be agreed on", |f| {
-            (0..f.keepers).find_map(|i| match f.say(i, &operator_request)? {
+        self.wait_for("a proposal to be committed", |f| {
+            (0..f.voters).find_map(|i| match f.request(i, &operator_request)? {
                 OperatorReply::Committed(number) => Some(number),
-                // It was taken, and its answer lost with its leader.
+                // The proposal was committed, but the reply was lost with the leader.
                 OperatorReply::Refused(why)
-                    if why.contains("is under way") || why.contains("is in force") =>
+                    if why.contains("is being rolled out") || why.contains("is in force") =>
                 {
-                    let book = f.book(i)?;
-                    let ours = |v: &Version| v.text == text && v.number > base;
-                    book.next.iter().chain([&book.in_force]).find(|v| ours(v)).map(|v| v.number)
+                    let state = f.replicated_state(i)?;
+                    let is_proposed = |v: &Version| v.text == text && v.number > base;
+                    state.next.iter().chain([&state.in_force]).find(|v| is_proposed(v)).map(|v| v.number)
                 }
                 _ => None,
             })
         })
     }
 
-    /// Waits until some act on one version alone.
+    /// Waits until these initiators act on `what`, for example `Version(2)`.
     #[track_caller]
-    pub fn until_acting(&self, some: &[usize], what: &str) {
-        self.until(&format!("{some:?} to act on {what}"), |f| {
-            some.iter().all(|i| f.all[*i].acts().is_some_and(|a| a.what == what)).then_some(())
+    pub fn wait_until_acting(&self, some: &[usize], what: &str) {
+        self.wait_for(&format!("{some:?} to act on {what}"), |f| {
+            some.iter().all(|i| f.all[*i].active_rules().is_some_and(|a| a.what == what)).then_some(())
         });
     }
 
-    pub fn everyone(&self) -> Vec<usize> {
+    pub fn all_indices(&self) -> Vec<usize> {
         (0..self.all.len()).collect()
     }
 
     pub fn command(&self, i: usize, arguments: &[&str]) -> Output {
-        let file = self.file(i);
+        let file = self.settings_path(i);
         let mut all = vec!["settings", "--config", file.to_str().unwrap()];
         all.extend(arguments);
         Command::new(env!("CARGO_BIN_EXE_flaxstand")).args(all).stdin(Stdio::null()).output().unwrap()
     }
 
-    pub fn put(&self, name: &str, text: &str) -> PathBuf {
+    pub fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.folder.join(name);
         std::fs::write(&path, text).unwrap();
         path
     }
 
-    /// The longest time for which two processes acted on rules that contradict each other, seconds, and which two.
+    /// Returns the longest time in seconds for which two processes acted on contradicting rules, and which
+    /// two.
     pub fn contradiction(&self) -> (f64, String) {
         let of = |i: usize| {
             let pauses: Vec<Pause> =
                 self.pauses.iter().filter(|(p, ..)| *p == i).map(|(_, a, b)| (*a, *b)).collect();
-            spans(&self.all[i].acted(), &pauses, calendar())
+            spans(&self.all[i].transitions(), &pauses, calendar())
         };
         contradiction(&(0..self.all.len()).map(of).collect::<Vec<_>>())
     }
 
-    /// Fails if two acted on rules that contradict each other for longer than the settings allow.
+    /// Asserts that no two processes acted on contradicting rules for longer than the rollout bounds allow.
     #[track_caller]
-    pub fn no_contradiction(&self) {
-        let terms = RolloutBounds::of(LEASE_MS as f64, ERROR, ELECTION_MS as f64);
+    pub fn assert_contradictions_within_bound(&self) {
+        let bounds = RolloutBounds::of(LEASE_MS as f64, MAX_CLOCK_DRIFT, ELECTION_MS as f64);
         let (longest, who) = self.contradiction();
-        assert!(longest * 1000.0 <= terms.contradiction_ms, "{longest} s: {who}");
+        assert!(longest * 1000.0 <= bounds.contradiction_ms, "{longest} s: {who}");
     }
 }
 
@@ -285,13 +291,13 @@
 }
 
 impl Process {
-    /// What it acts on now, by its log.
-    pub fn acts(&self) -> Option<Acted> {
-        self.acted.lock().unwrap().last().cloned()
+    /// Returns the rules that the process acts on now, according to its log.
+    pub fn active_rules(&self) -> Option<Acted> {
+        self.transitions.lock().unwrap().last().cloned()
     }
 
-    pub fn acted(&self) -> Vec<Acted> {
-        self.acted.lock().unwrap().clone()
+    pub fn transitions(&self) -> Vec<Acted> {
+        self.transitions.lock().unwrap().clone()
     }
 
     pub fn logged(&self, what: &str) -> bool {
@@ -310,8 +316,8 @@
     Version { number: 0, rules, text: text.to_owned(), by: "a test".into(), at: (calendar() * 1e6) as u64 }
 }
 
-/// Copies a folder as it lies there.
-pub fn copy(from: &Path, to: &Path) {
+/// Copies the files of a folder.
+pub fn copy_folder(from: &Path, to: &Path) {
     std::fs::create_dir_all(to).unwrap();
     for entry in std::fs::read_dir(from).unwrap() {
         let entry = entry.unwrap();
--- a/crates/flaxstand-cli/tests/agreement/main.rs
+++ b/crates/flaxstand-cli/tests/agreement/main.rs
@@ -1,269 +1,293 @@
-//! What initiators agree on, between several processes of the program, with faults between them.
+//! Agreement on settings between several initiator processes, with faults on their links and on their disks.
 
 mod fleet;
 
 use flaxstand_simulation::agreed::calendar;
 use flaxstand_simulation::relay::Flow;
-use fleet::{Fleet, shared};
+use fleet::{Fleet, shared_settings};
 
 fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A fleet that acts on version 1 everywhere.
-fn agreed(name: &str, keepers: usize, count: usize) -> Fleet {
-    let fleet = Fleet::start(name, keepers, count);
-    assert_eq!(fleet.propose(0, &shared(100, "repeatable")), 1);
-    fleet.until_acting(&fleet.everyone(), "Version(1)");
+/// Starts a fleet and waits until all its initiators act on version 1.
+fn fleet_on_version_1(name: &str, voters: usize, count: usize) -> Fleet {
+    let fleet = Fleet::start(name, voters, count);
+    assert_eq!(fleet.propose(0, &shared_settings(100, "repeatable")), 1);
+    fleet.wait_until_acting(&fleet.all_indices(), "Version(1)");
     fleet
 }
 
 #[test]
-fn a_change_passes_through_what_both_versions_allow() {
-    let f = agreed("passes", 3, 5);
-    assert_eq!(f.propose(1, &shared(40, "once")), 2);
-    f.until_acting(&f.everyone(), "Version(2)");
+fn a_change_passes_through_a_transition_that_both_versions_allow() {
+    let f = fleet_on_version_1("passes", 3, 5);
+    assert_eq!(f.propose(1, &shared_settings(40, "once")), 2);
+    f.wait_until_acting(&f.all_indices(), "Version(2)");
     for p in &f.all {
-        let mut acted: Vec<String> = p.acted().into_iter().map(|a| a.what).collect();
+        let mut acted: Vec<String> = p.transitions().into_iter().map(|a| a.what).collect();
         acted.dedup();
         assert_eq!(acted, ["Fallback", "Version(1)", "Transition(1, 2)", "Version(2)"], "{}", p.name);
     }
-    f.no_contradiction();
+    f.assert_contradictions_within_bound();
 }
 
-/// Waits until the others than `but` act on a version, and then all.
-fn settles(f: &Fleet, version: u64) {
-    f.until_acting(&f.everyone(), &format!("Version({version})"));
-    f.no_contradiction();
+/// Waits until all initiators act on a version, then checks the time of contradiction.
+fn assert_settles(f: &Fleet, version: u64) {
+    f.wait_until_acting(&f.all_indices(), &format!("Version({version})"));
+    f.assert_contradictions_within_bound();
 }
 
 #[test]
-fn a_leader_that_is_cut_off_while_a_change_narrows_ends_on_the_floor() {
-    let f = agreed("cut-off", 3, 5);
+fn a_partitioned_leader_falls_back_to_the_floor_during_a_narrowing_change() {
+    let f = fleet_on_version_1("cut-off", 3, 5);
     let old = f.leader();
     f.links.around(old, Flow::Stall);
-    let others: Vec<usize> = f.everyone().into_iter().filter(|i| *i != old).collect();
-    f.until_acting(&[old], "Fallback");
-    assert_eq!(f.propose(1, &shared(40, "once")), 2);
-    f.until_acting(&others, "Version(2)");
-    assert_eq!(f.all[old].acts().unwrap().what, "Fallback");
-    assert_eq!(f.book(old).unwrap().in_force.number, 1, "it can't have heard of it");
+    let others: Vec<usize> = f.all_indices().into_iter().filter(|i| *i != old).collect();
+    f.wait_until_acting(&[old], "Fallback");
+    assert_eq!(f.propose(1, &shared_settings(40, "once")), 2);
+    f.wait_until_acting(&others, "Version(2)");
+    assert_eq!(f.all[old].active_rules().unwrap().what, "Fallback");
+    assert_eq!(
+        f.replicated_state(old).unwrap().in_force.number,
+        1,
+        "the partitioned leader can't have received version 2"
+    );
     f.links.heal();
-    settles(&f, 2);
+    assert_settles(&f, 2);
 }
 
 #[test]
-fn a_change_waits_for_a_member_that_may_act_on_the_old_rules_and_no_longer() {
-    let f = agreed("waits", 3, 5);
-    // No keeper: it acts on version 1 until its lease ends.
+fn a_change_waits_until_the_lease_of_a_partitioned_member_expires() {
+    let f = fleet_on_version_1("waits", 3, 5);
+    // Initiator 4 is not a voter and acts on version 1 until its lease expires.
     f.links.around(4, Flow::Stall);
     let before = calendar();
-    assert_eq!(f.propose(1, &shared(500, "repeatable")), 2);
+    assert_eq!(f.propose(1, &shared_settings(500, "repeatable")), 2);
     let rest = [0, 1, 2, 3];
-    f.until_acting(&rest, "Version(2)");
-    let let_go =
-        f.all[4].acted().into_iter().rev().find(|a| a.what == "Fallback").expect("its lease ended").at;
-    let widened = rest.iter().map(|i| f.all[*i].acts().unwrap().at).fold(f64::INFINITY, f64::min);
-    assert!(let_go > before && widened > let_go, "{before} {let_go} {widened}");
+    f.wait_until_acting(&rest, "Version(2)");
+    let expired = f.all[4]
+        .transitions()
+        .into_iter()
+        .rev()
+        .find(|a| a.what == "Fallback")
+        .expect("the lease of initiator 4 expired")
+        .at;
+    let widened = rest.iter().map(|i| f.all[*i].active_rules().unwrap().at).fold(f64::INFINITY, f64::min);
+    assert!(
+        expired > before && widened > expired,
+        "proposed at {before}, expired at {expired}, widened at {widened}"
+    );
     f.links.heal();
-    settles(&f, 2);
+    assert_settles(&f, 2);
 }
 
 #[test]
-fn cuts_in_one_direction_and_halves_that_part_again_and_again() {
-    let f = agreed("one-way", 5, 7);
+fn one_way_link_failures_and_repeated_partitions() {
+    let f = fleet_on_version_1("one-way", 5, 7);
     let leader = f.leader();
-    let deaf = (leader + 1) % 5;
-    // It does not hear the leader, and is heard: nobody is unseated by it.
-    f.links.one_way(leader, deaf, Flow::Stall);
+    let cut_off = (leader + 1) % 5;
+    // This voter receives nothing from the leader but can send to all: it must not depose the leader.
+    f.links.one_way(leader, cut_off, Flow::Stall);
     let term = f.report(leader).unwrap().term;
-    assert_eq!(f.propose(1, &shared(80, "repeatable")), 2);
-    f.until_acting(&[leader, (leader + 2) % 5, (leader + 3) % 5], "Version(2)");
+    assert_eq!(f.propose(1, &shared_settings(80, "repeatable")), 2);
+    f.wait_until_acting(&[leader, (leader + 2) % 5, (leader + 3) % 5], "Version(2)");
     assert_eq!(f.report(leader).unwrap().term, term);
     f.links.heal();
-    settles(&f, 2);
+    assert_settles(&f, 2);
     for round in 0..3 {
         for i in 0..3 {
             (3..7).for_each(|j| f.links.both(i, j, Flow::Stall));
         }
-        f.propose(2 + round, &shared(70 - round, "repeatable"));
+        f.propose(2 + round, &shared_settings(70 - round, "repeatable"));
         f.links.heal();
-        settles(&f, 3 + round);
+        assert_settles(&f, 3 + round);
     }
 }
 
 #[test]
-fn a_process_that_stood_still_acts_on_the_floor_when_it_wakes() {
-    let mut f = agreed("stood-still", 3, 5);
+fn a_paused_process_acts_on_the_floor_when_it_resumes() {
+    let mut f = fleet_on_version_1("paused", 3, 5);
     for who in [f.leader(), 4] {
-        let base = f.book(3).unwrap().in_force.number;
-        let others: Vec<usize> = f.everyone().into_iter().filter(|i| *i != who).collect();
+        let base = f.replicated_state(3).unwrap().in_force.number;
+        let others: Vec<usize> = f.all_indices().into_iter().filter(|i| *i != who).collect();
         let since = f.pause(who);
-        let next = f.propose(base, &shared(90 - base, "repeatable"));
-        f.until_acting(&others, &format!("Version({next})"));
-        f.go_on(who, since);
-        settles(&f, next);
-        let acted = f.all[who].acted();
-        let woke = acted.iter().find(|a| a.at > since).expect("it noted something when it woke");
-        assert_eq!(woke.what, "Fallback", "the first thing that it noticed");
+        let next = f.propose(base, &shared_settings(90 - base, "repeatable"));
+        f.wait_until_acting(&others, &format!("Version({next})"));
+        f.resume(who, since);
+        assert_settles(&f, next);
+        let acted = f.all[who].transitions();
+        let first_after_pause =
+            acted.iter().find(|a| a.at > since).expect("a transition is logged after the pause");
+        assert_eq!(first_after_pause.what, "Fallback", "the first transition after the pause");
     }
-    // All keepers at once, for longer than a lease.
+    // All voters pause at the same time for longer than a lease.
     let since: Vec<f64> = (0..3).map(|i| f.pause(i)).collect();
-    f.until_acting(&[3, 4], "Fallback");
-    (0..3).for_each(|i| f.go_on(i, since[i]));
-    settles(&f, 3);
+    f.wait_until_acting(&[3, 4], "Fallback");
+    (0..3).for_each(|i| f.resume(i, since[i]));
+    assert_settles(&f, 3);
 }
 
 #[test]
-fn leaders_killed_one_after_the_other_and_all_at_once() {
-    let mut f = agreed("killed", 5, 6);
+fn leaders_killed_in_succession_and_all_processes_killed_at_once() {
+    let mut f = fleet_on_version_1("killed", 5, 6);
     let mut base = 1;
-    // Between each two steps of a change: before it is proposed, while it is under way, when it comes in force.
+    // The leader is killed before the proposal, during the rollout, and once the version is in force.
     for step in 0..3 {
         let leader = f.leader();
         if step == 0 {
             f.kill(leader);
         }
-        let next = f.propose(base, &shared(90 - base, "repeatable"));
+        let next = f.propose(base, &shared_settings(90 - base, "repeatable"));
         if step == 1 {
             f.kill(leader);
         }
         if step == 2 {
-            f.until("the version to be in force somewhere", |f| {
-                f.everyone().into_iter().find(|i| f.book(*i).is_some_and(|b| b.in_force.number == next))
+            f.wait_for("the version to be in force somewhere", |f| {
+                f.all_indices()
+                    .into_iter()
+                    .find(|i| f.replicated_state(*i).is_some_and(|state| state.in_force.number == next))
             });
             f.kill(leader);
         }
-        let rest: Vec<usize> = f.everyone().into_iter().filter(|i| *i != leader).collect();
-        f.until_acting(&rest, &format!("Version({next})"));
-        f.run(leader);
-        settles(&f, next);
+        let rest: Vec<usize> = f.all_indices().into_iter().filter(|i| *i != leader).collect();
+        f.wait_until_acting(&rest, &format!("Version({next})"));
+        f.start_process(leader);
+        assert_settles(&f, next);
         base = next;
     }
     (0..2).for_each(|_| {
         let leader = f.leader();
         f.kill(leader);
-        f.leader_of(&(0..5).filter(|i| f.report(*i).is_some()).collect::<Vec<_>>());
-        f.run(leader);
+        f.leader_among(&(0..5).filter(|i| f.report(*i).is_some()).collect::<Vec<_>>());
+        f.start_process(leader);
     });
-    settles(&f, base);
-    f.everyone().into_iter().for_each(|i| f.kill(i));
-    f.everyone().into_iter().rev().for_each(|i| f.run(i));
-    settles(&f, base);
-    let next = f.propose(base, &shared(30, "once"));
-    settles(&f, next);
+    assert_settles(&f, base);
+    f.all_indices().into_iter().for_each(|i| f.kill(i));
+    f.all_indices().into_iter().rev().for_each(|i| f.start_process(i));
+    assert_settles(&f, base);
+    let next = f.propose(base, &shared_settings(30, "once"));
+    assert_settles(&f, next);
 }
 
 #[test]
-fn lost_old_and_torn_folders_of_keepers() {
-    let mut f = agreed("folders", 3, 4);
+fn voters_with_a_lost_outdated_or_torn_log_folder() {
+    let mut f = fleet_on_version_1("folders", 3, 4);
     let leader = f.leader();
-    let [wiped, old] = [(leader + 1) % 3, (leader + 2) % 3];
+    let [wiped, outdated] = [(leader + 1) % 3, (leader + 2) % 3];
     let voters = |f: &Fleet| f.report(f.leader()).unwrap().voters;
-    // Its disk is lost: it comes back as another, and is given a vote again.
+    // A lost disk: the process returns as a new replica and becomes a voter again.
     f.kill(wiped);
-    std::fs::remove_dir_all(f.own_folder(wiped)).unwrap();
-    f.run(wiped);
-    f.until("the one without a disk to be taken in", |f| {
+    std::fs::remove_dir_all(f.state_folder(wiped)).unwrap();
+    f.start_process(wiped);
+    f.wait_for("the replica without a disk to be admitted as a voter", |f| {
         (f.report(wiped)?.replica.as_deref() == Some("follower") && voters(f).len() == 3).then_some(())
     });
-    // Its folder is put back to what it was before it promised more.
-    f.kill(old);
-    let copy = f.own_folder(old).with_extension("copy");
-    fleet::copy(&f.own_folder(old), &copy);
-    f.run(old);
-    let next = f.propose(1, &shared(60, "once"));
-    settles(&f, next);
-    f.kill(old);
-    std::fs::remove_dir_all(f.own_folder(old)).unwrap();
-    fleet::copy(&copy, &f.own_folder(old));
-    f.run(old);
-    f.until("the old copy to be found out", |f| f.all[old].logged("its folder is an old copy").then_some(()));
-    f.until("it to be taken in", |f| (f.report(old)?.replica.as_deref() == Some("follower")).then_some(()));
-    settles(&f, next);
-    // The last bytes of its log are torn off: never told, so it goes on as itself.
-    f.kill(old);
+    // An outdated copy replaces the folder: votes and promises made since the copy are missing from it.
+    f.kill(outdated);
+    let copy = f.state_folder(outdated).with_extension("copy");
+    fleet::copy_folder(&f.state_folder(outdated), &copy);
+    f.start_process(outdated);
+    let next = f.propose(1, &shared_settings(60, "once"));
+    assert_settles(&f, next);
+    f.kill(outdated);
+    std::fs::remove_dir_all(f.state_folder(outdated)).unwrap();
+    fleet::copy_folder(&copy, &f.state_folder(outdated));
+    f.start_process(outdated);
+    f.wait_for("the outdated copy to be detected", |f| {
+        f.all[outdated].logged("its folder is an old copy").then_some(())
+    });
+    f.wait_for("the replica to be admitted again", |f| {
+        (f.report(outdated)?.replica.as_deref() == Some("follower")).then_some(())
+    });
+    assert_settles(&f, next);
+    // An incomplete record at the end of the log was never acknowledged, so the replica keeps its identity.
+    f.kill(outdated);
     let mut segments: Vec<_> =
-        std::fs::read_dir(f.own_folder(old)).unwrap().map(|e| e.unwrap().path()).collect();
+        std::fs::read_dir(f.state_folder(outdated)).unwrap().map(|e| e.unwrap().path()).collect();
     segments.retain(|p| p.extension().is_some_and(|e| e == "log"));
     segments.sort();
     let last = segments.last().expect("a segment");
     let mut bytes = std::fs::read(last).unwrap();
     bytes.extend_from_slice(b"fag1 and then the power went");
     std::fs::write(last, bytes).unwrap();
-    f.run(old);
-    let last = f.propose(next, &shared(50, "once"));
-    settles(&f, last);
-    assert!(!f.all[old].logged("is damaged"), "a torn end is no damage");
+    f.start_process(outdated);
+    let last = f.propose(next, &shared_settings(50, "once"));
+    assert_settles(&f, last);
+    assert!(!f.all[outdated].logged("is damaged"), "an incomplete last record is not damage");
 }
 
 #[test]
-fn two_proposals_at_once_and_one_withdrawn() {
+fn concurrent_proposals_and_a_withdrawn_version() {
     use flaxstand_consensus::participant::{OperatorReply, OperatorRequest};
-    let f = agreed("two", 3, 4);
+    let f = fleet_on_version_1("two", 3, 4);
     let leader = f.leader();
-    f.until("the passage before to be over", |f| f.report(leader)?.blockers.is_empty().then_some(()));
-    let say = |limit| {
-        f.say(
+    f.wait_for("the previous rollout to complete", |f| f.report(leader)?.blockers.is_empty().then_some(()));
+    let propose = |limit| {
+        f.request(
             leader,
-            &OperatorRequest::Propose { base: 1, version: fleet::version(&shared(limit, "repeatable")) },
+            &OperatorRequest::Propose {
+                base: 1,
+                version: fleet::version(&shared_settings(limit, "repeatable")),
+            },
         )
     };
     let (one, two) = std::thread::scope(|s| {
-        let one = s.spawn(|| say(80));
-        let two = s.spawn(|| say(70));
+        let one = s.spawn(|| propose(80));
+        let two = s.spawn(|| propose(70));
         (one.join().unwrap().expect("an answer"), two.join().unwrap().expect("an answer"))
     });
-    let taken: Vec<&OperatorReply> =
+    let committed: Vec<&OperatorReply> =
         [&one, &two].into_iter().filter(|r| matches!(r, OperatorReply::Committed(2))).collect();
-    assert_eq!(taken.len(), 1, "{one:?} {two:?}");
-    settles(&f, 2);
-    // One that can't come in force, since a member holds it up, is withdrawn.
+    assert_eq!(committed.len(), 1, "{one:?} {two:?}");
+    assert_settles(&f, 2);
+    // Version 3 is blocked by a partitioned member and is withdrawn.
     f.links.around(3, Flow::Stall);
-    assert_eq!(f.propose(2, &shared(400, "repeatable")), 3);
+    assert_eq!(f.propose(2, &shared_settings(400, "repeatable")), 3);
     let withdrawn = f
-        .say(leader, &OperatorRequest::Withdraw { number: 3, by: "a test".into(), at: 0 })
+        .request(leader, &OperatorRequest::Withdraw { number: 3, by: "a test".into(), at: 0 })
         .expect("an answer");
     if withdrawn == OperatorReply::Committed(3) {
-        f.until_acting(&[0, 1, 2], "Version(2)");
+        f.wait_until_acting(&[0, 1, 2], "Version(2)");
         f.links.heal();
-        settles(&f, 2);
+        assert_settles(&f, 2);
     } else {
-        // It came in force first: then there is nothing to take back.
+        // Version 3 came into force before the withdrawal.
         assert!(
-            matches!(&withdrawn, OperatorReply::Refused(why) if why.contains("not under way")),
+            matches!(&withdrawn, OperatorReply::Refused(why) if why.contains("not being rolled out")),
             "{withdrawn:?}"
         );
         f.links.heal();
-        settles(&f, 3);
+        assert_settles(&f, 3);
     }
 }
 
 #[test]
-fn a_rolling_restart_with_a_change_under_way() {
-    let mut f = agreed("rolling", 3, 5);
-    let next = f.propose(1, &shared(60, "once"));
-    for i in f.everyone() {
+fn a_rolling_restart_during_a_rollout() {
+    let mut f = fleet_on_version_1("rolling", 3, 5);
+    let next = f.propose(1, &shared_settings(60, "once"));
+    for i in f.all_indices() {
         f.stop(i);
-        f.run(i);
-        // Of keepers a majority is to be there at all times.
-        f.until("it to have a lease again", |f| f.all[i].acts().filter(|a| a.what.starts_with("Version")));
+        f.start_process(i);
+        // A majority of the voters must run at all times.
+        f.wait_for("the restarted initiator to have a lease", |f| {
+            f.all[i].active_rules().filter(|a| a.what.starts_with("Version"))
+        });
     }
-    settles(&f, next);
+    assert_settles(&f, next);
 }
 
 #[test]
-fn a_member_that_reaches_no_keeper_learns_from_a_neighbour() {
-    let f = agreed("neighbour", 3, 5);
-    (0..3).for_each(|keeper| f.links.both(4, keeper, Flow::Stall));
-    let next = f.propose(1, &shared(60, "once"));
-    settles(&f, next);
+fn a_member_without_links_to_voters_learns_versions_from_a_peer() {
+    let f = fleet_on_version_1("neighbour", 3, 5);
+    (0..3).for_each(|voter| f.links.both(4, voter, Flow::Stall));
+    let next = f.propose(1, &shared_settings(60, "once"));
+    assert_settles(&f, next);
 }
 
 #[test]
-fn operators_see_who_holds_a_change_up_and_files_without_sense_change_nothing() {
-    let mut f = agreed("operators", 3, 4);
-    let bad = f.put("bad.kdl", &shared(60, "sometimes"));
+fn operators_see_what_blocks_a_change_and_invalid_files_change_nothing() {
+    let mut f = fleet_on_version_1("operators", 3, 4);
+    let bad = f.write_file("bad.kdl", &shared_settings(60, "sometimes"));
     let out = f.command(0, &["propose", bad.to_str().unwrap()]);
     assert_eq!(out.status.code(), Some(2));
     assert!(
@@ -271,9 +295,11 @@
         "{}",
         text(&out.stderr)
     );
-    let narrow = f.put("narrow.kdl", &shared(0, "once").replace("limit-burst 0", "limit-burst 1"));
-    let gone = f.put("gone.kdl", &shared(60, "once").replace("\"gold\" {", "\"silver\" {"));
-    let out = f.command(0, &["propose", gone.to_str().unwrap(), "--dry-run"]);
+    let narrow =
+        f.write_file("narrow.kdl", &shared_settings(0, "once").replace("limit-burst 0", "limit-burst 1"));
+    let removed =
+        f.write_file("removed.kdl", &shared_settings(60, "once").replace("\"gold\" {", "\"silver\" {"));
+    let out = f.command(0, &["propose", removed.to_str().unwrap(), "--dry-run"]);
     assert!(
         text(&out.stdout).contains("plan.gold can't be changed while initiators run"),
         "{}",
@@ -281,20 +307,20 @@
     );
     let out = f.command(0, &["propose", narrow.to_str().unwrap(), "--dry-run"]);
     assert!(text(&out.stdout).contains("class.read.effect: \"repeatable\" -> \"once\"  narrows"));
-    assert_eq!(f.book(0).unwrap().last_number, 1, "nothing was proposed so far");
-    let wide = f.put("wide.kdl", &shared(200, "repeatable"));
+    assert_eq!(f.replicated_state(0).unwrap().last_number, 1, "no version was proposed by these commands");
+    let wide = f.write_file("wide.kdl", &shared_settings(200, "repeatable"));
     let since = f.pause(3);
     let out = f.command(0, &["propose", wide.to_str().unwrap()]);
-    assert!(text(&out.stdout).contains("version 2 is agreed on"), "{}", text(&out.stdout));
-    let held = f.until("the status to say who holds it up, or that it is over", |f| {
-        let told = text(&f.command(0, &["status"]).stdout);
-        let over = told.contains("version 2 is in force");
-        (told.contains("held up by i3: it may act on the previous rules") || over).then_some(told)
+    assert!(text(&out.stdout).contains("version 2 is committed"), "{}", text(&out.stdout));
+    let status = f.wait_for("the status to name the blocking member, or the rollout to complete", |f| {
+        let status = text(&f.command(0, &["status"]).stdout);
+        let is_complete = status.contains("version 2 is in force");
+        (status.contains("blocked by i3: it may act on the previous rules") || is_complete).then_some(status)
     });
-    assert!(held.contains("leads in term"), "{held}");
+    assert!(status.contains("leads in term"), "{status}");
     assert_eq!(f.command(0, &["wait"]).status.code(), Some(0));
-    f.go_on(3, since);
-    settles(&f, 2);
+    f.resume(3, since);
+    assert_settles(&f, 2);
     let history = text(&f.command(0, &["history"]).stdout);
     assert!(history.contains("version 2  in force: confirmed by"), "{history}");
     let json = text(&f.command(0, &["status", "--json"]).stdout);
@@ -303,34 +329,35 @@
             .is_ok_and(|v| v["initiators"][3]["versions"][0] == 2)
     );
     assert_eq!(f.command(0, &["revert", "1"]).status.code(), Some(0));
-    settles(&f, 3);
-    assert_eq!(f.book(1).unwrap().in_force.text, shared(100, "repeatable"));
+    assert_settles(&f, 3);
+    assert_eq!(f.replicated_state(1).unwrap().in_force.text, shared_settings(100, "repeatable"));
 }
 
-/// Long, and so no part of the usual run: `cargo test --release -p flaxstand-cli --test agreement -- --ignored --nocapture`.
-/// Prints how long changes took with all well, with a member cut off, with the leader killed and with links that are
-/// slow and break, and the longest contradiction seen. `FLAXSTAND_CHANGES` says how many of each.
+/// Run with `cargo test --release -p flaxstand-cli --test agreement -- --ignored --nocapture`; it takes
+/// several minutes. Prints the time that changes take without faults, with a partitioned member, with the
+/// leader killed and with slow and broken links, and the longest contradiction. `FLAXSTAND_CHANGES` sets the
+/// number of changes per fault.
 #[test]
 #[ignore = "a measurement of several minutes"]
-fn changes_under_drawn_faults() {
-    let each = std::env::var("FLAXSTAND_CHANGES").ok().and_then(|n| n.parse().ok()).unwrap_or(50);
-    let mut f = agreed("measured", 3, 5);
+fn rollout_times_under_random_faults() {
+    let changes = std::env::var("FLAXSTAND_CHANGES").ok().and_then(|n| n.parse().ok()).unwrap_or(50);
+    let mut f = fleet_on_version_1("measured", 3, 5);
     let mut base = 1;
-    let mut draw = 1u64;
-    for fault in ["all well", "a member cut off", "the leader killed", "links late and broken"] {
-        let mut took = Vec::new();
-        for round in 0..each {
-            draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            let drawn = (draw >> 33) as usize;
+    let mut random = 1u64;
+    for fault in ["no fault", "a partitioned member", "leader killed", "slow and broken links"] {
+        let mut times_ms = Vec::new();
+        for round in 0..changes {
+            random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            let drawn = (random >> 33) as usize;
             let leader = f.leader();
-            f.until("the passage before to be over", |f| {
+            f.wait_for("the previous rollout to complete", |f| {
                 f.report(f.leader())?.blockers.is_empty().then_some(())
             });
             match fault {
-                "a member cut off" => {
+                "a partitioned member" => {
                     f.links.around(if drawn.is_multiple_of(2) { 4 } else { (leader + 1) % 3 }, Flow::Stall)
                 }
-                "links late and broken" => {
+                "slow and broken links" => {
                     let (a, b) = (drawn % 5, (drawn / 8) % 5);
                     if a != b {
                         f.links.both(a, b, Flow::Late(std::time::Duration::from_millis(drawn as u64 % 200)));
@@ -341,26 +368,28 @@
             }
             let started = std::time::Instant::now();
             let effect = ["once", "repeatable"][round % 2];
-            let next = f.propose(base, &shared(5 + drawn as u64 % 400, effect));
-            if fault == "the leader killed" {
+            let next = f.propose(base, &shared_settings(5 + drawn as u64 % 400, effect));
+            if fault == "leader killed" {
                 f.kill(leader);
             }
-            f.until("the version to be in force somewhere", |f| {
-                let acts = |i: &usize| f.all[*i].acts().is_some_and(|a| a.what == format!("Version({next})"));
-                f.everyone().iter().any(acts).then_some(())
+            f.wait_for("the version to be in force somewhere", |f| {
+                let acts = |i: &usize| {
+                    f.all[*i].active_rules().is_some_and(|a| a.what == format!("Version({next})"))
+                };
+                f.all_indices().iter().any(acts).then_some(())
             });
-            took.push(started.elapsed().as_millis() as u64);
-            if fault == "the leader killed" {
-                f.run(leader);
+            times_ms.push(started.elapsed().as_millis() as u64);
+            if fault == "leader killed" {
+                f.start_process(leader);
             }
             f.links.heal();
-            settles(&f, next);
+            assert_settles(&f, next);
             base = next;
         }
-        took.sort_unstable();
-        let at = |part: f64| took[((took.len() - 1) as f64 * part) as usize];
+        times_ms.sort_unstable();
+        let at = |quantile: f64| times_ms[((times_ms.len() - 1) as f64 * quantile) as usize];
         println!(
-            "{fault}: {each} changes in force after ms: {} {} {} {} (p10 p50 p90 most)",
+            "{fault}: {changes} changes, ms until in force: p10 {}, p50 {}, p90 {}, max {}",
             at(0.1),
             at(0.5),
             at(0.9),
--- a/crates/flaxstand-cli/tests/common/mod.rs
+++ b/crates/flaxstand-cli/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! What peers of several tests speak.
+//! A minimal HTTP reader that several tests share.
 
 use std::io::Read;
 use std::net::TcpStream;
 
-/// The next message of a connection: its head, and the body that its length tells.
-pub fn message(stream: &mut TcpStream) -> Option<(String, String)> {
+/// Reads the next HTTP message of a connection; returns its head and its body of `Content-Length` bytes.
+pub fn read_message(stream: &mut TcpStream) -> Option<(String, String)> {
     let (mut head, mut byte) = (String::new(), [0]);
     while !head.ends_with("\r\n\r\n") {
         stream.read_exact(&mut byte).ok()?;
--- a/crates/flaxstand-cli/tests/crossings.rs
+++ b/crates/flaxstand-cli/tests/crossings.rs
@@ -1,9 +1,10 @@
-//! `flaxstand run --platform` over loopback, where a signal, the kernel or a peer crosses it. A process that is to find
-//! two things at once is stopped until the kernel holds both, and then goes on. Waits are for events, with a bound.
+//! Races of `flaxstand run --platform` with signals, peers and kernel buffers, over loopback. To present two
+//! events at once, a test pauses the process until the kernel holds both. Tests wait for events, with a
+//! time-out.
 
 mod common;
 
-use common::message;
+use common::read_message;
 use rustix::process::{Pid, Resource, Rlimit, Signal, WaitOptions, kill_process, prlimit, waitpid};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,24 +13,24 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-const BOUND: Duration = Duration::from_secs(20);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits for something to hold.
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < BOUND, "not in time: {what}");
+/// Polls until `condition` holds.
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < EVENT_TIMEOUT, "timed out waiting until {what}");
         std::thread::yield_now();
     }
 }
 
-/// What a peer was asked, and the connection to answer on.
-struct Asked {
+/// A request that a peer received, and the connection to answer it on.
+struct ReceivedRequest {
     head: String,
     stream: TcpStream,
 }
 
-impl Asked {
+impl ReceivedRequest {
     fn answer(&mut self, body: &str) {
         write!(self.stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
     }
@@ -38,36 +39,38 @@
     }
 }
 
-/// A peer whose answers are the test's: each message that comes is handed over.
-fn serve(listener: TcpListener) -> Receiver<Asked> {
-    let (tell, told) = channel();
+/// Runs a peer that passes each received request to the test, which answers it.
+fn serve(listener: TcpListener) -> Receiver<ReceivedRequest> {
+    let (sender, receiver) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (Ok(mut stream), tell): (_, Sender<Asked>) = (stream, tell.clone()) else { return };
+            let (Ok(mut stream), sender): (_, Sender<ReceivedRequest>) = (stream, sender.clone()) else {
+                return;
+            };
             std::thread::spawn(move || {
-                while let Some((head, _)) = message(&mut stream) {
+                while let Some((head, _)) = read_message(&mut stream) {
                     let Ok(stream) = stream.try_clone() else { return };
-                    if tell.send(Asked { head, stream }).is_err() {
+                    if sender.send(ReceivedRequest { head, stream }).is_err() {
                         return;
                     }
                 }
             });
         }
     });
-    told
+    receiver
 }
 
-/// An initiator with one target, which it knows from its start.
+/// An initiator process with one node, which the configuration lists.
 struct Rig {
     process: Child,
     at: SocketAddr,
-    target: Receiver<Asked>,
+    target: Receiver<ReceivedRequest>,
     discovery: SocketAddr,
     folder: PathBuf,
 }
 
 impl Rig {
-    /// The list service is a port at which nobody listens yet.
+    /// Starts the process; nothing listens at the address of the list service yet.
     fn start(name: &str) -> Rig {
         let target = TcpListener::bind("127.0.0.1:0").unwrap();
         let endpoint = target.local_addr().unwrap();
@@ -94,45 +97,48 @@
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
         let process = command.spawn().unwrap();
         let rig = Rig { process, at, target: serve(target), discovery, folder };
-        until("it listens", || TcpStream::connect(at).is_ok());
+        wait_until("the process listens", || TcpStream::connect(at).is_ok());
         rig
     }
     fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.process), signal).unwrap();
     }
-    /// The process stands still: what comes is held by the kernel.
-    fn stand_still(&self) {
+    /// Pauses the process with SIGSTOP; the kernel buffers what arrives.
+    fn pause(&self) {
         self.signal(Signal::STOP);
         waitpid(Some(Pid::from_child(&self.process)), WaitOptions::UNTRACED).unwrap();
     }
-    fn go_on(&self) {
+    fn resume(&self) {
         self.signal(Signal::CONT);
     }
     fn client(&self) -> TcpStream {
         let stream = TcpStream::connect(self.at).unwrap();
-        stream.set_read_timeout(Some(BOUND)).unwrap();
+        stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream
     }
-    /// The next request that reaches the target.
-    fn asked(&self) -> Asked {
-        self.target.recv_timeout(BOUND).expect("the target is asked")
+    /// Returns the next request that reaches the node.
+    fn next_request(&self) -> ReceivedRequest {
+        self.target.recv_timeout(EVENT_TIMEOUT).expect("the node receives a request")
     }
-    /// A client whose first request was served, and whose second the kernel holds while the process stands still; and the
-    /// connection to the target, which rests.
-    fn asked_again_while_it_stands_still(&self) -> (TcpStream, Asked) {
+    /// Serves the first request of a client, then pauses the process while the kernel buffers the second.
+    /// Returns the client and the first request with its idle connection to the node.
+    fn second_request_while_paused(&self) -> (TcpStream, ReceivedRequest) {
         let mut client = self.client();
         client.write_all(get("first", "order").as_bytes()).unwrap();
-        let mut asked = self.asked();
-        asked.answer("one");
-        assert_eq!(message(&mut client).unwrap().1, "one");
-        self.stand_still();
+        let mut received = self.next_request();
+        received.answer("one");
+        assert_eq!(read_message(&mut client).unwrap().1, "one");
+        self.pause();
         let from = client.local_addr().unwrap();
         client.write_all(get("second", "order").as_bytes()).unwrap();
-        until("the request is there", || self.held(self.at, from).is_some_and(|(_, unread)| unread > 1));
-        (client, asked)
+        wait_until("the kernel holds the request", || {
+            self.kernel_state(self.at, from).is_some_and(|(_, unread)| unread > 1)
+        });
+        (client, received)
     }
-    /// The kernel's word of the process' side of a connection: its state and bytes unread; none: there is none.
-    fn held(&self, ours: SocketAddr, peers: SocketAddr) -> Option<(String, u64)> {
+    /// Returns the TCP state and the number of unread bytes of the process's side of a connection, from the
+    /// kernel's table; `None` if there is no such connection.
+    fn kernel_state(&self, local: SocketAddr, remote: SocketAddr) -> Option<(String, u64)> {
         let hex = |at: SocketAddr| {
             let SocketAddr::V4(at) = at else { panic!("IPv4") };
             format!("{:08X}:{:04X}", u32::from_le_bytes(at.ip().octets()), at.port())
@@ -140,20 +146,20 @@
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         table.lines().skip(1).find_map(|line| {
             let fields: Vec<&str> = line.split_whitespace().collect();
-            let found = fields[1] == hex(ours) && fields[2] == hex(peers);
+            let found = fields[1] == hex(local) && fields[2] == hex(remote);
             let unread = u64::from_str_radix(fields[4].split(':').nth(1)?, 16).ok()?;
             found.then(|| (fields[3].to_owned(), unread))
         })
     }
-    fn ended(&mut self) -> Option<i32> {
-        let began = Instant::now();
-        while began.elapsed() < BOUND {
+    fn wait_for_exit(&mut self) -> Option<i32> {
+        let started = Instant::now();
+        while started.elapsed() < EVENT_TIMEOUT {
             if let Some(status) = self.process.try_wait().unwrap() {
                 return status.code();
             }
             std::thread::yield_now();
         }
-        panic!("it does not end");
+        panic!("the process does not exit");
     }
 }
 
@@ -165,7 +171,7 @@
     }
 }
 
-/// The state in which a peer has closed and this side has not.
+/// TCP state CLOSE_WAIT in `/proc/net/tcp`: the peer has closed the connection and this side has not.
 const CLOSE_WAIT: &str = "08";
 
 fn get(id: &str, class: &str) -> String {
@@ -176,111 +182,117 @@
 }
 
 #[test]
-fn a_request_whose_client_has_closed_before_it_was_read_reaches_nobody() {
-    let rig = Rig::start("gone");
-    let mut gone = rig.client();
-    let from = gone.local_addr().unwrap();
-    rig.stand_still();
-    gone.write_all(get("gone", "order").as_bytes()).unwrap();
-    drop(gone);
-    until("the kernel has the request and the close", || {
-        rig.held(rig.at, from).is_some_and(|(state, unread)| state == CLOSE_WAIT && unread > 1)
+fn a_request_whose_client_closed_before_it_was_read_is_not_forwarded() {
+    let rig = Rig::start("closed");
+    let mut closed = rig.client();
+    let from = closed.local_addr().unwrap();
+    rig.pause();
+    closed.write_all(get("closed", "order").as_bytes()).unwrap();
+    drop(closed);
+    wait_until("the kernel holds the request and the FIN", || {
+        rig.kernel_state(rig.at, from).is_some_and(|(state, unread)| state == CLOSE_WAIT && unread > 1)
     });
-    rig.go_on();
-    until("the process has closed too", || {
-        rig.held(rig.at, from).is_none_or(|(state, _)| state != CLOSE_WAIT)
+    rig.resume();
+    wait_until("the process has closed its side", || {
+        rig.kernel_state(rig.at, from).is_none_or(|(state, _)| state != CLOSE_WAIT)
     });
     let mut next = rig.client();
     next.write_all(get("next", "order").as_bytes()).unwrap();
-    let mut asked = rig.asked();
-    assert_eq!(asked.id(), "next");
-    asked.answer("ok");
-    assert_eq!(message(&mut next).unwrap().1, "ok");
-    assert!(rig.target.try_recv().is_err(), "nothing else came");
+    let mut received = rig.next_request();
+    assert_eq!(received.id(), "next");
+    received.answer("ok");
+    assert_eq!(read_message(&mut next).unwrap().1, "ok");
+    assert!(rig.target.try_recv().is_err(), "the node receives no other request");
 }
 
 #[test]
-fn a_connection_that_its_target_closed_costs_no_request_that_must_run_once() {
+fn a_once_request_survives_a_pooled_connection_that_the_node_closed() {
     let rig = Rig::start("stale");
-    let (mut client, asked) = rig.asked_again_while_it_stands_still();
-    let (ours, theirs) = (asked.stream.peer_addr().unwrap(), asked.stream.local_addr().unwrap());
-    asked.stream.shutdown(std::net::Shutdown::Both).unwrap();
-    until("and the close", || rig.held(ours, theirs).is_some_and(|(state, _)| state == CLOSE_WAIT));
-    rig.go_on();
-    let mut asked = rig.asked();
-    assert_eq!(asked.id(), "second");
-    asked.answer("two");
+    let (mut client, received) = rig.second_request_while_paused();
+    let (local, remote) = (received.stream.peer_addr().unwrap(), received.stream.local_addr().unwrap());
+    received.stream.shutdown(std::net::Shutdown::Both).unwrap();
+    wait_until("the kernel holds the FIN of the node", || {
+        rig.kernel_state(local, remote).is_some_and(|(state, _)| state == CLOSE_WAIT)
+    });
+    rig.resume();
+    let mut received = rig.next_request();
+    assert_eq!(received.id(), "second");
+    received.answer("two");
     assert_eq!(
-        message(&mut client).unwrap(),
+        read_message(&mut client).unwrap(),
         ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n".into(), "two".into())
     );
-    assert!(rig.target.try_recv().is_err(), "sent once");
+    assert!(rig.target.try_recv().is_err(), "the request is sent once");
 }
 
-/// Half a line, or the tail of a second answer, on a connection that rests, while a request for it comes.
+/// A node sends a second response on an idle connection just before the next request is sent on it.
 #[test]
-fn what_came_on_a_resting_connection_is_no_answer_to_the_request_that_comes_with_it() {
-    let rig = Rig::start("half-line");
-    let (mut client, mut asked) = rig.asked_again_while_it_stands_still();
-    let (ours, theirs) = (asked.stream.peer_addr().unwrap(), asked.stream.local_addr().unwrap());
-    asked.answer("one");
-    until("and the second answer", || rig.held(ours, theirs).is_some_and(|(_, unread)| unread > 0));
-    rig.go_on();
-    let mut asked = rig.asked();
-    assert_eq!(asked.id(), "second");
-    asked.answer("two");
-    assert_eq!(message(&mut client).unwrap().1, "two");
+fn bytes_received_on_an_idle_connection_do_not_answer_the_next_request() {
+    let rig = Rig::start("unsolicited");
+    let (mut client, mut received) = rig.second_request_while_paused();
+    let (local, remote) = (received.stream.peer_addr().unwrap(), received.stream.local_addr().unwrap());
+    received.answer("one");
+    wait_until("the kernel holds the second response", || {
+        rig.kernel_state(local, remote).is_some_and(|(_, unread)| unread > 0)
+    });
+    rig.resume();
+    let mut received = rig.next_request();
+    assert_eq!(received.id(), "second");
+    received.answer("two");
+    assert_eq!(read_message(&mut client).unwrap().1, "two");
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_a_stop_is_not_sent_on_and_no_answer_is_reset_away() {
+fn a_request_during_shutdown_is_not_forwarded_and_no_response_is_lost_to_a_reset() {
     let mut rig = Rig::start("stop");
-    let (mut resting, mut busy) = (rig.client(), rig.client());
-    resting.write_all(get("first", "read").as_bytes()).unwrap();
-    rig.asked().answer("one");
-    assert_eq!(message(&mut resting).unwrap().1, "one");
-    // Its target hangs, and its client sends one more behind it.
+    let (mut idle, mut busy) = (rig.client(), rig.client());
+    idle.write_all(get("first", "read").as_bytes()).unwrap();
+    rig.next_request().answer("one");
+    assert_eq!(read_message(&mut idle).unwrap().1, "one");
+    // The node does not answer the first request, and the client sends another one behind it.
     busy.write_all((get("hangs", "order") + &get("behind", "order")).as_bytes()).unwrap();
-    let hangs = rig.asked();
+    let hangs = rig.next_request();
     assert_eq!(hangs.id(), "hangs");
     rig.signal(Signal::TERM);
-    // A second signal, and one to read the configuration anew, change nothing of it.
+    // A second SIGTERM and a SIGHUP do not change the shutdown.
     rig.signal(Signal::TERM);
     rig.signal(Signal::HUP);
-    // The hanging one has its answer before the end.
-    let answer = message(&mut busy).expect("an answer");
+    // The request without an answer fails before the process exits.
+    let answer = read_message(&mut busy).expect("an answer");
     assert!(answer.0.starts_with("HTTP/1.1 500"), "{}", answer.0);
     let mut rest = Vec::new();
-    resting.read_to_end(&mut rest).expect("no reset");
-    assert!(rest.is_empty(), "its stream is ended in good order");
-    // It has seen the end, and asks all the same.
-    let _ = resting.write_all(get("crossed", "order").as_bytes());
+    idle.read_to_end(&mut rest).expect("no reset");
+    assert!(rest.is_empty(), "the idle connection is closed without further bytes");
+    // The client ignores the end of the stream and sends a request.
+    let _ = idle.write_all(get("crossed", "order").as_bytes());
     drop(hangs);
     busy.read_to_end(&mut rest).expect("no reset");
-    drop((resting, busy));
-    assert_eq!(rig.ended(), Some(0));
+    drop((idle, busy));
+    assert_eq!(rig.wait_for_exit(), Some(0));
     let late: Vec<String> = rig.target.try_iter().map(|a| a.id().to_owned()).collect();
     assert!(!late.contains(&"crossed".to_owned()), "{late:?}");
 }
 
 #[test]
-fn who_connects_and_asks_as_the_listener_closes_is_told() {
+fn clients_in_the_backlog_of_a_closing_listener_are_answered() {
     let mut rig = Rig::start("backlog");
     let mut first = rig.client();
     first.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
-    assert!(message(&mut first).unwrap().0.starts_with("HTTP/1.1 200"));
-    let asked_at = Instant::now();
+    assert!(read_message(&mut first).unwrap().0.starts_with("HTTP/1.1 200"));
+    let stopped_at = Instant::now();
     rig.signal(Signal::TERM);
-    until("it has heard the signal", || {
+    wait_until("the process has handled SIGTERM", || {
         first.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
-        message(&mut first).unwrap().0.starts_with("HTTP/1.1 503")
+        read_message(&mut first).unwrap().0.starts_with("HTTP/1.1 503")
     });
-    rig.stand_still();
-    // Accepted by the kernel, and with their request there, while the time in which new ones are served passes.
+    rig.pause();
+    // The kernel accepts these connections and their requests while the time for new requests elapses.
     let mut late: Vec<TcpStream> = (0..3).map(|_| rig.client()).collect();
     late.iter_mut().for_each(|l| l.write_all(get("late", "read").as_bytes()).unwrap());
-    until("the time is over", || asked_at.elapsed() > Duration::from_millis(2950));
-    rig.go_on();
+    wait_until("the time for new requests has elapsed", || {
+        stopped_at.elapsed() > Duration::from_millis(2950)
+    });
+    rig.resume();
     for mut stream in late {
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("no reset");
@@ -288,54 +300,64 @@
     }
     assert!(rig.target.try_recv().is_err());
     drop(first);
-    assert_eq!(rig.ended(), Some(0));
+    assert_eq!(rig.wait_for_exit(), Some(0));
 }
 
 #[test]
-fn idle_clients_that_fill_the_descriptors_do_not_keep_the_list_from_being_heard() {
+fn idle_clients_that_exhaust_descriptors_do_not_block_endpoint_discovery() {
     let rig = Rig::start("full");
     let limit = Rlimit { current: Some(128), maximum: Some(128) };
     prlimit(Some(Pid::from_child(&rig.process)), Resource::Nofile, limit).unwrap();
-    let crowd: Vec<TcpStream> = (0..300).map(|_| rig.client()).collect();
-    // Clients hold all their places; the list service is not there yet, and comes back.
+    let clients: Vec<TcpStream> = (0..300).map(|_| rig.client()).collect();
+    // Clients use all connections that are allowed; only now does the list service start to listen.
     let listener = TcpListener::bind(rig.discovery).unwrap();
-    let back = Instant::now();
+    let available_at = Instant::now();
     let calls = serve(listener);
-    let mut call = calls.recv_timeout(BOUND).expect("it is called");
-    assert!(back.elapsed() < Duration::from_secs(6), "after {:?}", back.elapsed());
-    // What is newer than the list that it was started with.
+    let mut call = calls.recv_timeout(EVENT_TIMEOUT).expect("the list service is called");
+    assert!(available_at.elapsed() < Duration::from_secs(6), "after {:?}", available_at.elapsed());
+    // The call asks for changes since the configured list.
     assert!(call.head.starts_with("GET /v1/endpoints?since=0&timeout_ms=0 HTTP/1.1\r\n"), "{}", call.head);
     let listing = r#"{"rev":7,"all":true,"targets":[]}"#;
     call.answer(listing);
-    let watch = calls.recv_timeout(BOUND).expect("it is watched");
+    let watch = calls.recv_timeout(EVENT_TIMEOUT).expect("the process opens a watch");
     assert!(watch.head.contains("since=7&timeout_ms="), "{}", watch.head);
     let wait =
         watch.head.split("timeout_ms=").nth(1).unwrap().split(' ').next().unwrap().parse::<u64>().unwrap();
-    assert!((1..=2500).contains(&wait), "short enough to hear of a silent watch in time: {wait}");
-    drop(crowd);
+    assert!(
+        (1..=2500).contains(&wait),
+        "a watch of {wait} ms, expected 1 to 2500 to detect a silent watch in time"
+    );
+    drop(clients);
     let mut client = rig.client();
     client.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
-    assert!(message(&mut client).unwrap().0.starts_with("HTTP/1.1 503"), "the list heard has no target");
+    assert!(
+        read_message(&mut client).unwrap().0.starts_with("HTTP/1.1 503"),
+        "the received list has no node"
+    );
 }
 
-/// A client that closes behind more than one request's bytes is seen to leave, and its request is not tried again.
+/// The close of a client is detected behind unread bytes of further requests, and its request is not retried.
 #[test]
-fn a_client_that_leaves_behind_bytes_that_are_not_read_is_seen() {
+fn a_client_that_closes_behind_unread_bytes_is_detected() {
     let rig = Rig::start("behind");
     let mut client = rig.client();
     let from = client.local_addr().unwrap();
     client.write_all(get("left", "read").as_bytes()).unwrap();
-    let mut asked = rig.asked();
-    // More than is held of a client; a part of it stays with the kernel.
-    let much = get("more", "read").repeat(1000);
-    client.write_all(&much.as_bytes()[..160_000]).unwrap();
-    until("what is held is full", || rig.held(rig.at, from).is_some_and(|(_, unread)| unread > 0));
+    let mut received = rig.next_request();
+    // More than the process buffers per client; the rest stays in the kernel's buffer.
+    let requests = get("more", "read").repeat(1000);
+    client.write_all(&requests.as_bytes()[..160_000]).unwrap();
+    wait_until("the buffer of the process is full", || {
+        rig.kernel_state(rig.at, from).is_some_and(|(_, unread)| unread > 0)
+    });
     drop(client);
-    until("its leaving is seen", || rig.held(rig.at, from).is_none_or(|(state, _)| state != CLOSE_WAIT));
-    // Its attempt ends; what it sent behind it is nobody's.
-    asked.answer("ok");
+    wait_until("the process has closed its side", || {
+        rig.kernel_state(rig.at, from).is_none_or(|(state, _)| state != CLOSE_WAIT)
+    });
+    // The attempt ends; the requests behind it are dropped.
+    received.answer("ok");
     let mut next = rig.client();
     next.write_all(get("next", "read").as_bytes()).unwrap();
-    assert_eq!(rig.asked().id(), "next");
+    assert_eq!(rig.next_request().id(), "next");
     assert!(rig.target.try_recv().is_err());
 }
--- a/crates/flaxstand-cli/tests/recorded.rs
+++ b/crates/flaxstand-cli/tests/recorded.rs
@@ -1,4 +1,5 @@
-//! Commands as an earlier build had them: help, exit codes, and the fields of what is written as JSON.
+//! Compares commands with recorded fixtures: help texts, exit codes and messages, and the fields of JSON
+//! output.
 
 use flaxstand_fixture::Fixtures;
 use serde_json::Value;
@@ -15,9 +16,9 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// A recorded write-back log, and where it lay when the messages about it were recorded.
+/// Path of a recorded write-back log, and its former path, which the fixtures contain.
 const LOG: &str = "crates/flaxstand-write-back/tests/fixtures/log";
-const LOG_WHEN_RECORDED: &str = "crates/flaxstand-buffer/tests/fixtures/log";
+const LOG_PATH_IN_FIXTURES: &str = "crates/flaxstand-buffer/tests/fixtures/log";
 
 fn flaxstand(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_flaxstand"));
@@ -34,13 +35,13 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A folder of this test's own, removed when dropped.
+/// A temporary folder of one test, removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Folder {
         let path = std::env::temp_dir().join(format!("flaxstand-recorded-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("the folder can be made");
+        std::fs::create_dir_all(&path).expect("the folder can be created");
         Folder(path)
     }
 
@@ -87,39 +88,45 @@
 ];
 
 #[test]
-fn the_help_of_each_command_is_the_recorded_one() {
-    let mut told = String::new();
+fn help_texts_match_the_fixture() {
+    let mut output_text = String::new();
     for command in COMMANDS {
         let output = flaxstand(&[command, &["--help"]].concat());
-        let _ = writeln!(told, "=== flaxstand {}: exit code {:?}", command.join(" "), output.status.code());
-        told += &text(&output.stdout);
+        let _ = writeln!(
+            output_text,
+            "=== flaxstand {}: exit code {:?}",
+            command.join(" "),
+            output.status.code()
+        );
+        output_text += &text(&output.stdout);
     }
-    fixtures().assert_text("help.txt", &told);
+    fixtures().assert_text("help.txt", &output_text);
 }
 
-fn line(arguments: &[&str], folder: &Folder) -> String {
+fn transcript(arguments: &[&str], folder: &Folder) -> String {
     let output = flaxstand(arguments);
-    let named =
-        |text: &str| text.replace(&folder.0.display().to_string(), "FOLDER").replace(LOG, LOG_WHEN_RECORDED);
-    let hidden = |bytes: &[u8]| named(&text(bytes));
+    let normalize = |text: &str| {
+        text.replace(&folder.0.display().to_string(), "FOLDER").replace(LOG, LOG_PATH_IN_FIXTURES)
+    };
+    let normalized_text = |bytes: &[u8]| normalize(&text(bytes));
     format!(
         "=== {}: exit code {:?}\n{}--- standard error\n{}",
-        named(&arguments.join(" ")),
+        normalize(&arguments.join(" ")),
         output.status.code(),
-        hidden(&output.stdout),
-        hidden(&output.stderr)
+        normalized_text(&output.stdout),
+        normalized_text(&output.stderr)
     )
 }
 
-/// Guards against scripts of operators that meet another exit code or another message.
+/// Guards against unintended changes of exit codes and messages that operators' scripts rely on.
 #[test]
-fn exit_codes_and_messages_are_the_recorded_ones() {
+fn exit_codes_and_messages_match_the_fixture() {
     let folder = Folder::new("codes");
     let bad = folder.path("bad.kdl");
-    std::fs::write(&bad, "site {\n    initiators none\n}\n").expect("it can be written");
+    std::fs::write(&bad, "site {\n    initiators none\n}\n").expect("the file can be written");
     let empty = folder.path("empty");
-    std::fs::create_dir_all(&empty).expect("it can be made");
-    let mut told = String::new();
+    std::fs::create_dir_all(&empty).expect("the folder can be created");
+    let mut output_text = String::new();
     for arguments in [
         &["dance"][..],
         &["run"],
@@ -147,18 +154,19 @@
         &["settings", "--config", &bad, "status"],
         &["settings", "--config", "docs/example.kdl", "status"],
     ] {
-        told += &line(arguments, &folder);
+        output_text += &transcript(arguments, &folder);
     }
-    fixtures().assert_text("exit-codes.txt", &told);
+    fixtures().assert_text("exit-codes.txt", &output_text);
 }
 
-/// Paths of all fields in a JSON value, with the kind of what stands there; entries of an array are one.
-fn fields_of(value: &Value, at: &str, found: &mut BTreeSet<String>) {
+/// Collects the paths of all fields in a JSON value with the types of their values. All entries of an array
+/// share one path.
+fn collect_fields(value: &Value, at: &str, found: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
-            fields.iter().for_each(|(key, value)| fields_of(value, &format!("{at}.{key}"), found));
+            fields.iter().for_each(|(key, value)| collect_fields(value, &format!("{at}.{key}"), found));
         }
-        Value::Array(list) => list.iter().for_each(|value| fields_of(value, &format!("{at}[]"), found)),
+        Value::Array(list) => list.iter().for_each(|value| collect_fields(value, &format!("{at}[]"), found)),
         Value::Null => drop(found.insert(format!("{at}: none"))),
         Value::Bool(_) => drop(found.insert(format!("{at}: flag"))),
         Value::Number(_) => drop(found.insert(format!("{at}: number"))),
@@ -169,26 +177,26 @@
 fn fields(json: &str) -> String {
     let value: Value = serde_json::from_str(json).unwrap_or_else(|e| panic!("{e}: {json}"));
     let mut found = BTreeSet::new();
-    fields_of(&value, "", &mut found);
+    collect_fields(&value, "", &mut found);
     found.into_iter().map(|field| field + "\n").collect()
 }
 
-fn json_of(arguments: &[&str]) -> String {
+fn json_output(arguments: &[&str]) -> String {
     let output = flaxstand(arguments);
     assert!(output.status.success(), "{arguments:?}: {}", text(&output.stderr));
     text(&output.stdout)
 }
 
 #[test]
-fn a_report_as_json_has_the_recorded_fields_and_figures() {
-    let report = json_of(&["rehearse", "--virtual", "--seconds", "6", "--json", "-", "days/bad-day.kdl"]);
+fn a_json_report_matches_the_fixture() {
+    let report = json_output(&["rehearse", "--virtual", "--seconds", "6", "--json", "-", "days/bad-day.kdl"]);
     fixtures().assert_text("report.json", &report);
     let folder = Folder::new("report");
     let kept = folder.path("kept");
-    json_of(&["rehearse", "--virtual", "--seconds", "3", "--keep", &kept, "days/quiet.kdl"]);
-    let again = json_of(&["report", "days/quiet.kdl", &kept, "--json", "-"]);
+    json_output(&["rehearse", "--virtual", "--seconds", "3", "--keep", &kept, "days/quiet.kdl"]);
+    let again = json_output(&["report", "days/quiet.kdl", &kept, "--json", "-"]);
     fixtures().assert_text("report-of-kept.json", &again);
-    let records = std::fs::read_to_string(format!("{kept}/records.jsonl")).expect("records were kept");
+    let records = std::fs::read_to_string(format!("{kept}/records.jsonl")).expect("records are kept");
     let mut kinds = BTreeSet::new();
     records.lines().for_each(|line| kinds.extend(fields(line).lines().map(str::to_owned)));
     let kinds: String = kinds.into_iter().map(|kind| kind + "\n").collect();
@@ -196,44 +204,44 @@
 }
 
 #[test]
-fn an_experiment_as_json_has_the_recorded_fields() {
+fn a_json_experiment_matches_the_fixture() {
     let folder = Folder::new("experiment");
     let path = folder.path("short.kdl");
     for day in ["ordinary.kdl", "quiet.kdl"] {
-        std::fs::copy(root().join("days").join(day), folder.path(day)).expect("it can be copied");
+        std::fs::copy(root().join("days").join(day), folder.path(day)).expect("the day can be copied");
     }
     let short = "experiment \"short\" {\n    day \"quiet.kdl\"\n    seeds 1 2\n    seconds 2\n    variant \"module\"\n    \
                  variant \"pipe\" policy=\"pipe\" rate=1.5 tick-ms=2 initiators=3\n}\n";
-    std::fs::write(&path, short).expect("it can be written");
-    fixtures().assert_text("experiment.json", &json_of(&["experiment", &path, "--json", "-"]));
+    std::fs::write(&path, short).expect("the file can be written");
+    fixtures().assert_text("experiment.json", &json_output(&["experiment", &path, "--json", "-"]));
 }
 
 #[test]
-fn the_buffers_figures_as_json_have_the_recorded_fields() {
-    let status = json_of(&["buffer", "status", "--json", LOG]);
+fn json_figures_of_a_buffer_have_the_recorded_fields() {
+    let status = json_output(&["buffer", "status", "--json", LOG]);
     let dump: String =
-        json_of(&["buffer", "dump", "--json", LOG]).lines().map(|line| fields(line) + "\n").collect();
-    let lines = json_of(&["buffer", "dump", "--parked", LOG]);
+        json_output(&["buffer", "dump", "--json", LOG]).lines().map(|line| fields(line) + "\n").collect();
+    let lines = json_output(&["buffer", "dump", "--parked", LOG]);
     let shape: Vec<&str> = lines.lines().filter_map(|line| line.rsplit("  ").next()).collect();
     fixtures().assert_text("buffer.txt", &format!("{}\n{dump}\n{}\n", fields(&status), shape.join("\n")));
 }
 
-/// The fields of results under `docs/capacity/`, which later runs are compared with.
+/// Later runs are compared with the results under `docs/capacity/`, so their fields must stay the same.
 #[test]
-fn a_scale_run_as_json_has_the_fields_of_the_results_that_are_kept() {
-    let mut kept = String::new();
+fn a_json_scale_result_has_the_fields_of_the_stored_results() {
+    let mut stored = String::new();
     for name in ["connections", "faults", "initiators", "nodes"] {
         let path = root().join(format!("docs/capacity/{name}.json"));
-        let json = std::fs::read_to_string(path).expect("a result");
-        let _ = writeln!(kept, "=== {name}\n{}", fields(&json));
+        let json = std::fs::read_to_string(path).expect("the stored result is readable");
+        let _ = writeln!(stored, "=== {name}\n{}", fields(&json));
     }
-    fixtures().assert_text("capacity.fields", &kept);
-    let now = fields(&json_of(&["scale", "scale/short.kdl", "--json", "-"]));
-    // What kind of value stands there depends on what the run came to.
+    fixtures().assert_text("capacity.fields", &stored);
+    let now = fields(&json_output(&["scale", "scale/short.kdl", "--json", "-"]));
+    // The type of a value can depend on the outcome of the run, so only names are compared.
     let name = |line: &str| line.split(": ").next().unwrap_or_default().to_owned();
-    let known: BTreeSet<String> = kept.lines().map(name).collect();
+    let known: BTreeSet<String> = stored.lines().map(name).collect();
     let unknown: Vec<String> = now.lines().map(name).filter(|field| !known.contains(field)).collect();
-    assert!(unknown.is_empty(), "fields that no kept result has: {unknown:?}");
+    assert!(unknown.is_empty(), "fields that are in no stored result: {unknown:?}");
     for needed in
         [".name: text", ".steps[].roles[].processor_percent: number", ".steps[].faults[].kind.kind: text"]
     {
--- a/crates/flaxstand-cli/tests/scale.rs
+++ b/crates/flaxstand-cli/tests/scale.rs
@@ -1,4 +1,4 @@
-//! `flaxstand scale` as a user meets it: figures, exit codes, and nothing left behind.
+//! End-to-end tests of `flaxstand scale`: results, exit codes, and removal of its processes and files.
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 
-/// A folder that everything of a run is in; its name tells the run's processes from all others.
+/// The temporary folder of a run; its path in the environment identifies the processes of the run.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -26,7 +26,7 @@
         self.command(arguments).output().unwrap()
     }
 
-    /// A plan of few processes that goes on for long.
+    /// Writes a plan with few processes and a duration of 600 s; returns its path.
     fn long_plan(&self) -> String {
         let text = short_plan().replace("seconds 2", "seconds 600");
         let path = self.0.join("long.kdl");
@@ -34,12 +34,12 @@
         path.display().to_string()
     }
 
-    /// Ids of processes that were started by a run in this folder and have not ended.
+    /// Returns the ids of running processes that a run in this folder has started.
     fn processes(&self) -> Vec<String> {
         let name = self.0.display().to_string();
         let all = std::fs::read_dir("/proc").unwrap().flatten();
         let started_here = all.filter(|entry| {
-            // Every child has the environment of its run.
+            // Child processes inherit the environment of the run.
             std::fs::read(entry.path().join("environ"))
                 .is_ok_and(|environ| String::from_utf8_lossy(&environ).contains(&format!("TMPDIR={name}")))
         });
@@ -69,13 +69,13 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn of<'a>(all: &'a Value, key: &str, name: &str) -> &'a Value {
-    let found = all.as_array().unwrap().iter().find(|one| one[key] == name);
-    found.unwrap_or_else(|| panic!("no {key} {name} in {all}"))
+fn find_by<'a>(entries: &'a Value, key: &str, name: &str) -> &'a Value {
+    let found = entries.as_array().unwrap().iter().find(|one| one[key] == name);
+    found.unwrap_or_else(|| panic!("no entry with {key} {name} in {entries}"))
 }
 
 #[test]
-fn a_short_run_has_sane_counts_and_leaves_nothing_behind() {
+fn a_short_run_has_consistent_counts_and_leaves_no_processes_or_files() {
     let folder = Folder::new("short");
     let out = folder.run(&[&short_path().display().to_string(), "--json", "-"]);
     assert_eq!(out.status.code(), Some(0), "{}", text(&out.stderr));
@@ -86,12 +86,12 @@
     for step in steps {
         assert_eq!(step["does_not_fit"], serde_json::json!([]), "{step}");
         for (role, initiators) in [("leader", 1), ("keeper", 2), ("real", 1), ("hollow", 6)] {
-            let figures = of(&step["roles"], "role", role);
+            let figures = find_by(&step["roles"], "role", role);
             assert_eq!(figures["initiators"], initiators, "{figures}");
             assert!(figures["processor_percent"].as_f64().unwrap() > 0.0, "{figures}");
             assert!(figures["resident_mib_most"].as_f64().unwrap() > 0.0, "{figures}");
         }
-        // Every change is in force at every initiator.
+        // Every change reaches every initiator.
         for lags in step["node_changes"].as_array().unwrap() {
             let (changes, initiators) =
                 (lags["changes"].as_u64().unwrap(), lags["initiators"].as_u64().unwrap());
@@ -100,14 +100,14 @@
         }
     }
     let steady = &steps[0];
-    // The list service says each change once to each that watches, and nothing else but the answer to each that asks
-    // for the whole list, after a silence that began before the first change.
-    let changes = of(&steady["node_changes"], "role", "hollow")["changes"].as_u64().unwrap();
+    // The list service sends each change once to each watcher. Its only other messages answer requests for
+    // the full list, which a watcher sends after a silence that began before the first change.
+    let changes = find_by(&steady["node_changes"], "role", "hollow")["changes"].as_u64().unwrap();
     let watchers = 6 + 1 + 3;
-    let list = &of(&steady["roles"], "role", "list")["list"];
-    let asked = list["messages_in"].as_u64().unwrap();
-    assert!(asked <= watchers, "{steady}");
-    assert_eq!(list["messages_out"], changes * watchers + asked, "{steady}");
+    let list = &find_by(&steady["roles"], "role", "list")["list"];
+    let full_list_requests = list["messages_in"].as_u64().unwrap();
+    assert!(full_list_requests <= watchers, "{steady}");
+    assert_eq!(list["messages_out"], changes * watchers + full_list_requests, "{steady}");
     assert!(steady["load"]["served"].as_u64().unwrap() > 0, "{steady}");
     let restarts = &steps[1]["fault_reports"][0];
     assert_eq!((&restarts["struck"], &restarts["ready"]), (&3.into(), &3.into()), "{restarts}");
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_plan_with_problems_is_refused_with_their_places() {
+fn an_invalid_plan_is_rejected_with_line_numbers() {
     let folder = Folder::new("problems");
     let path = folder.0.join("bad.kdl");
     let plan = short_plan().replace("keepers 3", "keepers 3\n    colour 1").replace("share=0.5", "share=5");
@@ -135,18 +135,19 @@
 }
 
 #[test]
-fn an_interrupted_run_ends_all_that_it_started() {
+fn an_interrupted_run_stops_all_its_processes() {
     let folder = Folder::new("interrupted");
     let mut child = folder.command(&[&folder.long_plan()]).stderr(Stdio::piped()).spawn().unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-    assert!(lines.any(|line| line.contains("ready after")), "it never was ready");
-    // The list, the nodes, three keepers, a real initiator, the hollow ones, and the run itself.
+    assert!(lines.any(|line| line.contains("ready after")), "the run did not become ready");
+    // The run, the list service, the nodes, three voters, a real initiator and the hollow initiators.
     assert!(folder.processes().len() >= 8, "{:?}", folder.processes());
     kill_process(Pid::from_child(&child), Signal::INT).unwrap();
-    let said: Vec<String> = lines.collect();
-    assert_eq!(child.wait().unwrap().code(), Some(3), "{said:?}");
-    assert!(said.iter().any(|line| line.contains("interrupted")), "{said:?}");
+    let output: Vec<String> = lines.collect();
+    assert_eq!(child.wait().unwrap().code(), Some(3), "{output:?}");
+    assert!(output.iter().any(|line| line.contains("interrupted")), "{output:?}");
     assert_eq!(folder.processes(), Vec::<String>::new());
-    let left: Vec<PathBuf> = folder.files().into_iter().filter(|path| !path.ends_with("long.kdl")).collect();
-    assert_eq!(left, Vec::<PathBuf>::new());
+    let remaining: Vec<PathBuf> =
+        folder.files().into_iter().filter(|path| !path.ends_with("long.kdl")).collect();
+    assert_eq!(remaining, Vec::<PathBuf>::new());
 }
