--- a/crates/flaxstand-cli/tests/agreement/fleet.rs
+++ b/crates/flaxstand-cli/tests/agreement/fleet.rs
@@ -174,12 +174,12 @@
         }
     }
 
-    /// Polls until `look` returns a value; panics after the time-out with the status and log of each process.
+    /// Calls `poll` until it returns a value; panics after the time-out with the status and log of each process.
     #[track_caller]
-    pub fn wait_for<T>(&self, what: &str, mut look: impl FnMut(&Fleet) -> Option<T>) -> T {
+    pub fn wait_for<T>(&self, what: &str, mut poll: impl FnMut(&Fleet) -> Option<T>) -> T {
         let started = Instant::now();
         loop {
-            if let Some(found) = look(self) {
+            if let Some(found) = poll(self) {
                 return found;
             }
             if started.elapsed() > EVENT_TIMEOUT {
--- a/crates/flaxstand-cli/tests/agreement/main.rs
+++ b/crates/flaxstand-cli/tests/agreement/main.rs
@@ -40,15 +40,15 @@
 #[test]
 fn a_partitioned_leader_falls_back_to_the_floor_during_a_narrowing_change() {
     let f = fleet_on_version_1("cut-off", 3, 5);
-    let old = f.leader();
-    f.links.around(old, Flow::Stall);
-    let others: Vec<usize> = f.all_indices().into_iter().filter(|i| *i != old).collect();
-    f.wait_until_acting(&[old], "Fallback");
+    let isolated = f.leader();
+    f.links.around(isolated, Flow::Stall);
+    let others: Vec<usize> = f.all_indices().into_iter().filter(|i| *i != isolated).collect();
+    f.wait_until_acting(&[isolated], "Fallback");
     assert_eq!(f.propose(1, &shared_settings(40, "once")), 2);
     f.wait_until_acting(&others, "Version(2)");
-    assert_eq!(f.all[old].active_rules().unwrap().what, "Fallback");
+    assert_eq!(f.all[isolated].active_rules().unwrap().what, "Fallback");
     assert_eq!(
-        f.replicated_state(old).unwrap().in_force.number,
+        f.replicated_state(isolated).unwrap().in_force.number,
         1,
         "the partitioned leader can't have received version 2"
     );
@@ -311,7 +311,7 @@
     let wide = f.write_file("wide.kdl", &shared_settings(200, "repeatable"));
     let since = f.pause(3);
     let out = f.command(0, &["propose", wide.to_str().unwrap()]);
-    assert!(text(&out.stdout).contains("version 2 is committed"), "{}", text(&out.stdout));
+    assert!(text(&out.stdout).contains("version 2 is committed"), "{out:?}");
     let status = f.wait_for("the status to name the blocking member, or the rollout to complete", |f| {
         let status = text(&f.command(0, &["status"]).stdout);
         let is_complete = status.contains("version 2 is in force");
--- a/crates/flaxstand-cli/tests/crossings.rs
+++ b/crates/flaxstand-cli/tests/platform_races.rs
@@ -61,19 +61,19 @@
 }
 
 /// An initiator process with one node, which the configuration lists.
-struct Rig {
+struct Harness {
     process: Child,
     at: SocketAddr,
-    target: Receiver<ReceivedRequest>,
+    node_requests: Receiver<ReceivedRequest>,
     discovery: SocketAddr,
     folder: PathBuf,
 }
 
-impl Rig {
+impl Harness {
     /// Starts the process; nothing listens at the address of the list service yet.
-    fn start(name: &str) -> Rig {
-        let target = TcpListener::bind("127.0.0.1:0").unwrap();
-        let endpoint = target.local_addr().unwrap();
+    fn start(name: &str) -> Harness {
+        let node_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let endpoint = node_listener.local_addr().unwrap();
         let free = || TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let (at, discovery) = (free(), free());
         let configuration = format!(
@@ -88,7 +88,7 @@
             "caps":{{"maxAttempts":3,"dialTimeoutMs":250.0,"keepaliveMs":60000.0}},
             "rules":{{"askWithinMs":10000.0}},"familyInfo":{{"unitMean":1.0,"mostUnits":8}}}}}}"#
         );
-        let folder = std::env::temp_dir().join(format!("flaxstand-crossing-{name}-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("flaxstand-races-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let file = folder.join("config.json");
         std::fs::write(&file, configuration).unwrap();
@@ -96,9 +96,9 @@
         command.args(["run", "--platform"]).env("RELAY_CONFIG", file);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
         let process = command.spawn().unwrap();
-        let rig = Rig { process, at, target: serve(target), discovery, folder };
+        let harness = Harness { process, at, node_requests: serve(node_listener), discovery, folder };
         wait_until("the process listens", || TcpStream::connect(at).is_ok());
-        rig
+        harness
     }
     fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.process), signal).unwrap();
@@ -118,7 +118,7 @@
     }
     /// Returns the next request that reaches the node.
     fn next_request(&self) -> ReceivedRequest {
-        self.target.recv_timeout(EVENT_TIMEOUT).expect("the node receives a request")
+        self.node_requests.recv_timeout(EVENT_TIMEOUT).expect("the node receives a request")
     }
     /// Serves the first request of a client, then pauses the process while the kernel buffers the second.
     /// Returns the client and the first request with its idle connection to the node.
@@ -163,7 +163,7 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for Harness {
     fn drop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
@@ -183,60 +183,62 @@
 
 #[test]
 fn a_request_whose_client_closed_before_it_was_read_is_not_forwarded() {
-    let rig = Rig::start("closed");
-    let mut closed = rig.client();
+    let harness = Harness::start("closed");
+    let mut closed = harness.client();
     let from = closed.local_addr().unwrap();
-    rig.pause();
+    harness.pause();
     closed.write_all(get("closed", "order").as_bytes()).unwrap();
     drop(closed);
     wait_until("the kernel holds the request and the FIN", || {
-        rig.kernel_state(rig.at, from).is_some_and(|(state, unread)| state == CLOSE_WAIT && unread > 1)
+        harness
+            .kernel_state(harness.at, from)
+            .is_some_and(|(state, unread)| state == CLOSE_WAIT && unread > 1)
     });
-    rig.resume();
+    harness.resume();
     wait_until("the process has closed its side", || {
-        rig.kernel_state(rig.at, from).is_none_or(|(state, _)| state != CLOSE_WAIT)
+        harness.kernel_state(harness.at, from).is_none_or(|(state, _)| state != CLOSE_WAIT)
     });
-    let mut next = rig.client();
+    let mut next = harness.client();
     next.write_all(get("next", "order").as_bytes()).unwrap();
-    let mut received = rig.next_request();
+    let mut received = harness.next_request();
     assert_eq!(received.id(), "next");
     received.answer("ok");
     assert_eq!(read_message(&mut next).unwrap().1, "ok");
-    assert!(rig.target.try_recv().is_err(), "the node receives no other request");
+    assert!(harness.node_requests.try_recv().is_err(), "the node receives no other request");
 }
 
 #[test]
 fn a_once_request_survives_a_pooled_connection_that_the_node_closed() {
-    let rig = Rig::start("stale");
-    let (mut client, received) = rig.second_request_while_paused();
+    let harness = Harness::start("stale");
+    let (mut client, received) = harness.second_request_while_paused();
     let (local, remote) = (received.stream.peer_addr().unwrap(), received.stream.local_addr().unwrap());
     received.stream.shutdown(std::net::Shutdown::Both).unwrap();
     wait_until("the kernel holds the FIN of the node", || {
-        rig.kernel_state(local, remote).is_some_and(|(state, _)| state == CLOSE_WAIT)
+        harness.kernel_state(local, remote).is_some_and(|(state, _)| state == CLOSE_WAIT)
     });
-    rig.resume();
-    let mut received = rig.next_request();
+    harness.resume();
+    let mut received = harness.next_request();
     assert_eq!(received.id(), "second");
     received.answer("two");
     assert_eq!(
         read_message(&mut client).unwrap(),
         ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n".into(), "two".into())
     );
-    assert!(rig.target.try_recv().is_err(), "the request is sent once");
+    assert!(harness.node_requests.try_recv().is_err(), "the request is sent once");
 }
 
 /// A node sends a second response on an idle connection just before the next request is sent on it.
 #[test]
 fn bytes_received_on_an_idle_connection_do_not_answer_the_next_request() {
-    let rig = Rig::start("unsolicited");
-    let (mut client, mut received) = rig.second_request_while_paused();
+    let harness = Harness::start("unsolicited");
+    let (mut client, mut received) = harness.second_request_while_paused();
     let (local, remote) = (received.stream.peer_addr().unwrap(), received.stream.local_addr().unwrap());
     received.answer("one");
     wait_until("the kernel holds the second response", || {
-        rig.kernel_state(local, remote).is_some_and(|(_, unread)| unread > 0)
+        harness.kernel_state(local, remote).is_some_and(|(_, unread)| unread > 0)
     });
-    rig.resume();
-    let mut received = rig.next_request();
+    harness.resume();
+    let mut received = harness.next_request();
     assert_eq!(received.id(), "second");
     received.answer("two");
     assert_eq!(read_message(&mut client).unwrap().1, "two");
@@ -244,19 +246,19 @@
 
 #[test]
 fn a_request_during_shutdown_is_not_forwarded_and_no_response_is_lost_to_a_reset() {
-    let mut rig = Rig::start("stop");
-    let (mut idle, mut busy) = (rig.client(), rig.client());
+    let mut harness = Harness::start("stop");
+    let (mut idle, mut busy) = (harness.client(), harness.client());
     idle.write_all(get("first", "read").as_bytes()).unwrap();
-    rig.next_request().answer("one");
+    harness.next_request().answer("one");
     assert_eq!(read_message(&mut idle).unwrap().1, "one");
     // The node does not answer the first request, and the client sends another one behind it.
     busy.write_all((get("hangs", "order") + &get("behind", "order")).as_bytes()).unwrap();
-    let hangs = rig.next_request();
+    let hangs = harness.next_request();
     assert_eq!(hangs.id(), "hangs");
-    rig.signal(Signal::TERM);
+    harness.signal(Signal::TERM);
     // A second SIGTERM and a SIGHUP do not change the shutdown.
-    rig.signal(Signal::TERM);
-    rig.signal(Signal::HUP);
+    harness.signal(Signal::TERM);
+    harness.signal(Signal::HUP);
     // The request without an answer fails before the process exits.
     let answer = read_message(&mut busy).expect("an answer");
     assert!(answer.0.starts_with("HTTP/1.1 500"), "{}", answer.0);
@@ -264,53 +266,53 @@
     idle.read_to_end(&mut rest).expect("no reset");
     assert!(rest.is_empty(), "the idle connection is closed without further bytes");
     // The client ignores the end of the stream and sends a request.
-    let _ = idle.write_all(get("crossed", "order").as_bytes());
+    let _ = idle.write_all(get("after-close", "order").as_bytes());
     drop(hangs);
     busy.read_to_end(&mut rest).expect("no reset");
     drop((idle, busy));
-    assert_eq!(rig.wait_for_exit(), Some(0));
-    let late: Vec<String> = rig.target.try_iter().map(|a| a.id().to_owned()).collect();
-    assert!(!late.contains(&"crossed".to_owned()), "{late:?}");
+    assert_eq!(harness.wait_for_exit(), Some(0));
+    let late: Vec<String> = harness.node_requests.try_iter().map(|a| a.id().to_owned()).collect();
+    assert!(!late.contains(&"after-close".to_owned()), "{late:?}");
 }
 
 #[test]
 fn clients_in_the_backlog_of_a_closing_listener_are_answered() {
-    let mut rig = Rig::start("backlog");
-    let mut first = rig.client();
+    let mut harness = Harness::start("backlog");
+    let mut first = harness.client();
     first.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
     assert!(read_message(&mut first).unwrap().0.starts_with("HTTP/1.1 200"));
     let stopped_at = Instant::now();
-    rig.signal(Signal::TERM);
+    harness.signal(Signal::TERM);
     wait_until("the process has handled SIGTERM", || {
         first.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
         read_message(&mut first).unwrap().0.starts_with("HTTP/1.1 503")
     });
-    rig.pause();
+    harness.pause();
     // The kernel accepts these connections and their requests while the time for new requests elapses.
-    let mut late: Vec<TcpStream> = (0..3).map(|_| rig.client()).collect();
+    let mut late: Vec<TcpStream> = (0..3).map(|_| harness.client()).collect();
     late.iter_mut().for_each(|l| l.write_all(get("late", "read").as_bytes()).unwrap());
     wait_until("the time for new requests has elapsed", || {
         stopped_at.elapsed() > Duration::from_millis(2950)
     });
-    rig.resume();
+    harness.resume();
     for mut stream in late {
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("no reset");
         assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("Connection: close"), "{answer:?}");
     }
-    assert!(rig.target.try_recv().is_err());
+    assert!(harness.node_requests.try_recv().is_err());
     drop(first);
-    assert_eq!(rig.wait_for_exit(), Some(0));
+    assert_eq!(harness.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn idle_clients_that_exhaust_descriptors_do_not_block_endpoint_discovery() {
-    let rig = Rig::start("full");
+    let harness = Harness::start("full");
     let limit = Rlimit { current: Some(128), maximum: Some(128) };
-    prlimit(Some(Pid::from_child(&rig.process)), Resource::Nofile, limit).unwrap();
-    let clients: Vec<TcpStream> = (0..300).map(|_| rig.client()).collect();
+    prlimit(Some(Pid::from_child(&harness.process)), Resource::Nofile, limit).unwrap();
+    let clients: Vec<TcpStream> = (0..300).map(|_| harness.client()).collect();
     // Clients use all connections that are allowed; only now does the list service start to listen.
-    let listener = TcpListener::bind(rig.discovery).unwrap();
+    let listener = TcpListener::bind(harness.discovery).unwrap();
     let available_at = Instant::now();
     let calls = serve(listener);
     let mut call = calls.recv_timeout(EVENT_TIMEOUT).expect("the list service is called");
@@ -328,7 +330,7 @@
         "a watch of {wait} ms, expected 1 to 2500 to detect a silent watch in time"
     );
     drop(clients);
-    let mut client = rig.client();
+    let mut client = harness.client();
     client.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
     assert!(
         read_message(&mut client).unwrap().0.starts_with("HTTP/1.1 503"),
@@ -339,25 +341,25 @@
 /// The close of a client is detected behind unread bytes of further requests, and its request is not retried.
 #[test]
 fn a_client_that_closes_behind_unread_bytes_is_detected() {
-    let rig = Rig::start("behind");
-    let mut client = rig.client();
+    let harness = Harness::start("behind");
+    let mut client = harness.client();
     let from = client.local_addr().unwrap();
     client.write_all(get("left", "read").as_bytes()).unwrap();
-    let mut received = rig.next_request();
+    let mut received = harness.next_request();
     // More than the process buffers per client; the rest stays in the kernel's buffer.
     let requests = get("more", "read").repeat(1000);
     client.write_all(&requests.as_bytes()[..160_000]).unwrap();
     wait_until("the buffer of the process is full", || {
-        rig.kernel_state(rig.at, from).is_some_and(|(_, unread)| unread > 0)
+        harness.kernel_state(harness.at, from).is_some_and(|(_, unread)| unread > 0)
     });
     drop(client);
     wait_until("the process has closed its side", || {
-        rig.kernel_state(rig.at, from).is_none_or(|(state, _)| state != CLOSE_WAIT)
+        harness.kernel_state(harness.at, from).is_none_or(|(state, _)| state != CLOSE_WAIT)
     });
     // The attempt ends; the requests behind it are dropped.
     received.answer("ok");
-    let mut next = rig.client();
+    let mut next = harness.client();
     next.write_all(get("next", "read").as_bytes()).unwrap();
-    assert_eq!(rig.next_request().id(), "next");
-    assert!(rig.target.try_recv().is_err());
+    assert_eq!(harness.next_request().id(), "next");
+    assert!(harness.node_requests.try_recv().is_err());
 }
--- a/crates/flaxstand-cli/tests/program.rs
+++ b/crates/flaxstand-cli/tests/program.rs
@@ -450,9 +450,9 @@
         assert_eq!(answer, Some(id));
     }
     let socket = format!("--initiator=unix:{}", folder.socket().display());
-    let (code, live) = buffer_command("status", &["--json", &socket]);
-    assert_eq!(code, Some(0), "{live}");
-    assert!(live.contains("\"writes\": 3") && live.contains("\"acknowledged_total\": 3"), "{live}");
+    let (code, figures) = buffer_command("status", &["--json", &socket]);
+    assert_eq!(code, Some(0), "{figures}");
+    assert!(figures.contains("\"writes\": 3") && figures.contains("\"acknowledged_total\": 3"), "{figures}");
     // No node is known, so no write can be written out.
     let (code, drained) = buffer_command("drain", &[&socket, "--seconds=0.3"]);
     assert_eq!(code, Some(3), "{drained}");
@@ -647,14 +647,15 @@
 
 #[test]
 fn an_initiator_on_the_platform_serves_across_a_reload_and_stops_on_a_signal() {
-    let target = http_server(|first, body| Some(format!("{first} had {body}")));
+    let target = http_server(|request_line, body| Some(format!("{request_line} had {body}")));
     let entry = format!(
         r#"{{"uid":"s-1","endpoint":"{target}","az":"a","pod_group":0,"state":"up","capacity_hint":1.0,"boot_ms":0}}"#
     );
     let listing = format!(r#"{{"rev":1,"all":true,"targets":[{entry}]}}"#);
     // The list is returned at once; a watch stays unanswered.
     let response = listing.clone();
-    let discovery = http_server(move |first, _| (!first.contains("since=")).then(|| response.clone()));
+    let discovery =
+        http_server(move |request_line, _| (!request_line.contains("since=")).then(|| response.clone()));
     let free = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let configuration = |listen: &str| {
         format!(
