--- a/crates/flaxstand-simulation/src/agreed.rs
+++ b/crates/flaxstand-simulation/src/agreed.rs
@@ -1,5 +1,6 @@
-//! Days on which initiators agree: relays on the links between them, proposals, and from outside what each acted on
-//! when, by its own log. Two that act on stages that do not follow each other contradict each other.
+//! Days on which initiators run consensus on their rules: relays on the links between them, proposals, and
+//! a check from outside, by the logs, of which rules each initiator acted on at which time. Two initiators
+//! contradict each other when they act at once on stages that are not adjacent.
 
 use crate::process::{RehearsalError, io_error};
 use crate::relay::{Flow, Relay};
@@ -19,44 +20,44 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long an initiator has for an answer.
+/// Time-out of connecting to an initiator, and of each read of its reply.
 const PATIENCE: Duration = Duration::from_secs(2);
-/// How long all have at a day's end to act on one version.
+/// Time limit for all initiators to act on the same version at the end of a day.
 const ALIKE: Duration = Duration::from_secs(20);
 
-/// How the initiators of a day agree.
+/// Consensus settings of a day's initiators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Accord {
-    /// So many of them are keepers.
+    /// Number of voting members; the first initiators are the voters.
     pub keepers: u32,
-    /// How long a lease is.
+    /// Duration of a lease.
     pub lease: Micros,
-    /// How long keepers hear no leader before they elect one.
+    /// Election time-out: how long voters go without a heartbeat before they start an election.
     pub election: Micros,
-    /// By what part of a lease clocks may differ.
+    /// Maximum clock error, as a fraction of the lease.
     pub clock_error: f64,
 }
 
-/// Seconds of the host's calendar.
+/// Wall-clock time of the host, in seconds since the Unix epoch.
 pub fn calendar() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
 }
 
-/// What one process acted on from a moment on.
+/// A change of the rules that a process acts on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Acted {
-    /// Seconds of the host's calendar.
+    /// Wall-clock time of the host, in seconds since the Unix epoch.
     pub at: f64,
-    /// `Fallback`, `Version(v)`, `Transition(v, w)`, or `Gone`.
+    /// What it acts on: `Fallback`, `Version(v)`, `Transition(v, w)`, or `Gone` once the process has ended.
     pub what: String,
-    /// The stage that it knew.
+    /// Stage of the rollout known to the process.
     pub stage: u64,
 }
 
-/// A time for which a process stood still, seconds of the calendar.
+/// Start and end of a pause of a process, in seconds since the Unix epoch.
 pub type Pause = (f64, f64);
 
-/// The passage that a line of a log tells.
+/// Parses a log line that reports a change of the rules acted on.
 pub fn acted_of(line: &str) -> Option<Acted> {
     let (head, rest) = line.split_once(" INFO rules ")?;
     let at = seconds(head.trim())?;
@@ -66,7 +67,8 @@
     Some(Acted { at, what: what[..end].to_owned(), stage })
 }
 
-/// Seconds since 1970 of a log's `2026-12-02T00:46:34.581734Z`; within half a day of now.
+/// Parses a log's time stamp such as `2026-12-02T00:46:34.581734Z` into seconds since the Unix epoch. The
+/// date is inferred: the stamp must lie within half a day of now.
 pub(crate) fn seconds(stamp: &str) -> Option<f64> {
     let time = stamp.split_once('T')?.1.strip_suffix('Z')?;
     let mut parts = time.split(':').map(|p| p.parse::<f64>().ok());
@@ -75,7 +77,7 @@
     Some(((calendar() - in_day) / 86_400.0).round() * 86_400.0 + in_day)
 }
 
-/// When a process acted on which stage with a lease, less the times for which it stood still.
+/// Returns the intervals in which a process acted on a stage under a lease, without its pauses.
 pub fn spans(acted: &[Acted], pauses: &[Pause], end: f64) -> Vec<(f64, f64, u64)> {
     let mut spans = Vec::new();
     for (at, a) in acted.iter().enumerate() {
@@ -93,7 +95,8 @@
     spans
 }
 
-/// The longest time for which two of these acted on rules that contradict each other, seconds, and which two.
+/// Returns the longest interval, in seconds, in which two processes acted on contradicting rules, and which
+/// two.
 pub fn contradiction(all: &[Vec<(f64, f64, u64)>]) -> (f64, String) {
     let mut worst = (0.0, String::new());
     for (i, some) in all.iter().enumerate() {
@@ -111,10 +114,10 @@
     worst
 }
 
-/// An operator's word to an initiator, and its answer if it gives one.
+/// Sends an operator request to an initiator and returns its reply, if it sends one.
 ///
 /// # Errors
-/// It can't be reached, or does not answer in time.
+/// The initiator can't be reached, or does not reply in time.
 pub fn ask(to: SocketAddr, wish: &OperatorRequest) -> io::Result<Option<OperatorReply>> {
     let mut stream = TcpStream::connect_timeout(&to, PATIENCE)?;
     stream.set_read_timeout(Some(PATIENCE))?;
@@ -143,8 +146,9 @@
     Ok(found)
 }
 
-/// Proposes a version by whoever leads, in place of the newest that anybody asked has, until it is taken, for as long
-/// as `patience`. Its number.
+/// Proposes a version to each initiator in turn, based on the newest replicated state that any of them
+/// returns, until the leader commits it or the time-out passes. Returns the number of the committed
+/// version.
 pub fn propose(listen: &[SocketAddr], rules: &Rules, text: &str, patience: Duration) -> Option<u64> {
     let started = Instant::now();
     while started.elapsed() < patience {
@@ -169,20 +173,21 @@
     None
 }
 
-/// Second octets of the addresses that [`listeners`] gives: the first of them, and how many there are.
+/// Second octets of the addresses that [`listeners`] returns: the first one, and how many there are.
 const FIRST_LISTENER_OCTET: u8 = 64;
 const LISTENER_OCTETS: u32 = 32;
-/// Calls of [`listeners`] in this process.
+/// Number of calls of [`listeners`] in this process.
 static LISTENER_CALLS: AtomicU32 = AtomicU32::new(0);
 
-/// Addresses to listen at, also again after a restart: of loopback, but none from which calls are made, so that the
-/// system gives their ports to no call.
+/// Returns loopback addresses to listen at that stay usable after a restart. They are never the source
+/// address of a connection, so the system doesn't use their ports as ephemeral ports.
 ///
-/// Each call in a process gives other IP addresses than those before it, 32 of them. Guards against one port for two
-/// sites: a port is free again when this returns, and the system may give it to the next call.
+/// Each call in a process returns other IP addresses than the calls before it, and repeats them after 32
+/// calls. Guards against two sites on one port: a port is free again when this returns, and the system may
+/// give it to the next call.
 ///
 /// # Errors
-/// There are none to be had.
+/// No address can be bound.
 pub fn listeners(count: usize) -> io::Result<Vec<SocketAddr>> {
     let near = (std::process::id() % 200) as u8;
     let call = LISTENER_CALLS.fetch_add(1, Ordering::Relaxed) % LISTENER_OCTETS;
@@ -192,7 +197,7 @@
         .collect()
 }
 
-/// A relay on each link between initiators.
+/// A relay on each directed link between initiators.
 #[derive(Debug)]
 pub struct Links {
     listen: Vec<SocketAddr>,
@@ -200,10 +205,10 @@
 }
 
 impl Links {
-    /// Between so many.
+    /// Starts the relays between `count` initiators.
     ///
     /// # Errors
-    /// There are no addresses to be had.
+    /// No address can be bound.
     pub fn new(count: usize) -> io::Result<Links> {
         let listen = listeners(count)?;
         let mut relays = BTreeMap::new();
@@ -215,17 +220,18 @@
         Ok(Links { listen, relays })
     }
 
-    /// Where one listens itself.
+    /// Address at which an initiator listens.
     pub fn listen(&self, i: usize) -> SocketAddr {
         self.listen[i]
     }
 
-    /// How many there are.
+    /// Number of initiators.
     pub fn count(&self) -> usize {
         self.listen.len()
     }
 
-    /// The block `agreement` of one initiator's settings: it knows each other at the relay on their link.
+    /// Returns the block `agreement` of an initiator's settings, which names each other initiator at the
+    /// address of the relay on their link.
     pub fn settings(
         &self,
         i: usize,
@@ -249,7 +255,7 @@
         text + "}\n"
     }
 
-    /// What passes from one to another, on whichever connection.
+    /// Sets the flow from one initiator to another, whichever of them opened the connection.
     pub fn one_way(&self, from: usize, to: usize, flow: Flow) {
         for ((caller, called), relay) in &self.relays {
             if (*caller, *called) == (from, to) {
@@ -260,18 +266,18 @@
         }
     }
 
-    /// What passes between two.
+    /// Sets the flow between two initiators in both directions.
     pub fn both(&self, a: usize, b: usize, flow: Flow) {
         self.one_way(a, b, flow);
         self.one_way(b, a, flow);
     }
 
-    /// What passes between one and all others.
+    /// Sets the flow between one initiator and all others.
     pub fn around(&self, i: usize, flow: Flow) {
         (0..self.listen.len()).filter(|j| *j != i).for_each(|j| self.both(i, j, flow));
     }
 
-    /// Breaks the connections that stand between two.
+    /// Breaks the open connections between two initiators.
     pub fn reset(&self, a: usize, b: usize) {
         for key in [(a, b), (b, a)] {
             if let Some(relay) = self.relays.get(&key) {
@@ -280,17 +286,18 @@
         }
     }
 
-    /// Everything passes again.
+    /// Removes the faults of all links.
     pub fn heal(&self) {
         self.relays.values().for_each(|relay| relay.set(Flow::Pass, Flow::Pass));
     }
 
-    /// As [`propose`], to all of them.
+    /// Proposes a version to these initiators, see [`propose`].
     pub fn propose(&self, rules: &Rules, text: &str, patience: Duration) -> Option<u64> {
         propose(&self.listen, rules, text, patience)
     }
 
-    /// Waits until all act on one version alone. The version; none if that does not come.
+    /// Waits until all initiators act on a single version under a lease. Returns the version, or none after
+    /// the time limit.
     pub fn alike(&self) -> Option<u64> {
         let started = Instant::now();
         while started.elapsed() < ALIKE {
@@ -312,29 +319,31 @@
     }
 }
 
-/// What became of the agreement on a day.
+/// Results of consensus on a day.
 #[derive(Clone, Debug, Serialize)]
 pub struct Agreed {
-    /// The version that all acted on at the end; none: they did not act on one.
+    /// Version that all initiators acted on at the end; none: they did not converge.
     pub version: Option<u64>,
-    /// Passages that initiators noted, over all.
+    /// Changes of the rules acted on that the initiators logged, in total.
     pub passages: usize,
-    /// The longest time for which two acted on rules that contradict each other, ms, and which two.
+    /// Longest interval in which two initiators acted on contradicting rules, ms.
     pub contradiction_ms: f64,
-    /// See `contradiction_ms`.
+    /// The two initiators of `contradiction_ms`.
     pub who: String,
-    /// The longest that the settings allow, ms.
+    /// Longest contradiction that the settings allow, ms.
     pub allowed_ms: f64,
 }
 
 impl Agreed {
-    /// From the logs in a day's folder: `initiator-N.log`, and `agreement.log` with what the rehearsal itself noted
-    /// (`pause N FROM TO`, `gone N AT`, `alike V`).
+    /// Reads the logs in a day's folder: `initiator-N.log`, and `agreement.log` with the events that the
+    /// rehearsal itself recorded (`pause N FROM TO`, `gone N AT`, `alike V`).
     ///
     /// # Errors
-    /// They can't be read.
+    /// A log can't be read.
     pub fn read(folder: &Path, count: usize, accord: &Accord) -> Result<Agreed, RehearsalError> {
-        let read = |name: &str| std::fs::read_to_string(folder.join(name)).map_err(io_error(name));
+        let read = |name: &str| {
+            std::fs::read_to_string(folder.join(name)).map_err(io_error(format!("cannot read {name}")))
+        };
         let notes = read("agreement.log")?;
         let notes: Vec<Vec<&str>> = notes.lines().map(|l| l.split_whitespace().collect()).collect();
         let figures = |word: &str, i: usize| -> Vec<Vec<f64>> {
@@ -362,12 +371,12 @@
         Ok(Agreed { version, passages, contradiction_ms, who, allowed_ms })
     }
 
-    /// All was as promised.
+    /// Returns whether the initiators converged and no contradiction lasted longer than allowed.
     pub fn kept(&self) -> bool {
         self.version.is_some() && self.contradiction_ms <= self.allowed_ms
     }
 
-    /// For people.
+    /// Formats the results as text.
     pub fn text(&self) -> String {
         let end =
             self.version.map_or("no version that all act on".to_owned(), |v| format!("all on version {v}"));
@@ -382,7 +391,7 @@
     }
 }
 
-/// Rules with some values replaced.
+/// Returns the rules with some values replaced.
 pub fn changed(rules: &Rules, sets: &BTreeMap<String, Value>) -> Rules {
     let mut rules = rules.clone();
     rules.values.extend(sets.iter().map(|(k, v)| (k.clone(), v.clone())));
--- a/crates/flaxstand-simulation/src/day.rs
+++ b/crates/flaxstand-simulation/src/day.rs
@@ -1,5 +1,5 @@
-//! A day: what there is, what clients do, and what goes wrong when. Read from a KDL file that holds the
-//! site's part of a settings file too. `docs/rehearsal.md` describes every key.
+//! A day: the fleet, the traffic and the faults. Read from a KDL file that also holds the site's part of a
+//! settings file. `docs/rehearsal.md` describes every key.
 
 use crate::agreed::Accord;
 use crate::model::Spec;
@@ -15,37 +15,38 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// The nodes.
+/// The fleet of emulated nodes.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// How many, one shard each.
+    /// Number of nodes, one shard each.
     pub nodes: u32,
-    /// Zones that they are spread over.
+    /// Number of zones over which they are spread.
     pub zones: u32,
-    /// Speeds are drawn from this.
+    /// Range of the speed of a node.
     pub speed: (f64, f64),
-    /// What each is, but for its speed.
+    /// Resources of each node, except for its speed.
     pub spec: Spec,
-    /// How each works beside its model.
+    /// Behaviour of each node outside its resource model.
     pub habits: Habits,
-    /// Word of the list is so late.
+    /// Delay of the list service's notifications.
     pub list_late: Micros,
 }
 
-/// How clients space their tries.
+/// How clients space their retries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Manners {
-    /// As `retry-wait-ms` says.
+    /// A wait drawn from `retry-wait-ms`.
     #[default]
     Plain,
-    /// Exponential back-off with full jitter: up to a wait that doubles from the longest of `retry-wait-ms`, 2 s at most.
+    /// Exponential back-off with full jitter: the maximum wait doubles from the upper bound of
+    /// `retry-wait-ms`, up to 2 s.
     Jitter,
-    /// As plain, and a client's retries keep to a fifth of its first tries.
+    /// As plain, with a retry budget: a client's retries are limited to a fifth of its first tries.
     Budget,
 }
 
 impl Manners {
-    /// Names in files.
+    /// Names in files; the option is none for the day's own value.
     pub(crate) const CHOICE: [(&'static str, Option<Manners>); 3] = [
         ("plain", Some(Manners::Plain)),
         ("jitter", Some(Manners::Jitter)),
@@ -53,122 +54,122 @@
     ];
 }
 
-/// What clients do.
+/// Load of the clients.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// First tries a second.
+    /// Operations per second.
     pub rate: f64,
-    /// Volumes.
+    /// Number of volumes.
     pub volumes: u32,
-    /// Nodes that hold a volume's data.
+    /// Range of the number of nodes that hold a volume's data.
     pub spread: (f64, f64),
-    /// Most units of a request; each request draws from 1 to this, small ones more often.
+    /// Maximum number of units of a request; each request draws from 1 to this, small ones more often.
     pub units: u32,
-    /// Connections to each initiator.
+    /// Number of connections to each initiator.
     pub clients: u32,
-    /// Tries beyond the first, most.
+    /// Maximum number of retries.
     pub retries: u8,
-    /// Wait before a further try, ms.
+    /// Wait before a retry, ms.
     pub retry_wait: (f64, f64),
-    /// How they space their tries.
+    /// How they space their retries.
     pub manners: Manners,
-    /// How long a client waits for a try before it makes another, ms; 0: as long as there is time.
+    /// Time-out of a try, after which the client makes another, ms; 0: as long as the deadline allows.
     pub patience: (f64, f64),
     /// Share of clients that honour the wait of a refusal.
     pub honour: f64,
-    /// Bytes of a write.
+    /// Payload of a write, bytes.
     pub payload: usize,
-    /// A volume's client sends a barrier after so many writes of buffered classes; 0: never.
+    /// Number of buffered writes of a volume after which its client sends a barrier; 0: never.
     pub barrier_every: u64,
-    /// The same for a flush.
+    /// Number of buffered writes of a volume after which its client sends a flush; 0: never.
     pub flush_every: u64,
 }
 
-/// What clients ask for in a class.
+/// Mix of the requests of a class.
 #[derive(Clone, Copy, Debug)]
 pub struct Mix {
-    /// Share of the first tries.
+    /// Share of the operations.
     pub share: f64,
-    /// They write.
+    /// Whether the requests are writes.
     pub write: bool,
-    /// Share of the writes that make new objects.
+    /// Share of the writes that create objects.
     pub new: f64,
-    /// Share of the reads that go to objects written lately.
+    /// Share of the reads that read recently written objects.
     pub reread: f64,
-    /// Share of the reads that go to what was lately written and acknowledged as buffered, the same way.
+    /// Share of the reads that read recently buffered items, through the same initiator.
     pub reread_buffered: f64,
-    /// Items that a volume's other requests are drawn from.
+    /// Number of items from which a volume's other requests are drawn.
     pub items: u64,
 }
 
-/// How volumes of a plan are.
+/// Volumes of a plan.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanMix {
     /// Share of the volumes.
     pub share: f64,
-    /// Initiators that a volume's requests come through.
+    /// Range of the number of initiators that a volume's requests go through.
     pub hosts: (f64, f64),
 }
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trouble {
-    /// A line that a node's standard input takes at its start, and one that ends it.
+    /// Lines for a node's standard input, at the start and at the end of the fault.
     Node(String, String),
-    /// The same for the list service.
+    /// Lines for the list service's standard input, at the start and at the end of the fault.
     List(String, String),
-    /// The node's process is killed and comes back cold, with its data.
+    /// The node's process is killed and restarted cold, with its data.
     Crash,
-    /// The node drains, ends after `Fault::length`, and another machine takes over its shard, cold.
+    /// The node drains and ends after `Fault::length`; another machine takes over its shard, cold.
     Replace,
-    /// The initiator's process is killed and comes back.
+    /// The initiator's process is killed and restarted.
     KillInitiator,
-    /// The initiator is told to stop and started again.
+    /// The initiator is asked to stop and restarted.
     RestartInitiator,
-    /// Nothing passes between the initiator and all other initiators.
+    /// The initiator is partitioned from all other initiators.
     CutInitiator,
-    /// The initiator's process stands still.
+    /// The initiator's process is suspended.
     PauseInitiator,
-    /// These rules are proposed, in place of what they say in the day's file.
+    /// A change of the rules is proposed: these values replace those of the day's file.
     Change(BTreeMap<String, Value>),
-    /// So many times the usual traffic, of one plan or of all.
+    /// The traffic of one plan, or of all, is multiplied by a factor.
     Burst(Option<u16>, f64),
 }
 
-/// Something that goes wrong for a time.
+/// A fault that lasts for a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// Its name in the file.
+    /// Name of its kind in the file.
     pub name: String,
-    /// From when on, seconds.
+    /// Start, seconds.
     pub at: f64,
-    /// How long, seconds.
+    /// Duration, seconds.
     pub length: f64,
-    /// Of which nodes.
+    /// Affected nodes.
     pub nodes: Vec<u32>,
-    /// Of which initiators.
+    /// Affected initiators.
     pub initiators: Vec<u32>,
-    /// What.
+    /// Kind of the fault.
     pub trouble: Trouble,
 }
 
-/// Why a day can't be read.
+/// Errors of reading a day.
 #[derive(Debug, Error)]
 pub enum DayError {
-    /// The system says so.
+    /// A file can't be read.
     #[error("cannot read {path}: {cause}")]
     Io {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// Cause reported by the system.
         cause: std::io::Error,
     },
-    /// A file has problems.
+    /// A file holds errors.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// The base that a day names, if it does.
+/// Returns the name of the base file that a day names, if it names one.
 fn base_of(name: &str, text: &str) -> Result<Option<String>, SettingsError> {
     let source = Source::new(name, text);
     let document = source.parse()?;
@@ -178,34 +179,34 @@
     Ok(base.flatten())
 }
 
-/// A day.
+/// A scenario: fleet, traffic and faults.
 #[derive(Clone, Debug)]
 pub struct Day {
     /// Its name.
     pub name: String,
-    /// How long requests come, seconds.
+    /// Duration of the traffic, seconds.
     pub seconds: f64,
-    /// Seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How long a frame may be under way, for the audit.
+    /// Maximum transit time of a frame that the audit allows.
     pub transit: Micros,
     /// The site.
     pub site: SiteFile,
-    /// One way through the network, ms, drawn for each piece; on virtual time only.
+    /// One-way network delay, ms, drawn for each piece of data; on virtual time only.
     pub one_way: (f64, f64),
-    /// The nodes.
+    /// The emulated nodes.
     pub fleet: Fleet,
     /// The clients.
     pub traffic: Traffic,
-    /// By class.
+    /// Request mix by class.
     pub mixes: Vec<Mix>,
-    /// By plan.
+    /// Volumes by plan.
     pub plans: Vec<PlanMix>,
-    /// In the order of the file.
+    /// Faults, in the order of the file.
     pub faults: Vec<Fault>,
-    /// How the initiators agree, if they do.
+    /// Settings of consensus, if the initiators run it.
     pub accord: Option<Accord>,
-    /// The floor of their rules.
+    /// Fallback rules, on which initiators act without a lease.
     pub floor: BTreeMap<String, Value>,
 }
 
@@ -213,11 +214,11 @@
 const SHARE: std::ops::RangeInclusive<f64> = 0.0..=1.0;
 
 impl Day {
-    /// Reads a day's file, and the base that it names in the same folder. Returns the text that holds the
-    /// site's part too.
+    /// Reads a day's file, and the base that it names in the same folder. Also returns the text that holds
+    /// the site's part.
     ///
     /// # Errors
-    /// A file can't be read, or everything that is wrong with one.
+    /// A file can't be read, or holds errors; all of them are listed.
     pub fn load(path: &Path) -> Result<(Day, String), DayError> {
         let read = |path: &Path| {
             let io = |cause| DayError::Io { path: path.display().to_string(), cause };
@@ -232,10 +233,11 @@
         Ok((day, base_text))
     }
 
-    /// Reads a day. Names are for messages. With a base, the day's own text holds `day` and faults only.
+    /// Reads a day. The names appear in error messages. With a base, the day's own text holds only `day`
+    /// and faults.
     ///
     /// # Errors
-    /// Everything that is wrong with the base or, if that is sound, with the day.
+    /// All errors of the base or, if it has none, of the day.
     pub fn read(name: &str, text: &str, base: Option<(&str, &str)>) -> Result<Day, SettingsError> {
         let source = Source::new(name, text);
         let document = source.parse()?;
@@ -261,10 +263,10 @@
 
     fn read_common(root: &Block<'_>) -> Day {
         let site = read_site(root);
-        // Left to the initiators.
+        // Read by the initiators, not here.
         root.block("bounds");
         let none = Source::new("", "");
-        let empty = none.parse().expect("nothing is a document");
+        let empty = none.parse().expect("an empty text is a document");
         let missing = Block::document(&none, &empty);
         let mut day = Day {
             name: String::new(),
@@ -349,7 +351,7 @@
         }
     }
 
-    /// What the audit asks for.
+    /// Returns the rules that the audit checks.
     pub fn audit_rules(&self) -> AuditRules {
         let settings = &self.site.site.settings;
         let micros = |ms: f64| Micros::from_ms(ms).0;
@@ -383,7 +385,7 @@
         }
     }
 
-    /// Times the usual traffic of a plan, at a moment of the day in seconds.
+    /// Returns the factor on a plan's traffic at a time of the day, in seconds.
     pub fn factor(&self, plan: u16, at: f64) -> f64 {
         let on = self.faults.iter().filter(|f| f.at <= at && at < f.at + f.length);
         let times = on.map(|f| match f.trouble {
@@ -447,7 +449,7 @@
             put_off_every: Micros::from_ms(b.number("put-off-every-ms", 1.0..=1e6, Some(2000.0))),
             overload_multiple: s.overload_multiple,
             slow_start_window: Micros::from_ms(s.slow_start_window),
-            // The stated units, at the most work that they may hold.
+            // The minimum number of units, at their maximum work.
             fall_work: s.slow_start_min_units * unit_work * 1000.0,
         },
         habits: Habits {
--- a/crates/flaxstand-simulation/src/experiment.rs
+++ b/crates/flaxstand-simulation/src/experiment.rs
@@ -1,6 +1,6 @@
-//! What does a change do? Days × seeds × variants on virtual time. Variants of one day and seed have the
-//! same arrivals and the same faults; what is told is the mean of their differences, its interval and how many
-//! pairs it rests on.
+//! Compares variants of the settings: plays days × seeds × variants on virtual time. All variants of one
+//! day and seed get the same arrivals and the same faults. The result is the mean of the paired
+//! differences, its confidence interval and the number of pairs.
 
 use crate::day::{Day, DayError, Manners};
 use crate::world;
@@ -14,47 +14,47 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// One way to play a day.
+/// A variant of how a day is played.
 #[derive(Clone, Debug)]
 pub struct Variant {
     /// Its name.
     pub name: String,
-    /// What decides.
+    /// Scheduling policy.
     pub policy: Policy,
-    /// Times the day's traffic.
+    /// Factor on the day's request rate.
     pub rate: f64,
-    /// In place of the site's, if given.
+    /// Replaces the site's `tick-ms`, if given.
     pub tick: Option<f64>,
-    /// In place of the site's, if given. Traffic stays as it is: each takes less.
+    /// Replaces the site's number of initiators, if given. The traffic stays the same: each takes less.
     pub initiators: Option<u32>,
-    /// Writes that the day buffers go through.
+    /// Turns off write-back: writes go through to the nodes.
     pub through: bool,
-    /// Storms are damped as the day's site says; else not at all.
+    /// Whether retry storms are damped as the day's site says; if not, damping is off.
     pub damping: bool,
-    /// In place of the day's, if given: share of clients that heed advice.
+    /// Replaces the day's share of clients that honour the wait of a refusal, if given.
     pub honour: Option<f64>,
-    /// How clients retry, in place of the day's, if given.
+    /// Replaces the day's retry policy of clients, if given.
     pub manners: Option<Manners>,
 }
 
-/// What is to be played.
+/// An experiment: days, seeds and variants.
 #[derive(Clone, Debug)]
 pub struct Experiment {
     /// Its name.
     pub name: String,
     /// Days.
     pub days: Vec<Day>,
-    /// Seeds of each day.
+    /// Seeds with which each day is played.
     pub seeds: Vec<u64>,
-    /// The first is what the others are held against.
+    /// Variants; the first is the baseline of the comparison.
     pub variants: Vec<Variant>,
-    /// In place of each day's length, if given.
+    /// Replaces each day's length in seconds, if given.
     pub seconds: Option<f64>,
-    /// Service is that of this class alone: the share of it served in time.
+    /// Restricts the service figure to this class: its share served in time.
     pub class: Option<String>,
 }
 
-/// What one run came to.
+/// Result of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Run {
     /// The day's name.
@@ -63,18 +63,19 @@
     pub seed: u64,
     /// The variant's name.
     pub variant: String,
-    /// Worth served in time over worth wanted.
+    /// Weight of the operations served in time, divided by the weight of all operations.
     pub service: f64,
-    /// The same for the class that fares worst: share served in time.
+    /// Lowest share served in time of any class.
     pub worst_class: f64,
-    /// Rules broken.
+    /// Number of rule violations.
     pub breaches: u64,
-    /// Seconds from when the last node was warm until service was back; none: it was not, or nothing goes wrong.
+    /// Seconds from when the last node was warm until service recovered; none: it did not, or the day has
+    /// no faults.
     #[serde(default)]
     pub back_after: Option<f64>,
 }
 
-/// A variant against the first, on one day or over all.
+/// Comparison of a variant with the baseline, on one day or over all.
 #[derive(Clone, Debug, Serialize)]
 pub struct Difference {
     /// The day, or `all days`.
@@ -85,34 +86,34 @@
     pub service: f64,
     /// Mean difference to the first variant's.
     pub mean: f64,
-    /// Half of the 95% interval of that mean.
+    /// Half-width of the 95% confidence interval of that mean.
     pub half: f64,
-    /// Pairs.
+    /// Number of pairs.
     pub pairs: usize,
-    /// Runs with a broken rule.
+    /// Runs with a rule violation.
     pub broken: usize,
-    /// Runs in which service came back after what went wrong.
+    /// Runs in which service recovered after the faults.
     pub back: usize,
-    /// Mean seconds that it took in those, from when the last node was warm.
+    /// Mean recovery time in those runs, in seconds from when the last node was warm.
     pub back_after: f64,
 }
 
-/// What an experiment came to.
+/// Results of an experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
     /// Its name.
     pub name: String,
     /// Every run.
     pub runs: Vec<Run>,
-    /// Every comparison; the first variant stands beside itself.
+    /// Every comparison; the baseline is compared with itself.
     pub differences: Vec<Difference>,
 }
 
 impl Experiment {
-    /// Reads an experiment and its days, which lie beside it or at paths from there.
+    /// Reads an experiment and its days, whose paths are relative to the experiment's file.
     ///
     /// # Errors
-    /// A file can't be read, or everything that is wrong with one.
+    /// A file can't be read, or holds errors; all of them are listed.
     pub fn load(path: &Path) -> Result<Experiment, DayError> {
         let name = path.display().to_string();
         let text =
@@ -127,7 +128,7 @@
     /// Reads an experiment and the paths of its days' files.
     ///
     /// # Errors
-    /// What is wrong with the file, each with its place.
+    /// All errors of the file, each with its line.
     pub fn read(name: &str, text: &str) -> Result<(Experiment, Vec<String>), SettingsError> {
         let source = Source::new(name, text);
         let document = source.parse()?;
@@ -176,11 +177,11 @@
         Ok((read, files))
     }
 
-    /// Plays every run that `resume` does not hold yet, and adds it there. `each` hears how many of how
-    /// many are done.
+    /// Plays every run that the file `resume` does not hold yet, and appends it there. Calls `each` with
+    /// the number of finished runs and the number of all runs.
     ///
     /// # Errors
-    /// The file can't be read or written; a last line cut short is left out.
+    /// The file can't be read or opened. A truncated last line is ignored.
     pub fn run(
         &self,
         resume: Option<&Path>,
@@ -215,7 +216,8 @@
                         let run = self.one(day, *seed, variant);
                         let mut kept = kept.lock().expect("no holder panics");
                         if let Some(file) = &mut kept.1 {
-                            // What is not kept is played again after a break; the result has it all the same.
+                            // A run that can't be written is played again on the next resume; this result
+                            // has it all the same.
                             let _ = serde_json::to_string(&run).map(|line| writeln!(file, "{line}"));
                         }
                         kept.0.push(run);
@@ -225,7 +227,7 @@
             }
         });
         runs.append(&mut kept.into_inner().expect("no holder panics").0);
-        // Threads end in any order; a result does not.
+        // Threads finish in any order; sorting makes the result deterministic.
         runs.sort_by(|x, y| (&x.day, x.seed, &x.variant).cmp(&(&y.day, y.seed, &y.variant)));
         Ok(Outcome { name: self.name.clone(), differences: self.differences(&runs), runs })
     }
@@ -299,13 +301,13 @@
     }
 }
 
-/// Student's t for a two-sided 95% interval, by degrees of freedom; from 30 on as good as the last.
+/// Student's t for a two-sided 95% interval, by degrees of freedom; the last value is used from 30 on.
 const T: [f64; 30] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
     2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
 ];
 
-/// Mean, and half of its 95% interval; infinite for fewer than two.
+/// Returns the mean and the half-width of its 95% confidence interval; infinite for fewer than two values.
 pub fn interval(values: &[f64]) -> (f64, f64) {
     let n = values.len() as f64;
     let mean = values.iter().sum::<f64>() / n.max(1.0);
@@ -318,7 +320,7 @@
 }
 
 impl Difference {
-    /// What the interval says.
+    /// Returns whether the interval shows a difference.
     pub fn verdict(&self) -> &'static str {
         if self.pairs < 2 {
             "too few pairs"
@@ -333,7 +335,7 @@
 }
 
 impl Outcome {
-    /// For people.
+    /// Formats the results as a table.
     pub fn text(&self) -> String {
         let mut out = format!("{}\n\n", self.name);
         let _ = writeln!(
--- a/crates/flaxstand-simulation/src/html.rs
+++ b/crates/flaxstand-simulation/src/html.rs
@@ -1,5 +1,5 @@
-//! A day's report as one page with plots, nothing beside it: service by class over time, latency, refusals,
-//! requests at each node, and what went wrong when. Readable in light and dark.
+//! Renders a day's report as one self-contained HTML page with plots: service by class over time, latency,
+//! refusals, requests at each node, and the faults. Readable in light and dark mode.
 
 use crate::day::Day;
 use crate::experiment::{Difference, Outcome};
@@ -9,11 +9,11 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Points on the time axis.
+/// Bins on the time axis.
 const BINS: usize = 60;
 const WIDTH: u32 = 900;
 
-/// Colours that stand out on white and on black.
+/// Colours with enough contrast on white and on black.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0x1f, 0x8a, 0xc9),
     RGBColor(0xd9, 0x7a, 0x1a),
@@ -25,7 +25,7 @@
 
 type Drawn = Result<String, Box<dyn std::error::Error>>;
 
-/// A day's moments as bins.
+/// Time axis of a day, divided into bins.
 struct Axis {
     start: u64,
     seconds: f64,
@@ -45,7 +45,7 @@
         let part = at.saturating_sub(self.start) as f64 / 1e6 / self.seconds;
         ((part * BINS as f64) as usize).min(BINS - 1)
     }
-    /// The second in a bin's middle.
+    /// Returns the middle of a bin, in seconds.
     fn second(&self, bin: usize) -> f64 {
         (bin as f64 + 0.5) * self.seconds / BINS as f64
     }
@@ -143,7 +143,7 @@
     lines(axis, top * 1.05, "refused, failed a second", &all)
 }
 
-/// Requests at each node, in the mean of each bin.
+/// Plots the mean number of requests at each node, by bin.
 fn heat(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Drawn {
     let shards = day.fleet.nodes.max(1) as usize;
     let mut load = vec![vec![0.0; BINS]; shards];
@@ -190,7 +190,7 @@
     Ok(svg)
 }
 
-/// What went wrong, a row each.
+/// Plots the faults, one row each.
 fn faults(day: &Day, axis: &Axis) -> Drawn {
     let rows: Vec<_> = day.faults.iter().filter(|f| f.at < axis.seconds).collect();
     let mut svg = String::new();
@@ -206,7 +206,7 @@
         chart.configure_mesh().disable_mesh().y_labels(0).draw()?;
         for (i, fault) in rows.iter().enumerate() {
             let (low, high) = (count - i as f64 - 0.9, count - i as f64 - 0.1);
-            // What happens at once is a stroke.
+            // A fault without a duration still gets a visible bar.
             let end = (fault.at + fault.length.max(axis.seconds / 300.0)).min(axis.seconds);
             let bar = Rectangle::new([(fault.at, low), (end, high)], COLOURS[3].mix(0.45).filled());
             chart.draw_series([bar])?;
@@ -226,7 +226,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// Every variant against the first: the mean difference of service, and its 95% interval.
+/// Plots the mean difference of service of each variant to the baseline, with its 95% interval.
 fn against(outcome: &Outcome) -> Drawn {
     let first = outcome.differences.first().map(|d| d.variant.clone()).unwrap_or_default();
     let rows: Vec<&Difference> =
@@ -275,12 +275,12 @@
     )
 }
 
-/// Black is the text's colour, whichever that is; what is white shows the page.
+/// Adapts a plot to the page's theme: black becomes the text colour, white becomes transparent.
 fn themed(svg: &str) -> String {
     svg.replace("#000000", "currentColor").replace("fill=\"#FFFFFF\"", "fill=\"none\"")
 }
 
-/// The page of an experiment.
+/// Renders the page of an experiment.
 ///
 /// # Errors
 /// The plot can't be drawn.
@@ -294,7 +294,7 @@
     Ok(out)
 }
 
-/// The page.
+/// Renders the page of a day.
 ///
 /// # Errors
 /// A plot can't be drawn.
--- a/crates/flaxstand-simulation/src/lib.rs
+++ b/crates/flaxstand-simulation/src/lib.rs
@@ -1,10 +1,11 @@
-//! The laboratory. Emulated peers, each a [`flaxstand_gateway::machine::Machine`] that the same driver
-//! runs as the initiator: [`node`] on its [`model`], [`list`], and the clients of [`load`]. A [`day`] says
-//! what there is and what goes wrong; [`rehearse`] plays it with real processes on loopback, [`world`] in one process on virtual time;
-//! [`agreed`] is about days on which initiators agree, with a [`relay`] on each link between them;
-//! [`swarm`] looks for
-//! a day on which something breaks, [`experiment`] tells what a change does; [`measure`] tells what an initiator costs,
-//! [`scale`] what each role costs as a fleet grows.
+//! Test laboratory: emulated peers, each a [`flaxstand_gateway::machine::Machine`] that runs on the same
+//! driver as the initiator: [`node`] with its resource [`model`], [`list`], and the clients of [`load`].
+//!
+//! A [`day`] describes the fleet, the traffic and the faults. [`rehearse`] plays it with real processes on
+//! loopback, [`world`] in one process on virtual time. [`agreed`] checks days on which initiators run
+//! consensus, with a [`relay`] on each link between them. [`swarm`] generates days and searches for one
+//! that breaks a rule. [`experiment`] compares variants of the settings. [`measure`] measures the cost of
+//! an initiator, [`scale`] the cost of each role as a fleet grows.
 #![forbid(unsafe_code)]
 
 pub mod agreed;
@@ -29,12 +30,12 @@
 pub mod swarm;
 pub mod world;
 
-/// A draw from 0 to 1.
+/// Returns a uniform random number in [0, 1).
 pub fn random(rng: &mut impl rand_core::RngCore) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A draw from a range.
+/// Returns a uniform random number in a range.
 pub(crate) fn between(rng: &mut impl rand_core::RngCore, (low, high): (f64, f64)) -> f64 {
     low + (high - low) * random(rng)
 }
--- a/crates/flaxstand-simulation/src/list.rs
+++ b/crates/flaxstand-simulation/src/list.rs
@@ -1,12 +1,12 @@
-//! An emulated list service: tells initiators which nodes there are, late, and only that much. What is true
-//! comes in on its standard input, and so do its own troubles.
+//! Emulated list service: notifies initiators of the nodes, with a configurable delay. The true state of
+//! the nodes and the faults of the service arrive on its standard input.
 //!
 //! | line | meaning |
 //! | --- | --- |
-//! | `node ID INCARNATION STATE SHARD ZONE AGE ADDRESS` | what is true now; age in ms or `-`: long past |
-//! | `late MS` | changes are told so much later from now on |
-//! | `silent 0` or `1` | answers nothing and greets no one |
-//! | `fail 0` or `1` | answers every call with a failure |
+//! | `node ID INCARNATION STATE SHARD ZONE AGE ADDRESS` | sets a node's state; age in ms, or `-`: long ago |
+//! | `late MS` | sets the delay of notifications |
+//! | `silent 0` or `1` | ignores every frame, handshakes included |
+//! | `fail 0` or `1` | answers every request with a failure |
 //! | `cut` | closes every connection |
 
 use crate::shell::{Links, Peer};
@@ -16,7 +16,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use tracing::warn;
 
-/// The line that tells a list service what is true of a node. `age`: ms, or `-` for long past.
+/// Formats the input line that sets the state of a node. `age`: ms, or `-` for a node that started long
+/// ago.
 pub fn node_line(
     node: u64,
     incarnation: u64,
@@ -29,22 +30,22 @@
     format!("node {node} {incarnation} {state} {shard} {zone} {age} {address}")
 }
 
-/// What the list service says of a node.
+/// Entry of a node in the list.
 #[derive(Clone, Debug)]
 pub struct Listed {
     /// The node's number.
     pub node: u64,
-    /// Its start.
+    /// Its incarnation.
     pub incarnation: u64,
     /// Its state.
     pub state: State,
-    /// The shard that it holds.
+    /// Shard that it holds.
     pub shard: u32,
     /// Its zone.
     pub zone: u32,
-    /// When it started; none: long past.
+    /// Time of its start; none: long ago.
     pub booted: Option<Micros>,
-    /// Where it is called.
+    /// Address at which it listens.
     pub address: String,
 }
 
@@ -57,7 +58,7 @@
             age: self.booted.map(|at| now.since(at).0),
             shard: self.shard,
             zone: self.zone,
-            // The nodes of a day are of one kind.
+            // All nodes of a day have the same nominal size.
             size: 100,
             service_time: None,
             address: &self.address,
@@ -69,7 +70,7 @@
     initiator: u32,
     epoch: u64,
     watches: bool,
-    /// What it was last told of each node, to tell what a full list takes away.
+    /// State of each node in the last notification, to find the nodes that a full list removes.
     told: BTreeMap<u64, State>,
 }
 
@@ -86,7 +87,7 @@
 }
 
 impl ListService {
-    /// A service whose word is so late.
+    /// Creates a service whose notifications are delayed by `late`.
     pub fn new(late: Micros) -> Self {
         ListService { late, revision: 1, ..ListService::default() }
     }
@@ -124,7 +125,7 @@
         }
     }
 
-    /// A line as [`node_line`] writes it, without its first word; none: it is no such line.
+    /// Parses the fields of a line that [`node_line`] formats, without its first word; none if they are invalid.
     pub fn parse(words: &[&str], now: Micros) -> Option<Listed> {
         let [node, incarnation, state, shard, zone, age, address] = words else { return None };
         Some(Listed {
@@ -189,7 +190,7 @@
             }
             Frame::Bye { .. } => {}
             other => {
-                warn!(?other, "a frame that has no place here");
+                warn!(?other, "unexpected frame; closing the connection");
                 links.close(conn);
                 self.watchers.remove(&conn);
             }
@@ -206,7 +207,7 @@
         match words[..] {
             ["node", ref rest @ ..] => match Self::parse(rest, now) {
                 Some(listed) => self.coming.push_back((now.after(self.late), listed)),
-                None => warn!(line, "no such node"),
+                None => warn!(line, "ignoring an invalid node line"),
             },
             ["late", ms] => self.late = Micros::from_ms(ms.parse().unwrap_or(0.0)),
             ["silent", _] => self.silent = on,
@@ -215,7 +216,7 @@
                 links.all().into_iter().for_each(|conn| links.close(conn));
                 self.watchers.clear();
             }
-            _ => warn!(line, "no such trouble"),
+            _ => warn!(line, "ignoring an unknown line of standard input"),
         }
     }
 
--- a/crates/flaxstand-simulation/src/load.rs
+++ b/crates/flaxstand-simulation/src/load.rs
@@ -1,5 +1,5 @@
-//! Clients: open loop (arrivals do not wait for answers), volumes spread over initiators and nodes, tries
-//! again as a day's clients do. They write down what they send and read, and judge nothing.
+//! Emulated clients: open-loop arrivals (they do not wait for answers), volumes spread over initiators and
+//! nodes, and retries. They record what they send and read; the audit judges it.
 
 use crate::day::{Day, Manners};
 use crate::shell::{Links, Peer};
@@ -12,24 +12,24 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Objects written lately that are kept in mind for reads.
+/// Maximum number of recently written objects kept for reads.
 const LATELY: usize = 4096;
-/// Wait before a client calls its initiator again.
+/// Range of the wait before a client reconnects to its initiator, ms.
 const CALL_AGAIN: (f64, f64) = (50.0, 250.0);
-/// A client makes no try that can't be there and back in the time it has left.
+/// A client makes no try with less time left than this, since an answer could not arrive in time.
 const LEAST_TRY: Micros = Micros(20_000);
 
 struct Volume {
     id: u64,
     plan: u16,
     weight: f64,
-    /// Writes of buffered classes so far.
+    /// Number of writes of buffered classes so far.
     buffered: u64,
     hosts: Vec<u32>,
     shards: Vec<u32>,
 }
 
-/// What a client wants done.
+/// An operation of a client.
 #[derive(Clone)]
 struct Operation {
     op: u64,
@@ -47,7 +47,8 @@
 }
 
 impl Operation {
-    /// When a client forgets a try of it: a second after it gave up, so that a late answer is still seen.
+    /// Returns when a client forgets a try: a second after its deadline, so that a late answer is still
+    /// recorded.
     fn given_up(&self, client: usize, id: u64) -> (Micros, Due) {
         (self.until.after(Micros(1_000_000)), Due::GiveUp(client, id))
     }
@@ -56,11 +57,11 @@
 struct Client {
     initiator: u32,
     conn: Option<ConnId>,
-    /// Number of this connection in the records; 0: not open.
+    /// Number of this connection in the records; 0: the handshake is not done.
     number: u64,
-    /// It was told not to come back earlier.
+    /// Time before which the initiator asked it not to reconnect.
     turn: Micros,
-    /// Retries that its budget still allows.
+    /// Tokens of its retry budget.
     tokens: f64,
     honours: bool,
     owed: BTreeMap<u64, Operation>,
@@ -73,7 +74,7 @@
     GiveUp(usize, u64),
 }
 
-/// The clients of a day.
+/// All clients of a day.
 pub struct Load {
     day: Day,
     seconds: f64,
@@ -87,18 +88,18 @@
     next_op: u64,
     next_number: u64,
     next_try: u64,
-    /// Operations that wait to be tried again, and by which client.
+    /// Operations waiting for a retry, and their clients.
     resting: BTreeMap<u64, (usize, Operation)>,
     due: BTreeSet<(Micros, Due)>,
-    /// Objects written lately: volume's place, extent, shard.
+    /// Recently written objects: index of the volume, extent, shard.
     written: VecDeque<(usize, u64, u32)>,
-    /// What was acknowledged as buffered lately: volume's place, extent, shard.
+    /// Recently buffered items: index of the volume, extent, shard.
     buffered: VecDeque<(usize, u64, u32)>,
     done: bool,
 }
 
 impl Load {
-    /// Clients of a day that lasts so long, with the addresses of its initiators.
+    /// Creates the clients of a day that lasts `seconds`, with the addresses of its initiators.
     pub fn new(day: Day, seconds: f64, addresses: Vec<Address>) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(day.seed);
         let hosts = addresses.len() as u32;
@@ -136,7 +137,7 @@
         }
     }
 
-    /// One of many by weight.
+    /// Draws an index with a probability proportional to its weight.
     fn draw(&mut self, weights: impl Iterator<Item = f64> + Clone) -> usize {
         let mut point = random(&mut self.rng) * weights.clone().sum::<f64>();
         let last = weights.clone().count().saturating_sub(1);
@@ -161,7 +162,7 @@
         let id = v.id;
         let item = (random(&mut self.rng) * mix.items as f64) as u64;
         let fixed = v.shards.get(item as usize % v.shards.len().max(1)).copied();
-        // Items that were there before have numbers of their own, apart from new objects'.
+        // Existing items have numbers of their own, apart from those of new objects.
         let (mut extent, mut shard) = ((id ^ item.wrapping_mul(0x9E37_79B9_7F4A_7C15)) | 1 << 63, fixed);
         if mix.write && random(&mut self.rng) < mix.new {
             (extent, shard) = (self.next_op, None);
@@ -179,7 +180,8 @@
                 (extent, shard) = (written, Some(at));
             }
         }
-        // Whatever concerns a buffered item goes one way: only through its own initiator is it in order.
+        // All requests for a buffered item go through one initiator, since only that one keeps them in
+        // order.
         let buffered = mix.write && self.day.site.site.classes[class].is_buffered;
         let mut one_way = buffered;
         if buffered {
@@ -214,14 +216,14 @@
             }
             return;
         }
-        // A volume's leading host takes most of its requests.
+        // The first host of a volume takes most of its requests.
         let host = hosts[(random(&mut self.rng).powi(2) * hosts.len() as f64) as usize];
         let nth = (random(&mut self.rng) * f64::from(self.day.traffic.clients)) as usize;
         let client = nth * self.addresses.len() + host as usize;
         self.submit(links, client, operation, now);
     }
 
-    /// A barrier or a flush after a buffered write, if it is time for one.
+    /// Sends a barrier or a flush after a buffered write, if one is due.
     fn mark(&mut self, links: &mut Links, at: usize, volume: usize, now: Micros) {
         let v = &mut self.volumes[volume];
         v.buffered += 1;
@@ -259,7 +261,7 @@
         }
         self.next_number += 1;
         let id = self.next_number;
-        // Its time is up for this try, and then for all.
+        // The deadline of this try, and that of the operation, whichever is earlier.
         let until = match self.day.traffic.patience {
             (_, most) if most <= 0.0 => operation.until,
             patience => now.after(Micros::from_ms(between(&mut self.rng, patience))).min(operation.until),
@@ -308,12 +310,12 @@
         client.owed.insert(id, operation);
     }
 
-    /// A further try, if this client makes one and there is time.
+    /// Schedules a retry, if the client has retries left and there is time.
     fn again(&mut self, client: usize, mut operation: Operation, wait: f64, now: Micros) {
         operation.tries += 1;
         let effect = self.day.site.site.settings.classes[usize::from(operation.class)].effect;
         if let Effect::IdempotencyKey { window, .. } = effect {
-            // Nodes remember an earlier try for so long: none may be sent later.
+            // Nodes deduplicate within this window only: no retry may be sent later.
             operation.until = operation.until.min(operation.begun.after(Micros::from_ms(window)));
         }
         let own = match self.day.traffic.manners {
@@ -339,9 +341,9 @@
         }
     }
 
-    /// Whether another try is harmless though an earlier one may have run.
+    /// Returns whether a retry is safe though an earlier try may have been executed.
     fn repeats(&self, operation: &Operation) -> bool {
-        // One that was buffered may run yet; tried again it could come after a newer write of its item.
+        // A buffered write may still be executed; a retry could overwrite a newer write of its item.
         if operation.write && self.day.site.site.classes[usize::from(operation.class)].is_buffered {
             return false;
         }
--- a/crates/flaxstand-simulation/src/measure.rs
+++ b/crates/flaxstand-simulation/src/measure.rs
@@ -1,6 +1,6 @@
-//! What an initiator costs: requests a second, latency, processor time and memory, beside a straight pipe
-//! of the same frames that sends everything at once. One run holds both, so that their ratios mean something
-//! on a machine whose speed drifts.
+//! Measures the cost of an initiator: throughput, latency, processor time and memory, compared with a
+//! pass-through that forwards the same frames at once. One run measures both, so that their ratios stay
+//! valid on a machine whose speed drifts.
 
 use crate::agreed::{Accord, Links};
 use crate::list::node_line;
@@ -13,32 +13,33 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// One figure.
+/// Result of one measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figure {
-    /// `module` or `pipe`; `agreed`: the module, at an initiator that agrees on its rules with two others.
+    /// `module` or `pipe`; `agreed`: the module, on an initiator that runs consensus with two others.
     pub policy: &'static str,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: u32,
-    /// What pressed: `window 256` or `rate 5000`.
+    /// Load: `window 256` or `rate 5000`.
     pub pressure: String,
-    /// What the clients saw.
+    /// Results of the clients.
     pub seen: Seen,
-    /// Processor time of the initiator for a request, microseconds.
+    /// Processor time of the initiator per request, microseconds.
     pub cpu_us: f64,
 }
 
-/// All figures of a run.
+/// All results of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// In the order in which they were taken.
+    /// In the order of the measurements.
     pub figures: Vec<Figure>,
-    /// Resident memory of an idle initiator and of one that holds so many requests, KiB.
+    /// Resident memory of an idle initiator and of one with pending requests, KiB, and the number of those
+    /// requests.
     pub memory_kib: (u64, u64, u64),
 }
 
 impl Figures {
-    /// For people.
+    /// Formats the results as a table.
     pub fn text(&self) -> String {
         let mut out = String::new();
         let _ = writeln!(
@@ -85,10 +86,10 @@
     )
 }
 
-/// Processor time of a process so far, seconds, by the system's account.
+/// Returns the processor time that a process has used, in seconds, from `/proc`.
 fn cpu(pid: u32) -> Option<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // Fields 14 and 15, after the name in brackets, in ticks of a hundredth.
+    // Fields 14 and 15 (utime and stime) in clock ticks; the process name in brackets is cut off first.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     Some(ticks / rustix::param::clock_ticks_per_second() as f64)
@@ -100,7 +101,7 @@
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Where a measurement's processes come from and where their files go.
+/// Program that a measurement runs, and the folder of its files.
 pub(crate) struct Bench<'a> {
     pub(crate) program: &'a Path,
     pub(crate) folder: &'a Path,
@@ -111,7 +112,7 @@
         Process::start(self.program, self.folder, name, arguments)
     }
 
-    /// Nodes, a list service that knows them, and an initiator.
+    /// Starts the nodes, a list service that lists them, and an initiator.
     fn stage(
         &self,
         policy: &str,
@@ -121,7 +122,7 @@
         self.stage_with(nodes, mute, |list| settings(self.folder, policy, list))
     }
 
-    /// The same, with settings made for the list service's address.
+    /// As `stage`, with settings built from the list service's address.
     pub(crate) fn stage_with(
         &self,
         nodes: u32,
@@ -142,7 +143,7 @@
             list.tell(&node_line(node as u64, 1, "serving", node, 0, "-", address));
         }
         let file = self.folder.join("measured.kdl");
-        std::fs::write(&file, settings(&at)).map_err(io_error("settings"))?;
+        std::fs::write(&file, settings(&at)).map_err(io_error("cannot write the settings file"))?;
         let file = file.display().to_string();
         let mut initiator =
             self.start("measured", &["run", "--config", &file, "--with-parent"].map(str::to_owned))?;
@@ -170,11 +171,11 @@
         self.pressed(policy, nodes, pressure, seconds, initiator)
     }
 
-    /// The same at an initiator that agrees with two others on its rules, leases as by default.
+    /// Measures an initiator that runs consensus with two others, with the default lease.
     fn agreed(&self, nodes: u32, pressure: (&str, u32), seconds: f64) -> Result<Figure, RehearsalError> {
         let ms = |n: u64| Micros(n * 1000);
         let accord = Accord { keepers: 3, lease: ms(3000), election: ms(500), clock_error: 0.001 };
-        let links = Links::new(3).map_err(io_error("relays"))?;
+        let links = Links::new(3).map_err(io_error("cannot start the relays"))?;
         let name = |i: usize| ["measured", "second", "third"][i].to_owned();
         let block = |i: usize| {
             let folder = self.folder.join(format!("agreed-{}-{i}", links.listen(i).port()));
@@ -189,7 +190,7 @@
         for i in 1..3 {
             let own = text.replace("measured", &name(i)) + &block(i);
             let file = self.folder.join(format!("{}.kdl", name(i)));
-            std::fs::write(&file, own).map_err(io_error("settings"))?;
+            std::fs::write(&file, own).map_err(io_error("cannot write the settings file"))?;
             let file = file.display().to_string();
             let arguments = ["run", "--config", &file, "--with-parent"].map(str::to_owned);
             let mut other = self.start(&name(i), &arguments)?;
@@ -198,7 +199,9 @@
         }
         let rules = read_rules("measured", &text).map_err(|e| RehearsalError::Process(e.to_string()))?;
         if links.propose(&rules, &text, SOON).and_then(|_| links.alike()).is_none() {
-            return Err(RehearsalError::Process("the initiators did not agree".into()));
+            return Err(RehearsalError::Process(
+                "the initiators did not act on the proposed version in time".into(),
+            ));
         }
         self.pressed("agreed", nodes, pressure, seconds, initiator)
     }
@@ -218,10 +221,10 @@
         let mut press = self.press(nodes, &[argument, "--clients=4".into()], seconds)?;
         let seen = press.expect("seen", Duration::from_secs_f64(seconds * 2.0 + 10.0))?;
         let used = cpu(initiator.id()).unwrap_or(0.0) - before;
-        let seen: Seen =
-            serde_json::from_str(&seen).map_err(|e| RehearsalError::Process(format!("press: {e}")))?;
+        let seen: Seen = serde_json::from_str(&seen)
+            .map_err(|e| RehearsalError::Process(format!("invalid results of the load generator: {e}")))?;
         stop(initiator)?;
-        // The warm-up's requests cost as much as those counted.
+        // The processor time includes the warm-up, so its requests are counted too.
         let all = (seen.served + seen.not_served) as f64 * (1.0 + super::press::WARM_UP);
         let cpu_us = used * 1e6 / all.max(1.0);
         Ok(Figure { policy, nodes, pressure: format!("{kind} {amount}"), seen, cpu_us })
@@ -238,17 +241,17 @@
     }
 }
 
-/// What agreement costs: the module with it and without it in turn, `rounds` times.
+/// Measures the cost of consensus: the module with it and without it in turn, `rounds` times.
 ///
 /// # Errors
-/// A process can't be started or ends by itself.
+/// A process can't be started or exits unexpectedly.
 pub fn measure_agreement(
     program: &Path,
     folder: &Path,
     seconds: f64,
     rounds: u32,
 ) -> Result<Figures, RehearsalError> {
-    std::fs::create_dir_all(folder).map_err(io_error("a folder for logs"))?;
+    std::fs::create_dir_all(folder).map_err(io_error("cannot create the folder for logs"))?;
     let bench = Bench { program, folder };
     let mut all = Figures::default();
     for _ in 0..rounds {
@@ -260,12 +263,12 @@
     Ok(all)
 }
 
-/// Takes every figure.
+/// Runs every measurement.
 ///
 /// # Errors
-/// A process can't be started or ends by itself.
+/// A process can't be started or exits unexpectedly.
 pub fn measure(program: &Path, folder: &Path, seconds: f64) -> Result<Figures, RehearsalError> {
-    std::fs::create_dir_all(folder).map_err(io_error("a folder for logs"))?;
+    std::fs::create_dir_all(folder).map_err(io_error("cannot create the folder for logs"))?;
     let bench = Bench { program, folder };
     let mut all = Figures::default();
     for nodes in [10, 100, 300] {
--- a/crates/flaxstand-simulation/src/measure_buffer.rs
+++ b/crates/flaxstand-simulation/src/measure_buffer.rs
@@ -1,5 +1,5 @@
-//! What buffering costs and gains: writes acknowledged from the log beside writes that go through to nodes
-//! that answer at once; syncs; and how long a log takes to be read back.
+//! Measures write-back: writes acknowledged from the log compared with writes that go through to nodes that
+//! answer at once, the number of syncs, and the recovery time of a log.
 
 use crate::measure::Bench;
 use crate::press::Seen;
@@ -12,46 +12,46 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Bytes of a write.
+/// Payload of a write, bytes.
 const BYTES: u32 = 4096;
 
-/// Writers that each wait for one answer after the other.
+/// Result for a number of writers, each with one request in flight.
 #[derive(Clone, Debug, Serialize)]
 pub struct Writers {
-    /// Acknowledged as buffered; else they went through.
+    /// Whether writes are acknowledged as buffered; if not, they go through to the nodes.
     pub buffered: bool,
-    /// How many.
+    /// Number of writers.
     pub writers: u32,
-    /// What they saw.
+    /// Results of the writers.
     pub seen: Seen,
-    /// Syncs of data for each write, word of what is done included.
+    /// Data syncs per write, including those that log the completion.
     pub syncs_a_write: f64,
-    /// Bytes written to the log for each byte of a write.
+    /// Write amplification: bytes written to the log per byte of payload.
     pub amplification: f64,
 }
 
-/// A log read back.
+/// Result of the recovery of a log.
 #[derive(Clone, Debug, Serialize)]
 pub struct BufferedRead {
-    /// Its size, MiB.
+    /// Size of the log, MiB.
     pub mib: u64,
-    /// Writes that live in it.
+    /// Writes in it that are not yet completed.
     pub writes: usize,
-    /// How long it took, ms.
+    /// Recovery time, ms.
     pub ms: f64,
 }
 
-/// All of it.
+/// All results.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Measured {
-    /// Writers.
+    /// Results by number of writers.
     pub writers: Vec<Writers>,
-    /// Logs.
+    /// Results by size of the log.
     pub read_back: Vec<BufferedRead>,
 }
 
 impl Measured {
-    /// For people.
+    /// Formats the results as text.
     pub fn text(&self) -> String {
         let mut out = format!(
             "{:8} {:>8} {:>10} {:>8} {:>8} {:>13} {:>13}\n",
@@ -95,15 +95,15 @@
     let more = ["--window=1".into(), format!("--clients={writers}"), format!("--write={BYTES}")];
     let mut press = bench.press(10, &more, seconds)?;
     let seen = press.expect("seen", Duration::from_secs_f64(seconds * 2.0 + 10.0))?;
-    let seen: Seen =
-        serde_json::from_str(&seen).map_err(|e| RehearsalError::Process(format!("press: {e}")))?;
+    let seen: Seen = serde_json::from_str(&seen)
+        .map_err(|e| RehearsalError::Process(format!("invalid results of the load generator: {e}")))?;
     let mut measured = Writers { buffered, writers, seen, syncs_a_write: 0.0, amplification: 0.0 };
     if buffered {
         let address = format!("--initiator=unix:{}/measured.sock", bench.folder.display());
         let out = std::process::Command::new(bench.program)
             .args(["buffer", "status", "--json", &address])
             .output()
-            .map_err(io_error("flaxstand buffer status"))?;
+            .map_err(io_error("cannot run flaxstand buffer status"))?;
         let status: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap_or_default();
         let figure = |name: &str| status[name].as_f64().unwrap_or(0.0);
         let writes = figure("acknowledged_total").max(1.0);
@@ -118,8 +118,10 @@
     let failed = |what: &str| io_error(what.to_owned());
     let path = folder.join("read-back");
     let _ = std::fs::remove_dir_all(&path);
-    let mut storage = SegmentFolder::open(&path).map_err(failed("a log"))?;
-    let mut log = recover(&mut storage).map_err(|e| RehearsalError::Process(e.to_string()))?.log;
+    let mut storage = SegmentFolder::open(&path).map_err(failed("cannot open the log"))?;
+    let mut log = recover(&mut storage)
+        .map_err(|e| RehearsalError::Process(format!("cannot recover the log: {e}")))?
+        .log;
     let now = Micros(0);
     let mut seq = 0;
     while log.bytes() < mib << 20 {
@@ -143,25 +145,26 @@
             log.append(&Record::Write { seq: Seq(seq), accepted, started, parked, write }, now);
         }
         while let Some(batch) = log.next_batch(now, now) {
-            perform(&mut storage, &batch).map_err(failed("a log"))?;
+            perform(&mut storage, &batch).map_err(failed("cannot write the log"))?;
             log.batch_stored(true, now);
         }
     }
     drop(storage);
     let begun = Instant::now();
-    let mut storage = SegmentFolder::open(&path).map_err(failed("a log"))?;
-    let recovered = recover(&mut storage).map_err(|e| RehearsalError::Process(e.to_string()))?;
+    let mut storage = SegmentFolder::open(&path).map_err(failed("cannot open the log"))?;
+    let recovered =
+        recover(&mut storage).map_err(|e| RehearsalError::Process(format!("cannot recover the log: {e}")))?;
     let ms = begun.elapsed().as_secs_f64() * 1000.0;
     let _ = std::fs::remove_dir_all(&path);
     Ok(BufferedRead { mib, writes: recovered.live.len(), ms })
 }
 
-/// Takes every figure, on the disk that holds `folder`.
+/// Runs every measurement, on the disk that holds `folder`.
 ///
 /// # Errors
-/// A process can't be started or ends by itself, or the disk fails.
+/// A process can't be started or exits unexpectedly, or the disk fails.
 pub fn measure(program: &Path, folder: &Path, seconds: f64) -> Result<Measured, RehearsalError> {
-    std::fs::create_dir_all(folder).map_err(io_error("a folder for logs"))?;
+    std::fs::create_dir_all(folder).map_err(io_error("cannot create the folder for logs"))?;
     let bench = Bench { program, folder };
     let mut all = Measured::default();
     for count in [1, 8, 64] {
--- a/crates/flaxstand-simulation/src/model.rs
+++ b/crates/flaxstand-simulation/src/model.rs
@@ -1,41 +1,42 @@
-//! How an emulated node works off what it is given: cores shared evenly among the requests in its slots, a
-//! queue in turn of arrival, warming up, put-off writes, remembered keys, and trouble. No I/O, no clock.
+//! Resource model of an emulated node: processor sharing among the requests in its slots, a FIFO queue,
+//! warm-up, deferred writes, cached keys, and degradation. No I/O, no clock.
 
 use flaxstand_gateway::machine::Micros;
 use std::collections::VecDeque;
 
-/// What a node is.
+/// Resources of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spec {
     /// Cores.
     pub cores: f64,
-    /// Speed of a core; 1 does a microsecond of work in a microsecond.
+    /// Speed of a core; at 1 it does a microsecond of work in a microsecond.
     pub speed: f64,
-    /// Requests worked on at a time.
+    /// Requests executed concurrently.
     pub slots: usize,
-    /// Requests that may wait beside.
+    /// Capacity of the queue.
     pub queue: usize,
-    /// Share of its power at a cold start.
+    /// Share of its full power at a cold start.
     pub initial_capacity: f64,
-    /// Time from a cold start until it is warm; the share grows evenly.
+    /// Warm-up time after a cold start; the power grows linearly.
     pub warm_after: Micros,
-    /// It warms with the work it has done too, if that is faster: warm after a tenth of what it could do in
-    /// that time once warm.
+    /// Whether completed work shortens the warm-up: the node is also warm once it has done a tenth of the
+    /// work that it could do in `warm_after` at full power.
     pub warm_by_work: bool,
-    /// Share of its power lost when overfull: begins at `thrash_at` requests held a core, whole at twice that.
+    /// Share of its power lost under overload: the loss begins at `thrash_at` requests per core and is
+    /// complete at twice that number.
     pub thrash: f64,
     /// See `thrash`.
     pub thrash_at: f64,
-    /// Work saved when a key is among the last few.
+    /// Share of the work saved when the key is cached.
     pub seek: f64,
-    /// How many keys it remembers.
+    /// Capacity of the key cache (least recently used).
     pub remembers: usize,
-    /// Share of a write's work that is put off, and how often that is done.
+    /// Share of a write's work that is deferred.
     pub put_off: f64,
-    /// See `put_off`.
+    /// Interval at which deferred work is executed.
     pub put_off_every: Micros,
-    /// A cold node falls over when sent more than `overload_multiple` times its present power for `slow_start_window`,
-    /// and more than `fall_work` of work, microseconds of a core of speed 1.
+    /// A cold node fails when it receives more than `overload_multiple` times its current power within
+    /// `slow_start_window`, and more than `fall_work`, in microseconds of a core of speed 1.
     pub overload_multiple: f64,
     /// See `overload_multiple`.
     pub slow_start_window: Micros,
@@ -43,39 +44,39 @@
     pub fall_work: f64,
 }
 
-/// What is wrong with a node at the moment.
+/// Current degradation of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Trouble {
-    /// Times slower.
+    /// Slow-down factor.
     pub slow: f64,
-    /// Share of the machine that something else takes.
+    /// Share of the machine that another process takes.
     pub neighbour: f64,
 }
 
-/// A request given to the node.
+/// A request for the node to execute.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// The caller's number for it.
+    /// Identifier chosen by the caller.
     pub id: u64,
-    /// Microseconds of a core of speed 1.
+    /// Work, in microseconds of a core of speed 1.
     pub work: f64,
-    /// The item of data.
+    /// Key of the item.
     pub key: Option<u64>,
-    /// Part of its work is put off.
+    /// Whether it is a write, part of whose work is deferred.
     pub write: bool,
 }
 
-/// The job that works off what was put off.
+/// Identifier of the job that executes deferred work.
 const PUT_OFF: u64 = u64::MAX;
-/// While the power changes, it is looked at again after this.
+/// Interval at which the rate is recomputed while the power changes.
 const STEP: Micros = Micros(5000);
 
-/// A node's work.
+/// Execution state of a node.
 #[derive(Debug)]
 pub struct Model {
-    /// What it is.
+    /// Resources.
     pub spec: Spec,
-    /// What is wrong.
+    /// Current degradation.
     pub trouble: Trouble,
     booted: Option<Micros>,
     worked: f64,
@@ -92,7 +93,7 @@
 }
 
 impl Model {
-    /// A node that starts now, cold or warm.
+    /// Creates a node that starts now, cold or warm.
     pub fn new(spec: Spec, cold: bool, now: Micros) -> Self {
         Model {
             trouble: Trouble { slow: 1.0, neighbour: 0.0 },
@@ -112,27 +113,27 @@
         }
     }
 
-    /// Requests held.
+    /// Number of requests in slots and in the queue.
     pub fn held(&self) -> usize {
         self.active.len() + self.waiting.len()
     }
 
-    /// Requests waiting.
+    /// Number of requests in the queue.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Share of its cores that is busy.
+    /// Returns the share of its cores that is busy.
     pub fn busy(&self) -> f64 {
         (self.active.len() as f64 / self.spec.cores).min(1.0)
     }
 
-    /// Whether it fell over: it does no more work in this life.
+    /// Returns whether the node failed under overload; it stays failed until it is restarted.
     pub fn fell(&self) -> bool {
         self.fell
     }
 
-    /// Share of its power that it has by warmth.
+    /// Returns the share of its full power that is available at this stage of its warm-up.
     pub fn warmth(&self, now: Micros) -> f64 {
         let Some(booted) = self.booted else { return 1.0 };
         let whole = self.spec.warm_after.0.max(1) as f64;
@@ -142,17 +143,17 @@
         self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * part.min(1.0)
     }
 
-    /// The time up to which the node has worked.
+    /// Returns the time up to which the model was advanced.
     pub fn advanced_to(&self) -> Micros {
         self.advanced
     }
 
-    /// Work left of the job that has been active for longest, microseconds.
+    /// Returns the remaining work of the job that has been active for longest, in microseconds.
     pub fn first_work_left(&self) -> Option<f64> {
         self.active.first().map(|(_, work_left)| *work_left)
     }
 
-    /// Work a microsecond for each active job.
+    /// Returns the work done per microsecond for each active job.
     fn rate(&self, now: Micros) -> f64 {
         if self.fell || self.active.is_empty() {
             return 0.0;
@@ -164,12 +165,12 @@
         cores * self.spec.speed * self.warmth(now) * left
     }
 
-    /// Stands still for a time: nothing is worked on, everything is kept.
+    /// Stalls for a time: no work is done, all requests stay.
     pub fn stall(&mut self, duration: Micros, now: Micros) {
         self.stalled_until = self.stalled_until.max(now.after(duration));
     }
 
-    /// Takes a request; false: the queue is full. Call `advance` first.
+    /// Accepts a request; returns false if the queue is full. Call `advance` first.
     pub fn take(&mut self, job: Job, now: Micros) -> bool {
         self.weigh(job.work, now);
         let room = self.slots_taken() < self.spec.slots;
@@ -184,7 +185,8 @@
         true
     }
 
-    /// All that is sent to a cold node weighs on it, what it turns away included.
+    /// Counts the work sent to a cold node, including requests that it rejects, and fails the node on
+    /// overload.
     fn weigh(&mut self, work: f64, now: Micros) {
         if self.warmth(now) >= 1.0 {
             return;
@@ -218,13 +220,13 @@
         self.active.push((job.id, work.max(1.0)));
     }
 
-    /// Work beside the requests, that holds no slot: a handshake.
+    /// Adds work that takes no slot, such as a handshake.
     pub fn burden(&mut self, work: f64, now: Micros) {
         self.weigh(work, now);
         self.active.push((PUT_OFF, work.max(1.0)));
     }
 
-    /// Calls a request off; false: it is not held.
+    /// Cancels a request; returns false if the node does not hold it.
     pub fn cancel(&mut self, id: u64) -> bool {
         let before = self.held();
         self.active.retain(|(a, _)| *a != id);
@@ -233,7 +235,7 @@
         self.held() < before
     }
 
-    /// What was put off takes a share of the cores, and no slot.
+    /// Deferred work takes a share of the cores, but no slot.
     fn slots_taken(&self) -> usize {
         self.active.iter().filter(|(id, _)| *id != PUT_OFF).count()
     }
@@ -245,7 +247,7 @@
         }
     }
 
-    /// Works until now. Returns what was finished, in order.
+    /// Advances the model to `now`. Returns the finished requests, in order.
     pub fn advance(&mut self, now: Micros) -> Vec<u64> {
         let mut finished = Vec::new();
         while self.advanced < now {
@@ -259,7 +261,7 @@
             self.advanced = until;
             self.worked += done * self.active.len() as f64;
             self.active.iter_mut().for_each(|(_, left)| *left -= done);
-            // A microsecond is the least step: what is left of less is done.
+            // The time step is at least a microsecond, so a job with less work left is done.
             let ended: Vec<u64> = self.active.iter().filter(|(_, l)| *l < 0.5).map(|(id, _)| *id).collect();
             self.active.retain(|(_, left)| *left >= 0.5);
             finished.extend(ended.into_iter().filter(|id| *id != PUT_OFF));
@@ -272,7 +274,7 @@
         finished
     }
 
-    /// When something may be finished next, seen from `now`.
+    /// Returns the next time after `now` at which the state may change.
     pub fn next(&self, now: Micros) -> Option<Micros> {
         if self.fell {
             return None;
--- a/crates/flaxstand-simulation/src/node.rs
+++ b/crates/flaxstand-simulation/src/node.rs
@@ -1,21 +1,21 @@
-//! An emulated storage node: takes attempts, works them off on its [`Model`], keeps the data that is
-//! written, answers, and has the troubles that its standard input names.
+//! Emulated storage node: queues attempts, executes them on its [`Model`], stores written data, replies,
+//! and injects the faults that its standard input names.
 //!
-//! | line | from then on |
+//! | line | effect from then on |
 //! | --- | --- |
-//! | `stall MS` | stands still for that time |
-//! | `pauses MS EVERY` | stands still so long, so often (0 0: no more) |
-//! | `slow TIMES` | works that much slower (1: as usual) |
-//! | `neighbour SHARE` | something else takes that share of it (0: nothing) |
-//! | `drop SHARE` | loses that share of its answers |
-//! | `hang 0` or `1` | takes work and answers nothing |
-//! | `errors SHARE` | fails that share at once |
-//! | `full 0` or `1` | turns everything away unseen |
+//! | `stall MS` | stalls for that time |
+//! | `pauses MS EVERY` | stalls periodically for that time (0 0: off) |
+//! | `slow TIMES` | slows down by that factor (1: off) |
+//! | `neighbour SHARE` | another process takes that share of its power (0: off) |
+//! | `drop SHARE` | drops that share of its replies |
+//! | `hang 0` or `1` | executes attempts and sends no reply |
+//! | `errors SHARE` | fails that share of attempts at once |
+//! | `full 0` or `1` | rejects every attempt |
 //! | `refuse 0` or `1` | closes new connections at once |
-//! | `deaf 0` or `1` | greets no one |
+//! | `deaf 0` or `1` | ignores handshakes |
 //! | `reset` | closes every connection |
-//! | `cut-in 0` or `1`, `cut-out 0` or `1` | nothing gets in, or out, until it is over; then all that was held back |
-//! | `heavy CLASS SHARE TIMES` | that share of a class costs so many times its work |
+//! | `cut-in 0` or `1`, `cut-out 0` or `1` | holds back incoming or outgoing traffic; 0 releases it |
+//! | `heavy CLASS SHARE TIMES` | multiplies the work of that share of a class |
 
 use crate::model::{Job, Model};
 use crate::shell::{Links, Peer};
@@ -28,43 +28,44 @@
 use std::collections::BTreeMap;
 use tracing::warn;
 
-/// Who a node is.
+/// Identity of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity {
-    /// Its number in the list.
+    /// Number of the node in the list.
     pub node: u64,
-    /// Which start of it.
+    /// Incarnation, which grows with each restart.
     pub incarnation: u64,
-    /// The shard it holds.
+    /// Shard that it holds.
     pub shard: u32,
     /// Its zone.
     pub zone: u32,
 }
 
-/// How it works beside its model.
+/// Behaviour of a node outside its resource model.
 #[derive(Clone, Copy, Debug)]
 pub struct Habits {
-    /// Work of a unit, microseconds of a core of speed 1.
+    /// Work of a unit, in microseconds of a core of speed 1.
     pub unit_work: f64,
-    /// A request's own work lies between these multiples of its units'.
+    /// Range of the factor by which a request's work differs from that of its units.
     pub spread: (f64, f64),
-    /// How often its load report is refreshed.
+    /// Interval at which its load report is refreshed.
     pub report_every: Micros,
-    /// How old a report is when it is first told.
+    /// Age of a load report when it is first sent.
     pub report_late: Micros,
-    /// Its figures are off by up to this share.
+    /// Maximum relative error of the reported figures.
     pub report_noise: f64,
-    /// Connections that it takes; one more is closed as it comes.
+    /// Maximum number of connections; further ones are closed at once.
     pub connections: usize,
-    /// Work of a handshake, microseconds of a core of speed 1.
+    /// Work of a handshake, in microseconds of a core of speed 1.
     pub handshake: f64,
-    /// A cancel, and a time-out that is told as one, stops work.
+    /// Whether a cancel frame, also one sent for a time-out, stops the work.
     pub cancels: bool,
-    /// How long it drops repeats of an operation.
+    /// Deduplication window of operations.
     pub window: Micros,
 }
 
-/// Most operations and items remembered; the oldest goes first.
+/// Maximum number of operations and of items kept. Items are evicted in the order of their keys; operations
+/// expire with the window.
 const REMEMBERED: usize = 1 << 20;
 
 #[derive(Default)]
@@ -112,18 +113,19 @@
     next: u64,
     data: BTreeMap<(u64, u64), Vec<u8>>,
     ran: BTreeMap<u64, Micros>,
-    /// Units served for each volume, and of those by each initiator, and what each was told.
+    /// Units served by volume.
     served: BTreeMap<u64, u64>,
     served_for: BTreeMap<(u64, u32), (u64, u64)>,
     report: Report,
-    /// Measured, and told from then on.
+    /// A measured load report, and the time from which it is sent.
     coming: Option<(Micros, Report)>,
     report_at: Micros,
     fell: bool,
 }
 
 impl Node {
-    /// A node that starts now with the data that an earlier life of it stored, and draws from a seed.
+    /// Creates a node that starts now with the data that an earlier incarnation stored, and a random
+    /// generator of its own.
     pub fn new(id: Identity, habits: Habits, seed: u64, model: Model, stored: &[u8]) -> Self {
         Node {
             rng: Pcg64Mcg::seed_from_u64(seed ^ id.node.rotate_left(20) ^ id.incarnation),
@@ -145,7 +147,7 @@
         }
     }
 
-    /// The record of its start.
+    /// Returns the record of its start.
     pub fn up(&self, cold: bool, now: Micros) -> Record {
         Record::NodeUp {
             at: now.0,
@@ -159,7 +161,8 @@
         }
     }
 
-    /// Work of a request, drawn anew for each attempt but in step with its operation.
+    /// Returns the work of an attempt. It is derived from the operation, so all attempts of an operation
+    /// cost the same.
     fn weight(&mut self, a: &Attempt<'_>) -> f64 {
         let mut own = Pcg64Mcg::seed_from_u64(a.operation);
         let mut work = f64::from(a.units) * self.habits.unit_work * between(&mut own, self.habits.spread);
@@ -215,7 +218,8 @@
         );
         self.finish(links, now);
         let key = a.extent.filter(|_| a.attempt == 0);
-        // A repeat of what ran here costs next to nothing and changes nothing.
+        // A repeat of an operation that ran here is deduplicated: it costs next to nothing and changes
+        // nothing.
         let work = if self.ran.contains_key(&a.operation) { 1.0 } else { work };
         if self.faults.full || !self.model.take(Job { id, work, key, write: a.write }, now) {
             self.answer(links, id, Code::Rejected, now);
@@ -287,7 +291,7 @@
         links.push(work.conn, &Frame::Done(Done { request, attempt, code, report, payload }));
     }
 
-    /// Units of the volume served for other initiators since this one was last told.
+    /// Returns the units of the volume served for other initiators since the last report to this one.
     fn news_of_others(&mut self, work: &Work, code: Code) -> u32 {
         let (volume, units) = (work.place.0, u64::from(work.units));
         let own = self.served_for.entry((volume, work.initiator)).or_default();
@@ -321,7 +325,7 @@
     }
 }
 
-/// A write that begins inside an item, laid over what is there.
+/// Returns the item after a write at an offset.
 fn laid_over(held: Option<&Vec<u8>>, at: usize, payload: &[u8]) -> Vec<u8> {
     let mut data = held.cloned().unwrap_or_default();
     let end = at + payload.len();
@@ -332,7 +336,7 @@
     data
 }
 
-/// An item as stored: volume, extent, length, payload.
+/// Stores an item: volume, extent, length, payload.
 fn store(links: &mut Links, (volume, extent): (u64, u64), payload: &[u8]) {
     links.store(&volume.to_le_bytes());
     links.store(&extent.to_le_bytes());
@@ -340,7 +344,7 @@
     links.store(payload);
 }
 
-/// What was stored; an item cut short by the writer's end is left out.
+/// Reads the stored items. A last item truncated by a crash of the writer is ignored.
 fn read_stored(mut bytes: &[u8]) -> BTreeMap<(u64, u64), Vec<u8>> {
     let mut data = BTreeMap::new();
     while let Some((head, rest)) = bytes.split_first_chunk::<24>() {
@@ -399,7 +403,7 @@
             Frame::Probe { token } => links.push(conn, &Frame::Probed { token, report: self.report }),
             Frame::Bye { .. } => {}
             other => {
-                warn!(?other, "a frame that has no place here");
+                warn!(?other, "unexpected frame; closing the connection");
                 links.close(conn);
                 self.gone(links, conn, now);
             }
@@ -444,7 +448,7 @@
             Some("heavy") => {
                 self.faults.heavy = (number(2) > 0.0).then(|| (number(1) as u16, number(2), number(3)))
             }
-            _ => warn!(line, "no such trouble"),
+            _ => warn!(line, "ignoring an unknown line of standard input"),
         }
     }
 
--- a/crates/flaxstand-simulation/src/press.rs
+++ b/crates/flaxstand-simulation/src/press.rs
@@ -1,5 +1,5 @@
-//! The two ends of a measurement: nodes that answer at once, all in one process, and clients that keep a
-//! number of requests out or send at a rate.
+//! Both ends of a measurement: nodes that answer at once, all in one process, and clients that keep a
+//! number of requests in flight or send at a fixed rate.
 
 use crate::rehearse::{StandIn, serve};
 use crate::shell::{Links, Peer};
@@ -10,12 +10,12 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// Bytes that a node answers with.
+/// Payload of each answer of a node.
 const ANSWER: [u8; 64] = [7; 64];
-/// What is not counted at first, as a share of the time measured.
+/// Duration of the warm-up, as a share of the measured time.
 pub(crate) const WARM_UP: f64 = 0.25;
 
-/// Nodes that answer at once, or never.
+/// Nodes that answer at once or, if mute, never.
 struct Echo {
     mute: bool,
     nodes: BTreeMap<ConnId, u64>,
@@ -60,29 +60,29 @@
     }
 }
 
-/// What the clients of a measurement do.
+/// Load that the clients of a measurement generate.
 #[derive(Clone, Debug)]
 pub struct Pressure {
-    /// Where to.
+    /// Address of the initiator.
     pub initiator: Address,
-    /// Shards that requests are spread over evenly.
+    /// Number of shards over which requests are spread evenly.
     pub shards: u32,
-    /// Connections.
+    /// Number of connections.
     pub clients: u32,
-    /// Requests that each keeps out; 0: a rate is kept instead.
+    /// Requests that each connection keeps in flight; 0: requests are sent at `rate`.
     pub window: u32,
-    /// Requests a second over all.
+    /// Requests per second over all connections.
     pub rate: f64,
-    /// Bytes of a write; 0: requests read.
+    /// Payload of a write, bytes; 0: requests are reads.
     pub write: u32,
-    /// How long is measured.
+    /// Measured time, seconds.
     pub seconds: f64,
 }
 
-/// What they saw, after the warm-up.
+/// Results of the clients, without the warm-up.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Seen {
-    /// Seconds measured.
+    /// Measured time, seconds.
     pub seconds: f64,
     /// Requests served.
     pub served: u64,
@@ -181,7 +181,7 @@
     }
 
     fn gone(&mut self, links: &mut Links, _conn: ConnId, _now: Micros) {
-        links.command(Command::Print("lost the initiator".into()));
+        links.command(Command::Print("connection to the initiator lost".into()));
         links.command(Command::Exit);
     }
 
@@ -200,7 +200,7 @@
             self.seen.seconds = now.since(from).ms() / 1000.0;
             self.seen.p50_us = self.lags.value_at_quantile(0.5);
             self.seen.p99_us = self.lags.value_at_quantile(0.99);
-            let json = serde_json::to_string(&self.seen).expect("figures are plain data");
+            let json = serde_json::to_string(&self.seen).expect("the results serialise");
             links.command(Command::Print(format!("seen {json}")));
             links.command(Command::Exit);
             return None;
@@ -208,7 +208,8 @@
         if self.p.window > 0 {
             return Some(end);
         }
-        // Each is timed from when it was due, not from when it could be sent.
+        // Latency counts from the scheduled time, not from the time of sending, to avoid coordinated
+        // omission.
         let gap = 1e6 / self.p.rate.max(1e-3);
         let due = |n: u64| start.after(Micros((n as f64 * gap) as u64));
         while due(self.next) <= now {
@@ -219,20 +220,20 @@
     }
 }
 
-/// Runs nodes that answer at once, one for each address listened at, until standard input ends.
+/// Runs nodes that answer at once, one for each listen address, until standard input ends.
 ///
 /// # Errors
-/// They can't listen, or the driver fails.
+/// A node can't listen, or the driver fails.
 pub fn serve_echo(mute: bool, what: &StandIn) -> io::Result<()> {
     serve(Echo { mute, nodes: BTreeMap::new() }, what)
 }
 
-/// Runs the clients of a measurement, which print what they have seen.
+/// Runs the clients of a measurement, which print their results.
 ///
 /// # Errors
 /// The driver fails.
 pub fn serve_press(p: Pressure, alone: bool) -> io::Result<()> {
-    let lags = Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("its bounds are sound");
+    let lags = Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("the bounds are valid");
     let (open, sent, seen) = Default::default();
     serve(
         Press { p, open, sent, next: 0, from: None, lags, seen, called: false },
--- a/crates/flaxstand-simulation/src/process.rs
+++ b/crates/flaxstand-simulation/src/process.rs
@@ -1,4 +1,5 @@
-//! Processes that a rehearsal or a measurement starts, each with its log; they end with whoever holds them.
+//! Child processes of a rehearsal or a measurement, each with a log file. A child is killed when its handle
+//! is dropped.
 
 use std::fs::OpenOptions;
 use std::io::{self, BufRead, BufReader, Write as _};
@@ -8,24 +9,24 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a day can't be played.
+/// Errors of playing a day or measuring.
 #[derive(Debug, Error)]
 pub enum RehearsalError {
-    /// The system says so.
+    /// An I/O operation failed.
     #[error("{what}: {cause}")]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         what: String,
-        /// What the system said.
+        /// Cause reported by the system.
         cause: io::Error,
     },
-    /// A process did not do what it was started for.
+    /// A child process failed or misbehaved.
     #[error("{0}")]
     Process(String),
-    /// Whoever started it wants it to end.
-    #[error("interrupted: all that was started has been stopped")]
+    /// The run was interrupted from outside.
+    #[error("interrupted: all processes of the run have been stopped")]
     Interrupted,
-    /// What was recorded can't be read.
+    /// The records can't be read.
     #[error(transparent)]
     Records(#[from] flaxstand_audit::record::RecordError),
 }
@@ -35,7 +36,7 @@
     move |cause| RehearsalError::Io { what, cause }
 }
 
-/// A process that is killed when nobody holds it any more.
+/// A child process that is killed on drop.
 pub(crate) struct Process {
     name: String,
     child: Child,
@@ -52,7 +53,7 @@
 
 fn lines_of(output: ChildStdout) -> Receiver<String> {
     let (sender, receiver) = channel();
-    // Ends with the process, or when nobody listens any more.
+    // Ends when the process closes its output or the receiver is dropped.
     std::thread::spawn(move || {
         for line in BufReader::new(output).lines() {
             let Ok(line) = line else { break };
@@ -72,7 +73,8 @@
         arguments: &[String],
     ) -> Result<Process, RehearsalError> {
         let log = folder.join(format!("{name}.log"));
-        let log = OpenOptions::new().create(true).append(true).open(log).map_err(io_error("its log"))?;
+        let failed = io_error(format!("cannot open log file {}", log.display()));
+        let log = OpenOptions::new().create(true).append(true).open(log).map_err(failed)?;
         let mut child = Command::new(program)
             .args(arguments)
             .stdin(Stdio::piped())
@@ -82,7 +84,9 @@
             .map_err(io_error(format!("cannot start {name}")))?;
         let (input, output) = (child.stdin.take(), child.stdout.take());
         let (Some(input), Some(output)) = (input, output) else {
-            return Err(RehearsalError::Process(format!("{name} has no pipes")));
+            return Err(RehearsalError::Process(format!(
+                "{name} was started without pipes on its standard input and output"
+            )));
         };
         Ok(Process { name: name.into(), child, input, output: lines_of(output) })
     }
@@ -91,12 +95,12 @@
         self.child.id()
     }
 
-    /// Waits for a line that starts with a word; returns the rest of it.
+    /// Waits for a line that starts with a word and returns the rest of it.
     pub(crate) fn expect(&mut self, word: &str, within: Duration) -> Result<String, RehearsalError> {
         self.line(word, within)?.ok_or_else(|| self.silent(word))
     }
 
-    /// The same; none if no such line comes in time.
+    /// As `expect`, but returns none if no such line arrives in time.
     pub(crate) fn line(&mut self, word: &str, within: Duration) -> Result<Option<String>, RehearsalError> {
         let until = std::time::Instant::now() + within;
         loop {
@@ -109,15 +113,17 @@
                 }
                 Err(RecvTimeoutError::Timeout) => return Ok(None),
                 Err(RecvTimeoutError::Disconnected) => {
-                    return Err(RehearsalError::Process(format!("{} ended; its log says why", self.name)));
+                    let name = &self.name;
+                    let message = format!("{name} exited unexpectedly; see its log file {name}.log");
+                    return Err(RehearsalError::Process(message));
                 }
             }
         }
     }
 
-    /// It did not say what was waited for.
+    /// Returns the error for a line that did not arrive in time.
     pub(crate) fn silent(&self, word: &str) -> RehearsalError {
-        RehearsalError::Process(format!("{} did not say {word:?} in time", self.name))
+        RehearsalError::Process(format!("{} did not print a line starting with {word:?} in time", self.name))
     }
 
     pub(crate) fn signal(&self, signal: rustix::process::Signal) {
@@ -126,7 +132,7 @@
 
     pub(crate) fn tell(&mut self, lines: &str) {
         if !lines.is_empty() {
-            // A process that is gone hears nothing: that is the trouble being played.
+            // A write to a process that has exited is ignored: the exit is part of the scenario.
             let _ = writeln!(self.input, "{lines}").and_then(|()| self.input.flush());
         }
     }
@@ -134,29 +140,31 @@
 
 pub(crate) const SOON: Duration = Duration::from_secs(10);
 
-/// Asks a process to stop in good order.
+/// Asks a process to shut down gracefully.
 pub(crate) fn ask_to_stop(process: &Process) -> Result<(), RehearsalError> {
     let pid = rustix::process::Pid::from_child(&process.child);
     let asked = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
     asked.map_err(|e| io_error(format!("cannot stop {}", process.name))(e.into()))
 }
 
-/// Stops a process in good order.
+/// Shuts a process down gracefully.
 pub(crate) fn stop(process: Process) -> Result<(), RehearsalError> {
     ask_to_stop(&process)?;
     stopped(process)
 }
 
-/// Waits until a process that was asked to stop has.
+/// Waits until a process that was asked to stop has exited.
 pub(crate) fn stopped(mut process: Process) -> Result<(), RehearsalError> {
     for _ in 0..1000 {
         if let Ok(Some(status)) = process.child.try_wait() {
             return match status.success() {
                 true => Ok(()),
-                false => Err(RehearsalError::Process(format!("{} ended with {status}", process.name))),
+                false => {
+                    Err(RehearsalError::Process(format!("{} failed on shutdown: {status}", process.name)))
+                }
             };
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    Err(RehearsalError::Process(format!("{} did not stop", process.name)))
+    Err(RehearsalError::Process(format!("{} did not exit within 10 s of SIGTERM", process.name)))
 }
--- a/crates/flaxstand-simulation/src/recovery.rs
+++ b/crates/flaxstand-simulation/src/recovery.rs
@@ -1,33 +1,33 @@
-//! How service comes back after a trouble: by the second in which clients first wanted something, the worth
-//! that was served in time over the worth wanted.
+//! Recovery of service after faults. Service is computed per second of the operations' first try: the
+//! weight of the operations served in time, divided by the weight of all operations.
 
 use crate::day::{Day, Trouble};
 use crate::report::Operation;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Seconds in a row that must be well before service counts as back.
+/// Consecutive seconds at or above the threshold after which service counts as recovered.
 const WELL: usize = 3;
-/// What counts as back, as a share of what service was before.
+/// Threshold of recovery, as a share of the service before the faults.
 const BACK: f64 = 0.95;
 
-/// How service went.
+/// Service before, during and after faults.
 #[derive(Clone, Debug, Serialize)]
 pub struct Recovery {
-    /// Service before the first fault.
+    /// Mean service before the first fault.
     pub before: f64,
-    /// The least in a second from the first fault on.
+    /// Lowest service of any second from the first fault on.
     pub least: f64,
-    /// Seconds from when the last node was warm until service was back to 0.95 of what it was before, for
-    /// three seconds in a row; below 0: earlier. None: it was not.
+    /// Seconds from when the last node was warm until service reached 0.95 of its former value for three
+    /// consecutive seconds; negative if that was earlier. None: it was not reached.
     pub back_after: Option<f64>,
-    /// Mean service from the first fault until the day's end.
+    /// Mean service from the first fault until the end of the day.
     pub since: f64,
-    /// By second.
+    /// Service of each second.
     pub seconds: Vec<f64>,
 }
 
-/// Service by second, and when it was back. None: nothing goes wrong on this day.
+/// Computes service by second and the recovery time. Returns none if there are no operations.
 pub(crate) fn recovery(day: &Day, operations: &BTreeMap<u64, Operation>) -> Option<Recovery> {
     let first = day.faults.iter().map(|f| f.at).fold(f64::INFINITY, f64::min);
     let cold = day.site.site.settings.warm_up_time / 1000.0;
@@ -53,7 +53,7 @@
     let from = (first as usize).min(seconds.len());
     let before = mean(&seconds[..from]);
     let well = |s: &[f64]| s.iter().all(|s| *s >= BACK * before);
-    // Not sought before nodes have come back at all.
+    // The search starts only once the nodes have been restarted.
     let from_warm = (warm - cold).max(first) as usize;
     let back = (from_warm..seconds.len().saturating_sub(WELL - 1)).find(|at| well(&seconds[*at..at + WELL]));
     Some(Recovery {
--- a/crates/flaxstand-simulation/src/rehearse.rs
+++ b/crates/flaxstand-simulation/src/rehearse.rs
@@ -1,5 +1,5 @@
-//! Plays a day on loopback: starts the list service, the nodes, the initiators and the clients, each a
-//! process of its own; brings about what goes wrong at its time; audits what was recorded.
+//! Plays a day on loopback: starts the list service, the nodes, the initiators and the clients, each in a
+//! process of its own, injects the faults at their times, and audits the records.
 
 use crate::agreed::{Agreed, Links, calendar, changed};
 use crate::between;
@@ -27,22 +27,22 @@
 use std::time::Duration;
 use tracing::info;
 
-/// What to play and how.
+/// Parameters of a rehearsal.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The program that holds all roles.
+    /// Path of the executable, which has a subcommand for each role.
     pub program: PathBuf,
-    /// The day's file and its text.
+    /// Path of the day's file.
     pub file: PathBuf,
-    /// See `file`.
+    /// Text that holds the site's part of the day.
     pub text: String,
     /// The day.
     pub day: Day,
-    /// How long requests come, seconds; what goes wrong later does not happen.
+    /// Duration of the traffic, seconds; later faults do not happen.
     pub seconds: f64,
-    /// The policy of the initiators: `module` or `pipe`.
+    /// Policy of the initiators: `module` or `pipe`.
     pub policy: String,
-    /// Where records, settings and logs go. It must be empty or absent.
+    /// Folder for records, settings and logs. It must be empty or absent.
     pub folder: PathBuf,
 }
 
@@ -59,11 +59,11 @@
     list_address: String,
     nodes: Vec<NodeSlot>,
     initiators: Vec<Option<Process>>,
-    /// Those that were killed or told to stop and have not come back.
+    /// Initiators that were killed or asked to stop and not started again yet.
     leaving: BTreeSet<usize>,
     record: File,
     links: Option<Links>,
-    /// Since when initiators stand still.
+    /// Start times of the pauses of initiators.
     paused: BTreeMap<usize, f64>,
     next_node: u64,
 }
@@ -72,17 +72,17 @@
     fn note(&mut self, record: &Record) -> Result<(), RehearsalError> {
         let mut line = Vec::new();
         record.write(&mut line);
-        self.record.write_all(&line).map_err(io_error("the rehearsal's record"))
+        self.record.write_all(&line).map_err(io_error("cannot write rehearsal.jsonl"))
     }
 
-    /// What the audit of the agreement has to know beside the logs.
+    /// Records an event that the check of the agreement needs beside the logs.
     fn agreement_note(&mut self, line: &str) -> Result<(), RehearsalError> {
         if self.links.is_none() {
             return Ok(());
         }
         let path = self.plan.folder.join("agreement.log");
         let file = OpenOptions::new().create(true).append(true).open(path);
-        file.and_then(|mut f| writeln!(f, "{line}")).map_err(io_error("the agreement's notes"))
+        file.and_then(|mut f| writeln!(f, "{line}")).map_err(io_error("cannot write agreement.log"))
     }
 
     fn start_node(&mut self, slot: usize, cold: bool, listen: &str) -> Result<(), RehearsalError> {
@@ -122,7 +122,7 @@
             settings += &links.settings(index, accord, |i| format!("initiator-{i}"), &own);
         }
         let file = format!("{folder}/initiator-{index}.kdl");
-        std::fs::write(&file, settings).map_err(io_error("an initiator's settings"))?;
+        std::fs::write(&file, settings).map_err(io_error(format!("cannot write {file}")))?;
         let name = format!("initiator-{index}");
         let arguments = ["run", "--config", &file, "--with-parent"].map(str::to_owned);
         let mut process = Process::start(&self.plan.program, &self.plan.folder, &name, &arguments)?;
@@ -140,7 +140,7 @@
                 }
             }
             Step::TellList(lines) => self.list.tell(&lines),
-            // Faults overlap: what is down already, or up again, stays as it is.
+            // Faults may overlap: a process that is already down, or up again, is left as it is.
             Step::Kill(slot) if self.nodes[slot].process.is_none() => {}
             Step::Return(slot) if self.nodes[slot].process.is_some() => {}
             Step::KillInitiator(index, _) if self.leaving.contains(&index) => {}
@@ -187,15 +187,15 @@
                 if let Some(links) = &self.links {
                     let rules = changed(&rules_of(&self.plan.day.site, self.plan.day.floor.clone()), &sets);
                     let number = links.propose(&rules, &format!("{sets:?}"), SOON);
-                    info!(?number, ?sets, "proposed");
+                    info!(?number, ?sets, "proposed a change of the rules");
                 }
             }
             Step::KillInitiator(index, outright) => {
                 self.leaving.insert(index);
-                // Noted after its end: until then it may act.
                 self.note(&Record::Killed { at: clock().0, initiator: index as u32 })?;
                 if outright {
                     self.initiators[index] = None;
+                    // Recorded after the process has ended: until then it may act.
                     self.agreement_note(&format!("gone {index} {}", calendar()))?;
                 } else if let Some(process) = &self.initiators[index] {
                     ask_to_stop(process)?;
@@ -213,7 +213,7 @@
     }
 }
 
-/// An initiator's settings: the site's part of the day, and what is its own.
+/// Returns an initiator's settings: the site's part of the day, and its own block.
 fn settings_of(plan: &Plan, index: usize, list: &str) -> String {
     let folder = plan.folder.display();
     let day = &plan.day;
@@ -230,21 +230,23 @@
     text
 }
 
-/// Each initiator draws its own numbers.
+/// Returns the seed of an initiator; each has a random sequence of its own.
 pub(crate) fn initiator_seed(day: &Day, index: usize) -> u64 {
     day.seed.wrapping_mul(31).wrapping_add(index as u64) >> 2
 }
 
-/// Plays a day. Everything it starts ends with it.
+/// Plays a day. All processes end with the call.
 ///
 /// # Errors
-/// A process can't be started or ends by itself, or records can't be read. A broken rule is no error: the
-/// report tells of it.
+/// A process can't be started or exits unexpectedly, or the records can't be read. A violated rule is no
+/// error: the report lists it.
 #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
 pub fn rehearse(plan: &Plan) -> Result<(Report, AttemptLedger), RehearsalError> {
-    std::fs::create_dir_all(&plan.folder).map_err(io_error("the rehearsal's folder"))?;
+    std::fs::create_dir_all(&plan.folder)
+        .map_err(io_error(format!("cannot create folder {}", plan.folder.display())))?;
     let record = plan.folder.join("rehearsal.jsonl");
-    let record = File::create_new(&record).map_err(io_error(record.display().to_string()))?;
+    let record =
+        File::create_new(&record).map_err(io_error(format!("cannot create {}", record.display())))?;
     let folder = plan.folder.display();
     let list_arguments =
         ["stand-in", "list", "--listen=127.0.0.1:0", &format!("--record={folder}/list.jsonl")];
@@ -261,7 +263,12 @@
         initiators: (0..initiators).map(|_| None).collect(),
         leaving: BTreeSet::new(),
         record,
-        links: plan.day.accord.map(|_| Links::new(initiators)).transpose().map_err(io_error("relays"))?,
+        links: plan
+            .day
+            .accord
+            .map(|_| Links::new(initiators))
+            .transpose()
+            .map_err(io_error("cannot start the relays"))?,
         paused: BTreeMap::new(),
         next_node: count as u64,
     };
@@ -274,11 +281,14 @@
         stage.start_initiator(index)?;
     }
     if let Some(links) = &stage.links {
-        // The day's own rules are the first version; the day begins once all act on it.
+        // The day's rules are committed as the first version; the traffic starts once all initiators act on
+        // it.
         let rules = rules_of(&plan.day.site, plan.day.floor.clone());
         let first = links.propose(&rules, "the day's file", SOON).and_then(|_| links.alike());
         if first.is_none() {
-            return Err(RehearsalError::Process("the initiators did not agree on a first version".into()));
+            return Err(RehearsalError::Process(
+                "the initiators did not all act on the first version in time".into(),
+            ));
         }
     }
     let mut load_arguments = vec!["stand-in".into(), "load".into(), plan.file.display().to_string()];
@@ -287,7 +297,7 @@
     load_arguments.extend((0..initiators).map(|i| format!("--initiator=unix:{folder}/initiator-{i}.sock")));
     let mut load = Process::start(&plan.program, &plan.folder, "clients", &load_arguments)?;
     load.expect("ready", SOON)?;
-    // The list reaches the initiators, and clients are greeted, before the day begins.
+    // Time for the initiators to receive the list and for the clients' handshakes.
     std::thread::sleep(Duration::from_millis(300));
     load.tell("start");
     let start = clock();
@@ -312,14 +322,14 @@
         stop(process)?;
     }
     drop((stage, load));
-    info!(folder = %plan.folder.display(), "auditing");
+    info!(folder = %plan.folder.display(), "traffic has ended; auditing the records");
     audited(&plan.day, &plan.folder)
 }
 
-/// The report on the records in a folder, as a rehearsal of that day left them.
+/// Builds the report from the records that a rehearsal of the day left in a folder.
 ///
 /// # Errors
-/// They can't be read.
+/// The records or logs can't be read.
 pub fn audited(day: &Day, folder: &Path) -> Result<(Report, AttemptLedger), RehearsalError> {
     let ledger = AttemptLedger::new(read_folder(folder)?);
     let verdict = audit(&ledger, &day.audit_rules());
@@ -331,16 +341,16 @@
     Ok((report, ledger))
 }
 
-/// What a stand-in's process is told.
+/// Options of an emulated process.
 #[derive(Clone, Debug, Default)]
 pub struct StandIn {
-    /// Where it listens, if it does.
+    /// Addresses to listen at.
     pub listen: Vec<Address>,
-    /// Where it writes what it saw.
+    /// File to which records are appended.
     pub record: Option<PathBuf>,
-    /// Where it keeps what is stored.
+    /// File to which stored data is appended.
     pub data: Option<PathBuf>,
-    /// It is not a rehearsal's: it says nothing at its start, and the end of its input is not its own.
+    /// Whether it runs without a rehearsal: no `ready` line is printed at its start.
     pub alone: bool,
 }
 
@@ -365,17 +375,17 @@
     driver.run().map(drop)
 }
 
-/// Runs an emulated list service until its standard input ends.
+/// Runs the emulated list service until its standard input ends.
 ///
 /// # Errors
-/// It can't listen, or the driver fails.
+/// The service can't listen, or the driver fails.
 pub fn serve_list(what: &StandIn) -> io::Result<()> {
     serve(ListService::new(Micros(0)), what)
 }
 
-/// A node of a day.
+/// Creates a node of a day.
 pub(crate) fn emulated(day: &Day, id: Identity, cold: bool, stored: &[u8], now: Micros) -> Node {
-    // A machine's speed is its own: another machine on the same shard has another.
+    // The speed is drawn per machine: another machine on the same shard gets another speed.
     let mut rng = Pcg64Mcg::seed_from_u64(day.seed ^ (id.node + 1).rotate_left(40));
     let spec = Spec { speed: between(&mut rng, day.fleet.speed), ..day.fleet.spec };
     Node::new(id, day.fleet.habits, day.seed, Model::new(spec, cold, now), stored)
@@ -384,7 +394,7 @@
 /// Runs an emulated node of a day until its standard input ends.
 ///
 /// # Errors
-/// It can't listen or read its data, or the driver fails.
+/// The node can't listen or read its data, or the driver fails.
 pub fn serve_node(day: &Day, id: Identity, cold: bool, what: &StandIn) -> io::Result<()> {
     let stored = match &what.data {
         Some(path) if path.exists() => std::fs::read(path)?,
@@ -400,7 +410,7 @@
     serve(node, what)
 }
 
-/// Runs the clients of a day until all they want is done.
+/// Runs the clients of a day until all their operations are done.
 ///
 /// # Errors
 /// The driver fails.
@@ -408,12 +418,12 @@
     serve(Load::new(day, seconds, initiators), what)
 }
 
-/// A folder for a rehearsal's records that no other process uses.
+/// Returns a path for a rehearsal's records that no other process uses.
 pub fn fresh_folder() -> PathBuf {
     std::env::temp_dir().join(format!("flaxstand-{}-{}", std::process::id(), clock().0))
 }
 
-/// Removes what a rehearsal left.
+/// Removes the folder of a rehearsal.
 pub fn clean(folder: &Path) {
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/flaxstand-simulation/src/relay.rs
+++ b/crates/flaxstand-simulation/src/relay.rs
@@ -1,7 +1,8 @@
-//! A relay on a link between two processes, for faults that no process makes itself: bytes that stand still in one
-//! direction or both, come late or a few at a time, connections that break. Traffic on loopback only.
+//! TCP relay on a link between two processes, for faults of the network: traffic that stalls in one
+//! direction or both, is delayed or throttled, and connections that are reset. Loopback only.
 //!
-//! A link that is stalled is a partition as hosts see it: connections stay, new ones are taken, nothing passes.
+//! A stalled link behaves like a network partition: connections stay open, new ones are accepted, and no
+//! data passes.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,36 +10,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a thread of the relay waits before it looks at the faults again.
+/// Interval at which a relay thread checks the faults.
 const LOOK: Duration = Duration::from_millis(5);
-/// Bytes at a time on a link that trickles.
+/// Bytes per write on a throttled link.
 const TRICKLE: usize = 16;
 
-/// What one direction of a link does.
+/// State of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Flow {
-    /// Passes.
+    /// Data passes.
     #[default]
     Pass,
-    /// Nothing passes; what was sent comes later, if the link heals before the connection breaks.
+    /// No data passes; sent data is delivered later if the link heals before the connection breaks.
     Stall,
-    /// Everything comes so much later.
+    /// Data is delayed by this time.
     Late(Duration),
-    /// A few bytes at a time.
+    /// A few bytes pass at a time.
     Trickle,
 }
 
 #[derive(Debug, Default)]
 struct Faults {
-    /// From the caller on, and back to it.
+    /// Flow from the caller to the target, and back.
     there: Flow,
     back: Flow,
-    /// Grows: connections of before are broken.
+    /// Number of resets; connections opened before the latest one are closed.
     resets: u64,
     ended: bool,
 }
 
-/// A relay.
+/// A relay in front of one target address.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -46,10 +47,10 @@
 }
 
 impl Relay {
-    /// Listens on a port of loopback that the system chooses, and calls `to` for each that comes.
+    /// Listens on a loopback port that the system chooses and forwards each connection to `to`.
     ///
     /// # Errors
-    /// There is no port to be had.
+    /// No port can be bound.
     pub fn start(to: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
@@ -68,28 +69,28 @@
         Ok(Relay { address, faults })
     }
 
-    /// Where it listens.
+    /// Address at which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What the link does from now on, from the caller on and back.
+    /// Sets the flow from the caller to the target, and back.
     pub fn set(&self, there: Flow, back: Flow) {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
         (faults.there, faults.back) = (there, back);
     }
 
-    /// The same of one direction: from the caller on.
+    /// Sets the flow from the caller to the target.
     pub fn set_there(&self, flow: Flow) {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).there = flow;
     }
 
-    /// Back to the caller.
+    /// Sets the flow back to the caller.
     pub fn set_back(&self, flow: Flow) {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).back = flow;
     }
 
-    /// Breaks all connections that stand now.
+    /// Closes all open connections.
     pub fn reset(&self) {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).resets += 1;
     }
@@ -109,7 +110,7 @@
     let born = look(faults, |f| f.resets);
     let shared = Arc::clone(faults);
     thread::spawn(move || {
-        // A link that passes nothing lets no call through either: the caller's stands, and is silent.
+        // A stalled link doesn't connect to the target either: the caller's connection is open, but silent.
         while look(&shared, |f| f.there == Flow::Stall || f.back == Flow::Stall) {
             if look(&shared, |f| f.ended || f.resets != born) {
                 return;
@@ -128,7 +129,7 @@
     });
 }
 
-/// Passes one direction on until either end is closed, or the connection is to break.
+/// Forwards one direction until either end closes or the connection is reset.
 fn pump(
     mut from: TcpStream,
     mut to: TcpStream,
@@ -151,7 +152,7 @@
             Ok(0) => break,
             Ok(count) => {
                 let came = Instant::now();
-                // What was read before a stall waits with it.
+                // Data that was read before a stall is held until the stall ends.
                 loop {
                     let (now, broken) = look(faults, |f| (flow(f), f.ended || f.resets != born));
                     let due = match now {
--- a/crates/flaxstand-simulation/src/report.rs
+++ b/crates/flaxstand-simulation/src/report.rs
@@ -1,4 +1,4 @@
-//! What a day came to, from the records: service by class and plan, latency, refusals, tries and attempts.
+//! Report on a day, from its records: service by class and plan, latency, refusals, tries and attempts.
 
 use crate::agreed::Agreed;
 use crate::day::Day;
@@ -9,14 +9,14 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// What became of what clients wanted done, in one class or plan.
+/// Results of the clients' operations of one class or plan.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the class or plan.
     pub name: String,
-    /// Operations that clients wanted done.
+    /// Number of operations.
     pub wanted: u64,
-    /// Served within the aim, counted from the first try.
+    /// Served within the latency objective, counted from the first try.
     pub in_time: u64,
     /// Served later.
     pub late: u64,
@@ -26,18 +26,18 @@
     pub failed: u64,
     /// Not served; the last try had no answer, or there was none.
     pub lost: u64,
-    /// Tries.
+    /// Number of tries of clients.
     pub tries: u64,
-    /// Attempts at nodes.
+    /// Number of attempts at nodes.
     pub attempts: u64,
-    /// Median of what was served, from the first try, ms.
+    /// Median latency of the served operations, from the first try, ms.
     pub p50_ms: f64,
-    /// Its 99th percentile, ms.
+    /// 99th percentile of that latency, ms.
     pub p99_ms: f64,
 }
 
 impl Service {
-    /// Share served in time.
+    /// Returns the share served in time.
     pub fn share(&self) -> f64 {
         self.in_time as f64 / self.wanted.max(1) as f64
     }
@@ -46,23 +46,24 @@
 /// A day's report.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The day.
+    /// Name of the day.
     pub day: String,
-    /// Worth served in time over worth wanted, without regard to shares of plans.
+    /// Weight of the operations served in time divided by the weight of all operations, regardless of the
+    /// plans' shares.
     pub service: f64,
-    /// By class.
+    /// Results by class.
     pub classes: Vec<Service>,
-    /// By plan.
+    /// Results by plan.
     pub plans: Vec<Service>,
-    /// How service came back after what went wrong, if anything did.
+    /// Recovery of service; none if there were no operations.
     pub recovery: Option<Recovery>,
-    /// What became of the agreement, where initiators agree.
+    /// Results of consensus, if the initiators run it.
     pub agreement: Option<Agreed>,
-    /// What the audit found.
+    /// Result of the audit.
     pub audit: Verdict,
 }
 
-/// What a client wanted done, over all its tries.
+/// An operation of a client, over all its tries.
 pub(crate) struct Operation {
     pub(crate) class: u16,
     plan: u16,
@@ -96,11 +97,11 @@
     all
 }
 
-/// The report of a day.
+/// Builds the report of a day.
 pub fn report(day: &Day, ledger: &AttemptLedger, audit: Verdict) -> Report {
     let site = &day.site.site;
-    // Up to an hour, in microseconds, to three digits.
-    let histogram = || Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3).expect("its bounds are sound");
+    // Latencies up to an hour, in microseconds, with three significant digits.
+    let histogram = || Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3).expect("the bounds are valid");
     let named = |names: Vec<&String>| -> Vec<(Service, Histogram<u64>)> {
         let of = |n: &String| (Service { name: n.clone(), ..Service::default() }, histogram());
         names.into_iter().map(of).collect()
@@ -160,12 +161,12 @@
 }
 
 impl Report {
-    /// Every rule was kept, and what initiators agreed on was as promised.
+    /// Returns whether the audit and the check of the agreement passed.
     pub fn kept(&self) -> bool {
         self.audit.passed() && self.agreement.as_ref().is_none_or(Agreed::kept)
     }
 
-    /// For people.
+    /// Formats the report as text.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
     pub fn text(&self) -> String {
         let mut out = String::new();
--- a/crates/flaxstand-simulation/src/script.rs
+++ b/crates/flaxstand-simulation/src/script.rs
@@ -1,37 +1,37 @@
-//! A day's faults as steps in time: what both drivers carry out.
+//! Timeline of a day's faults, which both the process driver and the virtual-time driver execute.
 
 use crate::day::{Day, Trouble};
 use flaxstand_consensus::rules::Value;
 use std::collections::BTreeMap;
 
-/// What happens at a moment of the day.
+/// A step of the timeline.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// A node's standard input takes these lines.
+    /// Sends lines to a node's standard input.
     Tell(usize, String),
-    /// So does the list service's.
+    /// Sends lines to the list service's standard input.
     TellList(String),
-    /// A node is killed.
+    /// Kills a node.
     Kill(usize),
-    /// It comes back cold.
+    /// Restarts a node, cold.
     Return(usize),
-    /// It drains.
+    /// Drains a node.
     Drain(usize),
-    /// It is gone, and another machine takes its shard.
+    /// Removes a node, and starts another machine on its shard.
     Succeed(usize),
-    /// An initiator is killed outright, or told to stop.
+    /// Kills an initiator (true), or asks it to stop (false).
     KillInitiator(usize, bool),
-    /// It is started again.
+    /// Restarts an initiator.
     ReturnInitiator(usize),
-    /// Nothing passes between an initiator and all others, or it does again.
+    /// Isolates an initiator from all others, or reconnects it.
     Cut(usize, bool),
-    /// An initiator's process stands still, or goes on.
+    /// Suspends an initiator's process, or resumes it.
     Pause(usize, bool),
-    /// A change of the rules is proposed.
+    /// Proposes a change of the rules.
     Propose(BTreeMap<String, Value>),
 }
 
-/// The steps of a day that lasts so long, by their second.
+/// Returns the steps of a day that lasts `seconds`, in the order of their times.
 pub fn script(day: &Day, seconds: f64) -> Vec<(f64, Step)> {
     let mut steps = Vec::new();
     for fault in &day.faults {
--- a/crates/flaxstand-simulation/src/shell.rs
+++ b/crates/flaxstand-simulation/src/shell.rs
@@ -1,4 +1,5 @@
-//! What the emulated peers share: connections, greetings, records. A [`Peer`] in a [`Shell`] is a machine.
+//! Common part of the emulated peers: connections, framing, records. A [`Shell`] runs a [`Peer`] as a
+//! machine.
 
 use flaxstand_audit::Record;
 use flaxstand_gateway::machine::{Command, ConnId, Control, Machine, Micros, Sink};
@@ -6,27 +7,27 @@
 use std::collections::BTreeMap;
 use tracing::warn;
 
-/// An emulated peer.
+/// Behaviour of an emulated peer.
 pub trait Peer {
-    /// Whether it takes a connection now.
+    /// Returns whether it accepts a connection now.
     fn accepts(&self) -> bool {
         true
     }
-    /// A connection was taken at the so manieth address listened at; `opened` follows.
+    /// A connection was accepted at the listener with this index; `opened` follows.
     fn taken(&mut self, _conn: ConnId, _listener: usize) {}
-    /// A connection stands, by its own call or another's.
+    /// A connection is open, initiated by either side.
     fn opened(&mut self, links: &mut Links, conn: ConnId, now: Micros);
-    /// A frame came.
+    /// A frame was received.
     fn frame(&mut self, links: &mut Links, conn: ConnId, frame: Frame<'_>, now: Micros);
-    /// A connection is no more, or never came to be.
+    /// A connection was closed, or could not be opened.
     fn gone(&mut self, links: &mut Links, conn: ConnId, now: Micros);
-    /// A line of standard input: a fault begins or ends.
+    /// A line of standard input was read: a fault begins or ends.
     fn line(&mut self, links: &mut Links, line: &str, now: Micros);
-    /// Everything of this moment has been told. Returns its own next moment.
+    /// All events of this instant have been delivered. Returns the time of the peer's next timer.
     fn settle(&mut self, links: &mut Links, now: Micros) -> Option<Micros>;
 }
 
-/// A peer's connections.
+/// Connections and pending outputs of a peer.
 #[derive(Default)]
 pub struct Links {
     next: u64,
@@ -36,9 +37,9 @@
     data: Vec<u8>,
     cut_out: bool,
     cut_in: bool,
-    /// What came while nothing could.
+    /// Data received while incoming traffic is held back.
     kept: Vec<(Micros, ConnId, Vec<u8>)>,
-    /// When what is handed over now reached this host, if that was earlier.
+    /// Arrival time of the data being delivered, if it was held back.
     reached: Option<Micros>,
 }
 
@@ -50,14 +51,14 @@
         conn
     }
 
-    /// Calls a peer.
+    /// Connects to a peer.
     pub fn call(&mut self, address: flaxstand_gateway::machine::Address) -> ConnId {
         let conn = self.open();
         self.commands.push(Command::Connect { conn, address });
         conn
     }
 
-    /// Writes a frame.
+    /// Sends a frame.
     pub fn push(&mut self, conn: ConnId, frame: &Frame<'_>) {
         if let Some((_, outbox)) = self.links.get_mut(&conn) {
             if outbox.is_empty() {
@@ -67,53 +68,53 @@
         }
     }
 
-    /// Closes a connection. What waited on it is dropped.
+    /// Closes a connection and drops its pending output.
     pub fn close(&mut self, conn: ConnId) {
         if self.links.remove(&conn).is_some() {
             self.commands.push(Command::Close { conn, last: Vec::new() });
         }
     }
 
-    /// Every connection that there is.
+    /// Returns all open connections.
     pub fn all(&self) -> Vec<ConnId> {
         self.links.keys().copied().collect()
     }
 
-    /// Notes what was seen.
+    /// Appends a record.
     pub fn record(&mut self, record: &Record) {
         self.record.push(record.clone());
     }
 
-    /// Stores bytes for the next start.
+    /// Appends data that outlives the process.
     pub fn store(&mut self, bytes: &[u8]) {
         self.data.extend_from_slice(bytes);
     }
 
-    /// Nothing of ours gets out any more, or all that was held back does.
+    /// Starts or ends holding back outgoing traffic; all of it is sent at the end.
     pub fn cut_out(&mut self, cut: bool) {
         self.cut_out = cut;
         let all = self.all();
         self.commands.extend(all.into_iter().filter(|_| !cut).map(Command::Flush));
     }
 
-    /// Nothing gets in any more, or all that was held back does, at this turn's end.
+    /// Starts or ends holding back incoming traffic; all of it is delivered at the end of this turn.
     pub fn cut_in(&mut self, cut: bool) {
         self.cut_in = cut;
     }
 
-    /// When the frame that is handed over now reached this host: what the audit takes for its sending must
-    /// not hold the emulated cut against whoever sent it.
+    /// Returns when the current frame arrived at this host. The audit takes this as the latest time of its
+    /// sending, so that the emulated cut is not counted as the sender's delay.
     pub fn reached(&self, now: Micros) -> Micros {
         self.reached.unwrap_or(now)
     }
 
-    /// Has the driver do something.
+    /// Issues a command to the driver.
     pub fn command(&mut self, command: Command) {
         self.commands.push(command);
     }
 }
 
-/// A peer as a machine.
+/// Runs a peer as a machine.
 pub struct Shell<P> {
     /// The peer.
     pub peer: P,
@@ -121,12 +122,13 @@
 }
 
 impl<P: Peer> Shell<P> {
-    /// A machine around a peer.
+    /// Creates a machine that runs a peer.
     pub fn new(peer: P) -> Self {
         Shell { peer, links: Links::default() }
     }
 
-    /// What was seen since the last call. A driver that does not ask is told by `Append`.
+    /// Takes the records since the last call. If the driver doesn't call this, they are written by
+    /// `Command::AppendOutput`.
     pub fn take_records(&mut self) -> Vec<Record> {
         std::mem::take(&mut self.links.record)
     }
@@ -170,7 +172,7 @@
                 }
             }
             Err(cause) => {
-                warn!(%cause, "closing a connection for what its peer sent");
+                warn!(%cause, "invalid data from a peer; closing the connection");
                 self.links.close(conn);
                 self.peer.gone(&mut self.links, conn, now);
             }
@@ -206,7 +208,7 @@
 
     fn control(&mut self, control: Control, now: Micros) {
         match control {
-            // Whoever started the stand-in is gone when its input ends.
+            // The end of the input means that the parent process has exited.
             Control::Stop | Control::InputEnded => self.links.commands.push(Command::Exit),
             Control::Line(line) => self.peer.line(&mut self.links, &line, now),
             Control::Reload(_) => {}
--- a/crates/flaxstand-simulation/src/swarm.rs
+++ b/crates/flaxstand-simulation/src/swarm.rs
@@ -1,6 +1,6 @@
-//! Looks for a day on which something breaks: draws days by seed (site, fleet, clients, faults that
-//! overlap), plays each on virtual time, and cuts the first one that breaks a rule down to a small day file
-//! that still breaks it.
+//! Searches for a day on which a rule breaks: generates days from seeds (site, fleet, clients, overlapping
+//! faults), plays each on virtual time, and shrinks the first failing one to a small day file that still
+//! fails the same way.
 
 use crate::day::Day;
 use crate::{between, random, world};
@@ -12,45 +12,45 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// A drawn day, in a form that can be cut down.
+/// A generated day, in a form that can be shrunk.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Drawn {
-    /// The seed that it was drawn from.
+    /// Seed that it was generated from.
     pub seed: u64,
-    /// How long requests come.
+    /// Duration of the traffic, seconds.
     pub seconds: f64,
-    /// First tries a second.
+    /// Operations per second.
     pub rate: f64,
-    /// Site, classes, plans, fleet, clients: everything but the above, as KDL.
+    /// All other blocks, as KDL: site, classes, plans, fleet, clients.
     common: String,
-    /// Faults, as KDL, a line each.
+    /// Faults, as KDL, one each.
     pub faults: Vec<String>,
 }
 
-/// What broke on a day.
+/// A failing day.
 #[derive(Clone, Debug)]
 pub struct Found {
-    /// The day as it was drawn.
+    /// The day as generated.
     pub drawn: Drawn,
-    /// The same cut down.
+    /// The day after shrinking.
     pub small: Drawn,
-    /// What broke on the small one.
+    /// Failure of the shrunk day.
     pub what: String,
 }
 
-/// What a search came to.
+/// Result of a search.
 #[derive(Clone, Debug, Default)]
 pub struct Searched {
-    /// Days played, those of the cutting left out.
+    /// Number of days played, without those of the shrinking.
     pub days: u64,
-    /// Tries that clients made on them.
+    /// Number of the clients' tries on them.
     pub tries: u64,
-    /// The first breach.
+    /// The first failure.
     pub found: Option<Found>,
 }
 
 impl Drawn {
-    /// Draws a day.
+    /// Generates a day.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
     pub fn new(seed: u64) -> Drawn {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7377_6172_6d00);
@@ -62,7 +62,7 @@
         let seconds = between(r, (4.0, 14.0));
         let unit_work = between(r, (4.0, 20.0));
         let load = between(r, (0.2, 1.3));
-        // Two cores of speed 1 each, requests of two units in the mean.
+        // Each node has two cores of speed 1; requests have two units on average.
         let rate = f64::from(nodes) * 2.0 * load / (unit_work * 2.0 / 1000.0);
         let mut common = String::new();
         let list = if random(r) < 0.3 { "on-request" } else { "pushed" };
@@ -117,7 +117,7 @@
             );
         }
         let volumes = nodes * whole(r, 2, 6);
-        // What a volume asks for in the mean, in units a second.
+        // Mean demand of a volume, in units per second.
         let size = rate * 2.0 / f64::from(volumes);
         let _ = writeln!(common, "plan \"plain\" base-rate={size:.2}");
         let _ = writeln!(
@@ -170,10 +170,10 @@
         Drawn { seed, seconds, rate, common, faults }
     }
 
-    /// The day's file.
+    /// Returns the day's file.
     pub fn text(&self) -> String {
         let mut out = format!(
-            "// Drawn from seed {} and cut down.\n\nday \"drawn {}\" {{\n    seconds {:.2}\n    seed {}\n    transit-ms 20\n}}\n",
+            "// Generated from seed {} and shrunk.\n\nday \"drawn {}\" {{\n    seconds {:.2}\n    seed {}\n    transit-ms 20\n}}\n",
             self.seed, self.seed, self.seconds, self.seed
         );
         out.push_str(&self.common.replace("RATE", &format!("{:.2}", self.rate)));
@@ -184,28 +184,28 @@
         out
     }
 
-    /// Plays it: how many tries it held, and what broke.
+    /// Plays the day. Returns the number of tries, and the failure if there is one.
     pub fn play(&self, policy: Policy) -> (u64, Option<String>) {
         let text = self.text();
         let day = match Day::read("drawn", &text, None) {
             Ok(day) => day,
-            Err(e) => return (0, Some(format!("the day itself: {e}"))),
+            Err(e) => return (0, Some(format!("invalid day: {e}"))),
         };
-        // A failed assertion is a finding like any other; the world that it left is thrown away.
+        // A panic counts as a failure; the state that it leaves behind is discarded.
         match catch_unwind(AssertUnwindSafe(|| world::play(&day, self.seconds, policy))) {
             Ok(played) => {
                 let tries = played.report.classes.iter().map(|c| c.tries).sum();
                 let overdue: u64 = played.counts.iter().map(|c| c.overdue).sum();
                 let breach = played.report.audit.breaches.first().map(ToString::to_string);
                 let overdue =
-                    (overdue > 0).then(|| format!("the module left {overdue} requests without an answer"));
+                    (overdue > 0).then(|| format!("the module left {overdue} requests unanswered"));
                 (tries, breach.or(overdue))
             }
-            Err(_) => (0, Some("a panic".into())),
+            Err(_) => (0, Some("panic during the play".into())),
         }
     }
 
-    /// The same, smaller in one way; every way once.
+    /// Returns each variant of the day that is smaller in one respect.
     fn smaller(&self) -> Vec<Drawn> {
         let mut all = Vec::new();
         for i in 0..self.faults.len() {
@@ -226,7 +226,7 @@
         all
     }
 
-    /// Cuts it down as long as the same rule still breaks; `budget` plays at the most.
+    /// Shrinks the day while the same rule still breaks, with at most `budget` plays.
     fn cut(&self, policy: Policy, what: &str, budget: u32) -> (Drawn, String) {
         let kind = |what: &str| what.split(':').next().unwrap_or("").to_owned();
         let wanted = kind(what);
@@ -312,8 +312,8 @@
     format!("fault \"{kind}\" at={at:.2} for={length:.2}{needs}{place}")
 }
 
-/// Plays so many days from a seed on, on so many threads; stops at the first breach, which is the one of
-/// the lowest seed among those that were under way.
+/// Plays generated days from the seed `first` on, in parallel, and stops at the first failure. Of several
+/// failures in flight the one with the lowest seed is returned.
 pub fn search(policy: Policy, first: u64, days: u64, threads: usize, each: impl Fn(u64) + Sync) -> Searched {
     let (next, tries, played) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
     let stop = AtomicBool::new(false);
--- a/crates/flaxstand-simulation/src/world.rs
+++ b/crates/flaxstand-simulation/src/world.rs
@@ -1,13 +1,13 @@
-//! A whole day in one process on virtual time: the same core, the same emulated peers and the same frames
-//! as on loopback, between them a network of delays. One seed decides everything: the same day gives the
-//! same record, on any machine.
+//! Plays a day in one process on virtual time: the same core, emulated peers and frames as on loopback,
+//! connected by a simulated network with delays. One seed determines everything: the same day gives the same
+//! record on any machine.
 //!
-//! Order at one instant: everything that is due then is handed over in the order in which it was set in
-//! motion; then each machine that was touched settles, in the order of hosts (list service, nodes by slot,
-//! initiators by index, clients). What they set in motion arrives a microsecond later at the earliest.
+//! Order within one instant: all due events are delivered in the order in which they were scheduled; then
+//! each machine that received one settles, in the order of hosts (list service, nodes by slot, initiators
+//! by index, clients). Events that they cause arrive at least one microsecond later.
 //!
-//! Not modelled: buffers of the system (a write always goes through; a peer that is not read is held back at
-//! its receiver), bandwidth, and the time that the programs themselves need.
+//! Not modelled: kernel socket buffers (a write always succeeds; back-pressure holds data at the receiver),
+//! bandwidth, and the processing time of the programs themselves.
 
 use crate::day::Day;
 use crate::list::{ListService, node_line};
@@ -29,9 +29,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::path::PathBuf;
 
-/// A host, by its place in the order of hosts.
+/// Index of a host in the order of hosts.
 type HostId = usize;
-/// A connection's end.
+/// One end of a connection.
 type End = (HostId, ConnId);
 
 enum Role {
@@ -63,21 +63,21 @@
 
 struct Host {
     role: Option<Role>,
-    /// Grows when the process ends: what was under way to it is lost.
+    /// Grows when the process ends; events scheduled for an earlier value are dropped.
     life: u64,
     wake: Option<Micros>,
-    /// What the process left on disk: a node's data, an initiator's saved list.
+    /// Data that outlives the process: a node's data, an initiator's saved list.
     disk: Vec<u8>,
-    /// An initiator's write-back log, and the batch that is being stored there.
+    /// An initiator's write-back log, and the batch that is being written to it.
     log: FaultyDisk,
     batch: Option<Batch>,
 }
 
 struct Pipe {
     peer: End,
-    /// Nothing arrives before what was sent earlier.
+    /// Arrival time of the latest data, which keeps the data in order.
     arrives: Micros,
-    /// What its receiver does not read yet.
+    /// Data that the receiver does not read yet.
     unread: VecDeque<Vec<u8>>,
 }
 
@@ -91,24 +91,24 @@
     Refused(ConnId),
     Bytes(ConnId, Vec<u8>),
     Closed(ConnId),
-    /// The disk is done with a batch.
+    /// The disk has finished a batch.
     Stored,
     Step(Box<Step>),
 }
 
-/// What a day on virtual time came to.
+/// Results of a day on virtual time.
 pub struct Played {
     /// The report.
     pub report: Report,
-    /// Everything that was recorded, in order.
+    /// All records, in order.
     pub ledger: AttemptLedger,
-    /// Counts of the initiators at the day's end, by index; of their last lives.
+    /// Counters of the initiators at the end of the day, by index, since their last start.
     pub counts: Vec<Counts>,
-    /// Events handed over.
+    /// Number of events delivered.
     pub events: u64,
-    /// The most of them at one instant.
+    /// Maximum number of events in one instant.
     pub most_at_once: u64,
-    /// Length of the day, with what came after the last arrival.
+    /// Duration of the day, including the time after the last arrival.
     pub lasted: Micros,
 }
 
@@ -125,22 +125,22 @@
     events: u64,
     most_at_once: u64,
     records: Vec<Record>,
-    /// Initiators that are about to be killed, after so many more outputs of theirs.
+    /// Initiators to be killed, and the number of outputs that they still make.
     doomed: BTreeMap<HostId, u32>,
-    /// Initiators that were killed or told to stop and have not come back.
+    /// Initiators that were killed or asked to stop and not started again yet.
     leaving: BTreeSet<HostId>,
-    /// By slot: the node's number and its start.
+    /// By slot: the node's number and its incarnation.
     slots: Vec<(u64, u64)>,
     next_node: u64,
     epochs: u64,
     finished: bool,
 }
 
-/// The calendar when the clock was 0.
+/// Wall-clock time at time 0 of the virtual clock, in microseconds since the Unix epoch.
 const CALENDAR: u64 = 1_700_000_000_000_000;
-/// What a batch of the write-back log takes, ms.
+/// Range of the duration of a log batch, ms.
 const SYNC_MS: (f64, f64) = (0.2, 2.0);
-/// The day begins here: an hour in, so that ages reach back.
+/// Start of the day on the virtual clock: an hour after 0, so that ages can lie in the past.
 const DAWN: Micros = Micros(3_600_000_000);
 
 fn list_address() -> Address {
@@ -155,7 +155,7 @@
     Address::Unix(PathBuf::from(format!("initiator-{index}")))
 }
 
-/// Plays a day on virtual time.
+/// Plays a day on virtual time and audits its records.
 pub fn play(day: &Day, seconds: f64, policy: Policy) -> Played {
     let mut world = World::new(day, policy, seconds);
     world.run(seconds);
@@ -251,7 +251,7 @@
     }
 
     fn run(&mut self, seconds: f64) {
-        // As on loopback: the list is heard and clients are greeted before the day begins.
+        // As on loopback, the list arrives and the clients' handshakes finish before the day begins.
         let start = DAWN.after(Micros(300_000));
         for (at, step) in script(self.day, seconds) {
             let at = start.after(Micros::from_ms(at * 1000.0));
@@ -272,7 +272,7 @@
                 && !std::mem::replace(&mut stopped, true)
                 && self.day.site.site.write_back.is_some()
             {
-                // As on loopback, initiators are stopped in good order: what is buffered goes out.
+                // As on loopback, initiators shut down gracefully and write out their buffers.
                 end = self.now.after(self.day.site.site.timeouts.shutdown_timeout).after(Micros(1_000_000));
                 self.stop_initiators();
                 continue;
@@ -284,7 +284,7 @@
         }
     }
 
-    /// An initiator has buffered writes to bring out.
+    /// Returns whether an initiator may still have buffered writes to write out.
     fn buffering(&self) -> bool {
         let buffers = |h: &Host| matches!(&h.role, Some(Role::Initiator(_)));
         self.day.site.site.write_back.is_some() && self.hosts.iter().any(buffers)
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Everything that is due at a moment, then the machines that it touched.
+    /// Delivers all events due at an instant, then settles the machines that received one.
     fn instant(&mut self, at: Micros) {
         self.now = at;
         let mut touched = BTreeSet::new();
@@ -314,7 +314,7 @@
             }
             let h = &mut self.hosts[host];
             if h.life != life || h.role.is_none() {
-                // Whom it was for is gone: a caller hears so, all else is lost.
+                // The receiver has ended: a connection attempt is refused, other events are dropped.
                 if let Event::Dial { from, .. } = event {
                     self.refuse(host, from);
                 }
@@ -381,7 +381,7 @@
         }
     }
 
-    /// A call arrives where it was meant to.
+    /// A connection attempt arrives at its target.
     fn dial(&mut self, caller: HostId, from: ConnId, to: &Address) {
         let now = self.now;
         let taken = self.listeners.get(to).copied().and_then(|host| {
@@ -393,7 +393,7 @@
                 let at = now.after(self.delay());
                 let pipe = |peer, arrives| Pipe { peer, arrives, unread: VecDeque::new() };
                 self.pipes.insert((caller, from), pipe((host, conn), now));
-                // What goes back arrives after word that the connection stands.
+                // Data from the target must arrive after the notification that the connection is open.
                 self.pipes.insert((host, conn), pipe((caller, from), at));
                 self.schedule(at, caller, Event::Connected(from));
                 self.settle(host);
@@ -410,7 +410,7 @@
         }
     }
 
-    /// A moment at a connection's other end, in the order of what was sent.
+    /// Returns the other end of a connection and the arrival time of data sent now, in order.
     fn arrival(&mut self, end: End) -> Option<(End, Micros)> {
         let delay = self.delay();
         let now = self.now;
@@ -445,7 +445,8 @@
         }
     }
 
-    /// Whether a kill strikes now, between two outputs of one turn.
+    /// Kills the initiator if a pending kill is due now, between two outputs of one turn. Returns whether
+    /// it did.
     fn dies(&mut self, host: HostId) -> bool {
         match self.doomed.get_mut(&host) {
             Some(0) => {
@@ -470,13 +471,13 @@
         self.end(host);
     }
 
-    /// A process dies, perhaps inside a batch of its log; every other time its machine loses power with it.
+    /// Crashes an initiator's log, perhaps inside a batch; half of the crashes also lose power.
     fn cut_log(&mut self, host: HostId) {
         let within = (random(&mut self.rng) * 8.0) as u64;
         let h = &mut self.hosts[host];
         if let Some(batch) = h.batch.take() {
             h.log.set(Faults { crash_at_call: Some(within), ..Faults::default() });
-            // How far it came is on the disk.
+            // The result doesn't matter: the part that was written is on the disk.
             let _ = perform(&mut h.log, &batch);
         }
         match random(&mut self.rng) < 0.5 {
@@ -518,14 +519,14 @@
             Command::AppendOutput(Sink::Data, mut bytes) => self.hosts[host].disk.append(&mut bytes),
             Command::AppendOutput(Sink::Record, _) => {}
             Command::StoreWriteBack(batch) => {
-                // A sync of a disk, not a write into its cache.
+                // The time of a disk sync, not of a write to the disk's cache.
                 let takes = Micros::from_ms(between(&mut self.rng, SYNC_MS));
                 self.hosts[host].batch = Some(batch);
                 self.schedule(now.after(takes), host, Event::Stored);
             }
-            // Clients that speak HTTP are parted with so, and days on virtual time have none.
+            // Only used for clients that speak HTTP, and days on virtual time have none.
             Command::ShutdownWrite(_) => {}
-            // Days on virtual time have no agreement.
+            // Days on virtual time have no consensus.
             Command::StoreConsensus(_) | Command::SaveReplicatedState(_) => {}
             Command::StopListening => self.listeners.retain(|_, h| *h != host),
             Command::Print(line) => self.finished |= host == self.clients() && line == "done",
@@ -533,8 +534,8 @@
         }
     }
 
-    /// A process dies inside what it writes: of the last piece under way on each of its connections only a
-    /// part was written.
+    /// Truncates the data in flight of a process that dies during a write: of the last piece on each of its
+    /// connections only a part is delivered.
     fn cut_short(&mut self, host: HostId) {
         let peers: BTreeSet<End> =
             self.pipes.range((host, ConnId(0))..(host + 1, ConnId(0))).map(|(_, p)| p.peer).collect();
@@ -550,7 +551,7 @@
         }
     }
 
-    /// A process ends: its connections break, what was under way to it is lost.
+    /// Ends a process: its connections are closed, and events in flight to it are lost.
     fn end(&mut self, host: HostId) {
         let ends: Vec<End> =
             self.pipes.range((host, ConnId(0))..(host + 1, ConnId(0))).map(|(e, _)| *e).collect();
@@ -607,9 +608,9 @@
         let saved = (!saved.is_empty()).then_some(saved);
         let mut core = Core::new(config.clone(), saved.as_deref(), self.now)
             .or_else(|_| Core::new(config, None, self.now))
-            .expect("without a saved list nothing can be wrong with it");
+            .expect("starts without a saved list");
         if self.day.site.site.write_back.is_some() {
-            let recovered = recover(&mut self.hosts[host].log).expect("what a crash leaves can be read");
+            let recovered = recover(&mut self.hosts[host].log).expect("a log can be recovered after a crash");
             core.attach(recovered, self.now);
         }
         self.hosts[host].role = Some(Role::Initiator(Box::new(core)));
@@ -630,7 +631,7 @@
         match step {
             Step::Tell(slot, lines) => self.tell(self.node_host(slot), &lines),
             Step::TellList(lines) => self.tell(0, &lines),
-            // Faults overlap: what is down already, or up again, stays as it is.
+            // Faults may overlap: a process that is already down, or up again, is left as it is.
             Step::Kill(slot) if self.hosts[self.node_host(slot)].role.is_none() => {}
             Step::Return(slot) if self.hosts[self.node_host(slot)].role.is_some() => {}
             Step::Kill(slot) => {
@@ -652,7 +653,7 @@
                 self.start_node(slot, true);
                 self.list_node(slot, "serving", "0");
             }
-            // Days on which initiators agree are played with processes.
+            // Days with consensus are played with processes only.
             Step::Cut(..) | Step::Pause(..) | Step::Propose(_) => {}
             Step::KillInitiator(index, _) if self.leaving.contains(&self.initiator_host(index)) => {}
             Step::ReturnInitiator(index) if !self.leaving.contains(&self.initiator_host(index)) => {}
@@ -660,7 +661,7 @@
                 let host = self.initiator_host(index);
                 self.leaving.insert(host);
                 if outright {
-                    // A busy process dies somewhere within its next few outputs.
+                    // The kill takes effect at a random point among its next outputs.
                     let outputs = (random(&mut self.rng) * 6.0) as u32;
                     self.doomed.insert(host, outputs);
                 } else {
@@ -676,7 +677,7 @@
                     self.kill_initiator(host);
                 }
                 if self.hosts[host].role.is_some() {
-                    // It is still answering what it held.
+                    // It is still finishing its pending requests: try again 10 ms later.
                     let again = self.now.after(Micros(10_000));
                     self.schedule(again, 0, Event::Step(Box::new(step)));
                 } else {
