--- a/crates/flaxstand-cli/src/rehearsal.rs
+++ b/crates/flaxstand-cli/src/rehearsal.rs
@@ -35,7 +35,7 @@
 }
 
 fn rehearse_on_virtual_time(arguments: &Rehearsal, day: &Day, seconds: f64) -> Result<(), CommandError> {
-    if day.accord.is_some() {
+    if day.agreement.is_some() {
         return Err(CommandError::AgreementOnVirtualTime(arguments.day.clone()));
     }
     let outcome = world::play(day, seconds, arguments.policy);
@@ -84,7 +84,7 @@
     html: Option<&Path>,
 ) -> Result<(), CommandError> {
     let (day, _) = read_day(day)?;
-    let (report, ledger) = rehearse::audited(&day, folder)?;
+    let (report, ledger) = rehearse::audit_folder(&day, folder)?;
     print_report(&day, &ledger, &report, json, html)
 }
 
@@ -100,7 +100,7 @@
         write_text(path, &page)?;
     }
     print_result(serde_json::to_string_pretty(report), &report.text(), json)?;
-    if report.kept() { Ok(()) } else { Err(CommandError::RuleBroken) }
+    if report.passed() { Ok(()) } else { Err(CommandError::RuleBroken) }
 }
 
 /// Plays drawn days until one breaks a rule, and cuts that one down.
@@ -118,12 +118,12 @@
         println!("no rule broken");
         return Ok(());
     };
-    let path = folder.join(format!("{}.kdl", found.drawn.seed));
-    let written = std::fs::create_dir_all(folder).and_then(|()| std::fs::write(&path, found.small.text()));
+    let path = folder.join(format!("{}.kdl", found.generated.seed));
+    let written = std::fs::create_dir_all(folder).and_then(|()| std::fs::write(&path, found.shrunk.text()));
     written.map_err(CommandError::io(format!("cannot write {}", path.display())))?;
-    let (faults, small_faults) = (found.drawn.faults.len(), found.small.faults.len());
-    let (seconds, small_seconds) = (found.drawn.seconds, found.small.seconds);
-    println!("seed {}: {}", found.drawn.seed, found.what);
+    let (faults, small_faults) = (found.generated.faults.len(), found.shrunk.faults.len());
+    let (seconds, small_seconds) = (found.generated.seconds, found.shrunk.seconds);
+    println!("seed {}: {}", found.generated.seed, found.failure);
     println!(
         "cut from {faults} faults to {small_faults}, {seconds:.1} s to {small_seconds:.1} s: {}",
         path.display()
--- a/crates/flaxstand-cli/src/scale.rs
+++ b/crates/flaxstand-cli/src/scale.rs
@@ -5,7 +5,7 @@
 use crate::files::{print_problems, print_result, read_text};
 use flaxstand_gateway::machine::Micros;
 use flaxstand_gateway::settings::read_daemon;
-use flaxstand_simulation::rehearse::{StandIn, fresh_folder};
+use flaxstand_simulation::rehearse::{StandInOptions, fresh_folder};
 use flaxstand_simulation::scale::hollow::{HollowOptions, serve_hollow};
 use flaxstand_simulation::scale::node_list::{NodeListOptions, serve_node_list};
 use flaxstand_simulation::scale::plan::Plan;
@@ -30,7 +30,7 @@
     let mut daemon = print_problems(read_daemon(&config.display().to_string(), &read_text(&config)?))?;
     daemon.config.consensus = daemon.consensus.map(|consensus| consensus.config);
     let options = HollowOptions { config: daemon.config, first, count };
-    Ok(serve_hollow(options, &StandIn::default())?)
+    Ok(serve_hollow(options, &StandInOptions::default())?)
 }
 
 /// The list service of a scale run.
@@ -38,5 +38,5 @@
     let NodeListArgs { nodes, changes, heartbeat_ms, answering, listen } = arguments;
     let heartbeat = (heartbeat_ms > 0).then_some(Micros(u64::from(heartbeat_ms) * 1000));
     let options = NodeListOptions { nodes, changes, heartbeat, answering };
-    Ok(serve_node_list(options, &StandIn { listen, ..StandIn::default() })?)
+    Ok(serve_node_list(options, &StandInOptions { listen, ..StandInOptions::default() })?)
 }
--- a/crates/flaxstand-cli/src/stand_in.rs
+++ b/crates/flaxstand-cli/src/stand_in.rs
@@ -5,14 +5,14 @@
 use crate::files::read_day;
 use crate::scale;
 use flaxstand_simulation::node::Identity;
-use flaxstand_simulation::press::{self, Pressure};
-use flaxstand_simulation::rehearse::{self, StandIn};
+use flaxstand_simulation::press::{self, LoadOptions};
+use flaxstand_simulation::rehearse::{self, StandInOptions};
 
-/// Puts load on a running initiator. `alone`: it is not a process of a rehearsal.
-pub fn load(arguments: Press, alone: bool) -> Result<(), CommandError> {
+/// Puts load on a running initiator. `standalone`: it is not a process of a rehearsal.
+pub fn load(arguments: Press, standalone: bool) -> Result<(), CommandError> {
     let Press { initiator, shards, clients, window, rate, write, seconds } = arguments;
-    let pressure = Pressure { initiator, shards, clients, window, rate, write, seconds };
-    Ok(press::serve_press(pressure, alone)?)
+    let pressure = LoadOptions { initiator, shards, clients, window, rate, write, seconds };
+    Ok(press::serve_load_generator(pressure, standalone)?)
 }
 
 /// Runs one process of a rehearsal.
@@ -36,6 +36,6 @@
     Ok(served?)
 }
 
-fn stand_in(files: Files) -> StandIn {
-    StandIn { listen: files.listen, record: files.record, data: files.data, alone: false }
+fn stand_in(files: Files) -> StandInOptions {
+    StandInOptions { listen: files.listen, record: files.record, data: files.data, standalone: false }
 }
--- a/crates/flaxstand-cli/tests/agreement/fleet.rs
+++ b/crates/flaxstand-cli/tests/agreement/fleet.rs
@@ -6,7 +6,8 @@
 use flaxstand_gateway::machine::Micros;
 use flaxstand_gateway::settings::read_rules;
 use flaxstand_simulation::agreed::{
-    Accord, Acted, Links, Pause, acted_of, ask, calendar, contradiction, spans,
+    ActiveRules, AgreementSettings, LinkRelays, Pause, active_intervals, contradiction, parse_rules_event,
+    send_operator_request, unix_time,
 };
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead, BufReader};
@@ -25,7 +26,7 @@
     pub name: String,
     child: Option<Child>,
     log: Arc<Mutex<Vec<String>>>,
-    acted: Arc<Mutex<Vec<Acted>>>,
+    acted: Arc<Mutex<Vec<ActiveRules>>>,
 }
 
 /// The processes of a site.
@@ -34,7 +35,7 @@
     pub all: Vec<Process>,
     keepers: usize,
     /// A relay on each link between two.
-    pub links: Links,
+    pub links: LinkRelays,
     /// When a process stood still: which, from when, to when.
     pauses: Vec<(usize, f64, f64)>,
 }
@@ -62,7 +63,7 @@
             acted: Arc::default(),
         };
         let all: Vec<Process> = (0..count).map(process).collect();
-        let links = Links::new(count).unwrap();
+        let links = LinkRelays::new(count).unwrap();
         let mut fleet = Fleet { folder, all, keepers, links, pauses: Vec::new() };
         (0..count).for_each(|i| fleet.write_settings(i));
         (0..count).for_each(|i| fleet.run(i));
@@ -81,7 +82,7 @@
         let folder = self.folder.display();
         let ms = |n: u64| Micros(n * 1000);
         let (keepers, lease, election) = (self.keepers as u32, ms(LEASE_MS), ms(ELECTION_MS));
-        let accord = Accord { keepers, lease, election, clock_error: ERROR };
+        let accord = AgreementSettings { keepers, lease, election, clock_error: ERROR };
         let text = format!(
             "initiator \"i{i}\" {{\n listen \"unix:{folder}/i{i}.sock\"\n list \"unix:{folder}/none.sock\"\n seed {i}\n}}\n\
              {}{}",
@@ -110,7 +111,7 @@
         }
         std::thread::spawn(move || {
             for line in stderr.lines().map_while(Result::ok) {
-                acted.lock().unwrap().extend(acted_of(&line));
+                acted.lock().unwrap().extend(parse_rules_event(&line));
                 log.lock().unwrap().push(line);
             }
         });
@@ -137,23 +138,27 @@
         self.signal(i, signal);
         if let Some(mut child) = self.all[i].child.take() {
             child.wait().unwrap();
-            self.all[i].acted.lock().unwrap().push(Acted { at: calendar(), what: "Gone".into(), stage: 0 });
+            self.all[i].acted.lock().unwrap().push(ActiveRules {
+                at: unix_time(),
+                what: "Gone".into(),
+                stage: 0,
+            });
         }
     }
 
     pub fn pause(&mut self, i: usize) -> f64 {
         self.signal(i, Signal::STOP);
-        calendar()
+        unix_time()
     }
 
     pub fn go_on(&mut self, i: usize, since: f64) {
-        self.pauses.push((i, since, calendar()));
+        self.pauses.push((i, since, unix_time()));
         self.signal(i, Signal::CONT);
     }
 
     /// An operator's word to one initiator.
     pub fn say(&self, i: usize, operator_request: &OperatorRequest) -> Option<OperatorReply> {
-        ask(self.links.listen(i), operator_request).ok()?
+        send_operator_request(self.links.listen(i), operator_request).ok()?
     }
 
     pub fn report(&self, i: usize) -> Option<Box<StatusReport>> {
@@ -255,7 +260,7 @@
         let of = |i: usize| {
             let pauses: Vec<Pause> =
                 self.pauses.iter().filter(|(p, ..)| *p == i).map(|(_, a, b)| (*a, *b)).collect();
-            spans(&self.all[i].acted(), &pauses, calendar())
+            active_intervals(&self.all[i].acted(), &pauses, unix_time())
         };
         contradiction(&(0..self.all.len()).map(of).collect::<Vec<_>>())
     }
@@ -286,11 +291,11 @@
 
 impl Process {
     /// What it acts on now, by its log.
-    pub fn acts(&self) -> Option<Acted> {
+    pub fn acts(&self) -> Option<ActiveRules> {
         self.acted.lock().unwrap().last().cloned()
     }
 
-    pub fn acted(&self) -> Vec<Acted> {
+    pub fn acted(&self) -> Vec<ActiveRules> {
         self.acted.lock().unwrap().clone()
     }
 
@@ -307,7 +312,7 @@
 
 pub fn version(text: &str) -> Version {
     let rules = read_rules("proposed", text).unwrap();
-    Version { number: 0, rules, text: text.to_owned(), by: "a test".into(), at: (calendar() * 1e6) as u64 }
+    Version { number: 0, rules, text: text.to_owned(), by: "a test".into(), at: (unix_time() * 1e6) as u64 }
 }
 
 /// Copies a folder as it lies there.
--- a/crates/flaxstand-cli/tests/agreement/main.rs
+++ b/crates/flaxstand-cli/tests/agreement/main.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use flaxstand_simulation::agreed::calendar;
+use flaxstand_simulation::agreed::unix_time;
 use flaxstand_simulation::relay::Flow;
 use fleet::{Fleet, shared};
 
@@ -41,7 +41,7 @@
 fn a_leader_that_is_cut_off_while_a_change_narrows_ends_on_the_floor() {
     let f = agreed("cut-off", 3, 5);
     let old = f.leader();
-    f.links.around(old, Flow::Stall);
+    f.links.set_all_links(old, Flow::Stall);
     let others: Vec<usize> = f.everyone().into_iter().filter(|i| *i != old).collect();
     f.until_acting(&[old], "Fallback");
     assert_eq!(f.propose(1, &shared(40, "once")), 2);
@@ -56,8 +56,8 @@
 fn a_change_waits_for_a_member_that_may_act_on_the_old_rules_and_no_longer() {
     let f = agreed("waits", 3, 5);
     // No keeper: it acts on version 1 until its lease ends.
-    f.links.around(4, Flow::Stall);
-    let before = calendar();
+    f.links.set_all_links(4, Flow::Stall);
+    let before = unix_time();
     assert_eq!(f.propose(1, &shared(500, "repeatable")), 2);
     let rest = [0, 1, 2, 3];
     f.until_acting(&rest, "Version(2)");
@@ -75,7 +75,7 @@
     let leader = f.leader();
     let deaf = (leader + 1) % 5;
     // It does not hear the leader, and is heard: nobody is unseated by it.
-    f.links.one_way(leader, deaf, Flow::Stall);
+    f.links.set_one_way(leader, deaf, Flow::Stall);
     let term = f.report(leader).unwrap().term;
     assert_eq!(f.propose(1, &shared(80, "repeatable")), 2);
     f.until_acting(&[leader, (leader + 2) % 5, (leader + 3) % 5], "Version(2)");
@@ -84,7 +84,7 @@
     settles(&f, 2);
     for round in 0..3 {
         for i in 0..3 {
-            (3..7).for_each(|j| f.links.both(i, j, Flow::Stall));
+            (3..7).for_each(|j| f.links.set_both_ways(i, j, Flow::Stall));
         }
         f.propose(2 + round, &shared(70 - round, "repeatable"));
         f.links.heal();
@@ -219,7 +219,7 @@
     assert_eq!(taken.len(), 1, "{one:?} {two:?}");
     settles(&f, 2);
     // One that can't come in force, since a member holds it up, is withdrawn.
-    f.links.around(3, Flow::Stall);
+    f.links.set_all_links(3, Flow::Stall);
     assert_eq!(f.propose(2, &shared(400, "repeatable")), 3);
     let withdrawn = f
         .say(leader, &OperatorRequest::Withdraw { number: 3, by: "a test".into(), at: 0 })
@@ -255,7 +255,7 @@
 #[test]
 fn a_member_that_reaches_no_keeper_learns_from_a_neighbour() {
     let f = agreed("neighbour", 3, 5);
-    (0..3).for_each(|keeper| f.links.both(4, keeper, Flow::Stall));
+    (0..3).for_each(|keeper| f.links.set_both_ways(4, keeper, Flow::Stall));
     let next = f.propose(1, &shared(60, "once"));
     settles(&f, next);
 }
@@ -327,13 +327,17 @@
                 f.report(f.leader())?.blockers.is_empty().then_some(())
             });
             match fault {
-                "a member cut off" => {
-                    f.links.around(if drawn.is_multiple_of(2) { 4 } else { (leader + 1) % 3 }, Flow::Stall)
-                }
+                "a member cut off" => f
+                    .links
+                    .set_all_links(if drawn.is_multiple_of(2) { 4 } else { (leader + 1) % 3 }, Flow::Stall),
                 "links late and broken" => {
                     let (a, b) = (drawn % 5, (drawn / 8) % 5);
                     if a != b {
-                        f.links.both(a, b, Flow::Late(std::time::Duration::from_millis(drawn as u64 % 200)));
+                        f.links.set_both_ways(
+                            a,
+                            b,
+                            Flow::Delay(std::time::Duration::from_millis(drawn as u64 % 200)),
+                        );
                     }
                     f.links.reset(leader, (leader + 1 + drawn % 4) % 5);
                 }
--- a/crates/flaxstand-simulation/src/agreed.rs
+++ b/crates/flaxstand-simulation/src/agreed.rs
@@ -21,13 +21,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Time-out of connecting to an initiator, and of each read of its reply.
-const PATIENCE: Duration = Duration::from_secs(2);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time limit for all initiators to act on the same version at the end of a day.
-const ALIKE: Duration = Duration::from_secs(20);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Consensus settings of a day's initiators.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Accord {
+pub struct AgreementSettings {
     /// Number of voting members; the first initiators are the voters.
     pub keepers: u32,
     /// Duration of a lease.
@@ -39,13 +39,13 @@
 }
 
 /// Wall-clock time of the host, in seconds since the Unix epoch.
-pub fn calendar() -> f64 {
+pub fn unix_time() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
 }
 
 /// A change of the rules that a process acts on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Acted {
+pub struct ActiveRules {
     /// Wall-clock time of the host, in seconds since the Unix epoch.
     pub at: f64,
     /// What it acts on: `Fallback`, `Version(v)`, `Transition(v, w)`, or `Gone` once the process has ended.
@@ -58,28 +58,28 @@
 pub type Pause = (f64, f64);
 
 /// Parses a log line that reports a change of the rules acted on.
-pub fn acted_of(line: &str) -> Option<Acted> {
+pub fn parse_rules_event(line: &str) -> Option<ActiveRules> {
     let (head, rest) = line.split_once(" INFO rules ")?;
-    let at = seconds(head.trim())?;
+    let at = parse_log_time(head.trim())?;
     let what = rest.split_once("to=")?.1;
     let end = what.find(" stage=")?;
     let stage = what[end + 7..].split_whitespace().next()?.parse().ok()?;
-    Some(Acted { at, what: what[..end].to_owned(), stage })
+    Some(ActiveRules { at, what: what[..end].to_owned(), stage })
 }
 
 /// Parses a log's time stamp such as `2026-12-02T00:46:34.581734Z` into seconds since the Unix epoch. The
 /// date is inferred: the stamp must lie within half a day of now.
-pub(crate) fn seconds(stamp: &str) -> Option<f64> {
+pub(crate) fn parse_log_time(stamp: &str) -> Option<f64> {
     let time = stamp.split_once('T')?.1.strip_suffix('Z')?;
     let mut parts = time.split(':').map(|p| p.parse::<f64>().ok());
     let (h, m, s) = (parts.next()??, parts.next()??, parts.next()??);
     let in_day = h * 3600.0 + m * 60.0 + s;
-    Some(((calendar() - in_day) / 86_400.0).round() * 86_400.0 + in_day)
+    Some(((unix_time() - in_day) / 86_400.0).round() * 86_400.0 + in_day)
 }
 
 /// Returns the intervals in which a process acted on a stage under a lease, without its pauses.
-pub fn spans(acted: &[Acted], pauses: &[Pause], end: f64) -> Vec<(f64, f64, u64)> {
-    let mut spans = Vec::new();
+pub fn active_intervals(acted: &[ActiveRules], pauses: &[Pause], end: f64) -> Vec<(f64, f64, u64)> {
+    let mut active_intervals = Vec::new();
     for (at, a) in acted.iter().enumerate() {
         let until = acted.get(at + 1).map_or(end, |next| next.at);
         if a.what == "Fallback" || a.what == "Gone" {
@@ -90,9 +90,9 @@
             let parts = pieces.into_iter().flat_map(|(s, e)| [(s, e.min(*from)), (s.max(*to), e)]);
             pieces = parts.filter(|(s, e)| e > s).collect();
         }
-        spans.extend(pieces.into_iter().map(|(s, e)| (s, e, a.stage)));
+        active_intervals.extend(pieces.into_iter().map(|(s, e)| (s, e, a.stage)));
     }
-    spans
+    active_intervals
 }
 
 /// Returns the longest interval, in seconds, in which two processes acted on contradicting rules, and which
@@ -103,9 +103,9 @@
         for (j, others) in all.iter().enumerate().skip(i + 1) {
             for (from, to, stage) in some {
                 for (other_from, other_to, other) in others {
-                    let together = to.min(*other_to) - from.max(*other_from);
-                    if stage.abs_diff(*other) > 1 && together > worst.0 {
-                        worst = (together, format!("initiator {i} on stage {stage}, {j} on stage {other}"));
+                    let overlap = to.min(*other_to) - from.max(*other_from);
+                    if stage.abs_diff(*other) > 1 && overlap > worst.0 {
+                        worst = (overlap, format!("initiator {i} on stage {stage}, {j} on stage {other}"));
                     }
                 }
             }
@@ -118,14 +118,15 @@
 ///
 /// # Errors
 /// The initiator can't be reached, or does not reply in time.
-pub fn ask(to: SocketAddr, wish: &OperatorRequest) -> io::Result<Option<OperatorReply>> {
-    let mut stream = TcpStream::connect_timeout(&to, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+pub fn send_operator_request(to: SocketAddr, request: &OperatorRequest) -> io::Result<Option<OperatorReply>> {
+    let mut stream = TcpStream::connect_timeout(&to, REPLY_TIMEOUT)?;
+    stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
     let (role, versions) = (Role::Client, (VERSION_OLDEST, VERSION));
     let mut bytes = Vec::new();
     encode(&Frame::Hello(Hello { role, versions, id: 0, epoch: 0, name: "laboratory" }), &mut bytes);
-    let word = postcard::to_stdvec(&PeerMessage::OperatorRequest(wish.clone())).map_err(io::Error::other)?;
-    encode(&Frame::Agreement { bytes: &word }, &mut bytes);
+    let payload =
+        postcard::to_stdvec(&PeerMessage::OperatorRequest(request.clone())).map_err(io::Error::other)?;
+    encode(&Frame::Agreement { bytes: &payload }, &mut bytes);
     stream.write_all(&bytes)?;
     let (mut inbox, mut buffer, mut found) = (Inbox::default(), [0; 64 * 1024], None);
     while found.is_none() {
@@ -149,21 +150,21 @@
 /// Proposes a version to each initiator in turn, based on the newest replicated state that any of them
 /// returns, until the leader commits it or the time-out passes. Returns the number of the committed
 /// version.
-pub fn propose(listen: &[SocketAddr], rules: &Rules, text: &str, patience: Duration) -> Option<u64> {
+pub fn propose(listen: &[SocketAddr], rules: &Rules, text: &str, time_limit: Duration) -> Option<u64> {
     let started = Instant::now();
-    while started.elapsed() < patience {
-        let book = |at: &SocketAddr| match ask(*at, &OperatorRequest::ReplicatedState) {
-            Ok(Some(OperatorReply::ReplicatedState(Some(book)))) => Some(*book),
+    while started.elapsed() < time_limit {
+        let state = |at: &SocketAddr| match send_operator_request(*at, &OperatorRequest::ReplicatedState) {
+            Ok(Some(OperatorReply::ReplicatedState(Some(state)))) => Some(*state),
             _ => None,
         };
-        let newest = listen.iter().filter_map(book).max_by_key(|known| known.index);
-        let base = newest.map_or(0, |known| known.state.in_force.number);
-        let at = (calendar() * 1e6) as u64;
+        let newest = listen.iter().filter_map(state).max_by_key(|state| state.index);
+        let base = newest.map_or(0, |state| state.state.in_force.number);
+        let at = (unix_time() * 1e6) as u64;
         let version =
             Version { number: 0, rules: rules.clone(), text: text.to_owned(), by: "the day".into(), at };
         for to in listen {
             if let Ok(Some(OperatorReply::Committed(number))) =
-                ask(*to, &OperatorRequest::Propose { base, version: version.clone() })
+                send_operator_request(*to, &OperatorRequest::Propose { base, version: version.clone() })
             {
                 return Some(number);
             }
@@ -189,27 +190,27 @@
 /// # Errors
 /// No address can be bound.
 pub fn listeners(count: usize) -> io::Result<Vec<SocketAddr>> {
-    let near = (std::process::id() % 200) as u8;
+    let third = (std::process::id() % 200) as u8;
     let call = LISTENER_CALLS.fetch_add(1, Ordering::Relaxed) % LISTENER_OCTETS;
     let second = FIRST_LISTENER_OCTET + call as u8;
     (0..count)
-        .map(|i| TcpListener::bind((Ipv4Addr::new(127, second, near, 1 + (i % 250) as u8), 0))?.local_addr())
+        .map(|i| TcpListener::bind((Ipv4Addr::new(127, second, third, 1 + (i % 250) as u8), 0))?.local_addr())
         .collect()
 }
 
 /// A relay on each directed link between initiators.
 #[derive(Debug)]
-pub struct Links {
+pub struct LinkRelays {
     listen: Vec<SocketAddr>,
     relays: BTreeMap<(usize, usize), Relay>,
 }
 
-impl Links {
+impl LinkRelays {
     /// Starts the relays between `count` initiators.
     ///
     /// # Errors
     /// No address can be bound.
-    pub fn new(count: usize) -> io::Result<Links> {
+    pub fn new(count: usize) -> io::Result<LinkRelays> {
         let listen = listeners(count)?;
         let mut relays = BTreeMap::new();
         for i in 0..count {
@@ -217,7 +218,7 @@
                 relays.insert((i, j), Relay::start(listen[j])?);
             }
         }
-        Ok(Links { listen, relays })
+        Ok(LinkRelays { listen, relays })
     }
 
     /// Address at which an initiator listens.
@@ -235,7 +236,7 @@
     pub fn settings(
         &self,
         i: usize,
-        accord: &Accord,
+        settings: &AgreementSettings,
         name: impl Fn(usize) -> String,
         folder: &Path,
     ) -> String {
@@ -243,12 +244,12 @@
             "agreement {{\n    listen \"{}\"\n    folder {:?}\n    lease-ms {}\n    election-ms {}\n    clock-error {}\n",
             self.listen[i],
             folder.display().to_string(),
-            accord.lease.ms(),
-            accord.election.ms(),
-            accord.clock_error,
+            settings.lease.ms(),
+            settings.election.ms(),
+            settings.clock_error,
         );
         for j in 0..self.listen.len() {
-            let kind = if j < accord.keepers as usize { "keeper" } else { "initiator" };
+            let kind = if j < settings.keepers as usize { "keeper" } else { "initiator" };
             let at = self.relays.get(&(i, j)).map_or(self.listen[i], Relay::address);
             let _ = writeln!(text, "    {kind} {:?} at=\"{at}\"", name(j));
         }
@@ -256,25 +257,25 @@
     }
 
     /// Sets the flow from one initiator to another, whichever of them opened the connection.
-    pub fn one_way(&self, from: usize, to: usize, flow: Flow) {
+    pub fn set_one_way(&self, from: usize, to: usize, flow: Flow) {
         for ((caller, called), relay) in &self.relays {
             if (*caller, *called) == (from, to) {
-                relay.set_there(flow);
+                relay.set_forward(flow);
             } else if (*caller, *called) == (to, from) {
-                relay.set_back(flow);
+                relay.set_backward(flow);
             }
         }
     }
 
     /// Sets the flow between two initiators in both directions.
-    pub fn both(&self, a: usize, b: usize, flow: Flow) {
-        self.one_way(a, b, flow);
-        self.one_way(b, a, flow);
+    pub fn set_both_ways(&self, a: usize, b: usize, flow: Flow) {
+        self.set_one_way(a, b, flow);
+        self.set_one_way(b, a, flow);
     }
 
     /// Sets the flow between one initiator and all others.
-    pub fn around(&self, i: usize, flow: Flow) {
-        (0..self.listen.len()).filter(|j| *j != i).for_each(|j| self.both(i, j, flow));
+    pub fn set_all_links(&self, i: usize, flow: Flow) {
+        (0..self.listen.len()).filter(|j| *j != i).for_each(|j| self.set_both_ways(i, j, flow));
     }
 
     /// Breaks the open connections between two initiators.
@@ -292,17 +293,17 @@
     }
 
     /// Proposes a version to these initiators, see [`propose`].
-    pub fn propose(&self, rules: &Rules, text: &str, patience: Duration) -> Option<u64> {
-        propose(&self.listen, rules, text, patience)
+    pub fn propose(&self, rules: &Rules, text: &str, time_limit: Duration) -> Option<u64> {
+        propose(&self.listen, rules, text, time_limit)
     }
 
     /// Waits until all initiators act on a single version under a lease. Returns the version, or none after
     /// the time limit.
-    pub fn alike(&self) -> Option<u64> {
+    pub fn wait_for_convergence(&self) -> Option<u64> {
         let started = Instant::now();
-        while started.elapsed() < ALIKE {
-            let report = |at: &SocketAddr| match ask(*at, &OperatorRequest::Status) {
-                Ok(Some(OperatorReply::Status(told))) => Some(told),
+        while started.elapsed() < CONVERGENCE_TIMEOUT {
+            let report = |at: &SocketAddr| match send_operator_request(*at, &OperatorRequest::Status) {
+                Ok(Some(OperatorReply::Status(status))) => Some(status),
                 _ => None,
             };
             let all: Option<Vec<Box<StatusReport>>> = self.listen.iter().map(report).collect();
@@ -321,7 +322,7 @@
 
 /// Results of consensus on a day.
 #[derive(Clone, Debug, Serialize)]
-pub struct Agreed {
+pub struct AgreementReport {
     /// Version that all initiators acted on at the end; none: they did not converge.
     pub version: Option<u64>,
     /// Changes of the rules acted on that the initiators logged, in total.
@@ -334,45 +335,49 @@
     pub allowed_ms: f64,
 }
 
-impl Agreed {
+impl AgreementReport {
     /// Reads the logs in a day's folder: `initiator-N.log`, and `agreement.log` with the events that the
     /// rehearsal itself recorded (`pause N FROM TO`, `gone N AT`, `alike V`).
     ///
     /// # Errors
     /// A log can't be read.
-    pub fn read(folder: &Path, count: usize, accord: &Accord) -> Result<Agreed, RehearsalError> {
+    pub fn read(
+        folder: &Path,
+        count: usize,
+        settings: &AgreementSettings,
+    ) -> Result<AgreementReport, RehearsalError> {
         let read = |name: &str| {
             std::fs::read_to_string(folder.join(name)).map_err(io_error(format!("cannot read {name}")))
         };
         let notes = read("agreement.log")?;
         let notes: Vec<Vec<&str>> = notes.lines().map(|l| l.split_whitespace().collect()).collect();
-        let figures = |word: &str, i: usize| -> Vec<Vec<f64>> {
+        let numbers = |event: &str, i: usize| -> Vec<Vec<f64>> {
             let of =
-                |n: &&Vec<&str>| n.first() == Some(&word) && n.get(1).is_some_and(|x| x.parse() == Ok(i));
+                |n: &&Vec<&str>| n.first() == Some(&event) && n.get(1).is_some_and(|x| x.parse() == Ok(i));
             notes.iter().filter(of).map(|n| n[2..].iter().filter_map(|x| x.parse().ok()).collect()).collect()
         };
         let mut all = Vec::new();
         let mut passages = 0;
         for i in 0..count {
             let log = read(&format!("initiator-{i}.log"))?;
-            let mut acted: Vec<Acted> = log.lines().filter_map(acted_of).collect();
+            let mut acted: Vec<ActiveRules> = log.lines().filter_map(parse_rules_event).collect();
             passages += acted.len();
-            let gone = figures("gone", i).into_iter().filter_map(|f| f.first().copied());
-            acted.extend(gone.map(|at| Acted { at, what: "Gone".into(), stage: 0 }));
+            let ended = numbers("gone", i).into_iter().filter_map(|f| f.first().copied());
+            acted.extend(ended.map(|at| ActiveRules { at, what: "Gone".into(), stage: 0 }));
             acted.sort_by(|a, b| a.at.total_cmp(&b.at));
             let pauses: Vec<Pause> =
-                figures("pause", i).into_iter().filter_map(|f| Some((*f.first()?, *f.get(1)?))).collect();
-            all.push(spans(&acted, &pauses, calendar()));
+                numbers("pause", i).into_iter().filter_map(|f| Some((*f.first()?, *f.get(1)?))).collect();
+            all.push(active_intervals(&acted, &pauses, unix_time()));
         }
         let (longest, who) = contradiction(&all);
-        let terms = RolloutBounds::of(accord.lease.ms(), accord.clock_error, accord.election.ms());
+        let bounds = RolloutBounds::of(settings.lease.ms(), settings.clock_error, settings.election.ms());
         let version = notes.iter().find(|n| n.first() == Some(&"alike")).and_then(|n| n.get(1)?.parse().ok());
-        let (contradiction_ms, allowed_ms) = (longest * 1000.0, terms.contradiction_ms);
-        Ok(Agreed { version, passages, contradiction_ms, who, allowed_ms })
+        let (contradiction_ms, allowed_ms) = (longest * 1000.0, bounds.contradiction_ms);
+        Ok(AgreementReport { version, passages, contradiction_ms, who, allowed_ms })
     }
 
     /// Returns whether the initiators converged and no contradiction lasted longer than allowed.
-    pub fn kept(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.version.is_some() && self.contradiction_ms <= self.allowed_ms
     }
 
@@ -392,7 +397,7 @@
 }
 
 /// Returns the rules with some values replaced.
-pub fn changed(rules: &Rules, sets: &BTreeMap<String, Value>) -> Rules {
+pub fn with_values(rules: &Rules, sets: &BTreeMap<String, Value>) -> Rules {
     let mut rules = rules.clone();
     rules.values.extend(sets.iter().map(|(k, v)| (k.clone(), v.clone())));
     rules
--- a/crates/flaxstand-simulation/src/day.rs
+++ b/crates/flaxstand-simulation/src/day.rs
@@ -1,9 +1,9 @@
 //! A day: the fleet, the traffic and the faults. Read from a KDL file that also holds the site's part of a
 //! settings file. `docs/rehearsal.md` describes every key.
 
-use crate::agreed::Accord;
+use crate::agreed::AgreementSettings;
 use crate::model::Spec;
-use crate::node::Habits;
+use crate::node::NodeBehaviour;
 use flaxstand::api::{DeduplicationScope, Effect};
 use flaxstand_audit::{
     AuditRules, ClassRules, DeduplicationScope as AuditScope, PlanLimit, RetryBudgetRules, SlowStartRules,
@@ -27,14 +27,14 @@
     /// Resources of each node, except for its speed.
     pub spec: Spec,
     /// Behaviour of each node outside its resource model.
-    pub habits: Habits,
+    pub behaviour: NodeBehaviour,
     /// Delay of the list service's notifications.
-    pub list_late: Micros,
+    pub list_delay: Micros,
 }
 
 /// How clients space their retries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manners {
+pub enum RetryPolicy {
     /// A wait drawn from `retry-wait-ms`.
     #[default]
     Plain,
@@ -45,12 +45,12 @@
     Budget,
 }
 
-impl Manners {
+impl RetryPolicy {
     /// Names in files; the option is none for the day's own value.
-    pub(crate) const CHOICE: [(&'static str, Option<Manners>); 3] = [
-        ("plain", Some(Manners::Plain)),
-        ("jitter", Some(Manners::Jitter)),
-        ("budget", Some(Manners::Budget)),
+    pub(crate) const CHOICE: [(&'static str, Option<RetryPolicy>); 3] = [
+        ("plain", Some(RetryPolicy::Plain)),
+        ("jitter", Some(RetryPolicy::Jitter)),
+        ("budget", Some(RetryPolicy::Budget)),
     ];
 }
 
@@ -72,9 +72,9 @@
     /// Wait before a retry, ms.
     pub retry_wait: (f64, f64),
     /// How they space their retries.
-    pub manners: Manners,
+    pub retry_policy: RetryPolicy,
     /// Time-out of a try, after which the client makes another, ms; 0: as long as the deadline allows.
-    pub patience: (f64, f64),
+    pub try_timeout: (f64, f64),
     /// Share of clients that honour the wait of a refusal.
     pub honour: f64,
     /// Payload of a write, bytes.
@@ -113,7 +113,7 @@
 
 /// Kind of a fault.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
+pub enum FaultKind {
     /// Lines for a node's standard input, at the start and at the end of the fault.
     Node(String, String),
     /// Lines for the list service's standard input, at the start and at the end of the fault.
@@ -150,7 +150,7 @@
     /// Affected initiators.
     pub initiators: Vec<u32>,
     /// Kind of the fault.
-    pub trouble: Trouble,
+    pub kind: FaultKind,
 }
 
 /// Errors of reading a day.
@@ -205,7 +205,7 @@
     /// Faults, in the order of the file.
     pub faults: Vec<Fault>,
     /// Settings of consensus, if the initiators run it.
-    pub accord: Option<Accord>,
+    pub agreement: Option<AgreementSettings>,
     /// Fallback rules, on which initiators act without a lease.
     pub floor: BTreeMap<String, Value>,
 }
@@ -279,7 +279,7 @@
             mixes: Vec::new(),
             plans: Vec::new(),
             faults: Vec::new(),
-            accord: None,
+            agreement: None,
             floor: BTreeMap::new(),
             site,
         };
@@ -296,7 +296,7 @@
             b.reject_unknown_keys();
         }
         self.floor = read_fallback_rules(root);
-        self.accord = root.block("agreement").map(|b| read_accord(&b, &self));
+        self.agreement = root.block("agreement").map(|b| read_agreement(&b, &self));
         self.faults = root.blocks("fault").iter().filter_map(|b| read_fault(b, &self)).collect();
         self
     }
@@ -388,9 +388,9 @@
     /// Returns the factor on a plan's traffic at a time of the day, in seconds.
     pub fn factor(&self, plan: u16, at: f64) -> f64 {
         let on = self.faults.iter().filter(|f| f.at <= at && at < f.at + f.length);
-        let times = on.map(|f| match f.trouble {
-            Trouble::Burst(None, times) => times,
-            Trouble::Burst(Some(p), times) if p == plan => times,
+        let times = on.map(|f| match f.kind {
+            FaultKind::Burst(None, times) => times,
+            FaultKind::Burst(Some(p), times) if p == plan => times,
             _ => 1.0,
         });
         times.product()
@@ -444,26 +444,26 @@
             thrash: b.number("thrash", 0.0..=0.95, Some(0.0)),
             thrash_at: b.number("thrash-at", 0.1..=1e6, Some(8.0)),
             seek: b.number("seek", SHARE, Some(0.0)),
-            remembers: b.integer("remembers", 0..=10_000, Some(0)) as usize,
-            put_off: b.number("put-off", 0.0..=0.99, Some(0.0)),
-            put_off_every: Micros::from_ms(b.number("put-off-every-ms", 1.0..=1e6, Some(2000.0))),
+            cached_keys: b.integer("remembers", 0..=10_000, Some(0)) as usize,
+            deferred_share: b.number("put-off", 0.0..=0.99, Some(0.0)),
+            deferral_interval: Micros::from_ms(b.number("put-off-every-ms", 1.0..=1e6, Some(2000.0))),
             overload_multiple: s.overload_multiple,
             slow_start_window: Micros::from_ms(s.slow_start_window),
             // The minimum number of units, at their maximum work.
-            fall_work: s.slow_start_min_units * unit_work * 1000.0,
+            overload_min_work: s.slow_start_min_units * unit_work * 1000.0,
         },
-        habits: Habits {
+        behaviour: NodeBehaviour {
             unit_work: unit_work * 1000.0,
             spread: b.range("spread", 0.0..=1000.0, Some((0.6, 1.4))),
-            report_every: Micros::from_ms(b.number("report-ms", 1.0..=1e6, Some(500.0))),
-            report_late: Micros::from_ms(b.number("report-late-ms", MS, Some(0.0))),
+            report_interval: Micros::from_ms(b.number("report-ms", 1.0..=1e6, Some(500.0))),
+            report_delay: Micros::from_ms(b.number("report-late-ms", MS, Some(0.0))),
             report_noise: b.number("report-noise", 0.0..=0.9, Some(0.0)),
             connections: b.integer("connections", 1..=1_000_000, Some(10_000)) as usize,
             handshake: b.number("handshake-us", 0.0..=1e7, Some(0.0)),
             cancels: b.flag("cancels", true),
             window: Micros::from_ms(windows.fold(10_000.0, f64::max)),
         },
-        list_late: Micros::from_ms(b.number("list-late-ms", MS, Some(500.0))),
+        list_delay: Micros::from_ms(b.number("list-late-ms", MS, Some(500.0))),
     };
     b.reject_unknown_keys();
     fleet
@@ -483,8 +483,8 @@
         clients: b.integer("clients", 1..=10_000, Some(1)) as u32,
         retries: b.integer("retries", 0..=100, Some(0)) as u8,
         retry_wait: b.range("retry-wait-ms", MS, Some((50.0, 200.0))),
-        manners: b.choice("manners", &Manners::CHOICE, Some(None)).flatten().unwrap_or_default(),
-        patience: b.range("patience-ms", MS, Some((0.0, 0.0))),
+        retry_policy: b.choice("manners", &RetryPolicy::CHOICE, Some(None)).flatten().unwrap_or_default(),
+        try_timeout: b.range("patience-ms", MS, Some((0.0, 0.0))),
         honour: b.number("honour", SHARE, Some(1.0)),
         payload: b.integer("payload-bytes", 8..=1 << 20, Some(64)) as usize,
         barrier_every: b.integer("barrier-every", 0..=1 << 40, Some(0)),
@@ -494,19 +494,19 @@
     traffic
 }
 
-fn read_accord(b: &Block<'_>, day: &Day) -> Accord {
+fn read_agreement(b: &Block<'_>, day: &Day) -> AgreementSettings {
     let ms = |key, default| Micros::from_ms(b.number(key, 50.0..=600_000.0, Some(default)));
-    let accord = Accord {
+    let agreement = AgreementSettings {
         keepers: b.integer("keepers", 1..=5, Some(3)) as u32,
         lease: ms("lease-ms", 1000.0),
         election: ms("election-ms", 250.0),
         clock_error: b.number("clock-error", 0.0..=0.1, Some(0.001)),
     };
-    if accord.keepers > day.site.site.settings.initiators {
-        b.report(format!("keepers is {}, expected at most the site's initiators", accord.keepers));
+    if agreement.keepers > day.site.site.settings.initiators {
+        b.report(format!("keepers is {}, expected at most the site's initiators", agreement.keepers));
     }
     b.reject_unknown_keys();
-    accord
+    agreement
 }
 
 #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
@@ -518,9 +518,9 @@
         let expected = "the name of a class";
         b.parsed("class", expected, None, |t| names.iter().position(|c| c.name == t)).unwrap_or(0)
     };
-    let node = |on: String, off: &str| Trouble::Node(on, off.to_owned());
-    let list = |on: &str, off: &str| Trouble::List(on.to_owned(), off.to_owned());
-    let trouble = match &name[..] {
+    let node = |on: String, off: &str| FaultKind::Node(on, off.to_owned());
+    let list = |on: &str, off: &str| FaultKind::List(on.to_owned(), off.to_owned());
+    let kind = match &name[..] {
         "pauses" => {
             let (length, every) =
                 (b.number("ms", 1.0..=60_000.0, None), b.number("every-ms", 1.0..=60_000.0, None));
@@ -542,28 +542,28 @@
             let times = b.number("times", 1.0..=1000.0, None);
             node(format!("heavy {} {} {times}", class(b), share(b)), "heavy 0 0 1")
         }
-        "crash" => Trouble::Crash,
-        "replace" => Trouble::Replace,
+        "crash" => FaultKind::Crash,
+        "replace" => FaultKind::Replace,
         "list-silent" => list("silent 1", "silent 0\ncut"),
         "list-fails" => list("fail 1", "fail 0"),
         "list-cut" => list("cut", ""),
         "list-late" => {
             let ms = b.number("ms", MS, None);
-            Trouble::List(format!("late {ms}"), format!("late {}", day.fleet.list_late.ms()))
+            FaultKind::List(format!("late {ms}"), format!("late {}", day.fleet.list_delay.ms()))
         }
-        "kill-initiator" => Trouble::KillInitiator,
-        "restart-initiator" => Trouble::RestartInitiator,
-        "cut-initiator" => Trouble::CutInitiator,
-        "pause-initiator" => Trouble::PauseInitiator,
-        "change" => Trouble::Change(b.assignments("set", |key, _| match narrowing_of(key) {
+        "kill-initiator" => FaultKind::KillInitiator,
+        "restart-initiator" => FaultKind::RestartInitiator,
+        "cut-initiator" => FaultKind::CutInitiator,
+        "pause-initiator" => FaultKind::PauseInitiator,
+        "change" => FaultKind::Change(b.assignments("set", |key, _| match narrowing_of(key) {
             Some(_) => Ok(()),
             None => Err(format!("{key:?} is no key of the rules, see docs/agreement.md")),
         })),
-        "burst" => Trouble::Burst(None, b.number("times", 0.0..=1000.0, None)),
+        "burst" => FaultKind::Burst(None, b.number("times", 0.0..=1000.0, None)),
         "plan-burst" => {
             let names = &day.site.site.plans;
             let plan = b.parsed("plan", "the name of a plan", None, |t| names.iter().position(|p| p == t));
-            Trouble::Burst(Some(plan.unwrap_or(0) as u16), b.number("times", 0.0..=1000.0, None))
+            FaultKind::Burst(Some(plan.unwrap_or(0) as u16), b.number("times", 0.0..=1000.0, None))
         }
         "" => return None,
         _ => {
@@ -581,14 +581,18 @@
     };
     let nodes = places("nodes", day.fleet.nodes);
     let initiators = places("initiators", day.site.site.settings.initiators);
-    let of_nodes = matches!(trouble, Trouble::Node(..) | Trouble::Crash | Trouble::Replace);
-    let agreement = matches!(trouble, Trouble::CutInitiator | Trouble::PauseInitiator | Trouble::Change(_));
-    if agreement && day.accord.is_none() {
+    let of_nodes = matches!(kind, FaultKind::Node(..) | FaultKind::Crash | FaultKind::Replace);
+    let needs_agreement =
+        matches!(kind, FaultKind::CutInitiator | FaultKind::PauseInitiator | FaultKind::Change(_));
+    if needs_agreement && day.agreement.is_none() {
         b.report("there is no agreement, expected the block".into());
     }
     let of_initiators = matches!(
-        trouble,
-        Trouble::KillInitiator | Trouble::RestartInitiator | Trouble::CutInitiator | Trouble::PauseInitiator
+        kind,
+        FaultKind::KillInitiator
+            | FaultKind::RestartInitiator
+            | FaultKind::CutInitiator
+            | FaultKind::PauseInitiator
     );
     if of_nodes == nodes.is_empty() {
         b.report(format!(
@@ -603,5 +607,5 @@
     let at = b.number("at", 0.0..=86_400.0, None);
     let length = b.number("for", 0.0..=86_400.0, Some(0.0));
     b.reject_unknown_keys();
-    Some(Fault { name, at, length, nodes, initiators, trouble })
+    Some(Fault { name, at, length, nodes, initiators, kind })
 }
--- a/crates/flaxstand-simulation/src/experiment.rs
+++ b/crates/flaxstand-simulation/src/experiment.rs
@@ -2,7 +2,7 @@
 //! day and seed get the same arrivals and the same faults. The result is the mean of the paired
 //! differences, its confidence interval and the number of pairs.
 
-use crate::day::{Day, DayError, Manners};
+use crate::day::{Day, DayError, RetryPolicy};
 use crate::world;
 use flaxstand_gateway::core::Policy;
 use flaxstand_gateway::settings::{Block, SettingsError, Source};
@@ -34,7 +34,7 @@
     /// Replaces the day's share of clients that honour the wait of a refusal, if given.
     pub honour: Option<f64>,
     /// Replaces the day's retry policy of clients, if given.
-    pub manners: Option<Manners>,
+    pub retry_policy: Option<RetryPolicy>,
 }
 
 /// An experiment: days, seeds and variants.
@@ -162,7 +162,7 @@
                     initiators: (initiators > 0).then_some(initiators),
                     through: v.flag("through", false),
                     damping: v.flag("damping", true),
-                    manners: v.choice("manners", &Manners::CHOICE, Some(None)).flatten(),
+                    retry_policy: v.choice("manners", &RetryPolicy::CHOICE, Some(None)).flatten(),
                     honour: Some(v.number("honour", -1.0..=1.0, Some(-1.0))).filter(|h| *h >= 0.0),
                 });
                 v.reject_unknown_keys();
@@ -213,7 +213,7 @@
             for _ in 0..threads.max(1) {
                 scope.spawn(|| {
                     while let Some((day, seed, variant)) = todo.get(next.fetch_add(1, Ordering::Relaxed)) {
-                        let run = self.one(day, *seed, variant);
+                        let run = self.play_run(day, *seed, variant);
                         let mut kept = kept.lock().expect("no holder panics");
                         if let Some(file) = &mut kept.1 {
                             // A run that can't be written is played again on the next resume; this result
@@ -232,7 +232,7 @@
         Ok(Outcome { name: self.name.clone(), differences: self.differences(&runs), runs })
     }
 
-    fn one(&self, day: &Day, seed: u64, variant: &Variant) -> Run {
+    fn play_run(&self, day: &Day, seed: u64, variant: &Variant) -> Run {
         let mut day = Day { seed, ..day.clone() };
         day.traffic.rate *= variant.rate;
         let settings = &mut day.site.site.settings;
@@ -240,7 +240,7 @@
         settings.initiators = variant.initiators.unwrap_or(settings.initiators);
         let left = settings.initiators;
         day.faults.iter_mut().for_each(|f| f.initiators.retain(|i| *i < left));
-        day.traffic.manners = variant.manners.unwrap_or(day.traffic.manners);
+        day.traffic.retry_policy = variant.retry_policy.unwrap_or(day.traffic.retry_policy);
         day.traffic.honour = variant.honour.unwrap_or(day.traffic.honour);
         if !variant.damping {
             day.site.site.retry_throttle = None;
@@ -302,7 +302,7 @@
 }
 
 /// Student's t for a two-sided 95% interval, by degrees of freedom; the last value is used from 30 on.
-const T: [f64; 30] = [
+const STUDENT_T: [f64; 30] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
     2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
 ];
@@ -315,7 +315,7 @@
         return (mean, f64::INFINITY);
     }
     let variance = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / (n - 1.0);
-    let t = T[(values.len() - 2).min(T.len() - 1)];
+    let t = STUDENT_T[(values.len() - 2).min(STUDENT_T.len() - 1)];
     (mean, t * (variance / n).sqrt())
 }
 
--- a/crates/flaxstand-simulation/src/html.rs
+++ b/crates/flaxstand-simulation/src/html.rs
@@ -23,7 +23,7 @@
     RGBColor(0x9a, 0x8f, 0x2a),
 ];
 
-type Drawn = Result<String, Box<dyn std::error::Error>>;
+type Rendered = Result<String, Box<dyn std::error::Error>>;
 
 /// Time axis of a day, divided into bins.
 struct Axis {
@@ -56,7 +56,7 @@
     points: Vec<(f64, f64)>,
 }
 
-fn lines(axis: &Axis, top: f64, unit: &str, all: &[Line]) -> Drawn {
+fn lines(axis: &Axis, top: f64, unit: &str, all: &[Line]) -> Rendered {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, (WIDTH, 230)).into_drawing_area();
@@ -93,7 +93,7 @@
     names.zip(points).map(|(name, points)| Line { name, points }).collect()
 }
 
-fn service(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Drawn {
+fn service(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Rendered {
     let mut counts = by_class::<(u32, u32)>(day);
     for o in operations(ledger).values() {
         let latency_objective =
@@ -110,15 +110,15 @@
     lines(axis, 1.02, "share in time", &named(day, counts.iter().map(points).collect()))
 }
 
-fn latency(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Drawn {
-    let mut lags = by_class::<Vec<u64>>(day);
+fn latency(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Rendered {
+    let mut latencies = by_class::<Vec<u64>>(day);
     for o in operations(ledger).values() {
         if let Some(at) = o.served {
-            lags[usize::from(o.class)][axis.bin(o.first)].push(at.saturating_sub(o.first));
+            latencies[usize::from(o.class)][axis.bin(o.first)].push(at.saturating_sub(o.first));
         }
     }
     let mut all = Vec::new();
-    for (class, bins) in day.site.site.classes.iter().zip(&mut lags) {
+    for (class, bins) in day.site.site.classes.iter().zip(&mut latencies) {
         let mut points = Vec::new();
         for (i, bin) in bins.iter_mut().enumerate().filter(|(_, bin)| !bin.is_empty()) {
             bin.sort_unstable();
@@ -130,7 +130,7 @@
     lines(axis, top * 1.05, "ms, 95th percentile", &all)
 }
 
-fn refusals(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Drawn {
+fn refusals(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Rendered {
     let mut counts = by_class::<f64>(day);
     for t in &ledger.client_attempts {
         if let Some((at, Answer::Refused { .. } | Answer::Failed)) = t.answers.first() {
@@ -144,16 +144,17 @@
 }
 
 /// Plots the mean number of requests at each node, by bin.
-fn heat(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Drawn {
+fn load_heatmap(day: &Day, ledger: &AttemptLedger, axis: &Axis) -> Rendered {
     let shards = day.fleet.nodes.max(1) as usize;
     let mut load = vec![vec![0.0; BINS]; shards];
     let width = axis.seconds / BINS as f64;
     for a in ledger.requests.values().flat_map(|r| &r.attempts) {
-        let Some(life) = ledger.processes.get(&(a.node, a.incarnation)) else { continue };
+        let Some(process) = ledger.processes.get(&(a.node, a.incarnation)) else { continue };
         let until = a.end.map(|(at, _)| at).or(a.completed_at).unwrap_or(a.at);
         let second = |at: u64| at.saturating_sub(axis.start) as f64 / 1e6;
         let (from, to) = (second(a.at), second(until));
-        for (bin, place) in load[life.shard as usize % shards].iter_mut().enumerate().skip(axis.bin(a.at)) {
+        for (bin, place) in load[process.shard as usize % shards].iter_mut().enumerate().skip(axis.bin(a.at))
+        {
             let begins = bin as f64 * width;
             if begins > to {
                 break;
@@ -191,7 +192,7 @@
 }
 
 /// Plots the faults, one row each.
-fn faults(day: &Day, axis: &Axis) -> Drawn {
+fn faults(day: &Day, axis: &Axis) -> Rendered {
     let rows: Vec<_> = day.faults.iter().filter(|f| f.at < axis.seconds).collect();
     let mut svg = String::new();
     {
@@ -227,7 +228,7 @@
 }
 
 /// Plots the mean difference of service of each variant to the baseline, with its 95% interval.
-fn against(outcome: &Outcome) -> Drawn {
+fn comparison(outcome: &Outcome) -> Rendered {
     let first = outcome.differences.first().map(|d| d.variant.clone()).unwrap_or_default();
     let rows: Vec<&Difference> =
         outcome.differences.iter().filter(|d| d.variant != first && d.half.is_finite()).collect();
@@ -263,7 +264,7 @@
     Ok(svg)
 }
 
-fn opening(title: &str) -> String {
+fn page_header(title: &str) -> String {
     format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>{title}</title>\n<style>\n\
          :root {{ color-scheme: light dark; }}\n\
@@ -284,10 +285,10 @@
 ///
 /// # Errors
 /// The plot can't be drawn.
-pub fn experiment_page(outcome: &Outcome) -> Drawn {
-    let mut out = opening(&escape(&outcome.name));
+pub fn experiment_page(outcome: &Outcome) -> Rendered {
+    let mut out = page_header(&escape(&outcome.name));
     let first = outcome.differences.first().map(|d| escape(&d.variant)).unwrap_or_default();
-    let svg = themed(&against(outcome)?);
+    let svg = themed(&comparison(outcome)?);
     let _ =
         writeln!(out, "<h2>Against {first}: mean difference of service, and its 95% interval</h2>\n{svg}");
     let _ = writeln!(out, "<h2>Figures</h2>\n<pre>{}</pre>\n</body></html>", escape(&outcome.text()));
@@ -298,7 +299,7 @@
 ///
 /// # Errors
 /// A plot can't be drawn.
-pub fn page(day: &Day, ledger: &AttemptLedger, report: &Report) -> Drawn {
+pub fn page(day: &Day, ledger: &AttemptLedger, report: &Report) -> Rendered {
     let axis = Axis::of(ledger);
     let mut plots: BTreeMap<u32, (&str, String)> = BTreeMap::new();
     plots.insert(
@@ -313,9 +314,9 @@
     }
     plots.insert(2, ("Latency of what was served, from its first try", latency(day, ledger, &axis)?));
     plots.insert(3, ("Refusals and failures", refusals(day, ledger, &axis)?));
-    plots.insert(4, ("Requests at each node (stronger: more)", heat(day, ledger, &axis)?));
+    plots.insert(4, ("Requests at each node (stronger: more)", load_heatmap(day, ledger, &axis)?));
     let title = escape(&day.name);
-    let mut out = opening(&title);
+    let mut out = page_header(&title);
     let (initiators, nodes) = (day.site.site.settings.initiators, day.fleet.nodes);
     let verdict = match report.audit.breaches.len() {
         0 => "every rule kept".to_owned(),
--- a/crates/flaxstand-simulation/src/list.rs
+++ b/crates/flaxstand-simulation/src/list.rs
@@ -32,7 +32,7 @@
 
 /// Entry of a node in the list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedNode {
     /// The node's number.
     pub node: u64,
     /// Its incarnation.
@@ -49,7 +49,7 @@
     pub address: String,
 }
 
-impl Listed {
+impl ListedNode {
     fn entry(&self, now: Micros) -> Entry<'_> {
         Entry {
             node: self.node,
@@ -71,42 +71,43 @@
     epoch: u64,
     watches: bool,
     /// State of each node in the last notification, to find the nodes that a full list removes.
-    told: BTreeMap<u64, State>,
+    notified: BTreeMap<u64, State>,
 }
 
 /// An emulated list service.
 #[derive(Default)]
 pub struct ListService {
-    late: Micros,
+    delay: Micros,
     silent: bool,
     fail: bool,
-    coming: VecDeque<(Micros, Listed)>,
-    nodes: BTreeMap<u64, Listed>,
+    pending: VecDeque<(Micros, ListedNode)>,
+    nodes: BTreeMap<u64, ListedNode>,
     revision: u64,
     watchers: BTreeMap<ConnId, Watcher>,
 }
 
 impl ListService {
-    /// Creates a service whose notifications are delayed by `late`.
-    pub fn new(late: Micros) -> Self {
-        ListService { late, revision: 1, ..ListService::default() }
+    /// Creates a service whose notifications are delayed by `delay`.
+    pub fn new(delay: Micros) -> Self {
+        ListService { delay, revision: 1, ..ListService::default() }
     }
 
-    fn tell_all(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
+    fn send_full_list(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
         let entries: Vec<Entry<'_>> = self.nodes.values().map(|n| n.entry(now)).collect();
         let list = List { extent: Extent::Full, since: self.revision, revision: self.revision, entries };
         links.push(conn, &Frame::List(list));
         let Some(watcher) = self.watchers.get_mut(&conn) else { return };
-        let absent: Vec<u64> = watcher.told.keys().filter(|n| !self.nodes.contains_key(n)).copied().collect();
+        let absent: Vec<u64> =
+            watcher.notified.keys().filter(|n| !self.nodes.contains_key(n)).copied().collect();
         for node in absent {
-            note(links, watcher, node, 0, State::Removed, now);
+            record_notification(links, watcher, node, 0, State::Removed, now);
         }
         for n in self.nodes.values() {
-            note(links, watcher, n.node, n.incarnation, n.state, now);
+            record_notification(links, watcher, n.node, n.incarnation, n.state, now);
         }
     }
 
-    fn tell_change(&mut self, links: &mut Links, changed: &Listed, now: Micros) {
+    fn send_change(&mut self, links: &mut Links, changed: &ListedNode, now: Micros) {
         let since = self.revision;
         self.revision += 1;
         if changed.state == State::Removed {
@@ -121,14 +122,14 @@
         let frame = Frame::List(List { extent: Extent::Changes, since, revision: self.revision, entries });
         for (conn, watcher) in self.watchers.iter_mut().filter(|(_, w)| w.watches) {
             links.push(*conn, &frame);
-            note(links, watcher, changed.node, changed.incarnation, changed.state, now);
+            record_notification(links, watcher, changed.node, changed.incarnation, changed.state, now);
         }
     }
 
     /// Parses the fields of a line that [`node_line`] formats, without its first word; none if they are invalid.
-    pub fn parse(words: &[&str], now: Micros) -> Option<Listed> {
+    pub fn parse(words: &[&str], now: Micros) -> Option<ListedNode> {
         let [node, incarnation, state, shard, zone, age, address] = words else { return None };
-        Some(Listed {
+        Some(ListedNode {
             node: node.parse().ok()?,
             incarnation: incarnation.parse().ok()?,
             state: match *state {
@@ -148,8 +149,15 @@
     }
 }
 
-fn note(links: &mut Links, watcher: &mut Watcher, node: u64, incarnation: u64, state: State, now: Micros) {
-    watcher.told.insert(node, state);
+fn record_notification(
+    links: &mut Links,
+    watcher: &mut Watcher,
+    node: u64,
+    incarnation: u64,
+    state: State,
+    now: Micros,
+) {
+    watcher.notified.insert(node, state);
     let state = match state {
         State::Serving => ListState::Serving,
         State::Draining => ListState::Draining,
@@ -167,8 +175,8 @@
             _ if self.silent => {}
             Frame::Hello(Hello { role: Role::Initiator, id, epoch, .. }) => {
                 let initiator = id as u32;
-                let told = BTreeMap::new();
-                self.watchers.insert(conn, Watcher { initiator, epoch, watches: false, told });
+                let notified = BTreeMap::new();
+                self.watchers.insert(conn, Watcher { initiator, epoch, watches: false, notified });
                 links.push(
                     conn,
                     &Frame::Welcome(Welcome {
@@ -181,12 +189,12 @@
                 );
             }
             Frame::GetList | Frame::Watch if self.fail => links.push(conn, &Frame::ListFailed),
-            Frame::GetList => self.tell_all(links, conn, now),
+            Frame::GetList => self.send_full_list(links, conn, now),
             Frame::Watch => {
                 if let Some(watcher) = self.watchers.get_mut(&conn) {
                     watcher.watches = true;
                 }
-                self.tell_all(links, conn, now);
+                self.send_full_list(links, conn, now);
             }
             Frame::Bye { .. } => {}
             other => {
@@ -197,7 +205,7 @@
         }
     }
 
-    fn gone(&mut self, _links: &mut Links, conn: ConnId, _now: Micros) {
+    fn connection_closed(&mut self, _links: &mut Links, conn: ConnId, _now: Micros) {
         self.watchers.remove(&conn);
     }
 
@@ -206,10 +214,10 @@
         let on = words.get(1).is_some_and(|w| *w == "1");
         match words[..] {
             ["node", ref rest @ ..] => match Self::parse(rest, now) {
-                Some(listed) => self.coming.push_back((now.after(self.late), listed)),
+                Some(listed) => self.pending.push_back((now.after(self.delay), listed)),
                 None => warn!(line, "ignoring an invalid node line"),
             },
-            ["late", ms] => self.late = Micros::from_ms(ms.parse().unwrap_or(0.0)),
+            ["late", ms] => self.delay = Micros::from_ms(ms.parse().unwrap_or(0.0)),
             ["silent", _] => self.silent = on,
             ["fail", _] => self.fail = on,
             ["cut"] => {
@@ -221,9 +229,9 @@
     }
 
     fn settle(&mut self, links: &mut Links, now: Micros) -> Option<Micros> {
-        while let Some((_, changed)) = self.coming.pop_front_if(|(at, _)| *at <= now) {
-            self.tell_change(links, &changed, now);
+        while let Some((_, changed)) = self.pending.pop_front_if(|(at, _)| *at <= now) {
+            self.send_change(links, &changed, now);
         }
-        self.coming.front().map(|(at, _)| *at)
+        self.pending.front().map(|(at, _)| *at)
     }
 }
--- a/crates/flaxstand-simulation/src/load.rs
+++ b/crates/flaxstand-simulation/src/load.rs
@@ -1,7 +1,7 @@
 //! Emulated clients: open-loop arrivals (they do not wait for answers), volumes spread over initiators and
 //! nodes, and retries. They record what they send and read; the audit judges it.
 
-use crate::day::{Day, Manners};
+use crate::day::{Day, RetryPolicy};
 use crate::shell::{Links, Peer};
 use crate::{between, random};
 use flaxstand::api::{DeduplicationScope, Effect};
@@ -13,11 +13,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Maximum number of recently written objects kept for reads.
-const LATELY: usize = 4096;
+const MAX_RECENT: usize = 4096;
 /// Range of the wait before a client reconnects to its initiator, ms.
-const CALL_AGAIN: (f64, f64) = (50.0, 250.0);
+const RECONNECT_WAIT_MS: (f64, f64) = (50.0, 250.0);
 /// A client makes no try with less time left than this, since an answer could not arrive in time.
-const LEAST_TRY: Micros = Micros(20_000);
+const MIN_TRY_TIME: Micros = Micros(20_000);
 
 struct Volume {
     id: u64,
@@ -42,15 +42,15 @@
     units: u32,
     write: bool,
     tries: u8,
-    begun: Micros,
+    started_at: Micros,
     until: Micros,
 }
 
 impl Operation {
     /// Returns when a client forgets a try: a second after its deadline, so that a late answer is still
     /// recorded.
-    fn given_up(&self, client: usize, id: u64) -> (Micros, Due) {
-        (self.until.after(Micros(1_000_000)), Due::GiveUp(client, id))
+    fn expiry(&self, client: usize, id: u64) -> (Micros, Due) {
+        (self.until.after(Micros(1_000_000)), Due::Expire(client, id))
     }
 }
 
@@ -60,18 +60,18 @@
     /// Number of this connection in the records; 0: the handshake is not done.
     number: u64,
     /// Time before which the initiator asked it not to reconnect.
-    turn: Micros,
+    reconnect_at: Micros,
     /// Tokens of its retry budget.
     tokens: f64,
-    honours: bool,
-    owed: BTreeMap<u64, Operation>,
+    honours_wait: bool,
+    pending: BTreeMap<u64, Operation>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Call(usize),
-    Try(u64),
-    GiveUp(usize, u64),
+    Connect(usize),
+    Retry(u64),
+    Expire(usize, u64),
 }
 
 /// All clients of a day.
@@ -89,7 +89,7 @@
     next_number: u64,
     next_try: u64,
     /// Operations waiting for a retry, and their clients.
-    resting: BTreeMap<u64, (usize, Operation)>,
+    waiting_retries: BTreeMap<u64, (usize, Operation)>,
     due: BTreeSet<(Micros, Due)>,
     /// Recently written objects: index of the volume, extent, shard.
     written: VecDeque<(usize, u64, u32)>,
@@ -108,14 +108,14 @@
             initiator: i % hosts.max(1),
             conn: None,
             number: 0,
-            turn: Micros(0),
+            reconnect_at: Micros(0),
             tokens: 5.0,
-            honours: random(rng) < day.traffic.honour,
-            owed: BTreeMap::new(),
+            honours_wait: random(rng) < day.traffic.honour,
+            pending: BTreeMap::new(),
         };
         let clients: Vec<Client> = (0..hosts * per).map(|i| client(i, &mut rng)).collect();
         let volumes = (0..day.traffic.volumes).map(|_| volume(&day, hosts, &mut rng)).collect();
-        let due = (0..clients.len()).map(|c| (Micros(0), Due::Call(c))).collect();
+        let due = (0..clients.len()).map(|c| (Micros(0), Due::Connect(c))).collect();
         Load {
             rng,
             seconds,
@@ -128,7 +128,7 @@
             next_op: 0,
             next_number: 0,
             next_try: 0,
-            resting: BTreeMap::new(),
+            waiting_retries: BTreeMap::new(),
             due,
             written: VecDeque::new(),
             buffered: VecDeque::new(),
@@ -149,7 +149,7 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
-    fn arrive(&mut self, links: &mut Links, at: f64, now: Micros) {
+    fn submit_arrival(&mut self, links: &mut Links, at: f64, now: Micros) {
         let weights: Vec<f64> = self.volumes.iter().map(|v| v.weight * self.day.factor(v.plan, at)).collect();
         let mut volume = self.draw(weights.into_iter());
         let shares: Vec<f64> = self.day.mixes.iter().map(|m| m.share).collect();
@@ -205,14 +205,14 @@
             units,
             write: mix.write,
             tries: 0,
-            begun: now,
+            started_at: now,
             until: now.after(deadline),
         };
         if one_way {
             let client = hosts[0] as usize;
             self.submit(links, client, operation, now);
             if buffered {
-                self.mark(links, client, volume, now);
+                self.send_marks(links, client, volume, now);
             }
             return;
         }
@@ -224,7 +224,7 @@
     }
 
     /// Sends a barrier or a flush after a buffered write, if one is due.
-    fn mark(&mut self, links: &mut Links, at: usize, volume: usize, now: Micros) {
+    fn send_marks(&mut self, links: &mut Links, at: usize, volume: usize, now: Micros) {
         let v = &mut self.volumes[volume];
         v.buffered += 1;
         let (volume, count) = (v.id, v.buffered);
@@ -253,7 +253,7 @@
             if tries == 0 {
                 links.record(&Record::Unreachable { at: now.0, op, class, plan });
             }
-            self.again(at, operation, 0.0, now);
+            self.schedule_retry(at, operation, 0.0, now);
             return;
         };
         if operation.tries == 0 {
@@ -262,9 +262,11 @@
         self.next_number += 1;
         let id = self.next_number;
         // The deadline of this try, and that of the operation, whichever is earlier.
-        let until = match self.day.traffic.patience {
+        let until = match self.day.traffic.try_timeout {
             (_, most) if most <= 0.0 => operation.until,
-            patience => now.after(Micros::from_ms(between(&mut self.rng, patience))).min(operation.until),
+            try_timeout => {
+                now.after(Micros::from_ms(between(&mut self.rng, try_timeout))).min(operation.until)
+            }
         };
         let o = &operation;
         links.record(&Record::Submitted {
@@ -306,43 +308,43 @@
                 payload: &payload,
             }),
         );
-        self.due.insert(o.given_up(at, id));
-        client.owed.insert(id, operation);
+        self.due.insert(o.expiry(at, id));
+        client.pending.insert(id, operation);
     }
 
     /// Schedules a retry, if the client has retries left and there is time.
-    fn again(&mut self, client: usize, mut operation: Operation, wait: f64, now: Micros) {
+    fn schedule_retry(&mut self, client: usize, mut operation: Operation, wait: f64, now: Micros) {
         operation.tries += 1;
         let effect = self.day.site.site.settings.classes[usize::from(operation.class)].effect;
         if let Effect::IdempotencyKey { window, .. } = effect {
             // Nodes deduplicate within this window only: no retry may be sent later.
-            operation.until = operation.until.min(operation.begun.after(Micros::from_ms(window)));
+            operation.until = operation.until.min(operation.started_at.after(Micros::from_ms(window)));
         }
-        let own = match self.day.traffic.manners {
-            Manners::Plain | Manners::Budget => between(&mut self.rng, self.day.traffic.retry_wait),
-            Manners::Jitter => {
+        let own = match self.day.traffic.retry_policy {
+            RetryPolicy::Plain | RetryPolicy::Budget => between(&mut self.rng, self.day.traffic.retry_wait),
+            RetryPolicy::Jitter => {
                 let end = self.day.traffic.retry_wait.1 * f64::from(1u32 << operation.tries.min(10));
                 between(&mut self.rng, (0.0, end.min(2000.0)))
             }
         };
-        if self.day.traffic.manners == Manners::Budget {
+        if self.day.traffic.retry_policy == RetryPolicy::Budget {
             let tokens = &mut self.clients[client].tokens;
             if *tokens < 1.0 {
                 return;
             }
             *tokens -= 1.0;
         }
-        let heeded = if self.clients[client].honours { wait } else { 0.0 };
-        let at = now.after(Micros::from_ms(own.max(heeded)));
-        if operation.tries <= self.day.traffic.retries && at.after(LEAST_TRY) < operation.until {
+        let requested = if self.clients[client].honours_wait { wait } else { 0.0 };
+        let at = now.after(Micros::from_ms(own.max(requested)));
+        if operation.tries <= self.day.traffic.retries && at.after(MIN_TRY_TIME) < operation.until {
             self.next_try += 1;
-            self.resting.insert(self.next_try, (client, operation));
-            self.due.insert((at, Due::Try(self.next_try)));
+            self.waiting_retries.insert(self.next_try, (client, operation));
+            self.due.insert((at, Due::Retry(self.next_try)));
         }
     }
 
     /// Returns whether a retry is safe though an earlier try may have been executed.
-    fn repeats(&self, operation: &Operation) -> bool {
+    fn is_retry_safe(&self, operation: &Operation) -> bool {
         // A buffered write may still be executed; a retry could overwrite a newer write of its item.
         if operation.write && self.day.site.site.classes[usize::from(operation.class)].is_buffered {
             return false;
@@ -354,50 +356,50 @@
         }
     }
 
-    fn answered(&mut self, links: &mut Links, conn: ConnId, id: u64, answer: Answer, now: Micros) {
+    fn handle_answer(&mut self, links: &mut Links, conn: ConnId, id: u64, answer: Answer, now: Micros) {
         let Some(at) = self.by_conn.get(&conn).copied() else { return };
         links.record(&Record::Answered { at: now.0, client: self.clients[at].number, id, answer });
-        let Some(operation) = self.clients[at].owed.remove(&id) else { return };
-        self.due.remove(&operation.given_up(at, id));
+        let Some(operation) = self.clients[at].pending.remove(&id) else { return };
+        self.due.remove(&operation.expiry(at, id));
         match answer {
             Answer::Served { shard, .. } if operation.write && operation.shard.is_none() => {
                 let volume = self.volumes.iter().position(|v| v.id == operation.volume).unwrap_or(0);
                 self.written.push_back((volume, operation.extent, shard));
-                if self.written.len() > LATELY {
+                if self.written.len() > MAX_RECENT {
                     self.written.pop_front();
                 }
             }
             Answer::Buffered => {
                 let volume = self.volumes.iter().position(|v| v.id == operation.volume).unwrap_or(0);
                 self.buffered.push_back((volume, operation.extent, operation.shard.unwrap_or(0)));
-                if self.buffered.len() > LATELY {
+                if self.buffered.len() > MAX_RECENT {
                     self.buffered.pop_front();
                 }
             }
             Answer::Served { .. } => {}
-            Answer::Refused { wait } => self.again(at, operation, Micros(wait.into()).ms(), now),
-            Answer::Failed if self.repeats(&operation) => self.again(at, operation, 0.0, now),
+            Answer::Refused { wait } => self.schedule_retry(at, operation, Micros(wait.into()).ms(), now),
+            Answer::Failed if self.is_retry_safe(&operation) => self.schedule_retry(at, operation, 0.0, now),
             Answer::Failed => {}
         }
     }
 
     fn fire(&mut self, links: &mut Links, due: Due, now: Micros) {
         match due {
-            Due::Call(at) => {
+            Due::Connect(at) => {
                 let address = self.addresses[self.clients[at].initiator as usize].clone();
-                let conn = links.call(address);
+                let conn = links.connect(address);
                 self.clients[at].conn = Some(conn);
                 self.by_conn.insert(conn, at);
             }
-            Due::Try(number) => {
-                if let Some((client, operation)) = self.resting.remove(&number)
-                    && now.after(LEAST_TRY) < operation.until
+            Due::Retry(number) => {
+                if let Some((client, operation)) = self.waiting_retries.remove(&number)
+                    && now.after(MIN_TRY_TIME) < operation.until
                 {
                     self.submit(links, client, operation, now);
                 }
             }
-            Due::GiveUp(client, id) => {
-                self.clients[client].owed.remove(&id);
+            Due::Expire(client, id) => {
+                self.clients[client].pending.remove(&id);
             }
         }
     }
@@ -450,13 +452,13 @@
             }
             Frame::Served { id, shard, payload } => {
                 let found = payload.first_chunk().map(|b| u64::from_le_bytes(*b));
-                self.answered(links, conn, id, Answer::Served { shard, found }, now);
+                self.handle_answer(links, conn, id, Answer::Served { shard, found }, now);
             }
             Frame::Refused { id, wait, .. } => {
-                self.answered(links, conn, id, Answer::Refused { wait }, now);
+                self.handle_answer(links, conn, id, Answer::Refused { wait }, now);
             }
-            Frame::Failed { id } => self.answered(links, conn, id, Answer::Failed, now),
-            Frame::Buffered { id } => self.answered(links, conn, id, Answer::Buffered, now),
+            Frame::Failed { id } => self.handle_answer(links, conn, id, Answer::Failed, now),
+            Frame::Buffered { id } => self.handle_answer(links, conn, id, Answer::Buffered, now),
             Frame::Barred { id } | Frame::Flushed { id } => {
                 if let Some(client) = self.by_conn.get(&conn).map(|at| self.clients[*at].number) {
                     links.record(&Record::MarkCompleted { at: now.0, client, id });
@@ -464,31 +466,31 @@
             }
             Frame::Bye { wait, .. } if wait > 0 => {
                 if let Some(at) = self.by_conn.get(&conn) {
-                    self.clients[*at].turn = now.after(Micros(wait.into()));
+                    self.clients[*at].reconnect_at = now.after(Micros(wait.into()));
                 }
             }
             _ => {}
         }
     }
 
-    fn gone(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
+    fn connection_closed(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
         let Some(at) = self.by_conn.remove(&conn) else { return };
         let client = &mut self.clients[at];
         client.conn = None;
         let number = std::mem::take(&mut client.number);
-        let owed = std::mem::take(&mut client.owed);
+        let pending = std::mem::take(&mut client.pending);
         if number > 0 {
             links.record(&Record::ClientDisconnected { at: now.0, client: number, by_client: false });
         }
-        for (id, operation) in owed {
-            self.due.remove(&operation.given_up(at, id));
-            if self.repeats(&operation) {
-                self.again(at, operation, 0.0, now);
+        for (id, operation) in pending {
+            self.due.remove(&operation.expiry(at, id));
+            if self.is_retry_safe(&operation) {
+                self.schedule_retry(at, operation, 0.0, now);
             }
         }
-        let wait = Micros::from_ms(between(&mut self.rng, CALL_AGAIN));
-        let turn = if self.clients[at].honours { self.clients[at].turn } else { now };
-        self.due.insert((now.after(wait).max(turn), Due::Call(at)));
+        let wait = Micros::from_ms(between(&mut self.rng, RECONNECT_WAIT_MS));
+        let reconnect_at = if self.clients[at].honours_wait { self.clients[at].reconnect_at } else { now };
+        self.due.insert((now.after(wait).max(reconnect_at), Due::Connect(at)));
     }
 
     fn line(&mut self, _links: &mut Links, line: &str, now: Micros) {
@@ -513,13 +515,13 @@
                 let times = self.volumes.iter().map(weigh).sum::<f64>() / plans.max(1e-9);
                 let rate = (self.day.traffic.rate * times).max(1e-3);
                 if self.day.traffic.rate > 0.0 {
-                    self.arrive(links, at, now);
+                    self.submit_arrival(links, at, now);
                 }
                 let gap = -(1.0 - random(&mut self.rng)).ln() / rate;
                 self.next_arrival = self.next_arrival.after(Micros((gap * 1e6) as u64 + 1));
             }
             arrival = Some(self.next_arrival.min(end));
-            let idle = self.resting.is_empty() && self.clients.iter().all(|c| c.owed.is_empty());
+            let idle = self.waiting_retries.is_empty() && self.clients.iter().all(|c| c.pending.is_empty());
             if now >= end && idle {
                 arrival = None;
                 if !std::mem::replace(&mut self.done, true) {
--- a/crates/flaxstand-simulation/src/measure.rs
+++ b/crates/flaxstand-simulation/src/measure.rs
@@ -2,10 +2,10 @@
 //! pass-through that forwards the same frames at once. One run measures both, so that their ratios stay
 //! valid on a machine whose speed drifts.
 
-use crate::agreed::{Accord, Links};
+use crate::agreed::{AgreementSettings, LinkRelays};
 use crate::list::node_line;
-use crate::press::Seen;
-use crate::process::{Process, RehearsalError, SOON, io_error, stop};
+use crate::press::LoadResult;
+use crate::process::{PROCESS_TIMEOUT, Process, RehearsalError, io_error, stop};
 use flaxstand_gateway::machine::Micros;
 use flaxstand_gateway::settings::read_rules;
 use serde::Serialize;
@@ -23,7 +23,7 @@
     /// Load: `window 256` or `rate 5000`.
     pub pressure: String,
     /// Results of the clients.
-    pub seen: Seen,
+    pub seen: LoadResult,
     /// Processor time of the initiator per request, microseconds.
     pub cpu_us: f64,
 }
@@ -113,17 +113,17 @@
     }
 
     /// Starts the nodes, a list service that lists them, and an initiator.
-    fn stage(
+    fn start_fleet(
         &self,
         policy: &str,
         nodes: u32,
         mute: bool,
     ) -> Result<(Process, Process, Process), RehearsalError> {
-        self.stage_with(nodes, mute, |list| settings(self.folder, policy, list))
+        self.start_fleet_with(nodes, mute, |list| settings(self.folder, policy, list))
     }
 
-    /// As `stage`, with settings built from the list service's address.
-    pub(crate) fn stage_with(
+    /// As `start_fleet`, with settings built from the list service's address.
+    pub(crate) fn start_fleet_with(
         &self,
         nodes: u32,
         mute: bool,
@@ -135,28 +135,33 @@
             arguments.push("--mute".into());
         }
         let mut echo = self.start("echo", &arguments)?;
-        let addresses = echo.expect("ready", SOON)?;
+        let addresses = echo.expect("ready", PROCESS_TIMEOUT)?;
         let mut list =
             self.start("list", &["stand-in", "list", "--listen=127.0.0.1:0"].map(str::to_owned))?;
-        let at = list.expect("ready", SOON)?;
+        let at = list.expect("ready", PROCESS_TIMEOUT)?;
         for (node, address) in addresses.split_whitespace().enumerate() {
-            list.tell(&node_line(node as u64, 1, "serving", node, 0, "-", address));
+            list.send_line(&node_line(node as u64, 1, "serving", node, 0, "-", address));
         }
         let file = self.folder.join("measured.kdl");
         std::fs::write(&file, settings(&at)).map_err(io_error("cannot write the settings file"))?;
         let file = file.display().to_string();
         let mut initiator =
             self.start("measured", &["run", "--config", &file, "--with-parent"].map(str::to_owned))?;
-        initiator.expect("ready", SOON)?;
+        initiator.expect("ready", PROCESS_TIMEOUT)?;
         std::thread::sleep(Duration::from_millis(200));
         Ok((echo, list, initiator))
     }
 
-    pub(crate) fn press(&self, nodes: u32, more: &[String], seconds: f64) -> Result<Process, RehearsalError> {
+    pub(crate) fn start_load(
+        &self,
+        nodes: u32,
+        extra: &[String],
+        seconds: f64,
+    ) -> Result<Process, RehearsalError> {
         let mut arguments = vec!["stand-in".to_owned(), "press".into()];
         arguments.push(format!("--initiator=unix:{}/measured.sock", self.folder.display()));
         arguments.extend([format!("--shards={nodes}"), format!("--seconds={seconds}")]);
-        arguments.extend_from_slice(more);
+        arguments.extend_from_slice(extra);
         self.start("press", &arguments)
     }
 
@@ -167,23 +172,29 @@
         pressure: (&str, u32),
         seconds: f64,
     ) -> Result<Figure, RehearsalError> {
-        let (_echo, _list, initiator) = self.stage(policy, nodes, false)?;
-        self.pressed(policy, nodes, pressure, seconds, initiator)
+        let (_echo, _list, initiator) = self.start_fleet(policy, nodes, false)?;
+        self.run_load(policy, nodes, pressure, seconds, initiator)
     }
 
     /// Measures an initiator that runs consensus with two others, with the default lease.
-    fn agreed(&self, nodes: u32, pressure: (&str, u32), seconds: f64) -> Result<Figure, RehearsalError> {
+    fn agreement_figure(
+        &self,
+        nodes: u32,
+        pressure: (&str, u32),
+        seconds: f64,
+    ) -> Result<Figure, RehearsalError> {
         let ms = |n: u64| Micros(n * 1000);
-        let accord = Accord { keepers: 3, lease: ms(3000), election: ms(500), clock_error: 0.001 };
-        let links = Links::new(3).map_err(io_error("cannot start the relays"))?;
+        let agreement =
+            AgreementSettings { keepers: 3, lease: ms(3000), election: ms(500), clock_error: 0.001 };
+        let links = LinkRelays::new(3).map_err(io_error("cannot start the relays"))?;
         let name = |i: usize| ["measured", "second", "third"][i].to_owned();
         let block = |i: usize| {
             let folder = self.folder.join(format!("agreed-{}-{i}", links.listen(i).port()));
-            links.settings(i, &accord, name, &folder)
+            links.settings(i, &agreement, name, &folder)
         };
         let mut others = Vec::new();
         let mut text = String::new();
-        let (_echo, _list, initiator) = self.stage_with(nodes, false, |list| {
+        let (_echo, _list, initiator) = self.start_fleet_with(nodes, false, |list| {
             text = settings(self.folder, "module", list);
             text.clone() + &block(0)
         })?;
@@ -194,19 +205,20 @@
             let file = file.display().to_string();
             let arguments = ["run", "--config", &file, "--with-parent"].map(str::to_owned);
             let mut other = self.start(&name(i), &arguments)?;
-            other.expect("ready", SOON)?;
+            other.expect("ready", PROCESS_TIMEOUT)?;
             others.push(other);
         }
         let rules = read_rules("measured", &text).map_err(|e| RehearsalError::Process(e.to_string()))?;
-        if links.propose(&rules, &text, SOON).and_then(|_| links.alike()).is_none() {
+        if links.propose(&rules, &text, PROCESS_TIMEOUT).and_then(|_| links.wait_for_convergence()).is_none()
+        {
             return Err(RehearsalError::Process(
                 "the initiators did not act on the proposed version in time".into(),
             ));
         }
-        self.pressed("agreed", nodes, pressure, seconds, initiator)
+        self.run_load("agreed", nodes, pressure, seconds, initiator)
     }
 
-    fn pressed(
+    fn run_load(
         &self,
         policy: &'static str,
         nodes: u32,
@@ -218,23 +230,23 @@
         let argument =
             if kind == "window" { format!("--window={}", amount / 4) } else { format!("--rate={amount}") };
         let before = cpu(initiator.id()).unwrap_or(0.0);
-        let mut press = self.press(nodes, &[argument, "--clients=4".into()], seconds)?;
-        let seen = press.expect("seen", Duration::from_secs_f64(seconds * 2.0 + 10.0))?;
+        let mut load = self.start_load(nodes, &[argument, "--clients=4".into()], seconds)?;
+        let seen = load.expect("seen", Duration::from_secs_f64(seconds * 2.0 + 10.0))?;
         let used = cpu(initiator.id()).unwrap_or(0.0) - before;
-        let seen: Seen = serde_json::from_str(&seen)
+        let seen: LoadResult = serde_json::from_str(&seen)
             .map_err(|e| RehearsalError::Process(format!("invalid results of the load generator: {e}")))?;
         stop(initiator)?;
         // The processor time includes the warm-up, so its requests are counted too.
-        let all = (seen.served + seen.not_served) as f64 * (1.0 + super::press::WARM_UP);
+        let all = (seen.served + seen.not_served) as f64 * (1.0 + super::press::WARM_UP_SHARE);
         let cpu_us = used * 1e6 / all.max(1.0);
         Ok(Figure { policy, nodes, pressure: format!("{kind} {amount}"), seen, cpu_us })
     }
 
     fn memory(&self) -> Result<(u64, u64, u64), RehearsalError> {
         const HELD: u32 = 10_000;
-        let (_echo, _list, initiator) = self.stage("module", 10, true)?;
+        let (_echo, _list, initiator) = self.start_fleet("module", 10, true)?;
         let idle = memory_kib(initiator.id()).unwrap_or(0);
-        let _press = self.press(10, &[format!("--window={}", HELD / 4), "--clients=4".into()], 10.0)?;
+        let _load = self.start_load(10, &[format!("--window={}", HELD / 4), "--clients=4".into()], 10.0)?;
         std::thread::sleep(Duration::from_millis(1500));
         let holding = memory_kib(initiator.id()).unwrap_or(0);
         Ok((idle, holding, HELD.into()))
@@ -257,7 +269,7 @@
     for _ in 0..rounds {
         for pressure in [("window", 256), ("rate", 10_000)] {
             all.figures.push(bench.figure("module", 10, pressure, seconds)?);
-            all.figures.push(bench.agreed(10, pressure, seconds)?);
+            all.figures.push(bench.agreement_figure(10, pressure, seconds)?);
         }
     }
     Ok(all)
--- a/crates/flaxstand-simulation/src/measure_buffer.rs
+++ b/crates/flaxstand-simulation/src/measure_buffer.rs
@@ -2,7 +2,7 @@
 //! answer at once, the number of syncs, and the recovery time of a log.
 
 use crate::measure::Bench;
-use crate::press::Seen;
+use crate::press::LoadResult;
 use crate::process::{RehearsalError, io_error, stop};
 use flaxstand_storage::{SegmentFolder, perform};
 use flaxstand_write_back::record::{Record, WallClock};
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Payload of a write, bytes.
-const BYTES: u32 = 4096;
+const WRITE_BYTES: u32 = 4096;
 
 /// Result for a number of writers, each with one request in flight.
 #[derive(Clone, Debug, Serialize)]
@@ -23,7 +23,7 @@
     /// Number of writers.
     pub writers: u32,
     /// Results of the writers.
-    pub seen: Seen,
+    pub seen: LoadResult,
     /// Data syncs per write, including those that log the completion.
     pub syncs_a_write: f64,
     /// Write amplification: bytes written to the log per byte of payload.
@@ -32,7 +32,7 @@
 
 /// Result of the recovery of a log.
 #[derive(Clone, Debug, Serialize)]
-pub struct BufferedRead {
+pub struct RecoveryTime {
     /// Size of the log, MiB.
     pub mib: u64,
     /// Writes in it that are not yet completed.
@@ -47,7 +47,7 @@
     /// Results by number of writers.
     pub writers: Vec<Writers>,
     /// Results by size of the log.
-    pub read_back: Vec<BufferedRead>,
+    pub read_back: Vec<RecoveryTime>,
 }
 
 impl Measured {
@@ -91,11 +91,11 @@
     let log = bench.folder.join("log");
     let _ = std::fs::remove_dir_all(&log);
     let (_echo, _list, initiator) =
-        bench.stage_with(10, false, |list| settings(bench.folder, list, buffered))?;
-    let more = ["--window=1".into(), format!("--clients={writers}"), format!("--write={BYTES}")];
-    let mut press = bench.press(10, &more, seconds)?;
-    let seen = press.expect("seen", Duration::from_secs_f64(seconds * 2.0 + 10.0))?;
-    let seen: Seen = serde_json::from_str(&seen)
+        bench.start_fleet_with(10, false, |list| settings(bench.folder, list, buffered))?;
+    let extra = ["--window=1".into(), format!("--clients={writers}"), format!("--write={WRITE_BYTES}")];
+    let mut load = bench.start_load(10, &extra, seconds)?;
+    let seen = load.expect("seen", Duration::from_secs_f64(seconds * 2.0 + 10.0))?;
+    let seen: LoadResult = serde_json::from_str(&seen)
         .map_err(|e| RehearsalError::Process(format!("invalid results of the load generator: {e}")))?;
     let mut measured = Writers { buffered, writers, seen, syncs_a_write: 0.0, amplification: 0.0 };
     if buffered {
@@ -108,13 +108,13 @@
         let figure = |name: &str| status[name].as_f64().unwrap_or(0.0);
         let writes = figure("acknowledged_total").max(1.0);
         measured.syncs_a_write = figure("syncs_total") / writes;
-        measured.amplification = figure("written_bytes_total") / (writes * f64::from(BYTES));
+        measured.amplification = figure("written_bytes_total") / (writes * f64::from(WRITE_BYTES));
     }
     stop(initiator)?;
     Ok(measured)
 }
 
-fn read_back(folder: &Path, mib: u64) -> Result<BufferedRead, RehearsalError> {
+fn read_back(folder: &Path, mib: u64) -> Result<RecoveryTime, RehearsalError> {
     let failed = |what: &str| io_error(what.to_owned());
     let path = folder.join("read-back");
     let _ = std::fs::remove_dir_all(&path);
@@ -128,7 +128,7 @@
         for _ in 0..256 {
             seq += 1;
             let extent_id = ExtentId { volume: seq % 64, extent: seq };
-            let payload = vec![seq as u8; BYTES as usize];
+            let payload = vec![seq as u8; WRITE_BYTES as usize];
             let (class, plan, volume_initiators, shard, units) = (0, 0, 1, 0, 1);
             let write = Write {
                 extent_id,
@@ -156,7 +156,7 @@
         recover(&mut storage).map_err(|e| RehearsalError::Process(format!("cannot recover the log: {e}")))?;
     let ms = begun.elapsed().as_secs_f64() * 1000.0;
     let _ = std::fs::remove_dir_all(&path);
-    Ok(BufferedRead { mib, writes: recovered.live.len(), ms })
+    Ok(RecoveryTime { mib, writes: recovered.live.len(), ms })
 }
 
 /// Runs every measurement, on the disk that holds `folder`.
--- a/crates/flaxstand-simulation/src/model.rs
+++ b/crates/flaxstand-simulation/src/model.rs
@@ -30,23 +30,23 @@
     /// Share of the work saved when the key is cached.
     pub seek: f64,
     /// Capacity of the key cache (least recently used).
-    pub remembers: usize,
+    pub cached_keys: usize,
     /// Share of a write's work that is deferred.
-    pub put_off: f64,
+    pub deferred_share: f64,
     /// Interval at which deferred work is executed.
-    pub put_off_every: Micros,
+    pub deferral_interval: Micros,
     /// A cold node fails when it receives more than `overload_multiple` times its current power within
-    /// `slow_start_window`, and more than `fall_work`, in microseconds of a core of speed 1.
+    /// `slow_start_window`, and more than `overload_min_work`, in microseconds of a core of speed 1.
     pub overload_multiple: f64,
     /// See `overload_multiple`.
     pub slow_start_window: Micros,
     /// See `overload_multiple`.
-    pub fall_work: f64,
+    pub overload_min_work: f64,
 }
 
 /// Current degradation of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Trouble {
+pub struct Degradation {
     /// Slow-down factor.
     pub slow: f64,
     /// Share of the machine that another process takes.
@@ -67,7 +67,7 @@
 }
 
 /// Identifier of the job that executes deferred work.
-const PUT_OFF: u64 = u64::MAX;
+const DEFERRED_JOB: u64 = u64::MAX;
 /// Interval at which the rate is recomputed while the power changes.
 const STEP: Micros = Micros(5000);
 
@@ -77,38 +77,38 @@
     /// Resources.
     pub spec: Spec,
     /// Current degradation.
-    pub trouble: Trouble,
+    pub degradation: Degradation,
     booted: Option<Micros>,
     worked: f64,
     stalled_until: Micros,
     active: Vec<(u64, f64)>,
     waiting: VecDeque<Job>,
     keys: VecDeque<u64>,
-    put_off: f64,
-    put_off_at: Micros,
+    deferred_work: f64,
+    deferred_until: Micros,
     advanced: Micros,
     recent: VecDeque<(Micros, f64)>,
     recent_work: f64,
-    fell: bool,
+    overloaded: bool,
 }
 
 impl Model {
     /// Creates a node that starts now, cold or warm.
     pub fn new(spec: Spec, cold: bool, now: Micros) -> Self {
         Model {
-            trouble: Trouble { slow: 1.0, neighbour: 0.0 },
+            degradation: Degradation { slow: 1.0, neighbour: 0.0 },
             booted: cold.then_some(now),
             worked: 0.0,
             stalled_until: Micros(0),
             active: Vec::new(),
             waiting: VecDeque::new(),
             keys: VecDeque::new(),
-            put_off: 0.0,
-            put_off_at: now.after(spec.put_off_every),
+            deferred_work: 0.0,
+            deferred_until: now.after(spec.deferral_interval),
             advanced: now,
             recent: VecDeque::new(),
             recent_work: 0.0,
-            fell: false,
+            overloaded: false,
             spec,
         }
     }
@@ -129,16 +129,16 @@
     }
 
     /// Returns whether the node failed under overload; it stays failed until it is restarted.
-    pub fn fell(&self) -> bool {
-        self.fell
+    pub fn overloaded(&self) -> bool {
+        self.overloaded
     }
 
     /// Returns the share of its full power that is available at this stage of its warm-up.
     pub fn warmth(&self, now: Micros) -> f64 {
         let Some(booted) = self.booted else { return 1.0 };
-        let whole = self.spec.warm_after.0.max(1) as f64;
-        let by_work = 10.0 * self.worked / (whole * self.spec.cores * self.spec.speed);
-        let part = now.since(booted).0 as f64 / whole;
+        let warm_up = self.spec.warm_after.0.max(1) as f64;
+        let by_work = 10.0 * self.worked / (warm_up * self.spec.cores * self.spec.speed);
+        let part = now.since(booted).0 as f64 / warm_up;
         let part = if self.spec.warm_by_work { part.max(by_work) } else { part };
         self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * part.min(1.0)
     }
@@ -155,12 +155,12 @@
 
     /// Returns the work done per microsecond for each active job.
     fn rate(&self, now: Micros) -> f64 {
-        if self.fell || self.active.is_empty() {
+        if self.overloaded || self.active.is_empty() {
             return 0.0;
         }
         let cores = (self.spec.cores / self.active.len() as f64).min(1.0);
         let over = self.held() as f64 / (self.spec.cores * self.spec.thrash_at.max(1e-9)) - 1.0;
-        let left = (1.0 - self.trouble.neighbour) / self.trouble.slow
+        let left = (1.0 - self.degradation.neighbour) / self.degradation.slow
             * (1.0 - self.spec.thrash * over.clamp(0.0, 1.0));
         cores * self.spec.speed * self.warmth(now) * left
     }
@@ -171,13 +171,13 @@
     }
 
     /// Accepts a request; returns false if the queue is full. Call `advance` first.
-    pub fn take(&mut self, job: Job, now: Micros) -> bool {
-        self.weigh(job.work, now);
-        let room = self.slots_taken() < self.spec.slots;
-        if !room && self.waiting.len() >= self.spec.queue {
+    pub fn accept(&mut self, job: Job, now: Micros) -> bool {
+        self.track_load(job.work, now);
+        let has_slot = self.slots_taken() < self.spec.slots;
+        if !has_slot && self.waiting.len() >= self.spec.queue {
             return false;
         }
-        if room {
+        if has_slot {
             self.start(job);
         } else {
             self.waiting.push_back(job);
@@ -187,7 +187,7 @@
 
     /// Counts the work sent to a cold node, including requests that it rejects, and fails the node on
     /// overload.
-    fn weigh(&mut self, work: f64, now: Micros) {
+    fn track_load(&mut self, work: f64, now: Micros) {
         if self.warmth(now) >= 1.0 {
             return;
         }
@@ -197,8 +197,8 @@
             self.recent_work -= self.recent.pop_front().map_or(0.0, |(_, work)| work);
         }
         let power = self.spec.cores * self.spec.speed * self.warmth(now);
-        let bears = self.spec.overload_multiple * power * self.spec.slow_start_window.0 as f64;
-        self.fell |= self.recent_work > bears.max(self.spec.fall_work);
+        let limit = self.spec.overload_multiple * power * self.spec.slow_start_window.0 as f64;
+        self.overloaded |= self.recent_work > limit.max(self.spec.overload_min_work);
     }
 
     fn start(&mut self, job: Job) {
@@ -209,21 +209,21 @@
             }
             self.keys.retain(|k| *k != key);
             self.keys.push_back(key);
-            while self.keys.len() > self.spec.remembers {
+            while self.keys.len() > self.spec.cached_keys {
                 self.keys.pop_front();
             }
         }
         if job.write {
-            self.put_off += work * self.spec.put_off;
-            work *= 1.0 - self.spec.put_off;
+            self.deferred_work += work * self.spec.deferred_share;
+            work *= 1.0 - self.spec.deferred_share;
         }
         self.active.push((job.id, work.max(1.0)));
     }
 
     /// Adds work that takes no slot, such as a handshake.
-    pub fn burden(&mut self, work: f64, now: Micros) {
-        self.weigh(work, now);
-        self.active.push((PUT_OFF, work.max(1.0)));
+    pub fn add_overhead(&mut self, work: f64, now: Micros) {
+        self.track_load(work, now);
+        self.active.push((DEFERRED_JOB, work.max(1.0)));
     }
 
     /// Cancels a request; returns false if the node does not hold it.
@@ -237,7 +237,7 @@
 
     /// Deferred work takes a share of the cores, but no slot.
     fn slots_taken(&self) -> usize {
-        self.active.iter().filter(|(id, _)| *id != PUT_OFF).count()
+        self.active.iter().filter(|(id, _)| *id != DEFERRED_JOB).count()
     }
 
     fn fill(&mut self) {
@@ -264,11 +264,11 @@
             // The time step is at least a microsecond, so a job with less work left is done.
             let ended: Vec<u64> = self.active.iter().filter(|(_, l)| *l < 0.5).map(|(id, _)| *id).collect();
             self.active.retain(|(_, left)| *left >= 0.5);
-            finished.extend(ended.into_iter().filter(|id| *id != PUT_OFF));
+            finished.extend(ended.into_iter().filter(|id| *id != DEFERRED_JOB));
             self.fill();
-            if self.put_off > 0.0 && until >= self.put_off_at {
-                self.active.push((PUT_OFF, std::mem::take(&mut self.put_off)));
-                self.put_off_at = until.after(self.spec.put_off_every);
+            if self.deferred_work > 0.0 && until >= self.deferred_until {
+                self.active.push((DEFERRED_JOB, std::mem::take(&mut self.deferred_work)));
+                self.deferred_until = until.after(self.spec.deferral_interval);
             }
         }
         finished
@@ -276,7 +276,7 @@
 
     /// Returns the next time after `now` at which the state may change.
     pub fn next(&self, now: Micros) -> Option<Micros> {
-        if self.fell {
+        if self.overloaded {
             return None;
         }
         if now < self.stalled_until {
@@ -286,7 +286,7 @@
         let least = self.active.iter().map(|(_, left)| *left).fold(f64::INFINITY, f64::min);
         let done = (rate > 0.0).then(|| now.after(Micros((least / rate).ceil().min(1e12) as u64)));
         let step = (self.warmth(now) < 1.0 && rate > 0.0).then(|| now.after(STEP));
-        let put_off = (self.put_off > 0.0).then_some(self.put_off_at.max(Micros(now.0 + 1)));
-        [done, step, put_off].into_iter().flatten().min()
+        let deferred_work = (self.deferred_work > 0.0).then_some(self.deferred_until.max(Micros(now.0 + 1)));
+        [done, step, deferred_work].into_iter().flatten().min()
     }
 }
--- a/crates/flaxstand-simulation/src/node.rs
+++ b/crates/flaxstand-simulation/src/node.rs
@@ -43,15 +43,15 @@
 
 /// Behaviour of a node outside its resource model.
 #[derive(Clone, Copy, Debug)]
-pub struct Habits {
+pub struct NodeBehaviour {
     /// Work of a unit, in microseconds of a core of speed 1.
     pub unit_work: f64,
     /// Range of the factor by which a request's work differs from that of its units.
     pub spread: (f64, f64),
     /// Interval at which its load report is refreshed.
-    pub report_every: Micros,
+    pub report_interval: Micros,
     /// Age of a load report when it is first sent.
-    pub report_late: Micros,
+    pub report_delay: Micros,
     /// Maximum relative error of the reported figures.
     pub report_noise: f64,
     /// Maximum number of connections; further ones are closed at once.
@@ -66,7 +66,7 @@
 
 /// Maximum number of operations and of items kept. Items are evicted in the order of their keys; operations
 /// expire with the window.
-const REMEMBERED: usize = 1 << 20;
+const MAX_KEPT: usize = 1 << 20;
 
 #[derive(Default)]
 struct Faults {
@@ -104,7 +104,7 @@
 /// An emulated node.
 pub struct Node {
     id: Identity,
-    habits: Habits,
+    behaviour: NodeBehaviour,
     model: Model,
     faults: Faults,
     rng: Pcg64Mcg,
@@ -112,38 +112,38 @@
     work: BTreeMap<u64, Work>,
     next: u64,
     data: BTreeMap<(u64, u64), Vec<u8>>,
-    ran: BTreeMap<u64, Micros>,
+    executed: BTreeMap<u64, Micros>,
     /// Units served by volume.
     served: BTreeMap<u64, u64>,
     served_for: BTreeMap<(u64, u32), (u64, u64)>,
     report: Report,
     /// A measured load report, and the time from which it is sent.
-    coming: Option<(Micros, Report)>,
+    pending_report: Option<(Micros, Report)>,
     report_at: Micros,
-    fell: bool,
+    overload_recorded: bool,
 }
 
 impl Node {
     /// Creates a node that starts now with the data that an earlier incarnation stored, and a random
     /// generator of its own.
-    pub fn new(id: Identity, habits: Habits, seed: u64, model: Model, stored: &[u8]) -> Self {
+    pub fn new(id: Identity, behaviour: NodeBehaviour, seed: u64, model: Model, stored: &[u8]) -> Self {
         Node {
             rng: Pcg64Mcg::seed_from_u64(seed ^ id.node.rotate_left(20) ^ id.incarnation),
             id,
-            habits,
+            behaviour,
             model,
             faults: Faults::default(),
             callers: BTreeMap::new(),
             work: BTreeMap::new(),
             next: 0,
             data: read_stored(stored),
-            ran: BTreeMap::new(),
+            executed: BTreeMap::new(),
             served: BTreeMap::new(),
             served_for: BTreeMap::new(),
             report: Report::default(),
-            coming: None,
+            pending_report: None,
             report_at: Micros(0),
-            fell: false,
+            overload_recorded: false,
         }
     }
 
@@ -163,9 +163,10 @@
 
     /// Returns the work of an attempt. It is derived from the operation, so all attempts of an operation
     /// cost the same.
-    fn weight(&mut self, a: &Attempt<'_>) -> f64 {
+    fn attempt_work(&mut self, a: &Attempt<'_>) -> f64 {
         let mut own = Pcg64Mcg::seed_from_u64(a.operation);
-        let mut work = f64::from(a.units) * self.habits.unit_work * between(&mut own, self.habits.spread);
+        let mut work =
+            f64::from(a.units) * self.behaviour.unit_work * between(&mut own, self.behaviour.spread);
         if let Some((class, share, times)) = self.faults.heavy
             && class == a.class
             && random(&mut own) < share
@@ -179,9 +180,9 @@
         let Some(caller) = self.callers.get(&conn) else { return };
         let (initiator, epoch) = (caller.initiator, caller.epoch);
         let extent = a.extent.unwrap_or(0);
-        let work = self.weight(a);
+        let work = self.attempt_work(a);
         links.record(&Record::Arrived {
-            at: links.reached(now).0,
+            at: links.arrived_at(now).0,
             node: self.id.node,
             incarnation: self.id.incarnation,
             conn: conn.0 | self.id.incarnation << 32,
@@ -220,8 +221,8 @@
         let key = a.extent.filter(|_| a.attempt == 0);
         // A repeat of an operation that ran here is deduplicated: it costs next to nothing and changes
         // nothing.
-        let work = if self.ran.contains_key(&a.operation) { 1.0 } else { work };
-        if self.faults.full || !self.model.take(Job { id, work, key, write: a.write }, now) {
+        let work = if self.executed.contains_key(&a.operation) { 1.0 } else { work };
+        if self.faults.full || !self.model.accept(Job { id, work, key, write: a.write }, now) {
             self.answer(links, id, Code::Rejected, now);
         } else if random(&mut self.rng) < self.faults.errors {
             self.model.cancel(id);
@@ -232,28 +233,28 @@
     fn finish(&mut self, links: &mut Links, now: Micros) {
         for id in self.model.advance(now) {
             let Some(work) = self.work.get_mut(&id) else { continue };
-            if work.write && !self.ran.contains_key(&work.op) {
+            if work.write && !self.executed.contains_key(&work.op) {
                 let mut payload = std::mem::take(&mut work.payload);
                 let ((volume, extent), node, op) = (work.place, self.id.node, work.op);
                 if let Some(at) = work.at {
-                    payload = laid_over(self.data.get(&work.place), at as usize, &payload);
+                    payload = overlay(self.data.get(&work.place), at as usize, &payload);
                 }
                 store(links, work.place, &payload);
                 self.data.insert(work.place, payload);
                 links.record(&Record::Stored { at: now.0, node, op, volume, extent });
-                while self.data.len() > REMEMBERED {
+                while self.data.len() > MAX_KEPT {
                     self.data.pop_first();
                 }
             }
             let op = work.op;
-            self.ran.insert(op, now);
-            if self.ran.len() > REMEMBERED || self.ran.len().is_multiple_of(1024) {
-                let window = self.habits.window;
-                self.ran.retain(|_, at| now.since(*at) <= window);
+            self.executed.insert(op, now);
+            if self.executed.len() > MAX_KEPT || self.executed.len().is_multiple_of(1024) {
+                let window = self.behaviour.window;
+                self.executed.retain(|_, at| now.since(*at) <= window);
             }
             self.answer(links, id, Code::Served, now);
         }
-        if self.model.fell() && !std::mem::replace(&mut self.fell, true) {
+        if self.model.overloaded() && !std::mem::replace(&mut self.overload_recorded, true) {
             links.record(&Record::NodeOverloaded { at: now.0, node: self.id.node });
         }
     }
@@ -279,7 +280,7 @@
         if lost {
             return;
         }
-        let report = Report { from_others: self.news_of_others(&work, code), ..self.report };
+        let report = Report { from_others: self.units_for_others(&work, code), ..self.report };
         let empty = Vec::new();
         let read = if code == Code::Served && !work.write { self.data.get(&work.place) } else { None };
         let mut payload = &read.unwrap_or(&empty)[..];
@@ -292,7 +293,7 @@
     }
 
     /// Returns the units of the volume served for other initiators since the last report to this one.
-    fn news_of_others(&mut self, work: &Work, code: Code) -> u32 {
+    fn units_for_others(&mut self, work: &Work, code: Code) -> u32 {
         let (volume, units) = (work.place.0, u64::from(work.units));
         let own = self.served_for.entry((volume, work.initiator)).or_default();
         let all = self.served.entry(volume).or_default();
@@ -301,18 +302,18 @@
             own.0 += units;
         }
         let others = *all - own.0;
-        let news = others - own.1;
+        let unreported = others - own.1;
         own.1 = others;
-        u32::try_from(news).unwrap_or(u32::MAX)
+        u32::try_from(unreported).unwrap_or(u32::MAX)
     }
 
     fn refresh(&mut self, now: Micros) {
-        if let Some((_, report)) = self.coming.filter(|(at, _)| *at <= now) {
-            (self.report, self.coming) = (report, None);
+        if let Some((_, report)) = self.pending_report.filter(|(at, _)| *at <= now) {
+            (self.report, self.pending_report) = (report, None);
         }
-        if now >= self.report_at && self.coming.is_none() {
-            self.report_at = now.after(self.habits.report_every);
-            let noise = self.habits.report_noise;
+        if now >= self.report_at && self.pending_report.is_none() {
+            self.report_at = now.after(self.behaviour.report_interval);
+            let noise = self.behaviour.report_noise;
             let mut off = |n: f64| (n * between(&mut self.rng, (1.0 - noise, 1.0 + noise))).round() as u32;
             let report = Report {
                 inflight: Some(off(self.model.held() as f64)),
@@ -320,13 +321,13 @@
                 busy: Some(off(self.model.busy() * 1000.0)),
                 ..Report::default()
             };
-            self.coming = Some((now.after(self.habits.report_late), report));
+            self.pending_report = Some((now.after(self.behaviour.report_delay), report));
         }
     }
 }
 
 /// Returns the item after a write at an offset.
-fn laid_over(held: Option<&Vec<u8>>, at: usize, payload: &[u8]) -> Vec<u8> {
+fn overlay(held: Option<&Vec<u8>>, at: usize, payload: &[u8]) -> Vec<u8> {
     let mut data = held.cloned().unwrap_or_default();
     let end = at + payload.len();
     if data.len() < end {
@@ -358,7 +359,7 @@
 
 impl Peer for Node {
     fn accepts(&self) -> bool {
-        !self.faults.refuse && self.callers.len() < self.habits.connections
+        !self.faults.refuse && self.callers.len() < self.behaviour.connections
     }
 
     fn opened(&mut self, _links: &mut Links, _conn: ConnId, _now: Micros) {}
@@ -367,8 +368,8 @@
         match frame {
             Frame::Hello(Hello { role: Role::Initiator, id, epoch, .. }) if !self.faults.deaf => {
                 self.finish(links, now);
-                if self.habits.handshake > 0.0 {
-                    self.model.burden(self.habits.handshake, now);
+                if self.behaviour.handshake > 0.0 {
+                    self.model.add_overhead(self.behaviour.handshake, now);
                 }
                 self.callers.insert(conn, Caller { initiator: id as u32, epoch });
                 links.push(
@@ -387,14 +388,14 @@
             Frame::Cancel { request, attempt } => {
                 let Some(caller) = self.callers.get(&conn) else { return };
                 let (initiator, epoch) = (caller.initiator, caller.epoch);
-                let (node, at) = (self.id.node, links.reached(now).0);
+                let (node, at) = (self.id.node, links.arrived_at(now).0);
                 links.record(&Record::Cancelled { at, node, initiator, epoch, request, attempt });
                 let of = |w: &&u64| {
                     let w = &self.work[*w];
                     (w.conn, w.request, w.attempt) == (conn, request, attempt)
                 };
                 if let Some(id) = self.work.keys().find(of).copied()
-                    && self.habits.cancels
+                    && self.behaviour.cancels
                     && self.model.cancel(id)
                 {
                     self.work.remove(&id);
@@ -405,12 +406,12 @@
             other => {
                 warn!(?other, "unexpected frame; closing the connection");
                 links.close(conn);
-                self.gone(links, conn, now);
+                self.connection_closed(links, conn, now);
             }
         }
     }
 
-    fn gone(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
+    fn connection_closed(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
         if self.callers.remove(&conn).is_some() {
             let conn = conn.0 | self.id.incarnation << 32;
             links.record(&Record::NodeConnectionClosed { at: now.0, node: self.id.node, conn });
@@ -429,8 +430,8 @@
                 self.faults.pauses = on.then_some(pair);
                 self.faults.next_pause = now;
             }
-            Some("slow") => self.model.trouble.slow = number(1).max(0.001),
-            Some("neighbour") => self.model.trouble.neighbour = number(1).clamp(0.0, 0.999),
+            Some("slow") => self.model.degradation.slow = number(1).max(0.001),
+            Some("neighbour") => self.model.degradation.neighbour = number(1).clamp(0.0, 0.999),
             Some("drop") => self.faults.drop = number(1),
             Some("hang") => self.faults.hang = on,
             Some("errors") => self.faults.errors = number(1),
@@ -440,7 +441,7 @@
             Some("reset") => {
                 for conn in links.all() {
                     links.close(conn);
-                    self.gone(links, conn, now);
+                    self.connection_closed(links, conn, now);
                 }
             }
             Some("cut-in") => links.cut_in(on),
--- a/crates/flaxstand-simulation/src/process.rs
+++ b/crates/flaxstand-simulation/src/process.rs
@@ -51,7 +51,7 @@
     }
 }
 
-fn lines_of(output: ChildStdout) -> Receiver<String> {
+fn read_lines(output: ChildStdout) -> Receiver<String> {
     let (sender, receiver) = channel();
     // Ends when the process closes its output or the receiver is dropped.
     std::thread::spawn(move || {
@@ -88,7 +88,7 @@
                 "{name} was started without pipes on its standard input and output"
             )));
         };
-        Ok(Process { name: name.into(), child, input, output: lines_of(output) })
+        Ok(Process { name: name.into(), child, input, output: read_lines(output) })
     }
 
     pub(crate) fn id(&self) -> u32 {
@@ -96,18 +96,18 @@
     }
 
     /// Waits for a line that starts with a word and returns the rest of it.
-    pub(crate) fn expect(&mut self, word: &str, within: Duration) -> Result<String, RehearsalError> {
-        self.line(word, within)?.ok_or_else(|| self.silent(word))
+    pub(crate) fn expect(&mut self, prefix: &str, within: Duration) -> Result<String, RehearsalError> {
+        self.line(prefix, within)?.ok_or_else(|| self.silent(prefix))
     }
 
     /// As `expect`, but returns none if no such line arrives in time.
-    pub(crate) fn line(&mut self, word: &str, within: Duration) -> Result<Option<String>, RehearsalError> {
+    pub(crate) fn line(&mut self, prefix: &str, within: Duration) -> Result<Option<String>, RehearsalError> {
         let until = std::time::Instant::now() + within;
         loop {
             let left = until.saturating_duration_since(std::time::Instant::now());
             match self.output.recv_timeout(left) {
                 Ok(line) => {
-                    if let Some(rest) = line.strip_prefix(word) {
+                    if let Some(rest) = line.strip_prefix(prefix) {
                         return Ok(Some(rest.trim().to_owned()));
                     }
                 }
@@ -122,15 +122,18 @@
     }
 
     /// Returns the error for a line that did not arrive in time.
-    pub(crate) fn silent(&self, word: &str) -> RehearsalError {
-        RehearsalError::Process(format!("{} did not print a line starting with {word:?} in time", self.name))
+    pub(crate) fn silent(&self, prefix: &str) -> RehearsalError {
+        RehearsalError::Process(format!(
+            "{} did not print a line starting with {prefix:?} in time",
+            self.name
+        ))
     }
 
     pub(crate) fn signal(&self, signal: rustix::process::Signal) {
         let _ = rustix::process::kill_process(rustix::process::Pid::from_child(&self.child), signal);
     }
 
-    pub(crate) fn tell(&mut self, lines: &str) {
+    pub(crate) fn send_line(&mut self, lines: &str) {
         if !lines.is_empty() {
             // A write to a process that has exited is ignored: the exit is part of the scenario.
             let _ = writeln!(self.input, "{lines}").and_then(|()| self.input.flush());
@@ -138,23 +141,23 @@
     }
 }
 
-pub(crate) const SOON: Duration = Duration::from_secs(10);
+pub(crate) const PROCESS_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Asks a process to shut down gracefully.
-pub(crate) fn ask_to_stop(process: &Process) -> Result<(), RehearsalError> {
+pub(crate) fn request_stop(process: &Process) -> Result<(), RehearsalError> {
     let pid = rustix::process::Pid::from_child(&process.child);
-    let asked = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
-    asked.map_err(|e| io_error(format!("cannot stop {}", process.name))(e.into()))
+    let sent = rustix::process::kill_process(pid, rustix::process::Signal::TERM);
+    sent.map_err(|e| io_error(format!("cannot stop {}", process.name))(e.into()))
 }
 
 /// Shuts a process down gracefully.
 pub(crate) fn stop(process: Process) -> Result<(), RehearsalError> {
-    ask_to_stop(&process)?;
-    stopped(process)
+    request_stop(&process)?;
+    wait_for_exit(process)
 }
 
 /// Waits until a process that was asked to stop has exited.
-pub(crate) fn stopped(mut process: Process) -> Result<(), RehearsalError> {
+pub(crate) fn wait_for_exit(mut process: Process) -> Result<(), RehearsalError> {
     for _ in 0..1000 {
         if let Ok(Some(status)) = process.child.try_wait() {
             return match status.success() {
--- a/crates/flaxstand-simulation/src/recovery.rs
+++ b/crates/flaxstand-simulation/src/recovery.rs
@@ -1,15 +1,15 @@
 //! Recovery of service after faults. Service is computed per second of the operations' first try: the
 //! weight of the operations served in time, divided by the weight of all operations.
 
-use crate::day::{Day, Trouble};
+use crate::day::{Day, FaultKind};
 use crate::report::Operation;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// Consecutive seconds at or above the threshold after which service counts as recovered.
-const WELL: usize = 3;
+const STABLE_SECONDS: usize = 3;
 /// Threshold of recovery, as a share of the service before the faults.
-const BACK: f64 = 0.95;
+const RECOVERED_SHARE: f64 = 0.95;
 
 /// Service before, during and after faults.
 #[derive(Clone, Debug, Serialize)]
@@ -31,8 +31,8 @@
 pub(crate) fn recovery(day: &Day, operations: &BTreeMap<u64, Operation>) -> Option<Recovery> {
     let first = day.faults.iter().map(|f| f.at).fold(f64::INFINITY, f64::min);
     let cold = day.site.site.settings.warm_up_time / 1000.0;
-    let warm = |f: &crate::day::Fault| match f.trouble {
-        Trouble::Crash | Trouble::Replace => f.at + f.length + cold,
+    let warm = |f: &crate::day::Fault| match f.kind {
+        FaultKind::Crash | FaultKind::Replace => f.at + f.length + cold,
         _ => f.at + f.length,
     };
     let warm = day.faults.iter().map(warm).fold(0.0, f64::max);
@@ -52,10 +52,11 @@
     let mean = |s: &[f64]| s.iter().sum::<f64>() / s.len().max(1) as f64;
     let from = (first as usize).min(seconds.len());
     let before = mean(&seconds[..from]);
-    let well = |s: &[f64]| s.iter().all(|s| *s >= BACK * before);
+    let recovered = |s: &[f64]| s.iter().all(|s| *s >= RECOVERED_SHARE * before);
     // The search starts only once the nodes have been restarted.
     let from_warm = (warm - cold).max(first) as usize;
-    let back = (from_warm..seconds.len().saturating_sub(WELL - 1)).find(|at| well(&seconds[*at..at + WELL]));
+    let back = (from_warm..seconds.len().saturating_sub(STABLE_SECONDS - 1))
+        .find(|at| recovered(&seconds[*at..at + STABLE_SECONDS]));
     Some(Recovery {
         before,
         least: seconds[from..].iter().copied().fold(1.0, f64::min),
--- a/crates/flaxstand-simulation/src/relay.rs
+++ b/crates/flaxstand-simulation/src/relay.rs
@@ -11,9 +11,9 @@
 use std::time::{Duration, Instant};
 
 /// Interval at which a relay thread checks the faults.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Bytes per write on a throttled link.
-const TRICKLE: usize = 16;
+const TRICKLE_BYTES: usize = 16;
 
 /// State of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// No data passes; sent data is delivered later if the link heals before the connection breaks.
     Stall,
     /// Data is delayed by this time.
-    Late(Duration),
+    Delay(Duration),
     /// A few bytes pass at a time.
     Trickle,
 }
@@ -32,11 +32,11 @@
 #[derive(Debug, Default)]
 struct Faults {
     /// Flow from the caller to the target, and back.
-    there: Flow,
-    back: Flow,
+    forward: Flow,
+    backward: Flow,
     /// Number of resets; connections opened before the latest one are closed.
     resets: u64,
-    ended: bool,
+    stopped: bool,
 }
 
 /// A relay in front of one target address.
@@ -58,10 +58,10 @@
         let faults = Arc::new(Mutex::new(Faults::default()));
         let shared = Arc::clone(&faults);
         thread::spawn(move || {
-            while !look(&shared, |f| f.ended) {
+            while !read_faults(&shared, |f| f.stopped) {
                 match listener.accept() {
                     Ok((caller, _)) => serve(caller, to, &shared),
-                    Err(e) if e.kind() == ErrorKind::WouldBlock => thread::sleep(LOOK),
+                    Err(e) if e.kind() == ErrorKind::WouldBlock => thread::sleep(POLL_INTERVAL),
                     Err(_) => return,
                 }
             }
@@ -75,19 +75,19 @@
     }
 
     /// Sets the flow from the caller to the target, and back.
-    pub fn set(&self, there: Flow, back: Flow) {
+    pub fn set(&self, forward: Flow, backward: Flow) {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-        (faults.there, faults.back) = (there, back);
+        (faults.forward, faults.backward) = (forward, backward);
     }
 
     /// Sets the flow from the caller to the target.
-    pub fn set_there(&self, flow: Flow) {
-        self.faults.lock().unwrap_or_else(PoisonError::into_inner).there = flow;
+    pub fn set_forward(&self, flow: Flow) {
+        self.faults.lock().unwrap_or_else(PoisonError::into_inner).forward = flow;
     }
 
     /// Sets the flow back to the caller.
-    pub fn set_back(&self, flow: Flow) {
-        self.faults.lock().unwrap_or_else(PoisonError::into_inner).back = flow;
+    pub fn set_backward(&self, flow: Flow) {
+        self.faults.lock().unwrap_or_else(PoisonError::into_inner).backward = flow;
     }
 
     /// Closes all open connections.
@@ -98,66 +98,69 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.faults.lock().unwrap_or_else(PoisonError::into_inner).ended = true;
+        self.faults.lock().unwrap_or_else(PoisonError::into_inner).stopped = true;
     }
 }
 
-fn look<T>(faults: &Mutex<Faults>, at: impl Fn(&Faults) -> T) -> T {
+fn read_faults<T>(faults: &Mutex<Faults>, at: impl Fn(&Faults) -> T) -> T {
     at(&faults.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
 fn serve(caller: TcpStream, to: SocketAddr, faults: &Arc<Mutex<Faults>>) {
-    let born = look(faults, |f| f.resets);
+    let resets_at_accept = read_faults(faults, |f| f.resets);
     let shared = Arc::clone(faults);
     thread::spawn(move || {
         // A stalled link doesn't connect to the target either: the caller's connection is open, but silent.
-        while look(&shared, |f| f.there == Flow::Stall || f.back == Flow::Stall) {
-            if look(&shared, |f| f.ended || f.resets != born) {
+        while read_faults(&shared, |f| f.forward == Flow::Stall || f.backward == Flow::Stall) {
+            if read_faults(&shared, |f| f.stopped || f.resets != resets_at_accept) {
                 return;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
-        let Ok(called) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else { return };
-        for stream in [&caller, &called] {
+        let Ok(target) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else { return };
+        for stream in [&caller, &target] {
             let _ = stream.set_nodelay(true);
-            let _ = stream.set_read_timeout(Some(LOOK));
+            let _ = stream.set_read_timeout(Some(POLL_INTERVAL));
         }
-        let (Ok(caller_too), Ok(called_too)) = (caller.try_clone(), called.try_clone()) else { return };
-        let back = Arc::clone(&shared);
-        thread::spawn(move || pump(called_too, caller_too, &back, born, |f| f.back));
-        pump(caller, called, &shared, born, |f| f.there);
+        let (Ok(caller_writer), Ok(target_writer)) = (caller.try_clone(), target.try_clone()) else { return };
+        let backward = Arc::clone(&shared);
+        thread::spawn(move || {
+            copy_direction(target_writer, caller_writer, &backward, resets_at_accept, |f| f.backward)
+        });
+        copy_direction(caller, target, &shared, resets_at_accept, |f| f.forward);
     });
 }
 
 /// Forwards one direction until either end closes or the connection is reset.
-fn pump(
+fn copy_direction(
     mut from: TcpStream,
     mut to: TcpStream,
     faults: &Mutex<Faults>,
-    born: u64,
+    resets_at_accept: u64,
     flow: fn(&Faults) -> Flow,
 ) {
     let mut buffer = [0; 16 * 1024];
     loop {
-        let (now, broken) = look(faults, |f| (flow(f), f.ended || f.resets != born));
+        let (now, broken) = read_faults(faults, |f| (flow(f), f.stopped || f.resets != resets_at_accept));
         if broken {
             break;
         }
         if now == Flow::Stall {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
-        let most = if now == Flow::Trickle { TRICKLE } else { buffer.len() };
+        let most = if now == Flow::Trickle { TRICKLE_BYTES } else { buffer.len() };
         match from.read(&mut buffer[..most]) {
             Ok(0) => break,
             Ok(count) => {
-                let came = Instant::now();
+                let received_at = Instant::now();
                 // Data that was read before a stall is held until the stall ends.
                 loop {
-                    let (now, broken) = look(faults, |f| (flow(f), f.ended || f.resets != born));
+                    let (now, broken) =
+                        read_faults(faults, |f| (flow(f), f.stopped || f.resets != resets_at_accept));
                     let due = match now {
                         Flow::Stall => false,
-                        Flow::Late(by) => came.elapsed() >= by,
+                        Flow::Delay(by) => received_at.elapsed() >= by,
                         Flow::Pass | Flow::Trickle => true,
                     };
                     if due || broken {
--- a/crates/flaxstand-simulation/src/report.rs
+++ b/crates/flaxstand-simulation/src/report.rs
@@ -1,6 +1,6 @@
 //! Report on a day, from its records: service by class and plan, latency, refusals, tries and attempts.
 
-use crate::agreed::Agreed;
+use crate::agreed::AgreementReport;
 use crate::day::Day;
 use crate::recovery::{Recovery, recovery};
 use flaxstand_audit::{Answer, AttemptLedger, Record, Verdict};
@@ -58,7 +58,7 @@
     /// Recovery of service; none if there were no operations.
     pub recovery: Option<Recovery>,
     /// Results of consensus, if the initiators run it.
-    pub agreement: Option<Agreed>,
+    pub agreement: Option<AgreementReport>,
     /// Result of the audit.
     pub audit: Verdict,
 }
@@ -162,8 +162,8 @@
 
 impl Report {
     /// Returns whether the audit and the check of the agreement passed.
-    pub fn kept(&self) -> bool {
-        self.audit.passed() && self.agreement.as_ref().is_none_or(Agreed::kept)
+    pub fn passed(&self) -> bool {
+        self.audit.passed() && self.agreement.as_ref().is_none_or(AgreementReport::passed)
     }
 
     /// Formats the report as text.
--- a/crates/flaxstand-simulation/src/scale/collect.rs
+++ b/crates/flaxstand-simulation/src/scale/collect.rs
@@ -22,11 +22,11 @@
     ) -> Result<(), RehearsalError> {
         let interrupt = self.workplace.interrupt;
         let list = &mut self.participants.list;
-        list.tell("report");
+        list.send_line("report");
         let list: ListReport = parsed(&interrupt.expect(list, "report", REPORT_WITHIN)?)?;
         let mut hollow = HollowReport::default();
         for process in &mut self.participants.hollow {
-            process.process.tell("report");
+            process.process.send_line("report");
             let json = interrupt.expect(&mut process.process, "report", REPORT_WITHIN)?;
             add(&mut hollow, parsed(&json)?);
         }
--- a/crates/flaxstand-simulation/src/scale/hollow.rs
+++ b/crates/flaxstand-simulation/src/scale/hollow.rs
@@ -14,7 +14,7 @@
 
 use super::node_list::FIRST_REVISION;
 use super::traffic::{FrameCounter, Traffic};
-use crate::rehearse::StandIn;
+use crate::rehearse::StandInOptions;
 use flaxstand_consensus::member::ActiveRules;
 use flaxstand_consensus::replicated_state::IndexedState;
 use flaxstand_gateway::core::{Config, Core};
@@ -514,9 +514,9 @@
 ///
 /// # Errors
 /// The driver fails.
-pub fn serve_hollow(options: HollowOptions, what: &StandIn) -> io::Result<()> {
+pub fn serve_hollow(options: HollowOptions, what: &StandInOptions) -> io::Result<()> {
     let driver = Driver::new(Fleet::new(options), Options { read_input: true, ..Options::default() })?;
-    if !what.alone {
+    if !what.standalone {
         println!("ready");
         io::stdout().flush()?;
     }
--- a/crates/flaxstand-simulation/src/scale/lags.rs
+++ b/crates/flaxstand-simulation/src/scale/lags.rs
@@ -1,7 +1,7 @@
 //! How long changes took until they were in force: joins when each was made with when each initiator acted on it.
 
 use super::hollow::Arrival;
-use crate::agreed::{acted_of, calendar, seconds};
+use crate::agreed::{parse_log_time, parse_rules_event, unix_time};
 use flaxstand_gateway::driver::clock;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -79,7 +79,7 @@
 
 /// Microseconds of the host's clock at a moment of its calendar.
 fn clock_at(calendar_seconds: f64) -> u64 {
-    let ago = calendar() - calendar_seconds;
+    let ago = unix_time() - calendar_seconds;
     (clock().0 as f64 - ago * 1e6).max(0.0) as u64
 }
 
@@ -88,7 +88,7 @@
     pub(super) fn read(initiator: u32, log: &str) -> LogFacts {
         let mut facts = LogFacts::default();
         for line in log.lines() {
-            if let Some(acted) = acted_of(line) {
+            if let Some(acted) = parse_rules_event(line) {
                 let version = acted.what.strip_prefix("Version(").and_then(|rest| rest.strip_suffix(')'));
                 let number = version.and_then(|number| number.parse().ok());
                 let arrival = number.map(|number| Arrival { initiator, number, at: clock_at(acted.at) });
@@ -110,5 +110,5 @@
         return None;
     }
     let revision = rest.split_once("revision=")?.1.split_whitespace().next()?.parse().ok()?;
-    Some((revision, seconds(head.trim())?))
+    Some((revision, parse_log_time(head.trim())?))
 }
--- a/crates/flaxstand-simulation/src/scale/node_list.rs
+++ b/crates/flaxstand-simulation/src/scale/node_list.rs
@@ -12,7 +12,7 @@
 //! changes that bring the rest, under revisions of their own.
 
 use super::traffic::Traffic;
-use crate::rehearse::{StandIn, serve};
+use crate::rehearse::{StandInOptions, serve};
 use crate::shell::{Links, Peer};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Micros};
 use flaxstand_proto::{
@@ -256,7 +256,7 @@
         }
     }
 
-    fn gone(&mut self, _links: &mut Links, conn: ConnId, _now: Micros) {
+    fn connection_closed(&mut self, _links: &mut Links, conn: ConnId, _now: Micros) {
         self.watchers.remove(&conn);
     }
 
@@ -301,6 +301,6 @@
 ///
 /// # Errors
 /// It can't listen, or the driver fails.
-pub fn serve_node_list(options: NodeListOptions, what: &StandIn) -> io::Result<()> {
+pub fn serve_node_list(options: NodeListOptions, what: &StandInOptions) -> io::Result<()> {
     serve(NodeList::new(options), what)
 }
--- a/crates/flaxstand-simulation/src/scale/participants.rs
+++ b/crates/flaxstand-simulation/src/scale/participants.rs
@@ -3,7 +3,7 @@
 use super::interrupt::Interrupt;
 use super::plan::{HOLLOW_MOST, KEEPERS_MOST, Plan, REAL_MOST, Size};
 use crate::agreed::listeners;
-use crate::process::{Process, RehearsalError, SOON, io_error};
+use crate::process::{PROCESS_TIMEOUT, Process, RehearsalError, io_error};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -115,7 +115,7 @@
 
     fn start_ready(&self, name: &str, arguments: &[String]) -> Result<(Process, String), RehearsalError> {
         let mut process = Process::start(self.program, self.folder, name, arguments)?;
-        let said = self.interrupt.expect(&mut process, "ready", SOON)?;
+        let said = self.interrupt.expect(&mut process, "ready", PROCESS_TIMEOUT)?;
         Ok((process, said))
     }
 
--- a/crates/flaxstand-simulation/src/scale/result.rs
+++ b/crates/flaxstand-simulation/src/scale/result.rs
@@ -4,7 +4,7 @@
 use super::lags::Lags;
 use super::plan::{Fault, Size};
 use super::traffic::Traffic;
-use crate::press::Seen;
+use crate::press::LoadResult;
 use serde::Serialize;
 use std::fmt::Write as _;
 
@@ -57,7 +57,7 @@
     /// Times that a hollow initiator fell back to the floor for want of a lease.
     pub floors: u64,
     /// What clients of the first real initiator saw.
-    pub load: Option<Seen>,
+    pub load: Option<LoadResult>,
     /// What became of faults.
     pub fault_reports: Vec<FaultReport>,
 }
--- a/crates/flaxstand-simulation/src/scale/run.rs
+++ b/crates/flaxstand-simulation/src/scale/run.rs
@@ -11,9 +11,9 @@
 use super::plan::{FaultKind, Plan, Size, Step};
 use super::result::{Accounted, FaultReport, RoleReport, ScaleReport, StepReport};
 use super::schedule::{Action, schedule};
-use crate::agreed::{ask, changed, propose};
-use crate::press::Seen;
-use crate::process::{Process, RehearsalError, SOON, io_error};
+use crate::agreed::{propose, send_operator_request, with_values};
+use crate::press::LoadResult;
+use crate::process::{PROCESS_TIMEOUT, Process, RehearsalError, io_error};
 use flaxstand_consensus::participant::{OperatorReply, OperatorRequest, StatusReport};
 use flaxstand_consensus::rules::Value;
 use flaxstand_gateway::driver::clock;
@@ -131,7 +131,7 @@
 
 /// An initiator's word on how things stand.
 fn status(at: SocketAddr) -> Option<StatusReport> {
-    match ask(at, &OperatorRequest::Status) {
+    match send_operator_request(at, &OperatorRequest::Status) {
         Ok(Some(OperatorReply::Status(report))) => Some(*report),
         _ => None,
     }
@@ -242,7 +242,7 @@
     fn hollow_state(&mut self) -> Result<HollowState, RehearsalError> {
         let mut sum = HollowState::default();
         for hollow in &mut self.participants.hollow {
-            hollow.process.tell("state");
+            hollow.process.send_line("state");
             let json = self.workplace.interrupt.expect(&mut hollow.process, "state", REPORT_WITHIN)?;
             let state: HollowState = parsed(&json)?;
             sum.started += state.started;
@@ -286,8 +286,8 @@
     fn measure(&mut self) -> Result<(), RehearsalError> {
         let press = self.start_load()?;
         let leader = self.leader();
-        self.participants.list.tell("start");
-        self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.tell("start"));
+        self.participants.list.send_line("start");
+        self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.send_line("start"));
         let before: BTreeMap<u32, Account> =
             self.participants.ids().into_iter().filter_map(|id| Some((id, Account::of(id)?))).collect();
         let begun = Instant::now();
@@ -300,8 +300,8 @@
         self.interrupt().sleep_until(begun + self.size().duration())?;
         let seconds = begun.elapsed().as_secs_f64();
         self.report.measured_seconds = seconds;
-        self.participants.list.tell("stop");
-        self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.tell("stop"));
+        self.participants.list.send_line("stop");
+        self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.send_line("stop"));
         let roles = self.roles(leader);
         self.report.resident_mib = self.resident_kib() as f64 / 1024.0;
         for (role, initiators, ids) in roles {
@@ -335,7 +335,7 @@
             format!("--seconds={}", size.seconds + LOAD_MARGIN),
         ];
         let press = Process::start(self.workplace.program, self.workplace.folder, "press", &arguments)?;
-        let until = Instant::now() + SOON;
+        let until = Instant::now() + PROCESS_TIMEOUT;
         loop {
             self.interrupt().sleep(POLL)?;
             let open = Account::of(first.process.id()).map_or(0, |account| account.descriptors);
@@ -355,9 +355,9 @@
 
     fn finish_load(&mut self, press: Option<Process>) -> Result<(), RehearsalError> {
         let Some(mut press) = press else { return Ok(()) };
-        let within = self.size().duration() + SOON;
+        let within = self.size().duration() + PROCESS_TIMEOUT;
         match self.interrupt().expect(&mut press, "seen", within) {
-            Ok(json) => self.report.load = Some(parsed::<Seen>(&json)?),
+            Ok(json) => self.report.load = Some(parsed::<LoadResult>(&json)?),
             Err(RehearsalError::Interrupted) => return Err(RehearsalError::Interrupted),
             Err(error) => self.does_not_fit(format!("the load ended: {error}")),
         }
@@ -368,16 +368,16 @@
         match action {
             Action::Propose => self.propose_change(),
             Action::ListReturns => {
-                self.participants.list.tell("away 0");
+                self.participants.list.send_line("away 0");
                 Ok(())
             }
             Action::Fault(FaultKind::ListAway { .. }) => {
-                self.participants.list.tell("away 1");
+                self.participants.list.send_line("away 1");
                 Ok(())
             }
             Action::Fault(FaultKind::Restart { share }) => {
                 let line = format!("restart {share}");
-                self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.tell(&line));
+                self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.send_line(&line));
                 Ok(())
             }
             Action::Fault(FaultKind::KillLeader) => {
@@ -393,7 +393,7 @@
         let value = CHANGED_VALUES[self.proposals % CHANGED_VALUES.len()];
         self.proposals += 1;
         let sets = BTreeMap::from([(CHANGED_RULE.to_owned(), Value::Number(value))]);
-        let rules = changed(&self.workplace.plan.rules, &sets);
+        let rules = with_values(&self.workplace.plan.rules, &sets);
         let at = clock().0;
         match propose(&self.keeper_addresses(), &rules, "a change", PROPOSE_WITHIN) {
             Some(number) => self.proposed.push(Change { number, at }),
--- a/crates/flaxstand-simulation/src/script.rs
+++ b/crates/flaxstand-simulation/src/script.rs
@@ -1,6 +1,6 @@
 //! Timeline of a day's faults, which both the process driver and the virtual-time driver execute.
 
-use crate::day::{Day, Trouble};
+use crate::day::{Day, FaultKind};
 use flaxstand_consensus::rules::Value;
 use std::collections::BTreeMap;
 
@@ -8,27 +8,27 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Sends lines to a node's standard input.
-    Tell(usize, String),
+    NodeLines(usize, String),
     /// Sends lines to the list service's standard input.
-    TellList(String),
+    ListLines(String),
     /// Kills a node.
-    Kill(usize),
+    KillNode(usize),
     /// Restarts a node, cold.
-    Return(usize),
+    RestartNode(usize),
     /// Drains a node.
-    Drain(usize),
+    DrainNode(usize),
     /// Removes a node, and starts another machine on its shard.
-    Succeed(usize),
+    ReplaceNode(usize),
     /// Kills an initiator (true), or asks it to stop (false).
     KillInitiator(usize, bool),
     /// Restarts an initiator.
-    ReturnInitiator(usize),
+    RestartInitiator(usize),
     /// Isolates an initiator from all others, or reconnects it.
-    Cut(usize, bool),
+    IsolateInitiator(usize, bool),
     /// Suspends an initiator's process, or resumes it.
-    Pause(usize, bool),
+    PauseInitiator(usize, bool),
     /// Proposes a change of the rules.
-    Propose(BTreeMap<String, Value>),
+    ProposeRules(BTreeMap<String, Value>),
 }
 
 /// Returns the steps of a day that lasts `seconds`, in the order of their times.
@@ -37,40 +37,44 @@
     for fault in &day.faults {
         let (from, until) = (fault.at, fault.at + fault.length);
         for slot in fault.nodes.iter().map(|n| *n as usize) {
-            match &fault.trouble {
-                Trouble::Node(on, off) => {
-                    steps.push((from, Step::Tell(slot, on.clone())));
-                    steps.push((until, Step::Tell(slot, off.clone())));
+            match &fault.kind {
+                FaultKind::Node(on, off) => {
+                    steps.push((from, Step::NodeLines(slot, on.clone())));
+                    steps.push((until, Step::NodeLines(slot, off.clone())));
                 }
-                Trouble::Crash => {
-                    steps.push((from, Step::Kill(slot)));
-                    steps.push((until, Step::Return(slot)));
+                FaultKind::Crash => {
+                    steps.push((from, Step::KillNode(slot)));
+                    steps.push((until, Step::RestartNode(slot)));
                 }
-                Trouble::Replace => {
-                    steps.push((from, Step::Drain(slot)));
-                    steps.push((until, Step::Succeed(slot)));
+                FaultKind::Replace => {
+                    steps.push((from, Step::DrainNode(slot)));
+                    steps.push((until, Step::ReplaceNode(slot)));
                 }
                 _ => {}
             }
         }
         for index in fault.initiators.iter().map(|i| *i as usize) {
-            let (on, off) = match fault.trouble {
-                Trouble::CutInitiator => (Step::Cut(index, true), Step::Cut(index, false)),
-                Trouble::PauseInitiator => (Step::Pause(index, true), Step::Pause(index, false)),
+            let (on, off) = match fault.kind {
+                FaultKind::CutInitiator => {
+                    (Step::IsolateInitiator(index, true), Step::IsolateInitiator(index, false))
+                }
+                FaultKind::PauseInitiator => {
+                    (Step::PauseInitiator(index, true), Step::PauseInitiator(index, false))
+                }
                 _ => {
-                    let outright = fault.trouble == Trouble::KillInitiator;
-                    (Step::KillInitiator(index, outright), Step::ReturnInitiator(index))
+                    let immediately = fault.kind == FaultKind::KillInitiator;
+                    (Step::KillInitiator(index, immediately), Step::RestartInitiator(index))
                 }
             };
             steps.push((from, on));
             steps.push((until, off));
         }
-        if let Trouble::Change(sets) = &fault.trouble {
-            steps.push((from, Step::Propose(sets.clone())));
+        if let FaultKind::Change(sets) = &fault.kind {
+            steps.push((from, Step::ProposeRules(sets.clone())));
         }
-        if let Trouble::List(on, off) = &fault.trouble {
-            steps.push((from, Step::TellList(on.clone())));
-            steps.push((until, Step::TellList(off.clone())));
+        if let FaultKind::List(on, off) = &fault.kind {
+            steps.push((from, Step::ListLines(on.clone())));
+            steps.push((until, Step::ListLines(off.clone())));
         }
     }
     steps.retain(|(at, _)| *at <= seconds);
--- a/crates/flaxstand-simulation/src/shell.rs
+++ b/crates/flaxstand-simulation/src/shell.rs
@@ -14,13 +14,13 @@
         true
     }
     /// A connection was accepted at the listener with this index; `opened` follows.
-    fn taken(&mut self, _conn: ConnId, _listener: usize) {}
+    fn connection_accepted(&mut self, _conn: ConnId, _listener: usize) {}
     /// A connection is open, initiated by either side.
     fn opened(&mut self, links: &mut Links, conn: ConnId, now: Micros);
     /// A frame was received.
     fn frame(&mut self, links: &mut Links, conn: ConnId, frame: Frame<'_>, now: Micros);
     /// A connection was closed, or could not be opened.
-    fn gone(&mut self, links: &mut Links, conn: ConnId, now: Micros);
+    fn connection_closed(&mut self, links: &mut Links, conn: ConnId, now: Micros);
     /// A line of standard input was read: a fault begins or ends.
     fn line(&mut self, links: &mut Links, line: &str, now: Micros);
     /// All events of this instant have been delivered. Returns the time of the peer's next timer.
@@ -38,9 +38,9 @@
     cut_out: bool,
     cut_in: bool,
     /// Data received while incoming traffic is held back.
-    kept: Vec<(Micros, ConnId, Vec<u8>)>,
+    held_back: Vec<(Micros, ConnId, Vec<u8>)>,
     /// Arrival time of the data being delivered, if it was held back.
-    reached: Option<Micros>,
+    arrived_at: Option<Micros>,
 }
 
 impl Links {
@@ -52,7 +52,7 @@
     }
 
     /// Connects to a peer.
-    pub fn call(&mut self, address: flaxstand_gateway::machine::Address) -> ConnId {
+    pub fn connect(&mut self, address: flaxstand_gateway::machine::Address) -> ConnId {
         let conn = self.open();
         self.commands.push(Command::Connect { conn, address });
         conn
@@ -104,8 +104,8 @@
 
     /// Returns when the current frame arrived at this host. The audit takes this as the latest time of its
     /// sending, so that the emulated cut is not counted as the sender's delay.
-    pub fn reached(&self, now: Micros) -> Micros {
-        self.reached.unwrap_or(now)
+    pub fn arrived_at(&self, now: Micros) -> Micros {
+        self.arrived_at.unwrap_or(now)
     }
 
     /// Issues a command to the driver.
@@ -140,7 +140,7 @@
             return Err(Vec::new());
         }
         let conn = self.links.open();
-        self.peer.taken(conn, listener);
+        self.peer.connection_accepted(conn, listener);
         self.peer.opened(&mut self.links, conn, now);
         Ok(conn)
     }
@@ -155,7 +155,7 @@
 
     fn received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
         if self.links.cut_in {
-            self.links.kept.push((now, conn, bytes.to_vec()));
+            self.links.held_back.push((now, conn, bytes.to_vec()));
             return;
         }
         let Some((inbox, _)) = self.links.links.get_mut(&conn) else { return };
@@ -174,7 +174,7 @@
             Err(cause) => {
                 warn!(%cause, "invalid data from a peer; closing the connection");
                 self.links.close(conn);
-                self.peer.gone(&mut self.links, conn, now);
+                self.peer.connection_closed(&mut self.links, conn, now);
             }
         }
     }
@@ -185,7 +185,7 @@
 
     fn closed(&mut self, conn: ConnId, _cause: &str, now: Micros) {
         if self.links.links.remove(&conn).is_some() {
-            self.peer.gone(&mut self.links, conn, now);
+            self.peer.connection_closed(&mut self.links, conn, now);
         }
     }
 
@@ -217,11 +217,11 @@
 
     fn settle(&mut self, now: Micros) -> Option<Micros> {
         if !self.links.cut_in {
-            for (reached, conn, bytes) in std::mem::take(&mut self.links.kept) {
-                self.links.reached = Some(reached);
+            for (arrived_at, conn, bytes) in std::mem::take(&mut self.links.held_back) {
+                self.links.arrived_at = Some(arrived_at);
                 self.received(conn, &bytes, now);
             }
-            self.links.reached = None;
+            self.links.arrived_at = None;
         }
         self.peer.settle(&mut self.links, now)
     }
--- a/crates/flaxstand-simulation/src/swarm.rs
+++ b/crates/flaxstand-simulation/src/swarm.rs
@@ -14,7 +14,7 @@
 
 /// A generated day, in a form that can be shrunk.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Drawn {
+pub struct GeneratedDay {
     /// Seed that it was generated from.
     pub seed: u64,
     /// Duration of the traffic, seconds.
@@ -29,36 +29,36 @@
 
 /// A failing day.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct Failure {
     /// The day as generated.
-    pub drawn: Drawn,
+    pub generated: GeneratedDay,
     /// The day after shrinking.
-    pub small: Drawn,
+    pub shrunk: GeneratedDay,
     /// Failure of the shrunk day.
-    pub what: String,
+    pub failure: String,
 }
 
 /// Result of a search.
 #[derive(Clone, Debug, Default)]
-pub struct Searched {
+pub struct SearchResult {
     /// Number of days played, without those of the shrinking.
     pub days: u64,
     /// Number of the clients' tries on them.
     pub tries: u64,
     /// The first failure.
-    pub found: Option<Found>,
+    pub found: Option<Failure>,
 }
 
-impl Drawn {
+impl GeneratedDay {
     /// Generates a day.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
-    pub fn new(seed: u64) -> Drawn {
+    pub fn new(seed: u64) -> GeneratedDay {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7377_6172_6d00);
         let r = &mut rng;
-        let whole =
+        let integer =
             |r: &mut Pcg64Mcg, low: u32, high: u32| low + (random(r) * f64::from(high - low + 1)) as u32;
-        let initiators = whole(r, 1, 6);
-        let nodes = whole(r, 1, 10);
+        let initiators = integer(r, 1, 6);
+        let nodes = integer(r, 1, 10);
         let seconds = between(r, (4.0, 14.0));
         let unit_work = between(r, (4.0, 20.0));
         let load = between(r, (0.2, 1.3));
@@ -70,45 +70,45 @@
             common,
             "site {{\n    initiators {initiators}\n    list \"{list}\"\n    max-attempts {}\n    retry-after-most-ms {}\n    \
              unit-mean 2\n    unit-most 4\n    drain-grace-ms {}\n    key-rest-ms {}\n    tick-ms {}\n",
-            whole(r, 1, 5),
-            whole(r, 0, 800),
-            whole(r, 100, 1000),
-            whole(r, 0, 200),
-            [0.2, 1.0, 2.0][whole(r, 0, 2) as usize],
+            integer(r, 1, 5),
+            integer(r, 0, 800),
+            integer(r, 100, 1000),
+            integer(r, 0, 200),
+            [0.2, 1.0, 2.0][integer(r, 0, 2) as usize],
         );
         let _ = writeln!(
             common,
             "    cold from={:.2} warm-ms={} fall-multiple={:.1} fall-ms={} bears-units={}",
             between(r, (0.1, 0.4)),
-            whole(r, 2000, 10_000),
+            integer(r, 2000, 10_000),
             between(r, (2.0, 4.0)),
-            whole(r, 800, 2000),
-            whole(r, 4, 8),
+            integer(r, 800, 2000),
+            integer(r, 4, 8),
         );
         if random(r) < 0.5 {
-            let (floor, ratio, span) = (whole(r, 0, 5), between(r, (0.05, 0.3)), whole(r, 2000, 6000));
+            let (floor, ratio, span) = (integer(r, 0, 5), between(r, (0.05, 0.3)), integer(r, 2000, 6000));
             let _ = writeln!(common, "    budget floor={floor} ratio={ratio:.2} span-ms={span}");
         }
         common.push_str("}\n");
         for class in ["one", "two", "three"] {
-            let effect = match whole(r, 0, 5) {
+            let effect = match integer(r, 0, 5) {
                 0 | 1 => "\"repeatable\"".to_owned(),
                 2 => "\"once\"".to_owned(),
                 n => {
                     let group = ["all", "zone", "shard"][n as usize - 3];
-                    format!("\"keyed\"\n    group \"{group}\"\n    window-ms {}", whole(r, 500, 4000))
+                    format!("\"keyed\"\n    group \"{group}\"\n    window-ms {}", integer(r, 500, 4000))
                 }
             };
-            let (latency_objective, order) = (whole(r, 50, 600), random(r) < 0.25);
-            let deadline = latency_objective + whole(r, 100, 2500);
+            let (latency_objective, order) = (integer(r, 50, 600), random(r) < 0.25);
+            let deadline = latency_objective + integer(r, 100, 2500);
             let _ = write!(
                 common,
                 "class \"{class}\" {{\n    effect {effect}\n    aim-ms {latency_objective}\n    deadline-ms {deadline}\n    worth {}\n    \
                  late-value 0.2\n    in-order #{order}\n}}\n",
-                whole(r, 1, 4)
+                integer(r, 1, 4)
             );
             let (write, new) = (random(r) < 0.4, between(r, (0.0, 1.0)));
-            let items = [3, 50, 1 << 20][whole(r, 0, 2) as usize];
+            let items = [3, 50, 1 << 20][integer(r, 0, 2) as usize];
             let _ = writeln!(
                 common,
                 "mix \"{class}\" share={:.2} write=#{write} new={new:.2} reread={:.2} items={items}",
@@ -116,7 +116,7 @@
                 between(r, (0.0, 0.6)),
             );
         }
-        let volumes = nodes * whole(r, 2, 6);
+        let volumes = nodes * integer(r, 2, 6);
         // Mean demand of a volume, in units per second.
         let size = rate * 2.0 / f64::from(volumes);
         let _ = writeln!(common, "plan \"plain\" base-rate={size:.2}");
@@ -131,7 +131,7 @@
             "plan \"capped\" base-rate={size:.2} limit-rate={limit:.2} limit-burst={burst:.1}"
         );
         for plan in ["plain", "reserved", "capped"] {
-            let hosts = whole(r, 1, initiators);
+            let hosts = integer(r, 1, initiators);
             let _ = writeln!(common, "volumes \"{plan}\" share={:.2} hosts={hosts}", between(r, (0.1, 1.0)));
         }
         let _ = write!(
@@ -139,35 +139,35 @@
             "fleet {{\n    nodes {nodes}\n    zones {}\n    speed 0.7 1.3\n    slots {}\n    queue {}\n    unit-work-ms {unit_work:.1}\n    \
              seek {:.2}\n    remembers {}\n    put-off {:.2}\n    put-off-every-ms {}\n    cancels #{}\n    list-late-ms {}\n    \
              warm-by \"{}\"\n    thrash {:.2}\n    thrash-at {}\n    connections {}\n    handshake-us {}\n}}\n",
-            whole(r, 1, 3),
-            whole(r, 1, 8),
-            whole(r, 0, 64),
+            integer(r, 1, 3),
+            integer(r, 1, 8),
+            integer(r, 0, 64),
             between(r, (0.0, 0.6)),
-            whole(r, 0, 4),
+            integer(r, 0, 4),
             between(r, (0.0, 0.7)),
-            whole(r, 500, 4000),
+            integer(r, 500, 4000),
             random(r) < 0.5,
-            whole(r, 0, 3000),
-            ["time", "work"][whole(r, 0, 1) as usize],
+            integer(r, 0, 3000),
+            ["time", "work"][integer(r, 0, 1) as usize],
             between(r, (0.0, 0.4)),
-            whole(r, 2, 8),
-            whole(r, 2, 20),
-            whole(r, 0, 2000),
+            integer(r, 2, 8),
+            integer(r, 2, 20),
+            integer(r, 0, 2000),
         );
-        let _ = writeln!(common, "net one-way-ms={:.2}", [0.05, 0.3, 2.0][whole(r, 0, 2) as usize]);
+        let _ = writeln!(common, "net one-way-ms={:.2}", [0.05, 0.3, 2.0][integer(r, 0, 2) as usize]);
         let traffic = format!(
             "    volumes {volumes}\n    nodes 1 {}\n    units 4\n    clients {}\n    retries {}\n    retry-wait-ms {} {}\n    honour {:.2}\n",
-            whole(r, 1, 4),
-            whole(r, 1, 3),
-            whole(r, 0, 4),
-            whole(r, 0, 50),
-            whole(r, 50, 400),
+            integer(r, 1, 4),
+            integer(r, 1, 3),
+            integer(r, 0, 4),
+            integer(r, 0, 50),
+            integer(r, 50, 400),
             random(r),
         );
         let _ = write!(common, "traffic {{\n    rate RATE\n{traffic}}}\n");
-        let count = whole(r, 0, 7);
-        let faults = (0..count).map(|_| draw_fault(r, seconds, nodes, initiators)).collect();
-        Drawn { seed, seconds, rate, common, faults }
+        let count = integer(r, 0, 7);
+        let faults = (0..count).map(|_| generate_fault(r, seconds, nodes, initiators)).collect();
+        GeneratedDay { seed, seconds, rate, common, faults }
     }
 
     /// Returns the day's file.
@@ -197,8 +197,7 @@
                 let tries = played.report.classes.iter().map(|c| c.tries).sum();
                 let overdue: u64 = played.counts.iter().map(|c| c.overdue).sum();
                 let breach = played.report.audit.breaches.first().map(ToString::to_string);
-                let overdue =
-                    (overdue > 0).then(|| format!("the module left {overdue} requests unanswered"));
+                let overdue = (overdue > 0).then(|| format!("the module left {overdue} requests unanswered"));
                 (tries, breach.or(overdue))
             }
             Err(_) => (0, Some("panic during the play".into())),
@@ -206,7 +205,7 @@
     }
 
     /// Returns each variant of the day that is smaller in one respect.
-    fn smaller(&self) -> Vec<Drawn> {
+    fn reductions(&self) -> Vec<GeneratedDay> {
         let mut all = Vec::new();
         for i in 0..self.faults.len() {
             let mut less = self.clone();
@@ -215,24 +214,24 @@
         }
         for seconds in [self.seconds / 2.0, self.seconds * 0.8] {
             if seconds >= 0.3 {
-                all.push(Drawn { seconds, ..self.clone() });
+                all.push(GeneratedDay { seconds, ..self.clone() });
             }
         }
         for rate in [self.rate / 4.0, self.rate / 2.0, self.rate * 0.8] {
             if rate >= 1.0 {
-                all.push(Drawn { rate, ..self.clone() });
+                all.push(GeneratedDay { rate, ..self.clone() });
             }
         }
         all
     }
 
     /// Shrinks the day while the same rule still breaks, with at most `budget` plays.
-    fn cut(&self, policy: Policy, what: &str, budget: u32) -> (Drawn, String) {
+    fn shrink(&self, policy: Policy, what: &str, budget: u32) -> (GeneratedDay, String) {
         let kind = |what: &str| what.split(':').next().unwrap_or("").to_owned();
         let wanted = kind(what);
         let (mut best, mut found, mut left) = (self.clone(), what.to_owned(), budget);
         'again: loop {
-            for less in best.smaller() {
+            for less in best.reductions() {
                 if left == 0 {
                     break 'again;
                 }
@@ -250,10 +249,10 @@
     }
 }
 
-fn draw_fault(r: &mut Pcg64Mcg, seconds: f64, nodes: u32, initiators: u32) -> String {
+fn generate_fault(r: &mut Pcg64Mcg, seconds: f64, nodes: u32, initiators: u32) -> String {
     let at = random(r) * seconds;
     let length = between(r, (0.2, seconds * 0.6));
-    let some = |r: &mut Pcg64Mcg, of: u32| -> String {
+    let subset = |r: &mut Pcg64Mcg, of: u32| -> String {
         let mut picked: Vec<String> = (0..of).filter(|_| random(r) < 0.35).map(|n| n.to_string()).collect();
         if picked.is_empty() {
             picked.push(((random(r) * f64::from(of)) as u32).to_string());
@@ -305,19 +304,27 @@
         _ => String::new(),
     };
     let place = match kind {
-        "kill-initiator" | "restart-initiator" => format!(" {{\n    initiators {}\n}}", some(r, initiators)),
+        "kill-initiator" | "restart-initiator" => {
+            format!(" {{\n    initiators {}\n}}", subset(r, initiators))
+        }
         "list-late" | "list-silent" | "list-fails" | "list-cut" | "burst" | "plan-burst" => String::new(),
-        _ => format!(" {{\n    nodes {}\n}}", some(r, nodes)),
+        _ => format!(" {{\n    nodes {}\n}}", subset(r, nodes)),
     };
     format!("fault \"{kind}\" at={at:.2} for={length:.2}{needs}{place}")
 }
 
 /// Plays generated days from the seed `first` on, in parallel, and stops at the first failure. Of several
 /// failures in flight the one with the lowest seed is returned.
-pub fn search(policy: Policy, first: u64, days: u64, threads: usize, each: impl Fn(u64) + Sync) -> Searched {
+pub fn search(
+    policy: Policy,
+    first: u64,
+    days: u64,
+    threads: usize,
+    each: impl Fn(u64) + Sync,
+) -> SearchResult {
     let (next, tries, played) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
     let stop = AtomicBool::new(false);
-    let found: Mutex<Option<(Drawn, String)>> = Mutex::new(None);
+    let found: Mutex<Option<(GeneratedDay, String)>> = Mutex::new(None);
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| {
@@ -326,7 +333,7 @@
                     if n >= days {
                         break;
                     }
-                    let drawn = Drawn::new(first + n);
+                    let drawn = GeneratedDay::new(first + n);
                     let (held, what) = drawn.play(policy);
                     tries.fetch_add(held, Ordering::Relaxed);
                     each(played.fetch_add(1, Ordering::Relaxed) + 1);
@@ -342,8 +349,8 @@
         }
     });
     let found = found.into_inner().expect("no holder panics").map(|(drawn, what)| {
-        let (small, what) = drawn.cut(policy, &what, 400);
-        Found { drawn, small, what }
+        let (shrunk, failure) = drawn.shrink(policy, &what, 400);
+        Failure { generated: drawn, shrunk, failure }
     });
-    Searched { days: played.into_inner(), tries: tries.into_inner(), found }
+    SearchResult { days: played.into_inner(), tries: tries.into_inner(), found }
 }
--- a/crates/flaxstand-simulation/src/world.rs
+++ b/crates/flaxstand-simulation/src/world.rs
@@ -13,7 +13,7 @@
 use crate::list::{ListService, node_line};
 use crate::load::Load;
 use crate::node::{Identity, Node};
-use crate::rehearse::{emulated, initiator_seed};
+use crate::rehearse::{emulated_node, initiator_seed};
 use crate::report::{Report, report};
 use crate::script::{Step, script};
 use crate::shell::Shell;
@@ -64,7 +64,7 @@
 struct Host {
     role: Option<Role>,
     /// Grows when the process ends; events scheduled for an earlier value are dropped.
-    life: u64,
+    generation: u64,
     wake: Option<Micros>,
     /// Data that outlives the process: a node's data, an initiator's saved list.
     disk: Vec<u8>,
@@ -126,9 +126,9 @@
     most_at_once: u64,
     records: Vec<Record>,
     /// Initiators to be killed, and the number of outputs that they still make.
-    doomed: BTreeMap<HostId, u32>,
+    pending_kills: BTreeMap<HostId, u32>,
     /// Initiators that were killed or asked to stop and not started again yet.
-    leaving: BTreeSet<HostId>,
+    stopping: BTreeSet<HostId>,
     /// By slot: the node's number and its incarnation.
     slots: Vec<(u64, u64)>,
     next_node: u64,
@@ -137,11 +137,11 @@
 }
 
 /// Wall-clock time at time 0 of the virtual clock, in microseconds since the Unix epoch.
-const CALENDAR: u64 = 1_700_000_000_000_000;
+const UNIX_TIME_AT_ZERO: u64 = 1_700_000_000_000_000;
 /// Range of the duration of a log batch, ms.
 const SYNC_MS: (f64, f64) = (0.2, 2.0);
 /// Start of the day on the virtual clock: an hour after 0, so that ages can lie in the past.
-const DAWN: Micros = Micros(3_600_000_000);
+const START_TIME: Micros = Micros(3_600_000_000);
 
 fn list_address() -> Address {
     Address::Unix(PathBuf::from("list"))
@@ -159,7 +159,7 @@
 pub fn play(day: &Day, seconds: f64, policy: Policy) -> Played {
     let mut world = World::new(day, policy, seconds);
     world.run(seconds);
-    let lasted = world.now.since(DAWN);
+    let lasted = world.now.since(START_TIME);
     let counts = world.counts();
     let World { mut records, events, most_at_once, .. } = world;
     records.sort_by_key(Record::at);
@@ -175,7 +175,7 @@
         let initiators = day.site.site.settings.initiators as usize;
         let empty = |host: usize| Host {
             role: None,
-            life: 0,
+            generation: 0,
             wake: None,
             disk: Vec::new(),
             log: FaultyDisk::new(day.seed ^ host as u64),
@@ -184,7 +184,7 @@
         let mut world = World {
             day,
             policy,
-            now: DAWN,
+            now: START_TIME,
             rng: Pcg64Mcg::seed_from_u64(day.seed ^ 0x6e65_7477_6f72_6b00),
             hosts: (0..nodes + initiators + 2).map(empty).collect(),
             listeners: BTreeMap::new(),
@@ -194,8 +194,8 @@
             events: 0,
             most_at_once: 0,
             records: Vec::new(),
-            doomed: BTreeMap::new(),
-            leaving: BTreeSet::new(),
+            pending_kills: BTreeMap::new(),
+            stopping: BTreeSet::new(),
             slots: (0..nodes as u64).map(|n| (n, 1)).collect(),
             next_node: nodes as u64,
             epochs: 0,
@@ -208,7 +208,7 @@
             world.list_node(slot, "serving", "-");
         }
         world.settle(0);
-        world.tell(0, &format!("late {}", day.fleet.list_late.ms()));
+        world.send_lines(0, &format!("late {}", day.fleet.list_delay.ms()));
         for index in 0..initiators {
             world.start_initiator(index);
         }
@@ -242,8 +242,8 @@
 
     fn schedule(&mut self, at: Micros, host: HostId, event: Event) {
         self.sequence += 1;
-        let life = self.hosts[host].life;
-        self.queue.insert((at, self.sequence), (host, life, event));
+        let generation = self.hosts[host].generation;
+        self.queue.insert((at, self.sequence), (host, generation, event));
     }
 
     fn delay(&mut self) -> Micros {
@@ -252,7 +252,7 @@
 
     fn run(&mut self, seconds: f64) {
         // As on loopback, the list arrives and the clients' handshakes finish before the day begins.
-        let start = DAWN.after(Micros(300_000));
+        let start = START_TIME.after(Micros(300_000));
         for (at, step) in script(self.day, seconds) {
             let at = start.after(Micros::from_ms(at * 1000.0));
             self.schedule(at, 0, Event::Step(Box::new(step)));
@@ -265,7 +265,7 @@
             let at = *at;
             if !started && at >= start {
                 (started, self.now) = (true, start);
-                self.tell(self.clients(), "start");
+                self.send_lines(self.clients(), "start");
                 continue;
             }
             if self.finished
@@ -277,15 +277,15 @@
                 self.stop_initiators();
                 continue;
             }
-            if (self.finished && !self.buffering()) || at > end {
+            if (self.finished && !self.may_have_buffers()) || at > end {
                 break;
             }
-            self.instant(at);
+            self.process_instant(at);
         }
     }
 
     /// Returns whether an initiator may still have buffered writes to write out.
-    fn buffering(&self) -> bool {
+    fn may_have_buffers(&self) -> bool {
         let buffers = |h: &Host| matches!(&h.role, Some(Role::Initiator(_)));
         self.day.site.site.write_back.is_some() && self.hosts.iter().any(buffers)
     }
@@ -294,26 +294,26 @@
         let now = self.now;
         for index in 0..self.day.site.site.settings.initiators as usize {
             let host = self.initiator_host(index);
-            self.leaving.insert(host);
+            self.stopping.insert(host);
             self.machine(host, |m| m.control(Control::Stop, now));
             self.settle(host);
         }
     }
 
     /// Delivers all events due at an instant, then settles the machines that received one.
-    fn instant(&mut self, at: Micros) {
+    fn process_instant(&mut self, at: Micros) {
         self.now = at;
         let mut touched = BTreeSet::new();
         let before = self.events;
         while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 == at) {
-            let (host, life, event) = entry.remove();
+            let (host, generation, event) = entry.remove();
             self.events += 1;
             if let Event::Step(step) = event {
-                self.step(*step);
+                self.apply_step(*step);
                 continue;
             }
             let h = &mut self.hosts[host];
-            if h.life != life || h.role.is_none() {
+            if h.generation != generation || h.role.is_none() {
                 // The receiver has ended: a connection attempt is refused, other events are dropped.
                 if let Event::Dial { from, .. } = event {
                     self.refuse(host, from);
@@ -323,7 +323,7 @@
             if matches!(event, Event::Wake) && h.wake != Some(at) {
                 continue;
             }
-            self.hand_over(host, event);
+            self.deliver(host, event);
             touched.insert(host);
         }
         self.most_at_once = self.most_at_once.max(self.events - before);
@@ -335,15 +335,15 @@
         self.schedule(at, host, Event::Refused(conn));
     }
 
-    fn hand_over(&mut self, host: HostId, event: Event) {
+    fn deliver(&mut self, host: HostId, event: Event) {
         let now = self.now;
         match event {
             Event::Wake | Event::Step(_) => {}
             Event::Stored => {
                 let h = &mut self.hosts[host];
                 if let Some(batch) = h.batch.take() {
-                    let well = perform(&mut h.log, &batch).is_ok();
-                    self.machine(host, |m| m.write_back_stored(well, now));
+                    let stored = perform(&mut h.log, &batch).is_ok();
+                    self.machine(host, |m| m.write_back_stored(stored, now));
                 }
             }
             Event::Dial { from, to } => self.dial(host, from, &to),
@@ -427,10 +427,10 @@
         let mut commands = role.machine().take_commands();
         while !commands.is_empty() {
             for command in commands {
-                if self.dies(host) {
+                if self.kill_if_due(host) {
                     return;
                 }
-                self.carry_out(host, command);
+                self.execute(host, command);
             }
             let Some(role) = &mut self.hosts[host].role else { return };
             self.records.append(&mut role.take_records());
@@ -447,8 +447,8 @@
 
     /// Kills the initiator if a pending kill is due now, between two outputs of one turn. Returns whether
     /// it did.
-    fn dies(&mut self, host: HostId) -> bool {
-        match self.doomed.get_mut(&host) {
+    fn kill_if_due(&mut self, host: HostId) -> bool {
+        match self.pending_kills.get_mut(&host) {
             Some(0) => {
                 self.kill_initiator(host);
                 true
@@ -462,17 +462,17 @@
     }
 
     fn kill_initiator(&mut self, host: HostId) {
-        self.doomed.remove(&host);
+        self.pending_kills.remove(&host);
         let initiator = (host - 1 - self.day.fleet.nodes as usize) as u32;
         if self.day.site.site.write_back.is_some() {
-            self.cut_log(host);
+            self.crash_log(host);
         }
         self.records.push(Record::Killed { at: self.now.0, initiator });
-        self.end(host);
+        self.end_process(host);
     }
 
     /// Crashes an initiator's log, perhaps inside a batch; half of the crashes also lose power.
-    fn cut_log(&mut self, host: HostId) {
+    fn crash_log(&mut self, host: HostId) {
         let within = (random(&mut self.rng) * 8.0) as u64;
         let h = &mut self.hosts[host];
         if let Some(batch) = h.batch.take() {
@@ -486,7 +486,7 @@
         }
     }
 
-    fn carry_out(&mut self, host: HostId, command: Command) {
+    fn execute(&mut self, host: HostId, command: Command) {
         let now = self.now;
         match command {
             Command::Connect { conn, address } => {
@@ -530,13 +530,13 @@
             Command::StoreConsensus(_) | Command::SaveReplicatedState(_) => {}
             Command::StopListening => self.listeners.retain(|_, h| *h != host),
             Command::Print(line) => self.finished |= host == self.clients() && line == "done",
-            Command::Exit => self.end(host),
+            Command::Exit => self.end_process(host),
         }
     }
 
     /// Truncates the data in flight of a process that dies during a write: of the last piece on each of its
     /// connections only a part is delivered.
-    fn cut_short(&mut self, host: HostId) {
+    fn truncate_in_flight(&mut self, host: HostId) {
         let peers: BTreeSet<End> =
             self.pipes.range((host, ConnId(0))..(host + 1, ConnId(0))).map(|(_, p)| p.peer).collect();
         let mut cut = BTreeSet::new();
@@ -552,7 +552,7 @@
     }
 
     /// Ends a process: its connections are closed, and events in flight to it are lost.
-    fn end(&mut self, host: HostId) {
+    fn end_process(&mut self, host: HostId) {
         let ends: Vec<End> =
             self.pipes.range((host, ConnId(0))..(host + 1, ConnId(0))).map(|(e, _)| *e).collect();
         for end in ends {
@@ -566,7 +566,7 @@
             self.records.append(&mut role.take_records());
         }
         (h.role, h.wake, h.batch) = (None, None, None);
-        h.life += 1;
+        h.generation += 1;
         self.listeners.retain(|_, at| *at != host);
     }
 
@@ -575,7 +575,7 @@
         let zone = slot as u32 % self.day.fleet.zones;
         let id = Identity { node, incarnation, shard: slot as u32, zone };
         let host = self.node_host(slot);
-        let node_machine = emulated(self.day, id, cold, &self.hosts[host].disk, self.now);
+        let node_machine = emulated_node(self.day, id, cold, &self.hosts[host].disk, self.now);
         self.records.push(node_machine.up(cold, self.now));
         self.hosts[host].role = Some(Role::Node(Box::new(Shell::new(node_machine))));
         self.listeners.insert(node_address(node), host);
@@ -585,7 +585,7 @@
     fn list_node(&mut self, slot: usize, state: &str, age: &str) {
         let (node, incarnation) = self.slots[slot];
         let zone = slot as u32 % self.day.fleet.zones;
-        self.tell(0, &node_line(node, incarnation, state, slot, zone, age, node_address(node)));
+        self.send_lines(0, &node_line(node, incarnation, state, slot, zone, age, node_address(node)));
     }
 
     fn start_initiator(&mut self, index: usize) {
@@ -595,7 +595,7 @@
             name: format!("initiator-{index}"),
             index: index as u32,
             epoch: self.epochs,
-            calendar: CALENDAR,
+            calendar: UNIX_TIME_AT_ZERO,
             seed: initiator_seed(self.day, index),
             discovery_address: list_address(),
             site: self.day.site.site.clone(),
@@ -618,7 +618,7 @@
         self.settle(host);
     }
 
-    fn tell(&mut self, host: HostId, lines: &str) {
+    fn send_lines(&mut self, host: HostId, lines: &str) {
         let now = self.now;
         for line in lines.lines() {
             self.machine(host, |m| m.control(Control::Line(line.to_owned()), now));
@@ -626,44 +626,44 @@
         self.settle(host);
     }
 
-    fn step(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         let at = self.now.0;
         match step {
-            Step::Tell(slot, lines) => self.tell(self.node_host(slot), &lines),
-            Step::TellList(lines) => self.tell(0, &lines),
+            Step::NodeLines(slot, lines) => self.send_lines(self.node_host(slot), &lines),
+            Step::ListLines(lines) => self.send_lines(0, &lines),
             // Faults may overlap: a process that is already down, or up again, is left as it is.
-            Step::Kill(slot) if self.hosts[self.node_host(slot)].role.is_none() => {}
-            Step::Return(slot) if self.hosts[self.node_host(slot)].role.is_some() => {}
-            Step::Kill(slot) => {
+            Step::KillNode(slot) if self.hosts[self.node_host(slot)].role.is_none() => {}
+            Step::RestartNode(slot) if self.hosts[self.node_host(slot)].role.is_some() => {}
+            Step::KillNode(slot) => {
                 self.records.push(Record::NodeDown { at, node: self.slots[slot].0 });
-                self.cut_short(self.node_host(slot));
-                self.end(self.node_host(slot));
+                self.truncate_in_flight(self.node_host(slot));
+                self.end_process(self.node_host(slot));
             }
-            Step::Return(slot) => {
+            Step::RestartNode(slot) => {
                 self.slots[slot].1 += 1;
                 self.start_node(slot, true);
                 self.list_node(slot, "serving", "0");
             }
-            Step::Drain(slot) => self.list_node(slot, "draining", "-"),
-            Step::Succeed(slot) => {
+            Step::DrainNode(slot) => self.list_node(slot, "draining", "-"),
+            Step::ReplaceNode(slot) => {
                 self.list_node(slot, "gone", "-");
-                self.step(Step::Kill(slot));
+                self.apply_step(Step::KillNode(slot));
                 self.slots[slot] = (self.next_node, 1);
                 self.next_node += 1;
                 self.start_node(slot, true);
                 self.list_node(slot, "serving", "0");
             }
             // Days with consensus are played with processes only.
-            Step::Cut(..) | Step::Pause(..) | Step::Propose(_) => {}
-            Step::KillInitiator(index, _) if self.leaving.contains(&self.initiator_host(index)) => {}
-            Step::ReturnInitiator(index) if !self.leaving.contains(&self.initiator_host(index)) => {}
-            Step::KillInitiator(index, outright) => {
+            Step::IsolateInitiator(..) | Step::PauseInitiator(..) | Step::ProposeRules(_) => {}
+            Step::KillInitiator(index, _) if self.stopping.contains(&self.initiator_host(index)) => {}
+            Step::RestartInitiator(index) if !self.stopping.contains(&self.initiator_host(index)) => {}
+            Step::KillInitiator(index, immediately) => {
                 let host = self.initiator_host(index);
-                self.leaving.insert(host);
-                if outright {
+                self.stopping.insert(host);
+                if immediately {
                     // The kill takes effect at a random point among its next outputs.
                     let outputs = (random(&mut self.rng) * 6.0) as u32;
-                    self.doomed.insert(host, outputs);
+                    self.pending_kills.insert(host, outputs);
                 } else {
                     self.records.push(Record::Killed { at, initiator: index as u32 });
                     let now = self.now;
@@ -671,9 +671,9 @@
                     self.settle(host);
                 }
             }
-            Step::ReturnInitiator(index) => {
+            Step::RestartInitiator(index) => {
                 let host = self.initiator_host(index);
-                if self.doomed.contains_key(&host) {
+                if self.pending_kills.contains_key(&host) {
                     self.kill_initiator(host);
                 }
                 if self.hosts[host].role.is_some() {
@@ -681,7 +681,7 @@
                     let again = self.now.after(Micros(10_000));
                     self.schedule(again, 0, Event::Step(Box::new(step)));
                 } else {
-                    self.leaving.remove(&host);
+                    self.stopping.remove(&host);
                     self.start_initiator(index);
                 }
             }
--- a/crates/flaxstand-simulation/tests/listeners.rs
+++ b/crates/flaxstand-simulation/tests/listeners.rs
@@ -1,12 +1,13 @@
-//! Addresses that sites in one process listen at.
+//! Listen addresses of several sites in one process.
 
 use flaxstand_simulation::agreed::listeners;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 
-/// The ports are free again when the call returns: on one address the system may give a port twice.
+/// Guards against two sites on one port: the ports are free again when the call returns, so on a shared address the
+/// system may give a port twice.
 #[test]
-fn sites_in_one_process_listen_at_different_addresses() {
+fn sites_in_one_process_listen_at_distinct_addresses() {
     let ips = |all: Vec<SocketAddr>| -> BTreeSet<IpAddr> { all.iter().map(SocketAddr::ip).collect() };
     let (one, other) = (ips(listeners(5).unwrap()), ips(listeners(5).unwrap()));
     assert_eq!((one.len(), other.len()), (5, 5));
--- a/crates/flaxstand-simulation/tests/recorded.rs
+++ b/crates/flaxstand-simulation/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Days, experiments and plans of scale runs are read to the recorded values, and days on virtual time are played as
-//! an earlier build played them.
+//! Guards against changes of how files are read and how days run: days, experiments and plans of scale runs are read to
+//! the recorded values, and days on virtual time give the recorded results.
 
 use flaxstand_audit::Record;
 use flaxstand_fixture::{Fixtures, values_of};
@@ -11,7 +11,7 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-/// Days that are played, each with these seeds, for so many seconds.
+/// Days that are played, and for how many seconds; each with every seed of `SEEDS`.
 const PLAYED: [(&str, f64); 8] = [
     ("quiet.kdl", 3.0),
     ("bad-day.kdl", 9.0),
@@ -33,8 +33,8 @@
 }
 
 fn files(folder: &str) -> Vec<PathBuf> {
-    let entries = std::fs::read_dir(root().join(folder)).expect("the folder is there");
-    let mut files: Vec<PathBuf> = entries.map(|e| e.expect("an entry").path()).collect();
+    let entries = std::fs::read_dir(root().join(folder)).expect("the folder exists");
+    let mut files: Vec<PathBuf> = entries.map(|e| e.expect("a directory entry").path()).collect();
     files.retain(|path| path.extension().is_some_and(|e| e == "kdl"));
     files.sort();
     files
@@ -48,7 +48,7 @@
 }
 
 fn name_of(path: &Path) -> String {
-    path.file_name().expect("a file").to_string_lossy().into_owned()
+    path.file_name().expect("a path with a file name").to_string_lossy().into_owned()
 }
 
 #[test]
@@ -86,10 +86,10 @@
     }
 }
 
-/// The day's text with the value at the end of one line replaced, and the same with its key unknown.
-fn mistakes(text: &str, number: usize) -> [String; 2] {
-    let with = |spoil: &dyn Fn(&str) -> String| {
-        let line = |(at, line): (usize, &str)| if at == number { spoil(line) } else { line.to_owned() };
+/// Returns the day's text with an invalid value at the end of one line, and with an unknown key on it.
+fn with_mistakes(text: &str, number: usize) -> [String; 2] {
+    let with = |edit: &dyn Fn(&str) -> String| {
+        let line = |(at, line): (usize, &str)| if at == number { edit(line) } else { line.to_owned() };
         text.lines().enumerate().map(line).collect::<Vec<_>>().join("\n")
     };
     let value = with(&|line| match line.trim_end_matches(" {").rfind([' ', '=']) {
@@ -100,10 +100,10 @@
     [value, key]
 }
 
-/// Guards against a renamed key, and against an error that names another key or place than the mistake's.
+/// Guards against a renamed key, and against an error that names another key or line than that of the mistake.
 #[test]
-fn each_mistake_in_a_day_or_a_scale_file_is_told_as_recorded() {
-    let mut told = String::new();
+fn each_mistake_in_a_day_or_a_scale_file_is_reported_as_recorded() {
+    let mut reported = String::new();
     for (folder, name) in
         [("days", "ordinary.kdl"), ("days", "buffered.kdl"), ("days", "bad-day.kdl"), ("scale", "faults.kdl")]
     {
@@ -114,27 +114,28 @@
             if trimmed.is_empty() || trimmed.starts_with("//") || trimmed == "}" {
                 continue;
             }
-            let _ = writeln!(told, "{name} line {}: {trimmed}", number + 1);
-            for spoilt in mistakes(&text, number) {
+            let _ = writeln!(reported, "{name} line {}: {trimmed}", number + 1);
+            for invalid in with_mistakes(&text, number) {
                 let problems = if folder == "scale" {
-                    Plan::read(name, &spoilt).err().map(|e| e.problems)
+                    Plan::read(name, &invalid).err().map(|e| e.problems)
                 } else {
                     let base = (name == "bad-day.kdl").then_some(("ordinary.kdl", base.as_str()));
-                    Day::read(name, &spoilt, base).err().map(|e| e.problems)
+                    Day::read(name, &invalid, base).err().map(|e| e.problems)
                 };
                 let problems = problems.unwrap_or_default();
                 let lines: Vec<String> =
                     problems.iter().map(|p| format!("{}: {}", p.line, p.message)).collect();
-                let _ = writeln!(told, "    {}", lines.join("\n    "));
+                let _ = writeln!(reported, "    {}", lines.join("\n    "));
             }
         }
     }
-    fixtures().assert_text("mistakes.txt", &told);
+    fixtures().assert_text("mistakes.txt", &reported);
 }
 
-/// Guards against any change of what the gateway, the write-back buffer or the module does: each event is in the record.
+/// Guards against any change of the behaviour of the gateway, the write-back buffer or the scheduler: each event is in
+/// the record.
 #[test]
-fn days_on_virtual_time_are_played_as_recorded() {
+fn days_on_virtual_time_give_the_recorded_results() {
     let mut text = String::new();
     for (name, seconds) in PLAYED {
         for seed in SEEDS {
--- a/crates/flaxstand-simulation/tests/scale.rs
+++ b/crates/flaxstand-simulation/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Parts of scale runs without processes: plans, counts of messages, times until changes are in force.
+//! Parts of scale runs that need no processes: plans, frame counts, and the lag until changes are in force.
 
 use flaxstand_proto::{Frame, encode};
 use flaxstand_simulation::scale::hollow::Arrival;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn every_plan_that_is_kept_can_be_read() {
+fn every_plan_of_the_repository_is_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scale");
     let mut read = 0;
     for file in std::fs::read_dir(folder).unwrap() {
@@ -27,11 +27,11 @@
         assert!(!plan.steps.is_empty(), "{}", path.display());
         read += 1;
     }
-    assert!(read >= 5, "{read} plans");
+    assert!(read >= 5, "{read} plans, expected at least 5");
 }
 
 #[test]
-fn a_step_is_the_base_but_for_what_it_says() {
+fn a_step_overrides_the_base() {
     let text = format!(
         "scale \"a\"\nbase {{\n hollow 5\n nodes 7\n}}\nstep \"one\" nodes=9\nstep \"two\" {{\n \
          fault \"list-away\" at=1 for=2\n}}\n{SITE}"
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn problems_have_their_place() {
+fn errors_have_their_line() {
     let all = problems("scale \"a\"\nstep \"x\" keepers=2\nstep \"y\" hollow=30");
     assert_eq!(all.iter().map(|(line, _)| *line).collect::<Vec<_>>(), [2, 3], "{all:?}");
     assert!(all[0].1.contains("keepers is 2, expected 0, 1, 3 or 5"), "{all:?}");
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn frames_are_counted_in_whatever_parts_they_come() {
+fn frames_are_counted_across_fragments() {
     let mut bytes = Vec::new();
     for _ in 0..3 {
         encode(&Frame::GetList, &mut bytes);
@@ -73,7 +73,7 @@
     for part in [1, 2, 3, 7, 100, bytes.len()] {
         let mut counter = FrameCounter::default();
         let counted: u64 = bytes.chunks(part).map(|chunk| counter.count(chunk)).sum();
-        assert_eq!(counted, 6, "in parts of {part}");
+        assert_eq!(counted, 6, "fragments of {part} bytes");
     }
 }
 
@@ -82,9 +82,9 @@
 }
 
 #[test]
-fn a_change_is_in_force_once_it_or_a_later_one_is_acted_on() {
+fn a_change_is_in_force_once_it_or_a_later_one_is_applied() {
     let changes = [Change { number: 11, at: 1_000 }, Change { number: 12, at: 2_000 }];
-    // The second initiator went from 10 to 12 at once.
+    // The second initiator went from 10 to 12 directly.
     let arrivals =
         [arrival(1, 11, 3_000), arrival(1, 12, 5_000), arrival(2, 10, 1_500), arrival(2, 12, 9_000)];
     let lags = Lags::of(&changes, &arrivals, 2);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_change_that_did_not_arrive_everywhere_is_not_complete() {
+fn a_change_that_misses_an_initiator_is_not_complete() {
     let changes = [Change { number: 11, at: 1_000 }];
     let lags = Lags::of(&changes, &[arrival(1, 11, 2_000), arrival(2, 10, 2_000)], 2);
     assert_eq!(lags.reached, 1);
