--- a/crates/flaxstand-simulation/src/day.rs
+++ b/crates/flaxstand-simulation/src/day.rs
@@ -509,9 +509,8 @@
     agreement
 }
 
-#[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
-fn read_fault(b: &Block<'_>, day: &Day) -> Option<Fault> {
-    let name = b.name();
+/// Reads a fault that a node plays itself, as the lines for its standard input.
+fn read_node_fault(b: &Block<'_>, name: &str, day: &Day) -> Option<FaultKind> {
     let share = |b: &Block<'_>| b.number("share", SHARE, Some(1.0));
     let class = |b: &Block<'_>| {
         let names = &day.site.site.classes;
@@ -519,8 +518,7 @@
         b.parsed("class", expected, None, |t| names.iter().position(|c| c.name == t)).unwrap_or(0)
     };
     let node = |on: String, off: &str| FaultKind::Node(on, off.to_owned());
-    let list = |on: &str, off: &str| FaultKind::List(on.to_owned(), off.to_owned());
-    let kind = match &name[..] {
+    Some(match name {
         "pauses" => {
             let (length, every) =
                 (b.number("ms", 1.0..=60_000.0, None), b.number("every-ms", 1.0..=60_000.0, None));
@@ -542,6 +540,17 @@
             let times = b.number("times", 1.0..=1000.0, None);
             node(format!("heavy {} {} {times}", class(b), share(b)), "heavy 0 0 1")
         }
+        _ => return None,
+    })
+}
+
+/// Reads the kind of a fault and its parameters.
+fn read_fault_kind(b: &Block<'_>, name: &str, day: &Day) -> Option<FaultKind> {
+    if let Some(kind) = read_node_fault(b, name, day) {
+        return Some(kind);
+    }
+    let list = |on: &str, off: &str| FaultKind::List(on.to_owned(), off.to_owned());
+    Some(match name {
         "crash" => FaultKind::Crash,
         "replace" => FaultKind::Replace,
         "list-silent" => list("silent 1", "silent 0\ncut"),
@@ -557,7 +566,7 @@
         "pause-initiator" => FaultKind::PauseInitiator,
         "change" => FaultKind::Change(b.assignments("set", |key, _| match narrowing_of(key) {
             Some(_) => Ok(()),
-            None => Err(format!("{key:?} is no key of the rules, see docs/agreement.md")),
+            None => Err(format!("{key:?} is not a key of the rules, see docs/agreement.md")),
         })),
         "burst" => FaultKind::Burst(None, b.number("times", 0.0..=1000.0, None)),
         "plan-burst" => {
@@ -568,14 +577,19 @@
         "" => return None,
         _ => {
             b.report(
-                "no such fault; there are pauses, stall, slow, neighbour, drop, hang, errors, full, refuse, deaf, \
+                "no such fault; expected one of pauses, stall, slow, neighbour, drop, hang, errors, full, refuse, deaf, \
                  reset, cut-in, cut-out, heavy, crash, replace, list-silent, list-fails, list-cut, list-late, kill-initiator, \
                  restart-initiator, cut-initiator, pause-initiator, change, burst, plan-burst"
                     .into(),
             );
             return None;
         }
-    };
+    })
+}
+
+fn read_fault(b: &Block<'_>, day: &Day) -> Option<Fault> {
+    let name = b.name();
+    let kind = read_fault_kind(b, &name, day)?;
     let places = |key, count: u32| -> Vec<u32> {
         b.integers(key, 0..=u64::from(count).saturating_sub(1)).into_iter().map(|n| n as u32).collect()
     };
@@ -585,7 +599,7 @@
     let needs_agreement =
         matches!(kind, FaultKind::CutInitiator | FaultKind::PauseInitiator | FaultKind::Change(_));
     if needs_agreement && day.agreement.is_none() {
-        b.report("there is no agreement, expected the block".into());
+        b.report("this fault needs consensus, expected a block agreement".into());
     }
     let of_initiators = matches!(
         kind,
@@ -597,11 +611,12 @@
     if of_nodes == nodes.is_empty() {
         b.report(format!(
             "nodes {}",
-            if of_nodes { "is missing, expected one or more" } else { "has no place here" }
+            if of_nodes { "is missing, expected one or more" } else { "is not allowed for this fault" }
         ));
     }
     if of_initiators == initiators.is_empty() {
-        let message = if of_initiators { "is missing, expected one or more" } else { "has no place here" };
+        let message =
+            if of_initiators { "is missing, expected one or more" } else { "is not allowed for this fault" };
         b.report(format!("initiators {message}"));
     }
     let at = b.number("at", 0.0..=86_400.0, None);
--- a/crates/flaxstand-simulation/src/experiment.rs
+++ b/crates/flaxstand-simulation/src/experiment.rs
@@ -194,13 +194,13 @@
             }
             _ => Vec::new(),
         };
-        let held = |day: &Day, seed: u64, v: &Variant| {
+        let is_done = |day: &Day, seed: u64, v: &Variant| {
             runs.iter().any(|r| (&r.day, r.seed, &r.variant) == (&day.name, seed, &v.name))
         };
         let mut todo = Vec::new();
         for day in &self.days {
             for seed in &self.seeds {
-                let missing = self.variants.iter().filter(|v| !held(day, *seed, v));
+                let missing = self.variants.iter().filter(|v| !is_done(day, *seed, v));
                 todo.extend(missing.map(|v| (day, *seed, v)));
             }
         }
@@ -208,25 +208,25 @@
         let file =
             resume.map(|p| std::fs::OpenOptions::new().create(true).append(true).open(p)).transpose()?;
         let (next, done) = (AtomicUsize::new(0), AtomicUsize::new(runs.len()));
-        let kept = Mutex::new((Vec::new(), file));
+        let output = Mutex::new((Vec::new(), file));
         std::thread::scope(|scope| {
             for _ in 0..threads.max(1) {
                 scope.spawn(|| {
                     while let Some((day, seed, variant)) = todo.get(next.fetch_add(1, Ordering::Relaxed)) {
                         let run = self.play_run(day, *seed, variant);
-                        let mut kept = kept.lock().expect("no holder panics");
-                        if let Some(file) = &mut kept.1 {
+                        let mut output = output.lock().expect("no holder panics");
+                        if let Some(file) = &mut output.1 {
                             // A run that can't be written is played again on the next resume; this result
                             // has it all the same.
                             let _ = serde_json::to_string(&run).map(|line| writeln!(file, "{line}"));
                         }
-                        kept.0.push(run);
+                        output.0.push(run);
                         each(done.fetch_add(1, Ordering::Relaxed) + 1, all);
                     }
                 });
             }
         });
-        runs.append(&mut kept.into_inner().expect("no holder panics").0);
+        runs.append(&mut output.into_inner().expect("no holder panics").0);
         // Threads finish in any order; sorting makes the result deterministic.
         runs.sort_by(|x, y| (&x.day, x.seed, &x.variant).cmp(&(&y.day, y.seed, &y.variant)));
         Ok(Outcome { name: self.name.clone(), differences: self.differences(&runs), runs })
@@ -238,8 +238,8 @@
         let settings = &mut day.site.site.settings;
         settings.tick = variant.tick.unwrap_or(settings.tick);
         settings.initiators = variant.initiators.unwrap_or(settings.initiators);
-        let left = settings.initiators;
-        day.faults.iter_mut().for_each(|f| f.initiators.retain(|i| *i < left));
+        let count = settings.initiators;
+        day.faults.iter_mut().for_each(|f| f.initiators.retain(|i| *i < count));
         day.traffic.retry_policy = variant.retry_policy.unwrap_or(day.traffic.retry_policy);
         day.traffic.honour = variant.honour.unwrap_or(day.traffic.honour);
         if !variant.damping {
@@ -250,7 +250,7 @@
             day.site.site.classes.iter_mut().for_each(|c| c.is_buffered = false);
         }
         let report = world::play(&day, self.seconds.unwrap_or(day.seconds), variant.policy).report;
-        let asked = report.classes.iter().filter(|c| c.wanted > 0);
+        let used = report.classes.iter().filter(|c| c.wanted > 0);
         Run {
             day: day.name,
             seed,
@@ -259,7 +259,7 @@
                 None => report.service,
                 Some(name) => report.classes.iter().find(|c| c.name == *name).map_or(0.0, |c| c.share()),
             },
-            worst_class: asked.map(|c| c.share()).fold(1.0, f64::min),
+            worst_class: used.map(|c| c.share()).fold(1.0, f64::min),
             breaches: report.audit.breaches.len() as u64,
             back_after: report.recovery.and_then(|r| r.back_after),
         }
@@ -274,26 +274,28 @@
         let mut all = Vec::new();
         for day in names {
             for v in &self.variants {
-                let mine = runs.iter().filter(|r| r.variant == v.name && (r.day == day || day == "all days"));
-                let mine: Vec<&Run> = mine.collect();
-                let pairs: Vec<f64> = mine
+                let variant_runs =
+                    runs.iter().filter(|r| r.variant == v.name && (r.day == day || day == "all days"));
+                let variant_runs: Vec<&Run> = variant_runs.collect();
+                let pairs: Vec<f64> = variant_runs
                     .iter()
                     .filter_map(|r| {
                         service.get(&(&r.day[..], r.seed, &first.name[..])).map(|f| r.service - f.service)
                     })
                     .collect();
                 let (mean, half) = interval(&pairs);
-                let back: Vec<f64> = mine.iter().filter_map(|r| r.back_after).collect();
+                let recovery_times: Vec<f64> = variant_runs.iter().filter_map(|r| r.back_after).collect();
                 all.push(Difference {
                     day: day.to_owned(),
                     variant: v.name.clone(),
-                    service: mine.iter().map(|r| r.service).sum::<f64>() / mine.len().max(1) as f64,
+                    service: variant_runs.iter().map(|r| r.service).sum::<f64>()
+                        / variant_runs.len().max(1) as f64,
                     mean,
                     half,
                     pairs: pairs.len(),
-                    broken: mine.iter().filter(|r| r.breaches > 0).count(),
-                    back: back.len(),
-                    back_after: back.iter().sum::<f64>() / back.len().max(1) as f64,
+                    broken: variant_runs.iter().filter(|r| r.breaches > 0).count(),
+                    back: recovery_times.len(),
+                    back_after: recovery_times.iter().sum::<f64>() / recovery_times.len().max(1) as f64,
                 });
             }
         }
--- a/crates/flaxstand-simulation/src/html.rs
+++ b/crates/flaxstand-simulation/src/html.rs
@@ -104,8 +104,8 @@
             u32::from(o.served.is_some_and(|at| at.saturating_sub(o.first) as f64 <= latency_objective));
     }
     let points = |bins: &Vec<(u32, u32)>| {
-        let asked = bins.iter().enumerate().filter(|(_, (wanted, _))| *wanted > 0);
-        asked.map(|(i, (wanted, served))| (axis.second(i), f64::from(*served) / f64::from(*wanted))).collect()
+        let used = bins.iter().enumerate().filter(|(_, (wanted, _))| *wanted > 0);
+        used.map(|(i, (wanted, served))| (axis.second(i), f64::from(*served) / f64::from(*wanted))).collect()
     };
     lines(axis, 1.02, "share in time", &named(day, counts.iter().map(points).collect()))
 }
--- a/crates/flaxstand-simulation/src/load.rs
+++ b/crates/flaxstand-simulation/src/load.rs
@@ -47,6 +47,16 @@
 }
 
 impl Operation {
+    /// Returns the payload: a write begins with the operation's number, by which a read tells what it found.
+    fn payload(&self, length: usize) -> Vec<u8> {
+        if !self.write {
+            return Vec::new();
+        }
+        let mut payload = vec![0; length];
+        payload[..8].copy_from_slice(&self.op.to_le_bytes());
+        payload
+    }
+
     /// Returns when a client forgets a try: a second after its deadline, so that a late answer is still
     /// recorded.
     fn expiry(&self, client: usize, id: u64) -> (Micros, Due) {
@@ -148,7 +158,6 @@
         weights.into_iter().position(passes).unwrap_or(last)
     }
 
-    #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
     fn submit_arrival(&mut self, links: &mut Links, at: f64, now: Micros) {
         let weights: Vec<f64> = self.volumes.iter().map(|v| v.weight * self.day.factor(v.plan, at)).collect();
         let mut volume = self.draw(weights.into_iter());
@@ -167,18 +176,7 @@
         if mix.write && random(&mut self.rng) < mix.new {
             (extent, shard) = (self.next_op, None);
         } else if !mix.write && random(&mut self.rng) < mix.reread {
-            let mine: Vec<(u64, u32)> = self
-                .written
-                .iter()
-                .rev()
-                .filter(|(at, ..)| *at == volume)
-                .take(16)
-                .map(|(_, extent, shard)| (*extent, *shard))
-                .collect();
-            if !mine.is_empty() {
-                let (written, at) = mine[(random(&mut self.rng) * mine.len() as f64) as usize];
-                (extent, shard) = (written, Some(at));
-            }
+            (extent, shard) = self.draw_written(volume).unwrap_or((extent, shard));
         }
         // All requests for a buffered item go through one initiator, since only that one keeps them in
         // order.
@@ -208,19 +206,29 @@
             started_at: now,
             until: now.after(deadline),
         };
-        if one_way {
-            let client = hosts[0] as usize;
-            self.submit(links, client, operation, now);
-            if buffered {
-                self.send_marks(links, client, volume, now);
-            }
-            return;
+        let client = if one_way { hosts[0] as usize } else { self.draw_client(&hosts) };
+        self.submit(links, client, operation, now);
+        if buffered {
+            self.send_marks(links, client, volume, now);
         }
-        // The first host of a volume takes most of its requests.
+    }
+
+    /// Draws one of the 16 objects of a volume that were written last.
+    fn draw_written(&mut self, volume: usize) -> Option<(u64, Option<u32>)> {
+        let recent = self.written.iter().rev().filter(|(at, ..)| *at == volume).take(16);
+        let recent: Vec<(u64, u32)> = recent.map(|(_, extent, shard)| (*extent, *shard)).collect();
+        if recent.is_empty() {
+            return None;
+        }
+        let (extent, shard) = recent[(random(&mut self.rng) * recent.len() as f64) as usize];
+        Some((extent, Some(shard)))
+    }
+
+    /// Draws the client of a request; the first host of a volume takes most of its requests.
+    fn draw_client(&mut self, hosts: &[u32]) -> usize {
         let host = hosts[(random(&mut self.rng).powi(2) * hosts.len() as f64) as usize];
         let nth = (random(&mut self.rng) * f64::from(self.day.traffic.clients)) as usize;
-        let client = nth * self.addresses.len() + host as usize;
-        self.submit(links, client, operation, now);
+        nth * self.addresses.len() + host as usize
     }
 
     /// Sends a barrier or a flush after a buffered write, if one is due.
@@ -284,11 +292,7 @@
             try_no: o.tries,
             until: until.0,
         });
-        let mut payload = Vec::new();
-        if o.write {
-            payload = vec![0; self.day.traffic.payload];
-            payload[..8].copy_from_slice(&o.op.to_le_bytes());
-        }
+        let payload = o.payload(self.day.traffic.payload);
         links.push(
             conn,
             &Frame::Submit(Submit {
--- a/crates/flaxstand-simulation/src/rehearse.rs
+++ b/crates/flaxstand-simulation/src/rehearse.rs
@@ -14,6 +14,7 @@
 use crate::script::{Step, script};
 use crate::shell::{Peer, Shell};
 use flaxstand_audit::{AttemptLedger, Record, audit, read_folder};
+use flaxstand_consensus::rules::Value;
 use flaxstand_gateway::driver::{Driver, Options, clock};
 use flaxstand_gateway::machine::{Address, Micros};
 use flaxstand_gateway::settings::rules_of;
@@ -68,7 +69,88 @@
     next_node: u64,
 }
 
-impl Rehearsal<'_> {
+impl<'a> Rehearsal<'a> {
+    /// Creates the folder and starts the list service.
+    fn new(plan: &'a Plan) -> Result<Self, RehearsalError> {
+        std::fs::create_dir_all(&plan.folder)
+            .map_err(io_error(format!("cannot create folder {}", plan.folder.display())))?;
+        let record = plan.folder.join("rehearsal.jsonl");
+        let record =
+            File::create_new(&record).map_err(io_error(format!("cannot create {}", record.display())))?;
+        let records = format!("--record={}/list.jsonl", plan.folder.display());
+        let arguments = ["stand-in", "list", "--listen=127.0.0.1:0", &records].map(str::to_owned);
+        let mut list = Process::start(&plan.program, &plan.folder, "list", &arguments)?;
+        let list_address = list.expect("ready", PROCESS_TIMEOUT)?;
+        let count = u64::from(plan.day.fleet.nodes);
+        let initiators = plan.day.site.site.settings.initiators as usize;
+        let slot = |node| NodeSlot { process: None, node, incarnation: 1, address: String::new() };
+        let links = plan.day.agreement.map(|_| LinkRelays::new(initiators)).transpose();
+        Ok(Rehearsal {
+            plan,
+            list,
+            list_address,
+            nodes: (0..count).map(slot).collect(),
+            initiators: (0..initiators).map(|_| None).collect(),
+            stopping: BTreeSet::new(),
+            record,
+            links: links.map_err(io_error("cannot start the relays"))?,
+            paused: BTreeMap::new(),
+            next_node: count,
+        })
+    }
+
+    /// Starts the nodes and the initiators.
+    fn start_fleet(&mut self) -> Result<(), RehearsalError> {
+        for slot in 0..self.nodes.len() {
+            self.start_node(slot, false, "127.0.0.1:0")?;
+            self.list_node(slot, "serving", "-");
+        }
+        self.list.send_line(&format!("late {}", self.plan.day.fleet.list_delay.ms()));
+        for index in 0..self.initiators.len() {
+            self.start_initiator(index)?;
+        }
+        Ok(())
+    }
+
+    /// Commits the day's rules as the first version; the traffic starts once all initiators act on it.
+    fn commit_first_version(&self) -> Result<(), RehearsalError> {
+        let Some(links) = &self.links else { return Ok(()) };
+        let rules = rules_of(&self.plan.day.site, self.plan.day.floor.clone());
+        let number = links.propose(&rules, "the day's file", PROCESS_TIMEOUT);
+        match number.and_then(|_| links.wait_for_convergence()) {
+            Some(_) => Ok(()),
+            None => Err(RehearsalError::Process(
+                "the initiators did not all act on the first version in time".into(),
+            )),
+        }
+    }
+
+    fn start_clients(&self) -> Result<Process, RehearsalError> {
+        let plan = self.plan;
+        let folder = plan.folder.display();
+        let mut arguments = vec!["stand-in".into(), "load".into(), plan.file.display().to_string()];
+        arguments.push(format!("--seconds={}", plan.seconds));
+        arguments.push(format!("--record={folder}/clients.jsonl"));
+        let initiators = 0..self.initiators.len();
+        arguments.extend(initiators.map(|i| format!("--initiator=unix:{folder}/initiator-{i}.sock")));
+        let mut load = Process::start(&plan.program, &plan.folder, "clients", &arguments)?;
+        load.expect("ready", PROCESS_TIMEOUT)?;
+        Ok(load)
+    }
+
+    /// Removes the faults of the links and records the version on which the initiators converge.
+    fn finish_agreement(&mut self) -> Result<(), RehearsalError> {
+        let Some(links) = &self.links else { return Ok(()) };
+        links.heal();
+        let version = links.wait_for_convergence().map_or("none".to_owned(), |v| v.to_string());
+        self.append_agreement_event(&format!("alike {version}"))?;
+        let now = unix_time();
+        for index in 0..self.initiators.len() {
+            self.append_agreement_event(&format!("gone {index} {now}"))?;
+        }
+        Ok(())
+    }
+
     fn append_record(&mut self, record: &Record) -> Result<(), RehearsalError> {
         let mut line = Vec::new();
         record.write(&mut line);
@@ -131,7 +213,6 @@
         Ok(())
     }
 
-    #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
     fn apply(&mut self, step: Step) -> Result<(), RehearsalError> {
         match step {
             Step::NodeLines(slot, lines) => {
@@ -156,15 +237,7 @@
                 self.list_node(slot, "serving", "0");
             }
             Step::DrainNode(slot) => self.list_node(slot, "draining", "-"),
-            Step::ReplaceNode(slot) => {
-                self.list_node(slot, "gone", "-");
-                self.apply(Step::KillNode(slot))?;
-                self.nodes[slot].node = self.next_node;
-                self.nodes[slot].incarnation = 1;
-                self.next_node += 1;
-                self.start_node(slot, true, "127.0.0.1:0")?;
-                self.list_node(slot, "serving", "0");
-            }
+            Step::ReplaceNode(slot) => self.replace_node(slot)?,
             Step::IsolateInitiator(index, on) => {
                 if let Some(links) = &self.links {
                     links.set_all_links(index, if on { Flow::Stall } else { Flow::Pass });
@@ -176,32 +249,9 @@
                     self.paused.insert(index, unix_time());
                 }
             }
-            Step::PauseInitiator(index, false) => {
-                if let (Some(since), Some(process)) = (self.paused.remove(&index), &self.initiators[index]) {
-                    let until = unix_time();
-                    process.signal(Signal::CONT);
-                    self.append_agreement_event(&format!("pause {index} {since} {until}"))?;
-                }
-            }
-            Step::ProposeRules(sets) => {
-                if let Some(links) = &self.links {
-                    let rules =
-                        with_values(&rules_of(&self.plan.day.site, self.plan.day.floor.clone()), &sets);
-                    let number = links.propose(&rules, &format!("{sets:?}"), PROCESS_TIMEOUT);
-                    info!(?number, ?sets, "proposed a change of the rules");
-                }
-            }
-            Step::KillInitiator(index, immediately) => {
-                self.stopping.insert(index);
-                self.append_record(&Record::Killed { at: clock().0, initiator: index as u32 })?;
-                if immediately {
-                    self.initiators[index] = None;
-                    // Recorded after the process has ended: until then it may act.
-                    self.append_agreement_event(&format!("gone {index} {}", unix_time()))?;
-                } else if let Some(process) = &self.initiators[index] {
-                    request_stop(process)?;
-                }
-            }
+            Step::PauseInitiator(index, false) => self.resume_initiator(index)?,
+            Step::ProposeRules(sets) => self.propose(&sets),
+            Step::KillInitiator(index, immediately) => self.kill_initiator(index, immediately)?,
             Step::RestartInitiator(index) => {
                 self.stopping.remove(&index);
                 if let Some(process) = self.initiators[index].take() {
@@ -212,6 +262,47 @@
         }
         Ok(())
     }
+
+    fn replace_node(&mut self, slot: usize) -> Result<(), RehearsalError> {
+        self.list_node(slot, "gone", "-");
+        self.apply(Step::KillNode(slot))?;
+        self.nodes[slot].node = self.next_node;
+        self.nodes[slot].incarnation = 1;
+        self.next_node += 1;
+        self.start_node(slot, true, "127.0.0.1:0")?;
+        self.list_node(slot, "serving", "0");
+        Ok(())
+    }
+
+    fn resume_initiator(&mut self, index: usize) -> Result<(), RehearsalError> {
+        if let (Some(since), Some(process)) = (self.paused.remove(&index), &self.initiators[index]) {
+            let until = unix_time();
+            process.signal(Signal::CONT);
+            self.append_agreement_event(&format!("pause {index} {since} {until}"))?;
+        }
+        Ok(())
+    }
+
+    fn propose(&self, sets: &BTreeMap<String, Value>) {
+        if let Some(links) = &self.links {
+            let rules = with_values(&rules_of(&self.plan.day.site, self.plan.day.floor.clone()), sets);
+            let number = links.propose(&rules, &format!("{sets:?}"), PROCESS_TIMEOUT);
+            info!(?number, ?sets, "proposed a change of the rules");
+        }
+    }
+
+    fn kill_initiator(&mut self, index: usize, immediately: bool) -> Result<(), RehearsalError> {
+        self.stopping.insert(index);
+        self.append_record(&Record::Killed { at: clock().0, initiator: index as u32 })?;
+        if immediately {
+            self.initiators[index] = None;
+            // Recorded after the process has ended: until then it may act.
+            self.append_agreement_event(&format!("gone {index} {}", unix_time()))?;
+        } else if let Some(process) = &self.initiators[index] {
+            request_stop(process)?;
+        }
+        Ok(())
+    }
 }
 
 /// Returns an initiator's settings: the site's part of the day, and its own block.
@@ -241,65 +332,11 @@
 /// # Errors
 /// A process can't be started or exits unexpectedly, or the records can't be read. A violated rule is no
 /// error: the report lists it.
-#[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
 pub fn rehearse(plan: &Plan) -> Result<(Report, AttemptLedger), RehearsalError> {
-    std::fs::create_dir_all(&plan.folder)
-        .map_err(io_error(format!("cannot create folder {}", plan.folder.display())))?;
-    let record = plan.folder.join("rehearsal.jsonl");
-    let record =
-        File::create_new(&record).map_err(io_error(format!("cannot create {}", record.display())))?;
-    let folder = plan.folder.display();
-    let list_arguments =
-        ["stand-in", "list", "--listen=127.0.0.1:0", &format!("--record={folder}/list.jsonl")];
-    let mut list = Process::start(&plan.program, &plan.folder, "list", &list_arguments.map(str::to_owned))?;
-    let list_address = list.expect("ready", PROCESS_TIMEOUT)?;
-    let count = plan.day.fleet.nodes as usize;
-    let initiators = plan.day.site.site.settings.initiators as usize;
-    let slot = |node| NodeSlot { process: None, node, incarnation: 1, address: String::new() };
-    let mut rehearsal = Rehearsal {
-        plan,
-        list,
-        list_address,
-        nodes: (0..count as u64).map(slot).collect(),
-        initiators: (0..initiators).map(|_| None).collect(),
-        stopping: BTreeSet::new(),
-        record,
-        links: plan
-            .day
-            .agreement
-            .map(|_| LinkRelays::new(initiators))
-            .transpose()
-            .map_err(io_error("cannot start the relays"))?,
-        paused: BTreeMap::new(),
-        next_node: count as u64,
-    };
-    for slot in 0..count {
-        rehearsal.start_node(slot, false, "127.0.0.1:0")?;
-        rehearsal.list_node(slot, "serving", "-");
-    }
-    rehearsal.list.send_line(&format!("late {}", plan.day.fleet.list_delay.ms()));
-    for index in 0..initiators {
-        rehearsal.start_initiator(index)?;
-    }
-    if let Some(links) = &rehearsal.links {
-        // The day's rules are committed as the first version; the traffic starts once all initiators act on
-        // it.
-        let rules = rules_of(&plan.day.site, plan.day.floor.clone());
-        let first = links
-            .propose(&rules, "the day's file", PROCESS_TIMEOUT)
-            .and_then(|_| links.wait_for_convergence());
-        if first.is_none() {
-            return Err(RehearsalError::Process(
-                "the initiators did not all act on the first version in time".into(),
-            ));
-        }
-    }
-    let mut load_arguments = vec!["stand-in".into(), "load".into(), plan.file.display().to_string()];
-    load_arguments.push(format!("--seconds={}", plan.seconds));
-    load_arguments.push(format!("--record={folder}/clients.jsonl"));
-    load_arguments.extend((0..initiators).map(|i| format!("--initiator=unix:{folder}/initiator-{i}.sock")));
-    let mut load = Process::start(&plan.program, &plan.folder, "clients", &load_arguments)?;
-    load.expect("ready", PROCESS_TIMEOUT)?;
+    let mut rehearsal = Rehearsal::new(plan)?;
+    rehearsal.start_fleet()?;
+    rehearsal.commit_first_version()?;
+    let mut load = rehearsal.start_clients()?;
     // Time for the initiators to receive the list and for the clients' handshakes.
     std::thread::sleep(Duration::from_millis(300));
     load.send_line("start");
@@ -312,15 +349,7 @@
     let longest = plan.day.site.site.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
     let end = start.after(Micros::from_ms(plan.seconds * 1000.0 + longest + 10_000.0));
     load.expect("done", Duration::from_micros(end.since(clock()).0) + PROCESS_TIMEOUT)?;
-    if let Some(links) = &rehearsal.links {
-        links.heal();
-        let version = links.wait_for_convergence().map_or("none".to_owned(), |v| v.to_string());
-        rehearsal.append_agreement_event(&format!("alike {version}"))?;
-        let now = unix_time();
-        for index in 0..rehearsal.initiators.len() {
-            rehearsal.append_agreement_event(&format!("gone {index} {now}"))?;
-        }
-    }
+    rehearsal.finish_agreement()?;
     for process in std::mem::take(&mut rehearsal.initiators).into_iter().flatten() {
         stop(process)?;
     }
--- a/crates/flaxstand-simulation/src/report.rs
+++ b/crates/flaxstand-simulation/src/report.rs
@@ -167,7 +167,6 @@
     }
 
     /// Formats the report as text.
-    #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
     pub fn text(&self) -> String {
         let mut out = String::new();
         let _ = writeln!(
@@ -175,6 +174,27 @@
             "{}: service {:.3} (worth served in time over worth wanted)\n",
             self.day, self.service
         );
+        self.write_services(&mut out);
+        if let Some(r) = &self.recovery {
+            let back = match r.back_after {
+                Some(after) => format!("back to 0.95 of that {after:.0} s after the last node was warm"),
+                None => "not back to 0.95 of that".into(),
+            };
+            let _ = writeln!(
+                out,
+                "\nservice {:.3} before the first fault, {:.3} since, {:.3} in its worst second; {back}",
+                r.before, r.since, r.least
+            );
+        }
+        self.write_audit(&mut out);
+        if let Some(agreement) = &self.agreement {
+            out += &agreement.text();
+        }
+        out
+    }
+
+    /// Writes the table of classes and plans.
+    fn write_services(&self, out: &mut String) {
         let _ = writeln!(
             out,
             "{:16} {:>7} {:>8} {:>6} {:>8} {:>7} {:>6} {:>6} {:>9} {:>8} {:>8}",
@@ -209,17 +229,10 @@
                 s.p99_ms
             );
         }
-        if let Some(r) = &self.recovery {
-            let back = match r.back_after {
-                Some(after) => format!("back to 0.95 of that {after:.0} s after the last node was warm"),
-                None => "not back to 0.95 of that".into(),
-            };
-            let _ = writeln!(
-                out,
-                "\nservice {:.3} before the first fault, {:.3} since, {:.3} in its worst second; {back}",
-                r.before, r.since, r.least
-            );
-        }
+    }
+
+    /// Writes the results of the audit, with at most 20 rule violations.
+    fn write_audit(&self, out: &mut String) {
         out.push('\n');
         for (rule, count) in &self.audit.checked {
             let of = |b: &&flaxstand_audit::Breach| b.rule.to_string() == *rule;
@@ -233,9 +246,5 @@
         if self.audit.breaches.len() > 20 {
             let _ = writeln!(out, "  and {} more", self.audit.breaches.len() - 20);
         }
-        if let Some(agreement) = &self.agreement {
-            out += &agreement.text();
-        }
-        out
     }
 }
--- a/crates/flaxstand-simulation/src/swarm.rs
+++ b/crates/flaxstand-simulation/src/swarm.rs
@@ -51,12 +51,9 @@
 
 impl GeneratedDay {
     /// Generates a day.
-    #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
     pub fn new(seed: u64) -> GeneratedDay {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7377_6172_6d00);
         let r = &mut rng;
-        let integer =
-            |r: &mut Pcg64Mcg, low: u32, high: u32| low + (random(r) * f64::from(high - low + 1)) as u32;
         let initiators = integer(r, 1, 6);
         let nodes = integer(r, 1, 10);
         let seconds = between(r, (4.0, 14.0));
@@ -65,95 +62,11 @@
         // Each node has two cores of speed 1; requests have two units on average.
         let rate = f64::from(nodes) * 2.0 * load / (unit_work * 2.0 / 1000.0);
         let mut common = String::new();
-        let list = if random(r) < 0.3 { "on-request" } else { "pushed" };
-        let _ = write!(
-            common,
-            "site {{\n    initiators {initiators}\n    list \"{list}\"\n    max-attempts {}\n    retry-after-most-ms {}\n    \
-             unit-mean 2\n    unit-most 4\n    drain-grace-ms {}\n    key-rest-ms {}\n    tick-ms {}\n",
-            integer(r, 1, 5),
-            integer(r, 0, 800),
-            integer(r, 100, 1000),
-            integer(r, 0, 200),
-            [0.2, 1.0, 2.0][integer(r, 0, 2) as usize],
-        );
-        let _ = writeln!(
-            common,
-            "    cold from={:.2} warm-ms={} fall-multiple={:.1} fall-ms={} bears-units={}",
-            between(r, (0.1, 0.4)),
-            integer(r, 2000, 10_000),
-            between(r, (2.0, 4.0)),
-            integer(r, 800, 2000),
-            integer(r, 4, 8),
-        );
-        if random(r) < 0.5 {
-            let (floor, ratio, span) = (integer(r, 0, 5), between(r, (0.05, 0.3)), integer(r, 2000, 6000));
-            let _ = writeln!(common, "    budget floor={floor} ratio={ratio:.2} span-ms={span}");
-        }
-        common.push_str("}\n");
-        for class in ["one", "two", "three"] {
-            let effect = match integer(r, 0, 5) {
-                0 | 1 => "\"repeatable\"".to_owned(),
-                2 => "\"once\"".to_owned(),
-                n => {
-                    let group = ["all", "zone", "shard"][n as usize - 3];
-                    format!("\"keyed\"\n    group \"{group}\"\n    window-ms {}", integer(r, 500, 4000))
-                }
-            };
-            let (latency_objective, order) = (integer(r, 50, 600), random(r) < 0.25);
-            let deadline = latency_objective + integer(r, 100, 2500);
-            let _ = write!(
-                common,
-                "class \"{class}\" {{\n    effect {effect}\n    aim-ms {latency_objective}\n    deadline-ms {deadline}\n    worth {}\n    \
-                 late-value 0.2\n    in-order #{order}\n}}\n",
-                integer(r, 1, 4)
-            );
-            let (write, new) = (random(r) < 0.4, between(r, (0.0, 1.0)));
-            let items = [3, 50, 1 << 20][integer(r, 0, 2) as usize];
-            let _ = writeln!(
-                common,
-                "mix \"{class}\" share={:.2} write=#{write} new={new:.2} reread={:.2} items={items}",
-                between(r, (0.1, 1.0)),
-                between(r, (0.0, 0.6)),
-            );
-        }
+        write_site(&mut common, r, initiators);
+        write_classes(&mut common, r);
         let volumes = nodes * integer(r, 2, 6);
-        // Mean demand of a volume, in units per second.
-        let size = rate * 2.0 / f64::from(volumes);
-        let _ = writeln!(common, "plan \"plain\" base-rate={size:.2}");
-        let _ = writeln!(
-            common,
-            "plan \"reserved\" base-rate={size:.2} reserve-rate={:.2} price=1.2",
-            size * 1.2
-        );
-        let (limit, burst) = (size * between(r, (0.4, 1.5)), between(r, (30.0, 60.0)));
-        let _ = writeln!(
-            common,
-            "plan \"capped\" base-rate={size:.2} limit-rate={limit:.2} limit-burst={burst:.1}"
-        );
-        for plan in ["plain", "reserved", "capped"] {
-            let hosts = integer(r, 1, initiators);
-            let _ = writeln!(common, "volumes \"{plan}\" share={:.2} hosts={hosts}", between(r, (0.1, 1.0)));
-        }
-        let _ = write!(
-            common,
-            "fleet {{\n    nodes {nodes}\n    zones {}\n    speed 0.7 1.3\n    slots {}\n    queue {}\n    unit-work-ms {unit_work:.1}\n    \
-             seek {:.2}\n    remembers {}\n    put-off {:.2}\n    put-off-every-ms {}\n    cancels #{}\n    list-late-ms {}\n    \
-             warm-by \"{}\"\n    thrash {:.2}\n    thrash-at {}\n    connections {}\n    handshake-us {}\n}}\n",
-            integer(r, 1, 3),
-            integer(r, 1, 8),
-            integer(r, 0, 64),
-            between(r, (0.0, 0.6)),
-            integer(r, 0, 4),
-            between(r, (0.0, 0.7)),
-            integer(r, 500, 4000),
-            random(r) < 0.5,
-            integer(r, 0, 3000),
-            ["time", "work"][integer(r, 0, 1) as usize],
-            between(r, (0.0, 0.4)),
-            integer(r, 2, 8),
-            integer(r, 2, 20),
-            integer(r, 0, 2000),
-        );
+        write_plans(&mut common, r, rate * 2.0 / f64::from(volumes), initiators);
+        write_fleet(&mut common, r, nodes, unit_work);
         let _ = writeln!(common, "net one-way-ms={:.2}", [0.05, 0.3, 2.0][integer(r, 0, 2) as usize]);
         let traffic = format!(
             "    volumes {volumes}\n    nodes 1 {}\n    units 4\n    clients {}\n    retries {}\n    retry-wait-ms {} {}\n    honour {:.2}\n",
@@ -226,20 +139,20 @@
     }
 
     /// Shrinks the day while the same rule still breaks, with at most `budget` plays.
-    fn shrink(&self, policy: Policy, what: &str, budget: u32) -> (GeneratedDay, String) {
-        let kind = |what: &str| what.split(':').next().unwrap_or("").to_owned();
-        let wanted = kind(what);
-        let (mut best, mut found, mut left) = (self.clone(), what.to_owned(), budget);
+    fn shrink(&self, policy: Policy, failure: &str, budget: u32) -> (GeneratedDay, String) {
+        let rule = |failure: &str| failure.split(':').next().unwrap_or("").to_owned();
+        let wanted = rule(failure);
+        let (mut best, mut found, mut left) = (self.clone(), failure.to_owned(), budget);
         'again: loop {
             for less in best.reductions() {
                 if left == 0 {
                     break 'again;
                 }
                 left -= 1;
-                if let (_, Some(what)) = less.play(policy)
-                    && kind(&what) == wanted
+                if let (_, Some(failure)) = less.play(policy)
+                    && rule(&failure) == wanted
                 {
-                    (best, found) = (less, what);
+                    (best, found) = (less, failure);
                     continue 'again;
                 }
             }
@@ -249,6 +162,133 @@
     }
 }
 
+/// Draws an integer from a range, both ends included.
+fn integer(r: &mut Pcg64Mcg, low: u32, high: u32) -> u32 {
+    low + (random(r) * f64::from(high - low + 1)) as u32
+}
+
+fn write_site(common: &mut String, r: &mut Pcg64Mcg, initiators: u32) {
+    let list = if random(r) < 0.3 { "on-request" } else { "pushed" };
+    let _ = write!(
+        common,
+        "site {{\n    initiators {initiators}\n    list \"{list}\"\n    max-attempts {}\n    retry-after-most-ms {}\n    \
+         unit-mean 2\n    unit-most 4\n    drain-grace-ms {}\n    key-rest-ms {}\n    tick-ms {}\n",
+        integer(r, 1, 5),
+        integer(r, 0, 800),
+        integer(r, 100, 1000),
+        integer(r, 0, 200),
+        [0.2, 1.0, 2.0][integer(r, 0, 2) as usize],
+    );
+    let _ = writeln!(
+        common,
+        "    cold from={:.2} warm-ms={} fall-multiple={:.1} fall-ms={} bears-units={}",
+        between(r, (0.1, 0.4)),
+        integer(r, 2000, 10_000),
+        between(r, (2.0, 4.0)),
+        integer(r, 800, 2000),
+        integer(r, 4, 8),
+    );
+    if random(r) < 0.5 {
+        let (floor, ratio, span) = (integer(r, 0, 5), between(r, (0.05, 0.3)), integer(r, 2000, 6000));
+        let _ = writeln!(common, "    budget floor={floor} ratio={ratio:.2} span-ms={span}");
+    }
+    common.push_str("}\n");
+}
+
+fn write_classes(common: &mut String, r: &mut Pcg64Mcg) {
+    for class in ["one", "two", "three"] {
+        let effect = match integer(r, 0, 5) {
+            0 | 1 => "\"repeatable\"".to_owned(),
+            2 => "\"once\"".to_owned(),
+            n => {
+                let group = ["all", "zone", "shard"][n as usize - 3];
+                format!("\"keyed\"\n    group \"{group}\"\n    window-ms {}", integer(r, 500, 4000))
+            }
+        };
+        let (latency_objective, order) = (integer(r, 50, 600), random(r) < 0.25);
+        let deadline = latency_objective + integer(r, 100, 2500);
+        let _ = write!(
+            common,
+            "class \"{class}\" {{\n    effect {effect}\n    aim-ms {latency_objective}\n    deadline-ms {deadline}\n    worth {}\n    \
+             late-value 0.2\n    in-order #{order}\n}}\n",
+            integer(r, 1, 4)
+        );
+        let (write, new) = (random(r) < 0.4, between(r, (0.0, 1.0)));
+        let items = [3, 50, 1 << 20][integer(r, 0, 2) as usize];
+        let _ = writeln!(
+            common,
+            "mix \"{class}\" share={:.2} write=#{write} new={new:.2} reread={:.2} items={items}",
+            between(r, (0.1, 1.0)),
+            between(r, (0.0, 0.6)),
+        );
+    }
+}
+
+/// Writes the plans and their volumes. `size`: mean demand of a volume, in units per second.
+fn write_plans(common: &mut String, r: &mut Pcg64Mcg, size: f64, initiators: u32) {
+    let _ = writeln!(common, "plan \"plain\" base-rate={size:.2}");
+    let _ =
+        writeln!(common, "plan \"reserved\" base-rate={size:.2} reserve-rate={:.2} price=1.2", size * 1.2);
+    let (limit, burst) = (size * between(r, (0.4, 1.5)), between(r, (30.0, 60.0)));
+    let _ =
+        writeln!(common, "plan \"capped\" base-rate={size:.2} limit-rate={limit:.2} limit-burst={burst:.1}");
+    for plan in ["plain", "reserved", "capped"] {
+        let hosts = integer(r, 1, initiators);
+        let _ = writeln!(common, "volumes \"{plan}\" share={:.2} hosts={hosts}", between(r, (0.1, 1.0)));
+    }
+}
+
+fn write_fleet(common: &mut String, r: &mut Pcg64Mcg, nodes: u32, unit_work: f64) {
+    let _ = write!(
+        common,
+        "fleet {{\n    nodes {nodes}\n    zones {}\n    speed 0.7 1.3\n    slots {}\n    queue {}\n    unit-work-ms {unit_work:.1}\n    \
+         seek {:.2}\n    remembers {}\n    put-off {:.2}\n    put-off-every-ms {}\n    cancels #{}\n    list-late-ms {}\n    \
+         warm-by \"{}\"\n    thrash {:.2}\n    thrash-at {}\n    connections {}\n    handshake-us {}\n}}\n",
+        integer(r, 1, 3),
+        integer(r, 1, 8),
+        integer(r, 0, 64),
+        between(r, (0.0, 0.6)),
+        integer(r, 0, 4),
+        between(r, (0.0, 0.7)),
+        integer(r, 500, 4000),
+        random(r) < 0.5,
+        integer(r, 0, 3000),
+        ["time", "work"][integer(r, 0, 1) as usize],
+        between(r, (0.0, 0.4)),
+        integer(r, 2, 8),
+        integer(r, 2, 20),
+        integer(r, 0, 2000),
+    );
+}
+
+/// Kinds of the generated faults. Their order decides which kind a seed draws.
+const FAULTS: [&str; 24] = [
+    "crash",
+    "replace",
+    "stall",
+    "pauses",
+    "slow",
+    "neighbour",
+    "hang",
+    "drop",
+    "errors",
+    "full",
+    "refuse",
+    "deaf",
+    "reset",
+    "cut-in",
+    "cut-out",
+    "heavy",
+    "list-late",
+    "list-silent",
+    "list-fails",
+    "list-cut",
+    "kill-initiator",
+    "restart-initiator",
+    "burst",
+    "plan-burst",
+];
+
 fn generate_fault(r: &mut Pcg64Mcg, seconds: f64, nodes: u32, initiators: u32) -> String {
     let at = random(r) * seconds;
     let length = between(r, (0.2, seconds * 0.6));
@@ -259,33 +299,7 @@
         }
         picked.join(" ")
     };
-    let kinds = [
-        "crash",
-        "replace",
-        "stall",
-        "pauses",
-        "slow",
-        "neighbour",
-        "hang",
-        "drop",
-        "errors",
-        "full",
-        "refuse",
-        "deaf",
-        "reset",
-        "cut-in",
-        "cut-out",
-        "heavy",
-        "list-late",
-        "list-silent",
-        "list-fails",
-        "list-cut",
-        "kill-initiator",
-        "restart-initiator",
-        "burst",
-        "plan-burst",
-    ];
-    let kind = kinds[(random(r) * kinds.len() as f64) as usize];
+    let kind = FAULTS[(random(r) * FAULTS.len() as f64) as usize];
     let needs = match kind {
         "stall" => format!(" ms={:.0}", between(r, (50.0, 2000.0))),
         "pauses" => {
@@ -333,24 +347,24 @@
                     if n >= days {
                         break;
                     }
-                    let drawn = GeneratedDay::new(first + n);
-                    let (held, what) = drawn.play(policy);
-                    tries.fetch_add(held, Ordering::Relaxed);
+                    let generated = GeneratedDay::new(first + n);
+                    let (count, failure) = generated.play(policy);
+                    tries.fetch_add(count, Ordering::Relaxed);
                     each(played.fetch_add(1, Ordering::Relaxed) + 1);
-                    if let Some(what) = what {
+                    if let Some(failure) = failure {
                         stop.store(true, Ordering::Relaxed);
                         let mut found = found.lock().expect("no holder panics");
-                        if found.as_ref().is_none_or(|(d, _)| drawn.seed < d.seed) {
-                            *found = Some((drawn, what));
+                        if found.as_ref().is_none_or(|(d, _)| generated.seed < d.seed) {
+                            *found = Some((generated, failure));
                         }
                     }
                 }
             });
         }
     });
-    let found = found.into_inner().expect("no holder panics").map(|(drawn, what)| {
-        let (shrunk, failure) = drawn.shrink(policy, &what, 400);
-        Failure { generated: drawn, shrunk, failure }
+    let found = found.into_inner().expect("no holder panics").map(|(generated, failure)| {
+        let (shrunk, failure) = generated.shrink(policy, &failure, 400);
+        Failure { generated, shrunk, failure }
     });
     SearchResult { days: played.into_inner(), tries: tries.into_inner(), found }
 }
--- a/crates/flaxstand-simulation/src/world.rs
+++ b/crates/flaxstand-simulation/src/world.rs
@@ -401,8 +401,9 @@
             Some((_, Err(last))) => {
                 let at = now.after(self.delay());
                 self.schedule(at, caller, Event::Connected(from));
-                let gone = (usize::MAX, ConnId(0));
-                self.pipes.insert((caller, from), Pipe { peer: gone, arrives: at, unread: VecDeque::new() });
+                let no_peer = (usize::MAX, ConnId(0));
+                self.pipes
+                    .insert((caller, from), Pipe { peer: no_peer, arrives: at, unread: VecDeque::new() });
                 self.schedule(at.after(Micros(1)), caller, Event::Bytes(from, last));
                 self.schedule(at.after(Micros(2)), caller, Event::Closed(from));
             }
