--- a/crates/flaxstand-simulation/src/day.rs
+++ b/crates/flaxstand-simulation/src/day.rs
@@ -509,7 +509,7 @@
     agreement
 }
 
-/// Reads a fault that a node plays itself, as the lines for its standard input.
+/// Reads a fault that the node itself injects, as lines for its standard input.
 fn read_node_fault(b: &Block<'_>, name: &str, day: &Day) -> Option<FaultKind> {
     let share = |b: &Block<'_>| b.number("share", SHARE, Some(1.0));
     let class = |b: &Block<'_>| {
--- a/crates/flaxstand-simulation/src/list.rs
+++ b/crates/flaxstand-simulation/src/list.rs
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Parses the fields of a line that [`node_line`] formats, without its first word; none if they are invalid.
+    /// Parses the fields of a line that [`node_line`] formats, without its first word; none if they are
+    /// invalid.
     pub fn parse(words: &[&str], now: Micros) -> Option<ListedNode> {
         let [node, incarnation, state, shard, zone, age, address] = words else { return None };
         Some(ListedNode {
--- a/crates/flaxstand-simulation/src/load.rs
+++ b/crates/flaxstand-simulation/src/load.rs
@@ -47,7 +47,8 @@
 }
 
 impl Operation {
-    /// Returns the payload: a write begins with the operation's number, by which a read tells what it found.
+    /// Returns the payload: a write begins with the operation's number, which identifies the write that a
+    /// read returned.
     fn payload(&self, length: usize) -> Vec<u8> {
         if !self.write {
             return Vec::new();
--- a/crates/flaxstand-simulation/tests/listeners.rs
+++ b/crates/flaxstand-simulation/tests/listeners.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 
-/// Guards against two sites on one port: the ports are free again when the call returns, so on a shared address the
+/// Guards against two sites on one port: the ports are free again when the call returns, so on a shared
+/// address the
 /// system may give a port twice.
 #[test]
 fn sites_in_one_process_listen_at_distinct_addresses() {
--- a/crates/flaxstand-simulation/tests/recorded.rs
+++ b/crates/flaxstand-simulation/tests/recorded.rs
@@ -1,4 +1,5 @@
-//! Guards against changes of how files are read and how days run: days, experiments and plans of scale runs are read to
+//! Guards against changes of how files are read and how days run: days, experiments and plans of scale
+//! runs are read to
 //! the recorded values, and days on virtual time give the recorded results.
 
 use flaxstand_audit::Record;
@@ -100,7 +101,8 @@
     [value, key]
 }
 
-/// Guards against a renamed key, and against an error that names another key or line than that of the mistake.
+/// Guards against a renamed key, and against an error that names another key or line than that of the
+/// mistake.
 #[test]
 fn each_mistake_in_a_day_or_a_scale_file_is_reported_as_recorded() {
     let mut reported = String::new();
@@ -132,7 +134,8 @@
     fixtures().assert_text("mistakes.txt", &reported);
 }
 
-/// Guards against any change of the behaviour of the gateway, the write-back buffer or the scheduler: each event is in
+/// Guards against any change of the behaviour of the gateway, the write-back buffer or the scheduler: each
+/// event is in
 /// the record.
 #[test]
 fn days_on_virtual_time_give_the_recorded_results() {
--- a/crates/flaxstand-simulation/tests/world.rs
+++ b/crates/flaxstand-simulation/tests/world.rs
@@ -101,7 +101,8 @@
     assert_eq!(bytes(&first.ledger.records), bytes(&second.ledger.records));
 }
 
-/// Guards against rules broken by a crash at any point: nodes die during a reply, initiators between two outputs of
+/// Guards against rules broken by a crash at any point: nodes die during a reply, initiators between two
+/// outputs of
 /// one turn.
 #[test]
 fn a_crash_at_any_point_keeps_every_rule() {
