--- a/crates/flaxstand-simulation/tests/recorded.rs
+++ b/crates/flaxstand-simulation/tests/recorded.rs
@@ -1,6 +1,5 @@
-//! Guards against changes of how files are read and how days run: days, experiments and plans of scale
-//! runs are read to
-//! the recorded values, and days on virtual time give the recorded results.
+//! Guards against changes of how files are read and how days run: days, experiments and plans of scale runs
+//! are read to the recorded values, and days on virtual time give the recorded results.
 
 use flaxstand_audit::Record;
 use flaxstand_fixture::{Fixtures, values_of};
@@ -135,8 +134,7 @@
 }
 
 /// Guards against any change of the behaviour of the gateway, the write-back buffer or the scheduler: each
-/// event is in
-/// the record.
+/// event is in the record.
 #[test]
 fn days_on_virtual_time_give_the_recorded_results() {
     let mut text = String::new();
--- a/crates/flaxstand-simulation/tests/world.rs
+++ b/crates/flaxstand-simulation/tests/world.rs
@@ -102,8 +102,7 @@
 }
 
 /// Guards against rules broken by a crash at any point: nodes die during a reply, initiators between two
-/// outputs of
-/// one turn.
+/// outputs of one turn.
 #[test]
 fn a_crash_at_any_point_keeps_every_rule() {
     for seed in 0..6 {
