--- a/crates/flaxstand-cli/src/stand_in.rs
+++ b/crates/flaxstand-cli/src/stand_in.rs
@@ -5,14 +5,14 @@
 use crate::files::read_day;
 use crate::scale;
 use flaxstand_simulation::node::Identity;
-use flaxstand_simulation::press::{self, Pressure};
-use flaxstand_simulation::rehearse::{self, StandIn};
+use flaxstand_simulation::press::{self, LoadOptions};
+use flaxstand_simulation::rehearse::{self, StandInOptions};
 
 /// Generates load on a running initiator. `is_standalone` is false for a process of a rehearsal.
 pub fn load(arguments: LoadArgs, is_standalone: bool) -> Result<(), CommandError> {
     let LoadArgs { initiator, shards, clients, window, rate, write, seconds } = arguments;
-    let pressure = Pressure { initiator, shards, clients, window, rate, write, seconds };
-    Ok(press::serve_press(pressure, is_standalone)?)
+    let pressure = LoadOptions { initiator, shards, clients, window, rate, write, seconds };
+    Ok(press::serve_load_generator(pressure, is_standalone)?)
 }
 
 /// Runs one process of a rehearsal.
@@ -36,6 +36,6 @@
     Ok(served?)
 }
 
-fn stand_in(files: StandInFiles) -> StandIn {
-    StandIn { listen: files.listen, record: files.record, data: files.data, alone: false }
+fn stand_in(files: StandInFiles) -> StandInOptions {
+    StandInOptions { listen: files.listen, record: files.record, data: files.data, standalone: false }
 }
--- a/crates/flaxstand-cli/tests/agreement/main.rs
+++ b/crates/flaxstand-cli/tests/agreement/main.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use flaxstand_simulation::agreed::calendar;
+use flaxstand_simulation::agreed::unix_time;
 use flaxstand_simulation::relay::Flow;
 use fleet::{Fleet, shared_settings};
 
@@ -41,7 +41,7 @@
 fn a_partitioned_leader_falls_back_to_the_floor_during_a_narrowing_change() {
     let f = fleet_on_version_1("cut-off", 3, 5);
     let isolated = f.leader();
-    f.links.around(isolated, Flow::Stall);
+    f.links.set_all_links(isolated, Flow::Stall);
     let others: Vec<usize> = f.all_indices().into_iter().filter(|i| *i != isolated).collect();
     f.wait_until_acting(&[isolated], "Fallback");
     assert_eq!(f.propose(1, &shared_settings(40, "once")), 2);
@@ -60,8 +60,8 @@
 fn a_change_waits_until_the_lease_of_a_partitioned_member_expires() {
     let f = fleet_on_version_1("waits", 3, 5);
     // Initiator 4 is not a voter and acts on version 1 until its lease expires.
-    f.links.around(4, Flow::Stall);
-    let before = calendar();
+    f.links.set_all_links(4, Flow::Stall);
+    let before = unix_time();
     assert_eq!(f.propose(1, &shared_settings(500, "repeatable")), 2);
     let rest = [0, 1, 2, 3];
     f.wait_until_acting(&rest, "Version(2)");
@@ -87,7 +87,7 @@
     let leader = f.leader();
     let cut_off = (leader + 1) % 5;
     // This voter receives nothing from the leader but can send to all: it must not depose the leader.
-    f.links.one_way(leader, cut_off, Flow::Stall);
+    f.links.set_one_way(leader, cut_off, Flow::Stall);
     let term = f.report(leader).unwrap().term;
     assert_eq!(f.propose(1, &shared_settings(80, "repeatable")), 2);
     f.wait_until_acting(&[leader, (leader + 2) % 5, (leader + 3) % 5], "Version(2)");
@@ -96,7 +96,7 @@
     assert_settles(&f, 2);
     for round in 0..3 {
         for i in 0..3 {
-            (3..7).for_each(|j| f.links.both(i, j, Flow::Stall));
+            (3..7).for_each(|j| f.links.set_both_ways(i, j, Flow::Stall));
         }
         f.propose(2 + round, &shared_settings(70 - round, "repeatable"));
         f.links.heal();
@@ -241,7 +241,7 @@
     assert_eq!(committed.len(), 1, "{one:?} {two:?}");
     assert_settles(&f, 2);
     // Version 3 is blocked by a partitioned member and is withdrawn.
-    f.links.around(3, Flow::Stall);
+    f.links.set_all_links(3, Flow::Stall);
     assert_eq!(f.propose(2, &shared_settings(400, "repeatable")), 3);
     let withdrawn = f
         .request(leader, &OperatorRequest::Withdraw { number: 3, by: "a test".into(), at: 0 })
@@ -279,7 +279,7 @@
 #[test]
 fn a_member_without_links_to_voters_learns_versions_from_a_peer() {
     let f = fleet_on_version_1("neighbour", 3, 5);
-    (0..3).for_each(|voter| f.links.both(4, voter, Flow::Stall));
+    (0..3).for_each(|voter| f.links.set_both_ways(4, voter, Flow::Stall));
     let next = f.propose(1, &shared_settings(60, "once"));
     assert_settles(&f, next);
 }
@@ -354,13 +354,17 @@
                 f.report(f.leader())?.blockers.is_empty().then_some(())
             });
             match fault {
-                "a partitioned member" => {
-                    f.links.around(if drawn.is_multiple_of(2) { 4 } else { (leader + 1) % 3 }, Flow::Stall)
-                }
+                "a partitioned member" => f
+                    .links
+                    .set_all_links(if drawn.is_multiple_of(2) { 4 } else { (leader + 1) % 3 }, Flow::Stall),
                 "slow and broken links" => {
                     let (a, b) = (drawn % 5, (drawn / 8) % 5);
                     if a != b {
-                        f.links.both(a, b, Flow::Late(std::time::Duration::from_millis(drawn as u64 % 200)));
+                        f.links.set_both_ways(
+                            a,
+                            b,
+                            Flow::Delay(std::time::Duration::from_millis(drawn as u64 % 200)),
+                        );
                     }
                     f.links.reset(leader, (leader + 1 + drawn % 4) % 5);
                 }
--- a/crates/flaxstand-simulation/src/day.rs
+++ b/crates/flaxstand-simulation/src/day.rs
@@ -1,9 +1,9 @@
-//! A day: what there is, what clients do, and what goes wrong when. Read from a KDL file that holds the
-//! site's part of a settings file too. `docs/rehearsal.md` describes every key.
+//! A day: the fleet, the traffic and the faults. Read from a KDL file that also holds the site's part of a
+//! settings file. `docs/rehearsal.md` describes every key.
 
-use crate::agreed::Accord;
+use crate::agreed::AgreementSettings;
 use crate::model::Spec;
-use crate::node::Habits;
+use crate::node::NodeBehaviour;
 use flaxstand::api::{DeduplicationScope, Effect};
 use flaxstand_audit::{
     AuditRules, ClassRules, DeduplicationScope as AuditScope, PlanLimit, RetryBudgetRules, SlowStartRules,
@@ -15,160 +15,161 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// The nodes.
+/// The fleet of emulated nodes.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// How many, one shard each.
+    /// Number of nodes, one shard each.
     pub nodes: u32,
-    /// Zones that they are spread over.
+    /// Number of zones over which they are spread.
     pub zones: u32,
-    /// Speeds are drawn from this.
+    /// Range of the speed of a node.
     pub speed: (f64, f64),
-    /// What each is, but for its speed.
+    /// Resources of each node, except for its speed.
     pub spec: Spec,
-    /// How each works beside its model.
-    pub habits: Habits,
-    /// Word of the list is so late.
-    pub list_late: Micros,
+    /// Behaviour of each node outside its resource model.
+    pub behaviour: NodeBehaviour,
+    /// Delay of the list service's notifications.
+    pub list_delay: Micros,
 }
 
-/// How clients space their tries.
+/// How clients space their retries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manners {
-    /// As `retry-wait-ms` says.
+pub enum RetryPolicy {
+    /// A wait drawn from `retry-wait-ms`.
     #[default]
     Plain,
-    /// Exponential back-off with full jitter: up to a wait that doubles from the longest of `retry-wait-ms`, 2 s at most.
+    /// Exponential back-off with full jitter: the maximum wait doubles from the upper bound of
+    /// `retry-wait-ms`, up to 2 s.
     Jitter,
-    /// As plain, and a client's retries keep to a fifth of its first tries.
+    /// As plain, with a retry budget: a client's retries are limited to a fifth of its first tries.
     Budget,
 }
 
-impl Manners {
-    /// Names in files.
-    pub(crate) const CHOICE: [(&'static str, Option<Manners>); 3] = [
-        ("plain", Some(Manners::Plain)),
-        ("jitter", Some(Manners::Jitter)),
-        ("budget", Some(Manners::Budget)),
+impl RetryPolicy {
+    /// Names in files; the option is none for the day's own value.
+    pub(crate) const CHOICE: [(&'static str, Option<RetryPolicy>); 3] = [
+        ("plain", Some(RetryPolicy::Plain)),
+        ("jitter", Some(RetryPolicy::Jitter)),
+        ("budget", Some(RetryPolicy::Budget)),
     ];
 }
 
-/// What clients do.
+/// Load of the clients.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// First tries a second.
+    /// Operations per second.
     pub rate: f64,
-    /// Volumes.
+    /// Number of volumes.
     pub volumes: u32,
-    /// Nodes that hold a volume's data.
+    /// Range of the number of nodes that hold a volume's data.
     pub spread: (f64, f64),
-    /// Most units of a request; each request draws from 1 to this, small ones more often.
+    /// Maximum number of units of a request; each request draws from 1 to this, small ones more often.
     pub units: u32,
-    /// Connections to each initiator.
+    /// Number of connections to each initiator.
     pub clients: u32,
-    /// Tries beyond the first, most.
+    /// Maximum number of retries.
     pub retries: u8,
-    /// Wait before a further try, ms.
+    /// Wait before a retry, ms.
     pub retry_wait: (f64, f64),
-    /// How they space their tries.
-    pub manners: Manners,
-    /// How long a client waits for a try before it makes another, ms; 0: as long as there is time.
-    pub patience: (f64, f64),
+    /// How they space their retries.
+    pub retry_policy: RetryPolicy,
+    /// Time-out of a try, after which the client makes another, ms; 0: as long as the deadline allows.
+    pub try_timeout: (f64, f64),
     /// Share of clients that honour the wait of a refusal.
     pub honour: f64,
-    /// Bytes of a write.
+    /// Payload of a write, bytes.
     pub payload: usize,
-    /// A volume's client sends a barrier after so many writes of buffered classes; 0: never.
+    /// Number of buffered writes of a volume after which its client sends a barrier; 0: never.
     pub barrier_every: u64,
-    /// The same for a flush.
+    /// Number of buffered writes of a volume after which its client sends a flush; 0: never.
     pub flush_every: u64,
 }
 
-/// What clients ask for in a class.
+/// Mix of the requests of a class.
 #[derive(Clone, Copy, Debug)]
 pub struct Mix {
-    /// Share of the first tries.
+    /// Share of the operations.
     pub share: f64,
-    /// They write.
+    /// Whether the requests are writes.
     pub write: bool,
-    /// Share of the writes that make new objects.
+    /// Share of the writes that create objects.
     pub new: f64,
-    /// Share of the reads that go to objects written lately.
+    /// Share of the reads that read recently written objects.
     pub reread: f64,
-    /// Share of the reads that go to what was lately written and acknowledged as buffered, the same way.
+    /// Share of the reads that read recently buffered items, through the same initiator.
     pub reread_buffered: f64,
-    /// Items that a volume's other requests are drawn from.
+    /// Number of items from which a volume's other requests are drawn.
     pub items: u64,
 }
 
-/// How volumes of a plan are.
+/// Volumes of a plan.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanMix {
     /// Share of the volumes.
     pub share: f64,
-    /// Initiators that a volume's requests come through.
+    /// Range of the number of initiators that a volume's requests go through.
     pub hosts: (f64, f64),
 }
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
-    /// A line that a node's standard input takes at its start, and one that ends it.
+pub enum FaultKind {
+    /// Lines for a node's standard input, at the start and at the end of the fault.
     Node(String, String),
-    /// The same for the list service.
+    /// Lines for the list service's standard input, at the start and at the end of the fault.
     List(String, String),
-    /// The node's process is killed and comes back cold, with its data.
+    /// The node's process is killed and restarted cold, with its data.
     Crash,
-    /// The node drains, ends after `Fault::length`, and another machine takes over its shard, cold.
+    /// The node drains and ends after `Fault::length`; another machine takes over its shard, cold.
     Replace,
-    /// The initiator's process is killed and comes back.
+    /// The initiator's process is killed and restarted.
     KillInitiator,
-    /// The initiator is told to stop and started again.
+    /// The initiator is asked to stop and restarted.
     RestartInitiator,
-    /// Nothing passes between the initiator and all other initiators.
+    /// The initiator is partitioned from all other initiators.
     CutInitiator,
-    /// The initiator's process stands still.
+    /// The initiator's process is suspended.
     PauseInitiator,
-    /// These rules are proposed, in place of what they say in the day's file.
+    /// A change of the rules is proposed: these values replace those of the day's file.
     Change(BTreeMap<String, Value>),
-    /// So many times the usual traffic, of one plan or of all.
+    /// The traffic of one plan, or of all, is multiplied by a factor.
     Burst(Option<u16>, f64),
 }
 
-/// Something that goes wrong for a time.
+/// A fault that lasts for a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// Its name in the file.
+    /// Name of its kind in the file.
     pub name: String,
-    /// From when on, seconds.
+    /// Start, seconds.
     pub at: f64,
-    /// How long, seconds.
+    /// Duration, seconds.
     pub length: f64,
-    /// Of which nodes.
+    /// Affected nodes.
     pub nodes: Vec<u32>,
-    /// Of which initiators.
+    /// Affected initiators.
     pub initiators: Vec<u32>,
-    /// What.
-    pub trouble: Trouble,
+    /// Kind of the fault.
+    pub kind: FaultKind,
 }
 
-/// Why a day can't be read.
+/// Errors of reading a day.
 #[derive(Debug, Error)]
 pub enum DayError {
-    /// The system says so.
+    /// A file can't be read.
     #[error("cannot read {path}: {cause}")]
     Io {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// Cause reported by the system.
         cause: std::io::Error,
     },
-    /// A file has problems.
+    /// A file holds errors.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// The base that a day names, if it does.
+/// Returns the name of the base file that a day names, if it names one.
 fn base_of(name: &str, text: &str) -> Result<Option<String>, SettingsError> {
     let source = Source::new(name, text);
     let document = source.parse()?;
@@ -178,34 +179,34 @@
     Ok(base.flatten())
 }
 
-/// A day.
+/// A scenario: fleet, traffic and faults.
 #[derive(Clone, Debug)]
 pub struct Day {
     /// Its name.
     pub name: String,
-    /// How long requests come, seconds.
+    /// Duration of the traffic, seconds.
     pub seconds: f64,
-    /// Seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How long a frame may be under way, for the audit.
+    /// Maximum transit time of a frame that the audit allows.
     pub transit: Micros,
     /// The site.
     pub site: SiteFile,
-    /// One way through the network, ms, drawn for each piece; on virtual time only.
+    /// One-way network delay, ms, drawn for each piece of data; on virtual time only.
     pub one_way: (f64, f64),
-    /// The nodes.
+    /// The emulated nodes.
     pub fleet: Fleet,
     /// The clients.
     pub traffic: Traffic,
-    /// By class.
+    /// Request mix by class.
     pub mixes: Vec<Mix>,
-    /// By plan.
+    /// Volumes by plan.
     pub plans: Vec<PlanMix>,
-    /// In the order of the file.
+    /// Faults, in the order of the file.
     pub faults: Vec<Fault>,
-    /// How the initiators agree, if they do.
-    pub accord: Option<Accord>,
-    /// The floor of their rules.
+    /// Settings of consensus, if the initiators run it.
+    pub agreement: Option<AgreementSettings>,
+    /// Fallback rules, on which initiators act without a lease.
     pub floor: BTreeMap<String, Value>,
 }
 
@@ -213,11 +214,11 @@
 const SHARE: std::ops::RangeInclusive<f64> = 0.0..=1.0;
 
 impl Day {
-    /// Reads a day's file, and the base that it names in the same folder. Returns the text that holds the
-    /// site's part too.
+    /// Reads a day's file, and the base that it names in the same folder. Also returns the text that holds
+    /// the site's part.
     ///
     /// # Errors
-    /// A file can't be read, or everything that is wrong with one.
+    /// A file can't be read, or holds errors; all of them are listed.
     pub fn load(path: &Path) -> Result<(Day, String), DayError> {
         let read = |path: &Path| {
             let io = |cause| DayError::Io { path: path.display().to_string(), cause };
@@ -232,10 +233,11 @@
         Ok((day, base_text))
     }
 
-    /// Reads a day. Names are for messages. With a base, the day's own text holds `day` and faults only.
+    /// Reads a day. The names appear in error messages. With a base, the day's own text holds only `day`
+    /// and faults.
     ///
     /// # Errors
-    /// Everything that is wrong with the base or, if that is sound, with the day.
+    /// All errors of the base or, if it has none, of the day.
     pub fn read(name: &str, text: &str, base: Option<(&str, &str)>) -> Result<Day, SettingsError> {
         let source = Source::new(name, text);
         let document = source.parse()?;
@@ -261,10 +263,10 @@
 
     fn read_common(root: &Block<'_>) -> Day {
         let site = read_site(root);
-        // Left to the initiators.
+        // Read by the initiators, not here.
         root.block("bounds");
         let none = Source::new("", "");
-        let empty = none.parse().expect("nothing is a document");
+        let empty = none.parse().expect("an empty text is a document");
         let missing = Block::document(&none, &empty);
         let mut day = Day {
             name: String::new(),
@@ -277,7 +279,7 @@
             mixes: Vec::new(),
             plans: Vec::new(),
             faults: Vec::new(),
-            accord: None,
+            agreement: None,
             floor: BTreeMap::new(),
             site,
         };
@@ -294,7 +296,7 @@
             b.reject_unknown_keys();
         }
         self.floor = read_fallback_rules(root);
-        self.accord = root.block("agreement").map(|b| read_accord(&b, &self));
+        self.agreement = root.block("agreement").map(|b| read_agreement(&b, &self));
         self.faults = root.blocks("fault").iter().filter_map(|b| read_fault(b, &self)).collect();
         self
     }
@@ -349,7 +351,7 @@
         }
     }
 
-    /// What the audit asks for.
+    /// Returns the rules that the audit checks.
     pub fn audit_rules(&self) -> AuditRules {
         let settings = &self.site.site.settings;
         let micros = |ms: f64| Micros::from_ms(ms).0;
@@ -383,12 +385,12 @@
         }
     }
 
-    /// Times the usual traffic of a plan, at a moment of the day in seconds.
+    /// Returns the factor on a plan's traffic at a time of the day, in seconds.
     pub fn factor(&self, plan: u16, at: f64) -> f64 {
         let on = self.faults.iter().filter(|f| f.at <= at && at < f.at + f.length);
-        let times = on.map(|f| match f.trouble {
-            Trouble::Burst(None, times) => times,
-            Trouble::Burst(Some(p), times) if p == plan => times,
+        let times = on.map(|f| match f.kind {
+            FaultKind::Burst(None, times) => times,
+            FaultKind::Burst(Some(p), times) if p == plan => times,
             _ => 1.0,
         });
         times.product()
@@ -442,26 +444,26 @@
             thrash: b.number("thrash", 0.0..=0.95, Some(0.0)),
             thrash_at: b.number("thrash-at", 0.1..=1e6, Some(8.0)),
             seek: b.number("seek", SHARE, Some(0.0)),
-            remembers: b.integer("remembers", 0..=10_000, Some(0)) as usize,
-            put_off: b.number("put-off", 0.0..=0.99, Some(0.0)),
-            put_off_every: Micros::from_ms(b.number("put-off-every-ms", 1.0..=1e6, Some(2000.0))),
+            cached_keys: b.integer("remembers", 0..=10_000, Some(0)) as usize,
+            deferred_share: b.number("put-off", 0.0..=0.99, Some(0.0)),
+            deferral_interval: Micros::from_ms(b.number("put-off-every-ms", 1.0..=1e6, Some(2000.0))),
             overload_multiple: s.overload_multiple,
             slow_start_window: Micros::from_ms(s.slow_start_window),
-            // The stated units, at the most work that they may hold.
-            fall_work: s.slow_start_min_units * unit_work * 1000.0,
+            // The minimum number of units, at their maximum work.
+            overload_min_work: s.slow_start_min_units * unit_work * 1000.0,
         },
-        habits: Habits {
+        behaviour: NodeBehaviour {
             unit_work: unit_work * 1000.0,
             spread: b.range("spread", 0.0..=1000.0, Some((0.6, 1.4))),
-            report_every: Micros::from_ms(b.number("report-ms", 1.0..=1e6, Some(500.0))),
-            report_late: Micros::from_ms(b.number("report-late-ms", MS, Some(0.0))),
+            report_interval: Micros::from_ms(b.number("report-ms", 1.0..=1e6, Some(500.0))),
+            report_delay: Micros::from_ms(b.number("report-late-ms", MS, Some(0.0))),
             report_noise: b.number("report-noise", 0.0..=0.9, Some(0.0)),
             connections: b.integer("connections", 1..=1_000_000, Some(10_000)) as usize,
             handshake: b.number("handshake-us", 0.0..=1e7, Some(0.0)),
             cancels: b.flag("cancels", true),
             window: Micros::from_ms(windows.fold(10_000.0, f64::max)),
         },
-        list_late: Micros::from_ms(b.number("list-late-ms", MS, Some(500.0))),
+        list_delay: Micros::from_ms(b.number("list-late-ms", MS, Some(500.0))),
     };
     b.reject_unknown_keys();
     fleet
@@ -481,8 +483,8 @@
         clients: b.integer("clients", 1..=10_000, Some(1)) as u32,
         retries: b.integer("retries", 0..=100, Some(0)) as u8,
         retry_wait: b.range("retry-wait-ms", MS, Some((50.0, 200.0))),
-        manners: b.choice("manners", &Manners::CHOICE, Some(None)).flatten().unwrap_or_default(),
-        patience: b.range("patience-ms", MS, Some((0.0, 0.0))),
+        retry_policy: b.choice("manners", &RetryPolicy::CHOICE, Some(None)).flatten().unwrap_or_default(),
+        try_timeout: b.range("patience-ms", MS, Some((0.0, 0.0))),
         honour: b.number("honour", SHARE, Some(1.0)),
         payload: b.integer("payload-bytes", 8..=1 << 20, Some(64)) as usize,
         barrier_every: b.integer("barrier-every", 0..=1 << 40, Some(0)),
@@ -492,33 +494,31 @@
     traffic
 }
 
-fn read_accord(b: &Block<'_>, day: &Day) -> Accord {
+fn read_agreement(b: &Block<'_>, day: &Day) -> AgreementSettings {
     let ms = |key, default| Micros::from_ms(b.number(key, 50.0..=600_000.0, Some(default)));
-    let accord = Accord {
+    let agreement = AgreementSettings {
         keepers: b.integer("keepers", 1..=5, Some(3)) as u32,
         lease: ms("lease-ms", 1000.0),
         election: ms("election-ms", 250.0),
         clock_error: b.number("clock-error", 0.0..=0.1, Some(0.001)),
     };
-    if accord.keepers > day.site.site.settings.initiators {
-        b.report(format!("keepers is {}, expected at most the site's initiators", accord.keepers));
+    if agreement.keepers > day.site.site.settings.initiators {
+        b.report(format!("keepers is {}, expected at most the site's initiators", agreement.keepers));
     }
     b.reject_unknown_keys();
-    accord
+    agreement
 }
 
-#[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
-fn read_fault(b: &Block<'_>, day: &Day) -> Option<Fault> {
-    let name = b.name();
+/// Reads a fault that the node itself injects, as lines for its standard input.
+fn read_node_fault(b: &Block<'_>, name: &str, day: &Day) -> Option<FaultKind> {
     let share = |b: &Block<'_>| b.number("share", SHARE, Some(1.0));
     let class = |b: &Block<'_>| {
         let names = &day.site.site.classes;
         let expected = "the name of a class";
         b.parsed("class", expected, None, |t| names.iter().position(|c| c.name == t)).unwrap_or(0)
     };
-    let node = |on: String, off: &str| Trouble::Node(on, off.to_owned());
-    let list = |on: &str, off: &str| Trouble::List(on.to_owned(), off.to_owned());
-    let trouble = match &name[..] {
+    let node = |on: String, off: &str| FaultKind::Node(on, off.to_owned());
+    Some(match name {
         "pauses" => {
             let (length, every) =
                 (b.number("ms", 1.0..=60_000.0, None), b.number("every-ms", 1.0..=60_000.0, None));
@@ -540,66 +540,87 @@
             let times = b.number("times", 1.0..=1000.0, None);
             node(format!("heavy {} {} {times}", class(b), share(b)), "heavy 0 0 1")
         }
-        "crash" => Trouble::Crash,
-        "replace" => Trouble::Replace,
+        _ => return None,
+    })
+}
+
+/// Reads the kind of a fault and its parameters.
+fn read_fault_kind(b: &Block<'_>, name: &str, day: &Day) -> Option<FaultKind> {
+    if let Some(kind) = read_node_fault(b, name, day) {
+        return Some(kind);
+    }
+    let list = |on: &str, off: &str| FaultKind::List(on.to_owned(), off.to_owned());
+    Some(match name {
+        "crash" => FaultKind::Crash,
+        "replace" => FaultKind::Replace,
         "list-silent" => list("silent 1", "silent 0\ncut"),
         "list-fails" => list("fail 1", "fail 0"),
         "list-cut" => list("cut", ""),
         "list-late" => {
             let ms = b.number("ms", MS, None);
-            Trouble::List(format!("late {ms}"), format!("late {}", day.fleet.list_late.ms()))
+            FaultKind::List(format!("late {ms}"), format!("late {}", day.fleet.list_delay.ms()))
         }
-        "kill-initiator" => Trouble::KillInitiator,
-        "restart-initiator" => Trouble::RestartInitiator,
-        "cut-initiator" => Trouble::CutInitiator,
-        "pause-initiator" => Trouble::PauseInitiator,
-        "change" => Trouble::Change(b.assignments("set", |key, _| match narrowing_of(key) {
+        "kill-initiator" => FaultKind::KillInitiator,
+        "restart-initiator" => FaultKind::RestartInitiator,
+        "cut-initiator" => FaultKind::CutInitiator,
+        "pause-initiator" => FaultKind::PauseInitiator,
+        "change" => FaultKind::Change(b.assignments("set", |key, _| match narrowing_of(key) {
             Some(_) => Ok(()),
-            None => Err(format!("{key:?} is no key of the rules, see docs/agreement.md")),
+            None => Err(format!("{key:?} is not a key of the rules, see docs/agreement.md")),
         })),
-        "burst" => Trouble::Burst(None, b.number("times", 0.0..=1000.0, None)),
+        "burst" => FaultKind::Burst(None, b.number("times", 0.0..=1000.0, None)),
         "plan-burst" => {
             let names = &day.site.site.plans;
             let plan = b.parsed("plan", "the name of a plan", None, |t| names.iter().position(|p| p == t));
-            Trouble::Burst(Some(plan.unwrap_or(0) as u16), b.number("times", 0.0..=1000.0, None))
+            FaultKind::Burst(Some(plan.unwrap_or(0) as u16), b.number("times", 0.0..=1000.0, None))
         }
         "" => return None,
         _ => {
             b.report(
-                "no such fault; there are pauses, stall, slow, neighbour, drop, hang, errors, full, refuse, deaf, \
+                "no such fault; expected one of pauses, stall, slow, neighbour, drop, hang, errors, full, refuse, deaf, \
                  reset, cut-in, cut-out, heavy, crash, replace, list-silent, list-fails, list-cut, list-late, kill-initiator, \
                  restart-initiator, cut-initiator, pause-initiator, change, burst, plan-burst"
                     .into(),
             );
             return None;
         }
-    };
+    })
+}
+
+fn read_fault(b: &Block<'_>, day: &Day) -> Option<Fault> {
+    let name = b.name();
+    let kind = read_fault_kind(b, &name, day)?;
     let places = |key, count: u32| -> Vec<u32> {
         b.integers(key, 0..=u64::from(count).saturating_sub(1)).into_iter().map(|n| n as u32).collect()
     };
     let nodes = places("nodes", day.fleet.nodes);
     let initiators = places("initiators", day.site.site.settings.initiators);
-    let of_nodes = matches!(trouble, Trouble::Node(..) | Trouble::Crash | Trouble::Replace);
-    let agreement = matches!(trouble, Trouble::CutInitiator | Trouble::PauseInitiator | Trouble::Change(_));
-    if agreement && day.accord.is_none() {
-        b.report("there is no agreement, expected the block".into());
+    let of_nodes = matches!(kind, FaultKind::Node(..) | FaultKind::Crash | FaultKind::Replace);
+    let needs_agreement =
+        matches!(kind, FaultKind::CutInitiator | FaultKind::PauseInitiator | FaultKind::Change(_));
+    if needs_agreement && day.agreement.is_none() {
+        b.report("this fault needs consensus, expected a block agreement".into());
     }
     let of_initiators = matches!(
-        trouble,
-        Trouble::KillInitiator | Trouble::RestartInitiator | Trouble::CutInitiator | Trouble::PauseInitiator
+        kind,
+        FaultKind::KillInitiator
+            | FaultKind::RestartInitiator
+            | FaultKind::CutInitiator
+            | FaultKind::PauseInitiator
     );
     if of_nodes == nodes.is_empty() {
         b.report(format!(
             "nodes {}",
-            if of_nodes { "is missing, expected one or more" } else { "has no place here" }
+            if of_nodes { "is missing, expected one or more" } else { "is not allowed for this fault" }
         ));
     }
     if of_initiators == initiators.is_empty() {
-        let message = if of_initiators { "is missing, expected one or more" } else { "has no place here" };
+        let message =
+            if of_initiators { "is missing, expected one or more" } else { "is not allowed for this fault" };
         b.report(format!("initiators {message}"));
     }
     let at = b.number("at", 0.0..=86_400.0, None);
     let length = b.number("for", 0.0..=86_400.0, Some(0.0));
     b.reject_unknown_keys();
-    Some(Fault { name, at, length, nodes, initiators, trouble })
+    Some(Fault { name, at, length, nodes, initiators, kind })
 }
--- a/crates/flaxstand-simulation/src/list.rs
+++ b/crates/flaxstand-simulation/src/list.rs
@@ -1,12 +1,12 @@
-//! An emulated list service: tells initiators which nodes there are, late, and only that much. What is true
-//! comes in on its standard input, and so do its own troubles.
+//! Emulated list service: notifies initiators of the nodes, with a configurable delay. The true state of
+//! the nodes and the faults of the service arrive on its standard input.
 //!
 //! | line | meaning |
 //! | --- | --- |
-//! | `node ID INCARNATION STATE SHARD ZONE AGE ADDRESS` | what is true now; age in ms or `-`: long past |
-//! | `late MS` | changes are told so much later from now on |
-//! | `silent 0` or `1` | answers nothing and greets no one |
-//! | `fail 0` or `1` | answers every call with a failure |
+//! | `node ID INCARNATION STATE SHARD ZONE AGE ADDRESS` | sets a node's state; age in ms, or `-`: long ago |
+//! | `late MS` | sets the delay of notifications |
+//! | `silent 0` or `1` | ignores every frame, handshakes included |
+//! | `fail 0` or `1` | answers every request with a failure |
 //! | `cut` | closes every connection |
 
 use crate::shell::{Links, Peer};
@@ -16,7 +16,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use tracing::warn;
 
-/// The line that tells a list service what is true of a node. `age`: ms, or `-` for long past.
+/// Formats the input line that sets the state of a node. `age`: ms, or `-` for a node that started long
+/// ago.
 pub fn node_line(
     node: u64,
     incarnation: u64,
@@ -29,26 +30,26 @@
     format!("node {node} {incarnation} {state} {shard} {zone} {age} {address}")
 }
 
-/// What the list service says of a node.
+/// Entry of a node in the list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedNode {
     /// The node's number.
     pub node: u64,
-    /// Its start.
+    /// Its incarnation.
     pub incarnation: u64,
     /// Its state.
     pub state: State,
-    /// The shard that it holds.
+    /// Shard that it holds.
     pub shard: u32,
     /// Its zone.
     pub zone: u32,
-    /// When it started; none: long past.
+    /// Time of its start; none: long ago.
     pub booted: Option<Micros>,
-    /// Where it is called.
+    /// Address at which it listens.
     pub address: String,
 }
 
-impl Listed {
+impl ListedNode {
     fn entry(&self, now: Micros) -> Entry<'_> {
         Entry {
             node: self.node,
@@ -57,7 +58,7 @@
             age: self.booted.map(|at| now.since(at).0),
             shard: self.shard,
             zone: self.zone,
-            // The nodes of a day are of one kind.
+            // All nodes of a day have the same nominal size.
             size: 100,
             service_time: None,
             address: &self.address,
@@ -69,43 +70,44 @@
     initiator: u32,
     epoch: u64,
     watches: bool,
-    /// What it was last told of each node, to tell what a full list takes away.
-    told: BTreeMap<u64, State>,
+    /// State of each node in the last notification, to find the nodes that a full list removes.
+    notified: BTreeMap<u64, State>,
 }
 
 /// An emulated list service.
 #[derive(Default)]
 pub struct ListService {
-    late: Micros,
+    delay: Micros,
     silent: bool,
     fail: bool,
-    coming: VecDeque<(Micros, Listed)>,
-    nodes: BTreeMap<u64, Listed>,
+    pending: VecDeque<(Micros, ListedNode)>,
+    nodes: BTreeMap<u64, ListedNode>,
     revision: u64,
     watchers: BTreeMap<ConnId, Watcher>,
 }
 
 impl ListService {
-    /// A service whose word is so late.
-    pub fn new(late: Micros) -> Self {
-        ListService { late, revision: 1, ..ListService::default() }
+    /// Creates a service whose notifications are delayed by `delay`.
+    pub fn new(delay: Micros) -> Self {
+        ListService { delay, revision: 1, ..ListService::default() }
     }
 
-    fn tell_all(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
+    fn send_full_list(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
         let entries: Vec<Entry<'_>> = self.nodes.values().map(|n| n.entry(now)).collect();
         let list = List { extent: Extent::Full, since: self.revision, revision: self.revision, entries };
         links.push(conn, &Frame::List(list));
         let Some(watcher) = self.watchers.get_mut(&conn) else { return };
-        let absent: Vec<u64> = watcher.told.keys().filter(|n| !self.nodes.contains_key(n)).copied().collect();
+        let absent: Vec<u64> =
+            watcher.notified.keys().filter(|n| !self.nodes.contains_key(n)).copied().collect();
         for node in absent {
-            note(links, watcher, node, 0, State::Removed, now);
+            record_notification(links, watcher, node, 0, State::Removed, now);
         }
         for n in self.nodes.values() {
-            note(links, watcher, n.node, n.incarnation, n.state, now);
+            record_notification(links, watcher, n.node, n.incarnation, n.state, now);
         }
     }
 
-    fn tell_change(&mut self, links: &mut Links, changed: &Listed, now: Micros) {
+    fn send_change(&mut self, links: &mut Links, changed: &ListedNode, now: Micros) {
         let since = self.revision;
         self.revision += 1;
         if changed.state == State::Removed {
@@ -120,14 +122,15 @@
         let frame = Frame::List(List { extent: Extent::Changes, since, revision: self.revision, entries });
         for (conn, watcher) in self.watchers.iter_mut().filter(|(_, w)| w.watches) {
             links.push(*conn, &frame);
-            note(links, watcher, changed.node, changed.incarnation, changed.state, now);
+            record_notification(links, watcher, changed.node, changed.incarnation, changed.state, now);
         }
     }
 
-    /// A line as [`node_line`] writes it, without its first word; none: it is no such line.
-    pub fn parse(words: &[&str], now: Micros) -> Option<Listed> {
+    /// Parses the fields of a line that [`node_line`] formats, without its first word; none if they are
+    /// invalid.
+    pub fn parse(words: &[&str], now: Micros) -> Option<ListedNode> {
         let [node, incarnation, state, shard, zone, age, address] = words else { return None };
-        Some(Listed {
+        Some(ListedNode {
             node: node.parse().ok()?,
             incarnation: incarnation.parse().ok()?,
             state: match *state {
@@ -147,8 +150,15 @@
     }
 }
 
-fn note(links: &mut Links, watcher: &mut Watcher, node: u64, incarnation: u64, state: State, now: Micros) {
-    watcher.told.insert(node, state);
+fn record_notification(
+    links: &mut Links,
+    watcher: &mut Watcher,
+    node: u64,
+    incarnation: u64,
+    state: State,
+    now: Micros,
+) {
+    watcher.notified.insert(node, state);
     let state = match state {
         State::Serving => ListState::Serving,
         State::Draining => ListState::Draining,
@@ -166,8 +176,8 @@
             _ if self.silent => {}
             Frame::Hello(Hello { role: Role::Initiator, id, epoch, .. }) => {
                 let initiator = id as u32;
-                let told = BTreeMap::new();
-                self.watchers.insert(conn, Watcher { initiator, epoch, watches: false, told });
+                let notified = BTreeMap::new();
+                self.watchers.insert(conn, Watcher { initiator, epoch, watches: false, notified });
                 links.push(
                     conn,
                     &Frame::Welcome(Welcome {
@@ -180,23 +190,23 @@
                 );
             }
             Frame::GetList | Frame::Watch if self.fail => links.push(conn, &Frame::ListFailed),
-            Frame::GetList => self.tell_all(links, conn, now),
+            Frame::GetList => self.send_full_list(links, conn, now),
             Frame::Watch => {
                 if let Some(watcher) = self.watchers.get_mut(&conn) {
                     watcher.watches = true;
                 }
-                self.tell_all(links, conn, now);
+                self.send_full_list(links, conn, now);
             }
             Frame::Bye { .. } => {}
             other => {
-                warn!(?other, "a frame that has no place here");
+                warn!(?other, "unexpected frame; closing the connection");
                 links.close(conn);
                 self.watchers.remove(&conn);
             }
         }
     }
 
-    fn gone(&mut self, _links: &mut Links, conn: ConnId, _now: Micros) {
+    fn connection_closed(&mut self, _links: &mut Links, conn: ConnId, _now: Micros) {
         self.watchers.remove(&conn);
     }
 
@@ -205,24 +215,24 @@
         let on = words.get(1).is_some_and(|w| *w == "1");
         match words[..] {
             ["node", ref rest @ ..] => match Self::parse(rest, now) {
-                Some(listed) => self.coming.push_back((now.after(self.late), listed)),
-                None => warn!(line, "no such node"),
+                Some(listed) => self.pending.push_back((now.after(self.delay), listed)),
+                None => warn!(line, "ignoring an invalid node line"),
             },
-            ["late", ms] => self.late = Micros::from_ms(ms.parse().unwrap_or(0.0)),
+            ["late", ms] => self.delay = Micros::from_ms(ms.parse().unwrap_or(0.0)),
             ["silent", _] => self.silent = on,
             ["fail", _] => self.fail = on,
             ["cut"] => {
                 links.all().into_iter().for_each(|conn| links.close(conn));
                 self.watchers.clear();
             }
-            _ => warn!(line, "no such trouble"),
+            _ => warn!(line, "ignoring an unknown line of standard input"),
         }
     }
 
     fn settle(&mut self, links: &mut Links, now: Micros) -> Option<Micros> {
-        while let Some((_, changed)) = self.coming.pop_front_if(|(at, _)| *at <= now) {
-            self.tell_change(links, &changed, now);
+        while let Some((_, changed)) = self.pending.pop_front_if(|(at, _)| *at <= now) {
+            self.send_change(links, &changed, now);
         }
-        self.coming.front().map(|(at, _)| *at)
+        self.pending.front().map(|(at, _)| *at)
     }
 }
--- a/crates/flaxstand-simulation/src/load.rs
+++ b/crates/flaxstand-simulation/src/load.rs
@@ -1,7 +1,7 @@
-//! Clients: open loop (arrivals do not wait for answers), volumes spread over initiators and nodes, tries
-//! again as a day's clients do. They write down what they send and read, and judge nothing.
+//! Emulated clients: open-loop arrivals (they do not wait for answers), volumes spread over initiators and
+//! nodes, and retries. They record what they send and read; the audit judges it.
 
-use crate::day::{Day, Manners};
+use crate::day::{Day, RetryPolicy};
 use crate::shell::{Links, Peer};
 use crate::{between, random};
 use flaxstand::api::{DeduplicationScope, Effect};
@@ -12,24 +12,24 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Objects written lately that are kept in mind for reads.
-const LATELY: usize = 4096;
-/// Wait before a client calls its initiator again.
-const CALL_AGAIN: (f64, f64) = (50.0, 250.0);
-/// A client makes no try that can't be there and back in the time it has left.
-const LEAST_TRY: Micros = Micros(20_000);
+/// Maximum number of recently written objects kept for reads.
+const MAX_RECENT: usize = 4096;
+/// Range of the wait before a client reconnects to its initiator, ms.
+const RECONNECT_WAIT_MS: (f64, f64) = (50.0, 250.0);
+/// A client makes no try with less time left than this, since an answer could not arrive in time.
+const MIN_TRY_TIME: Micros = Micros(20_000);
 
 struct Volume {
     id: u64,
     plan: u16,
     weight: f64,
-    /// Writes of buffered classes so far.
+    /// Number of writes of buffered classes so far.
     buffered: u64,
     hosts: Vec<u32>,
     shards: Vec<u32>,
 }
 
-/// What a client wants done.
+/// An operation of a client.
 #[derive(Clone)]
 struct Operation {
     op: u64,
@@ -42,38 +42,50 @@
     units: u32,
     write: bool,
     tries: u8,
-    begun: Micros,
+    started_at: Micros,
     until: Micros,
 }
 
 impl Operation {
-    /// When a client forgets a try of it: a second after it gave up, so that a late answer is still seen.
-    fn given_up(&self, client: usize, id: u64) -> (Micros, Due) {
-        (self.until.after(Micros(1_000_000)), Due::GiveUp(client, id))
+    /// Returns the payload: a write begins with the operation's number, which identifies the write that a
+    /// read returned.
+    fn payload(&self, length: usize) -> Vec<u8> {
+        if !self.write {
+            return Vec::new();
+        }
+        let mut payload = vec![0; length];
+        payload[..8].copy_from_slice(&self.op.to_le_bytes());
+        payload
+    }
+
+    /// Returns when a client forgets a try: a second after its deadline, so that a late answer is still
+    /// recorded.
+    fn expiry(&self, client: usize, id: u64) -> (Micros, Due) {
+        (self.until.after(Micros(1_000_000)), Due::Expire(client, id))
     }
 }
 
 struct Client {
     initiator: u32,
     conn: Option<ConnId>,
-    /// Number of this connection in the records; 0: not open.
+    /// Number of this connection in the records; 0: the handshake is not done.
     number: u64,
-    /// It was told not to come back earlier.
-    turn: Micros,
-    /// Retries that its budget still allows.
+    /// Time before which the initiator asked it not to reconnect.
+    reconnect_at: Micros,
+    /// Tokens of its retry budget.
     tokens: f64,
-    honours: bool,
-    owed: BTreeMap<u64, Operation>,
+    honours_wait: bool,
+    pending: BTreeMap<u64, Operation>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Call(usize),
-    Try(u64),
-    GiveUp(usize, u64),
+    Connect(usize),
+    Retry(u64),
+    Expire(usize, u64),
 }
 
-/// The clients of a day.
+/// All clients of a day.
 pub struct Load {
     day: Day,
     seconds: f64,
@@ -87,18 +99,18 @@
     next_op: u64,
     next_number: u64,
     next_try: u64,
-    /// Operations that wait to be tried again, and by which client.
-    resting: BTreeMap<u64, (usize, Operation)>,
+    /// Operations waiting for a retry, and their clients.
+    waiting_retries: BTreeMap<u64, (usize, Operation)>,
     due: BTreeSet<(Micros, Due)>,
-    /// Objects written lately: volume's place, extent, shard.
+    /// Recently written objects: index of the volume, extent, shard.
     written: VecDeque<(usize, u64, u32)>,
-    /// What was acknowledged as buffered lately: volume's place, extent, shard.
+    /// Recently buffered items: index of the volume, extent, shard.
     buffered: VecDeque<(usize, u64, u32)>,
     done: bool,
 }
 
 impl Load {
-    /// Clients of a day that lasts so long, with the addresses of its initiators.
+    /// Creates the clients of a day that lasts `seconds`, with the addresses of its initiators.
     pub fn new(day: Day, seconds: f64, addresses: Vec<Address>) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(day.seed);
         let hosts = addresses.len() as u32;
@@ -107,14 +119,14 @@
             initiator: i % hosts.max(1),
             conn: None,
             number: 0,
-            turn: Micros(0),
+            reconnect_at: Micros(0),
             tokens: 5.0,
-            honours: random(rng) < day.traffic.honour,
-            owed: BTreeMap::new(),
+            honours_wait: random(rng) < day.traffic.honour,
+            pending: BTreeMap::new(),
         };
         let clients: Vec<Client> = (0..hosts * per).map(|i| client(i, &mut rng)).collect();
         let volumes = (0..day.traffic.volumes).map(|_| volume(&day, hosts, &mut rng)).collect();
-        let due = (0..clients.len()).map(|c| (Micros(0), Due::Call(c))).collect();
+        let due = (0..clients.len()).map(|c| (Micros(0), Due::Connect(c))).collect();
         Load {
             rng,
             seconds,
@@ -127,7 +139,7 @@
             next_op: 0,
             next_number: 0,
             next_try: 0,
-            resting: BTreeMap::new(),
+            waiting_retries: BTreeMap::new(),
             due,
             written: VecDeque::new(),
             buffered: VecDeque::new(),
@@ -136,7 +148,7 @@
         }
     }
 
-    /// One of many by weight.
+    /// Draws an index with a probability proportional to its weight.
     fn draw(&mut self, weights: impl Iterator<Item = f64> + Clone) -> usize {
         let mut point = random(&mut self.rng) * weights.clone().sum::<f64>();
         let last = weights.clone().count().saturating_sub(1);
@@ -147,8 +159,7 @@
         weights.into_iter().position(passes).unwrap_or(last)
     }
 
-    #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md, \"Readable code\"")]
-    fn arrive(&mut self, links: &mut Links, at: f64, now: Micros) {
+    fn submit_arrival(&mut self, links: &mut Links, at: f64, now: Micros) {
         let weights: Vec<f64> = self.volumes.iter().map(|v| v.weight * self.day.factor(v.plan, at)).collect();
         let mut volume = self.draw(weights.into_iter());
         let shares: Vec<f64> = self.day.mixes.iter().map(|m| m.share).collect();
@@ -161,25 +172,15 @@
         let id = v.id;
         let item = (random(&mut self.rng) * mix.items as f64) as u64;
         let fixed = v.shards.get(item as usize % v.shards.len().max(1)).copied();
-        // Items that were there before have numbers of their own, apart from new objects'.
+        // Existing items have numbers of their own, apart from those of new objects.
         let (mut extent, mut shard) = ((id ^ item.wrapping_mul(0x9E37_79B9_7F4A_7C15)) | 1 << 63, fixed);
         if mix.write && random(&mut self.rng) < mix.new {
             (extent, shard) = (self.next_op, None);
         } else if !mix.write && random(&mut self.rng) < mix.reread {
-            let mine: Vec<(u64, u32)> = self
-                .written
-                .iter()
-                .rev()
-                .filter(|(at, ..)| *at == volume)
-                .take(16)
-                .map(|(_, extent, shard)| (*extent, *shard))
-                .collect();
-            if !mine.is_empty() {
-                let (written, at) = mine[(random(&mut self.rng) * mine.len() as f64) as usize];
-                (extent, shard) = (written, Some(at));
-            }
+            (extent, shard) = self.draw_written(volume).unwrap_or((extent, shard));
         }
-        // Whatever concerns a buffered item goes one way: only through its own initiator is it in order.
+        // All requests for a buffered item go through one initiator, since only that one keeps them in
+        // order.
         let buffered = mix.write && self.day.site.site.classes[class].is_buffered;
         let mut one_way = buffered;
         if buffered {
@@ -203,26 +204,36 @@
             units,
             write: mix.write,
             tries: 0,
-            begun: now,
+            started_at: now,
             until: now.after(deadline),
         };
-        if one_way {
-            let client = hosts[0] as usize;
-            self.submit(links, client, operation, now);
-            if buffered {
-                self.mark(links, client, volume, now);
-            }
-            return;
+        let client = if one_way { hosts[0] as usize } else { self.draw_client(&hosts) };
+        self.submit(links, client, operation, now);
+        if buffered {
+            self.send_marks(links, client, volume, now);
         }
-        // A volume's leading host takes most of its requests.
+    }
+
+    /// Draws one of the 16 objects of a volume that were written last.
+    fn draw_written(&mut self, volume: usize) -> Option<(u64, Option<u32>)> {
+        let recent = self.written.iter().rev().filter(|(at, ..)| *at == volume).take(16);
+        let recent: Vec<(u64, u32)> = recent.map(|(_, extent, shard)| (*extent, *shard)).collect();
+        if recent.is_empty() {
+            return None;
+        }
+        let (extent, shard) = recent[(random(&mut self.rng) * recent.len() as f64) as usize];
+        Some((extent, Some(shard)))
+    }
+
+    /// Draws the client of a request; the first host of a volume takes most of its requests.
+    fn draw_client(&mut self, hosts: &[u32]) -> usize {
         let host = hosts[(random(&mut self.rng).powi(2) * hosts.len() as f64) as usize];
         let nth = (random(&mut self.rng) * f64::from(self.day.traffic.clients)) as usize;
-        let client = nth * self.addresses.len() + host as usize;
-        self.submit(links, client, operation, now);
+        nth * self.addresses.len() + host as usize
     }
 
-    /// A barrier or a flush after a buffered write, if it is time for one.
-    fn mark(&mut self, links: &mut Links, at: usize, volume: usize, now: Micros) {
+    /// Sends a barrier or a flush after a buffered write, if one is due.
+    fn send_marks(&mut self, links: &mut Links, at: usize, volume: usize, now: Micros) {
         let v = &mut self.volumes[volume];
         v.buffered += 1;
         let (volume, count) = (v.id, v.buffered);
@@ -251,7 +262,7 @@
             if tries == 0 {
                 links.record(&Record::Unreachable { at: now.0, op, class, plan });
             }
-            self.again(at, operation, 0.0, now);
+            self.schedule_retry(at, operation, 0.0, now);
             return;
         };
         if operation.tries == 0 {
@@ -259,10 +270,12 @@
         }
         self.next_number += 1;
         let id = self.next_number;
-        // Its time is up for this try, and then for all.
-        let until = match self.day.traffic.patience {
+        // The deadline of this try, and that of the operation, whichever is earlier.
+        let until = match self.day.traffic.try_timeout {
             (_, most) if most <= 0.0 => operation.until,
-            patience => now.after(Micros::from_ms(between(&mut self.rng, patience))).min(operation.until),
+            try_timeout => {
+                now.after(Micros::from_ms(between(&mut self.rng, try_timeout))).min(operation.until)
+            }
         };
         let o = &operation;
         links.record(&Record::Submitted {
@@ -280,11 +293,7 @@
             try_no: o.tries,
             until: until.0,
         });
-        let mut payload = Vec::new();
-        if o.write {
-            payload = vec![0; self.day.traffic.payload];
-            payload[..8].copy_from_slice(&o.op.to_le_bytes());
-        }
+        let payload = o.payload(self.day.traffic.payload);
         links.push(
             conn,
             &Frame::Submit(Submit {
@@ -304,44 +313,44 @@
                 payload: &payload,
             }),
         );
-        self.due.insert(o.given_up(at, id));
-        client.owed.insert(id, operation);
+        self.due.insert(o.expiry(at, id));
+        client.pending.insert(id, operation);
     }
 
-    /// A further try, if this client makes one and there is time.
-    fn again(&mut self, client: usize, mut operation: Operation, wait: f64, now: Micros) {
+    /// Schedules a retry, if the client has retries left and there is time.
+    fn schedule_retry(&mut self, client: usize, mut operation: Operation, wait: f64, now: Micros) {
         operation.tries += 1;
         let effect = self.day.site.site.settings.classes[usize::from(operation.class)].effect;
         if let Effect::IdempotencyKey { window, .. } = effect {
-            // Nodes remember an earlier try for so long: none may be sent later.
-            operation.until = operation.until.min(operation.begun.after(Micros::from_ms(window)));
+            // Nodes deduplicate within this window only: no retry may be sent later.
+            operation.until = operation.until.min(operation.started_at.after(Micros::from_ms(window)));
         }
-        let own = match self.day.traffic.manners {
-            Manners::Plain | Manners::Budget => between(&mut self.rng, self.day.traffic.retry_wait),
-            Manners::Jitter => {
+        let own = match self.day.traffic.retry_policy {
+            RetryPolicy::Plain | RetryPolicy::Budget => between(&mut self.rng, self.day.traffic.retry_wait),
+            RetryPolicy::Jitter => {
                 let end = self.day.traffic.retry_wait.1 * f64::from(1u32 << operation.tries.min(10));
                 between(&mut self.rng, (0.0, end.min(2000.0)))
             }
         };
-        if self.day.traffic.manners == Manners::Budget {
+        if self.day.traffic.retry_policy == RetryPolicy::Budget {
             let tokens = &mut self.clients[client].tokens;
             if *tokens < 1.0 {
                 return;
             }
             *tokens -= 1.0;
         }
-        let heeded = if self.clients[client].honours { wait } else { 0.0 };
-        let at = now.after(Micros::from_ms(own.max(heeded)));
-        if operation.tries <= self.day.traffic.retries && at.after(LEAST_TRY) < operation.until {
+        let requested = if self.clients[client].honours_wait { wait } else { 0.0 };
+        let at = now.after(Micros::from_ms(own.max(requested)));
+        if operation.tries <= self.day.traffic.retries && at.after(MIN_TRY_TIME) < operation.until {
             self.next_try += 1;
-            self.resting.insert(self.next_try, (client, operation));
-            self.due.insert((at, Due::Try(self.next_try)));
+            self.waiting_retries.insert(self.next_try, (client, operation));
+            self.due.insert((at, Due::Retry(self.next_try)));
         }
     }
 
-    /// Whether another try is harmless though an earlier one may have run.
-    fn repeats(&self, operation: &Operation) -> bool {
-        // One that was buffered may run yet; tried again it could come after a newer write of its item.
+    /// Returns whether a retry is safe though an earlier try may have been executed.
+    fn is_retry_safe(&self, operation: &Operation) -> bool {
+        // A buffered write may still be executed; a retry could overwrite a newer write of its item.
         if operation.write && self.day.site.site.classes[usize::from(operation.class)].is_buffered {
             return false;
         }
@@ -352,50 +361,50 @@
         }
     }
 
-    fn answered(&mut self, links: &mut Links, conn: ConnId, id: u64, answer: Answer, now: Micros) {
+    fn handle_answer(&mut self, links: &mut Links, conn: ConnId, id: u64, answer: Answer, now: Micros) {
         let Some(at) = self.by_conn.get(&conn).copied() else { return };
         links.record(&Record::Answered { at: now.0, client: self.clients[at].number, id, answer });
-        let Some(operation) = self.clients[at].owed.remove(&id) else { return };
-        self.due.remove(&operation.given_up(at, id));
+        let Some(operation) = self.clients[at].pending.remove(&id) else { return };
+        self.due.remove(&operation.expiry(at, id));
         match answer {
             Answer::Served { shard, .. } if operation.write && operation.shard.is_none() => {
                 let volume = self.volumes.iter().position(|v| v.id == operation.volume).unwrap_or(0);
                 self.written.push_back((volume, operation.extent, shard));
-                if self.written.len() > LATELY {
+                if self.written.len() > MAX_RECENT {
                     self.written.pop_front();
                 }
             }
             Answer::Buffered => {
                 let volume = self.volumes.iter().position(|v| v.id == operation.volume).unwrap_or(0);
                 self.buffered.push_back((volume, operation.extent, operation.shard.unwrap_or(0)));
-                if self.buffered.len() > LATELY {
+                if self.buffered.len() > MAX_RECENT {
                     self.buffered.pop_front();
                 }
             }
             Answer::Served { .. } => {}
-            Answer::Refused { wait } => self.again(at, operation, Micros(wait.into()).ms(), now),
-            Answer::Failed if self.repeats(&operation) => self.again(at, operation, 0.0, now),
+            Answer::Refused { wait } => self.schedule_retry(at, operation, Micros(wait.into()).ms(), now),
+            Answer::Failed if self.is_retry_safe(&operation) => self.schedule_retry(at, operation, 0.0, now),
             Answer::Failed => {}
         }
     }
 
     fn fire(&mut self, links: &mut Links, due: Due, now: Micros) {
         match due {
-            Due::Call(at) => {
+            Due::Connect(at) => {
                 let address = self.addresses[self.clients[at].initiator as usize].clone();
-                let conn = links.call(address);
+                let conn = links.connect(address);
                 self.clients[at].conn = Some(conn);
                 self.by_conn.insert(conn, at);
             }
-            Due::Try(number) => {
-                if let Some((client, operation)) = self.resting.remove(&number)
-                    && now.after(LEAST_TRY) < operation.until
+            Due::Retry(number) => {
+                if let Some((client, operation)) = self.waiting_retries.remove(&number)
+                    && now.after(MIN_TRY_TIME) < operation.until
                 {
                     self.submit(links, client, operation, now);
                 }
             }
-            Due::GiveUp(client, id) => {
-                self.clients[client].owed.remove(&id);
+            Due::Expire(client, id) => {
+                self.clients[client].pending.remove(&id);
             }
         }
     }
@@ -448,13 +457,13 @@
             }
             Frame::Served { id, shard, payload } => {
                 let found = payload.first_chunk().map(|b| u64::from_le_bytes(*b));
-                self.answered(links, conn, id, Answer::Served { shard, found }, now);
+                self.handle_answer(links, conn, id, Answer::Served { shard, found }, now);
             }
             Frame::Refused { id, wait, .. } => {
-                self.answered(links, conn, id, Answer::Refused { wait }, now);
+                self.handle_answer(links, conn, id, Answer::Refused { wait }, now);
             }
-            Frame::Failed { id } => self.answered(links, conn, id, Answer::Failed, now),
-            Frame::Buffered { id } => self.answered(links, conn, id, Answer::Buffered, now),
+            Frame::Failed { id } => self.handle_answer(links, conn, id, Answer::Failed, now),
+            Frame::Buffered { id } => self.handle_answer(links, conn, id, Answer::Buffered, now),
             Frame::Barred { id } | Frame::Flushed { id } => {
                 if let Some(client) = self.by_conn.get(&conn).map(|at| self.clients[*at].number) {
                     links.record(&Record::MarkCompleted { at: now.0, client, id });
@@ -462,31 +471,31 @@
             }
             Frame::Bye { wait, .. } if wait > 0 => {
                 if let Some(at) = self.by_conn.get(&conn) {
-                    self.clients[*at].turn = now.after(Micros(wait.into()));
+                    self.clients[*at].reconnect_at = now.after(Micros(wait.into()));
                 }
             }
             _ => {}
         }
     }
 
-    fn gone(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
+    fn connection_closed(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
         let Some(at) = self.by_conn.remove(&conn) else { return };
         let client = &mut self.clients[at];
         client.conn = None;
         let number = std::mem::take(&mut client.number);
-        let owed = std::mem::take(&mut client.owed);
+        let pending = std::mem::take(&mut client.pending);
         if number > 0 {
             links.record(&Record::ClientDisconnected { at: now.0, client: number, by_client: false });
         }
-        for (id, operation) in owed {
-            self.due.remove(&operation.given_up(at, id));
-            if self.repeats(&operation) {
-                self.again(at, operation, 0.0, now);
+        for (id, operation) in pending {
+            self.due.remove(&operation.expiry(at, id));
+            if self.is_retry_safe(&operation) {
+                self.schedule_retry(at, operation, 0.0, now);
             }
         }
-        let wait = Micros::from_ms(between(&mut self.rng, CALL_AGAIN));
-        let turn = if self.clients[at].honours { self.clients[at].turn } else { now };
-        self.due.insert((now.after(wait).max(turn), Due::Call(at)));
+        let wait = Micros::from_ms(between(&mut self.rng, RECONNECT_WAIT_MS));
+        let reconnect_at = if self.clients[at].honours_wait { self.clients[at].reconnect_at } else { now };
+        self.due.insert((now.after(wait).max(reconnect_at), Due::Connect(at)));
     }
 
     fn line(&mut self, _links: &mut Links, line: &str, now: Micros) {
@@ -511,13 +520,13 @@
                 let times = self.volumes.iter().map(weigh).sum::<f64>() / plans.max(1e-9);
                 let rate = (self.day.traffic.rate * times).max(1e-3);
                 if self.day.traffic.rate > 0.0 {
-                    self.arrive(links, at, now);
+                    self.submit_arrival(links, at, now);
                 }
                 let gap = -(1.0 - random(&mut self.rng)).ln() / rate;
                 self.next_arrival = self.next_arrival.after(Micros((gap * 1e6) as u64 + 1));
             }
             arrival = Some(self.next_arrival.min(end));
-            let idle = self.resting.is_empty() && self.clients.iter().all(|c| c.owed.is_empty());
+            let idle = self.waiting_retries.is_empty() && self.clients.iter().all(|c| c.pending.is_empty());
             if now >= end && idle {
                 arrival = None;
                 if !std::mem::replace(&mut self.done, true) {
--- a/crates/flaxstand-simulation/src/node.rs
+++ b/crates/flaxstand-simulation/src/node.rs
@@ -1,21 +1,21 @@
-//! An emulated storage node: takes attempts, works them off on its [`Model`], keeps the data that is
-//! written, answers, and has the troubles that its standard input names.
+//! Emulated storage node: queues attempts, executes them on its [`Model`], stores written data, replies,
+//! and injects the faults that its standard input names.
 //!
-//! | line | from then on |
+//! | line | effect from then on |
 //! | --- | --- |
-//! | `stall MS` | stands still for that time |
-//! | `pauses MS EVERY` | stands still so long, so often (0 0: no more) |
-//! | `slow TIMES` | works that much slower (1: as usual) |
-//! | `neighbour SHARE` | something else takes that share of it (0: nothing) |
-//! | `drop SHARE` | loses that share of its answers |
-//! | `hang 0` or `1` | takes work and answers nothing |
-//! | `errors SHARE` | fails that share at once |
-//! | `full 0` or `1` | turns everything away unseen |
+//! | `stall MS` | stalls for that time |
+//! | `pauses MS EVERY` | stalls periodically for that time (0 0: off) |
+//! | `slow TIMES` | slows down by that factor (1: off) |
+//! | `neighbour SHARE` | another process takes that share of its power (0: off) |
+//! | `drop SHARE` | drops that share of its replies |
+//! | `hang 0` or `1` | executes attempts and sends no reply |
+//! | `errors SHARE` | fails that share of attempts at once |
+//! | `full 0` or `1` | rejects every attempt |
 //! | `refuse 0` or `1` | closes new connections at once |
-//! | `deaf 0` or `1` | greets no one |
+//! | `deaf 0` or `1` | ignores handshakes |
 //! | `reset` | closes every connection |
-//! | `cut-in 0` or `1`, `cut-out 0` or `1` | nothing gets in, or out, until it is over; then all that was held back |
-//! | `heavy CLASS SHARE TIMES` | that share of a class costs so many times its work |
+//! | `cut-in 0` or `1`, `cut-out 0` or `1` | holds back incoming or outgoing traffic; 0 releases it |
+//! | `heavy CLASS SHARE TIMES` | multiplies the work of that share of a class |
 
 use crate::model::{Job, Model};
 use crate::shell::{Links, Peer};
@@ -28,44 +28,45 @@
 use std::collections::BTreeMap;
 use tracing::warn;
 
-/// Who a node is.
+/// Identity of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity {
-    /// Its number in the list.
+    /// Number of the node in the list.
     pub node: u64,
-    /// Which start of it.
+    /// Incarnation, which grows with each restart.
     pub incarnation: u64,
-    /// The shard it holds.
+    /// Shard that it holds.
     pub shard: u32,
     /// Its zone.
     pub zone: u32,
 }
 
-/// How it works beside its model.
+/// Behaviour of a node outside its resource model.
 #[derive(Clone, Copy, Debug)]
-pub struct Habits {
-    /// Work of a unit, microseconds of a core of speed 1.
+pub struct NodeBehaviour {
+    /// Work of a unit, in microseconds of a core of speed 1.
     pub unit_work: f64,
-    /// A request's own work lies between these multiples of its units'.
+    /// Range of the factor by which a request's work differs from that of its units.
     pub spread: (f64, f64),
-    /// How often its load report is refreshed.
-    pub report_every: Micros,
-    /// How old a report is when it is first told.
-    pub report_late: Micros,
-    /// Its figures are off by up to this share.
+    /// Interval at which its load report is refreshed.
+    pub report_interval: Micros,
+    /// Age of a load report when it is first sent.
+    pub report_delay: Micros,
+    /// Maximum relative error of the reported figures.
     pub report_noise: f64,
-    /// Connections that it takes; one more is closed as it comes.
+    /// Maximum number of connections; further ones are closed at once.
     pub connections: usize,
-    /// Work of a handshake, microseconds of a core of speed 1.
+    /// Work of a handshake, in microseconds of a core of speed 1.
     pub handshake: f64,
-    /// A cancel, and a time-out that is told as one, stops work.
+    /// Whether a cancel frame, also one sent for a time-out, stops the work.
     pub cancels: bool,
-    /// How long it drops repeats of an operation.
+    /// Deduplication window of operations.
     pub window: Micros,
 }
 
-/// Most operations and items remembered; the oldest goes first.
-const REMEMBERED: usize = 1 << 20;
+/// Maximum number of operations and of items kept. Items are evicted in the order of their keys; operations
+/// expire with the window.
+const MAX_KEPT: usize = 1 << 20;
 
 #[derive(Default)]
 struct Faults {
@@ -103,7 +104,7 @@
 /// An emulated node.
 pub struct Node {
     id: Identity,
-    habits: Habits,
+    behaviour: NodeBehaviour,
     model: Model,
     faults: Faults,
     rng: Pcg64Mcg,
@@ -111,41 +112,42 @@
     work: BTreeMap<u64, Work>,
     next: u64,
     data: BTreeMap<(u64, u64), Vec<u8>>,
-    ran: BTreeMap<u64, Micros>,
-    /// Units served for each volume, and of those by each initiator, and what each was told.
+    executed: BTreeMap<u64, Micros>,
+    /// Units served by volume.
     served: BTreeMap<u64, u64>,
     served_for: BTreeMap<(u64, u32), (u64, u64)>,
     report: Report,
-    /// Measured, and told from then on.
-    coming: Option<(Micros, Report)>,
+    /// A measured load report, and the time from which it is sent.
+    pending_report: Option<(Micros, Report)>,
     report_at: Micros,
-    fell: bool,
+    overload_recorded: bool,
 }
 
 impl Node {
-    /// A node that starts now with the data that an earlier life of it stored, and draws from a seed.
-    pub fn new(id: Identity, habits: Habits, seed: u64, model: Model, stored: &[u8]) -> Self {
+    /// Creates a node that starts now with the data that an earlier incarnation stored, and a random
+    /// generator of its own.
+    pub fn new(id: Identity, behaviour: NodeBehaviour, seed: u64, model: Model, stored: &[u8]) -> Self {
         Node {
             rng: Pcg64Mcg::seed_from_u64(seed ^ id.node.rotate_left(20) ^ id.incarnation),
             id,
-            habits,
+            behaviour,
             model,
             faults: Faults::default(),
             callers: BTreeMap::new(),
             work: BTreeMap::new(),
             next: 0,
             data: read_stored(stored),
-            ran: BTreeMap::new(),
+            executed: BTreeMap::new(),
             served: BTreeMap::new(),
             served_for: BTreeMap::new(),
             report: Report::default(),
-            coming: None,
+            pending_report: None,
             report_at: Micros(0),
-            fell: false,
+            overload_recorded: false,
         }
     }
 
-    /// The record of its start.
+    /// Returns the record of its start.
     pub fn up(&self, cold: bool, now: Micros) -> Record {
         Record::NodeUp {
             at: now.0,
@@ -159,10 +161,12 @@
         }
     }
 
-    /// Work of a request, drawn anew for each attempt but in step with its operation.
-    fn weight(&mut self, a: &Attempt<'_>) -> f64 {
+    /// Returns the work of an attempt. It is derived from the operation, so all attempts of an operation
+    /// cost the same.
+    fn attempt_work(&mut self, a: &Attempt<'_>) -> f64 {
         let mut own = Pcg64Mcg::seed_from_u64(a.operation);
-        let mut work = f64::from(a.units) * self.habits.unit_work * between(&mut own, self.habits.spread);
+        let mut work =
+            f64::from(a.units) * self.behaviour.unit_work * between(&mut own, self.behaviour.spread);
         if let Some((class, share, times)) = self.faults.heavy
             && class == a.class
             && random(&mut own) < share
@@ -176,9 +180,9 @@
         let Some(caller) = self.callers.get(&conn) else { return };
         let (initiator, epoch) = (caller.initiator, caller.epoch);
         let extent = a.extent.unwrap_or(0);
-        let work = self.weight(a);
+        let work = self.attempt_work(a);
         links.record(&Record::Arrived {
-            at: links.reached(now).0,
+            at: links.arrived_at(now).0,
             node: self.id.node,
             incarnation: self.id.incarnation,
             conn: conn.0 | self.id.incarnation << 32,
@@ -215,9 +219,10 @@
         );
         self.finish(links, now);
         let key = a.extent.filter(|_| a.attempt == 0);
-        // A repeat of what ran here costs next to nothing and changes nothing.
-        let work = if self.ran.contains_key(&a.operation) { 1.0 } else { work };
-        if self.faults.full || !self.model.take(Job { id, work, key, write: a.write }, now) {
+        // A repeat of an operation that ran here is deduplicated: it costs next to nothing and changes
+        // nothing.
+        let work = if self.executed.contains_key(&a.operation) { 1.0 } else { work };
+        if self.faults.full || !self.model.accept(Job { id, work, key, write: a.write }, now) {
             self.answer(links, id, Code::Rejected, now);
         } else if random(&mut self.rng) < self.faults.errors {
             self.model.cancel(id);
@@ -228,28 +233,28 @@
     fn finish(&mut self, links: &mut Links, now: Micros) {
         for id in self.model.advance(now) {
             let Some(work) = self.work.get_mut(&id) else { continue };
-            if work.write && !self.ran.contains_key(&work.op) {
+            if work.write && !self.executed.contains_key(&work.op) {
                 let mut payload = std::mem::take(&mut work.payload);
                 let ((volume, extent), node, op) = (work.place, self.id.node, work.op);
                 if let Some(at) = work.at {
-                    payload = laid_over(self.data.get(&work.place), at as usize, &payload);
+                    payload = overlay(self.data.get(&work.place), at as usize, &payload);
                 }
                 store(links, work.place, &payload);
                 self.data.insert(work.place, payload);
                 links.record(&Record::Stored { at: now.0, node, op, volume, extent });
-                while self.data.len() > REMEMBERED {
+                while self.data.len() > MAX_KEPT {
                     self.data.pop_first();
                 }
             }
             let op = work.op;
-            self.ran.insert(op, now);
-            if self.ran.len() > REMEMBERED || self.ran.len().is_multiple_of(1024) {
-                let window = self.habits.window;
-                self.ran.retain(|_, at| now.since(*at) <= window);
+            self.executed.insert(op, now);
+            if self.executed.len() > MAX_KEPT || self.executed.len().is_multiple_of(1024) {
+                let window = self.behaviour.window;
+                self.executed.retain(|_, at| now.since(*at) <= window);
             }
             self.answer(links, id, Code::Served, now);
         }
-        if self.model.fell() && !std::mem::replace(&mut self.fell, true) {
+        if self.model.overloaded() && !std::mem::replace(&mut self.overload_recorded, true) {
             links.record(&Record::NodeOverloaded { at: now.0, node: self.id.node });
         }
     }
@@ -275,7 +280,7 @@
         if lost {
             return;
         }
-        let report = Report { from_others: self.news_of_others(&work, code), ..self.report };
+        let report = Report { from_others: self.units_for_others(&work, code), ..self.report };
         let empty = Vec::new();
         let read = if code == Code::Served && !work.write { self.data.get(&work.place) } else { None };
         let mut payload = &read.unwrap_or(&empty)[..];
@@ -287,8 +292,8 @@
         links.push(work.conn, &Frame::Done(Done { request, attempt, code, report, payload }));
     }
 
-    /// Units of the volume served for other initiators since this one was last told.
-    fn news_of_others(&mut self, work: &Work, code: Code) -> u32 {
+    /// Returns the units of the volume served for other initiators since the last report to this one.
+    fn units_for_others(&mut self, work: &Work, code: Code) -> u32 {
         let (volume, units) = (work.place.0, u64::from(work.units));
         let own = self.served_for.entry((volume, work.initiator)).or_default();
         let all = self.served.entry(volume).or_default();
@@ -297,18 +302,18 @@
             own.0 += units;
         }
         let others = *all - own.0;
-        let news = others - own.1;
+        let unreported = others - own.1;
         own.1 = others;
-        u32::try_from(news).unwrap_or(u32::MAX)
+        u32::try_from(unreported).unwrap_or(u32::MAX)
     }
 
     fn refresh(&mut self, now: Micros) {
-        if let Some((_, report)) = self.coming.filter(|(at, _)| *at <= now) {
-            (self.report, self.coming) = (report, None);
+        if let Some((_, report)) = self.pending_report.filter(|(at, _)| *at <= now) {
+            (self.report, self.pending_report) = (report, None);
         }
-        if now >= self.report_at && self.coming.is_none() {
-            self.report_at = now.after(self.habits.report_every);
-            let noise = self.habits.report_noise;
+        if now >= self.report_at && self.pending_report.is_none() {
+            self.report_at = now.after(self.behaviour.report_interval);
+            let noise = self.behaviour.report_noise;
             let mut off = |n: f64| (n * between(&mut self.rng, (1.0 - noise, 1.0 + noise))).round() as u32;
             let report = Report {
                 inflight: Some(off(self.model.held() as f64)),
@@ -316,13 +321,13 @@
                 busy: Some(off(self.model.busy() * 1000.0)),
                 ..Report::default()
             };
-            self.coming = Some((now.after(self.habits.report_late), report));
+            self.pending_report = Some((now.after(self.behaviour.report_delay), report));
         }
     }
 }
 
-/// A write that begins inside an item, laid over what is there.
-fn laid_over(held: Option<&Vec<u8>>, at: usize, payload: &[u8]) -> Vec<u8> {
+/// Returns the item after a write at an offset.
+fn overlay(held: Option<&Vec<u8>>, at: usize, payload: &[u8]) -> Vec<u8> {
     let mut data = held.cloned().unwrap_or_default();
     let end = at + payload.len();
     if data.len() < end {
@@ -332,7 +337,7 @@
     data
 }
 
-/// An item as stored: volume, extent, length, payload.
+/// Stores an item: volume, extent, length, payload.
 fn store(links: &mut Links, (volume, extent): (u64, u64), payload: &[u8]) {
     links.store(&volume.to_le_bytes());
     links.store(&extent.to_le_bytes());
@@ -340,7 +345,7 @@
     links.store(payload);
 }
 
-/// What was stored; an item cut short by the writer's end is left out.
+/// Reads the stored items. A last item truncated by a crash of the writer is ignored.
 fn read_stored(mut bytes: &[u8]) -> BTreeMap<(u64, u64), Vec<u8>> {
     let mut data = BTreeMap::new();
     while let Some((head, rest)) = bytes.split_first_chunk::<24>() {
@@ -354,7 +359,7 @@
 
 impl Peer for Node {
     fn accepts(&self) -> bool {
-        !self.faults.refuse && self.callers.len() < self.habits.connections
+        !self.faults.refuse && self.callers.len() < self.behaviour.connections
     }
 
     fn opened(&mut self, _links: &mut Links, _conn: ConnId, _now: Micros) {}
@@ -363,8 +368,8 @@
         match frame {
             Frame::Hello(Hello { role: Role::Initiator, id, epoch, .. }) if !self.faults.deaf => {
                 self.finish(links, now);
-                if self.habits.handshake > 0.0 {
-                    self.model.burden(self.habits.handshake, now);
+                if self.behaviour.handshake > 0.0 {
+                    self.model.add_overhead(self.behaviour.handshake, now);
                 }
                 self.callers.insert(conn, Caller { initiator: id as u32, epoch });
                 links.push(
@@ -383,14 +388,14 @@
             Frame::Cancel { request, attempt } => {
                 let Some(caller) = self.callers.get(&conn) else { return };
                 let (initiator, epoch) = (caller.initiator, caller.epoch);
-                let (node, at) = (self.id.node, links.reached(now).0);
+                let (node, at) = (self.id.node, links.arrived_at(now).0);
                 links.record(&Record::Cancelled { at, node, initiator, epoch, request, attempt });
                 let of = |w: &&u64| {
                     let w = &self.work[*w];
                     (w.conn, w.request, w.attempt) == (conn, request, attempt)
                 };
                 if let Some(id) = self.work.keys().find(of).copied()
-                    && self.habits.cancels
+                    && self.behaviour.cancels
                     && self.model.cancel(id)
                 {
                     self.work.remove(&id);
@@ -399,14 +404,14 @@
             Frame::Probe { token } => links.push(conn, &Frame::Probed { token, report: self.report }),
             Frame::Bye { .. } => {}
             other => {
-                warn!(?other, "a frame that has no place here");
+                warn!(?other, "unexpected frame; closing the connection");
                 links.close(conn);
-                self.gone(links, conn, now);
+                self.connection_closed(links, conn, now);
             }
         }
     }
 
-    fn gone(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
+    fn connection_closed(&mut self, links: &mut Links, conn: ConnId, now: Micros) {
         if self.callers.remove(&conn).is_some() {
             let conn = conn.0 | self.id.incarnation << 32;
             links.record(&Record::NodeConnectionClosed { at: now.0, node: self.id.node, conn });
@@ -425,8 +430,8 @@
                 self.faults.pauses = on.then_some(pair);
                 self.faults.next_pause = now;
             }
-            Some("slow") => self.model.trouble.slow = number(1).max(0.001),
-            Some("neighbour") => self.model.trouble.neighbour = number(1).clamp(0.0, 0.999),
+            Some("slow") => self.model.degradation.slow = number(1).max(0.001),
+            Some("neighbour") => self.model.degradation.neighbour = number(1).clamp(0.0, 0.999),
             Some("drop") => self.faults.drop = number(1),
             Some("hang") => self.faults.hang = on,
             Some("errors") => self.faults.errors = number(1),
@@ -436,7 +441,7 @@
             Some("reset") => {
                 for conn in links.all() {
                     links.close(conn);
-                    self.gone(links, conn, now);
+                    self.connection_closed(links, conn, now);
                 }
             }
             Some("cut-in") => links.cut_in(on),
@@ -444,7 +449,7 @@
             Some("heavy") => {
                 self.faults.heavy = (number(2) > 0.0).then(|| (number(1) as u16, number(2), number(3)))
             }
-            _ => warn!(line, "no such trouble"),
+            _ => warn!(line, "ignoring an unknown line of standard input"),
         }
     }
 
--- a/crates/flaxstand-simulation/src/relay.rs
+++ b/crates/flaxstand-simulation/src/relay.rs
@@ -1,7 +1,8 @@
-//! A relay on a link between two processes, for faults that no process makes itself: bytes that stand still in one
-//! direction or both, come late or a few at a time, connections that break. Traffic on loopback only.
+//! TCP relay on a link between two processes, for faults of the network: traffic that stalls in one
+//! direction or both, is delayed or throttled, and connections that are reset. Loopback only.
 //!
-//! A link that is stalled is a partition as hosts see it: connections stay, new ones are taken, nothing passes.
+//! A stalled link behaves like a network partition: connections stay open, new ones are accepted, and no
+//! data passes.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,36 +10,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a thread of the relay waits before it looks at the faults again.
-const LOOK: Duration = Duration::from_millis(5);
-/// Bytes at a time on a link that trickles.
-const TRICKLE: usize = 16;
+/// Interval at which a relay thread checks the faults.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Bytes per write on a throttled link.
+const TRICKLE_BYTES: usize = 16;
 
-/// What one direction of a link does.
+/// State of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Flow {
-    /// Passes.
+    /// Data passes.
     #[default]
     Pass,
-    /// Nothing passes; what was sent comes later, if the link heals before the connection breaks.
+    /// No data passes; sent data is delivered later if the link heals before the connection breaks.
     Stall,
-    /// Everything comes so much later.
-    Late(Duration),
-    /// A few bytes at a time.
+    /// Data is delayed by this time.
+    Delay(Duration),
+    /// A few bytes pass at a time.
     Trickle,
 }
 
 #[derive(Debug, Default)]
 struct Faults {
-    /// From the caller on, and back to it.
-    there: Flow,
-    back: Flow,
-    /// Grows: connections of before are broken.
+    /// Flow from the caller to the target, and back.
+    forward: Flow,
+    backward: Flow,
+    /// Number of resets; connections opened before the latest one are closed.
     resets: u64,
-    ended: bool,
+    stopped: bool,
 }
 
-/// A relay.
+/// A relay in front of one target address.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -46,10 +47,10 @@
 }
 
 impl Relay {
-    /// Listens on a port of loopback that the system chooses, and calls `to` for each that comes.
+    /// Listens on a loopback port that the system chooses and forwards each connection to `to`.
     ///
     /// # Errors
-    /// There is no port to be had.
+    /// No port can be bound.
     pub fn start(to: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
@@ -57,10 +58,10 @@
         let faults = Arc::new(Mutex::new(Faults::default()));
         let shared = Arc::clone(&faults);
         thread::spawn(move || {
-            while !look(&shared, |f| f.ended) {
+            while !read_faults(&shared, |f| f.stopped) {
                 match listener.accept() {
                     Ok((caller, _)) => serve(caller, to, &shared),
-                    Err(e) if e.kind() == ErrorKind::WouldBlock => thread::sleep(LOOK),
+                    Err(e) if e.kind() == ErrorKind::WouldBlock => thread::sleep(POLL_INTERVAL),
                     Err(_) => return,
                 }
             }
@@ -68,28 +69,28 @@
         Ok(Relay { address, faults })
     }
 
-    /// Where it listens.
+    /// Address at which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What the link does from now on, from the caller on and back.
-    pub fn set(&self, there: Flow, back: Flow) {
+    /// Sets the flow from the caller to the target, and back.
+    pub fn set(&self, forward: Flow, backward: Flow) {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-        (faults.there, faults.back) = (there, back);
+        (faults.forward, faults.backward) = (forward, backward);
     }
 
-    /// The same of one direction: from the caller on.
-    pub fn set_there(&self, flow: Flow) {
-        self.faults.lock().unwrap_or_else(PoisonError::into_inner).there = flow;
+    /// Sets the flow from the caller to the target.
+    pub fn set_forward(&self, flow: Flow) {
+        self.faults.lock().unwrap_or_else(PoisonError::into_inner).forward = flow;
     }
 
-    /// Back to the caller.
-    pub fn set_back(&self, flow: Flow) {
-        self.faults.lock().unwrap_or_else(PoisonError::into_inner).back = flow;
+    /// Sets the flow back to the caller.
+    pub fn set_backward(&self, flow: Flow) {
+        self.faults.lock().unwrap_or_else(PoisonError::into_inner).backward = flow;
     }
 
-    /// Breaks all connections that stand now.
+    /// Closes all open connections.
     pub fn reset(&self) {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).resets += 1;
     }
@@ -97,66 +98,69 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.faults.lock().unwrap_or_else(PoisonError::into_inner).ended = true;
+        self.faults.lock().unwrap_or_else(PoisonError::into_inner).stopped = true;
     }
 }
 
-fn look<T>(faults: &Mutex<Faults>, at: impl Fn(&Faults) -> T) -> T {
+fn read_faults<T>(faults: &Mutex<Faults>, at: impl Fn(&Faults) -> T) -> T {
     at(&faults.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
 fn serve(caller: TcpStream, to: SocketAddr, faults: &Arc<Mutex<Faults>>) {
-    let born = look(faults, |f| f.resets);
+    let resets_at_accept = read_faults(faults, |f| f.resets);
     let shared = Arc::clone(faults);
     thread::spawn(move || {
-        // A link that passes nothing lets no call through either: the caller's stands, and is silent.
-        while look(&shared, |f| f.there == Flow::Stall || f.back == Flow::Stall) {
-            if look(&shared, |f| f.ended || f.resets != born) {
+        // A stalled link doesn't connect to the target either: the caller's connection is open, but silent.
+        while read_faults(&shared, |f| f.forward == Flow::Stall || f.backward == Flow::Stall) {
+            if read_faults(&shared, |f| f.stopped || f.resets != resets_at_accept) {
                 return;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
-        let Ok(called) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else { return };
-        for stream in [&caller, &called] {
+        let Ok(target) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else { return };
+        for stream in [&caller, &target] {
             let _ = stream.set_nodelay(true);
-            let _ = stream.set_read_timeout(Some(LOOK));
+            let _ = stream.set_read_timeout(Some(POLL_INTERVAL));
         }
-        let (Ok(caller_too), Ok(called_too)) = (caller.try_clone(), called.try_clone()) else { return };
-        let back = Arc::clone(&shared);
-        thread::spawn(move || pump(called_too, caller_too, &back, born, |f| f.back));
-        pump(caller, called, &shared, born, |f| f.there);
+        let (Ok(caller_writer), Ok(target_writer)) = (caller.try_clone(), target.try_clone()) else { return };
+        let backward = Arc::clone(&shared);
+        thread::spawn(move || {
+            copy_direction(target_writer, caller_writer, &backward, resets_at_accept, |f| f.backward)
+        });
+        copy_direction(caller, target, &shared, resets_at_accept, |f| f.forward);
     });
 }
 
-/// Passes one direction on until either end is closed, or the connection is to break.
-fn pump(
+/// Forwards one direction until either end closes or the connection is reset.
+fn copy_direction(
     mut from: TcpStream,
     mut to: TcpStream,
     faults: &Mutex<Faults>,
-    born: u64,
+    resets_at_accept: u64,
     flow: fn(&Faults) -> Flow,
 ) {
     let mut buffer = [0; 16 * 1024];
     loop {
-        let (now, broken) = look(faults, |f| (flow(f), f.ended || f.resets != born));
+        let (now, broken) = read_faults(faults, |f| (flow(f), f.stopped || f.resets != resets_at_accept));
         if broken {
             break;
         }
         if now == Flow::Stall {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
-        let most = if now == Flow::Trickle { TRICKLE } else { buffer.len() };
+        let most = if now == Flow::Trickle { TRICKLE_BYTES } else { buffer.len() };
         match from.read(&mut buffer[..most]) {
             Ok(0) => break,
             Ok(count) => {
-                let came = Instant::now();
-                // What was read before a stall waits with it.
+                let received_at = Instant::now();
+                // Data that was read before a stall is held until the stall ends.
                 loop {
-                    let (now, broken) = look(faults, |f| (flow(f), f.ended || f.resets != born));
+                    let (now, broken) =
+                        read_faults(faults, |f| (flow(f), f.stopped || f.resets != resets_at_accept));
                     let due = match now {
                         Flow::Stall => false,
-                        Flow::Late(by) => came.elapsed() >= by,
+                        Flow::Delay(by) => received_at.elapsed() >= by,
                         Flow::Pass | Flow::Trickle => true,
                     };
                     if due || broken {
--- a/crates/flaxstand-simulation/src/scale/collect.rs
+++ b/crates/flaxstand-simulation/src/scale/collect.rs
@@ -22,11 +22,11 @@
     ) -> Result<(), RehearsalError> {
         let interrupt = self.environment.interrupt;
         let list = &mut self.participants.list;
-        list.tell("report");
+        list.send_line("report");
         let list: ListReport = parse_report(&interrupt.expect(list, "report", REPORT_TIMEOUT)?)?;
         let mut hollow = HollowReport::default();
         for process in &mut self.participants.hollow {
-            process.process.tell("report");
+            process.process.send_line("report");
             let json = interrupt.expect(&mut process.process, "report", REPORT_TIMEOUT)?;
             merge(&mut hollow, parse_report(&json)?);
         }
--- a/crates/flaxstand-simulation/src/scale/lags.rs
+++ b/crates/flaxstand-simulation/src/scale/lags.rs
@@ -2,7 +2,7 @@
 //! initiators applied it.
 
 use super::hollow::Activation;
-use crate::agreed::{acted_of, calendar, seconds};
+use crate::agreed::{parse_log_time, parse_rules_event, unix_time};
 use flaxstand_gateway::driver::clock;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -81,7 +81,7 @@
 
 /// Converts a calendar time (seconds since 1970) to microseconds of the host's monotonic clock.
 fn monotonic_micros(calendar_seconds: f64) -> u64 {
-    let ago = calendar() - calendar_seconds;
+    let ago = unix_time() - calendar_seconds;
     (clock().0 as f64 - ago * 1e6).max(0.0) as u64
 }
 
@@ -90,7 +90,7 @@
     pub(super) fn parse(initiator: u32, log: &str) -> LogEvents {
         let mut events = LogEvents::default();
         for line in log.lines() {
-            if let Some(acted) = acted_of(line) {
+            if let Some(acted) = parse_rules_event(line) {
                 let version = acted.what.strip_prefix("Version(").and_then(|rest| rest.strip_suffix(')'));
                 let number = version.and_then(|number| number.parse().ok());
                 let activation =
@@ -114,5 +114,5 @@
         return None;
     }
     let revision = rest.split_once("revision=")?.1.split_whitespace().next()?.parse().ok()?;
-    Some((revision, seconds(head.trim())?))
+    Some((revision, parse_log_time(head.trim())?))
 }
--- a/crates/flaxstand-simulation/src/scale/node_list.rs
+++ b/crates/flaxstand-simulation/src/scale/node_list.rs
@@ -13,7 +13,7 @@
 //! entries, followed by changes with the remaining entries, each under its own revision.
 
 use super::traffic::Traffic;
-use crate::rehearse::{StandIn, serve};
+use crate::rehearse::{StandInOptions, serve};
 use crate::shell::{Links, Peer};
 use flaxstand_gateway::machine::{Address, Command, ConnId, Micros};
 use flaxstand_proto::{
@@ -263,7 +263,7 @@
         }
     }
 
-    fn gone(&mut self, _links: &mut Links, conn: ConnId, _now: Micros) {
+    fn connection_closed(&mut self, _links: &mut Links, conn: ConnId, _now: Micros) {
         self.watchers.remove(&conn);
     }
 
@@ -310,6 +310,6 @@
 ///
 /// # Errors
 /// The service cannot listen, or the driver fails.
-pub fn serve_node_list(options: NodeListOptions, what: &StandIn) -> io::Result<()> {
+pub fn serve_node_list(options: NodeListOptions, what: &StandInOptions) -> io::Result<()> {
     serve(NodeList::new(options), what)
 }
--- a/crates/flaxstand-simulation/src/scale/participants.rs
+++ b/crates/flaxstand-simulation/src/scale/participants.rs
@@ -3,7 +3,7 @@
 use super::interrupt::Interrupt;
 use super::plan::{MAX_HOLLOW, MAX_KEEPERS, MAX_REAL, Plan, Size};
 use crate::agreed::listeners;
-use crate::process::{Process, RehearsalError, SOON, io_error};
+use crate::process::{PROCESS_TIMEOUT, Process, RehearsalError, io_error};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -119,7 +119,7 @@
     /// Starts a process and waits until it is ready. Returns its listen addresses, separated by spaces.
     fn start_ready(&self, name: &str, arguments: &[String]) -> Result<(Process, String), RehearsalError> {
         let mut process = Process::start(self.program, self.folder, name, arguments)?;
-        let addresses = self.interrupt.expect(&mut process, "ready", SOON)?;
+        let addresses = self.interrupt.expect(&mut process, "ready", PROCESS_TIMEOUT)?;
         Ok((process, addresses))
     }
 
--- a/crates/flaxstand-simulation/src/scale/result.rs
+++ b/crates/flaxstand-simulation/src/scale/result.rs
@@ -4,7 +4,7 @@
 use super::plan::{Fault, Size};
 use super::process_usage::ProcessUsage;
 use super::traffic::Traffic;
-use crate::press::Seen;
+use crate::press::LoadResult;
 use serde::Serialize;
 use std::fmt::Write as _;
 
@@ -59,7 +59,7 @@
     #[serde(rename = "floors")]
     pub fallbacks: u64,
     /// Results of the clients of the first real initiator.
-    pub load: Option<Seen>,
+    pub load: Option<LoadResult>,
     /// Effects of the faults.
     pub fault_reports: Vec<FaultReport>,
 }
--- a/crates/flaxstand-simulation/src/scale/run.rs
+++ b/crates/flaxstand-simulation/src/scale/run.rs
@@ -12,9 +12,9 @@
 use super::process_usage::{ProcessUsage, load_average, machine_memory_kib};
 use super::result::{FaultReport, RoleReport, ScaleReport, StepReport, UsageInterval};
 use super::schedule::{Action, schedule};
-use crate::agreed::{ask, changed, propose};
-use crate::press::Seen;
-use crate::process::{Process, RehearsalError, SOON, io_error};
+use crate::agreed::{propose, send_operator_request, with_values};
+use crate::press::LoadResult;
+use crate::process::{PROCESS_TIMEOUT, Process, RehearsalError, io_error};
 use flaxstand_consensus::participant::{OperatorReply, OperatorRequest, StatusReport};
 use flaxstand_consensus::rules::Value;
 use flaxstand_gateway::driver::clock;
@@ -139,7 +139,7 @@
 
 /// Asks an initiator for its status. Returns `None` if it does not answer.
 fn status(at: SocketAddr) -> Option<StatusReport> {
-    match ask(at, &OperatorRequest::Status) {
+    match send_operator_request(at, &OperatorRequest::Status) {
         Ok(Some(OperatorReply::Status(report))) => Some(*report),
         _ => None,
     }
@@ -263,7 +263,7 @@
     fn hollow_state(&mut self) -> Result<HollowState, RehearsalError> {
         let mut sum = HollowState::default();
         for hollow in &mut self.participants.hollow {
-            hollow.process.tell("state");
+            hollow.process.send_line("state");
             let json = self.environment.interrupt.expect(&mut hollow.process, "state", REPORT_TIMEOUT)?;
             let state: HollowState = parse_report(&json)?;
             sum.started += state.started;
@@ -308,8 +308,8 @@
     fn measure(&mut self) -> Result<(), RehearsalError> {
         let load = self.start_load()?;
         let leader = self.leader();
-        self.participants.list.tell("start");
-        self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.tell("start"));
+        self.participants.list.send_line("start");
+        self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.send_line("start"));
         let read = |pid: u32| Some((pid, ProcessUsage::read(pid)?));
         let before: BTreeMap<u32, ProcessUsage> =
             self.participants.pids().into_iter().filter_map(read).collect();
@@ -323,8 +323,8 @@
         self.interrupt().sleep_until(start + self.size().duration())?;
         let seconds = start.elapsed().as_secs_f64();
         self.report.measured_seconds = seconds;
-        self.participants.list.tell("stop");
-        self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.tell("stop"));
+        self.participants.list.send_line("stop");
+        self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.send_line("stop"));
         let roles = self.roles(leader);
         self.report.resident_mib = self.resident_kib() as f64 / 1024.0;
         for (role, initiators, pids) in roles {
@@ -361,7 +361,7 @@
             format!("--seconds={}", size.seconds + LOAD_MARGIN_S),
         ];
         let load = Process::start(self.environment.program, self.environment.folder, "press", &arguments)?;
-        let deadline = Instant::now() + SOON;
+        let deadline = Instant::now() + PROCESS_TIMEOUT;
         loop {
             self.interrupt().sleep(POLL_INTERVAL)?;
             let open = ProcessUsage::read(first.process.id()).map_or(0, |usage| usage.descriptors);
@@ -373,7 +373,7 @@
                     "{} of {} client connections established within {} s",
                     open.saturating_sub(idle),
                     size.connections,
-                    SOON.as_secs()
+                    PROCESS_TIMEOUT.as_secs()
                 );
                 self.add_misfit(reason);
                 break;
@@ -385,9 +385,9 @@
 
     fn finish_load(&mut self, load: Option<Process>) -> Result<(), RehearsalError> {
         let Some(mut load) = load else { return Ok(()) };
-        let timeout = self.size().duration() + SOON;
+        let timeout = self.size().duration() + PROCESS_TIMEOUT;
         match self.interrupt().expect(&mut load, "seen", timeout) {
-            Ok(json) => self.report.load = Some(parse_report::<Seen>(&json)?),
+            Ok(json) => self.report.load = Some(parse_report::<LoadResult>(&json)?),
             Err(RehearsalError::Interrupted) => return Err(RehearsalError::Interrupted),
             Err(error) => self.add_misfit(format!("the clients reported no results: {error}")),
         }
@@ -398,16 +398,16 @@
         match action {
             Action::Propose => self.propose_change(),
             Action::RestoreList => {
-                self.participants.list.tell("away 0");
+                self.participants.list.send_line("away 0");
                 Ok(())
             }
             Action::StartFault(FaultKind::ListAway { .. }) => {
-                self.participants.list.tell("away 1");
+                self.participants.list.send_line("away 1");
                 Ok(())
             }
             Action::StartFault(FaultKind::Restart { share }) => {
                 let line = format!("restart {share}");
-                self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.tell(&line));
+                self.participants.hollow.iter_mut().for_each(|hollow| hollow.process.send_line(&line));
                 Ok(())
             }
             Action::StartFault(FaultKind::KillLeader) => {
@@ -423,7 +423,7 @@
         let value = CHANGED_VALUES[self.proposals % CHANGED_VALUES.len()];
         self.proposals += 1;
         let sets = BTreeMap::from([(CHANGED_RULE.to_owned(), Value::Number(value))]);
-        let rules = changed(&self.environment.plan.rules, &sets);
+        let rules = with_values(&self.environment.plan.rules, &sets);
         let at = clock().0;
         match propose(&self.keeper_addresses(), &rules, "a change", PROPOSAL_TIMEOUT) {
             Some(number) => self.proposed.push(Change { number, at }),
--- a/crates/flaxstand-simulation/src/shell.rs
+++ b/crates/flaxstand-simulation/src/shell.rs
@@ -1,4 +1,5 @@
-//! What the emulated peers share: connections, greetings, records. A [`Peer`] in a [`Shell`] is a machine.
+//! Common part of the emulated peers: connections, framing, records. A [`Shell`] runs a [`Peer`] as a
+//! machine.
 
 use flaxstand_audit::Record;
 use flaxstand_gateway::machine::{Command, ConnId, Control, Machine, Micros, Sink};
@@ -6,27 +7,27 @@
 use std::collections::BTreeMap;
 use tracing::warn;
 
-/// An emulated peer.
+/// Behaviour of an emulated peer.
 pub trait Peer {
-    /// Whether it takes a connection now.
+    /// Returns whether it accepts a connection now.
     fn accepts(&self) -> bool {
         true
     }
-    /// A connection was taken at the so manieth address listened at; `opened` follows.
-    fn taken(&mut self, _conn: ConnId, _listener: usize) {}
-    /// A connection stands, by its own call or another's.
+    /// A connection was accepted at the listener with this index; `opened` follows.
+    fn connection_accepted(&mut self, _conn: ConnId, _listener: usize) {}
+    /// A connection is open, initiated by either side.
     fn opened(&mut self, links: &mut Links, conn: ConnId, now: Micros);
-    /// A frame came.
+    /// A frame was received.
     fn frame(&mut self, links: &mut Links, conn: ConnId, frame: Frame<'_>, now: Micros);
-    /// A connection is no more, or never came to be.
-    fn gone(&mut self, links: &mut Links, conn: ConnId, now: Micros);
-    /// A line of standard input: a fault begins or ends.
+    /// A connection was closed, or could not be opened.
+    fn connection_closed(&mut self, links: &mut Links, conn: ConnId, now: Micros);
+    /// A line of standard input was read: a fault begins or ends.
     fn line(&mut self, links: &mut Links, line: &str, now: Micros);
-    /// Everything of this moment has been told. Returns its own next moment.
+    /// All events of this instant have been delivered. Returns the time of the peer's next timer.
     fn settle(&mut self, links: &mut Links, now: Micros) -> Option<Micros>;
 }
 
-/// A peer's connections.
+/// Connections and pending outputs of a peer.
 #[derive(Default)]
 pub struct Links {
     next: u64,
@@ -36,10 +37,10 @@
     data: Vec<u8>,
     cut_out: bool,
     cut_in: bool,
-    /// What came while nothing could.
-    kept: Vec<(Micros, ConnId, Vec<u8>)>,
-    /// When what is handed over now reached this host, if that was earlier.
-    reached: Option<Micros>,
+    /// Data received while incoming traffic is held back.
+    held_back: Vec<(Micros, ConnId, Vec<u8>)>,
+    /// Arrival time of the data being delivered, if it was held back.
+    arrived_at: Option<Micros>,
 }
 
 impl Links {
@@ -50,14 +51,14 @@
         conn
     }
 
-    /// Calls a peer.
-    pub fn call(&mut self, address: flaxstand_gateway::machine::Address) -> ConnId {
+    /// Connects to a peer.
+    pub fn connect(&mut self, address: flaxstand_gateway::machine::Address) -> ConnId {
         let conn = self.open();
         self.commands.push(Command::Connect { conn, address });
         conn
     }
 
-    /// Writes a frame.
+    /// Sends a frame.
     pub fn push(&mut self, conn: ConnId, frame: &Frame<'_>) {
         if let Some((_, outbox)) = self.links.get_mut(&conn) {
             if outbox.is_empty() {
@@ -67,53 +68,53 @@
         }
     }
 
-    /// Closes a connection. What waited on it is dropped.
+    /// Closes a connection and drops its pending output.
     pub fn close(&mut self, conn: ConnId) {
         if self.links.remove(&conn).is_some() {
             self.commands.push(Command::Close { conn, last: Vec::new() });
         }
     }
 
-    /// Every connection that there is.
+    /// Returns all open connections.
     pub fn all(&self) -> Vec<ConnId> {
         self.links.keys().copied().collect()
     }
 
-    /// Notes what was seen.
+    /// Appends a record.
     pub fn record(&mut self, record: &Record) {
         self.record.push(record.clone());
     }
 
-    /// Stores bytes for the next start.
+    /// Appends data that outlives the process.
     pub fn store(&mut self, bytes: &[u8]) {
         self.data.extend_from_slice(bytes);
     }
 
-    /// Nothing of ours gets out any more, or all that was held back does.
+    /// Starts or ends holding back outgoing traffic; all of it is sent at the end.
     pub fn cut_out(&mut self, cut: bool) {
         self.cut_out = cut;
         let all = self.all();
         self.commands.extend(all.into_iter().filter(|_| !cut).map(Command::Flush));
     }
 
-    /// Nothing gets in any more, or all that was held back does, at this turn's end.
+    /// Starts or ends holding back incoming traffic; all of it is delivered at the end of this turn.
     pub fn cut_in(&mut self, cut: bool) {
         self.cut_in = cut;
     }
 
-    /// When the frame that is handed over now reached this host: what the audit takes for its sending must
-    /// not hold the emulated cut against whoever sent it.
-    pub fn reached(&self, now: Micros) -> Micros {
-        self.reached.unwrap_or(now)
+    /// Returns when the current frame arrived at this host. The audit takes this as the latest time of its
+    /// sending, so that the emulated cut is not counted as the sender's delay.
+    pub fn arrived_at(&self, now: Micros) -> Micros {
+        self.arrived_at.unwrap_or(now)
     }
 
-    /// Has the driver do something.
+    /// Issues a command to the driver.
     pub fn command(&mut self, command: Command) {
         self.commands.push(command);
     }
 }
 
-/// A peer as a machine.
+/// Runs a peer as a machine.
 pub struct Shell<P> {
     /// The peer.
     pub peer: P,
@@ -121,12 +122,13 @@
 }
 
 impl<P: Peer> Shell<P> {
-    /// A machine around a peer.
+    /// Creates a machine that runs a peer.
     pub fn new(peer: P) -> Self {
         Shell { peer, links: Links::default() }
     }
 
-    /// What was seen since the last call. A driver that does not ask is told by `Append`.
+    /// Takes the records since the last call. If the driver doesn't call this, they are written by
+    /// `Command::AppendOutput`.
     pub fn take_records(&mut self) -> Vec<Record> {
         std::mem::take(&mut self.links.record)
     }
@@ -138,7 +140,7 @@
             return Err(Vec::new());
         }
         let conn = self.links.open();
-        self.peer.taken(conn, listener);
+        self.peer.connection_accepted(conn, listener);
         self.peer.opened(&mut self.links, conn, now);
         Ok(conn)
     }
@@ -153,7 +155,7 @@
 
     fn received(&mut self, conn: ConnId, bytes: &[u8], now: Micros) {
         if self.links.cut_in {
-            self.links.kept.push((now, conn, bytes.to_vec()));
+            self.links.held_back.push((now, conn, bytes.to_vec()));
             return;
         }
         let Some((inbox, _)) = self.links.links.get_mut(&conn) else { return };
@@ -170,9 +172,9 @@
                 }
             }
             Err(cause) => {
-                warn!(%cause, "closing a connection for what its peer sent");
+                warn!(%cause, "invalid data from a peer; closing the connection");
                 self.links.close(conn);
-                self.peer.gone(&mut self.links, conn, now);
+                self.peer.connection_closed(&mut self.links, conn, now);
             }
         }
     }
@@ -183,7 +185,7 @@
 
     fn closed(&mut self, conn: ConnId, _cause: &str, now: Micros) {
         if self.links.links.remove(&conn).is_some() {
-            self.peer.gone(&mut self.links, conn, now);
+            self.peer.connection_closed(&mut self.links, conn, now);
         }
     }
 
@@ -206,7 +208,7 @@
 
     fn control(&mut self, control: Control, now: Micros) {
         match control {
-            // Whoever started the stand-in is gone when its input ends.
+            // The end of the input means that the parent process has exited.
             Control::Stop | Control::InputEnded => self.links.commands.push(Command::Exit),
             Control::Line(line) => self.peer.line(&mut self.links, &line, now),
             Control::Reload(_) => {}
@@ -215,11 +217,11 @@
 
     fn settle(&mut self, now: Micros) -> Option<Micros> {
         if !self.links.cut_in {
-            for (reached, conn, bytes) in std::mem::take(&mut self.links.kept) {
-                self.links.reached = Some(reached);
+            for (arrived_at, conn, bytes) in std::mem::take(&mut self.links.held_back) {
+                self.links.arrived_at = Some(arrived_at);
                 self.received(conn, &bytes, now);
             }
-            self.links.reached = None;
+            self.links.arrived_at = None;
         }
         self.peer.settle(&mut self.links, now)
     }
--- a/crates/flaxstand-simulation/src/world.rs
+++ b/crates/flaxstand-simulation/src/world.rs
@@ -1,19 +1,19 @@
-//! A whole day in one process on virtual time: the same core, the same emulated peers and the same frames
-//! as on loopback, between them a network of delays. One seed decides everything: the same day gives the
-//! same record, on any machine.
+//! Plays a day in one process on virtual time: the same core, emulated peers and frames as on loopback,
+//! connected by a simulated network with delays. One seed determines everything: the same day gives the same
+//! record on any machine.
 //!
-//! Order at one instant: everything that is due then is handed over in the order in which it was set in
-//! motion; then each machine that was touched settles, in the order of hosts (list service, nodes by slot,
-//! initiators by index, clients). What they set in motion arrives a microsecond later at the earliest.
+//! Order within one instant: all due events are delivered in the order in which they were scheduled; then
+//! each machine that received one settles, in the order of hosts (list service, nodes by slot, initiators
+//! by index, clients). Events that they cause arrive at least one microsecond later.
 //!
-//! Not modelled: buffers of the system (a write always goes through; a peer that is not read is held back at
-//! its receiver), bandwidth, and the time that the programs themselves need.
+//! Not modelled: kernel socket buffers (a write always succeeds; back-pressure holds data at the receiver),
+//! bandwidth, and the processing time of the programs themselves.
 
 use crate::day::Day;
 use crate::list::{ListService, node_line};
 use crate::load::Load;
 use crate::node::{Identity, Node};
-use crate::rehearse::{emulated, initiator_seed};
+use crate::rehearse::{emulated_node, initiator_seed};
 use crate::report::{Report, report};
 use crate::script::{Step, script};
 use crate::shell::Shell;
@@ -29,9 +29,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::path::PathBuf;
 
-/// A host, by its place in the order of hosts.
+/// Index of a host in the order of hosts.
 type HostId = usize;
-/// A connection's end.
+/// One end of a connection.
 type End = (HostId, ConnId);
 
 enum Role {
@@ -63,21 +63,21 @@
 
 struct Host {
     role: Option<Role>,
-    /// Grows when the process ends: what was under way to it is lost.
-    life: u64,
+    /// Grows when the process ends; events scheduled for an earlier value are dropped.
+    generation: u64,
     wake: Option<Micros>,
-    /// What the process left on disk: a node's data, an initiator's saved list.
+    /// Data that outlives the process: a node's data, an initiator's saved list.
     disk: Vec<u8>,
-    /// An initiator's write-back log, and the batch that is being stored there.
+    /// An initiator's write-back log, and the batch that is being written to it.
     log: FaultyDisk,
     batch: Option<Batch>,
 }
 
 struct Pipe {
     peer: End,
-    /// Nothing arrives before what was sent earlier.
+    /// Arrival time of the latest data, which keeps the data in order.
     arrives: Micros,
-    /// What its receiver does not read yet.
+    /// Data that the receiver does not read yet.
     unread: VecDeque<Vec<u8>>,
 }
 
@@ -91,24 +91,24 @@
     Refused(ConnId),
     Bytes(ConnId, Vec<u8>),
     Closed(ConnId),
-    /// The disk is done with a batch.
+    /// The disk has finished a batch.
     Stored,
     Step(Box<Step>),
 }
 
-/// What a day on virtual time came to.
+/// Results of a day on virtual time.
 pub struct Played {
     /// The report.
     pub report: Report,
-    /// Everything that was recorded, in order.
+    /// All records, in order.
     pub ledger: AttemptLedger,
-    /// Counts of the initiators at the day's end, by index; of their last lives.
+    /// Counters of the initiators at the end of the day, by index, since their last start.
     pub counts: Vec<Counts>,
-    /// Events handed over.
+    /// Number of events delivered.
     pub events: u64,
-    /// The most of them at one instant.
+    /// Maximum number of events in one instant.
     pub most_at_once: u64,
-    /// Length of the day, with what came after the last arrival.
+    /// Duration of the day, including the time after the last arrival.
     pub lasted: Micros,
 }
 
@@ -125,23 +125,23 @@
     events: u64,
     most_at_once: u64,
     records: Vec<Record>,
-    /// Initiators that are about to be killed, after so many more outputs of theirs.
-    doomed: BTreeMap<HostId, u32>,
-    /// Initiators that were killed or told to stop and have not come back.
-    leaving: BTreeSet<HostId>,
-    /// By slot: the node's number and its start.
+    /// Initiators to be killed, and the number of outputs that they still make.
+    pending_kills: BTreeMap<HostId, u32>,
+    /// Initiators that were killed or asked to stop and not started again yet.
+    stopping: BTreeSet<HostId>,
+    /// By slot: the node's number and its incarnation.
     slots: Vec<(u64, u64)>,
     next_node: u64,
     epochs: u64,
     finished: bool,
 }
 
-/// The calendar when the clock was 0.
-const CALENDAR: u64 = 1_700_000_000_000_000;
-/// What a batch of the write-back log takes, ms.
+/// Wall-clock time at time 0 of the virtual clock, in microseconds since the Unix epoch.
+const UNIX_TIME_AT_ZERO: u64 = 1_700_000_000_000_000;
+/// Range of the duration of a log batch, ms.
 const SYNC_MS: (f64, f64) = (0.2, 2.0);
-/// The day begins here: an hour in, so that ages reach back.
-const DAWN: Micros = Micros(3_600_000_000);
+/// Start of the day on the virtual clock: an hour after 0, so that ages can lie in the past.
+const START_TIME: Micros = Micros(3_600_000_000);
 
 fn list_address() -> Address {
     Address::Unix(PathBuf::from("list"))
@@ -155,11 +155,11 @@
     Address::Unix(PathBuf::from(format!("initiator-{index}")))
 }
 
-/// Plays a day on virtual time.
+/// Plays a day on virtual time and audits its records.
 pub fn play(day: &Day, seconds: f64, policy: Policy) -> Played {
     let mut world = World::new(day, policy, seconds);
     world.run(seconds);
-    let lasted = world.now.since(DAWN);
+    let lasted = world.now.since(START_TIME);
     let counts = world.counts();
     let World { mut records, events, most_at_once, .. } = world;
     records.sort_by_key(Record::at);
@@ -175,7 +175,7 @@
         let initiators = day.site.site.settings.initiators as usize;
         let empty = |host: usize| Host {
             role: None,
-            life: 0,
+            generation: 0,
             wake: None,
             disk: Vec::new(),
             log: FaultyDisk::new(day.seed ^ host as u64),
@@ -184,7 +184,7 @@
         let mut world = World {
             day,
             policy,
-            now: DAWN,
+            now: START_TIME,
             rng: Pcg64Mcg::seed_from_u64(day.seed ^ 0x6e65_7477_6f72_6b00),
             hosts: (0..nodes + initiators + 2).map(empty).collect(),
             listeners: BTreeMap::new(),
@@ -194,8 +194,8 @@
             events: 0,
             most_at_once: 0,
             records: Vec::new(),
-            doomed: BTreeMap::new(),
-            leaving: BTreeSet::new(),
+            pending_kills: BTreeMap::new(),
+            stopping: BTreeSet::new(),
             slots: (0..nodes as u64).map(|n| (n, 1)).collect(),
             next_node: nodes as u64,
             epochs: 0,
@@ -208,7 +208,7 @@
             world.list_node(slot, "serving", "-");
         }
         world.settle(0);
-        world.tell(0, &format!("late {}", day.fleet.list_late.ms()));
+        world.send_lines(0, &format!("late {}", day.fleet.list_delay.ms()));
         for index in 0..initiators {
             world.start_initiator(index);
         }
@@ -242,8 +242,8 @@
 
     fn schedule(&mut self, at: Micros, host: HostId, event: Event) {
         self.sequence += 1;
-        let life = self.hosts[host].life;
-        self.queue.insert((at, self.sequence), (host, life, event));
+        let generation = self.hosts[host].generation;
+        self.queue.insert((at, self.sequence), (host, generation, event));
     }
 
     fn delay(&mut self) -> Micros {
@@ -251,8 +251,8 @@
     }
 
     fn run(&mut self, seconds: f64) {
-        // As on loopback: the list is heard and clients are greeted before the day begins.
-        let start = DAWN.after(Micros(300_000));
+        // As on loopback, the list arrives and the clients' handshakes finish before the day begins.
+        let start = START_TIME.after(Micros(300_000));
         for (at, step) in script(self.day, seconds) {
             let at = start.after(Micros::from_ms(at * 1000.0));
             self.schedule(at, 0, Event::Step(Box::new(step)));
@@ -265,27 +265,27 @@
             let at = *at;
             if !started && at >= start {
                 (started, self.now) = (true, start);
-                self.tell(self.clients(), "start");
+                self.send_lines(self.clients(), "start");
                 continue;
             }
             if self.finished
                 && !std::mem::replace(&mut stopped, true)
                 && self.day.site.site.write_back.is_some()
             {
-                // As on loopback, initiators are stopped in good order: what is buffered goes out.
+                // As on loopback, initiators shut down gracefully and write out their buffers.
                 end = self.now.after(self.day.site.site.timeouts.shutdown_timeout).after(Micros(1_000_000));
                 self.stop_initiators();
                 continue;
             }
-            if (self.finished && !self.buffering()) || at > end {
+            if (self.finished && !self.may_have_buffers()) || at > end {
                 break;
             }
-            self.instant(at);
+            self.process_instant(at);
         }
     }
 
-    /// An initiator has buffered writes to bring out.
-    fn buffering(&self) -> bool {
+    /// Returns whether an initiator may still have buffered writes to write out.
+    fn may_have_buffers(&self) -> bool {
         let buffers = |h: &Host| matches!(&h.role, Some(Role::Initiator(_)));
         self.day.site.site.write_back.is_some() && self.hosts.iter().any(buffers)
     }
@@ -294,27 +294,27 @@
         let now = self.now;
         for index in 0..self.day.site.site.settings.initiators as usize {
             let host = self.initiator_host(index);
-            self.leaving.insert(host);
+            self.stopping.insert(host);
             self.machine(host, |m| m.control(Control::Stop, now));
             self.settle(host);
         }
     }
 
-    /// Everything that is due at a moment, then the machines that it touched.
-    fn instant(&mut self, at: Micros) {
+    /// Delivers all events due at an instant, then settles the machines that received one.
+    fn process_instant(&mut self, at: Micros) {
         self.now = at;
         let mut touched = BTreeSet::new();
         let before = self.events;
         while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 == at) {
-            let (host, life, event) = entry.remove();
+            let (host, generation, event) = entry.remove();
             self.events += 1;
             if let Event::Step(step) = event {
-                self.step(*step);
+                self.apply_step(*step);
                 continue;
             }
             let h = &mut self.hosts[host];
-            if h.life != life || h.role.is_none() {
-                // Whom it was for is gone: a caller hears so, all else is lost.
+            if h.generation != generation || h.role.is_none() {
+                // The receiver has ended: a connection attempt is refused, other events are dropped.
                 if let Event::Dial { from, .. } = event {
                     self.refuse(host, from);
                 }
@@ -323,7 +323,7 @@
             if matches!(event, Event::Wake) && h.wake != Some(at) {
                 continue;
             }
-            self.hand_over(host, event);
+            self.deliver(host, event);
             touched.insert(host);
         }
         self.most_at_once = self.most_at_once.max(self.events - before);
@@ -335,15 +335,15 @@
         self.schedule(at, host, Event::Refused(conn));
     }
 
-    fn hand_over(&mut self, host: HostId, event: Event) {
+    fn deliver(&mut self, host: HostId, event: Event) {
         let now = self.now;
         match event {
             Event::Wake | Event::Step(_) => {}
             Event::Stored => {
                 let h = &mut self.hosts[host];
                 if let Some(batch) = h.batch.take() {
-                    let well = perform(&mut h.log, &batch).is_ok();
-                    self.machine(host, |m| m.write_back_stored(well, now));
+                    let stored = perform(&mut h.log, &batch).is_ok();
+                    self.machine(host, |m| m.write_back_stored(stored, now));
                 }
             }
             Event::Dial { from, to } => self.dial(host, from, &to),
@@ -381,7 +381,7 @@
         }
     }
 
-    /// A call arrives where it was meant to.
+    /// A connection attempt arrives at its target.
     fn dial(&mut self, caller: HostId, from: ConnId, to: &Address) {
         let now = self.now;
         let taken = self.listeners.get(to).copied().and_then(|host| {
@@ -393,7 +393,7 @@
                 let at = now.after(self.delay());
                 let pipe = |peer, arrives| Pipe { peer, arrives, unread: VecDeque::new() };
                 self.pipes.insert((caller, from), pipe((host, conn), now));
-                // What goes back arrives after word that the connection stands.
+                // Data from the target must arrive after the notification that the connection is open.
                 self.pipes.insert((host, conn), pipe((caller, from), at));
                 self.schedule(at, caller, Event::Connected(from));
                 self.settle(host);
@@ -401,8 +401,9 @@
             Some((_, Err(last))) => {
                 let at = now.after(self.delay());
                 self.schedule(at, caller, Event::Connected(from));
-                let gone = (usize::MAX, ConnId(0));
-                self.pipes.insert((caller, from), Pipe { peer: gone, arrives: at, unread: VecDeque::new() });
+                let no_peer = (usize::MAX, ConnId(0));
+                self.pipes
+                    .insert((caller, from), Pipe { peer: no_peer, arrives: at, unread: VecDeque::new() });
                 self.schedule(at.after(Micros(1)), caller, Event::Bytes(from, last));
                 self.schedule(at.after(Micros(2)), caller, Event::Closed(from));
             }
@@ -410,7 +411,7 @@
         }
     }
 
-    /// A moment at a connection's other end, in the order of what was sent.
+    /// Returns the other end of a connection and the arrival time of data sent now, in order.
     fn arrival(&mut self, end: End) -> Option<(End, Micros)> {
         let delay = self.delay();
         let now = self.now;
@@ -427,10 +428,10 @@
         let mut commands = role.machine().take_commands();
         while !commands.is_empty() {
             for command in commands {
-                if self.dies(host) {
+                if self.kill_if_due(host) {
                     return;
                 }
-                self.carry_out(host, command);
+                self.execute(host, command);
             }
             let Some(role) = &mut self.hosts[host].role else { return };
             self.records.append(&mut role.take_records());
@@ -445,9 +446,10 @@
         }
     }
 
-    /// Whether a kill strikes now, between two outputs of one turn.
-    fn dies(&mut self, host: HostId) -> bool {
-        match self.doomed.get_mut(&host) {
+    /// Kills the initiator if a pending kill is due now, between two outputs of one turn. Returns whether
+    /// it did.
+    fn kill_if_due(&mut self, host: HostId) -> bool {
+        match self.pending_kills.get_mut(&host) {
             Some(0) => {
                 self.kill_initiator(host);
                 true
@@ -461,22 +463,22 @@
     }
 
     fn kill_initiator(&mut self, host: HostId) {
-        self.doomed.remove(&host);
+        self.pending_kills.remove(&host);
         let initiator = (host - 1 - self.day.fleet.nodes as usize) as u32;
         if self.day.site.site.write_back.is_some() {
-            self.cut_log(host);
+            self.crash_log(host);
         }
         self.records.push(Record::Killed { at: self.now.0, initiator });
-        self.end(host);
+        self.end_process(host);
     }
 
-    /// A process dies, perhaps inside a batch of its log; every other time its machine loses power with it.
-    fn cut_log(&mut self, host: HostId) {
+    /// Crashes an initiator's log, perhaps inside a batch; half of the crashes also lose power.
+    fn crash_log(&mut self, host: HostId) {
         let within = (random(&mut self.rng) * 8.0) as u64;
         let h = &mut self.hosts[host];
         if let Some(batch) = h.batch.take() {
             h.log.set(Faults { crash_at_call: Some(within), ..Faults::default() });
-            // How far it came is on the disk.
+            // The result doesn't matter: the part that was written is on the disk.
             let _ = perform(&mut h.log, &batch);
         }
         match random(&mut self.rng) < 0.5 {
@@ -485,7 +487,7 @@
         }
     }
 
-    fn carry_out(&mut self, host: HostId, command: Command) {
+    fn execute(&mut self, host: HostId, command: Command) {
         let now = self.now;
         match command {
             Command::Connect { conn, address } => {
@@ -518,24 +520,24 @@
             Command::AppendOutput(Sink::Data, mut bytes) => self.hosts[host].disk.append(&mut bytes),
             Command::AppendOutput(Sink::Record, _) => {}
             Command::StoreWriteBack(batch) => {
-                // A sync of a disk, not a write into its cache.
+                // The time of a disk sync, not of a write to the disk's cache.
                 let takes = Micros::from_ms(between(&mut self.rng, SYNC_MS));
                 self.hosts[host].batch = Some(batch);
                 self.schedule(now.after(takes), host, Event::Stored);
             }
-            // Clients that speak HTTP are parted with so, and days on virtual time have none.
+            // Only used for clients that speak HTTP, and days on virtual time have none.
             Command::ShutdownWrite(_) => {}
-            // Days on virtual time have no agreement.
+            // Days on virtual time have no consensus.
             Command::StoreConsensus(_) | Command::SaveReplicatedState(_) => {}
             Command::StopListening => self.listeners.retain(|_, h| *h != host),
             Command::Print(line) => self.finished |= host == self.clients() && line == "done",
-            Command::Exit => self.end(host),
+            Command::Exit => self.end_process(host),
         }
     }
 
-    /// A process dies inside what it writes: of the last piece under way on each of its connections only a
-    /// part was written.
-    fn cut_short(&mut self, host: HostId) {
+    /// Truncates the data in flight of a process that dies during a write: of the last piece on each of its
+    /// connections only a part is delivered.
+    fn truncate_in_flight(&mut self, host: HostId) {
         let peers: BTreeSet<End> =
             self.pipes.range((host, ConnId(0))..(host + 1, ConnId(0))).map(|(_, p)| p.peer).collect();
         let mut cut = BTreeSet::new();
@@ -550,8 +552,8 @@
         }
     }
 
-    /// A process ends: its connections break, what was under way to it is lost.
-    fn end(&mut self, host: HostId) {
+    /// Ends a process: its connections are closed, and events in flight to it are lost.
+    fn end_process(&mut self, host: HostId) {
         let ends: Vec<End> =
             self.pipes.range((host, ConnId(0))..(host + 1, ConnId(0))).map(|(e, _)| *e).collect();
         for end in ends {
@@ -565,7 +567,7 @@
             self.records.append(&mut role.take_records());
         }
         (h.role, h.wake, h.batch) = (None, None, None);
-        h.life += 1;
+        h.generation += 1;
         self.listeners.retain(|_, at| *at != host);
     }
 
@@ -574,7 +576,7 @@
         let zone = slot as u32 % self.day.fleet.zones;
         let id = Identity { node, incarnation, shard: slot as u32, zone };
         let host = self.node_host(slot);
-        let node_machine = emulated(self.day, id, cold, &self.hosts[host].disk, self.now);
+        let node_machine = emulated_node(self.day, id, cold, &self.hosts[host].disk, self.now);
         self.records.push(node_machine.up(cold, self.now));
         self.hosts[host].role = Some(Role::Node(Box::new(Shell::new(node_machine))));
         self.listeners.insert(node_address(node), host);
@@ -584,7 +586,7 @@
     fn list_node(&mut self, slot: usize, state: &str, age: &str) {
         let (node, incarnation) = self.slots[slot];
         let zone = slot as u32 % self.day.fleet.zones;
-        self.tell(0, &node_line(node, incarnation, state, slot, zone, age, node_address(node)));
+        self.send_lines(0, &node_line(node, incarnation, state, slot, zone, age, node_address(node)));
     }
 
     fn start_initiator(&mut self, index: usize) {
@@ -594,7 +596,7 @@
             name: format!("initiator-{index}"),
             index: index as u32,
             epoch: self.epochs,
-            calendar: CALENDAR,
+            calendar: UNIX_TIME_AT_ZERO,
             seed: initiator_seed(self.day, index),
             discovery_address: list_address(),
             site: self.day.site.site.clone(),
@@ -607,9 +609,9 @@
         let saved = (!saved.is_empty()).then_some(saved);
         let mut core = Core::new(config.clone(), saved.as_deref(), self.now)
             .or_else(|_| Core::new(config, None, self.now))
-            .expect("without a saved list nothing can be wrong with it");
+            .expect("starts without a saved list");
         if self.day.site.site.write_back.is_some() {
-            let recovered = recover(&mut self.hosts[host].log).expect("what a crash leaves can be read");
+            let recovered = recover(&mut self.hosts[host].log).expect("a log can be recovered after a crash");
             core.attach(recovered, self.now);
         }
         self.hosts[host].role = Some(Role::Initiator(Box::new(core)));
@@ -617,7 +619,7 @@
         self.settle(host);
     }
 
-    fn tell(&mut self, host: HostId, lines: &str) {
+    fn send_lines(&mut self, host: HostId, lines: &str) {
         let now = self.now;
         for line in lines.lines() {
             self.machine(host, |m| m.control(Control::Line(line.to_owned()), now));
@@ -625,44 +627,44 @@
         self.settle(host);
     }
 
-    fn step(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         let at = self.now.0;
         match step {
-            Step::Tell(slot, lines) => self.tell(self.node_host(slot), &lines),
-            Step::TellList(lines) => self.tell(0, &lines),
-            // Faults overlap: what is down already, or up again, stays as it is.
-            Step::Kill(slot) if self.hosts[self.node_host(slot)].role.is_none() => {}
-            Step::Return(slot) if self.hosts[self.node_host(slot)].role.is_some() => {}
-            Step::Kill(slot) => {
+            Step::NodeLines(slot, lines) => self.send_lines(self.node_host(slot), &lines),
+            Step::ListLines(lines) => self.send_lines(0, &lines),
+            // Faults may overlap: a process that is already down, or up again, is left as it is.
+            Step::KillNode(slot) if self.hosts[self.node_host(slot)].role.is_none() => {}
+            Step::RestartNode(slot) if self.hosts[self.node_host(slot)].role.is_some() => {}
+            Step::KillNode(slot) => {
                 self.records.push(Record::NodeDown { at, node: self.slots[slot].0 });
-                self.cut_short(self.node_host(slot));
-                self.end(self.node_host(slot));
+                self.truncate_in_flight(self.node_host(slot));
+                self.end_process(self.node_host(slot));
             }
-            Step::Return(slot) => {
+            Step::RestartNode(slot) => {
                 self.slots[slot].1 += 1;
                 self.start_node(slot, true);
                 self.list_node(slot, "serving", "0");
             }
-            Step::Drain(slot) => self.list_node(slot, "draining", "-"),
-            Step::Succeed(slot) => {
+            Step::DrainNode(slot) => self.list_node(slot, "draining", "-"),
+            Step::ReplaceNode(slot) => {
                 self.list_node(slot, "gone", "-");
-                self.step(Step::Kill(slot));
+                self.apply_step(Step::KillNode(slot));
                 self.slots[slot] = (self.next_node, 1);
                 self.next_node += 1;
                 self.start_node(slot, true);
                 self.list_node(slot, "serving", "0");
             }
-            // Days on which initiators agree are played with processes.
-            Step::Cut(..) | Step::Pause(..) | Step::Propose(_) => {}
-            Step::KillInitiator(index, _) if self.leaving.contains(&self.initiator_host(index)) => {}
-            Step::ReturnInitiator(index) if !self.leaving.contains(&self.initiator_host(index)) => {}
-            Step::KillInitiator(index, outright) => {
+            // Days with consensus are played with processes only.
+            Step::IsolateInitiator(..) | Step::PauseInitiator(..) | Step::ProposeRules(_) => {}
+            Step::KillInitiator(index, _) if self.stopping.contains(&self.initiator_host(index)) => {}
+            Step::RestartInitiator(index) if !self.stopping.contains(&self.initiator_host(index)) => {}
+            Step::KillInitiator(index, immediately) => {
                 let host = self.initiator_host(index);
-                self.leaving.insert(host);
-                if outright {
-                    // A busy process dies somewhere within its next few outputs.
+                self.stopping.insert(host);
+                if immediately {
+                    // The kill takes effect at a random point among its next outputs.
                     let outputs = (random(&mut self.rng) * 6.0) as u32;
-                    self.doomed.insert(host, outputs);
+                    self.pending_kills.insert(host, outputs);
                 } else {
                     self.records.push(Record::Killed { at, initiator: index as u32 });
                     let now = self.now;
@@ -670,17 +672,17 @@
                     self.settle(host);
                 }
             }
-            Step::ReturnInitiator(index) => {
+            Step::RestartInitiator(index) => {
                 let host = self.initiator_host(index);
-                if self.doomed.contains_key(&host) {
+                if self.pending_kills.contains_key(&host) {
                     self.kill_initiator(host);
                 }
                 if self.hosts[host].role.is_some() {
-                    // It is still answering what it held.
+                    // It is still finishing its pending requests: try again 10 ms later.
                     let again = self.now.after(Micros(10_000));
                     self.schedule(again, 0, Event::Step(Box::new(step)));
                 } else {
-                    self.leaving.remove(&host);
+                    self.stopping.remove(&host);
                     self.start_initiator(index);
                 }
             }
