--- a/crates/flaxstand-audit/src/lib.rs
+++ b/crates/flaxstand-audit/src/lib.rs
@@ -1,5 +1,5 @@
 //! Audit of the seven rules that an initiator must keep. The input is what clients, storage nodes and the
-//! list service recorded of the traffic on their sockets, with the times of one clock. Initiators record
+//! discovery service recorded of the traffic on their sockets, with the times of one clock. Initiators record
 //! nothing.
 //!
 //! - [`record`]: the recorded events and their file format
--- a/crates/flaxstand-audit/src/record.rs
+++ b/crates/flaxstand-audit/src/record.rs
@@ -1,4 +1,4 @@
-//! Events recorded by clients, nodes and the list service, stored as one JSON object per line. Times and
+//! Events recorded by clients, nodes and the discovery service, stored as one JSON object per line. Times and
 //! durations are in microseconds of one clock.
 
 use serde::{Deserialize, Serialize};
@@ -62,7 +62,7 @@
     Removed,
 }
 
-/// An event that a client, a node or the list service recorded.
+/// An event that a client, a node or the discovery service recorded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "is")]
 pub enum Record {
@@ -280,7 +280,7 @@
         /// The node.
         node: u64,
     },
-    /// The list service sent an initiator the state of a node.
+    /// The discovery service sent an initiator the state of a node.
     #[serde(rename = "Told")]
     Notified {
         /// Time of the event.
--- a/crates/flaxstand-client/src/answer.rs
+++ b/crates/flaxstand-client/src/answer.rs
@@ -21,7 +21,7 @@
 /// Why a request was abandoned.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum AbandonReason {
-    /// Its timeout has expired, or leaves no time for another attempt.
+    /// Its time-out has expired, or leaves no time for another attempt.
     #[error("deadline exceeded")]
     DeadlineExceeded,
     /// An attempt may have been executed, and a retry is not safe or no longer safe.
--- a/crates/flaxstand-client/src/blocking.rs
+++ b/crates/flaxstand-client/src/blocking.rs
@@ -21,7 +21,7 @@
         BlockingClient { polled: PolledClient::new(address, config) }
     }
 
-    /// Sends a request and blocks until its final answer, for at most the request's timeout.
+    /// Sends a request and blocks until its final answer, for at most the request's time-out.
     ///
     /// # Errors
     /// The request was abandoned. The error holds the reason, the number of attempts, and whether the request
--- a/crates/flaxstand-client/src/client.rs
+++ b/crates/flaxstand-client/src/client.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Submits a request. Exactly one [`Completion`] for it follows, by the end of its timeout.
+    /// Submits a request. Exactly one [`Completion`] for it follows, by the end of its time-out.
     pub fn submit(&mut self, request: Request, now: Micros) -> RequestId {
         let id = RequestId(self.next_id());
         self.retry_policy.record_request(now);
--- a/crates/flaxstand-client/src/polled.rs
+++ b/crates/flaxstand-client/src/polled.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Waits until the socket is readable, or writable if `wants_write`, for at most the timeout.
+    /// Waits until the socket is readable, or writable if `wants_write`, for at most the time-out.
     pub(crate) fn wait_until_ready(&self, wants_write: bool, timeout: Duration) {
         let fd = self.fd();
         let flags = if wants_write { PollFlags::IN | PollFlags::OUT } else { PollFlags::IN };
--- a/crates/flaxstand-consensus/src/participant.rs
+++ b/crates/flaxstand-consensus/src/participant.rs
@@ -283,7 +283,7 @@
     }
 }
 
-/// Number of heartbeats per election timeout.
+/// Number of heartbeats per election time-out.
 const HEARTBEATS_PER_ELECTION_TIMEOUT: u64 = 5;
 
 fn start_replica(config: &Config, stored: StoredReplica, now: Micros) -> Replica {
--- a/crates/flaxstand-consensus/src/participant/applied.rs
+++ b/crates/flaxstand-consensus/src/participant/applied.rs
@@ -26,8 +26,8 @@
     index: u64,
     /// Index of the last change of the state, or a later index if the state was loaded from a snapshot.
     state_index: u64,
-    /// The same for all of the state except the list of members, which only replicas use: leaders send the
-    /// state to members whose copy is older than this.
+    /// Like `state_index`, but without changes of the list of members, which only replicas use. Leaders send
+    /// the state to members whose copy is older than this.
     versions_index: u64,
     state: ReplicatedState,
 }
--- a/crates/flaxstand-consensus/src/participant/protocol.rs
+++ b/crates/flaxstand-consensus/src/participant/protocol.rs
@@ -108,7 +108,7 @@
     /// Names of the voters.
     #[serde(rename = "electorate")]
     pub voters: Vec<String>,
-    /// On a leader: voters without contact for an election timeout.
+    /// On a leader: voters without contact for an election time-out.
     #[serde(rename = "silent")]
     pub unresponsive: Vec<String>,
     /// Description of the active rules for operators.
--- a/crates/flaxstand-consensus/src/participant/rollout_bounds.rs
+++ b/crates/flaxstand-consensus/src/participant/rollout_bounds.rs
@@ -20,7 +20,7 @@
 const MAX_ITERATION_MS: f64 = 100.0;
 
 impl RolloutBounds {
-    /// Computes the bounds from the lease length and the election timeout in milliseconds, and the maximum
+    /// Computes the bounds from the lease length and the election time-out in milliseconds, and the maximum
     /// clock drift as a fraction of a lease.
     pub fn of(lease_ms: f64, clock_error: f64, election_ms: f64) -> RolloutBounds {
         let counted_lease_ms = lease_ms * (1.0 + 2.0 * clock_error);
--- a/crates/flaxstand-consensus/src/replica.rs
+++ b/crates/flaxstand-consensus/src/replica.rs
@@ -112,7 +112,7 @@
         };
         let is_in_cluster = state.cluster_id != 0;
         // The replica may have had contact with a leader just before it stopped, so it grants no vote for
-        // an election timeout.
+        // an election time-out.
         let last_leader_contact = is_in_cluster.then_some(now);
         let mut replica = Replica {
             commit: CommitProgress::new(state.log.snapshot.index),
--- a/crates/flaxstand-consensus/src/replica/bootstrap.rs
+++ b/crates/flaxstand-consensus/src/replica/bootstrap.rs
@@ -67,8 +67,8 @@
         self.send(from, body);
     }
 
-    /// Records a confirmation. Only the latest instance of a name counts, since it may have been restarted
-    /// since the previous one.
+    /// Records a confirmation. Only the latest instance of a name counts: the replica may have drawn a new
+    /// one after a restart.
     pub(super) fn handle_bootstrap_ready(&mut self, from: ReplicaId) {
         if self.state().cluster_id == 0 {
             let ready = &mut self.bootstrap.ready;
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Whether a message belongs to this cluster. A new replica joins the cluster whose leader or candidate
-    /// addresses its instance.
+    /// Whether a message may be processed: its sender belongs to this cluster or to none, or this replica
+    /// belongs to none. A new replica joins the cluster whose leader or candidate addresses its instance.
     pub(super) fn accept_cluster(&mut self, message: &Message) -> bool {
         let own_cluster_id = self.state().cluster_id;
         if message.cluster_id == 0 || message.cluster_id == own_cluster_id {
--- a/crates/flaxstand-consensus/src/replica/election.rs
+++ b/crates/flaxstand-consensus/src/replica/election.rs
@@ -31,7 +31,7 @@
         self.deadline
     }
 
-    /// Sets the next deadline to a random time, one to two election timeouts from now, to make split votes
+    /// Sets the next deadline to a random time, one to two election time-outs from now, to make split votes
     /// rare.
     pub(super) fn reset_deadline(&mut self, rng: &mut impl RngCore, now: Micros) {
         let timeout = self.timeout.0.max(1);
@@ -48,7 +48,7 @@
         is_new
     }
 
-    /// Whether a leader's message arrived within the last election timeout.
+    /// Whether a leader's message arrived within the last election time-out.
     pub(super) fn has_recent_leader_contact(&self, now: Micros) -> bool {
         self.last_leader_contact.is_some_and(|at| now.since(at) < self.timeout)
     }
--- a/crates/flaxstand-consensus/src/replica/leader.rs
+++ b/crates/flaxstand-consensus/src/replica/leader.rs
@@ -8,7 +8,7 @@
 use flaxstand_proto::Micros;
 use tracing::{info, warn};
 
-/// Fraction of an election timeout for which the responses of a majority prove leadership. The remaining
+/// Fraction of an election time-out for which the responses of a majority prove leadership. The remaining
 /// tenth is the margin for clock drift.
 const LEADERSHIP_NUMERATOR: u64 = 9;
 const LEADERSHIP_DENOMINATOR: u64 = 10;
@@ -20,7 +20,7 @@
         if !self.has_quorum_contact(now) && self.config.injected_fault != InjectedFault::QuorumCheckSkipped {
             warn!(
                 term = self.state().term,
-                "no contact with a majority within the election timeout; stepping down"
+                "no contact with a majority within the election time-out; stepping down"
             );
             return self.become_follower(self.state().term, now);
         }
@@ -46,7 +46,7 @@
     }
 
     /// Until when no other replica can become leader, as proven by the responses of a majority. A replica
-    /// that received a request from this leader grants no vote for an election timeout after receipt, which
+    /// that received a request from this leader grants no vote for an election time-out after receipt, which
     /// is later than the send time used here. `None` if this replica is not the leader or may not know all
     /// committed entries yet.
     pub fn leads_until(&self, now: Micros) -> Option<Micros> {
@@ -60,7 +60,7 @@
         Some(proven_at.after(Micros(span)))
     }
 
-    /// On a leader: voters without contact for an election timeout.
+    /// On a leader: voters without contact for an election time-out.
     pub(super) fn unresponsive(&self, now: Micros) -> Vec<String> {
         let Role::Leader(leader) = &self.role else { return Vec::new() };
         let state = self.state();
--- a/crates/flaxstand-consensus/src/replica/membership.rs
+++ b/crates/flaxstand-consensus/src/replica/membership.rs
@@ -9,7 +9,7 @@
 use flaxstand_proto::Micros;
 use tracing::info;
 
-/// Number of election timeouts without contact after which a replica counts as lost and another instance of
+/// Number of election time-outs without contact after which a replica counts as lost and another instance of
 /// its name may replace it.
 const LOST_AFTER_ELECTION_TIMEOUTS: u64 = 4;
 
--- a/crates/flaxstand-consensus/src/replica/status.rs
+++ b/crates/flaxstand-consensus/src/replica/status.rs
@@ -98,7 +98,7 @@
     pub last_index: u64,
     /// The current voters.
     pub voters: Vec<ReplicaId>,
-    /// On a leader: voters without contact for an election timeout.
+    /// On a leader: voters without contact for an election time-out.
     pub unresponsive: Vec<String>,
     /// Whether the last write to the disk failed and is being retried.
     pub is_disk_failing: bool,
--- a/crates/flaxstand-consensus/src/rules.rs
+++ b/crates/flaxstand-consensus/src/rules.rs
@@ -66,7 +66,7 @@
         keys.filter(|key| narrowing_of(key).is_none()).collect()
     }
 
-    /// Combines the narrower value of each key.
+    /// Returns the narrower value of each key.
     pub fn narrower(&self, other: &Rules) -> Rules {
         let mut fallback = narrower_values(&self.fallback, &other.fallback);
         // A key that is absent from either set of fallback values has no safe value in the result.
--- a/crates/flaxstand-consensus/src/rules/narrowing.rs
+++ b/crates/flaxstand-consensus/src/rules/narrowing.rs
@@ -132,7 +132,7 @@
     }
 }
 
-/// Combines the narrower value of each key. The result contradicts neither set of values.
+/// Returns the narrower value of each key. The result contradicts neither set of values.
 pub(super) fn narrower_values(
     a: &BTreeMap<String, Value>,
     b: &BTreeMap<String, Value>,
--- a/crates/flaxstand-gateway/src/core/admission.rs
+++ b/crates/flaxstand-gateway/src/core/admission.rs
@@ -75,13 +75,14 @@
         }
     }
 
-    /// Returns a randomised Retry-After, at most the module's, which is the same for all clients.
-    pub(super) fn retry_after(&mut self, of_module: Micros) -> Micros {
-        if of_module == Micros(0) {
-            return of_module;
+    /// Returns a randomised Retry-After of at most `module_retry_after`, which the module sets to the same
+    /// value for all clients; 0 stays 0.
+    pub(super) fn retry_after(&mut self, module_retry_after: Micros) -> Micros {
+        if module_retry_after == Micros(0) {
+            return module_retry_after;
         }
         let draw = self.random_unit();
-        self.throttle.retry_after(draw).min(of_module)
+        self.throttle.retry_after(draw).min(module_retry_after)
     }
 
     /// Reports the result of a client's request to the throttle.
@@ -105,7 +106,7 @@
         self.first_retry_class + site_class
     }
 
-    /// Returns how many attempts were classified as retries and as first attempts.
+    /// Returns how many attempts clients marked as retries, and how many were detected as such.
     pub(super) fn attempt_counts(&self) -> RetryDetectionCounts {
         self.throttle.detection_counts()
     }
--- a/crates/flaxstand-gateway/src/core/agreement/mod.rs
+++ b/crates/flaxstand-gateway/src/core/agreement/mod.rs
@@ -75,7 +75,8 @@
     /// Accepts a connection on the agreement listener.
     ///
     /// # Errors
-    /// The limit on accepted connections is reached. The last frame to send before the close is empty.
+    /// The agreement is not configured, or the limit on accepted connections is reached. The error is empty:
+    /// the connection is closed without a final frame.
     pub(super) fn accept_agreement_peer(&mut self, now: Micros) -> Result<ConnId, Vec<u8>> {
         let agreement = self.agreement.as_mut().ok_or_else(Vec::new)?;
         let greeting = self.config.site.timeouts.greeting_timeout;
@@ -152,7 +153,7 @@
         if let Some(batch) = participant.next_batch(now) {
             self.connections.command(Command::StoreConsensus(batch));
         }
-        // Saved before messages are sent: a crash must not lose a stage that was already confirmed.
+        // The state is saved before messages are sent: a crash must not lose a stage that was confirmed.
         if let Some(state) = participant.take_unsaved() {
             self.connections.command(Command::SaveReplicatedState(state));
         }
--- a/crates/flaxstand-gateway/src/core/backoff.rs
+++ b/crates/flaxstand-gateway/src/core/backoff.rs
@@ -1,10 +1,10 @@
-//! Exponential backoff with decorrelated jitter: each delay is random between the minimum and three times the
-//! previous delay, so that initiators whose calls failed at the same time do not retry in step.
+//! Exponential back-off with decorrelated jitter: each delay is random between the minimum and three times
+//! the previous delay, so that initiators whose calls failed at the same time do not retry in step.
 
 use crate::machine::Micros;
 use rand_core::RngCore;
 
-/// Backoff state for calls to one peer.
+/// Back-off state for calls to one peer.
 #[derive(Debug)]
 pub struct Backoff {
     min: Micros,
@@ -13,7 +13,7 @@
 }
 
 impl Backoff {
-    /// Creates a backoff with delays between `min` and `max`.
+    /// Creates a back-off with delays between `min` and `max`.
     pub fn new(min: Micros, max: Micros) -> Self {
         Backoff { min, max: max.max(min), last: min }
     }
--- a/crates/flaxstand-gateway/src/core/clients.rs
+++ b/crates/flaxstand-gateway/src/core/clients.rs
@@ -158,7 +158,7 @@
     }
 
     /// Reserves an id for a client's request, or rejects the request and returns `None` if a limit is
-    /// reached. `time_left` is the client's remaining timeout in microseconds.
+    /// reached. `time_left` is the client's remaining time-out in microseconds.
     ///
     /// # Errors
     /// The client's request number is in use.
--- a/crates/flaxstand-gateway/src/core/config.rs
+++ b/crates/flaxstand-gateway/src/core/config.rs
@@ -110,7 +110,7 @@
     /// Idle time after which a connection to a node is closed.
     pub node_idle_timeout: Micros,
     /// Time reserved for the transfer of a response: a request's deadline is this long before its client's
-    /// timeout.
+    /// time-out.
     pub response_margin: Micros,
     /// Idle time of the discovery watch after which the full list is requested. After the same time again the
     /// watch is considered stalled.
--- a/crates/flaxstand-gateway/src/core/connection_slots.rs
+++ b/crates/flaxstand-gateway/src/core/connection_slots.rs
@@ -1,8 +1,8 @@
 //! Selects the HTTP client connection that is evicted for a new one when the connection limit is reached.
 //!
-//! Connections are queued by the start of their current wait, as known when they were last inspected. A later
-//! request makes the queued time stale, but only towards too early: a search requeues the stale entries that
-//! it meets. So each request adds at most one step to a later search, and no work while it is served.
+//! Connections are queued by the start of their current wait, as known when they were last inspected. After a
+//! later request the queued time is too early, never too late; a search requeues the stale entries that it
+//! meets. So each request adds at most one step to a later search, and no work while it is served.
 
 use super::connection_table::{Connection, ConnectionTable, Peer, Protocol};
 use crate::machine::{ConnId, Micros};
--- a/crates/flaxstand-gateway/src/core/discovery/mod.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/mod.rs
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Notifies the decision module of a response without changes; it counts consecutive failed calls.
+    /// Notifies the decision module, which counts consecutive failed calls, of a response without changes.
     fn notify_unchanged(context: &mut DiscoveryContext<'_>) {
         context.events.push_back(Event::EndpointList(ListScope::Changes, Vec::new()));
     }
--- a/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
+++ b/crates/flaxstand-gateway/src/core/discovery/platform_poll.rs
@@ -277,7 +277,7 @@
                 (DiscoveryCall::Abandoned, "response arrives below the minimum rate")
             }
             Some(_) => (DiscoveryCall::Unanswered, "response stalled before its end"),
-            None => (DiscoveryCall::Unanswered, "no response from the list service"),
+            None => (DiscoveryCall::Unanswered, "no response from the discovery service"),
         };
         self.fail_poll(conn, outcome, cause, context);
     }
--- a/crates/flaxstand-gateway/src/core/endpoint_events.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_events.rs
@@ -68,7 +68,7 @@
     /// Closes the connection after the service reported that it has no list.
     pub(super) fn discovery_failed(&mut self, now: Micros) {
         if let Some(conn) = self.discovery.connection() {
-            self.close(conn, "list service reported that it has no list", now);
+            self.close(conn, "discovery service reported that it has no list", now);
         }
     }
 
--- a/crates/flaxstand-gateway/src/core/endpoint_table/apply.rs
+++ b/crates/flaxstand-gateway/src/core/endpoint_table/apply.rs
@@ -61,7 +61,8 @@
         serving
     }
 
-    /// Removes endpoints that are absent from a full list. Returns those that were listed before.
+    /// Marks endpoints as removed that are absent from a full or cached list. Returns those that were listed
+    /// before.
     fn remove_absent(&mut self, listed: &BTreeSet<NodeId>, now: Micros) -> BTreeSet<NodeId> {
         let previous = self.iter().filter(|(_, endpoint)| endpoint.readiness() != Readiness::Removed);
         let absent: BTreeSet<NodeId> = previous.map(|(id, _)| id).filter(|id| !listed.contains(id)).collect();
--- a/crates/flaxstand-gateway/src/core/http_connection.rs
+++ b/crates/flaxstand-gateway/src/core/http_connection.rs
@@ -51,7 +51,7 @@
     reader: RequestReader,
     phase: ConnectionPhase,
     since: Micros,
-    /// Time by which the connection is queued in the eviction order.
+    /// Start of the wait under which the connection is queued in the eviction order; may be out of date.
     pub(super) queued_at: Micros,
     requests: u64,
 }
--- a/crates/flaxstand-gateway/src/core/http_server.rs
+++ b/crates/flaxstand-gateway/src/core/http_server.rs
@@ -175,7 +175,7 @@
             shard: read.shard,
             units: read.units,
             at: None,
-            // A client's timeout is capped at the deadline of its class.
+            // A client's time-out is capped at the deadline of its class.
             time_left: read.time_left_micros.min(deadline),
             payload,
         }
@@ -231,7 +231,7 @@
     /// Sends an error response to input that can't be parsed any further. Remaining input is discarded, so
     /// that the client can read the response before the connection is closed.
     fn reject_malformed(&mut self, conn: ConnId, status: u16, text: &str, now: Micros) {
-        debug!(conn = conn.0, status, text, "closing a connection for what its peer sent");
+        debug!(conn = conn.0, status, text, "rejecting a request; closing the connection after the response");
         self.counts.protocol_faults += 1;
         self.linger(conn, now);
         self.connections
--- a/crates/flaxstand-gateway/src/core/mod.rs
+++ b/crates/flaxstand-gateway/src/core/mod.rs
@@ -215,7 +215,7 @@
         self.clients.len()
     }
 
-    /// Returns how many client attempts were classified as retries and as first attempts, if the retry
+    /// Returns how many attempts clients marked as retries, and how many were detected as such, if the retry
     /// throttle is configured.
     pub fn attempt_counts(&self) -> Option<RetryDetectionCounts> {
         self.gate.as_ref().map(AdmissionGate::attempt_counts)
--- a/crates/flaxstand-gateway/src/core/node_connections.rs
+++ b/crates/flaxstand-gateway/src/core/node_connections.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Handles the timeout of a probe.
+    /// Handles the time-out of a probe.
     pub(super) fn probe_timed_out(&mut self, probe: ProbeId, now: Micros) {
         let conn = self.upstream.take_probe_connection(probe);
         self.probe_ended(probe, Outcome::TimedOut);
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Closes a connection to a node if its idle timeout has expired, or sets the timer again.
+    /// Closes a connection to a node if its idle time-out has expired, or sets the timer again.
     pub(super) fn check_idle(&mut self, conn: ConnId, now: Micros) {
         let Some(Connection { peer: Peer::Node(node_id), .. }) = self.connections.get(conn) else { return };
         let (node_id, idle) = (*node_id, self.config.site.timeouts.node_idle_timeout);
--- a/crates/flaxstand-gateway/src/core/pending_request.rs
+++ b/crates/flaxstand-gateway/src/core/pending_request.rs
@@ -58,7 +58,8 @@
     /// No response was sent.
     None,
     Served,
-    /// Rejected, with this Retry-After.
+    /// Rejected without execution, with the Retry-After that the module set; 0 if the module did not decide
+    /// it. A client may be sent a shorter one.
     NotExecuted(Micros),
     Failed,
 }
@@ -89,7 +90,7 @@
     pub(super) class: u16,
     pub(super) plan: u16,
     pub(super) is_write: bool,
-    /// Number of earlier tries of this operation, as reported by the client.
+    /// Number of earlier attempts of this operation, as reported by the client.
     pub(super) client_retries: u8,
     /// Classified as a retry by the admission gate.
     pub(super) is_retry: bool,
--- a/crates/flaxstand-gateway/src/core/pooled_attempts.rs
+++ b/crates/flaxstand-gateway/src/core/pooled_attempts.rs
@@ -350,7 +350,7 @@
         longest.is_some()
     }
 
-    /// Closes connections whose idle timeout has expired, before their nodes do, and drops nodes removed
+    /// Closes connections whose idle time-out has expired, before their nodes do, and drops nodes removed
     /// longer ago than [`REMOVED_NODE_RETENTION`].
     pub(super) fn sweep(&mut self, now: Micros) {
         self.close_expired_idle(now);
@@ -373,7 +373,7 @@
             self.close_idle_connections(id, now);
             self.upstream.remove_node(id);
             if let Some(node) = self.nodes.remove(id) {
-                info!(node = %node.name, "node removed from the list earlier is dropped");
+                info!(node = %node.name, "removed node has not been listed again; dropping its state");
             }
         }
     }
--- a/crates/flaxstand-gateway/src/core/pooled_connection.rs
+++ b/crates/flaxstand-gateway/src/core/pooled_connection.rs
@@ -172,10 +172,10 @@
         let Some(exchange) = self.exchange else { return ResponseMatch::Unrequested };
         let fingerprint = fingerprint(response);
         let latency = now.since(self.requested_at);
-        let is_copy = |last: LastResponse| {
+        let is_duplicate = |last: LastResponse| {
             now.since(last.at) < DUPLICATE_RESPONSE_WINDOW && last.fingerprint == fingerprint
         };
-        if latency.0 < self.min_latency.0 / 2 && self.last_response.is_some_and(is_copy) {
+        if latency.0 < self.min_latency.0 / 2 && self.last_response.is_some_and(is_duplicate) {
             return ResponseMatch::Duplicate;
         }
         self.last_response = Some(LastResponse { at: now, fingerprint });
--- a/crates/flaxstand-gateway/src/core/send_permit.rs
+++ b/crates/flaxstand-gateway/src/core/send_permit.rs
@@ -93,8 +93,7 @@
         self.withdraw_unsent(&all, "endpoint list expired before sending", now);
     }
 
-    /// Withdraws exchanges of which no byte was sent, from those of these nodes that no longer accept new
-    /// work.
+    /// Withdraws the exchanges of which no byte was sent at those of the given nodes that are not serving.
     pub(super) fn withdraw_unsent_from_drained(&mut self, nodes: &BTreeSet<NodeId>, now: Micros) {
         let drained = nodes.iter().copied().filter(|node_id| !self.nodes.serves(*node_id)).collect();
         self.withdraw_unsent(&drained, "node stopped serving before sending", now);
--- a/crates/flaxstand-gateway/src/core/shutdown.rs
+++ b/crates/flaxstand-gateway/src/core/shutdown.rs
@@ -9,7 +9,7 @@
 use flaxstand_proto::CloseReason;
 use tracing::{info, warn};
 
-/// Time before the shutdown timeout at which the last responses are due.
+/// Time before the shutdown time-out at which the last responses are due.
 const ANSWER_MARGIN: Micros = Micros(50_000);
 
 /// Phase of a shutdown.
@@ -95,7 +95,7 @@
             && self.buffer_drained()
     }
 
-    /// Handles the shutdown timeout: fails the pending requests and exits.
+    /// Handles the shutdown time-out: fails the pending requests and exits.
     pub(super) fn shutdown_timed_out(&mut self, now: Micros) {
         let unanswered: Vec<RequestId> = self.requests.unanswered().collect();
         warn!(owed = unanswered.len(), "shutdown timed out; failing pending requests");
--- a/crates/flaxstand-gateway/src/core/timers.rs
+++ b/crates/flaxstand-gateway/src/core/timers.rs
@@ -11,9 +11,9 @@
     Deadline(RequestId),
     /// Time limit for opening a connection.
     ConnectTimeout(ConnId),
-    /// Check the idle timeout of a connection to a node.
+    /// Check the idle time-out of a connection to a node.
     IdleTimeout(ConnId),
-    /// Timeout of a probe.
+    /// Time-out of a probe.
     ProbeTimeout(ProbeId),
     /// Check whether an HTTP connection makes progress.
     StallCheck(ConnId),
@@ -31,7 +31,7 @@
     EndpointsExpire,
     /// Next step of the agreement.
     Agreement,
-    /// Timeout of a shutdown.
+    /// Time-out of a shutdown.
     ShutdownTimeout,
 }
 
--- a/crates/flaxstand-gateway/src/driver/accepting.rs
+++ b/crates/flaxstand-gateway/src/driver/accepting.rs
@@ -34,7 +34,8 @@
 }
 
 impl RejectedConnections {
-    /// Writes the final frame and closes the connection after [`REJECTED_LINGER`].
+    /// Writes the final frame and keeps the connection open. It is closed in the first turn after
+    /// [`REJECTED_LINGER`], or when more than [`MAX_REJECTED`] are open.
     fn add(&mut self, fd: OwnedFd, final_frame: &[u8], now: Micros) {
         let _ = write(&fd, final_frame);
         let _ = net::shutdown(&fd, net::Shutdown::Write);
--- a/crates/flaxstand-gateway/src/driver/commands.rs
+++ b/crates/flaxstand-gateway/src/driver/commands.rs
@@ -64,7 +64,7 @@
         if let Some(path) = &self.options.replicated_state
             && let Err(error) = replace_durably(path, bytes)
         {
-            warn!(%error, path = %path.display(), "cannot save the replicated state; continuing");
+            warn!(%error, path = %path.display(), "cannot save the replicated state; leaving it unsaved");
         }
     }
 
@@ -89,6 +89,6 @@
 
 fn warn_if_failed(log: &str, result: &io::Result<()>) {
     if let Err(error) = result {
-        warn!(%error, "cannot store a batch in the {log} log");
+        warn!(%error, "batch of the {log} log failed; retrying later");
     }
 }
--- a/crates/flaxstand-gateway/src/machine.rs
+++ b/crates/flaxstand-gateway/src/machine.rs
@@ -151,7 +151,8 @@
     fn written(&mut self, conn: ConnId, count: usize, now: Micros);
     /// Returns whether the connection may be read now.
     fn wants_read(&self, conn: ConnId) -> bool;
-    /// Returns whether the end of the peer's stream is to be reported at once, even while reading is paused.
+    /// Returns whether the connection is to be closed at once if the peer ends its stream while reading is
+    /// paused.
     fn wants_peer_end(&self, _conn: ConnId) -> bool {
         false
     }
--- a/crates/flaxstand-gateway/src/settings/site.rs
+++ b/crates/flaxstand-gateway/src/settings/site.rs
@@ -186,10 +186,10 @@
     timeouts
 }
 
-/// Reads the block `storm`. `max_advice_ms` is the longest Retry-After sent to a client, ms.
-fn read_retry_throttle(block: Option<&Block<'_>>, max_advice_ms: f64) -> Option<RetryThrottleConfig> {
-    let max_advice = Micros::from_ms(max_advice_ms);
-    let defaults = RetryThrottleConfig { max_retry_after: max_advice, ..RetryThrottleConfig::default() };
+/// Reads the block `storm`. `max_retry_after_ms` is the longest Retry-After sent to a client, ms.
+fn read_retry_throttle(block: Option<&Block<'_>>, max_retry_after_ms: f64) -> Option<RetryThrottleConfig> {
+    let max_retry_after = Micros::from_ms(max_retry_after_ms);
+    let defaults = RetryThrottleConfig { max_retry_after, ..RetryThrottleConfig::default() };
     let Some(block) = block else { return Some(defaults) };
     let is_throttling = block.flag("damping", true);
     let default_memory = defaults.retry_memory.ms();
--- a/crates/flaxstand-overload/src/connection_rate.rs
+++ b/crates/flaxstand-overload/src/connection_rate.rs
@@ -1,10 +1,10 @@
 //! Rate limit for new client connections. After a restart hundreds of clients connect at once, and they must
 //! not delay clients that are already connected. A token bucket admits some of them; the others get a
-//! retry-after.
+//! Retry-After.
 
 use flaxstand_proto::Micros;
 
-/// Lower bound of the rate, connections per second. Keeps a retry-after finite.
+/// Lower bound of the rate, connections per second. Keeps a Retry-After finite.
 const MIN_RATE: f64 = 1e-3;
 
 /// Limits of a [`ConnectionRateLimiter`].
@@ -14,7 +14,7 @@
     pub rate: f64,
     /// Size of the token bucket: connections admitted at once after an idle period.
     pub burst: f64,
-    /// Longest retry-after sent to a client.
+    /// Longest Retry-After sent to a client.
     pub max_retry_after: Micros,
 }
 
@@ -47,7 +47,7 @@
         self.pending_reconnects = (self.pending_reconnects - gained).max(0.0);
     }
 
-    /// Decides on a new connection. Returns `None` if it is admitted, otherwise the retry-after for the
+    /// Decides on a new connection. Returns `None` if it is admitted, otherwise the Retry-After for the
     /// client.
     ///
     /// Each rejected client gets its own retry slot after those rejected before it, so that the retries are
--- a/crates/flaxstand-overload/src/retry_throttle.rs
+++ b/crates/flaxstand-overload/src/retry_throttle.rs
@@ -1,12 +1,12 @@
 //! Chooses the priority weight of admitted attempts, rejects retries during a storm, and computes the
-//! retry-after of a rejection.
+//! Retry-After of a rejection.
 //!
 //! - A retry has a fraction of a first attempt's weight, in calm as in a storm: it displaces no first attempt
 //!   of equal weight, and does not wait if nothing else is queued.
 //! - During a storm of its volume, of its plan or overall, the retries of a volume get an equal share of a
 //!   fraction of the goodput. Retries beyond it are rejected before they use resources. First attempts are
 //!   never rejected.
-//! - A retry-after is random between half and all of the longest that clients honour, so that clients do not
+//! - A Retry-After is random between half and all of the longest that clients honour, so that clients do not
 //!   retry at the same time.
 
 use crate::load_condition::{LoadCondition, LoadConditionReport, LoadMonitor, Scope, WINDOW_SECONDS};
@@ -29,7 +29,7 @@
     pub retry_floor: f64,
     /// Time within which a rejected client is expected to retry.
     pub retry_memory: Micros,
-    /// Longest retry-after that clients honour.
+    /// Longest Retry-After that clients honour.
     pub max_retry_after: Micros,
     /// Maximum number of rejected attempts remembered for retry detection.
     pub max_remembered: usize,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Decides on an arriving attempt. `jitter`, uniform in 0 to 1, spreads the retry-after.
+    /// Decides on an arriving attempt. `jitter`, uniform in 0 to 1, spreads the Retry-After.
     pub fn admit(&mut self, attempt: &ClientAttempt, now: Micros, jitter: f64) -> ThrottleDecision {
         let kind = self.detector.classify(attempt, now);
         self.monitor.record_arrival(attempt.plan, attempt.volume, kind, now);
@@ -150,7 +150,7 @@
         self.allowances.entry(volume).or_insert(full).take_token(volume_rate, now)
     }
 
-    /// Returns the retry-after of a rejection, between half and all of the longest that clients honour.
+    /// Returns the Retry-After of a rejection, between half and all of the longest that clients honour.
     /// `jitter` is uniform in 0 to 1.
     pub fn retry_after(&self, jitter: f64) -> Micros {
         Micros((self.config.max_retry_after.0 as f64 * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))) as u64)
--- a/crates/flaxstand-platform/src/discovery/listing.rs
+++ b/crates/flaxstand-platform/src/discovery/listing.rs
@@ -31,7 +31,7 @@
     pub invalid_entries: Vec<InvalidEntry>,
     /// Total number of invalid entries.
     pub invalid_count: usize,
-    /// Number of invalid entries without a recognizable `uid`; these may refer to any target.
+    /// Number of invalid entries without a recognisable `uid`; these may refer to any target.
     pub unnamed_count: usize,
 }
 
@@ -40,7 +40,7 @@
 pub struct InvalidEntry {
     /// Index of the entry in the list, from 0.
     pub index: usize,
-    /// The `uid` of the entry, if it is recognizable.
+    /// The `uid` of the entry, if it is recognisable.
     pub uid: Option<String>,
     /// Error message. Line and column in it are relative to the start of the entry.
     pub cause: String,
@@ -127,7 +127,7 @@
 }
 
 impl Envelope {
-    /// Parses a key and its value. Unknown keys are skipped, as when [`Listing`] is deserialized.
+    /// Parses a key and its value. Unknown keys are skipped, as when [`Listing`] is deserialised.
     fn read_member(&mut self, scanner: &mut Scanner<'_>) -> Result<(), ListingError> {
         let key_span = scanner.string("a key")?;
         let key: String = parse(scanner, key_span)?;
--- a/crates/flaxstand-platform/src/discovery/scanner.rs
+++ b/crates/flaxstand-platform/src/discovery/scanner.rs
@@ -48,7 +48,7 @@
         self.at = self.bytes.len().min(self.at + 1);
     }
 
-    /// Parses and consumes the next value if it is an object that deserializes to `T`; otherwise consumes
+    /// Parses and consumes the next value if it is an object that deserialises to `T`; otherwise consumes
     /// nothing.
     pub fn object<T: DeserializeOwned>(&mut self) -> Option<T> {
         if self.peek() != Some(b'{') {
--- a/crates/flaxstand-platform/src/settings/mod.rs
+++ b/crates/flaxstand-platform/src/settings/mod.rs
@@ -1,6 +1,6 @@
 //! The settings object, which is part of both the simulator's first message and the configuration file.
 //!
-//! - [`wire`]: serialized form of the object
+//! - [`wire`]: serialised form of the object
 //! - [`check`]: validation of its values
 //! - [`convert`]: conversion to the settings of the decision module
 
--- a/crates/flaxstand-platform/src/settings/wire.rs
+++ b/crates/flaxstand-platform/src/settings/wire.rs
@@ -1,4 +1,4 @@
-//! Serialized form of the settings object. This is the only place where fields are mapped from their names on
+//! Serialised form of the settings object. This is the only place where fields are mapped from their names on
 //! the wire. Times are in milliseconds, rates in units per second.
 
 use serde::Deserialize;
--- a/crates/flaxstand-proto/src/codec/mod.rs
+++ b/crates/flaxstand-proto/src/codec/mod.rs
@@ -44,8 +44,8 @@
     /// [`MAX_BODY_BYTES`] for every kind of frame.
     #[default]
     Message,
-    /// [`MAX_LIST_BODY_BYTES`] for node lists, [`MAX_BODY_BYTES`] for other frames. Used for connections to the
-    /// discovery service and for saved lists.
+    /// [`MAX_LIST_BODY_BYTES`] for node lists, [`MAX_BODY_BYTES`] for other frames. Used for connections to
+    /// the discovery service and for saved lists.
     NodeList,
 }
 
--- a/crates/flaxstand-proto/src/frame.rs
+++ b/crates/flaxstand-proto/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frame definitions. Times on the wire are durations in microseconds: host clocks are not synchronized, so
+//! Frame definitions. Times on the wire are durations in microseconds: host clocks are not synchronised, so
 //! absolute times are never sent to another host.
 
 /// Oldest protocol version that this build negotiates.
@@ -215,7 +215,7 @@
     pub inflight: Option<u32>,
     /// Queued requests, as last measured.
     pub queue: Option<u32>,
-    /// CPU utilization in thousandths, as last measured.
+    /// CPU utilisation in thousandths, as last measured.
     pub busy: Option<u32>,
 }
 
--- a/crates/flaxstand-write-back/src/buffer/mod.rs
+++ b/crates/flaxstand-write-back/src/buffer/mod.rs
@@ -105,7 +105,7 @@
     /// Reports the result of the last [`Action::Store`].
     pub fn batch_stored(&mut self, is_stored: bool, now: Micros) {
         if !is_stored {
-            warn!("write-back log: storing a batch failed; retrying in a new segment");
+            warn!("batch of the write-back log failed; its records are retried in a new segment");
         }
         for record in self.log.batch_stored(is_stored, now) {
             match record.kind {
--- a/crates/flaxstand-write-back/src/log.rs
+++ b/crates/flaxstand-write-back/src/log.rs
@@ -138,7 +138,7 @@
     is_urgent: bool,
     queued_since: Option<Micros>,
     retry: Option<RetryBackoff>,
-    /// Removing segments failed; it is not retried before a batch of records was stored.
+    /// Removing segments failed; it is retried after the next batch of records was stored.
     removal_failed: bool,
     counts: LogCounts,
 }
--- a/crates/flaxstand-write-back/src/pressure.rs
+++ b/crates/flaxstand-write-back/src/pressure.rs
@@ -64,7 +64,8 @@
 }
 
 /// Decides on a new write. From 50 % fill on, acknowledgements are increasingly delayed to slow writers down.
-/// From 80 % on, writes are passed through; those that can't be are buffered as long as they fit.
+/// From 80 % on, and whenever a write does not fit or the log takes no records, writes are passed through.
+/// Those that can't be passed through are buffered as long as they fit, and rejected otherwise.
 pub fn admit(inputs: AdmissionInputs) -> Admission {
     let AdmissionInputs { space, cost, is_blocked, is_log_writable, max_ack_delay } = inputs;
     let can_buffer = is_log_writable && space.fits(cost);
--- a/src/api.rs
+++ b/src/api.rs
@@ -153,7 +153,7 @@
     /// Units within `slow_start_window`, from all initiators, that a node that is warming up can always
     /// handle.
     pub slow_start_min_units: f64,
-    /// Cool-down of an ordered key after an attempt that may still be executing, ms.
+    /// Cooldown of an ordered key after an attempt that may still be executing, ms.
     pub key_cooldown: Millis,
     /// Retry budget, if one is configured.
     pub retry_budget: Option<RetryBudget>,
--- a/src/deadlines.rs
+++ b/src/deadlines.rs
@@ -1,12 +1,11 @@
 //! Determines when a request gets its final response, and which one.
 //!
 //! An unserved request ends for one of these reasons:
-//! - the endpoint list has expired ([`ExpiryInputs::final_response_is_due`]);
-//! - its client would time out before a response, or would have no time left to retry elsewhere (same
-//!   function);
-//! - the rate limit of its volume or the slow start of its node would hold it for too long (same function);
-//! - requests that are due earlier take so long that it would expire (`dispatch`);
-//! - an attempt ended and no further attempt is allowed ([`is_due_after_attempt`]).
+//! - [`ExpiryInputs::final_response_is_due`]: the endpoint list has expired; its client would time out before
+//!   a response, or would have no time left to retry elsewhere; or the rate limit of its volume or the slow
+//!   start of its node would hold it for too long;
+//! - `dispatch`: requests that are due earlier take so long that it would expire;
+//! - [`is_due_after_attempt`]: an attempt ended and no further attempt is allowed.
 //!
 //! [`final_response`] chooses between a rejection with Retry-After and a failure.
 
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -16,7 +16,7 @@
 /// Queue delay that a request of the largest weight may join in addition to the tolerated one, in multiples
 /// of the tightest latency objective.
 const MAX_QUEUE_SHARE: f64 = 2.5;
-/// Share of the expected latency that a fast response may take.
+/// Latency of a fast response as a share of the expected latency.
 const BEST_CASE_LATENCY_FACTOR: f64 = 0.7;
 /// Factor on the weight of a client's retry.
 const CLIENT_RETRY_WEIGHT: f64 = 0.3;
@@ -71,8 +71,7 @@
     /// indexing by node id does not fail.
     pub(crate) fn send_held_requests(&mut self) {
         for (node, mut waiting) in self.held_by_node() {
-            // Check the capacity first, so that a node without capacity does not cost an iteration over its
-            // requests.
+            // The capacity is checked first: at a node without any, the requests are not iterated over.
             while self.nodes[node].has_capacity(self.fleet, self.now) {
                 waiting.retain(|id| self.is_held(*id) && self.may_send(*id, node));
                 let Some(next) = self.choose_next(&waiting, node) else { break };
@@ -247,7 +246,8 @@
     }
 
     /// Returns the expected latency, ms, given an `estimate` of queue delay plus service time. A request that
-    /// expires before its objective cannot be retried, so it is given the best-case factor.
+    /// expires before its objective has time for this attempt only, so the estimate is optimistic: it assumes
+    /// a fast response.
     fn expected_latency(&self, request: &Request, estimate: Millis) -> Millis {
         let expires_before_objective = request.deadlines.due_at >= request.deadlines.expires_at;
         let factor = if expires_before_objective { BEST_CASE_LATENCY_FACTOR } else { 1.0 };
--- a/src/endpoint_freshness.rs
+++ b/src/endpoint_freshness.rs
@@ -25,9 +25,11 @@
 /// The same after the service has moved, ms. A list at a new address takes effect sooner, so a longer span of
 /// unanswered calls is required before they count as an outage.
 const MIN_UNREACHABLE_SPAN_AFTER_MOVE: Millis = 3000.0;
-/// An immediate rejection shows that the service is reachable and cancels out this many unanswered calls.
+/// An immediate rejection shows that the service is reachable and subtracts this from the number of
+/// unanswered calls.
 const REJECTION_OUTWEIGHS_CALLS: u32 = 2;
-/// A later rejection, ms, is no evidence: the call was waiting at a service that is overloaded or down.
+/// Maximum time from call to rejection for the rejection to count as immediate, ms. A later one does not show
+/// that the service is reachable: the call may have waited at a service that is overloaded or down.
 const IMMEDIATE_REJECTION_TIMEOUT: Millis = 50.0;
 /// Maximum number of moves of the service that are kept. When there are more, the earliest ones and the
 /// latest one are kept.
@@ -46,14 +48,15 @@
     unanswered_calls: u32,
     /// When the first of them was sent.
     unanswered_since: Millis,
-    /// When the first bytes of a response arrived that is still incomplete. The changes in it take effect
-    /// from then on.
+    /// When the first bytes of an incomplete response arrived, if one is arriving. The changes in it take
+    /// effect from then on.
     response_began_at: Option<Millis>,
-    /// The same for the first response that was abandoned since the list was last received.
+    /// When the first bytes arrived of the first response that was abandoned since the list was last
+    /// received.
     abandoned_since: Option<Millis>,
-    /// When this initiator was notified of moves of the service, in order. Changes that the service has take
-    /// effect [`NotificationTerms::notified_after_move`] later, whatever was received before. A move is
-    /// removed once the list was received late enough after it.
+    /// Times at which this initiator was notified of moves of the service, in order. The list at the new
+    /// address takes effect [`NotificationTerms::notified_after_move`] after the move, whatever was received
+    /// before. A move is removed once `current_at` is at least that much later.
     moves: VecDeque<Millis>,
 }
 
@@ -144,7 +147,7 @@
         self.moves.push_back(now);
     }
 
-    /// Removes moves after which the list was received late enough.
+    /// Removes the moves whose list took effect by `current_at`.
     fn prune_moves(&mut self) {
         let Some(terms) = self.terms else { return };
         let is_superseded = |moved_at: &mut Millis| *moved_at + terms.notified_after_move <= self.current_at;
--- a/src/evaluation_timer.rs
+++ b/src/evaluation_timer.rs
@@ -2,9 +2,10 @@
 
 use crate::api::{Action, Millis};
 
-/// Interval between evaluations while a request waits, ms.
+/// Interval between evaluations while a request is held or may be hedged, ms.
 pub(crate) const EVALUATION_INTERVAL: Millis = 10.0;
-/// Interval while attempts are in flight and no request waits, as a share of the tightest latency objective.
+/// Interval while attempts are in flight and no request is held or may be hedged, as a share of the tightest
+/// latency objective.
 const IDLE_INTERVAL_SHARE: f64 = 1.0 / 4.0;
 
 /// The timer that was requested last.
@@ -14,8 +15,8 @@
 }
 
 impl EvaluationTimer {
-    /// Requests a timer for the next evaluation, at `next_poll_at` at the latest, unless a timer is due by
-    /// then.
+    /// Requests a timer for the next evaluation, at `next_poll_at` at the latest, unless the timer requested
+    /// last is due by then. `is_waiting`: whether a request is held or may be hedged.
     pub(crate) fn schedule(
         &mut self,
         is_waiting: bool,
--- a/src/key_order.rs
+++ b/src/key_order.rs
@@ -21,7 +21,7 @@
     }
 
     /// Guards against reordering: returns whether a request is the first in the queue of its key. Its first
-    /// attempt also waits for the end of the cool-down.
+    /// attempt also waits for the end of the cooldown.
     pub(crate) fn is_next(&self, key: Key, id: RequestId, is_first_attempt: bool, now: Millis) -> bool {
         let Some(queue) = self.0.get(&key) else { return true };
         queue.waiting.front() == Some(&id) && (!is_first_attempt || now >= queue.cooldown_until)
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Removes keys without waiting requests or an active cool-down.
+    /// Removes keys without waiting requests or an active cooldown.
     pub(crate) fn prune(&mut self, now: Millis) {
         self.0.retain(|_, queue| !queue.waiting.is_empty() || now < queue.cooldown_until);
     }
--- a/src/node.rs
+++ b/src/node.rs
@@ -195,8 +195,8 @@
         self.health.is_ejected() || self.is_unresponsive(fleet, now)
     }
 
-    /// Returns whether health and concurrency limit allow another attempt. Attempts that are presumed lost do
-    /// not count against the limit.
+    /// Returns whether the node's health and its concurrency limit allow another attempt. Attempts whose
+    /// responses are presumed lost do not count against the limit.
     pub(crate) fn has_capacity(&self, fleet: &FleetEstimates, now: Millis) -> bool {
         if self.health.is_ejected() {
             return self.health.allows_trial(self.in_flight.len(), now);
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// A request that is not bound to a shard.
+/// A held request for a new object: it is not bound to a shard.
 struct NewObject {
     id: RequestId,
     due_at: Millis,
--- a/src/request.rs
+++ b/src/request.rs
@@ -44,7 +44,7 @@
     pub(crate) is_over: bool,
     /// Whether its response is streaming to the client.
     pub(crate) is_streaming: bool,
-    /// Whether it is a retry by a client of an item that was recently not served here.
+    /// Whether it counts as a client's retry: a recent request for the same item was not served here.
     pub(crate) is_client_retry: bool,
 }
 
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -87,7 +87,7 @@
         Some(attempt.node)
     }
 
-    /// Starts the cool-down of a key after an attempt that may still be executing. Guards against reordering.
+    /// Starts the cooldown of a key after an attempt that may still be executing. Guards against reordering.
     pub(crate) fn start_key_cooldown(&mut self, ended: &AttemptEnd, settings: &Settings, now: Millis) {
         let Some(request) = self.requests.get(&ended.request) else { return };
         let may_still_run = matches!(ended.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
@@ -107,7 +107,7 @@
     ) {
         let id = ended.request;
         let Some(request) = self.requests.get_mut(&id) else { return };
-        // Draw another node for a new object.
+        // The next placement draws another node for a new object.
         request.node = None;
         let effect = settings.classes[request.arrival.class.0].effect;
         if ended.is_final || request.is_over {
--- a/src/retries.rs
+++ b/src/retries.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Returns whether its effect allows another attempt of the request at any node.
+/// Returns whether the effect of a request allows another attempt at all, at whichever node.
 pub(crate) fn is_retryable(request: &Request, effect: Effect) -> bool {
     effect != Effect::AtMostOnce || request.first_possibly_executed().is_none()
 }
@@ -102,8 +102,8 @@
     }
 }
 
-/// Items with an unserved request, by the time the client timed out. The next request for such an item is
-/// considered a retry by the client.
+/// Items with an unserved request, and the time at which its client times out. The next request for such an
+/// item is considered a retry by the client.
 #[derive(Default)]
 pub(crate) struct UnservedItems(BTreeMap<(VolumeId, Key), Millis>);
 
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -69,9 +69,9 @@
     }
 
     /// Returns whether a request may be sent. Guards against overloading a node that is warming up: this
-    /// initiator sends at most its share per window. A request larger than the share is sent alone, after a
-    /// wait of as many windows as it needs shares. The first one also waits for a part of that, by the phase
-    /// of this initiator, after the node was first seen.
+    /// initiator sends at most its share per window. A request of `n` shares is sent alone, at least `n`
+    /// windows after the last send. It also waits until a part of these `n` windows, given by the phase of
+    /// this initiator, has passed since the process was first seen, so that initiators do not start at once.
     pub(crate) fn allows(
         &self,
         units: f64,
