--- a/crates/flaxstand-cli/tests/agreement/main.rs
+++ b/crates/flaxstand-cli/tests/agreement/main.rs
@@ -309,6 +309,9 @@
     assert!(text(&out.stdout).contains("class.read.effect: \"repeatable\" -> \"once\"  narrows"));
     assert_eq!(f.replicated_state(0).unwrap().last_number, 1, "no version was proposed by these commands");
     let wide = f.write_file("wide.kdl", &shared_settings(200, "repeatable"));
+    f.wait_for("the previous rollout to complete", |f| {
+        f.report(f.leader())?.blockers.is_empty().then_some(())
+    });
     let since = f.pause(3);
     let out = f.command(0, &["propose", wide.to_str().unwrap()]);
     assert!(text(&out.stdout).contains("version 2 is committed"), "{out:?}");
