--- a/crates/flaxstand-cli/src/rehearsal.rs
+++ b/crates/flaxstand-cli/src/rehearsal.rs
@@ -113,7 +113,7 @@
     });
     let (played, tries) = (search.days, search.tries);
     let seconds = started.elapsed().as_secs_f64();
-    println!("{played} days from seed {first} on, {tries} runs to minimise, {seconds:.0} s");
+    println!("{played} days from seed {first} on, {tries} client tries, {seconds:.0} s");
     let Some(found) = search.found else {
         println!("no rule broken");
         return Ok(());
